--- a/balancer/api.go
+++ b/balancer/api.go
@@ -60,7 +60,6 @@
 	MaxAttempts    int // absent: 1
 	SecondCopies   bool
 	Cancelling     bool
-	Probes         bool
 	RetryAfter     bool
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
@@ -77,7 +76,7 @@
 	Reports bool // what own evidence says of upstreams is wanted, as Report
 }
 
-// Event is anything a sidecar reports: Members, Ban, Retune, Hearsay, Learnt, Request, Whole, FirstByte, Outcome, Gone, Wake, ProbeResult, Peer.
+// Event is anything a sidecar reports: Members, Ban, Retune, Hearsay, Learnt, Request, Whole, FirstByte, Outcome, Gone, Wake.
 type Event interface{ event() }
 
 // State is an upstream's state in the list.
@@ -178,30 +177,15 @@
 // Wake is the timer set by the last SetTimer.
 type Wake struct{}
 
-// ProbeResult ends a probe. The module sends none, and ignores it.
-type ProbeResult struct {
-	Upstream string
-	Result   Result
-	Elapsed  time.Duration
-}
-
-// Peer is a message from another sidecar. The module sends none, and ignores it.
-type Peer struct {
-	From    int
-	Message string
-}
-
-func (Members) event()     {}
-func (Ban) event()         {}
-func (Retune) event()      {}
-func (Request) event()     {}
-func (Whole) event()       {}
-func (FirstByte) event()   {}
-func (Outcome) event()     {}
-func (Gone) event()        {}
-func (Wake) event()        {}
-func (ProbeResult) event() {}
-func (Peer) event()        {}
+func (Members) event()   {}
+func (Ban) event()       {}
+func (Retune) event()    {}
+func (Request) event()   {}
+func (Whole) event()     {}
+func (FirstByte) event() {}
+func (Outcome) event()   {}
+func (Gone) event()      {}
+func (Wake) event()      {}
 
 // ActionKind tells actions apart.
 type ActionKind int
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -233,8 +233,6 @@
 	case 3:
 		deal(Gone{ID: "nobody"})
 		deal(FirstByte{ID: "nobody"})
-		deal(ProbeResult{Upstream: "u0"})
-		deal(Peer{Message: "hi"})
 	}
 }
 
--- a/internal/wire/env.go
+++ b/internal/wire/env.go
@@ -30,7 +30,7 @@
 	Classes   []class
 	Discovery string
 	Limits    struct {
-		Cancelling, Probes, RetryAfter, SecondCopies bool
+		Cancelling, Probes, RetryAfter, SecondCopies bool // Probes: a known key that nothing here depends on
 		ConnectTimeoutMs, MaxRetryAfterMs            float64
 		ConnIdleMs                                   float64
 		SendCap                                      float64
@@ -79,7 +79,6 @@
 		MaxAttempts:    count(e.Limits.SendCap),
 		SecondCopies:   e.Limits.SecondCopies,
 		Cancelling:     e.Limits.Cancelling,
-		Probes:         e.Limits.Probes,
 		RetryAfter:     e.Limits.RetryAfter,
 		MaxRetryAfter:  duration(e.Limits.MaxRetryAfterMs),
 		ConnectTimeout: duration(e.Limits.ConnectTimeoutMs),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -40,8 +40,6 @@
 	Result      int
 	ElapsedMs   float64
 	Finished    bool
-	By          int
-	Contents    string
 }
 
 type entry struct {
@@ -208,10 +206,6 @@
 		return balancer.Gone{ID: e.ID}
 	case "Wakeup":
 		return balancer.Wake{}
-	case "ProbeDone":
-		return balancer.ProbeResult{Upstream: e.Upstream, Result: result(e.Result), Elapsed: duration(e.ElapsedMs)}
-	case "Heard":
-		return balancer.Peer{From: e.By, Message: e.Contents}
 	}
 	return nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -95,8 +95,8 @@
 		{event{Verb: "Order", ID: "x", Type: "c", Billing: 0.0, PredictedMs: 2}, balancer.Request{ID: "x", Class: "c"}},
 		{event{Verb: "Returned", ID: "x", Hop: 1, Result: 520, ElapsedMs: 3},
 			balancer.Outcome{ID: "x", Attempt: 1, Result: balancer.Reset, Elapsed: 3 * time.Millisecond}},
-		{event{Verb: "ProbeDone", Upstream: "s", Result: 200}, balancer.ProbeResult{Upstream: "s"}},
-		{event{Verb: "Heard", By: 2, Contents: "hi"}, balancer.Peer{From: 2, Message: "hi"}},
+		{event{Verb: "ProbeDone", Upstream: "s", Result: 200}, nil},
+		{event{Verb: "Heard"}, nil},
 		{event{Verb: "Wakeup"}, balancer.Wake{}},
 	} {
 		if got := h.translate(&c.e); got != c.want {
