--- a/balancer/learnt.go
+++ b/balancer/learnt.go
@@ -9,41 +9,48 @@
 // Learnt is what a Balancer knows from its own outcomes. The next process of the same sidecar begins with it: as an
 // event, after its first list. Times are durations before the moment, since clocks differ between processes.
 type Learnt struct {
-	Upstreams                  map[string]LearntUpstream
-	Kinds                      map[string]float64 // mean latency by kind of machine
-	Classes                    map[string]LearntClass
-	Tenants                    map[string]LearntRate
-	Fleet, Mean, HintMean      float64
-	Mid, Late                  float64
-	AtHome, Limit, Crowd, Wins float64
-	CrowdAge                   time.Duration
-	ShedAge                    time.Duration // 0: nothing is refused
-	Carried                    float64
-	Offered, Served            LearntRate
+	Upstreams map[string]LearntUpstream `json:"Upstreams"`
+	Kinds     map[string]float64        `json:"Kinds"` // mean latency by kind of machine
+	Classes   map[string]LearntClass    `json:"Classes"`
+	Tenants   map[string]LearntRate     `json:"Tenants"`
+	Fleet     float64                   `json:"Fleet"`
+	Mean      float64                   `json:"Mean"`
+	HintMean  float64                   `json:"HintMean"`
+	Mid       float64                   `json:"Mid"`
+	Late      float64                   `json:"Late"`
+	AtHome    float64                   `json:"AtHome"`
+	Limit     float64                   `json:"Limit"`
+	Crowd     float64                   `json:"Crowd"`
+	Wins      float64                   `json:"Wins"`
+	CrowdAge  time.Duration             `json:"CrowdAge"`
+	ShedAge   time.Duration             `json:"ShedAge"` // 0: nothing is refused
+	Carried   float64                   `json:"Carried"`
+	Offered   LearntRate                `json:"Offered"`
+	Served    LearntRate                `json:"Served"`
 }
 
 // LearntUpstream is what was learnt of one process of an upstream.
 type LearntUpstream struct {
-	UpFor     time.Duration // 0: long
-	Estimate  float64
-	Age       time.Duration // of the estimate
-	Ejections int
-	Left      time.Duration // of the ejection
-	ColdFor   time.Duration // 0: not cold
-	Tokens    float64       // of a cold one: what is left of its budget, in mean requests; below 0: in debt
+	UpFor     time.Duration `json:"UpFor"` // 0: long
+	Estimate  float64       `json:"Estimate"`
+	Age       time.Duration `json:"Age"` // of the estimate
+	Ejections int           `json:"Ejections"`
+	Left      time.Duration `json:"Left"`    // of the ejection
+	ColdFor   time.Duration `json:"ColdFor"` // 0: not cold
+	Tokens    float64       `json:"Tokens"`  // of a cold one: what is left of its budget, in mean requests; below 0: in debt
 }
 
 // LearntClass is what was learnt of a class.
 type LearntClass struct {
-	Mean     float64
-	TryTime  time.Duration
-	TryVotes int
+	Mean     float64       `json:"Mean"`
+	TryTime  time.Duration `json:"TryTime"`
+	TryVotes int           `json:"TryVotes"`
 }
 
 // LearntRate is a rate.
 type LearntRate struct {
-	Sum float64
-	Age time.Duration
+	Sum float64       `json:"Sum"`
+	Age time.Duration `json:"Age"`
 }
 
 func (Learnt) event() {}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -29,33 +29,36 @@
 )
 
 // uses is what a process holds of the limits that both share.
-type uses struct{ Clients, Upstreams int }
+type uses struct {
+	Clients   int `json:"Clients"`
+	Upstreams int `json:"Upstreams"`
+}
 
 // message is a line on the link; one field is set.
 type message struct {
-	State *inherited `json:",omitempty"` // old to new: what it begins with
-	Ready bool       `json:",omitempty"` // new to old: it can take clients
-	Uses  *uses      `json:",omitempty"` // old to new, once it accepts no more; new to old after Back
-	Back  bool       `json:",omitempty"` // new to old: it was told to end
-	Ban   *call      `json:",omitempty"`
-	Ack   int        `json:",omitempty"` // the call of this number is taken over
-	Kept  bool       `json:",omitempty"` // and it is on disk
+	State *inherited `json:"State,omitempty"` // old to new: what it begins with
+	Ready bool       `json:"Ready,omitempty"` // new to old: it can take clients
+	Uses  *uses      `json:"Uses,omitempty"`  // old to new, once it accepts no more; new to old after Back
+	Back  bool       `json:"Back,omitempty"`  // new to old: it was told to end
+	Ban   *call      `json:"Ban,omitempty"`
+	Ack   int        `json:"Ack,omitempty"`  // the call of this number is taken over
+	Kept  bool       `json:"Kept,omitempty"` // and it is on disk
 }
 
 // inherited is what a process tells the next one.
 type inherited struct {
-	List   *listing
-	Banned []string
-	Learnt *balancer.Learnt `json:",omitempty"`
+	List   *listing         `json:"List"`
+	Banned []string         `json:"Banned"`
+	Learnt *balancer.Learnt `json:"Learnt,omitempty"`
 	// Settings are those of the service; nil: none are followed, or none were told.
-	Settings *state.Settings `json:",omitempty"`
+	Settings *state.Settings `json:"Settings,omitempty"`
 }
 
 type call struct {
-	Number int
-	ID     string
-	Lifted bool
-	Writes bool `json:",omitempty"` // whoever passes it on puts it on disk
+	Number int    `json:"Number"`
+	ID     string `json:"ID"`
+	Lifted bool   `json:"Lifted"`
+	Writes bool   `json:"Writes,omitempty"` // whoever passes it on puts it on disk
 }
 
 // link is one end of the line between the two processes.
--- a/internal/state/settings.go
+++ b/internal/state/settings.go
@@ -11,10 +11,10 @@
 // Settings is the document with the settings of the sidecar's service that was in force last. However old it is, it is worth more than
 // what the file says: the list service tells what has changed since.
 type Settings struct {
-	SavedMs  int64
-	Service  string
-	Document api.Document     // Version 0: none was in force yet
-	Seen     map[string]int64 // the highest version that was told, by the region that owns it
+	SavedMs  int64            `json:"SavedMs"`
+	Service  string           `json:"Service"`
+	Document api.Document     `json:"Document"` // Version 0: none was in force yet
+	Seen     map[string]int64 `json:"Seen"`     // the highest version that was told, by the region that owns it
 }
 
 // LoadSettings reads the settings into what LoadFirst has given, for a sidecar that follows those of its service. Whether they are of use
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -42,25 +42,25 @@
 // List is the list of upstreams as it was last told. On disk its first line is a JSON object of all but the listing, which
 // follows as it came: it is large, and a start waits for it.
 type List struct {
-	SavedMs int64  // Unix time
-	Source  string // the address of the discovery that told it: versions of another one mean nothing
-	Listing []byte `json:"-"` // in discovery's form
+	SavedMs int64  `json:"SavedMs"` // Unix time
+	Source  string `json:"Source"`  // the address of the discovery that told it: versions of another one mean nothing
+	Listing []byte `json:"-"`       // in discovery's form
 }
 
 // Learnt is what the decisions had learnt.
 type Learnt struct {
-	SavedMs int64
-	Learnt  balancer.Learnt
+	SavedMs int64           `json:"SavedMs"`
+	Learnt  balancer.Learnt `json:"Learnt"`
 }
 
 // Life is one process of the sidecar.
 type Life struct {
-	Name      string // of the sidecar
-	StartedMs int64
-	Clean     bool // it ended in order
-	Settled   bool // it lived for SettledAfter
-	Early     int  // unclean ends soon after the start, in a row, before this one
-	SetAside  bool // the state was set aside for them, once
+	Name      string `json:"Name"` // of the sidecar
+	StartedMs int64  `json:"StartedMs"`
+	Clean     bool   `json:"Clean"`    // it ended in order
+	Settled   bool   `json:"Settled"`  // it lived for SettledAfter
+	Early     int    `json:"Early"`    // unclean ends soon after the start, in a row, before this one
+	SetAside  bool   `json:"SetAside"` // the state was set aside for them, once
 }
 
 // Kept is what was found.
