--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -11,8 +11,8 @@
 func TestBanOutlastsLists(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.do(Ban{Upstream: "u0"}) // before the first list, as in an upgrade
-	for round, kind := range []MembersKind{Full, Change, Full} {
-		r.list(kind, Member{Upstream: "u0", Zone: "a", CameUp: time.Duration(round) * time.Second}, Member{Upstream: "u1", Zone: "a"})
+	for round, kind := range []UpdateKind{FullState, Delta, FullState} {
+		r.list(kind, Endpoint{Upstream: "u0", Zone: "a", StartedAt: time.Duration(round) * time.Second}, Endpoint{Upstream: "u1", Zone: "a"})
 		for i := range 20 {
 			id := fmt.Sprint(round, "-", i)
 			if to := r.wantSend(r.request(id, "c", time.Second)); to != "u1" {
@@ -20,7 +20,7 @@
 			}
 			r.result(id, 0, OK, 20*ms)
 		}
-		r.list(Change, Member{Upstream: "u0", State: Left})
+		r.list(Delta, Endpoint{Upstream: "u0", State: Removed})
 	}
 }
 
@@ -30,7 +30,7 @@
 	r.fleet(2)
 	r.do(Ban{Upstream: "u0"})
 	r.do(Ban{Upstream: "u1"})
-	r.wantFinal(r.request("1", "c", time.Second), Refuse)
+	r.wantFinal(r.request("1", "c", time.Second), Reject)
 }
 
 // Guards against an upstream that stays unused when it is called back, and against one that is pushed over: it gets its
@@ -47,18 +47,18 @@
 	r.do(Ban{Upstream: "u3"})
 	r.do(Ban{Upstream: "u3"})
 	r.pass(time.Second)
-	r.do(Ban{Upstream: "u3", Lifted: true})
+	r.do(Ban{Upstream: "u3", Cleared: true})
 	if to := r.wantSend(r.request("first", "c", time.Second)); to != "u3" {
 		t.Errorf("the first request went to %s", to)
 	}
-	if u := r.b.ups["u3"]; !u.cold || u.coldFrom != r.now {
+	if u := r.b.endpoints.byID["u3"]; !u.slowStart.active || u.slowStart.startedAt != r.now {
 		t.Error("it came back warm")
 	}
 	// Discovery tells of the restart later: cold from the call still, as what runs now began before.
 	at := r.now
 	r.pass(100 * ms)
-	r.list(Change, Member{Upstream: "u3", Zone: "a", CameUp: at - 500*ms})
-	if u := r.b.ups["u3"]; !u.cold || u.coldFrom != at {
+	r.list(Delta, Endpoint{Upstream: "u3", Zone: "a", StartedAt: at - 500*ms})
+	if u := r.b.endpoints.byID["u3"]; !u.slowStart.active || u.slowStart.startedAt != at {
 		t.Error("warm too early")
 	}
 	n := 0
@@ -80,7 +80,7 @@
 		perSec   float64 // of each
 	}{{4, 200}, {300, 6}} {
 		s := testSettings()
-		s.Balancers, s.ColdFrom, s.WarmUp, s.FallMultiple, s.FallTime = c.sidecars, 0.3, 8800*ms, 4, time.Second
+		s.FleetSize, s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration = c.sidecars, 0.3, 8800*ms, 4, time.Second
 		all := make([]*rig, c.sidecars)
 		for i := range all {
 			s.Zone = string(rune('a' + i%4))
@@ -89,16 +89,16 @@
 				t.Fatal(err)
 			}
 			all[i] = &rig{t: t, b: b, now: time.Minute}
-			var list []Member
+			var list []Endpoint
 			for u := range 40 {
-				list = append(list, Member{Upstream: fmt.Sprint(u), Zone: string(rune('a' + u%4))})
+				list = append(list, Endpoint{Upstream: fmt.Sprint(u), Zone: string(rune('a' + u%4))})
 			}
-			all[i].list(Full, list...)
+			all[i].list(FullState, list...)
 			for at := 20 * time.Second; at < time.Minute; at += 100 * ms {
-				b.offered.add(c.perSec/10, at)
+				b.admission.offered.add(c.perSec/10, at)
 			}
 			all[i].do(Ban{Upstream: "5"})
-			all[i].do(Ban{Upstream: "5", Lifted: true})
+			all[i].do(Ban{Upstream: "5", Cleared: true})
 		}
 		got, first := 0, 0
 		for k := range int(c.perSec) {
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -18,22 +18,22 @@
 		r.result(id, 0, OK, 10*ms)
 	}
 	budget := func() float64 {
-		r.list(Change, Member{Upstream: "cold", Zone: "a", CameUp: r.now})
-		u := r.b.ups["cold"]
-		u.tokens, u.filled = 0, r.now
+		r.list(Delta, Endpoint{Upstream: "cold", Zone: "a", StartedAt: r.now})
+		u := r.b.endpoints.byID["cold"]
+		u.slowStart.tokens, u.slowStart.refilledAt = 0, r.now
 		r.now += 200 * ms
 		r.b.now = r.now
-		r.b.coldAllows(u)
-		r.list(Change, Member{Upstream: "cold", Zone: "a", State: Left})
-		return u.tokens
+		r.b.slowStartAllows(u)
+		r.list(Delta, Endpoint{Upstream: "cold", Zone: "a", State: Removed})
+		return u.slowStart.tokens
 	}
 	before := budget()
-	r.b.shedding, r.b.carried = r.now, r.b.offered.per(r.now)
+	r.b.admission.lastShedAt, r.b.admission.offeredAtShedding = r.now, r.b.admission.offered.perSecond(r.now)
 	r.now += 20 * time.Second // nothing is admitted meanwhile
 	if now := budget(); now < 0.9*before {
 		t.Errorf("%.2f in 0.2 s, was %.2f", now, before)
 	}
-	r.b.shedding = 0
+	r.b.admission.lastShedAt = 0
 	if now := budget(); now > 0.6*before {
 		t.Errorf("%.2f in 0.2 s with little work, was %.2f", now, before)
 	}
@@ -59,8 +59,8 @@
 	if p := r.b.pressure(); p <= 1 { // 9, and none served
 		t.Errorf("pressure %.2f with a third banned", p)
 	}
-	r.b.ups["u5"].until, r.b.ups["u6"].until = r.now+time.Second, r.now+time.Second
-	if n := r.b.usable(); n != 6 {
+	r.b.endpoints.byID["u5"].health.ejectedUntil, r.b.endpoints.byID["u6"].health.ejectedUntil = r.now+time.Second, r.now+time.Second
+	if n := r.b.usableCapacity(); n != 6 {
 		t.Errorf("%v usable", n)
 	}
 }
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -17,19 +17,19 @@
 	half := time.Duration(math.Round(math.Ln2 * 1e9))
 	for _, c := range []struct {
 		name    string
-		e       estimate
+		e       peakEWMA
 		sample  float64
 		now     time.Duration
 		want    float64
 		wantNow time.Duration
 	}{
-		{"above the estimate: replaces it", estimate{0.1, 0}, 0.3, half, 0.3, half},
-		{"above its projection only: replaces it", estimate{0.1, 0}, 0.06, half, 0.06, half},
-		{"below the projection: blended in", estimate{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
-		{"at the projection: stays there", estimate{0.1, 0}, 0.05, half, 0.05, half},
-		{"same moment, lower: no weight", estimate{0.1, half}, 0.02, half, 0.1, half},
-		{"same moment, higher: a peak all the same", estimate{0.1, half}, 0.2, half, 0.2, half},
-		{"earlier than the last: dropped", estimate{0.1, half}, 0.9, half - 1, 0.1, half},
+		{"above the estimate: replaces it", peakEWMA{0.1, 0}, 0.3, half, 0.3, half},
+		{"above its projection only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
+		{"below the projection: blended in", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
+		{"at the projection: stays there", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
+		{"same moment, lower: no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
+		{"same moment, higher: a peak all the same", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
+		{"earlier than the last: dropped", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
 	} {
 		c.e.add(c.sample, c.now, decay)
 		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.at != c.wantNow {
@@ -57,12 +57,12 @@
 		r.fleet(1)
 		r.wantSend(r.request("1", "c", time.Second))
 		r.now += 60 * time.Second // the seed's projection is nothing by now
-		u := r.b.list[0]
-		a := u.out[0]
+		u := r.b.endpoints.order[0]
+		a := u.inFlight[0]
 		r.b.now = r.now
-		r.b.observe(a, c.res, c.elapsed)
-		if !near(u.est.value, c.want) {
-			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, u.est.value, c.want)
+		r.b.observeAttempt(a, c.res, c.elapsed)
+		if !near(u.latency.value, c.want) {
+			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, u.latency.value, c.want)
 		}
 	}
 }
@@ -70,9 +70,9 @@
 // The seed is the mean latency known when the upstream is first seen.
 func TestSeed(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.b.fleet = 0.033
+	r.b.latency.fleet = 0.033
 	r.fleet(1)
-	if got := r.b.list[0].est; got.value != 0.033 || got.at != r.now {
+	if got := r.b.endpoints.order[0].latency; got.value != 0.033 || got.at != r.now {
 		t.Errorf("seed %+v", got)
 	}
 }
@@ -81,19 +81,19 @@
 func TestLoad(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(1)
-	u := r.b.list[0]
-	u.est = estimate{0.04, r.now}
+	u := r.b.endpoints.order[0]
+	u.latency = peakEWMA{0.04, r.now}
 	r.b.now = r.now
-	if got := r.b.load(u); !near(got, 0.04) {
+	if got := r.b.cost(u); !near(got, 0.04) {
 		t.Errorf("idle: %v", got)
 	}
-	r.b.send(&request{id: "x", class: r.b.classes["c"], cost: 1, expires: r.now + time.Second}, u)
-	if got := r.b.load(u); !near(got, 0.08) {
+	r.b.startAttempt(&request{id: "x", class: r.b.classes["c"], work: 1, expiresAt: r.now + time.Second}, u)
+	if got := r.b.cost(u); !near(got, 0.08) {
 		t.Errorf("one pending: %v", got)
 	}
 	// A hung attempt's age is a lower bound of the latency.
 	r.b.now += 100 * ms
-	if got := r.b.load(u); !near(got, 0.2) {
+	if got := r.b.cost(u); !near(got, 0.2) {
 		t.Errorf("one pending for 100 ms: %v", got)
 	}
 }
@@ -102,10 +102,10 @@
 func TestIdleEstimateTendsToMean(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.list[0].est = estimate{0.5, r.now}
+	r.b.endpoints.order[0].latency = peakEWMA{0.5, r.now}
 	r.b.now = r.now + time.Hour
-	if got := r.b.load(r.b.list[0]); !near(got, r.b.fleet) {
-		t.Errorf("idle for long: %v, want the mean %v", got, r.b.fleet)
+	if got := r.b.cost(r.b.endpoints.order[0]); !near(got, r.b.latency.fleet) {
+		t.Errorf("idle for long: %v, want the mean %v", got, r.b.latency.fleet)
 	}
 }
 
@@ -113,8 +113,8 @@
 func TestPickTakesLowerOfTwo(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.ups["u0"].est = estimate{0.02, r.now}
-	r.b.ups["u1"].est = estimate{0.05, r.now}
+	r.b.endpoints.byID["u0"].latency = peakEWMA{0.02, r.now}
+	r.b.endpoints.byID["u1"].latency = peakEWMA{0.05, r.now}
 	r.b.now = r.now
 	got := ""
 	for i, want := range []string{"u0", "u0", "u1", "u0", "u0", "u1"} { // loads 20/50, 40/50, 60/50, 60/100, 80/100, 100/100
@@ -132,13 +132,13 @@
 func TestPairIsRandomAndDistinct(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
-	for i := range r.b.list {
-		r.b.ups[fmt.Sprint("u", i)].est = estimate{0.01 * float64(i+1), r.now}
+	for i := range r.b.endpoints.order {
+		r.b.endpoints.byID[fmt.Sprint("u", i)].latency = peakEWMA{0.01 * float64(i+1), r.now}
 	}
 	r.b.now = r.now
 	n := map[string]int{}
 	for range 6000 {
-		n[r.b.twoChoices(r.b.list).id]++
+		n[r.b.powerOfTwoChoices(r.b.endpoints.order).id]++
 	}
 	// Of the six pairs, u0 wins three, u1 two, u2 one, u3 none.
 	for id, want := range map[string]int{"u0": 3000, "u1": 2000, "u2": 1000, "u3": 0} {
@@ -168,7 +168,7 @@
 			r.result(id, 0, OK, 20*ms)
 			r.pass(time.Second)
 		}
-		if len(met) > subsetMin+2 {
+		if len(met) > minSubset+2 {
 			t.Fatalf("one request a second met %d upstreams", len(met))
 		}
 		for u := range met {
@@ -182,8 +182,8 @@
 	}
 	r := newRig(t, testSettings())
 	r.fleet(fleet)
-	for _, u := range r.b.list[:subsetMin] {
-		u.until = r.now + time.Hour
+	for _, u := range r.b.endpoints.order[:minSubset] {
+		u.health.ejectedUntil = r.now + time.Hour
 	}
 	r.wantSend(r.request("x", "c", time.Second))
 }
@@ -206,9 +206,9 @@
 func TestLargeFleetKeepsToFew(t *testing.T) {
 	const fleet, sidecars = 60, 80
 	s := testSettings()
-	s.Balancers = sidecars
+	s.FleetSize = sidecars
 	for _, c := range []struct{ perSec, least, most int }{
-		{1, 2, subsetMin + 1},
+		{1, 2, minSubset + 1},
 		{20, 3, 5},   // 5 of 80 for each of 60
 		{100, 9, 14}, // half an aim of 200 ms
 	} {
@@ -224,7 +224,7 @@
 // An upstream never heard of counts as its kind of machine does, not as the fleet: kinds differ in speed threefold.
 func TestUnheardUpstreamCountsAsItsKind(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.list(Full, Member{Upstream: "f0", Machine: "fast"}, Member{Upstream: "s0", Machine: "slow"})
+	r.list(FullState, Endpoint{Upstream: "f0", Machine: "fast"}, Endpoint{Upstream: "s0", Machine: "slow"})
 	for i := range 200 {
 		id := fmt.Sprint(i)
 		elapsed := map[string]time.Duration{"f0": 20 * ms, "s0": 80 * ms}[r.wantSend(r.request(id, "c", time.Second))]
@@ -232,8 +232,8 @@
 		r.result(id, 0, OK, elapsed)
 		r.now += 10 * time.Second
 	}
-	r.list(Change, Member{Upstream: "f1", Machine: "fast"}, Member{Upstream: "s1", Machine: "slow"})
-	if f, s := r.b.load(r.b.ups["f1"]), r.b.load(r.b.ups["s1"]); s < 2*f {
+	r.list(Delta, Endpoint{Upstream: "f1", Machine: "fast"}, Endpoint{Upstream: "s1", Machine: "slow"})
+	if f, s := r.b.cost(r.b.endpoints.byID["f1"]), r.b.cost(r.b.endpoints.byID["s1"]); s < 2*f {
 		t.Errorf("new and unheard: fast %.3f, slow %.3f", f, s)
 	}
 }
@@ -241,12 +241,12 @@
 // A pick at a quiet sidecar costs the same however long the list. (At 400 upstreams it took 11 us of a budget of 10.)
 func TestPickDoesNotWalkALargeList(t *testing.T) {
 	r := newRig(t, testSettings())
-	var list []Member
+	var list []Endpoint
 	for i := range 1000 {
-		list = append(list, Member{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
+		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 	}
-	r.list(Full, list...)
-	clear(r.b.list[100:]) // a look at one of them panics
+	r.list(FullState, list...)
+	clear(r.b.endpoints.order[100:]) // a look at one of them panics
 	r.wantSend(r.request("1", "c", time.Second))
 }
 
@@ -255,11 +255,11 @@
 func TestDrawsFollowStatedSize(t *testing.T) {
 	share := func(sidecars int) float64 {
 		s := testSettings()
-		s.Balancers = sidecars
+		s.FleetSize = sidecars
 		rng := rand.New(rand.NewPCG(1, 1))
 		w := newWorld(t, s, func(string) (Result, time.Duration) { return OK, time.Duration(15+rng.IntN(10)) * ms })
-		w.list(Full, Member{Upstream: "large", Weight: 9}, Member{Upstream: "none"}, Member{Upstream: "odd", Weight: -2},
-			Member{Upstream: "small", Weight: 1})
+		w.list(FullState, Endpoint{Upstream: "large", Weight: 9}, Endpoint{Upstream: "none"}, Endpoint{Upstream: "odd", Weight: -2},
+			Endpoint{Upstream: "small", Weight: 1})
 		w.play(20*time.Second, 100)
 		return float64(w.sends["large"]) / 2000
 	}
@@ -276,7 +276,7 @@
 		leaves   bool
 	}{{80, true}, {2, false}} {
 		s := testSettings()
-		s.Balancers, s.SecondCopies = c.sidecars, false // a copy would answer in place of the slow one
+		s.FleetSize, s.Hedging = c.sidecars, false // a copy would answer in place of the slow one
 		slow, rng := "", rand.New(rand.NewPCG(1, 1))
 		w := newWorld(t, s, func(u string) (Result, time.Duration) {
 			if u == slow {
@@ -286,12 +286,12 @@
 		})
 		w.fleet(20)
 		w.play(10*time.Second, 40)
-		slow = w.b.list[0].id
+		slow = w.b.endpoints.order[0].id
 		w.play(20*time.Second, 40)
-		if at := slices.IndexFunc(w.b.list, func(u *upstream) bool { return u.id == slow }); len(w.b.list) != 20 ||
-			at < 0 || c.leaves != (at >= w.b.subset()) {
-			t.Errorf("%d sidecars, %d listed: the slow one is at %d, %d are in use", c.sidecars, len(w.b.list), at,
-				w.b.subset())
+		if at := slices.IndexFunc(w.b.endpoints.order, func(u *endpoint) bool { return u.id == slow }); len(w.b.endpoints.order) != 20 ||
+			at < 0 || c.leaves != (at >= w.b.subsetSize()) {
+			t.Errorf("%d sidecars, %d listed: the slow one is at %d, %d are in use", c.sidecars, len(w.b.endpoints.order), at,
+				w.b.subsetSize())
 		}
 	}
 }
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -1,239 +1,297 @@
 package balancer
 
 import (
-	"math"
+	"log/slog"
 	"math/bits"
 	"time"
 )
 
-// Own evidence that others want to hear, collected only where Settings.Reports is on.
+// What this sidecar's own attempts tell of endpoints is reported to other sidecars, if Settings.ShareEvidence
+// is on. It is kept by class, too: an endpoint may fail requests of one class and serve those of another.
 
-// Evidence is why an upstream was left out.
+// Evidence is why an endpoint is ejected.
 type Evidence int
 
 // The kinds of evidence.
 const (
-	NoEvidence Evidence = iota // it is used again
-	ByErrors
-	ByBreaks
-	BySilence
-	ByFull
+	EvidenceNone        Evidence = iota // it is not ejected, or no longer
+	EvidenceErrors                      // error answers
+	EvidenceConnections                 // connections refused or broken
+	EvidenceSilence                     // no answers
+	EvidenceRejections                  // it rejects everything
 )
 
 const (
-	tallyMost  = 32               // answers of a class that are looked back on
-	tallyAge   = 30 * time.Second // and no further than this
-	errsLeast  = 0.02             // errors in a hundred pass as chance on the best of days
-	errsPart   = 0.25             // a class is left out where so many of its answers are errors: fewer cost less than the room
-	errsChance = 2e-4             // tried at each error, on tens of upstreams and classes
-	noTenant   = -2               // a request's tenant is -1 where it has none
-	backInRow  = 5                // trials that must go well before a class comes back: half good has 1 in 32
+	errorWindowSize = 32               // answers of a class that are looked back on
+	errorWindowAge  = 30 * time.Second // and for no longer than this
+	minErrorRate    = 0.02             // errors pass as chance up to this rate
+	// minErrorFraction is the fraction of errors from which on a class is ejected. Fewer cost less than the
+	// capacity that an ejection takes.
+	minErrorFraction = 0.25
+	// outlierSignificance is the probability with which chance may eject a class. It is tested at each error, on
+	// tens of endpoints and classes.
+	outlierSignificance = 2e-4
+	// probesToReinstate is how many probes in a row have to succeed: one that fails half of them has 1 in 32.
+	probesToReinstate = 5
+
+	unknownTenant = -2 // -1 is a request without one
 )
 
-// tally is what recent answers of one class by one upstream came to.
-type tally struct {
-	errs   uint32         // the latest in the lowest bit; set: an error
-	n      int            // of them known
-	who    [tallyMost]int // whose requests they were: the tenants' numbers, the latest at the index at
-	at     int
-	last   time.Duration
-	served time.Duration // when the latest success came
-	row    int           // errors in a row
-	until  time.Duration // the class is left out until
-	outs   int           // times in a row
-	back   int           // trials in a row that went well since
-}
-
-func (t *tally) add(err bool, tenant int, now time.Duration) {
-	if now-t.last > tallyAge {
-		t.errs, t.n = 0, 0
-	}
-	t.at = (t.at + 1) % tallyMost
-	t.who[t.at] = tenant
-	t.last, t.errs, t.n = now, t.errs<<1, min(t.n+1, tallyMost)
-	if t.row++; err {
-		t.errs |= 1
+// gossipState is what is shared with other sidecars about one process of an endpoint.
+type gossipState struct {
+	evidence evidence            // this file
+	verdicts map[string]*verdict // by class, "" for all: peerverdict.go
+	probe    sharedProbe         // probe.go
+}
+
+// evidence is what this sidecar's attempts tell of an endpoint, beyond health.
+type evidence struct {
+	windows        map[string]*errorWindow // by class
+	ejectedClasses int
+	suspected      bool   // a first failure was reported
+	errorRunClass  string // class of the errors in a row; empty: of several
+	reportedClass  string // class that the ejection was reported for; empty: all
+}
+
+func (b *Balancer) gossipOf(ep *endpoint) *gossipState {
+	if ep.gossip == nil {
+		ep.gossip = &gossipState{
+			verdicts: map[string]*verdict{},
+			evidence: evidence{windows: map[string]*errorWindow{}},
+		}
+	}
+	return ep.gossip
+}
+
+// errorWindow holds the latest answers by one endpoint to requests of one class, and the class's ejection.
+type errorWindow struct {
+	errorBits    uint32               // the latest in the lowest bit; set: an error
+	known        int                  // answers
+	tenants      [errorWindowSize]int // of the requests, a ring
+	latest       int                  // index in tenants
+	lastAt       time.Duration
+	lastServedAt time.Duration
+	errorRun     int // errors in a row
+
+	ejectedUntil    time.Duration
+	ejections       int // in a row
+	probesSucceeded int // in a row, since then
+}
+
+func (w *errorWindow) add(isError bool, tenant int, now time.Duration) {
+	if now-w.lastAt > errorWindowAge {
+		w.errorBits, w.known = 0, 0
+	}
+	w.latest = (w.latest + 1) % errorWindowSize
+	w.tenants[w.latest] = tenant
+	w.lastAt, w.errorBits, w.known = now, w.errorBits<<1, min(w.known+1, errorWindowSize)
+	if w.errorRun++; isError {
+		w.errorBits |= 1
 	} else {
-		t.row, t.served = 0, now
+		w.errorRun, w.lastServedAt = 0, now
 	}
 }
 
-func (t *tally) count() int { return bits.OnesCount32(t.errs << (tallyMost - t.n)) }
+func (w *errorWindow) errorCount() int {
+	return bits.OnesCount32(w.errorBits << (errorWindowSize - w.known))
+}
 
-// oneTenant tells whether all errors are of one tenant's requests while another's are served: that tells of the tenant.
-func (t *tally) oneTenant() bool {
-	with, without := noTenant, 0
-	for i := range t.n {
-		who := t.who[(t.at-i+tallyMost)%tallyMost]
-		switch err := t.errs>>i&1 == 1; {
-		case err && with != noTenant && with != who:
+// answer is the i-th latest answer.
+func (w *errorWindow) answer(i int) (isError bool, tenant int) {
+	return w.errorBits>>i&1 == 1, w.tenants[(w.latest-i+errorWindowSize)%errorWindowSize]
+}
+
+// singleTenant tells whether all errors are of one tenant's requests while others' are served: that says
+// something of the tenant, and not of the endpoint.
+func (w *errorWindow) singleTenant() bool {
+	culprit, servedOthers := unknownTenant, 0
+	for i := range w.known {
+		isError, tenant := w.answer(i)
+		if !isError {
+			continue
+		}
+		if culprit != unknownTenant && culprit != tenant {
 			return false
-		case err:
-			with = who
 		}
+		culprit = tenant
 	}
-	for i := range t.n {
-		if with != noTenant && t.errs>>i&1 == 0 && t.who[(t.at-i+tallyMost)%tallyMost] != with {
-			without++
+	for i := range w.known {
+		isError, tenant := w.answer(i)
+		if culprit != unknownTenant && !isError && tenant != culprit {
+			servedOthers++
 		}
 	}
-	return without >= ejectErrors
+	return servedOthers >= failuresToEject
 }
 
-// out tells whether the class is left out.
-func (t *tally) out(now time.Duration) bool { return t != nil && now < t.until }
+// ejected is false for a nil window.
+func (w *errorWindow) ejected(now time.Duration) bool { return w != nil && now < w.ejectedUntil }
 
-// report says what this sidecar's own evidence comes to, where others want to hear it: of the one class that the errors are
-// of, if they are; nothing where they are of one tenant's requests.
-func (b *Balancer) report(u *upstream, why Evidence, count int) {
-	if !b.set.Reports {
+// reportEvidence reports an ejection or, with EvidenceNone, its end. It is of the one class that the errors
+// in a row are of, if they are, and is not reported if they are of one tenant's requests.
+func (b *Balancer) reportEvidence(ep *endpoint, cause Evidence, count int) {
+	if !b.settings.ShareEvidence {
 		return
 	}
-	t := b.talk(u)
-	c := t.tallies[t.saidOf]
+	own := &b.gossipOf(ep).evidence
+	window := own.windows[own.reportedClass]
 	switch {
-	case why == NoEvidence && c != nil && c.outs > 0:
-		return // the class's own evidence stands, see weigh
-	case why == ByErrors:
-		if t.saidOf = t.run; t.run != "" && t.tallies[t.run].oneTenant() {
+	case cause == EvidenceNone && window != nil && window.ejections > 0:
+		return // the class stays ejected, see recordEvidence
+	case cause == EvidenceErrors:
+		own.reportedClass = own.errorRunClass
+		if own.errorRunClass != "" && own.windows[own.errorRunClass].singleTenant() {
 			return
 		}
-	case why != NoEvidence:
-		t.saidOf = ""
+	case cause != EvidenceNone:
+		own.reportedClass = ""
 	}
-	b.act(Action{Kind: Report, Upstream: u.id, Class: t.saidOf, Evidence: why, Count: count, At: u.cameUp})
+	b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: own.reportedClass, Evidence: cause, Count: count,
+		At: ep.startedAt})
 }
 
-// suspect says the first failure of an upstream that was not heard since: no evidence by itself, but one may be all that a
-// sidecar sees of it for seconds, and several together with another's breaker tell.
-func (b *Balancer) suspect(u *upstream) {
-	if _, spoken := u.spoken(b.now, ""); b.set.Reports && u.ejections == 0 && !spoken {
-		b.talk(u).suspect = true
-		b.act(Action{Kind: Report, Suspect: true, Upstream: u.id, Evidence: u.evidence(), Count: 1, At: u.cameUp})
+// reportSuspicion reports a first failure since the endpoint last answered. It is no evidence by itself, but
+// may be all that a sidecar sees of an endpoint for seconds; several together confirm another's verdict.
+func (b *Balancer) reportSuspicion(ep *endpoint) {
+	if !b.settings.ShareEvidence || ep.health.ejections > 0 {
+		return
 	}
-}
-
-// evidence is why u is being left out.
-func (u *upstream) evidence() Evidence {
-	switch {
-	case u.fulls >= ejectErrors:
-		return ByFull
-	case u.errors >= ejectErrors:
-		return ByErrors
-	case u.broke:
-		return ByBreaks
+	if _, known := ep.underVerdict(b.now, ""); known {
+		return
 	}
-	return BySilence
+	b.gossipOf(ep).evidence.suspected = true
+	b.emit(Action{Kind: ReportEvidence, Suspicion: true, Upstream: ep.id, Evidence: ep.health.ejectionCause(),
+		Count: 1, At: ep.startedAt})
 }
 
-// weigh takes an outcome into the evidence by class. An upstream that errs in half of its answers for one class alone hardly
-// ever errs three times in a row, and must not be left out for the others.
-func (b *Balancer) weigh(a *attempt, res Result) {
-	if !b.set.Reports {
+// recordEvidence takes in an attempt's result before updateHealth does. An endpoint that fails half of the
+// requests of one class, and serves the others, hardly ever fails three in a row; it must not be ejected for
+// the others.
+func (b *Balancer) recordEvidence(a *attempt, res Result) {
+	if !b.settings.ShareEvidence {
 		return
 	}
-	t := b.talk(a.u)
-	if t.trying == a.r && a.n == t.number {
-		b.tried(a, res)
+	ep := a.endpoint
+	g := b.gossipOf(ep)
+	if g.probe.request == a.request && a.number == g.probe.attempt {
+		b.onProbeEnded(a, res)
 	}
-	if t.suspect && (res == OK || res == ServerError || res == Overloaded) {
-		if t.suspect = false; a.u.ejections == 0 {
-			b.act(Action{Kind: Report, Upstream: a.u.id, At: a.u.cameUp})
+	answered := res == OK || res == ServerError || res == Overloaded
+	if g.evidence.suspected && answered {
+		g.evidence.suspected = false
+		if ep.health.ejections == 0 {
+			b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, At: ep.startedAt})
 		}
 	}
 	if res != OK && res != ServerError {
 		return
 	}
-	b.heardOf(a, res == OK)
-	c := t.tallies[a.r.class.Name]
-	if c == nil {
-		c = &tally{}
-		t.tallies[a.r.class.Name] = c
+	b.recordAgainstVerdicts(a, res == OK)
+	b.recordAnswer(a, res == ServerError)
+}
+
+// recordAnswer takes an answer into its class's window, and ejects or reinstates the class.
+func (b *Balancer) recordAnswer(a *attempt, isError bool) {
+	ep, class := a.endpoint, a.request.class.Name
+	own := &ep.gossip.evidence
+	w := own.windows[class]
+	if w == nil {
+		w = &errorWindow{}
+		own.windows[class] = w
 	}
-	c.add(res == ServerError, a.r.tenant, b.now)
-	if res == ServerError && a.u.errors == 0 {
-		t.run = a.r.class.Name
-	} else if res == ServerError && t.run != a.r.class.Name {
-		t.run = ""
+	w.add(isError, a.request.tenant, b.now)
+	if isError && ep.health.errors == 0 {
+		own.errorRunClass = class
+	} else if isError && own.errorRunClass != class {
+		own.errorRunClass = ""
 	}
 	switch {
-	case res == OK && c.outs > 0 && a.sent >= c.until:
-		if c.back++; c.back >= backInRow {
-			b.log("return %s for %s", a.u.id, a.r.class.Name)
-			b.act(Action{Kind: Report, Upstream: a.u.id, Class: a.r.class.Name, At: a.u.cameUp})
-			*c = tally{last: b.now, served: b.now}
-			t.outs--
+	case !isError && w.ejections > 0 && a.sentAt >= w.ejectedUntil:
+		w.probesSucceeded++
+		if w.probesSucceeded >= probesToReinstate {
+			b.reinstateClass(ep, class, w)
 		}
-	case res == ServerError && b.now >= c.until && (c.outs > 0 || b.stands(a.u, a.r.class.Name, c)):
-		d := min(ejectBase<<min(c.outs, 10), ejectMax)
-		c.until, c.back = b.now+time.Duration(float64(d)*(0.75+0.5*b.rng.Float64())), 0
-		if c.outs++; c.outs == 1 {
-			t.outs++
-			b.log("leave %s out for %s: %d errors in %d answers", a.u.id, a.r.class.Name, c.count(), c.n)
-		}
-		b.act(Action{Kind: Report, Upstream: a.u.id, Class: a.r.class.Name, Evidence: ByErrors, Count: max(c.count(), c.outs), At: a.u.cameUp})
+	case isError && b.now >= w.ejectedUntil && (w.ejections > 0 || b.isOutlier(ep, class, w)):
+		b.ejectClass(ep, class, w)
+	}
+}
+
+func (b *Balancer) reinstateClass(ep *endpoint, class string, w *errorWindow) {
+	b.log("endpoint reinstated for class", slog.String("upstream", ep.id), slog.String("class", class))
+	b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: class, At: ep.startedAt})
+	*w = errorWindow{lastAt: b.now, lastServedAt: b.now}
+	ep.gossip.evidence.ejectedClasses--
+}
+
+func (b *Balancer) ejectClass(ep *endpoint, class string, w *errorWindow) {
+	d := b.jitter(min(baseEjectionTime<<min(w.ejections, maxDoublings), maxEjectionTime))
+	w.ejectedUntil, w.probesSucceeded = b.now+d, 0
+	if w.ejections++; w.ejections == 1 {
+		ep.gossip.evidence.ejectedClasses++
+		b.log("endpoint ejected for class", slog.String("upstream", ep.id), slog.String("class", class),
+			slog.Int("errors", w.errorCount()), slog.Int("answers", w.known))
 	}
+	b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: class, Evidence: EvidenceErrors,
+		Count: max(w.errorCount(), w.ejections), At: ep.startedAt})
 }
 
-// stands tells whether c's errors stand out from what the other upstreams do with the class. The exact bound of Clopper and
-// Pearson (Biometrika 26, 1934): the lower limit of c's share lies above theirs just where theirs would bring so many errors
-// by chance less often than errsChance. So a class that errs everywhere is left out nowhere.
-func (b *Balancer) stands(u *upstream, class string, c *tally) bool {
-	k, n := c.count(), c.n
-	if float64(k) < errsPart*float64(n) || c.oneTenant() {
+// isOutlier tells whether an endpoint fails a class significantly more often than the other endpoints do, by
+// the exact bound of Clopper and Pearson (Biometrika 26, 1934): the lower limit of its error rate is above
+// theirs just if theirs would bring as many errors with a probability below outlierSignificance. So a class
+// that fails everywhere is ejected nowhere.
+func (b *Balancer) isOutlier(ep *endpoint, class string, w *errorWindow) bool {
+	errors, answers := w.errorCount(), w.known
+	if float64(errors) < minErrorFraction*float64(answers) || w.singleTenant() {
 		return false
 	}
-	errs, all := 0.0, 0.0
-	for _, x := range b.list {
-		if x == u || x.talk == nil {
+	otherErrors, otherAnswers := 0.0, 0.0
+	for _, x := range b.endpoints.order {
+		if x == ep || x.gossip == nil {
 			continue
 		}
-		if t := x.talk.tallies[class]; t != nil && t.outs == 0 {
-			errs += float64(t.count())
-			all += float64(t.n)
+		if other := x.gossip.evidence.windows[class]; other != nil && other.ejections == 0 {
+			otherErrors += float64(other.errorCount())
+			otherAnswers += float64(other.known)
 		}
 	}
-	return atLeast(k, n, max((errs+1)/(all+2), errsLeast)) < errsChance
+	usual := max((otherErrors+1)/(otherAnswers+2), minErrorRate)
+	return binomialTail(errors, answers, usual) < outlierSignificance
 }
 
-// atLeast is the chance of k or more of n where each happens with chance p, 0 < p < 1.
-func atLeast(k, n int, p float64) float64 {
-	term, below := math.Pow(1-p, float64(n)), 0.0
-	for i := range k {
-		below += term
-		term *= float64(n-i) / float64(i+1) * p / (1 - p)
-	}
-	return max(0, 1-below)
-}
-
-// classOut tells whether own evidence on r's class keeps r from u: afterwards one trial at a time, and not with what can't be
-// sent again.
-func (b *Balancer) classOut(u *upstream, r *request) bool {
-	c := u.talk.tallies[r.class.Name]
-	if c == nil || c.outs == 0 {
+// classExcluded tells whether own evidence on r's class keeps r from an endpoint. After the ejection the
+// class is half-open: one attempt at a time, and none that must not run twice.
+func (b *Balancer) classExcluded(ep *endpoint, r *request) bool {
+	w := ep.gossip.evidence.windows[r.class.Name]
+	if w == nil || w.ejections == 0 {
 		return false
 	}
-	if c.out(b.now) || r.class.Effect == Unsafe {
+	if w.ejected(b.now) || r.class.Idempotency == NotIdempotent {
 		return true
 	}
-	for _, a := range u.out {
-		if a.r.class == r.class {
+	for _, a := range ep.inFlight {
+		if a.request.class == r.class {
 			return true
 		}
 	}
 	return false
 }
 
-// oneClass tells whether the errors in a row are of a's class alone, while u serves another: then it is left out for that one.
-func (b *Balancer) oneClass(a *attempt) bool {
-	if !b.set.Reports {
+// classEjected tells whether own evidence has ejected a class, and no attempt of it is let through yet.
+func (ep *endpoint) classEjected(class string, now time.Duration) bool {
+	return ep.gossip != nil && ep.gossip.evidence.windows[class].ejected(now)
+}
+
+// singleClass tells whether the errors in a row are of a's class alone while its endpoint serves another.
+// Then the endpoint is ejected for that class only.
+func (b *Balancer) singleClass(a *attempt) bool {
+	if !b.settings.ShareEvidence {
 		return false
 	}
-	t := a.u.talk
-	c := t.tallies[a.r.class.Name]
-	for name, x := range t.tallies {
-		if name != a.r.class.Name && x.n > 0 && x.row == 0 && b.now-x.served < tallyAge/3 {
-			return c.outs > 0 && t.run != ""
+	own := &a.endpoint.gossip.evidence
+	class := a.request.class.Name
+	for name, w := range own.windows {
+		if name != class && w.known > 0 && w.errorRun == 0 && b.now-w.lastServedAt < errorWindowAge/3 {
+			return own.windows[class].ejections > 0 && own.errorRunClass != ""
 		}
 	}
 	return false
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,7 +12,7 @@
 	b, err := balancer.New(balancer.Settings{
 		Zone:        "east",
 		MaxAttempts: 3,
-		Classes:     []balancer.Class{{Name: "read", Aim: 100 * time.Millisecond, Deadline: time.Second}},
+		Classes:     []balancer.Class{{Name: "read", LatencyObjective: 100 * time.Millisecond, Deadline: time.Second}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -23,18 +23,18 @@
 		acts = b.Handle(now, e, acts[:0])
 		for _, a := range acts {
 			switch a.Kind {
-			case balancer.Send:
+			case balancer.StartAttempt:
 				fmt.Println("send", a.ID, "to", a.Upstream)
-			case balancer.Refuse, balancer.Fail:
+			case balancer.Reject, balancer.Fail:
 				fmt.Println("answer", a.ID)
 			case balancer.SetTimer:
 				// arrange for report(a.At, balancer.Wake{})
 			}
 		}
 	}
-	report(time.Second, balancer.Members{Kind: balancer.Full, Entries: []balancer.Member{{Upstream: "s1", Zone: "east"}}})
-	report(2*time.Second, balancer.Request{ID: "r1", Class: "read", Expires: 3 * time.Second})
-	report(2*time.Second+30*time.Millisecond, balancer.Outcome{ID: "r1", Result: balancer.OK,
-		Elapsed: 30 * time.Millisecond, Finished: true})
+	report(time.Second, balancer.EndpointUpdate{Kind: balancer.FullState, Endpoints: []balancer.Endpoint{{Upstream: "s1", Zone: "east"}}})
+	report(2*time.Second, balancer.Request{ID: "r1", Class: "read", ExpiresAt: 3 * time.Second})
+	report(2*time.Second+30*time.Millisecond, balancer.AttemptEnded{ID: "r1", Result: balancer.OK,
+		Elapsed: 30 * time.Millisecond, Final: true})
 	// Output: send r1 to s1
 }
--- a/balancer/trouble_test.go
+++ b/balancer/faults_test.go
@@ -34,7 +34,7 @@
 func (w *world) take(acts []Action, tries map[string]int) {
 	for _, a := range acts {
 		switch a.Kind {
-		case Send:
+		case StartAttempt:
 			res, d := w.reply(a.Upstream)
 			f := flying{a: a, n: tries[a.ID], sent: w.now, at: w.now + d, res: res}
 			if d < 0 || d > a.Timeout {
@@ -43,13 +43,13 @@
 			tries[a.ID]++
 			w.sends[a.Upstream]++
 			w.out = append(w.out, f)
-		case Cancel:
+		case CancelAttempt:
 			for i := range w.out {
 				if w.out[i].a.ID == a.ID && w.out[i].n == a.Attempt {
 					w.out[i].at, w.out[i].res = w.now, Cancelled
 				}
 			}
-		case Refuse, Fail:
+		case Reject, Fail:
 			w.ended[a.Kind]++
 		}
 	}
@@ -58,15 +58,15 @@
 // play runs for d with perSec requests a second, spread evenly.
 func (w *world) play(d time.Duration, perSec int) {
 	tries := map[string]int{}
-	tick := w.b.set.Tick
+	tick := w.b.settings.Tick
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
-		w.take(w.do(Wake{}), tries)
+		w.take(w.do(TimerFired{}), tries)
 		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
 			w.n++
-			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.set.Classes[0].Name,
-				Expires: w.now + w.b.set.Classes[0].Deadline}), tries)
+			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.settings.Classes[0].Name,
+				ExpiresAt: w.now + w.b.settings.Classes[0].Deadline}), tries)
 		}
 		for i := 0; i < len(w.out); i++ {
 			f := w.out[i]
@@ -78,8 +78,8 @@
 			if f.res == OK {
 				w.ok++
 			}
-			w.take(w.do(Outcome{ID: f.a.ID, Attempt: f.n, Result: f.res, Elapsed: w.now - f.sent,
-				Finished: f.res == OK}), tries)
+			w.take(w.do(AttemptEnded{ID: f.a.ID, Attempt: f.n, Result: f.res, Elapsed: w.now - f.sent,
+				Final: f.res == OK}), tries)
 		}
 	}
 }
@@ -104,12 +104,12 @@
 	if w.sends["u0"] > 10 {
 		t.Errorf("%d attempts on the crashed upstream", w.sends["u0"])
 	}
-	if w.ended[Refuse]+w.ended[Fail] > 0 {
+	if w.ended[Reject]+w.ended[Fail] > 0 {
 		t.Errorf("requests lost with four upstreams fine: %v", w.ended)
 	}
 	down = false
 	w.play(10*time.Second, 100)
-	if w.sends["u0"] < 50 || !w.logged("eject u0") || !w.logged("return u0") {
+	if w.sends["u0"] < 50 || !w.logged("endpoint ejected upstream=u0") || !w.logged("endpoint reinstated upstream=u0") {
 		t.Errorf("not back: %d attempts, log %q", w.sends["u0"], w.logs)
 	}
 }
@@ -118,7 +118,7 @@
 func TestHungUpstreamIsLeft(t *testing.T) {
 	for _, copies := range []bool{true, false} {
 		s := testSettings()
-		s.SecondCopies = copies
+		s.Hedging = copies
 		w := newWorld(t, s, func(u string) (Result, time.Duration) {
 			if u == "u0" {
 				return OK, -1
@@ -170,15 +170,15 @@
 	r.fleet(1)
 	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
 		id := fmt.Sprint(i)
-		r.do(Request{ID: id, Class: "c", Expires: r.now + time.Second, Hint: 20 * ms})
+		r.do(Request{ID: id, Class: "c", ExpiresAt: r.now + time.Second, CostHint: 20 * ms})
 		r.result(id, 0, OK, 20*ms)
 		r.now += 10 * ms
 	}
-	before := r.b.list[0].est.value
-	r.do(Request{ID: "big", Class: "c", Expires: r.now + time.Second, Hint: 120 * ms})
+	before := r.b.endpoints.order[0].latency.value
+	r.do(Request{ID: "big", Class: "c", ExpiresAt: r.now + time.Second, CostHint: 120 * ms})
 	r.now += 10 * ms
 	r.result("big", 0, OK, 120*ms)
-	if after := r.b.list[0].est.value; after > 1.5*before {
+	if after := r.b.endpoints.order[0].latency.value; after > 1.5*before {
 		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
 	}
 }
@@ -195,8 +195,8 @@
 	})
 	w.fleet(4)
 	w.play(5*time.Second, 200)
-	if w.ended[Refuse] > 10 {
-		t.Errorf("%d refused in calm", w.ended[Refuse])
+	if w.ended[Reject] > 10 {
+		t.Errorf("%d refused in calm", w.ended[Reject])
 	}
 	latency = 250 * ms
 	w.play(2*time.Second, 200)
@@ -212,7 +212,7 @@
 	if got := w.ok - ok; float64(got) < 0.95*float64(w.n-n) {
 		t.Errorf("%d of %d served after the overload", got, w.n-n)
 	}
-	if !w.logged("shedding begins") || !w.logged("shedding ended") {
+	if !w.logged("load shedding started") || !w.logged("load shedding ended") {
 		t.Errorf("log %q", w.logs)
 	}
 }
@@ -236,7 +236,7 @@
 	w.reply, w.rig.logs = fine, nil
 	w.play(10*time.Second, 200)
 	for i := range 4 {
-		w.list(Change, Member{Upstream: fmt.Sprint("u", i+4), Zone: "a", CameUp: w.now})
+		w.list(Delta, Endpoint{Upstream: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
 	}
 	w.reply = func(u string) (Result, time.Duration) {
 		if u == "u0" {
@@ -289,7 +289,7 @@
 
 func (w *world) ejected() (n int) {
 	for _, l := range w.logs {
-		if strings.HasPrefix(l, "eject ") {
+		if strings.HasPrefix(l, "endpoint ejected upstream=") {
 			n++
 		}
 	}
@@ -300,7 +300,7 @@
 // at once: what hangs is no crowd, and what is served meanwhile no measure of what could be.
 func TestLostAnswersAreNoOverload(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies = false
+	s.Hedging = false
 	n, every := 0, 0
 	w := newWorld(t, s, func(string) (Result, time.Duration) {
 		if n++; every > 0 && n%every == 0 {
@@ -324,7 +324,7 @@
 // A request counts as lost for as long as its attempt is: not when it is sent again, and not when it has ended.
 func TestLostIsTheAttemptNotTheRequest(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies, s.Classes[0].LateShare = false, 0.5 // it is worth waiting for after its aim
+	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // it is worth waiting for after its aim
 	r := newRig(t, s)
 	r.fleet(1)
 	r.wantSend(r.request("lost", "c", time.Second))
@@ -333,16 +333,16 @@
 	r.now += 20 * ms
 	r.result("later", 0, OK, 20*ms)
 	r.pass(150 * ms)
-	if r.b.lost != 1 {
-		t.Fatalf("%d lost, where one was overtaken by more than an aim and a half", r.b.lost)
+	if r.b.admission.stalled != 1 {
+		t.Fatalf("%d lost, where one was overtaken by more than an aim and a half", r.b.admission.stalled)
 	}
 	r.wantSend(r.result("lost", 0, Reset, 500*ms))
-	if r.b.lost != 0 {
-		t.Errorf("%d lost after it was sent again", r.b.lost)
+	if r.b.admission.stalled != 0 {
+		t.Errorf("%d lost after it was sent again", r.b.admission.stalled)
 	}
 	r.pass(time.Second)
-	if r.b.lost != 0 || r.b.waiting != 0 {
-		t.Errorf("%d lost, %d in hand after all has ended", r.b.lost, r.b.waiting)
+	if r.b.admission.stalled != 0 || r.b.admission.inFlight != 0 {
+		t.Errorf("%d lost, %d in hand after all has ended", r.b.admission.stalled, r.b.admission.inFlight)
 	}
 }
 
@@ -357,15 +357,15 @@
 		}
 		return OK, 20 * ms
 	})
-	var list []Member
+	var list []Endpoint
 	for i := range 8 {
-		list = append(list, Member{Upstream: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
+		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
 	}
-	w.list(Saved, list...)
-	w.list(Change)
+	w.list(Cached, list...)
+	w.list(Delta)
 	w.play(5*time.Second, 100)
 	cut = true
-	w.do(Members{Kind: Failed})
+	w.do(EndpointUpdate{Kind: WatchFailed})
 	w.play(3*time.Second, 100)
 	ok, n := w.ok, w.n
 	clear(w.sends)
@@ -388,7 +388,7 @@
 // A dear crossing keeps work at home while home serves, and lets it go when home cannot.
 func TestHomeFirst(t *testing.T) {
 	s := testSettings()
-	s.PriceCrossZone = 0.2
+	s.CrossZoneCost = 0.2
 	slow := false
 	w := newWorld(t, s, func(u string) (Result, time.Duration) {
 		if slow && u < "u2" {
@@ -396,8 +396,8 @@
 		}
 		return OK, 20 * ms
 	})
-	w.list(Full, Member{Upstream: "u0", Zone: "a"}, Member{Upstream: "u1", Zone: "a"}, Member{Upstream: "u2", Zone: "b"},
-		Member{Upstream: "u3", Zone: "b"})
+	w.list(FullState, Endpoint{Upstream: "u0", Zone: "a"}, Endpoint{Upstream: "u1", Zone: "a"}, Endpoint{Upstream: "u2", Zone: "b"},
+		Endpoint{Upstream: "u3", Zone: "b"})
 	w.play(5*time.Second, 50)
 	if far := w.sends["u2"] + w.sends["u3"]; far > 25 {
 		t.Errorf("%d of %d crossed while home was fine", far, w.n)
@@ -413,15 +413,15 @@
 // Under pressure what is worth least goes first.
 func TestLeastWorthIsRefusedFirst(t *testing.T) {
 	s := testSettings()
-	s.Classes = []Class{{Name: "c", Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-		{Name: "dear", Aim: 200 * ms, Deadline: time.Second, Worth: 9}}
+	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
+		{Name: "dear", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 9}}
 	r := newRig(t, s)
 	r.fleet(4)
 	refused := map[string]int{}
 	var open []string // answered in order, each 155 ms after it came: a little more than may wait
 	for i := range 600 {
 		id, class := fmt.Sprint(i), []string{"c", "dear"}[i%2]
-		if len(kinds(r.request(id, class, time.Second), Send)) == 0 {
+		if len(kinds(r.request(id, class, time.Second), StartAttempt)) == 0 {
 			refused[class]++
 			id = ""
 		}
@@ -441,13 +441,13 @@
 // Part of what a tenant sends beyond its share counts as little.
 func TestBeyondItsShareCountsLess(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Name: "big", Fraction: 0.5}, {Name: "small", Fraction: 0.5}}
-	s.OverShareWorth = 0.1
+	s.Tenants = []Tenant{{Name: "big", Quota: 0.5}, {Name: "small", Quota: 0.5}}
+	s.OverQuotaFraction = 0.1
 	r := newRig(t, s)
 	low := map[int]int{}
 	for i := range 1000 {
 		r.b.now += ms
-		q := &request{class: r.b.classes["c"], cost: 1, tenant: min(i%10/9, 1)} // nine of ten are the first's
+		q := &request{class: r.b.classes["c"], work: 1, tenant: min(i%10/9, 1)} // nine of ten are the first's
 		if r.b.value(q) < 1 {
 			low[q.tenant]++
 		}
@@ -463,7 +463,7 @@
 	w.fleet(8)
 	w.play(20*time.Second, 100)
 	total := w.attempts()
-	if limit := float64(w.n)*(1+retryRatio) + retryBurst; float64(total) > limit {
+	if limit := float64(w.n)*(1+retryBudgetRatio) + minRetryBudget; float64(total) > limit {
 		t.Errorf("%d attempts for %d requests", total, w.n)
 	}
 }
@@ -473,8 +473,8 @@
 	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
 	w.fleet(4)
 	w.play(5*time.Second, 100)
-	if w.b.retries < 0 {
-		t.Errorf("budget %v", w.b.retries)
+	if w.b.retryBudget.tokens < 0 {
+		t.Errorf("budget %v", w.b.retryBudget.tokens)
 	}
 }
 
@@ -489,8 +489,8 @@
 		r.request(id, "c", time.Second)
 		r.result(id, 0, OK, ms)
 	}
-	if b := r.b; b.waiting != 1 || b.arrivals != r.now || b.inHand < 4.999 || b.inHand > 5.001 {
-		t.Errorf("in hand %d, %v, %v", b.waiting, b.arrivals, b.inHand)
+	if b := r.b; b.admission.inFlight != 1 || b.admission.arrivalSum != r.now || b.admission.inverseObjectives < 4.999 || b.admission.inverseObjectives > 5.001 {
+		t.Errorf("in hand %d, %v, %v", b.admission.inFlight, b.admission.arrivalSum, b.admission.inverseObjectives)
 	}
 }
 
@@ -498,7 +498,7 @@
 func TestErrorsAtOnceDrawNoPicks(t *testing.T) {
 	broken := true
 	s := testSettings()
-	s.Classes[0].Aim = 400 * ms
+	s.Classes[0].LatencyObjective = 400 * ms
 	w := newWorld(t, s, func(u string) (Result, time.Duration) {
 		if u == "u0" && broken {
 			return ServerError, time.Millisecond
@@ -512,7 +512,7 @@
 	}
 	broken = false
 	w.play(10*time.Second, 250)
-	if w.sends["u0"] < 200 || !w.logged("return u0") {
+	if w.sends["u0"] < 200 || !w.logged("endpoint reinstated upstream=u0") {
 		t.Errorf("not back: %d attempts, log %q", w.sends["u0"], w.logs)
 	}
 }
@@ -522,7 +522,7 @@
 func TestLimitNarrowsWhereUpstreamsAreCrowded(t *testing.T) {
 	n, crowded := 0, true
 	s := testSettings()
-	s.SecondCopies = false
+	s.Hedging = false
 	reply := func(string) (Result, time.Duration) {
 		if n++; crowded && n%2 == 0 {
 			return OK, 230 * ms
@@ -532,13 +532,13 @@
 	w := newWorld(t, s, reply)
 	w.fleet(4)
 	w.play(5*time.Second, 400)
-	if w.b.limit > limitMin*1.2 {
-		t.Errorf("limit %.2f with half of all answers late", w.b.limit)
+	if w.b.admission.limitFraction > minLimitFraction*1.2 {
+		t.Errorf("limit %.2f with half of all answers late", w.b.admission.limitFraction)
 	}
 	crowded = false
 	w.play(10*time.Second, 100)
-	if w.b.limit < limitMax {
-		t.Errorf("limit %.2f long after", w.b.limit)
+	if w.b.admission.limitFraction < maxLimitFraction {
+		t.Errorf("limit %.2f long after", w.b.admission.limitFraction)
 	}
 	w = newWorld(t, s, func(u string) (Result, time.Duration) {
 		if u < "u2" {
@@ -548,8 +548,8 @@
 	})
 	w.fleet(4)
 	w.play(2*time.Second, 400)
-	if w.ended[Refuse] == 0 || w.b.limit < limitMax*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Refuse], w.b.limit)
+	if w.ended[Reject] == 0 || w.b.admission.limitFraction < maxLimitFraction*0.9 {
+		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.admission.limitFraction)
 	}
 }
 
@@ -571,15 +571,15 @@
 		r := newRig(t, testSettings())
 		r.fleet(4)
 		for i := range c.answered { // over 2 s
-			r.b.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
+			r.b.admission.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		r.now += 2 * time.Second
-		r.do(Wake{})
+		r.do(TimerFired{})
 		for range c.n {
-			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
+			r.b.admission.track(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		r.now += c.age
-		r.do(Wake{})
+		r.do(TimerFired{})
 		if p := r.b.pressure(); p > 1 != c.over {
 			t.Errorf("%d in hand for %v, %d answered: pressure %.2f", c.n, c.age, c.answered, p)
 		}
@@ -590,19 +590,19 @@
 func TestRefusedRequestsEarnNoRetries(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
-	r.b.retries = 0
-	for i := range 16 { // fewEach for each upstream of its share
+	r.b.retryBudget.tokens = 0
+	for i := range 16 { // minInFlightPerEndpoint for each upstream of its share
 		r.wantSend(r.request(fmt.Sprint(i), "c", time.Second))
 	}
-	if r.b.retries != 16*retryRatio {
-		t.Errorf("budget %.2f after sixteen first attempts", r.b.retries)
+	if r.b.retryBudget.tokens != 16*retryBudgetRatio {
+		t.Errorf("budget %.2f after sixteen first attempts", r.b.retryBudget.tokens)
 	}
 	r.now += 150 * ms // and no answer: all that comes now is refused
 	for i := range 100 {
-		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Refuse)
+		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
-	if r.b.retries != 16*retryRatio {
-		t.Errorf("budget %.2f after a hundred refusals", r.b.retries)
+	if r.b.retryBudget.tokens != 16*retryBudgetRatio {
+		t.Errorf("budget %.2f after a hundred refusals", r.b.retryBudget.tokens)
 	}
 }
 
@@ -616,17 +616,17 @@
 		r.fleet(4)
 		for range 400 {
 			r.now += 5 * ms
-			r.b.served.add(1, r.now)
+			r.b.admission.served.add(1, r.now)
 		}
-		r.b.late.v, r.b.copyWins = 0.08, 1
+		r.b.latency.hedgeDelay.v, r.b.hedges.successRatio = 0.08, 1
 		r.wantSend(r.request("r", "c", time.Second))
 		for range c.inHand {
-			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
+			r.b.admission.track(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		copies := 0
 		for range 24 {
-			r.b.served.add(1, r.now)
-			copies += len(kinds(r.pass(5*ms), Send))
+			r.b.admission.served.add(1, r.now)
+			copies += len(kinds(r.pass(5*ms), StartAttempt))
 		}
 		if copies > 0 != c.copied {
 			t.Errorf("%d copies with %d in hand, pressure %.2f", copies, c.inHand, r.b.pressure())
@@ -660,14 +660,14 @@
 	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
 	w.fleet(10)
 	w.play(20*time.Second, 3)
-	if w.ended[Refuse] < 20 {
-		t.Errorf("%d of %d refused while all took longer than their aim", w.ended[Refuse], w.n)
+	if w.ended[Reject] < 20 {
+		t.Errorf("%d of %d refused while all took longer than their aim", w.ended[Reject], w.n)
 	}
 	latency = 20 * ms
 	w.play(10*time.Second, 3)
-	refused := w.ended[Refuse]
+	refused := w.ended[Reject]
 	w.play(10*time.Second, 3)
-	if w.ended[Refuse] != refused {
+	if w.ended[Reject] != refused {
 		t.Error("still shedding long after")
 	}
 }
@@ -685,15 +685,15 @@
 			r.result(id, 0, OK, 20*ms)
 		}
 		if c.won {
-			r.b.copyWins = 0.5
+			r.b.hedges.successRatio = 0.5
 		}
 		r.now += time.Second
 		r.request("late", "c", time.Second)
 		if c.second {
 			r.request("beside", "c", time.Second)
 		}
-		r.list(Change, Member{Upstream: "other", Zone: "a"})
-		if got := len(kinds(r.pass(60*ms), Send)) > 0; got != c.copied {
+		r.list(Delta, Endpoint{Upstream: "other", Zone: "a"})
+		if got := len(kinds(r.pass(60*ms), StartAttempt)) > 0; got != c.copied {
 			t.Errorf("%+v: copied %v", c, got)
 		}
 	}
@@ -714,8 +714,8 @@
 		})
 		w.fleet(6)
 		w.play(30*time.Second, 100)
-		if copies := w.attempts() - w.n; pauses != (w.b.copyWins > copyPays) || !pauses && copies > w.n/20 {
-			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, copies, w.n, w.b.copyWins)
+		if copies := w.attempts() - w.n; pauses != (w.b.hedges.successRatio > minHedgeSuccess) || !pauses && copies > w.n/20 {
+			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, copies, w.n, w.b.hedges.successRatio)
 		}
 	}
 }
@@ -729,14 +729,14 @@
 		want      time.Duration
 	}{{time.Second, 0.5, time.Second}, {800 * ms, 0, 800 * ms}, {800 * ms, 0.5, 100 * ms}, {50 * ms, 0.5, 50 * ms}} {
 		s := testSettings() // aim 200 ms, deadline 1 s
-		s.MaxRetryAfter, s.Classes[0].LateShare = c.longest, c.lateShare
+		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateShare
 		r := newRig(t, s)
 		r.fleet(4)
-		r.b.crowd, r.b.crowdAt = 10, r.now // all is refused
+		r.b.admission.congestion, r.b.admission.congestionAt = 10, r.now // all is refused
 		r.request("first", "c", time.Second)
 		acts := r.request("second", "c", time.Second)
-		r.wantFinal(acts, Refuse)
-		if got := finals(acts)[0].RetryIn; got != c.want {
+		r.wantFinal(acts, Reject)
+		if got := finals(acts)[0].RetryAfter; got != c.want {
 			t.Errorf("%+v: advised %v", c, got)
 		}
 	}
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -1,7 +1,9 @@
 package balancer
 
 import (
+	"errors"
 	"math"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -9,32 +11,34 @@
 
 func TestNewNamesTheBadSetting(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
-		"Classes":        func(s *Settings) { s.Classes = nil },
-		"Name":           func(s *Settings) { s.Classes[0].Name = "" },
-		"Aim":            func(s *Settings) { s.Classes[0].Aim = -1 },
-		"Deadline":       func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"Effect":         func(s *Settings) { s.Classes[0].Effect = 7 },
-		"Group":          func(s *Settings) { s.Classes[0].Effect, s.Classes[0].Group = Keyed, -1 },
-		"Window":         func(s *Settings) { s.Classes[0].Effect, s.Classes[0].Window = Keyed, -1 },
-		"Worth":          func(s *Settings) { s.Classes[0].Worth = -1 },
-		"Tick":           func(s *Settings) { s.Tick = -1 },
-		"WarmUp":         func(s *Settings) { s.WarmUp = -1 },
-		"FallMultiple":   func(s *Settings) { s.FallMultiple = -1 },
-		"MaxAttempts":    func(s *Settings) { s.MaxAttempts = -1 },
-		"PriceCrossZone": func(s *Settings) { s.PriceCrossZone = -1 },
-		"ColdFrom":       func(s *Settings) { s.ColdFrom = 1.5 },
-		"OverShareWorth": func(s *Settings) { s.OverShareWorth = math.NaN() },
-		"LateShare":      func(s *Settings) { s.Classes[0].LateShare = 1.2 },
-		"AimStretch":     func(s *Settings) { s.Classes[0].AimStretch = math.Inf(1) },
-		"Fraction":       func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Fraction: -0.1}} },
-		"Balancers":      func(s *Settings) { s.Balancers = -2 },
-		"FallTime":       func(s *Settings) { s.FallTime = -1 },
-		"MaxRetryAfter":  func(s *Settings) { s.MaxRetryAfter = -1 },
-		"ConnectTimeout": func(s *Settings) { s.ConnectTimeout = -1 },
+		"Classes":           func(s *Settings) { s.Classes = nil },
+		"Name":              func(s *Settings) { s.Classes[0].Name = "" },
+		"LatencyObjective":  func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"Deadline":          func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"Idempotency":       func(s *Settings) { s.Classes[0].Idempotency = 7 },
+		"KeyScope":          func(s *Settings) { s.Classes[0].Idempotency, s.Classes[0].KeyScope = IdempotentByKey, -1 },
+		"DedupWindow":       func(s *Settings) { s.Classes[0].Idempotency, s.Classes[0].DedupWindow = IdempotentByKey, -1 },
+		"PriorityWeight":    func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
+		"Tick":              func(s *Settings) { s.Tick = -1 },
+		"SlowStartWindow":   func(s *Settings) { s.SlowStartWindow = -1 },
+		"OverloadMultiple":  func(s *Settings) { s.OverloadMultiple = -1 },
+		"MaxAttempts":       func(s *Settings) { s.MaxAttempts = -1 },
+		"CrossZoneCost":     func(s *Settings) { s.CrossZoneCost = -1 },
+		"SlowStartCapacity": func(s *Settings) { s.SlowStartCapacity = 1.5 },
+		"OverQuotaFraction": func(s *Settings) { s.OverQuotaFraction = math.NaN() },
+		"LateValueFraction": func(s *Settings) { s.Classes[0].LateValueFraction = 1.2 },
+		"ObjectiveStretch":  func(s *Settings) { s.Classes[0].ObjectiveStretch = math.Inf(1) },
+		"Quota":             func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Quota: -0.1}} },
+		"FleetSize":         func(s *Settings) { s.FleetSize = -2 },
+		"OverloadDuration":  func(s *Settings) { s.OverloadDuration = -1 },
+		"MaxRetryAfter":     func(s *Settings) { s.MaxRetryAfter = -1 },
+		"ConnectTimeout":    func(s *Settings) { s.ConnectTimeout = -1 },
 	} {
 		s := testSettings()
 		change(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := New(s, 1)
+		var invalid *SettingError
+		if !errors.As(err, &invalid) || invalid.Setting != want && invalid.Field != want || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v", want, err)
 		}
 	}
@@ -54,8 +58,8 @@
 
 func TestOddInputIsHarmless(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.list(Full) // empty list
-	r.wantFinal(r.request("?", "no such class", time.Second), Refuse)
+	r.list(FullState) // empty list
+	r.wantFinal(r.request("?", "no such class", time.Second), Reject)
 	r.fleet(1)
 	r.wantSend(r.request("1", "c", time.Second))
 	r.wantNothing(r.request("1", "c", time.Second)) // the same id again
@@ -63,14 +67,14 @@
 	r.wantNothing(r.result("1", -1, OK, 10*ms))
 	r.wantNothing(r.result("1", 0, OK, 10*ms))
 	r.wantNothing(r.result("1", 0, Reset, 10*ms)) // late repeat
-	r.wantNothing(r.do(Gone{ID: "1"}))
+	r.wantNothing(r.do(ClientDisconnected{ID: "1"}))
 	r.now -= time.Second // a clock that steps back counts as one that stands
-	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", Expires: r.now + 3*time.Second}))
-	r.wantNothing(r.do(Gone{ID: "2"}))
+	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", ExpiresAt: r.now + 3*time.Second}))
+	r.wantNothing(r.do(ClientDisconnected{ID: "2"}))
 	r.wantNothing(r.result("2", 0, OK, 10*ms))
 	acts := r.request("3", "c", -time.Second) // its time is over already
 	acts = append(acts, r.pass(time.Second+20*ms)...)
-	if len(finals(acts)) != 1 || len(kinds(acts, Send)) != 0 {
+	if len(finals(acts)) != 1 || len(kinds(acts, StartAttempt)) != 0 {
 		t.Errorf("overdue request: %+v", acts)
 	}
 }
@@ -85,10 +89,10 @@
 		r.result(id, 0, OK, 10*ms)
 		r.pass(5 * ms)
 	}
-	r.list(Full, Member{Upstream: "new"})
+	r.list(FullState, Endpoint{Upstream: "new"})
 	r.pass(2 * time.Second)
-	if len(r.b.reqs) != 0 || len(r.b.ups) != 1 || len(r.b.list) != 1 || r.b.timers.Len() != 0 {
-		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.reqs), len(r.b.ups), len(r.b.list),
+	if len(r.b.requests) != 0 || len(r.b.endpoints.byID) != 1 || len(r.b.endpoints.order) != 1 || r.b.timers.Len() != 0 {
+		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.requests), len(r.b.endpoints.byID), len(r.b.endpoints.order),
 			r.b.timers.Len())
 	}
 }
@@ -113,7 +117,7 @@
 		t.Fatalf("%d and %d actions", len(a), len(b))
 	}
 	for i := range a {
-		if a[i] != b[i] {
+		if !reflect.DeepEqual(a[i], b[i]) {
 			t.Fatalf("action %d: %+v and %+v", i, a[i], b[i])
 		}
 	}
@@ -122,18 +126,18 @@
 // The list once more, or an event in a tick of its own, changes nothing that is known.
 func TestRepeatedListChangesNothing(t *testing.T) {
 	r := newRig(t, testSettings())
-	entries := []Member{{Upstream: "a", Machine: "m"}, {Upstream: "b", Machine: "m"}}
-	r.list(Full, entries...)
+	entries := []Endpoint{{Upstream: "a", Machine: "m"}, {Upstream: "b", Machine: "m"}}
+	r.list(FullState, entries...)
 	r.wantSend(r.request("1", "c", time.Second))
 	r.now += 50 * ms
 	r.result("1", 0, OK, 50*ms)
-	before := []*upstream{r.b.list[0], r.b.list[1]}
-	known := []upstream{*before[0], *before[1]}
-	r.list(Full, entries...)
-	r.list(Saved, entries...)
+	before := []*endpoint{r.b.endpoints.order[0], r.b.endpoints.order[1]}
+	known := []endpoint{*before[0], *before[1]}
+	r.list(FullState, entries...)
+	r.list(Cached, entries...)
 	for i, u := range before {
-		if r.b.list[i] != u || u.est != known[i].est || u.cold || u.heard != known[i].heard {
-			t.Errorf("changed: %+v, was %+v", *r.b.list[i], known[i])
+		if r.b.endpoints.order[i] != u || u.latency != known[i].latency || u.slowStart.active || u.health.lastAnswerAt != known[i].health.lastAnswerAt {
+			t.Errorf("changed: %+v, was %+v", *r.b.endpoints.order[i], known[i])
 		}
 	}
 }
--- /dev/null
+++ b/balancer/outlier.go
@@ -0,0 +1,156 @@
+package balancer
+
+import (
+	"log/slog"
+	"time"
+)
+
+const (
+	// baseEjectionTime is the time of a first ejection. It doubles with each failed half-open probe.
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 8 * time.Second
+	maxDoublings     = 10 // of any backoff; the maxima are reached before
+	// failuresToEject is how many failures in a row eject an endpoint: two happen by chance.
+	failuresToEject = 3
+	// slowMedianMultiple is how many medians a slow answer takes.
+	slowMedianMultiple = 4.0
+	// silenceObjectives is how many mean latency objectives an endpoint may fail to answer for.
+	silenceObjectives = 3.0
+)
+
+// health is what this sidecar's own attempts tell of whether an endpoint works. Counts are in a row.
+type health struct {
+	lastAnswerAt     time.Duration // error answers and rejections count
+	lastServedSentAt time.Duration // when the latest attempt that it served was sent
+	failures         int           // attempts without an answer, sent since the last one
+	failingSince     time.Duration // when the first of them was sent
+	errors           int           // error answers
+	rejections       int
+	slowAnswers      int
+	connectionFailed bool // the latest failure was a connection refused or broken
+	ejections        int  // in a row, without a success in between
+	ejectedUntil     time.Duration
+}
+
+// served notes that an attempt was served.
+func (h *health) served(a *attempt) { h.lastServedSentAt = max(h.lastServedSentAt, a.sentAt) }
+
+// isReady tells whether an endpoint may be picked for r. After an ejection it is half-open: one attempt at a
+// time, and none that must not run twice.
+func (b *Balancer) isReady(ep *endpoint, r *request) bool {
+	if b.now < ep.health.ejectedUntil || b.excludedByEvidence(ep, r) {
+		return false
+	}
+	return ep.health.ejections == 0 || len(ep.inFlight) == 0 && r.class.Idempotency != NotIdempotent
+}
+
+// updateHealth judges an attempt's endpoint by its result. It ejects endpoints that refuse or break
+// connections, answer with errors only, reject everything or stay silent.
+func (b *Balancer) updateHealth(a *attempt, res Result, elapsed time.Duration) {
+	b.recordEvidence(a, res)
+	switch res {
+	case ServerError:
+		b.onErrorAnswer(a)
+	case OK, Overloaded:
+		b.onAnswer(a, res, elapsed)
+	case Timeout, ConnectFailed, Reset, Cancelled:
+		b.onNoAnswer(a, res, elapsed)
+	}
+}
+
+// onErrorAnswer guards against an endpoint whose errors come at once: beside queues longer than the penalty
+// it looks fast.
+func (b *Balancer) onErrorAnswer(a *attempt) {
+	h := &a.endpoint.health
+	h.lastAnswerAt, h.failures = b.now, 0
+	h.errors++
+	if h.errors >= failuresToEject && b.now >= h.ejectedUntil && !b.singleClass(a) {
+		b.eject(a.endpoint)
+	}
+}
+
+// onAnswer takes in a success or a rejection. An endpoint that rejects everything may be draining before the
+// list says so.
+func (b *Balancer) onAnswer(a *attempt, res Result, elapsed time.Duration) {
+	ep := a.endpoint
+	h := &ep.health
+	h.lastAnswerAt = b.now
+	if h.rejections++; res == OK {
+		h.rejections = 0
+	}
+	if h.rejections >= failuresToEject {
+		h.failures = 0
+		if b.now >= h.ejectedUntil {
+			b.eject(ep)
+		}
+		return
+	}
+	if h.slowAnswers++; res == OK && elapsed.Seconds() <= slowMedianMultiple*b.latency.median.v*a.request.work {
+		h.slowAnswers = 0
+	}
+	if h.slowAnswers >= failuresToEject {
+		h.slowAnswers = 0
+		b.rotateSubset(ep)
+	}
+	if h.ejections > 0 {
+		b.log("endpoint reinstated", slog.String("upstream", ep.id), slog.Int("ejections", h.ejections))
+		b.reportEvidence(ep, EvidenceNone, 0)
+	}
+	h.failures, h.errors, h.ejections, h.ejectedUntil = 0, 0, 0, 0
+}
+
+// onNoAnswer guards against endpoints that crashed (their refusals come at once, and look fast) and against
+// those that hang.
+func (b *Balancer) onNoAnswer(a *attempt, res Result, elapsed time.Duration) {
+	ep := a.endpoint
+	h := &ep.health
+	if b.isSlowNotSilent(a, res, elapsed) {
+		return
+	}
+	h.connectionFailed = res == Reset || res == ConnectFailed
+	if h.failures++; h.failures == 1 {
+		h.failingSince = a.sentAt
+		b.reportSuspicion(ep)
+	}
+	refusedAtOnce := res == ConnectFailed && elapsed < b.settings.ConnectTimeout/2
+	dead := h.failures >= failuresToEject && (res == Reset || refusedAtOnce)
+	silent := h.failures > 1 && (b.now-h.failingSince).Seconds() > silenceObjectives*b.meanObjective
+	if (dead || silent || h.ejections > 0) && b.now >= h.ejectedUntil {
+		b.eject(ep)
+	}
+}
+
+// isSlowNotSilent tells whether an attempt without an answer says nothing against its endpoint. That is so if
+// the endpoint has answered since, and of a cancelled attempt unless it was late: with hedging the winner
+// ends the others, and late ones among them count. Without hedging a cancelled attempt was moved, perhaps off
+// a long queue.
+func (b *Balancer) isSlowNotSilent(a *attempt, res Result, elapsed time.Duration) bool {
+	answered := a.sentAt < a.endpoint.health.lastAnswerAt
+	late := b.settings.Hedging && elapsed.Seconds() >= b.latency.hedgeDelay.v*a.request.work
+	return res == Timeout && answered || res == Cancelled && (answered || !late)
+}
+
+// eject takes an endpoint out of the ready ones for a time that doubles with each ejection in a row.
+func (b *Balancer) eject(ep *endpoint) {
+	h := &ep.health
+	d := b.jitter(min(baseEjectionTime<<min(h.ejections, maxDoublings), maxEjectionTime))
+	h.ejections++
+	h.ejectedUntil = b.now + d
+	b.reportEvidence(ep, h.ejectionCause(), max(h.failures, h.errors, h.rejections))
+	if h.ejections == 1 {
+		b.log("endpoint ejected", slog.String("upstream", ep.id), slog.Int("failures", h.failures),
+			slog.Int("errors", h.errors), slog.Int("rejections", h.rejections))
+	}
+}
+
+func (h *health) ejectionCause() Evidence {
+	switch {
+	case h.rejections >= failuresToEject:
+		return EvidenceRejections
+	case h.errors >= failuresToEject:
+		return EvidenceErrors
+	case h.connectionFailed:
+		return EvidenceConnections
+	}
+	return EvidenceSilence
+}
--- a/balancer/hearsay_test.go
+++ b/balancer/peerverdict_test.go
@@ -11,16 +11,16 @@
 // sharingRig has n upstreams in the home zone (four: its whole subset), a class c and a class d, and hears of others.
 func sharingRig(t *testing.T, n int) *rig {
 	s := testSettings()
-	s.Reports = true
-	s.Classes = append(s.Classes, Class{Name: "d", Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-		Class{Name: "unsafe", Aim: 200 * ms, Deadline: time.Second, Worth: 1, Effect: Unsafe})
+	s.ShareEvidence = true
+	s.Classes = append(s.Classes, Class{Name: "d", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
+		Class{Name: "unsafe", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: NotIdempotent})
 	r := newRig(t, s)
 	r.fleet(n)
 	return r
 }
 
-func (r *rig) hear(u, class string, tries Tries, share float64) {
-	r.do(Hearsay{Upstream: u, Class: class, Until: r.now + time.Minute, Since: r.now, Share: share, Tries: tries})
+func (r *rig) hear(u, class string, tries ProbeOwner, share float64) {
+	r.do(PeerVerdict{Upstream: u, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: share, Probes: tries})
 }
 
 // serve sends n requests of a class one after another, 10 ms apart and 20 to 80 ms each, and tells how many attempts each upstream got and what was
@@ -32,13 +32,13 @@
 		id := fmt.Sprint(class, r.now, i)
 		acts := r.request(id, class, time.Second)
 		for k := 0; ; k++ {
-			reports = append(reports, kinds(acts, Report)...)
-			s := kinds(acts, Send)
+			reports = append(reports, kinds(acts, ReportEvidence)...)
+			s := kinds(acts, StartAttempt)
 			if len(s) == 0 {
 				break
 			}
 			sends[s[0].Upstream]++
-			took := time.Duration(20+(37*len(r.b.list)+53*i+int(r.now/ms))%60) * ms
+			took := time.Duration(20+(37*len(r.b.endpoints.order)+53*i+int(r.now/ms))%60) * ms
 			r.now += took
 			acts = r.result(id, k, reply(s[0].Upstream), took)
 		}
@@ -50,21 +50,21 @@
 
 func TestHearsayKeepsOutForItsTime(t *testing.T) {
 	r := sharingRig(t, 4)
-	before := r.b.ups["u0"].est
-	r.hear("u0", "", TriesEach, 0)
+	before := r.b.endpoints.byID["u0"].latency
+	r.hear("u0", "", ProbeByEach, 0)
 	if sends, _ := r.serve(200, "c", good); sends["u0"] != 0 || len(sends) != 3 {
 		t.Errorf("sent %v", sends)
 	}
-	if r.b.ups["u0"].est != before {
+	if r.b.endpoints.byID["u0"].latency != before {
 		t.Error("hearsay changed an estimate")
 	}
-	r.do(Hearsay{Upstream: "u0"})
+	r.do(PeerVerdict{Upstream: "u0"})
 	probe := &request{class: r.b.classes["c"]}
 	for _, back := range []time.Duration{100 * ms, 900 * ms} {
 		kept := 0
 		for range 1000 {
 			r.b.now = r.now + back
-			if r.b.keptOut(r.b.ups["u0"], probe) {
+			if r.b.excludedByEvidence(r.b.endpoints.byID["u0"], probe) {
 				kept++
 			}
 		}
@@ -72,7 +72,7 @@
 			t.Errorf("%d of 1000 kept out %v after the end", kept, back)
 		}
 	}
-	r.now += easeFor
+	r.now += reinstatementTime
 	if sends, _ := r.serve(200, "c", good); sends["u0"] < 10 {
 		t.Errorf("not back: sent %v", sends)
 	}
@@ -82,28 +82,28 @@
 // and is told.
 func TestHearsayHoldsNoFurther(t *testing.T) {
 	r := sharingRig(t, 4)
-	r.hear("u0", "c", TriesEach, 0)
+	r.hear("u0", "c", ProbeByEach, 0)
 	if sends, _ := r.serve(100, "c", good); sends["u0"] != 0 {
 		t.Errorf("c: sent %v", sends)
 	}
 	if sends, _ := r.serve(100, "d", good); sends["u0"] == 0 {
 		t.Errorf("d: sent %v", sends)
 	}
-	r.do(Hearsay{Upstream: "u1", CameUp: time.Second, Until: r.now + time.Minute, Since: r.now})
-	r.hear("u2", "", TriesEach, 0)
-	r.list(Change, Member{Upstream: "u2", Zone: "a", CameUp: r.now - 50*time.Second})
+	r.do(PeerVerdict{Upstream: "u1", StartedAt: time.Second, Until: r.now + time.Minute, Since: r.now})
+	r.hear("u2", "", ProbeByEach, 0)
+	r.list(Delta, Endpoint{Upstream: "u2", Zone: "a", StartedAt: r.now - 50*time.Second})
 	if sends, _ := r.serve(100, "d", good); sends["u1"] == 0 || sends["u2"] == 0 {
 		t.Errorf("sent %v", sends)
 	}
-	r.do(Hearsay{Upstream: "u3", Until: r.now + time.Minute, Since: r.now - time.Second})
+	r.do(PeerVerdict{Upstream: "u3", Until: r.now + time.Minute, Since: r.now - time.Second})
 	if sends, _ := r.serve(100, "d", good); sends["u3"] == 0 {
 		t.Error("an own success since did not outrank what was said")
 	}
 	r.request("flying", "d", time.Second)
-	u := r.b.reqs["flying"].attempts[0].u
-	r.do(Hearsay{Upstream: u.id, Until: r.now + time.Minute, Since: r.now - ms})
+	u := r.b.requests["flying"].attempts[0].endpoint
+	r.do(PeerVerdict{Upstream: u.id, Until: r.now + time.Minute, Since: r.now - ms})
 	r.now += 5 * ms
-	if rep := kinds(r.result("flying", 0, OK, 5*ms), Report); len(rep) != 1 || rep[0].Evidence != NoEvidence || rep[0].Count != 1 {
+	if rep := kinds(r.result("flying", 0, OK, 5*ms), ReportEvidence); len(rep) != 1 || rep[0].Evidence != EvidenceNone || rep[0].Count != 1 {
 		t.Errorf("its success was told as %+v", rep)
 	}
 }
@@ -112,7 +112,7 @@
 func TestHearsayIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
-		s.Reports = true
+		s.ShareEvidence = true
 		b, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -124,15 +124,15 @@
 			u := upstream.Draw(t, "upstream")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				b.Handle(now, Hearsay{Upstream: u, Class: rapid.SampledFrom([]string{"", "c"}).Draw(t, "class"), Since: now,
-					Until: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "s"))*time.Second, Tries: Tries(rapid.IntRange(0, 2).Draw(t, "tries"))}, nil)
+				b.Handle(now, PeerVerdict{Upstream: u, Class: rapid.SampledFrom([]string{"", "c"}).Draw(t, "class"), Since: now,
+					Until: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "s"))*time.Second, Probes: ProbeOwner(rapid.IntRange(0, 2).Draw(t, "tries"))}, nil)
 			case 2:
-				state := State(rapid.IntRange(0, 1).Draw(t, "state"))
-				b.Handle(now, Members{Kind: Change, Entries: []Member{{Upstream: u, Zone: []string{"a", "b"}[int(u[1])%2], State: state}}}, nil)
+				state := EndpointState(rapid.IntRange(0, 1).Draw(t, "state"))
+				b.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Upstream: u, Zone: []string{"a", "b"}[int(u[1])%2], State: state}}}, nil)
 			case 3:
-				b.Handle(now, Ban{Upstream: u, Lifted: rapid.Bool().Draw(t, "lifted")}, nil)
+				b.Handle(now, Ban{Upstream: u, Cleared: rapid.Bool().Draw(t, "lifted")}, nil)
 			case 4:
-				if x := b.ups[u]; x != nil {
+				if x := b.endpoints.byID[u]; x != nil {
 					b.now = now
 					b.eject(x)
 				}
@@ -140,12 +140,12 @@
 			b.now = now
 			for _, zone := range []string{"a", "b"} {
 				usable, kept := 0, 0
-				for _, x := range b.list {
-					if x.zone != zone || x.banned || now < x.until {
+				for _, x := range b.endpoints.order {
+					if x.zone != zone || x.banned || now < x.health.ejectedUntil {
 						continue
 					}
 					usable++
-					if x.ejections == 0 && b.keptOut(x, probe) {
+					if x.health.ejections == 0 && b.excludedByEvidence(x, probe) {
 						kept++
 					}
 				}
--- a/balancer/trial_test.go
+++ b/balancer/probe_test.go
@@ -28,17 +28,17 @@
 	if c["u0"] > 2 || d["u0"] == 0 {
 		t.Errorf("at last %d attempts of c and %d of d", c["u0"], d["u0"])
 	}
-	if len(reports) == 0 || reports[0].Class != "c" || reports[0].Evidence != ByErrors || reports[0].Count < 3 {
+	if len(reports) == 0 || reports[0].Class != "c" || reports[0].Evidence != EvidenceErrors || reports[0].Count < 3 {
 		t.Fatalf("reported %+v", reports)
 	}
-	r.now += ejectMax * 2
+	r.now += maxEjectionTime * 2
 	reports = nil
 	for range 10 {
 		var rep []Action
 		again, rep = r.serve(30, "c", good)
 		reports = append(reports, rep...)
 	}
-	if again["u0"] == 0 || len(reports) != 1 || reports[0].Evidence != NoEvidence || reports[0].Class != "c" {
+	if again["u0"] == 0 || len(reports) != 1 || reports[0].Evidence != EvidenceNone || reports[0].Class != "c" {
 		t.Errorf("well again: %d attempts, reported %+v", again["u0"], reports)
 	}
 }
@@ -48,30 +48,30 @@
 func TestErrorsOfOneClass(t *testing.T) {
 	r := sharingRig(t, 4)
 	r.serve(100, "c", good)
-	r.b.Handle(r.now, Wake{}, nil)
-	u := r.b.ups["u0"]
+	r.b.Handle(r.now, TimerFired{}, nil)
+	u := r.b.endpoints.byID["u0"]
 	answer := func(class string, res Result) {
-		r.b.health(&attempt{r: &request{class: r.b.classes[class], cost: 1}, u: u, sent: r.now}, res, 50*ms)
+		r.b.updateHealth(&attempt{request: &request{class: r.b.classes[class], work: 1}, endpoint: u, sentAt: r.now}, res, 50*ms)
 	}
 	answer("d", OK)
-	u.talk.tallies["c"] = nil // what it did before this test's answers
-	for range ejectErrors {
+	u.gossip.evidence.windows["c"] = nil // what it did before this test's answers
+	for range failuresToEject {
 		answer("c", ServerError)
 	}
-	if u.ejections > 0 || u.talk.tallies["c"].outs == 0 {
-		t.Errorf("ejected %d times, out for c %d times", u.ejections, u.talk.tallies["c"].outs)
+	if u.health.ejections > 0 || u.gossip.evidence.windows["c"].ejections == 0 {
+		t.Errorf("ejected %d times, out for c %d times", u.health.ejections, u.gossip.evidence.windows["c"].ejections)
 	}
 
 	r = sharingRig(t, 4) // d is not asked for: it is ejected, and that said of c; of one tenant's errors nothing is
 	r.b.now = r.now
 	for tenant := range 2 {
-		u = r.b.ups[fmt.Sprint("u", tenant)]
-		for i := range 2 * ejectErrors {
-			res := []Result{OK, ServerError}[i/ejectErrors]
-			r.b.health(&attempt{r: &request{class: r.b.classes["c"], cost: 1, tenant: tenant * (i / ejectErrors)}, u: u, sent: r.now}, res, 50*ms)
+		u = r.b.endpoints.byID[fmt.Sprint("u", tenant)]
+		for i := range 2 * failuresToEject {
+			res := []Result{OK, ServerError}[i/failuresToEject]
+			r.b.updateHealth(&attempt{request: &request{class: r.b.classes["c"], work: 1, tenant: tenant * (i / failuresToEject)}, endpoint: u, sentAt: r.now}, res, 50*ms)
 		}
 	}
-	if said := kinds(r.b.acts, Report); len(said) != 1 || said[0].Upstream != "u0" || said[0].Class != "c" {
+	if said := kinds(r.b.actions, ReportEvidence); len(said) != 1 || said[0].Upstream != "u0" || said[0].Class != "c" {
 		t.Errorf("reported %+v", said)
 	}
 	r = sharingRig(t, 4)
@@ -82,8 +82,8 @@
 		}
 		return OK
 	})
-	for id, u := range r.b.ups {
-		if u.talk.tallies["c"].outs > 0 {
+	for id, u := range r.b.endpoints.byID {
+		if u.gossip.evidence.windows["c"].ejections > 0 {
 			t.Errorf("%s is left out though all err", id)
 		}
 	}
@@ -93,10 +93,10 @@
 func TestAFirstFailureIsASuspicion(t *testing.T) {
 	r := sharingRig(t, 1)
 	r.request("x", "c", time.Second)
-	if rep := kinds(r.result("x", 0, Timeout, 100*ms), Report); len(rep) != 1 || !rep[0].Suspect || rep[0].Evidence != BySilence {
+	if rep := kinds(r.result("x", 0, Timeout, 100*ms), ReportEvidence); len(rep) != 1 || !rep[0].Suspicion || rep[0].Evidence != EvidenceSilence {
 		t.Errorf("said %+v", rep)
 	}
-	if rep := kinds(r.result("x", 1, OK, 50*ms), Report); len(rep) != 1 || rep[0].Suspect || rep[0].Evidence != NoEvidence {
+	if rep := kinds(r.result("x", 1, OK, 50*ms), ReportEvidence); len(rep) != 1 || rep[0].Suspicion || rep[0].Evidence != EvidenceNone {
 		t.Errorf("then said %+v", rep)
 	}
 }
@@ -112,52 +112,52 @@
 	}
 	r := sharingRig(t, 4)
 	r.serve(100, "d", good)
-	r.hear("u0", "", TriesOurs, 0)
+	r.hear("u0", "", ProbeBySelf, 0)
 	r.now += time.Second
 	if s, _ := r.serve(50, "unsafe", good); s["u0"] > 0 {
 		t.Error("an unsafe request was made a trial")
 	}
 	acts := r.request("trial", "c", time.Second)
-	if s := kinds(acts, Send); len(s) != 1 || s[0].Upstream != "u0" || s[0].Timeout > 180*ms {
+	if s := kinds(acts, StartAttempt); len(s) != 1 || s[0].Upstream != "u0" || s[0].Timeout > 180*ms {
 		t.Fatalf("the trial: %+v", s)
 	}
 	r.now += 50 * ms
-	if s := kinds(r.request("another", "c", time.Second), Send); len(s) != 1 || s[0].Upstream == "u0" {
+	if s := kinds(r.request("another", "c", time.Second), StartAttempt); len(s) != 1 || s[0].Upstream == "u0" {
 		t.Fatalf("two trials at once: %+v", s)
 	}
 	acts = r.result("trial", 0, Timeout, 50*ms)
-	if s, rep := kinds(acts, Send), kinds(acts, Report); len(s) != 1 || s[0].Upstream == "u0" || len(rep) != 1 || !rep[0].Trial || rep[0].Evidence != BySilence {
+	if s, rep := kinds(acts, StartAttempt), kinds(acts, ReportEvidence); len(s) != 1 || s[0].Upstream == "u0" || len(rep) != 1 || !rep[0].Probe || rep[0].Evidence != EvidenceSilence {
 		t.Fatalf("a failed trial: %+v", acts)
 	}
 	if s, _ := r.serve(8, "c", silent); s["u0"] > 0 {
 		t.Error("tried again at once")
 	}
 	r.now += 2 * time.Second
-	r.hear("u0", "", TriesOurs, 0)
+	r.hear("u0", "", ProbeBySelf, 0)
 	if _, rep := r.serve(50, "c", good); len(rep) < 3 || len(rep) > 14 {
 		t.Errorf("%d trials that went well in 3 s", len(rep))
 	}
-	r.hear("u0", "", TriesOurs, 0)
+	r.hear("u0", "", ProbeBySelf, 0)
 	r.now += time.Second
 	r.do(Ban{Upstream: "u0"})
 	if s, _ := r.serve(50, "c", good); s["u0"] > 0 {
 		t.Error("a banned upstream was tried")
 	}
 
-	for _, tries := range []Tries{TriesEach, TriesOthers} {
+	for _, tries := range []ProbeOwner{ProbeByEach, ProbeByPeer} {
 		r = sharingRig(t, 4)
 		r.serve(500, "c", silent)
-		if r.b.ups["u0"].ejections == 0 {
+		if r.b.endpoints.byID["u0"].health.ejections == 0 {
 			t.Fatal("not ejected")
 		}
 		r.now += 10 * time.Second
 		r.hear("u0", "", tries, 0)
-		if s, _ := r.serve(50, "c", silent); s["u0"] > 0 != (tries == TriesEach) {
+		if s, _ := r.serve(50, "c", silent); s["u0"] > 0 != (tries == ProbeByEach) {
 			t.Errorf("trials are %d's: %d attempts", tries, s["u0"])
 		}
-		r.b.ups["u0"].until = r.now + 2*ejectMax
-		r.do(Hearsay{Upstream: "u0", Tried: true})
-		r.now += easeFor
+		r.b.endpoints.byID["u0"].health.ejectedUntil = r.now + 2*maxEjectionTime
+		r.do(PeerVerdict{Upstream: "u0", ProbeSucceeded: true})
+		r.now += reinstatementTime
 		if s, _ := r.serve(100, "c", good); s["u0"] == 0 {
 			t.Error("no own trial after one for all went well")
 		}
@@ -168,18 +168,18 @@
 func TestTrialsHoldColdBudgets(t *testing.T) {
 	r := sharingRig(t, 4)
 	r.serve(300, "c", good)
-	r.list(Change, Member{Upstream: "u0", Zone: "a", CameUp: r.now})
-	if u := r.b.ups["u0"]; !u.cold {
+	r.list(Delta, Endpoint{Upstream: "u0", Zone: "a", StartedAt: r.now})
+	if u := r.b.endpoints.byID["u0"]; !u.slowStart.active {
 		t.Fatal("not cold")
 	}
-	r.b.ups["u0"].tokens = 0
-	r.do(Hearsay{Upstream: "u0", CameUp: r.now, Until: r.now + time.Minute, Since: r.now, Tries: TriesOurs})
+	r.b.endpoints.byID["u0"].slowStart.tokens = 0
+	r.do(PeerVerdict{Upstream: "u0", StartedAt: r.now, Until: r.now + time.Minute, Since: r.now, Probes: ProbeBySelf})
 	r.now += time.Second
-	r.b.ups["u0"].filled = r.now
+	r.b.endpoints.byID["u0"].slowStart.refilledAt = r.now
 	if s := r.wantSend(r.request("x", "c", time.Second)); s == "u0" {
 		t.Error("a trial over the cold budget")
 	}
-	r.b.ups["u0"].tokens = 5
+	r.b.endpoints.byID["u0"].slowStart.tokens = 5
 	if s := r.wantSend(r.request("y", "c", time.Second)); s != "u0" {
 		t.Error("no trial within it")
 	}
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -32,7 +32,7 @@
 	now    time.Duration
 	reqs   map[string]*owed
 	order  []string
-	active map[string]Member
+	active map[string]Endpoint
 	timers []time.Duration
 }
 
@@ -43,17 +43,17 @@
 		f.t.Fatalf("action for unknown request: %+v", a)
 	}
 	switch a.Kind {
-	case Send:
+	case StartAttempt:
 		f.send(a, q)
-	case Cancel:
-		if !f.s.Cancelling {
+	case CancelAttempt:
+		if !f.s.Cancellation {
 			f.t.Fatal("cancel is not allowed")
 		}
 		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
 			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
 		}
-	case Refuse, Fail:
-		if a.Kind == Refuse && !(q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Group == GroupAll) &&
+	case Reject, Fail:
+		if a.Kind == Reject && !(q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotentByKey && q.class.KeyScope == KeyScopeAll) &&
 			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
 			f.t.Fatalf("refused %s, which may have run", a.ID)
 		}
@@ -80,18 +80,18 @@
 		f.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, f.s.MaxAttempts)
 	}
 	for _, x := range q.attempts {
-		if x.out && !f.s.SecondCopies {
+		if x.out && !f.s.Hedging {
 			f.t.Fatalf("%s: two attempts out", a.ID)
 		}
 		if !x.mayRun {
 			continue
 		}
 		c := q.class
-		if c.Effect == Unsafe {
+		if c.Idempotency == NotIdempotent {
 			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
 		}
-		if c.Effect == Keyed && (f.now-x.at > c.Window || c.Group == GroupZone && x.zone != m.Zone ||
-			c.Group == GroupCell && x.cell != m.Cell) {
+		if c.Idempotency == IdempotentByKey && (f.now-x.at > c.DedupWindow || c.KeyScope == KeyScopeZone && x.zone != m.Zone ||
+			c.KeyScope == KeyScopeCell && x.cell != m.Cell) {
 			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
 		}
 	}
@@ -104,21 +104,21 @@
 
 func randomSettings(g *rand.Rand) Settings {
 	s := testSettings()
-	s.SecondCopies, s.Cancelling, s.RetryAfter = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
+	s.Hedging, s.Cancellation, s.RetryAfter = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
 	s.MustSubscribe = g.IntN(2) == 0
 	s.MaxAttempts = 1 + g.IntN(5)
-	s.PriceCrossZone = []float64{0, 0.01, 0.2}[g.IntN(3)]
-	s.FallMultiple = float64(g.IntN(4))
+	s.CrossZoneCost = []float64{0, 0.01, 0.2}[g.IntN(3)]
+	s.OverloadMultiple = float64(g.IntN(4))
 	s.Zone = []string{"a", "a", ""}[g.IntN(3)]
-	s.WorthByWork, s.OverShareWorth = g.IntN(2) == 0, float64(g.IntN(2))/2
-	s.Tenants = []Tenant{{Name: "t", Fraction: 0.5}, {Name: "v", Fraction: 0.5}}[:g.IntN(3)]
+	s.WeightByWork, s.OverQuotaFraction = g.IntN(2) == 0, float64(g.IntN(2))/2
+	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:g.IntN(3)]
 	s.Classes = nil
-	for e := Safe; e <= Unsafe; e++ {
-		for group := GroupAll; group <= GroupCell; group++ {
+	for e := Idempotent; e <= NotIdempotent; e++ {
+		for group := KeyScopeAll; group <= KeyScopeCell; group++ {
 			aim := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), Aim: aim, Deadline: aim * time.Duration(1+g.IntN(4)) / 2, Effect: e,
-				Group: group, Window: time.Duration(20+g.IntN(800)) * ms, LateShare: float64(g.IntN(2)) / 2,
-				Worth: float64(1 + g.IntN(9)), AimStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: aim, Deadline: aim * time.Duration(1+g.IntN(4)) / 2, Idempotency: e,
+				KeyScope: group, DedupWindow: time.Duration(20+g.IntN(800)) * ms, LateValueFraction: float64(g.IntN(2)) / 2,
+				PriorityWeight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
 		}
 	}
 	return s
@@ -128,19 +128,19 @@
 	for seed := range uint64(150) {
 		g := rand.New(rand.NewPCG(seed, 7))
 		s := randomSettings(g)
-		s.Reports = seed%3 == 0
+		s.ShareEvidence = seed%3 == 0
 		b, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Member{}}
+		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
 		deal := func(e Event) {
 			for _, a := range b.Handle(f.now, e, nil) {
 				f.action(a)
 			}
 		}
 		run(f, g, deal, 1200)
-		if n := len(b.reqs); n != 0 {
+		if n := len(b.requests); n != 0 {
 			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
 		}
 	}
@@ -148,7 +148,7 @@
 
 // run plays ticks with random events, then lets all that is open end.
 func run(f *referee, g *rand.Rand, deal func(Event), ticks int) {
-	deal(Members{Kind: Saved})
+	deal(EndpointUpdate{Kind: Cached})
 	for i := range ticks + 1000 {
 		f.now += f.s.Tick + time.Duration(g.IntN(2000))*time.Microsecond
 		if i < ticks {
@@ -173,23 +173,23 @@
 		return
 	}
 	if g.IntN(6) == 0 {
-		deal(Members{Kind: Failed})
+		deal(EndpointUpdate{Kind: WatchFailed})
 		return
 	}
-	var entries []Member
-	kind := Change
+	var entries []Endpoint
+	kind := Delta
 	if g.IntN(5) == 0 {
-		kind = Full
+		kind = FullState
 		clear(f.active)
 	}
 	for range g.IntN(8) {
 		n := g.IntN(10)
-		m := Member{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: State(g.IntN(3))}
+		m := Endpoint{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(g.IntN(3))}
 		if g.IntN(2) == 0 {
 			m.State = Active
 		}
 		if g.IntN(3) == 0 {
-			m.CameUp = f.now - time.Duration(g.IntN(12000))*ms
+			m.StartedAt = f.now - time.Duration(g.IntN(12000))*ms
 		}
 		delete(f.active, m.Upstream)
 		if m.State == Active {
@@ -197,7 +197,7 @@
 		}
 		entries = append(entries, m)
 	}
-	deal(Members{Kind: kind, Entries: entries})
+	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
 func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
@@ -205,33 +205,33 @@
 	id := fmt.Sprint(i, "-", g.Uint32())
 	q := &owed{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
 	f.reqs[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], Expires: q.expires,
-		Hint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
+	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expires,
+		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
 	if g.IntN(50) == 0 && !q.ended {
 		q.ended, q.gone = true, true
-		deal(Gone{ID: id})
+		deal(ClientDisconnected{ID: id})
 	}
 }
 
 // noise is what must change nothing: strangers, repeats, stale timers, messages, and for the rules what others say.
 func (f *referee) noise(g *rand.Rand, deal func(Event)) {
-	if f.s.Reports && g.IntN(10) == 0 {
+	if f.s.ShareEvidence && g.IntN(10) == 0 {
 		m := f.active[fmt.Sprint("u", g.IntN(10))]
-		deal(Hearsay{Upstream: m.Upstream, CameUp: m.CameUp, Until: f.now + time.Duration(g.IntN(3000))*ms, Since: f.now,
-			Share: float64(g.IntN(3)) / 2, Tries: Tries(g.IntN(3)), Tried: g.IntN(2) == 0})
+		deal(PeerVerdict{Upstream: m.Upstream, StartedAt: m.StartedAt, Until: f.now + time.Duration(g.IntN(3000))*ms, Since: f.now,
+			PassFraction: float64(g.IntN(3)) / 2, Probes: ProbeOwner(g.IntN(3)), ProbeSucceeded: g.IntN(2) == 0})
 	}
 	switch g.IntN(12) {
 	case 0:
-		deal(Outcome{ID: "nobody", Result: OK, Finished: true})
+		deal(AttemptEnded{ID: "nobody", Result: OK, Final: true})
 	case 1:
 		if n := len(f.order); n > 0 {
 			id := f.order[g.IntN(n)]
-			deal(Outcome{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Finished: true})
+			deal(AttemptEnded{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
 		}
 	case 2:
-		deal(Wake{})
+		deal(TimerFired{})
 	case 3:
-		deal(Gone{ID: "nobody"})
+		deal(ClientDisconnected{ID: "nobody"})
 		deal(FirstByte{ID: "nobody"})
 	}
 }
@@ -245,7 +245,7 @@
 		return at <= f.now
 	})
 	for range due {
-		deal(Wake{})
+		deal(TimerFired{})
 	}
 }
 
@@ -257,16 +257,16 @@
 			if !x.out || f.now < x.limit && g.IntN(12) > 0 {
 				continue
 			}
-			res := Result(g.IntN(int(Moot) + 1))
+			res := Result(g.IntN(int(NotSent) + 1))
 			if f.now >= x.limit {
 				res = Timeout
 			}
 			x.out = false
-			x.mayRun = res != Overloaded && res != ConnectFailed && res != Moot
+			x.mayRun = res != Overloaded && res != ConnectFailed && res != NotSent
 			if res == OK {
 				q.ended = true
 			}
-			e := Outcome{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Finished: q.ended}
+			e := AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Final: q.ended}
 			deal(e)
 			if g.IntN(10) == 0 {
 				deal(e) // the same again
--- a/balancer/full_test.go
+++ b/balancer/rejection_test.go
@@ -27,8 +27,8 @@
 		id := fmt.Sprint(i)
 		acts := r.request(id, "c", time.Second)
 		for n := 0; ; n++ {
-			refused += len(kinds(acts, Refuse))
-			to := kinds(acts, Send)
+			refused += len(kinds(acts, Reject))
+			to := kinds(acts, StartAttempt)
 			if len(to) == 0 {
 				break
 			}
@@ -47,18 +47,18 @@
 	if refused > 3 { // for those that told of a crowd, before it was left out
 		t.Errorf("%d refused, while the others answer in time", refused)
 	}
-	if u := r.b.ups["u0"]; u.ejections == 0 {
+	if u := r.b.endpoints.byID["u0"]; u.health.ejections == 0 {
 		t.Error("it is not left out")
 	}
-	r.pass(max(r.b.ups["u0"].until-r.now, 0))
-	for i := 0; i < 100 && r.b.ups["u0"].fulls > 0; i++ { // tried again, and used once it serves
+	r.pass(max(r.b.endpoints.byID["u0"].health.ejectedUntil-r.now, 0))
+	for i := 0; i < 100 && r.b.endpoints.byID["u0"].health.rejections > 0; i++ { // tried again, and used once it serves
 		id := fmt.Sprint("again", i)
 		r.wantSend(r.request(id, "c", time.Second))
 		r.pass(5 * ms)
 		r.result(id, 0, OK, 10*ms)
 	}
-	if u := r.b.ups["u0"]; u.ejections != 0 || u.fulls != 0 {
-		t.Errorf("it serves, and is out: %d ejections", u.ejections)
+	if u := r.b.endpoints.byID["u0"]; u.health.ejections != 0 || u.health.rejections != 0 {
+		t.Errorf("it serves, and is out: %d ejections", u.health.ejections)
 	}
 }
 
@@ -69,9 +69,9 @@
 	r.fleet(1)
 	r.wantSend(r.request("1", "c", time.Second))
 	r.wantSend(r.result("1", 0, Overloaded, ms))
-	first := r.b.crowd
+	first := r.b.admission.congestion
 	r.result("1", 1, Overloaded, ms)
-	if first == 0 || r.b.crowd != first {
-		t.Errorf("crowd %.2f, then %.2f", first, r.b.crowd)
+	if first == 0 || r.b.admission.congestion != first {
+		t.Errorf("crowd %.2f, then %.2f", first, r.b.admission.congestion)
 	}
 }
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -20,10 +20,10 @@
 // testSettings are a plain site: one safe class, copies and cancelling allowed, pushed list.
 func testSettings() Settings {
 	return Settings{
-		Balancers: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, SecondCopies: true, Cancelling: true,
+		FleetSize: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, Hedging: true, Cancellation: true,
 		RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 200 * ms,
-		ColdFrom: 0.2, WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second,
-		Classes: []Class{{Name: "c", Aim: 200 * ms, Deadline: time.Second, Worth: 1}},
+		SlowStartCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: 2 * time.Second,
+		Classes: []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1}},
 	}
 }
 
@@ -40,7 +40,7 @@
 	r.acts = r.b.Handle(r.now, e, nil)
 	for _, a := range r.acts {
 		if a.Kind == Log {
-			r.logs = append(r.logs, a.Text)
+			r.logs = append(r.logs, a.LogLine())
 		}
 	}
 	return r.acts
@@ -49,30 +49,30 @@
 // pass lets time go by, with a Wake each tick.
 func (r *rig) pass(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
-		r.now += r.b.set.Tick
-		all = append(all, r.do(Wake{})...)
+		r.now += r.b.settings.Tick
+		all = append(all, r.do(TimerFired{})...)
 	}
 	return all
 }
 
-func (r *rig) list(kind MembersKind, m ...Member) []Action {
-	return r.do(Members{Kind: kind, Entries: m})
+func (r *rig) list(kind UpdateKind, m ...Endpoint) []Action {
+	return r.do(EndpointUpdate{Kind: kind, Endpoints: m})
 }
 
 func (r *rig) fleet(n int) {
-	var list []Member
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Member{Upstream: fmt.Sprintf("u%d", i), Zone: "a"})
+		list = append(list, Endpoint{Upstream: fmt.Sprintf("u%d", i), Zone: "a"})
 	}
-	r.list(Full, list...)
+	r.list(FullState, list...)
 }
 
 func (r *rig) request(id, class string, left time.Duration) []Action {
-	return r.do(Request{ID: id, Class: class, Expires: r.now + left})
+	return r.do(Request{ID: id, Class: class, ExpiresAt: r.now + left})
 }
 
 func (r *rig) result(id string, n int, res Result, elapsed time.Duration) []Action {
-	return r.do(Outcome{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Finished: res == OK})
+	return r.do(AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Final: res == OK})
 }
 
 // kinds picks the actions of one kind.
@@ -86,12 +86,12 @@
 }
 
 // finals are the final answers among acts.
-func finals(acts []Action) []Action { return append(kinds(acts, Refuse), kinds(acts, Fail)...) }
+func finals(acts []Action) []Action { return append(kinds(acts, Reject), kinds(acts, Fail)...) }
 
 // wantSend fails the test unless acts hold exactly one attempt, and returns its upstream.
 func (r *rig) wantSend(acts []Action) string {
 	r.t.Helper()
-	s := kinds(acts, Send)
+	s := kinds(acts, StartAttempt)
 	if len(s) != 1 {
 		r.t.Fatalf("want one attempt, got %+v", acts)
 	}
@@ -101,14 +101,14 @@
 // wantFinal fails the test unless acts hold exactly one final answer of kind k and no attempt.
 func (r *rig) wantFinal(acts []Action, k ActionKind) {
 	r.t.Helper()
-	if f := finals(acts); len(f) != 1 || f[0].Kind != k || len(kinds(acts, Send)) > 0 {
+	if f := finals(acts); len(f) != 1 || f[0].Kind != k || len(kinds(acts, StartAttempt)) > 0 {
 		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", k, acts)
 	}
 }
 
 func (r *rig) wantNothing(acts []Action) {
 	r.t.Helper()
-	if len(finals(acts)) > 0 || len(kinds(acts, Send)) > 0 {
+	if len(finals(acts)) > 0 || len(kinds(acts, StartAttempt)) > 0 {
 		r.t.Fatalf("want no attempt and no answer, got %+v", acts)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-func keyed(group Group) Settings {
+func keyed(group KeyScope) Settings {
 	s := testSettings()
-	s.SecondCopies = false
-	s.Classes = []Class{{Name: "k", Aim: 400 * ms, Deadline: 1500 * ms, Effect: Keyed, Group: group, Window: time.Second}}
+	s.Hedging = false
+	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentByKey, KeyScope: group, DedupWindow: time.Second}}
 	return s
 }
 
 func unsafeSettings() Settings {
 	s := testSettings()
-	s.Classes = []Class{{Name: "x", Aim: 400 * ms, Deadline: 1500 * ms, Effect: Unsafe, LateShare: 0.5}}
+	s.Classes = []Class{{Name: "x", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: NotIdempotent, LateValueFraction: 0.5}}
 	return s
 }
 
 // The request's own end counts, often much sooner than its class's deadline.
 func TestAnswersBeforeItsOwnEnd(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LateShare = 0.5
+	s.Classes[0].LateValueFraction = 0.5
 	r := newRig(t, s)
 	r.fleet(2)
 	r.request("1", "c", 60*ms)
@@ -41,7 +41,7 @@
 func TestHeldRequestIsRefusedInTime(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: held
-	r.wantFinal(r.pass(95*ms), Refuse)
+	r.wantFinal(r.pass(95*ms), Reject)
 }
 
 func TestHeldRequestGoesOutWhenAnUpstreamComes(t *testing.T) {
@@ -62,7 +62,7 @@
 }
 
 func TestUnsafeGoesOnOnlyWhenProvedNotRun(t *testing.T) {
-	for res, again := range map[Result]bool{Overloaded: true, ConnectFailed: true, Moot: true,
+	for res, again := range map[Result]bool{Overloaded: true, ConnectFailed: true, NotSent: true,
 		ServerError: false, Timeout: false, Reset: false, Cancelled: false} {
 		r := newRig(t, unsafeSettings())
 		r.fleet(3)
@@ -80,7 +80,7 @@
 	r := newRig(t, unsafeSettings())
 	r.fleet(3)
 	r.wantSend(r.request("1", "x", time.Second))
-	if s := kinds(r.pass(900*ms), Send); len(s) > 0 {
+	if s := kinds(r.pass(900*ms), StartAttempt); len(s) > 0 {
 		t.Fatalf("second copy of an unsafe request: %+v", s)
 	}
 }
@@ -91,19 +91,19 @@
 	r := newRig(t, s)
 	r.fleet(3)
 	r.wantSend(r.request("1", "x", time.Second))
-	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Refuse)
+	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Reject)
 }
 
 // Once it may have run, a keyed request stays in its group; before that it may go anywhere.
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	for group, same := range map[Group]func(a, b Member) bool{
-		GroupAll:  func(a, b Member) bool { return true },
-		GroupZone: func(a, b Member) bool { return a.Zone == b.Zone },
-		GroupCell: func(a, b Member) bool { return a.Cell == b.Cell },
+	for group, same := range map[KeyScope]func(a, b Endpoint) bool{
+		KeyScopeAll:  func(a, b Endpoint) bool { return true },
+		KeyScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
+		KeyScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 	} {
-		list := map[string]Member{}
-		var entries []Member
-		for i, m := range []Member{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
+		list := map[string]Endpoint{}
+		var entries []Endpoint
+		for i, m := range []Endpoint{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
 			{Zone: "b", Cell: 2}, {Zone: "a", Cell: 0}, {Zone: "b", Cell: 3}} {
 			m.Upstream = string(rune('p' + i))
 			list[m.Upstream] = m
@@ -115,9 +115,9 @@
 			for range n {
 				r.b.rng.Uint64()
 			}
-			r.list(Full, entries...)
+			r.list(FullState, entries...)
 			first := list[r.wantSend(r.request("1", "k", time.Second))]
-			for _, a := range kinds(r.result("1", 0, ServerError, 10*ms), Send) {
+			for _, a := range kinds(r.result("1", 0, ServerError, 10*ms), StartAttempt) {
 				if !same(first, list[a.Upstream]) {
 					t.Fatalf("group %d: %+v then %+v", group, first, list[a.Upstream])
 				}
@@ -128,18 +128,18 @@
 
 // The window counts from the sending of the attempt that may have run; afterwards no attempt.
 func TestKeyedWindow(t *testing.T) {
-	s := keyed(GroupAll)
-	s.Classes[0].Window = 100 * ms
-	s.Classes[0].Aim = time.Second
+	s := keyed(KeyScopeAll)
+	s.Classes[0].DedupWindow = 100 * ms
+	s.Classes[0].LatencyObjective = time.Second
 	r := newRig(t, s)
 	r.fleet(3)
 	r.wantSend(r.request("1", "k", time.Second))
 	r.now += 95 * ms
-	r.wantFinal(r.result("1", 0, Reset, 95*ms), Refuse)
+	r.wantFinal(r.result("1", 0, Reset, 95*ms), Reject)
 }
 
 func TestKeyedRefusal(t *testing.T) {
-	for group, want := range map[Group]ActionKind{GroupAll: Refuse, GroupZone: Fail, GroupCell: Fail} {
+	for group, want := range map[KeyScope]ActionKind{KeyScopeAll: Reject, KeyScopeZone: Fail, KeyScopeCell: Fail} {
 		s := keyed(group)
 		s.MaxAttempts = 1
 		r := newRig(t, s)
@@ -150,16 +150,16 @@
 }
 
 func TestNeverTwoOutWhereCopiesAreRuledOut(t *testing.T) {
-	r := newRig(t, keyed(GroupZone))
+	r := newRig(t, keyed(KeyScopeZone))
 	r.fleet(4)
 	r.wantSend(r.request("1", "k", time.Second))
 	var cancelled bool
 	for range 80 {
 		acts := r.pass(5 * ms)
-		if len(kinds(acts, Send)) > 0 {
+		if len(kinds(acts, StartAttempt)) > 0 {
 			t.Fatal("second attempt beside the first")
 		}
-		cancelled = cancelled || len(kinds(acts, Cancel)) > 0
+		cancelled = cancelled || len(kinds(acts, CancelAttempt)) > 0
 	}
 	if !cancelled {
 		t.Fatal("the silent attempt was never ended")
@@ -169,7 +169,7 @@
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(3)
-	r.list(Change, Member{Upstream: "u0", State: Leaving}, Member{Upstream: "u1", State: Left})
+	r.list(Delta, Endpoint{Upstream: "u0", State: Draining}, Endpoint{Upstream: "u1", State: Removed})
 	for i := range 30 {
 		if u := r.wantSend(r.request(string(rune('A'+i)), "c", time.Second)); u != "u2" {
 			t.Fatalf("sent to %s", u)
@@ -177,7 +177,7 @@
 		r.result(string(rune('A'+i)), 0, OK, 10*ms)
 		r.now += 10 * ms
 	}
-	r.list(Full) // nothing is left
+	r.list(FullState) // nothing is left
 	r.wantNothing(r.request("z", "c", time.Second))
 }
 
@@ -187,13 +187,13 @@
 	s := testSettings()
 	s.MustSubscribe = true
 	r := newRig(t, s)
-	if n := len(kinds(r.list(Saved, Member{Upstream: "u0"}), Subscribe)); n != 1 {
+	if n := len(kinds(r.list(Cached, Endpoint{Upstream: "u0"}), Subscribe)); n != 1 {
 		t.Fatalf("%d calls at the start", n)
 	}
 	var waits []time.Duration
 	for range 12 {
 		asked := r.now
-		r.do(Members{Kind: Failed})
+		r.do(EndpointUpdate{Kind: WatchFailed})
 		for len(kinds(r.pass(5*ms), Subscribe)) == 0 {
 			if r.now-asked > 20*time.Second {
 				t.Fatal("never asked again")
@@ -203,7 +203,7 @@
 	}
 	var later time.Duration
 	for i, wait := range waits {
-		d := min(askBase<<i, askMax)
+		d := min(basePollBackoff<<i, maxPollBackoff)
 		if wait < d/2 || wait > d*3/2+5*ms || wait > 3*time.Second+5*ms {
 			t.Errorf("wait %d is %v, around %v", i, wait, d)
 		}
@@ -214,11 +214,11 @@
 	if later < waits[0]*3/2 || slices.Equal(waits[1:6], waits[6:11]) {
 		t.Errorf("waits %v do not grow, or are not by chance", waits)
 	}
-	r.list(Change)
+	r.list(Delta)
 	if n := len(kinds(r.pass(20*time.Second), Subscribe)); n != 0 {
 		t.Errorf("%d calls while subscribed", n)
 	}
-	r.do(Members{Kind: Failed}) // the subscription broke
+	r.do(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
 	if n := len(kinds(r.pass(2*time.Second), Subscribe)); n != 1 {
 		t.Errorf("%d calls after the subscription broke", n)
 	}
@@ -228,11 +228,11 @@
 func TestRestartIsANewProcess(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.ups["u0"].est = estimate{5, r.now}
-	r.b.ups["u0"].until = r.now + time.Hour
-	r.list(Change, Member{Upstream: "u0", Zone: "a", CameUp: r.now - time.Second})
-	u := r.b.ups["u0"]
-	if u.est.value > 1 || u.until != 0 || !u.cold || len(r.b.list) != 2 {
+	r.b.endpoints.byID["u0"].latency = peakEWMA{5, r.now}
+	r.b.endpoints.byID["u0"].health.ejectedUntil = r.now + time.Hour
+	r.list(Delta, Endpoint{Upstream: "u0", Zone: "a", StartedAt: r.now - time.Second})
+	u := r.b.endpoints.byID["u0"]
+	if u.latency.value > 1 || u.health.ejectedUntil != 0 || !u.slowStart.active || len(r.b.endpoints.order) != 2 {
 		t.Errorf("still known: %+v", u)
 	}
 }
@@ -247,7 +247,7 @@
 		for range 200 { // 200 requests a second, answered at once
 			id++
 			name := string(rune('a'+id%26)) + time.Duration(id).String()
-			for _, a := range kinds(r.request(name, "c", time.Second), Send) {
+			for _, a := range kinds(r.request(name, "c", time.Second), StartAttempt) {
 				n[a.Upstream]++
 				r.result(name, 0, OK, 5*ms)
 			}
@@ -258,7 +258,7 @@
 		second()
 	}
 	for i := range 9 { // nearly the whole fleet starts anew
-		r.list(Change, Member{Upstream: "u" + string(rune('0'+i)), Zone: "a", CameUp: r.now})
+		r.list(Delta, Endpoint{Upstream: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
 	clear(n)
 	second()
@@ -274,16 +274,16 @@
 // With everything cold, work is held or refused: panic does not go round the limit.
 func TestAllCold(t *testing.T) {
 	r := newRig(t, testSettings())
-	var list []Member
+	var list []Endpoint
 	for i := range 4 {
-		list = append(list, Member{Upstream: "u" + string(rune('0'+i)), Zone: "a", CameUp: r.now})
+		list = append(list, Endpoint{Upstream: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
-	r.list(Full, list...)
+	r.list(FullState, list...)
 	sent, ended := 0, 0
 	for i := range 400 {
 		acts := r.request("r"+time.Duration(i).String(), "c", 150*ms)
 		acts = append(acts, r.pass(5*ms)...)
-		for _, a := range kinds(acts, Send) {
+		for _, a := range kinds(acts, StartAttempt) {
 			sent++
 			r.result(a.ID, 0, OK, 5*ms)
 		}
@@ -306,7 +306,7 @@
 		r.result(id, 0, OK, 10*ms)
 		r.pass(10 * ms)
 	}
-	r.wantFinal(r.request("stale", "c", 550*ms), Refuse) // the first came 450 ms ago
+	r.wantFinal(r.request("stale", "c", 550*ms), Reject) // the first came 450 ms ago
 	r.wantSend(r.request("early", "c", 900*ms))          // the first came 100 ms ago
 	if f := finals(r.pass(105 * ms)); len(f) != 1 {      // and so it ends when its aim does
 		t.Errorf("still open after its aim: %+v", f)
@@ -319,8 +319,8 @@
 func TestReturnIsNotAColdStart(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	u := r.b.ups["u0"]
-	u.ejections, u.until = 3, r.now+10*ms
+	u := r.b.endpoints.byID["u0"]
+	u.health.ejections, u.health.ejectedUntil = 3, r.now+10*ms
 	r.now += 20 * ms
 	n := map[string]int{}
 	for i := range 5 {
@@ -332,7 +332,7 @@
 	for i := range 5 {
 		r.result(string(rune('a'+i)), 0, OK, 20*ms)
 	}
-	if u.cold || u.ejections != 0 {
+	if u.slowStart.active || u.health.ejections != 0 {
 		t.Errorf("after its return: %+v", u)
 	}
 }
@@ -344,21 +344,21 @@
 	const sidecars, fleet, cold = 400, 40, 36
 	for seed := range uint64(5) {
 		s := testSettings() // cold from 0.2, warm in 10 s; three times the capacity for 2 s pushes over
-		s.Balancers = sidecars
+		s.FleetSize = sidecars
 		g := rand.New(rand.NewPCG(seed, 3))
 		var all []*Balancer
 		now := time.Minute
-		deal := func(b *Balancer, e Event) []Action { return kinds(b.Handle(now, e, nil), Send) }
-		var entries []Member
+		deal := func(b *Balancer, e Event) []Action { return kinds(b.Handle(now, e, nil), StartAttempt) }
+		var entries []Endpoint
 		for i := range fleet {
-			entries = append(entries, Member{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
+			entries = append(entries, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 		}
 		for i := range sidecars {
 			b, err := New(s, seed<<32+uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			deal(b, Members{Kind: Full, Entries: entries})
+			deal(b, EndpointUpdate{Kind: FullState, Endpoints: entries})
 			all = append(all, b)
 		}
 		n := 0
@@ -369,9 +369,9 @@
 					b := all[g.IntN(sidecars)]
 					n++
 					id := fmt.Sprint(n)
-					for _, a := range deal(b, Request{ID: id, Class: "c", Expires: now + time.Second}) {
+					for _, a := range deal(b, Request{ID: id, Class: "c", ExpiresAt: now + time.Second}) {
 						sends[a.Upstream]++
-						deal(b, Outcome{ID: id, Result: OK, Elapsed: 20 * ms, Finished: true})
+						deal(b, AttemptEnded{ID: id, Result: OK, Elapsed: 20 * ms, Final: true})
 					}
 				}
 				now += 10 * ms
@@ -382,10 +382,10 @@
 			second()
 		}
 		for i := range cold {
-			entries[i].CameUp = now
+			entries[i].StartedAt = now
 		}
 		for _, b := range all {
-			deal(b, Members{Kind: Full, Entries: entries})
+			deal(b, EndpointUpdate{Kind: FullState, Endpoints: entries})
 		}
 		const mean = float64(sidecars) * 2 / fleet // a second, below the capacity of each
 		warmed := 0
@@ -407,19 +407,19 @@
 
 // The final answer comes before the end of what is still out: the sidecar then knows that no attempt follows.
 func TestAnswerBeforeCancel(t *testing.T) {
-	for _, effect := range []Effect{Safe, Unsafe} {
+	for _, effect := range []Idempotency{Idempotent, NotIdempotent} {
 		s := testSettings()
-		s.Classes[0].Effect = effect
+		s.Classes[0].Idempotency = effect
 		r := newRig(t, s)
 		r.fleet(1)
 		r.wantSend(r.request("1", "c", 500*ms))
 		var order []ActionKind
 		for _, a := range r.pass(600 * ms) {
-			if a.Kind == Refuse || a.Kind == Fail || a.Kind == Cancel {
+			if a.Kind == Reject || a.Kind == Fail || a.Kind == CancelAttempt {
 				order = append(order, a.Kind)
 			}
 		}
-		if len(order) != 2 || order[0] == Cancel || order[1] != Cancel {
+		if len(order) != 2 || order[0] == CancelAttempt || order[1] != CancelAttempt {
 			t.Errorf("effect %d: kinds %v", effect, order)
 		}
 	}
@@ -429,10 +429,10 @@
 // is not left to sidecars of other zones that hardly come.
 func TestColdBudgetFollowsTheWork(t *testing.T) {
 	s := testSettings()
-	s.Balancers, s.PriceCrossZone = 80, 0.1
-	var list []Member
+	s.FleetSize, s.CrossZoneCost = 80, 0.1
+	var list []Endpoint
 	for i := range 60 {
-		list = append(list, Member{Upstream: fmt.Sprint("u", i), Zone: "abcd"[i%4 : i%4+1]})
+		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "abcd"[i%4 : i%4+1]})
 	}
 	const sidecars = 30
 	cold := 0
@@ -442,15 +442,15 @@
 		if w.b, err = New(s, seed); err != nil {
 			t.Fatal(err)
 		}
-		w.list(Full, list...)
+		w.list(FullState, list...)
 		w.play(10*time.Second, 20)
 		restarted := slices.Clone(list)
 		for i := range restarted {
 			if restarted[i].Zone == "a" {
-				restarted[i].CameUp = w.now
+				restarted[i].StartedAt = w.now
 			}
 		}
-		w.list(Full, restarted...)
+		w.list(FullState, restarted...)
 		clear(w.sends)
 		w.play(5*time.Second, 20)
 		for i := 0; i < len(list); i += 4 {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,83 +8,195 @@
 	"time"
 )
 
-// check fills in the defaults of absent settings and names the first one that cannot be used.
-func (s *Settings) check() error {
-	for _, t := range []struct {
-		name string
-		d    time.Duration
-	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"WarmUp", s.WarmUp}, {"FallTime", s.FallTime}} {
-		if t.d < 0 {
-			return fmt.Errorf("setting %s: negative", t.name)
-		}
-	}
-	for _, x := range []struct {
-		name string
-		v    float64
-	}{{"Balancers", float64(s.Balancers)}, {"MaxAttempts", float64(s.MaxAttempts)},
-		{"PriceCrossZone", s.PriceCrossZone}, {"FallMultiple", s.FallMultiple}} {
-		if x.v < 0 || math.IsNaN(x.v) || math.IsInf(x.v, 0) {
-			return fmt.Errorf("setting %s: %v is not usable", x.name, x.v)
-		}
-	}
-	if !isShare(s.ColdFrom) {
-		return fmt.Errorf("setting ColdFrom: %v is not a share", s.ColdFrom)
-	}
-	if !isShare(s.OverShareWorth) {
-		return fmt.Errorf("setting OverShareWorth: %v is not a share", s.OverShareWorth)
+// Idempotency tells what a second run of a request does.
+type Idempotency int
+
+// The kinds of idempotency. New fails for any other value.
+const (
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // endpoints of one KeyScope drop repeats of a key within DedupWindow
+	NotIdempotent                      // must not run twice
+)
+
+// KeyScope is the set of endpoints that share the memory of idempotency keys.
+type KeyScope int
+
+// The scopes of idempotency keys.
+const (
+	KeyScopeAll KeyScope = iota
+	KeyScopeZone
+	KeyScopeCell
+)
+
+// Class describes one kind of request.
+type Class struct {
+	Name              string
+	LatencyObjective  time.Duration // an answer within it has its full value; default: Deadline
+	ObjectiveStretch  float64       // the objective grows by this multiple of the request's cost hint
+	Deadline          time.Duration // how long a client waits, over all of its attempts
+	PriorityWeight    float64       // value of an answer, relative to other classes; default: 1
+	LateValueFraction float64       // fraction of the value that an answer after the objective still has, 0 to 1
+	Idempotency       Idempotency
+	KeyScope          KeyScope
+	DedupWindow       time.Duration // with IdempotentByKey: how long repeats are dropped
+	Stream            bool
+}
+
+// Tenant is one of the parties that share the fleet.
+type Tenant struct {
+	Name  string
+	Quota float64 // fraction of the arriving requests that it is entitled to, 0 to 1
+}
+
+// Settings configures a Balancer. Where no default is stated, the zero value turns a feature off or makes its
+// cost nil.
+type Settings struct {
+	FleetSize int    // sidecars that share the endpoints; default: 1
+	Zone      string // zone of this sidecar
+	Classes   []Class
+	Tenants   []Tenant
+
+	MustSubscribe bool          // the endpoint list has to be asked for with Subscribe
+	Tick          time.Duration // shortest time between two calls of Handle; default: 1 ms
+
+	MaxAttempts    int // attempts of one request; default: 1
+	Hedging        bool
+	Cancellation   bool // CancelAttempt is understood
+	RetryAfter     bool // Reject may carry RetryAfter
+	MaxRetryAfter  time.Duration
+	ConnectTimeout time.Duration
+
+	CrossZoneCost     float64 // value lost for each request that leaves its zone
+	OverQuotaFraction float64 // fraction of its value that a request over its tenant's quota has, 0 to 1
+	WeightByWork      bool    // PriorityWeight counts for each unit of work, not for each request
+
+	SlowStartCapacity float64       // fraction of its capacity that a starting endpoint has at least; default: 1
+	SlowStartWindow   time.Duration // time after which a started endpoint has its full capacity
+	OverloadMultiple  float64       // load, relative to present capacity, that makes an endpoint fail; 0: none
+	OverloadDuration  time.Duration // time for which that load has to last
+
+	ShareEvidence bool // report own evidence on endpoints with ReportEvidence, and follow PeerVerdict
+}
+
+// SettingError says which setting New can't use. New returns no other error.
+type SettingError struct {
+	Setting string // the field of Settings
+	Element string // where that is a list: the Name of the class or tenant
+	Field   string // the element's field; empty: the setting as a whole
+	Reason  string
+}
+
+func (e *SettingError) Error() string {
+	switch {
+	case e.Field == "":
+		return fmt.Sprintf("setting %s: %s", e.Setting, e.Reason)
+	case e.Field == fieldName:
+		return fmt.Sprintf("setting %s: %s %q %s", e.Setting, e.Field, e.Element, e.Reason)
 	}
-	for _, t := range s.Tenants {
-		if !isShare(t.Fraction) {
-			return fmt.Errorf("setting Tenants: %s: Fraction %v is not a share", t.Name, t.Fraction)
-		}
+	return fmt.Sprintf("setting %s: %s: %s %s", e.Setting, e.Element, e.Field, e.Reason)
+}
+
+const fieldName = "Name"
+
+// validate fills in defaults, and names the first setting that is invalid.
+func (s *Settings) validate() error {
+	if err := s.validateNumbers(); err != nil {
+		return err
 	}
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("setting Classes: none given")
+		return &SettingError{Setting: "Classes", Reason: "none given"}
 	}
-	s.Balancers, s.MaxAttempts = max(s.Balancers, 1), max(s.MaxAttempts, 1)
+	s.FleetSize, s.MaxAttempts = max(s.FleetSize, 1), max(s.MaxAttempts, 1)
 	s.Tick = cmp.Or(s.Tick, time.Millisecond)
-	s.ColdFrom = cmp.Or(s.ColdFrom, 1)
+	s.SlowStartCapacity = cmp.Or(s.SlowStartCapacity, 1)
 	s.Classes = slices.Clone(s.Classes)
 	names := map[string]bool{}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		c.Aim = cmp.Or(c.Aim, c.Deadline)
-		c.Worth = cmp.Or(c.Worth, 1)
+		c.LatencyObjective = cmp.Or(c.LatencyObjective, c.Deadline)
+		c.PriorityWeight = cmp.Or(c.PriorityWeight, 1)
 		if c.Name == "" || names[c.Name] {
-			return fmt.Errorf("setting Classes: Name %q empty or repeated", c.Name)
+			return &SettingError{Setting: "Classes", Element: c.Name, Field: fieldName, Reason: "empty or repeated"}
 		}
 		names[c.Name] = true
-		if field := c.unusable(); field != "" {
-			return fmt.Errorf("setting Classes: %s: %s is not usable", c.Name, field)
+		if field := c.invalidField(); field != "" {
+			return &SettingError{Setting: "Classes", Element: c.Name, Field: field, Reason: "is not usable"}
+		}
+		c.LatencyObjective = min(c.LatencyObjective, c.Deadline)
+	}
+	return nil
+}
+
+func (s *Settings) validateNumbers() error {
+	for _, d := range []struct {
+		setting string
+		value   time.Duration
+	}{
+		{"Tick", s.Tick},
+		{"MaxRetryAfter", s.MaxRetryAfter},
+		{"ConnectTimeout", s.ConnectTimeout},
+		{"SlowStartWindow", s.SlowStartWindow},
+		{"OverloadDuration", s.OverloadDuration},
+	} {
+		if d.value < 0 {
+			return &SettingError{Setting: d.setting, Reason: "negative"}
+		}
+	}
+	for _, x := range []struct {
+		setting string
+		value   float64
+	}{
+		{"FleetSize", float64(s.FleetSize)},
+		{"MaxAttempts", float64(s.MaxAttempts)},
+		{"CrossZoneCost", s.CrossZoneCost},
+		{"OverloadMultiple", s.OverloadMultiple},
+	} {
+		if x.value < 0 || math.IsNaN(x.value) || math.IsInf(x.value, 0) {
+			return &SettingError{Setting: x.setting, Reason: fmt.Sprintf("%v is not usable", x.value)}
+		}
+	}
+	for _, x := range []struct {
+		setting string
+		value   float64
+	}{
+		{"SlowStartCapacity", s.SlowStartCapacity},
+		{"OverQuotaFraction", s.OverQuotaFraction},
+	} {
+		if !isFraction(x.value) {
+			return &SettingError{Setting: x.setting, Reason: fmt.Sprintf("%v is not between 0 and 1", x.value)}
+		}
+	}
+	for _, t := range s.Tenants {
+		if !isFraction(t.Quota) {
+			reason := fmt.Sprintf("%v is not between 0 and 1", t.Quota)
+			return &SettingError{Setting: "Tenants", Element: t.Name, Field: "Quota", Reason: reason}
 		}
-		c.Aim = min(c.Aim, c.Deadline) // nothing is late before its time is over
 	}
 	return nil
 }
 
-// isShare is false for what is not a number, too.
-func isShare(x float64) bool { return x >= 0 && x <= 1 }
+// isFraction is false for NaN, too.
+func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
-// unusable names the first field that cannot be used, or none.
-func (c *Class) unusable() string {
+// invalidField names the first field that is invalid; "": none is.
+func (c *Class) invalidField() string {
 	switch {
-	case c.Aim <= 0:
-		return "Aim"
+	case c.LatencyObjective <= 0:
+		return "LatencyObjective"
 	case c.Deadline <= 0:
 		return "Deadline"
-	case c.Effect < Safe || c.Effect > Unsafe:
-		return "Effect"
-	case c.Effect == Keyed && (c.Group < GroupAll || c.Group > GroupCell): // of others no group is asked
-		return "Group"
-	case !(c.Worth >= 0) || math.IsInf(c.Worth, 0):
-		return "Worth"
-	case !isShare(c.LateShare):
-		return "LateShare"
-	case !(c.AimStretch >= 0) || math.IsInf(c.AimStretch, 0):
-		return "AimStretch"
-	case c.Effect == Keyed && c.Window < 0:
-		return "Window"
+	case c.Idempotency < Idempotent || c.Idempotency > NotIdempotent:
+		return "Idempotency"
+	case c.Idempotency == IdempotentByKey && (c.KeyScope < KeyScopeAll || c.KeyScope > KeyScopeCell):
+		return "KeyScope"
+	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
+		return "PriorityWeight"
+	case !isFraction(c.LateValueFraction):
+		return "LateValueFraction"
+	case !(c.ObjectiveStretch >= 0) || math.IsInf(c.ObjectiveStretch, 0):
+		return "ObjectiveStretch"
+	case c.Idempotency == IdempotentByKey && c.DedupWindow < 0:
+		return "DedupWindow"
 	}
 	return ""
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -18,8 +18,8 @@
 		"the window is over": {2, 300 * ms, 0},
 	} {
 		s := testSettings()
-		s.MaxAttempts, s.SecondCopies = c.most, false
-		s.Classes[0].Effect, s.Classes[0].Window, s.Classes[0].LateShare = Keyed, c.window, 1
+		s.MaxAttempts, s.Hedging = c.most, false
+		s.Classes[0].Idempotency, s.Classes[0].DedupWindow, s.Classes[0].LateValueFraction = IdempotentByKey, c.window, 1
 		r := newRig(t, s)
 		r.fleet(3)
 		for _, id := range []string{"1", "2", "3"} { // served, so that the budget holds an attempt
@@ -29,13 +29,13 @@
 		}
 		r.now += 10 * ms
 		r.request("late", "c", time.Second)
-		r.b.retries = 1
-		r.b.late.v, r.b.mid.v = 0, 0.5/r.b.reqs["late"].cost // late once half a second is left
-		r.b.watch(r.b.reqs["late"])
+		r.b.retryBudget.tokens = 1
+		r.b.latency.hedgeDelay.v, r.b.latency.median.v = 0, 0.5/r.b.requests["late"].work // late once half a second is left
+		r.b.startHedgeTimer(r.b.requests["late"])
 		r.pass(400 * ms)
-		r.b.mid.v /= 5 // answers come sooner now
+		r.b.latency.median.v /= 5 // answers come sooner now
 		acts := r.pass(300 * ms)
-		if n := len(kinds(acts, Cancel)); n != c.cancel {
+		if n := len(kinds(acts, CancelAttempt)); n != c.cancel {
 			t.Errorf("%s: %d cancelled, want %d", name, n, c.cancel)
 		}
 		if n := len(finals(acts)); n > 0 {
@@ -49,14 +49,14 @@
 func TestSettingsOfAnotherCustomer(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{
-		{Name: "safe", Aim: 750 * ms, Deadline: 500 * ms, Group: -1, Window: -1},
-		{Name: "unsafe", Aim: 100 * ms, Deadline: 500 * ms, Effect: Unsafe, Group: 9, Window: -1},
+		{Name: "safe", LatencyObjective: 750 * ms, Deadline: 500 * ms, KeyScope: -1, DedupWindow: -1},
+		{Name: "unsafe", LatencyObjective: 100 * ms, Deadline: 500 * ms, Idempotency: NotIdempotent, KeyScope: 9, DedupWindow: -1},
 	}
 	r := newRig(t, s)
-	if aim := r.b.classes["safe"].Aim; aim != 500*ms || r.b.meanAim != 0.3 {
-		t.Errorf("aim %v, mean %v; want 500ms, 0.3", aim, r.b.meanAim)
+	if aim := r.b.classes["safe"].LatencyObjective; aim != 500*ms || r.b.meanObjective != 0.3 {
+		t.Errorf("aim %v, mean %v; want 500ms, 0.3", aim, r.b.meanObjective)
 	}
-	if s.Classes[0].Aim != 750*ms {
+	if s.Classes[0].LatencyObjective != 750*ms {
 		t.Error("the caller's settings changed")
 	}
 }
--- a/balancer/cold_test.go
+++ b/balancer/slowstart_test.go
@@ -20,8 +20,8 @@
 		"half told":                   {told: 0.5},
 		"all restarted":               {told: 1, restarted: true},
 		"in bursts":                   {told: 1, bursts: true},
-		"twice the part":              {told: 1, plant: func(s *Settings) { s.FallMultiple *= 2 }},
-		"buckets too deep":            {told: 1, bursts: true, plant: func(s *Settings) { s.FallTime *= 30 }},
+		"twice the part":              {told: 1, plant: func(s *Settings) { s.OverloadMultiple *= 2 }},
+		"buckets too deep":            {told: 1, bursts: true, plant: func(s *Settings) { s.OverloadDuration *= 30 }},
 		"after a lull, few upstreams": {told: 1, bursts: true, again: true, moves: true, upstreams: 40},
 	}
 	for _, size := range [][2]int{{2, 10}, {4, 12}, {20, 16}, {30, 20}, {100, 60}} {
@@ -69,10 +69,10 @@
 	cold := upstreams * 6 / 10
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
-	s.Balancers, s.ColdFrom, s.WarmUp, s.FallMultiple, s.FallTime = sidecars, 0.3, 8800*ms, 4, time.Second
+	s.FleetSize, s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration = sidecars, 0.3, 8800*ms, 4, time.Second
 	if d.slow {
-		s.ColdFrom, s.WarmUp, s.FallMultiple, s.FallTime = 0.13, 24*time.Second, 3, 3*time.Second
-		s.Classes[0].Aim = 400 * ms
+		s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration = 0.13, 24*time.Second, 3, 3*time.Second
+		s.Classes[0].LatencyObjective = 400 * ms
 		zones = 3
 	}
 	rule := s
@@ -86,12 +86,12 @@
 		return capacity
 	}
 	total := 0.0
-	var list, new []Member
+	var list, new []Endpoint
 	for i := range upstreams {
 		total += can(i)
-		m := Member{Upstream: fmt.Sprint(i), Zone: string(rune('a' + i%zones))}
+		m := Endpoint{Upstream: fmt.Sprint(i), Zone: string(rune('a' + i%zones))}
 		if list = append(list, m); i < cold {
-			m.CameUp = time.Minute + time.Duration(rng.Float64()*3e9)
+			m.StartedAt = time.Minute + time.Duration(rng.Float64()*3e9)
 			new = append(new, m)
 		}
 	}
@@ -129,7 +129,7 @@
 		if d.restarted {
 			before = -time.Duration(rng.Float64() * 1e9)
 		}
-		x.Handle(time.Minute-before, Members{Kind: Full, Entries: list}, nil)
+		x.Handle(time.Minute-before, EndpointUpdate{Kind: FullState, Endpoints: list}, nil)
 		x.begun = time.Minute - before
 		if float64(i) >= d.told*float64(sidecars) {
 			x.from += delay
@@ -143,7 +143,7 @@
 	for _, x := range all {
 		x.rate *= 0.85 * total / whole
 		for at := x.begun; at < time.Minute; at += tick {
-			x.offered.add(x.rate*tick.Seconds(), at)
+			x.admission.offered.add(x.rate*tick.Seconds(), at)
 		}
 	}
 	sent := make([][]float64, cold) // by tick
@@ -153,13 +153,13 @@
 		}
 		zone := make([]float64, zones)
 		for i, x := range all {
-			zone[i%zones] += x.offered.per(at)
+			zone[i%zones] += x.admission.offered.perSecond(at)
 		}
 		for i, x := range all { // as much stays at home as at most brings no upstream there more than any other's work
 			if at != x.restart && !x.restarted {
-				x.atHome = float64(x.homes) / float64(upstreams)
+				x.locality.localFraction = float64(x.endpoints.local) / float64(upstreams)
 				if d.priced {
-					x.atHome = min(1, x.atHome*sum(zone)/zone[i%zones])
+					x.locality.localFraction = min(1, x.locality.localFraction*sum(zone)/zone[i%zones])
 				}
 			}
 			if x.now > at {
@@ -169,42 +169,42 @@
 				x.Balancer, x.restarted = fresh(i, 1), true
 				entries := slices.Clone(list)
 				for u, m := range new {
-					if at >= max(x.from, m.CameUp) {
+					if at >= max(x.from, m.StartedAt) {
 						entries[u] = m
 					}
 				}
-				x.Handle(at, Members{Kind: Full, Entries: entries}, nil)
+				x.Handle(at, EndpointUpdate{Kind: FullState, Endpoints: entries}, nil)
 			}
 			if at == x.move {
 				to := all[(i+1)%len(all)]
 				x.rate, to.rate = 0.1*x.rate, to.rate+0.9*x.rate
 			}
 			for wait := rng.ExpFloat64(); wait < x.rate*tick.Seconds(); wait += rng.ExpFloat64() {
-				x.offered.add(1, at)
+				x.admission.offered.add(1, at)
 			}
 			x.now = at
 			for u, m := range new {
-				if at >= max(x.from, m.CameUp) && x.ups[m.Upstream].cameUp != m.CameUp {
-					x.Handle(at, Members{Kind: Change, Entries: []Member{m}}, nil)
+				if at >= max(x.from, m.StartedAt) && x.endpoints.byID[m.Upstream].startedAt != m.StartedAt {
+					x.Handle(at, EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{m}}, nil)
 				}
-				up := x.ups[m.Upstream]
-				for on := !d.bursts || n%30 >= 20; on && up.cold && x.coldAllows(up); {
-					up.tokens--
+				up := x.endpoints.byID[m.Upstream]
+				for on := !d.bursts || n%30 >= 20; on && up.slowStart.active && x.slowStartAllows(up); {
+					up.slowStart.tokens--
 					sent[u][n]++
 				}
 			}
 		}
 		for u, m := range new {
-			age := at - m.CameUp
-			if age < 0 || age >= rule.WarmUp {
+			age := at - m.StartedAt
+			if age < 0 || age >= rule.SlowStartWindow {
 				continue
 			}
 			sum := 0.0
-			for _, x := range sent[u][max(0, n-int(rule.FallTime/tick)+1):] {
+			for _, x := range sent[u][max(0, n-int(rule.OverloadDuration/tick)+1):] {
 				sum += x
 			}
-			warmth := rule.ColdFrom + (1-rule.ColdFrom)*float64(age)/float64(rule.WarmUp)
-			allowed := rule.FallMultiple * can(u) * warmth * rule.FallTime.Seconds()
+			warmth := rule.SlowStartCapacity + (1-rule.SlowStartCapacity)*float64(age)/float64(rule.SlowStartWindow)
+			allowed := rule.OverloadMultiple * can(u) * warmth * rule.OverloadDuration.Seconds()
 			if x := sum / (allowed + 2*math.Sqrt(allowed) + 2); x > most {
 				most, where = x, fmt.Sprintf("upstream %d after %v: %.0f where %.0f are allowed", u, age, sum, allowed)
 			}
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Plain statistics: a quantile, a rate, a peak-EWMA and a draw by size. What is fed to them and what follows from them is in balancer.go.
-
-// quantile follows a quantile p of what is added.
+// quantile follows a quantile p of the samples added.
 type quantile struct{ p, v float64 }
 
+// quantileStep is how far a sample moves the estimate, in logarithm.
+const quantileStep = 0.1
+
 func (q *quantile) add(x float64) {
 	if x > q.v {
-		q.v *= math.Exp(quantStep * q.p)
+		q.v *= math.Exp(quantileStep * q.p)
 	} else {
-		q.v *= math.Exp(-quantStep * (1 - q.p))
+		q.v *= math.Exp(-quantileStep * (1 - q.p))
 	}
 }
 
-// rate is an exponentially forgetting rate.
+// rate is an exponentially weighted rate of events.
 type rate struct {
-	memory time.Duration
+	memory time.Duration // time constant
 	sum    float64
-	at     time.Duration
-	since  time.Duration
+	at     time.Duration // of the latest event
+	since  time.Duration // of the first event
 	begun  bool
 }
 
@@ -35,53 +36,32 @@
 	r.at = now
 }
 
-// per second, not biased low while young.
-func (r *rate) per(now time.Duration) float64 {
+// perSecond is the rate now. It is not biased low while the rate is young.
+func (r *rate) perSecond(now time.Duration) float64 {
 	age := max(now-r.since, r.memory/20)
 	sum := r.sum * math.Exp(-float64(now-r.at)/float64(r.memory))
 	return sum / (r.memory.Seconds() * (1 - math.Exp(-float64(age)/float64(r.memory))))
 }
 
-// estimate is a peak-EWMA in seconds.
-type estimate struct {
-	value float64
-	at    time.Duration
-}
-
-func (e *estimate) weight(now, decay time.Duration) float64 {
-	return math.Exp(-float64(now-e.at) / float64(decay))
+func (r *rate) snapshot(now time.Duration) RateSnapshot {
+	if !r.begun {
+		return RateSnapshot{}
+	}
+	return RateSnapshot{r.sum * math.Exp(-float64(now-r.at)/float64(r.memory)), now - r.since}
 }
 
-// add replaces the estimate by a sample above its projection to now, and blends in any other.
-func (e *estimate) add(sample float64, now, decay time.Duration) {
-	if now < e.at {
-		return
-	}
-	w := e.weight(now, decay)
-	if sample > e.value*w {
-		e.value = sample
-	} else {
-		e.value = e.value*w + sample*(1-w)
+func (r *rate) restore(s RateSnapshot, now time.Duration) {
+	if s.Age > 0 {
+		r.begun, r.sum, r.at, r.since = true, s.Sum, now, now-s.Age
 	}
-	e.at = now
 }
 
-// draw takes one by chance, in proportion to size, but not the one given; nil where there is no other.
-func (b *Balancer) draw(from []*upstream, not *upstream) (drawn *upstream) {
-	total := 0.0
-	for _, u := range from {
-		if u != not {
-			total += u.weight
-		}
-	}
-	x := b.rng.Float64() * total
-	for _, u := range from {
-		if u != not {
-			if drawn = u; x < u.weight {
-				break
-			}
-			x -= u.weight
-		}
+// binomialTail is the probability of k or more successes in n trials of probability p, 0 < p < 1.
+func binomialTail(k, n int, p float64) float64 {
+	term, below := math.Pow(1-p, float64(n)), 0.0
+	for i := range k {
+		below += term
+		term *= float64(n-i) / float64(i+1) * p / (1 - p)
 	}
-	return drawn
+	return max(0, 1-below)
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -2,94 +2,102 @@
 
 import (
 	"container/heap"
-	"fmt"
 	"time"
 )
 
-// Timers: a heap of what is to be looked at again, behind the one Wake that the sidecar keeps for us; and how actions are given.
-
+// timerKind tells what a timer is for.
 type timerKind int
 
 const (
-	timerEnd timerKind = iota
-	timerLate
-	timerHeld
-	timerLost
-	timerAsk
+	timerAbandon  timerKind = iota // the request's time is over
+	timerHedge                     // its latest attempt is late
+	timerDispatch                  // no endpoint was ready: try again
+	timerStall                     // see checkStalled
+	timerPoll                      // ask for the endpoint list again
 )
 
 type timer struct {
-	at   time.Duration
-	seq  int
-	kind timerKind
-	r    *request
+	at      time.Duration
+	seq     int // order among timers of one time
+	kind    timerKind
+	request *request
 }
 
-type timerHeap struct {
-	t   []timer
-	seq int
+// timerQueue is a heap of timers. The sidecar keeps one timer for all of them.
+type timerQueue struct {
+	timers  []timer
+	seq     int
+	armedAt time.Duration // the earliest SetTimer that has not fired; 0: none
 }
 
-func (h *timerHeap) Len() int { return len(h.t) }
-func (h *timerHeap) Less(i, j int) bool {
-	return h.t[i].at < h.t[j].at || h.t[i].at == h.t[j].at && h.t[i].seq < h.t[j].seq
+func (q *timerQueue) Len() int { return len(q.timers) }
+
+func (q *timerQueue) Less(i, j int) bool {
+	a, b := q.timers[i], q.timers[j]
+	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
-func (h *timerHeap) Swap(i, j int) { h.t[i], h.t[j] = h.t[j], h.t[i] }
-func (h *timerHeap) Push(x any)    { h.t = append(h.t, x.(timer)) }
-func (h *timerHeap) Pop() any {
-	t := h.t[len(h.t)-1]
-	h.t = h.t[:len(h.t)-1]
-	return t
+
+func (q *timerQueue) Swap(i, j int) { q.timers[i], q.timers[j] = q.timers[j], q.timers[i] }
+
+// Push implements heap.Interface.
+func (q *timerQueue) Push(x any) { q.timers = append(q.timers, x.(timer)) }
+
+// Pop implements heap.Interface.
+func (q *timerQueue) Pop() any {
+	last := q.timers[len(q.timers)-1]
+	q.timers = q.timers[:len(q.timers)-1]
+	return last
 }
 
-func (b *Balancer) after(at time.Duration, kind timerKind, r *request) {
+func (b *Balancer) startTimer(at time.Duration, kind timerKind, r *request) {
 	b.timers.seq++
 	heap.Push(&b.timers, timer{at, b.timers.seq, kind, r})
 }
 
-// arm asks for a Wake at the earliest timer, if none is out for that early.
-func (b *Balancer) arm() {
-	if len(b.timers.t) == 0 {
+// armTimer asks for TimerFired at the earliest timer, unless one that early is on its way.
+func (b *Balancer) armTimer() {
+	q := &b.timers
+	if len(q.timers) == 0 {
 		return
 	}
-	// Timers outside may count microseconds: never wake a moment too early, and then wait for nothing.
-	at := (b.timers.t[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
-	if b.armed == 0 || at < b.armed {
-		b.armed = max(at, 1)
-		b.act(Action{Kind: SetTimer, At: b.armed})
+	// Callers may count microseconds: a timer that fired a moment too early would find nothing due.
+	at := (q.timers[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
+	if q.armedAt == 0 || at < q.armedAt {
+		q.armedAt = max(at, 1)
+		b.emit(Action{Kind: SetTimer, At: q.armedAt})
 	}
 }
 
-// wake carries out what is due.
-func (b *Balancer) wake() {
-	if b.now >= b.armed {
-		b.armed = 0
+// onTimerFired carries out what is due.
+func (b *Balancer) onTimerFired() {
+	q := &b.timers
+	if b.now >= q.armedAt {
+		q.armedAt = 0
 	}
-	for len(b.timers.t) > 0 && b.timers.t[0].at <= b.now {
-		switch t := heap.Pop(&b.timers).(timer); {
-		case t.kind == timerAsk:
-			if !b.asking && !b.subscribed {
-				b.ask()
-			}
-		case t.r.done || t.r.stream:
-		case t.kind == timerEnd:
-			if b.now >= t.r.end && (!t.r.open || t.r.out == 0) { // else the body came, or still does
-				b.giveUp(t.r)
-			}
-		case t.kind == timerLate:
-			b.lateAttempt(t.r)
-		case t.kind == timerLost:
-			b.lookLost(t.r)
-		case t.r.out == 0:
-			b.move(t.r)
-		}
+	for len(q.timers) > 0 && q.timers[0].at <= b.now {
+		b.fire(heap.Pop(q).(timer))
 	}
 }
 
-func (b *Balancer) act(a Action) { b.acts = append(b.acts, a) }
-
-func (b *Balancer) log(format string, args ...any) {
-	b.act(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
+func (b *Balancer) fire(t timer) {
+	if t.kind == timerPoll {
+		b.onPollTimer()
+		return
+	}
+	r := t.request
+	if r.done || r.streaming {
+		return
+	}
+	switch t.kind {
+	case timerAbandon:
+		b.onAbandonTimer(r)
+	case timerHedge:
+		b.onHedgeTimer(r)
+	case timerStall:
+		b.checkStalled(r)
+	case timerDispatch:
+		if r.pendingAttempts == 0 {
+			b.dispatch(r)
+		}
+	}
 }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -32,8 +32,8 @@
 			if got := hex.EncodeToString(tr.sum.Sum(nil)[:16]); got != want {
 				t.Errorf("actions of the trace hash to %s, recorded %s (sent %d, actions by kind %v)", got, want, tr.sent, tr.kinds)
 			}
-			for kind := Send; kind <= Report; kind++ {
-				if tr.kinds[kind] == 0 && (endpoints == 10 || kind != Report && kind != Subscribe && kind != Fail) {
+			for kind := StartAttempt; kind <= ReportEvidence; kind++ {
+				if tr.kinds[kind] == 0 && (endpoints == 10 || kind != ReportEvidence && kind != Subscribe && kind != Fail) {
 					t.Errorf("the trace holds no action of kind %d", kind)
 				}
 			}
@@ -73,24 +73,24 @@
 func newTrace(t *testing.T, endpoints int) *trace {
 	t.Helper()
 	s := testSettings()
-	s.Balancers, s.Reports, s.PriceCrossZone, s.MustSubscribe = 4, true, 0.1, true
-	s.WarmUp, s.FallTime = 3*time.Second, time.Second
+	s.FleetSize, s.ShareEvidence, s.CrossZoneCost, s.MustSubscribe = 4, true, 0.1, true
+	s.SlowStartWindow, s.OverloadDuration = 3*time.Second, time.Second
 	s.Classes = []Class{
-		{Name: "read", Aim: 200 * ms, Deadline: time.Second, Worth: 1, LateShare: 0.5},
-		{Name: "write", Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 3, Effect: Unsafe},
-		{Name: "keyed", Aim: 150 * ms, Deadline: 900 * ms, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 600 * ms, AimStretch: 0.5},
-		{Name: "stream", Aim: 400 * ms, Deadline: 3 * time.Second, Worth: 0.5, Stream: true},
+		{Name: "read", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.5},
+		{Name: "write", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 3, Idempotency: NotIdempotent},
+		{Name: "keyed", LatencyObjective: 150 * ms, Deadline: 900 * ms, PriorityWeight: 2, Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, DedupWindow: 600 * ms, ObjectiveStretch: 0.5},
+		{Name: "stream", LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 0.5, Stream: true},
 	}
-	s.Tenants = []Tenant{{Name: "x", Fraction: 0.5}, {Name: "y", Fraction: 0.2}}
-	s.OverShareWorth = 0.3
+	s.Tenants = []Tenant{{Name: "x", Quota: 0.5}, {Name: "y", Quota: 0.2}}
+	s.OverQuotaFraction = 0.3
 	b, err := New(s, uint64(endpoints))
 	if err != nil {
 		t.Fatal(err)
 	}
 	tr := &trace{t: t, endpoints: endpoints, b: b, settings: s, rng: rand.New(rand.NewPCG(uint64(endpoints), 7)), sum: sha256.New(),
 		now: time.Minute, attempts: map[string]int{}, cameUp: map[string]time.Duration{}, kinds: map[ActionKind]int{}}
-	tr.handle(Members{Kind: Saved, Entries: tr.all()})
-	tr.handle(Members{Kind: Full, Entries: tr.all()})
+	tr.handle(EndpointUpdate{Kind: Cached, Endpoints: tr.all()})
+	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
 	return tr
 }
 
@@ -98,14 +98,14 @@
 
 func (tr *trace) any() string { return tr.id(tr.rng.IntN(tr.endpoints)) }
 
-func (tr *trace) member(id string) Member {
+func (tr *trace) member(id string) Endpoint {
 	var i int
 	_, _ = fmt.Sscanf(id, "u%d", &i)
-	return Member{Upstream: id, Zone: string(rune('a' + i%3)), Machine: fmt.Sprint("kind", i%2), Cell: i % 4, CameUp: tr.cameUp[id],
+	return Endpoint{Upstream: id, Zone: string(rune('a' + i%3)), Machine: fmt.Sprint("kind", i%2), Cell: i % 4, StartedAt: tr.cameUp[id],
 		Weight: 1 + float64(i%5)/2}
 }
 
-func (tr *trace) all() (list []Member) {
+func (tr *trace) all() (list []Endpoint) {
 	for i := range tr.endpoints {
 		list = append(list, tr.member(tr.id(i)))
 	}
@@ -117,7 +117,7 @@
 	tr.now += time.Duration(tr.rng.ExpFloat64() * float64(2*ms))
 	if tr.timer != 0 && tr.now >= tr.timer {
 		tr.timer = 0
-		tr.handle(Wake{})
+		tr.handle(TimerFired{})
 	}
 	switch n := tr.rng.IntN(1000); {
 	case n < 400:
@@ -133,7 +133,7 @@
 		}
 	case n < 930:
 		if tr.next > 0 {
-			tr.handle(Gone{ID: fmt.Sprint("r", max(0, tr.next-1-tr.rng.IntN(10)))})
+			tr.handle(ClientDisconnected{ID: fmt.Sprint("r", max(0, tr.next-1-tr.rng.IntN(10)))})
 		}
 	case n < 950:
 		tr.listChange()
@@ -142,12 +142,12 @@
 	case n < 985:
 		tr.hearsay()
 	case n < 988:
-		tr.handle(Members{Kind: Failed})
+		tr.handle(EndpointUpdate{Kind: WatchFailed})
 	case n < 990:
 		s := tr.settings
 		s.MaxAttempts = 2 + tr.rng.IntN(3)
-		s.SecondCopies = tr.rng.IntN(4) > 0
-		tr.handle(Retune{Settings: s})
+		s.Hedging = tr.rng.IntN(4) > 0
+		tr.handle(SettingsUpdate{Settings: s})
 	case n < 991:
 		tr.restart()
 	case n < 996:
@@ -166,15 +166,15 @@
 	class := tr.settings.Classes[tr.rng.IntN(len(tr.settings.Classes))]
 	id := fmt.Sprint("r", tr.next)
 	tr.next++
-	e := Request{ID: id, Class: class.Name, Tenant: []string{"x", "y", "z"}[tr.rng.IntN(3)], Expires: tr.now + class.Deadline}
+	e := Request{ID: id, Class: class.Name, Tenant: []string{"x", "y", "z"}[tr.rng.IntN(3)], ExpiresAt: tr.now + class.Deadline}
 	if tr.rng.IntN(5) == 0 {
-		e.Expires = tr.now + class.Deadline/3
+		e.ExpiresAt = tr.now + class.Deadline/3
 	}
 	if tr.rng.IntN(2) == 0 {
-		e.Hint = time.Duration(1+tr.rng.IntN(60)) * ms
+		e.CostHint = time.Duration(1+tr.rng.IntN(60)) * ms
 	}
 	if tr.rng.IntN(20) == 0 {
-		e.Open = true
+		e.BodyPending = true
 		tr.open = append(tr.open, id)
 	}
 	tr.handle(e)
@@ -186,7 +186,7 @@
 	}
 	id := tr.open[0]
 	tr.open = tr.open[1:]
-	tr.handle(Whole{ID: id, Expires: tr.now + 800*ms})
+	tr.handle(BodyComplete{ID: id, ExpiresAt: tr.now + 800*ms})
 }
 
 // outcome ends an attempt: one that has been out for longer than most, mostly.
@@ -201,9 +201,9 @@
 	if x := tr.rng.IntN(100); a.upstream == tr.faulty && x < 85 {
 		res = []Result{ServerError, Overloaded, ConnectFailed, Reset}[tr.next/500%4]
 	} else if x < 20 {
-		res = []Result{ServerError, Overloaded, Timeout, ConnectFailed, Reset, Cancelled, Moot}[x%7]
+		res = []Result{ServerError, Overloaded, Timeout, ConnectFailed, Reset, Cancelled, NotSent}[x%7]
 	}
-	tr.handle(Outcome{ID: a.id, Attempt: a.number, Result: res, Elapsed: tr.now - a.sent, Finished: res == OK, Spent: tr.rng.IntN(50) == 0})
+	tr.handle(AttemptEnded{ID: a.id, Attempt: a.number, Result: res, Elapsed: tr.now - a.sent, Final: res == OK, BodyConsumed: tr.rng.IntN(50) == 0})
 }
 
 func (tr *trace) listChange() {
@@ -211,21 +211,21 @@
 	switch tr.rng.IntN(4) {
 	case 0:
 		m := tr.member(id)
-		m.State = State(1 + tr.rng.IntN(2))
-		tr.handle(Members{Kind: Change, Entries: []Member{m}})
+		m.State = EndpointState(1 + tr.rng.IntN(2))
+		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{m}})
 	case 1:
 		tr.cameUp[id] = tr.now - time.Duration(tr.rng.IntN(500))*ms
-		tr.handle(Members{Kind: Change, Entries: []Member{tr.member(id)}})
+		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.member(id)}})
 	case 2:
-		tr.handle(Members{Kind: Full, Entries: tr.all()})
+		tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
 	case 3:
-		tr.handle(Members{Kind: Change, Entries: []Member{tr.member(id)}})
+		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.member(id)}})
 	}
 }
 
 func (tr *trace) ban() {
 	if len(tr.banned) > 0 && (tr.endpoints == 1 || tr.rng.IntN(2) == 0) {
-		tr.handle(Ban{Upstream: tr.banned[0], Lifted: true})
+		tr.handle(Ban{Upstream: tr.banned[0], Cleared: true})
 		tr.banned = tr.banned[1:]
 		return
 	}
@@ -236,21 +236,21 @@
 
 func (tr *trace) hearsay() {
 	id := tr.any()
-	e := Hearsay{Upstream: id, CameUp: tr.cameUp[id], Until: tr.now + time.Duration(tr.rng.IntN(3000))*ms, Since: tr.now - 50*ms,
-		Share: float64(tr.rng.IntN(3)) / 4, Tries: Tries(tr.rng.IntN(3))}
+	e := PeerVerdict{Upstream: id, StartedAt: tr.cameUp[id], Until: tr.now + time.Duration(tr.rng.IntN(3000))*ms, Since: tr.now - 50*ms,
+		PassFraction: float64(tr.rng.IntN(3)) / 4, Probes: ProbeOwner(tr.rng.IntN(3))}
 	if tr.rng.IntN(3) == 0 {
 		e.Class = tr.settings.Classes[tr.rng.IntN(len(tr.settings.Classes))].Name
 	}
 	if tr.rng.IntN(4) == 0 {
-		e.Until, e.Tried = 0, tr.rng.IntN(2) == 0
+		e.Until, e.ProbeSucceeded = 0, tr.rng.IntN(2) == 0
 	}
 	tr.handle(e)
 }
 
 // restart goes on with another Balancer that begins with what this one has learnt.
 func (tr *trace) restart() {
-	learnt := tr.b.Learnt(tr.now)
-	learnt.Pass(time.Duration(tr.rng.IntN(4000))*ms, tr.rng.IntN(2) == 0)
+	learnt := tr.b.Snapshot(tr.now)
+	learnt.Age(time.Duration(tr.rng.IntN(4000))*ms, tr.rng.IntN(2) == 0)
 	b, err := New(tr.settings, uint64(tr.next))
 	if err != nil {
 		tr.t.Fatal(err)
@@ -259,7 +259,7 @@
 	for _, id := range tr.banned {
 		tr.handle(Ban{Upstream: id})
 	}
-	tr.handle(Members{Kind: Full, Entries: tr.all()})
+	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
 	tr.handle(learnt)
 }
 
@@ -267,12 +267,12 @@
 func (tr *trace) handle(e Event) {
 	for _, a := range tr.b.Handle(tr.now, e, nil) {
 		tr.kinds[a.Kind]++
-		tr.number(uint64(a.Kind), uint64(a.Attempt), uint64(a.Timeout), uint64(a.RetryIn), uint64(a.At), uint64(a.Evidence), uint64(a.Count))
-		for _, x := range []string{a.ID, a.Upstream, a.Class, fmt.Sprint(a.Suspect, a.Trial)} {
+		tr.number(uint64(a.Kind), uint64(a.Attempt), uint64(a.Timeout), uint64(a.RetryAfter), uint64(a.At), uint64(a.Evidence), uint64(a.Count))
+		for _, x := range []string{a.ID, a.Upstream, a.Class, fmt.Sprint(a.Suspicion, a.Probe)} {
 			tr.text(x)
 		}
 		switch a.Kind {
-		case Send:
+		case StartAttempt:
 			tr.sent++
 			tr.out = append(tr.out, traceAttempt{a.ID, tr.attempts[a.ID], a.Upstream, tr.now})
 			tr.attempts[a.ID]++
--- a/balancer/views.go
+++ b/balancer/views.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Pressure tells how near admission is to refusing, 1 where it begins, and which share of this sidecar's own zone takes no
-// work now. Others choose by them whether to send a request elsewhere; no decision here does.
-func (b *Balancer) Pressure(now time.Duration) (inHand, zone float64) {
+// Pressure tells how near admission is to shedding load, 1 where it begins, and which fraction of the local
+// zone's capacity takes no work now. A caller decides by them whether to forward a request to another
+// sidecar; no decision of this package depends on them.
+func (b *Balancer) Pressure(now time.Duration) (pressure, zoneLoss float64) {
 	b.now = max(now, b.now)
-	all, usable := 0, 0.0
-	for _, u := range b.list {
-		if u.zone != b.set.Zone {
+	total, usable := 0, 0.0
+	for _, ep := range b.endpoints.order {
+		if ep.zone != b.settings.Zone {
 			continue
 		}
-		if all++; !u.banned && b.now >= u.until {
-			usable += b.warmth(u)
+		if total++; !ep.banned && b.now >= ep.health.ejectedUntil {
+			usable += b.warmCapacity(ep)
 		}
 	}
-	if all > 0 {
-		zone = 1 - usable/float64(all)
+	if total > 0 {
+		zoneLoss = 1 - usable/float64(total)
 	}
-	return min(1, b.pressure()), zone
+	return min(1, b.pressure()), zoneLoss
 }
 
-// Ejected names the upstreams that are left out now for their failures.
+// Ejected names the endpoints that are ejected at now.
 func (b *Balancer) Ejected(now time.Duration) (ids []string) {
-	for _, u := range b.list {
-		if now < u.until {
-			ids = append(ids, u.id)
+	for _, ep := range b.endpoints.order {
+		if now < ep.health.ejectedUntil {
+			ids = append(ids, ep.id)
 		}
 	}
 	return ids
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -41,10 +41,10 @@
 	f.ids++
 	c := f.plan.Settings.Classes[f.rng.IntN(len(f.plan.Settings.Classes))]
 	now := &request{id: strconv.Itoa(f.ids), class: c.Name, work: r.work, left: r.left - 1, arrived: f.now,
-		aim: f.now + c.Aim, expires: f.now + c.Deadline}
+		aim: f.now + c.LatencyObjective, expires: f.now + c.Deadline}
 	s.reqs[now.id] = now
 	f.second().Tries++
-	f.do(s, balancer.Request{ID: now.id, Class: now.class, Expires: now.expires})
+	f.do(s, balancer.Request{ID: now.id, Class: now.class, ExpiresAt: now.expires})
 }
 
 func (f *Fleet) answered(s *sidecar, r *request, served bool) {
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -21,7 +21,7 @@
 	}
 	m := a.s.known[u.id]
 	work := a.r.work.Seconds() / f.plan.Work.Seconds()
-	u.window = append(u.window, arrival{f.now, work, m.State == balancer.Active && m.CameUp == u.started})
+	u.window = append(u.window, arrival{f.now, work, m.State == balancer.Active && m.StartedAt == u.started})
 	for f.now-u.window[0].at >= rule.For {
 		u.window = u.window[1:]
 	}
--- a/internal/lab/fleet/cold_test.go
+++ b/internal/lab/fleet/cold_test.go
@@ -20,7 +20,7 @@
 		"release, all restarted":  {do: func(f *Fleet) { release(f); f.RestartAll(7 * time.Second) }},
 		"zone back, restarted":    {do: func(f *Fleet) { f.Back(2*time.Second, "a"); f.RestartAll(4 * time.Second) }, plan: func(p *Plan) { p.Load = 0.6 }},
 		"all back":                {do: func(f *Fleet) { f.Back(2*time.Second, f.plan.Zones...) }, plan: func(p *Plan) { p.Sidecars, p.Upstreams = 100, 40 }},
-		"all back, none believed": {do: func(f *Fleet) { f.Back(2*time.Second, f.plan.Zones...) }, plan: func(p *Plan) { p.Sidecars, p.Upstreams, p.Settings.FallMultiple = 100, 40, 60 }, falls: true},
+		"all back, none believed": {do: func(f *Fleet) { f.Back(2*time.Second, f.plan.Zones...) }, plan: func(p *Plan) { p.Sidecars, p.Upstreams, p.Settings.OverloadMultiple = 100, 40, 60 }, falls: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -38,7 +38,7 @@
 		f.perLoad += u.spec.Capacity() / p.Work.Seconds()
 	}
 	for i := range p.Sidecars {
-		s := &sidecar{n: i, zone: p.Zones[i%len(p.Zones)], share: p.Shares[i%len(p.Shares)], known: map[string]balancer.Member{}}
+		s := &sidecar{n: i, zone: p.Zones[i%len(p.Zones)], share: p.Shares[i%len(p.Shares)], known: map[string]balancer.Endpoint{}}
 		f.shares += s.share
 		for _, u := range f.ups {
 			s.learn(u.member(balancer.Active))
--- a/internal/lab/fleet/mass.go
+++ b/internal/lab/fleet/mass.go
@@ -19,11 +19,11 @@
 		Load: 0.85, Work: 130 * ms, Retries: 1, Backoff: 100 * ms, Same: ms / 2, Cross: 8 * ms,
 		Notice: [2]time.Duration{600 * ms, 1500 * ms},
 		Rule:   Rule{ColdFrom: 0.3, WarmUp: 8800 * ms, Multiple: 4, For: time.Second},
-		Settings: balancer.Settings{MaxAttempts: 6, Cancelling: true, Tick: 5 * ms, ConnectTimeout: 200 * ms,
-			PriceCrossZone: 0.1, ColdFrom: 0.3, WarmUp: 8800 * ms, FallMultiple: 4, FallTime: time.Second,
+		Settings: balancer.Settings{MaxAttempts: 6, Cancellation: true, Tick: 5 * ms, ConnectTimeout: 200 * ms,
+			CrossZoneCost: 0.1, SlowStartCapacity: 0.3, SlowStartWindow: 8800 * ms, OverloadMultiple: 4, OverloadDuration: time.Second,
 			Classes: []balancer.Class{
-				{Name: "read", Aim: 750 * ms, Deadline: 4 * time.Second, Worth: 2, LateShare: 0.25},
-				{Name: "order", Aim: 750 * ms, Deadline: 3 * time.Second, Worth: 3, LateShare: 0.5, Effect: balancer.Unsafe}}},
+				{Name: "read", LatencyObjective: 750 * ms, Deadline: 4 * time.Second, PriorityWeight: 2, LateValueFraction: 0.25},
+				{Name: "order", LatencyObjective: 750 * ms, Deadline: 3 * time.Second, PriorityWeight: 3, LateValueFraction: 0.5, Idempotency: balancer.NotIdempotent}}},
 	}
 	for range p.Sidecars {
 		p.Shares = append(p.Shares, 0.2+rng.ExpFloat64()) // a few several times the mean
--- a/internal/lab/fleet/sidecars.go
+++ b/internal/lab/fleet/sidecars.go
@@ -14,10 +14,10 @@
 	zone  string
 	share float64
 	b     *balancer.Balancer
-	life  int                        // restarts
-	armed time.Duration              // its Wake
-	known map[string]balancer.Member // what its agent has
-	order []string                   // of known, as told
+	life  int                          // restarts
+	armed time.Duration                // its Wake
+	known map[string]balancer.Endpoint // what its agent has
+	order []string                     // of known, as told
 	reqs  map[string]*request
 	acts  []balancer.Action
 }
@@ -34,17 +34,17 @@
 }
 
 // tell spreads a change to every sidecar, in its own time.
-func (f *Fleet) tell(m balancer.Member) {
+func (f *Fleet) tell(m balancer.Endpoint) {
 	for _, s := range f.sidecars {
 		wait := f.plan.Notice[0] + time.Duration(f.rng.Float64()*float64(f.plan.Notice[1]-f.plan.Notice[0]))
 		f.At(f.now+wait, func() {
 			s.learn(m)
-			f.do(s, balancer.Members{Kind: balancer.Change, Entries: []balancer.Member{m}})
+			f.do(s, balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{m}})
 		})
 	}
 }
 
-func (s *sidecar) learn(m balancer.Member) {
+func (s *sidecar) learn(m balancer.Endpoint) {
 	if _, known := s.known[m.Upstream]; !known {
 		s.order = append(s.order, m.Upstream)
 	}
@@ -60,17 +60,17 @@
 
 func (f *Fleet) boot(s *sidecar) error {
 	set := f.plan.Settings
-	set.Balancers, set.Zone, set.Tenants = f.plan.Sidecars, s.zone, nil
+	set.FleetSize, set.Zone, set.Tenants = f.plan.Sidecars, s.zone, nil
 	b, err := balancer.New(set, f.rng.Uint64())
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.n, err)
 	}
 	s.life++
 	s.b, s.armed, s.reqs = b, 0, map[string]*request{}
-	full := balancer.Members{Kind: balancer.Full}
+	full := balancer.EndpointUpdate{Kind: balancer.FullState}
 	for _, id := range s.order {
 		if m := s.known[id]; m.State == balancer.Active {
-			full.Entries = append(full.Entries, m)
+			full.Endpoints = append(full.Endpoints, m)
 		}
 	}
 	f.do(s, full)
@@ -84,12 +84,12 @@
 	for _, a := range acts {
 		r := s.reqs[a.ID]
 		switch a.Kind {
-		case balancer.Send:
+		case balancer.StartAttempt:
 			f.send(s, r, a)
-		case balancer.Cancel:
+		case balancer.CancelAttempt:
 			at := r.attempts[a.Attempt]
 			f.At(f.now, func() { f.end(at, balancer.Cancelled) })
-		case balancer.Refuse:
+		case balancer.Reject:
 			f.second().Refused++
 			f.answered(s, r, false)
 		case balancer.Fail:
@@ -100,7 +100,7 @@
 			life := s.life
 			f.At(a.At, func() {
 				if s.life == life && s.armed == a.At {
-					f.do(s, balancer.Wake{})
+					f.do(s, balancer.TimerFired{})
 				}
 			})
 		}
@@ -158,5 +158,5 @@
 		}
 		f.answered(a.s, a.r, true)
 	}
-	f.do(a.s, balancer.Outcome{ID: a.r.id, Attempt: a.n, Result: res, Elapsed: f.now - a.sent, Finished: finished})
+	f.do(a.s, balancer.AttemptEnded{ID: a.r.id, Attempt: a.n, Result: res, Elapsed: f.now - a.sent, Final: finished})
 }
--- a/internal/lab/fleet/sum_test.go
+++ b/internal/lab/fleet/sum_test.go
@@ -109,9 +109,9 @@
 		p.Rule = Rule{ColdFrom: 0.13, WarmUp: 24 * time.Second, Multiple: 3, For: 3 * time.Second}
 		p.Zones, p.Work, p.Cross = p.Zones[:3], 60*ms, 2*ms
 		s := &p.Settings
-		s.ColdFrom, s.WarmUp, s.FallMultiple, s.FallTime, s.PriceCrossZone = 0.13, p.Rule.WarmUp, 3, p.Rule.For, 0
+		s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration, s.CrossZoneCost = 0.13, p.Rule.WarmUp, 3, p.Rule.For, 0
 		for i := range s.Classes {
-			s.Classes[i].Aim = 400 * ms
+			s.Classes[i].LatencyObjective = 400 * ms
 		}
 	}
 	name := fmt.Sprintf("%s, multiple %.0f", trouble.name, p.Rule.Multiple)
--- a/internal/lab/fleet/upstreams.go
+++ b/internal/lab/fleet/upstreams.go
@@ -49,17 +49,17 @@
 	return u
 }
 
-func (u *upstream) member(s balancer.State) balancer.Member {
-	return balancer.Member{Upstream: u.id, Zone: u.zone, State: s, CameUp: u.started}
+func (u *upstream) member(s balancer.EndpointState) balancer.Endpoint {
+	return balancer.Endpoint{Upstream: u.id, Zone: u.zone, State: s, StartedAt: u.started}
 }
 
 // Replace drains the process at place for a time, then ends it; another, with a name of its own, starts after boot.
 func (f *Fleet) Replace(place int, drain, boot time.Duration) {
 	old := f.ups[place]
-	f.tell(old.member(balancer.Leaving))
+	f.tell(old.member(balancer.Draining))
 	f.At(f.now+drain, func() {
 		f.stop(old, false)
-		f.tell(old.member(balancer.Left))
+		f.tell(old.member(balancer.Removed))
 		f.At(f.now+boot, func() {
 			f.ids++
 			f.tell(f.start(place, fmt.Sprintf("u%d.%d", place, f.ids), f.now).member(balancer.Active))
@@ -73,7 +73,7 @@
 	old := f.ups[place]
 	f.stop(old, true)
 	if noticed {
-		f.tell(old.member(balancer.Left))
+		f.tell(old.member(balancer.Removed))
 	}
 	f.At(f.now+d, func() { f.tell(f.start(place, old.id, f.now).member(balancer.Active)) })
 }
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -101,6 +101,22 @@
 
 var saidWords = map[string]record.SaidKind{"report": record.Evidence, "verdict": record.Verdict, "present": record.Present}
 
+// ejection reads a sidecar's line on the ejection or reinstatement of an upstream, for all classes; not ok: it is on something else.
+// Sidecars of earlier revisions, which experiments compare with, name the upstream in the message: "eject u0: ...", "return u0 after ...".
+func ejection(message, upstreamAttr string) (upstream string, ejected, ok bool) {
+	switch message {
+	case "endpoint ejected":
+		return upstreamAttr, true, true
+	case "endpoint reinstated":
+		return upstreamAttr, false, true
+	}
+	words := strings.Fields(message)
+	if len(words) > 2 && words[2] != "for" && (words[0] == "eject" || words[0] == "return") {
+		return strings.TrimSuffix(words[1], ":"), words[0] == "eject", true
+	}
+	return "", false, false
+}
+
 // hear reads a line of a log; not ok: it is on something else.
 func hear(line []byte, rec *record.Record) (record.Said, bool) {
 	var l struct {
@@ -118,8 +134,9 @@
 	if json.Unmarshal(line, &l) != nil {
 		return record.Said{}, false
 	}
-	if words := strings.Fields(l.Msg); l.Component == "decisions" && len(words) > 2 && words[2] != "for" && (words[0] == "eject" || words[0] == "return") {
-		return record.Said{At: rec.Since(l.Time), What: record.Evidence, Upstream: strings.TrimSuffix(words[1], ":"), Open: words[0] == "eject"}, true
+	if l.Component == "decisions" {
+		upstream, ejected, ok := ejection(l.Msg, l.Upstream)
+		return record.Said{At: rec.Since(l.Time), What: record.Evidence, Upstream: upstream, Open: ejected}, ok
 	}
 	if l.Component != "peers" {
 		return record.Said{}, false
--- a/internal/settings/locate.go
+++ b/internal/settings/locate.go
@@ -4,8 +4,9 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"regexp"
 	"strings"
+
+	"mosslead/balancer"
 )
 
 // Place is where in a text an error of Check is: line and column count from 1, the latter in bytes. A Line of 0: it can't be told.
@@ -15,20 +16,39 @@
 	Key          string
 }
 
-// keyOf is what a file calls the settings that the balancer's errors name.
-var keyOf = map[string]string{"Tick": "TickMs", "MaxRetryAfter": "Limits.MaxRetryAfterMs", "ConnectTimeout": "Limits.ConnectTimeoutMs",
-	"WarmUp": "Rules.WarmUpMs", "FallTime": "Rules.FallMs", "FallMultiple": "Rules.FallMultiple", "ColdFrom": "Rules.ColdFrom",
-	"MaxAttempts": "Limits.SendCap", "PriceCrossZone": "Prices.CrossZone", "Balancers": "Balancers", "OverShareWorth": "OverShareWorth",
-	"Classes": "Classes", "Tenants": "Tenants",
-	"Classes.Name": "Name", "Classes.Aim": "AimMs", "Classes.Deadline": "DeadlineMs", "Classes.Effect": "Semantics",
-	"Classes.Group": "KeyScope", "Classes.Worth": "Importance", "Classes.LateShare": "LateShare", "Classes.AimStretch": "AimStretch",
-	"Classes.Window": "DedupWindowMs", "Tenants.Fraction": "Fraction"}
+// keyOf maps the settings that a balancer.SettingError names to the keys of the file. A field of a list's elements has the list's name
+// before it.
+var keyOf = map[string]string{
+	"Classes":           "Classes",
+	"ConnectTimeout":    "Limits.ConnectTimeoutMs",
+	"CrossZoneCost":     "Prices.CrossZone",
+	"FleetSize":         "Balancers",
+	"MaxAttempts":       "Limits.SendCap",
+	"MaxRetryAfter":     "Limits.MaxRetryAfterMs",
+	"OverQuotaFraction": "OverShareWorth",
+	"OverloadDuration":  "Rules.FallMs",
+	"OverloadMultiple":  "Rules.FallMultiple",
+	"SlowStartCapacity": "Rules.ColdFrom",
+	"SlowStartWindow":   "Rules.WarmUpMs",
+	"Tenants":           "Tenants",
+	"Tick":              "TickMs",
+
+	"Classes.DedupWindow":       "DedupWindowMs",
+	"Classes.Deadline":          "DeadlineMs",
+	"Classes.Idempotency":       "Semantics",
+	"Classes.KeyScope":          "KeyScope",
+	"Classes.LateValueFraction": "LateShare",
+	"Classes.LatencyObjective":  "AimMs",
+	"Classes.Name":              "Name",
+	"Classes.ObjectiveStretch":  "AimStretch",
+	"Classes.PriorityWeight":    "Importance",
+	"Tenants.Quota":             "Fraction",
+}
 
-// named is how the balancer words what it can't use: a setting, and in a list's object its name and field.
-var named = regexp.MustCompile(`setting (\w+): (?:(.*): (\w+) (?:.* )?is not (?:usable|a share)$|Name "(.*)" empty or repeated$)?`)
+// KeyError says what is wrong with a key that this package checks itself.
+type KeyError struct{ Key, Reason string }
 
-// inFile is how this package words what it turns down itself: by the key as a file has it.
-var inFile = regexp.MustCompile(`^(\w+(?:\.\w+)*): .* is not above 0$`)
+func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
 // Locate says where in text an error of Check is.
 func Locate(text []byte, err error) Place {
@@ -41,13 +61,14 @@
 		return at(text, int(kind.Offset)-1, kind.Field)
 	}
 	var top, object, field string
-	if m := named.FindStringSubmatch(err.Error()); m != nil {
-		top, object, field = keyOf[m[1]], m[2], keyOf[m[1]+"."+m[3]]
-		if field == "" && strings.HasSuffix(m[0], "empty or repeated") {
-			object, field = m[4], "Name"
-		}
-	} else if m := inFile.FindStringSubmatch(err.Error()); m != nil {
-		top = m[1]
+	var invalid *balancer.SettingError
+	var key *KeyError
+	switch {
+	case errors.As(err, &invalid):
+		top, object = keyOf[invalid.Setting], invalid.Element
+		field = keyOf[invalid.Setting+"."+invalid.Field]
+	case errors.As(err, &key):
+		top = key.Key
 	}
 	if top == "" {
 		return Place{}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,7 +37,7 @@
 		return wire.Settings{}, err
 	}
 	if keys["Limits.SendCap"] && s.MaxAttempts < 1 {
-		return wire.Settings{}, fmt.Errorf("Limits.SendCap: %d is not above 0", s.MaxAttempts)
+		return wire.Settings{}, &KeyError{"Limits.SendCap", fmt.Sprintf("%d is not above 0", s.MaxAttempts)}
 	}
 	if _, err := balancer.New(s.Settings, 1); err != nil { // whatever the seed is
 		return wire.Settings{}, err
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -134,7 +134,7 @@
 		note(slog.LevelInfo, ofPeers, "present", slog.Int("members", p.present))
 	}
 	p.unsure = p.doubt.Look(now, len(members), p.s.echo.waits(now))
-	p.s.verdicts.Put("", balancer.Hearsay{}, false) // its taker is heard to be alive, see echo
+	p.s.verdicts.Put("", balancer.PeerVerdict{}, false) // its taker is heard to be alive, see echo
 	batch := breaker.Batch{breaker.Listed{Upstreams: p.s.dir.lives()}, breaker.Roster{Members: members}}
 	for key, r := range p.own {
 		if since, _, listed := p.s.dir.life(r.Upstream); !listed || since != r.SinceMs {
@@ -252,8 +252,8 @@
 // tell hands verdicts to the loop, and wishes for the trials of what is open.
 func (p *breakers) tell(verdicts []breaker.Verdict) {
 	for _, v := range verdicts {
-		h := balancer.Hearsay{Upstream: v.Upstream, CameUp: p.s.clock.unixMs(float64(v.SinceMs)), Class: v.Class, Since: v.Since,
-			Share: v.Share, Tries: triesWords[v.Tries], Tried: v.Step == 0 && v.Tried}
+		h := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.s.clock.unixMs(float64(v.SinceMs)), Class: v.Class, Since: v.Since,
+			PassFraction: v.Share, Probes: triesWords[v.Tries], ProbeSucceeded: v.Step == 0 && v.Tried}
 		if v.Open {
 			h.Until = p.s.clock.now() + v.For
 		}
@@ -268,7 +268,7 @@
 	}
 }
 
-var triesWords = map[breaker.Tries]balancer.Tries{breaker.Each: balancer.TriesEach, breaker.Others: balancer.TriesOthers, breaker.Ours: balancer.TriesOurs}
+var triesWords = map[breaker.Tries]balancer.ProbeOwner{breaker.Each: balancer.ProbeByEach, breaker.Others: balancer.ProbeByPeer, breaker.Ours: balancer.ProbeBySelf}
 
 func (p *breakers) wish(v breaker.Verdict) {
 	t := p.trials[v.Upstream]
@@ -295,21 +295,21 @@
 		return
 	}
 	r := api.Report{Upstream: a.Upstream, SinceMs: since, Class: a.Class, State: api.Open, Evidence: evidenceWords[a.Evidence], Count: a.Count}
-	if a.Evidence == balancer.NoEvidence {
+	if a.Evidence == balancer.EvidenceNone {
 		r.State = api.Closed
 	}
-	if a.Suspect {
+	if a.Suspicion {
 		r.Doubt = breaker.Suspicion
 	}
 	key := r.Upstream + " " + r.Class
-	if a.Trial {
+	if a.Probe {
 		key = "trial " + r.Upstream
 	}
-	s.reports.Put(key, word{r, a.Trial}, r.State == api.Closed && r.Count == 0)
+	s.reports.Put(key, word{r, a.Probe}, r.State == api.Closed && r.Count == 0)
 }
 
-var evidenceWords = map[balancer.Evidence]api.Evidence{balancer.ByErrors: api.Errors, balancer.ByBreaks: api.Breaks,
-	balancer.BySilence: api.Silence, balancer.ByFull: api.Full}
+var evidenceWords = map[balancer.Evidence]api.Evidence{balancer.EvidenceErrors: api.Errors, balancer.EvidenceConnections: api.Breaks,
+	balancer.EvidenceSilence: api.Silence, balancer.EvidenceRejections: api.Full}
 
 // echo tells for how long the loop has left a word untaken: one that is jammed must not be believed. Set by the loop, read by
 // the breakers' thread.
--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -24,7 +24,7 @@
 // breakersRig is the breakers' part without its thread: n0 at makati, beside n1 at cebu and n2 at davao.
 func breakersRig(t *testing.T, d trialDuties) *breakers {
 	s := &sharing{self: api.Member{Name: "n0", Site: "makati"}, clock: newClock(),
-		reports: ring.New[string, word](reportsMost), verdicts: ring.New[string, balancer.Hearsay](verdictMost)}
+		reports: ring.New[string, word](reportsMost), verdicts: ring.New[string, balancer.PeerVerdict](verdictMost)}
 	s.dir = newDirectory(s.clock, func(string) {})
 	index := int64(1)
 	s.dir.apply(&listing{Index: &index, Snapshot: true, Endpoints: []endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "davao", Status: statusReady, SinceMs: 5},
@@ -46,7 +46,7 @@
 }
 
 // told is the newest verdict on s-1.
-func (p *breakers) told(t *testing.T) balancer.Hearsay {
+func (p *breakers) told(t *testing.T) balancer.PeerVerdict {
 	t.Helper()
 	for h, ok := p.s.verdicts.Take(); ok; h, ok = p.s.verdicts.Take() {
 		if h.Upstream == "s-1" {
@@ -54,7 +54,7 @@
 		}
 	}
 	t.Fatal("no verdict")
-	return balancer.Hearsay{}
+	return balancer.PeerVerdict{}
 }
 
 func (p *breakers) blame() {
@@ -72,21 +72,21 @@
 		p.loopSaid(word{api.Report{Upstream: "s-1", SinceMs: 5, State: state, Evidence: api.Silence}, true})
 	}
 	p.blame()
-	if h := p.told(t); h.Until == 0 || h.Tries != balancer.TriesEach || !d.wished["trials/s-1"] {
+	if h := p.told(t); h.Until == 0 || h.Probes != balancer.ProbeByEach || !d.wished["trials/s-1"] {
 		t.Fatalf("told %+v, wished %v", h, d.wished)
 	}
 	result(api.Closed) // not held: says nothing
 	d.held = true
 	p.handle(p.hold(p.s.clock.now()))
-	if h := p.told(t); h.Tries != balancer.TriesOurs || h.Share != 0 {
+	if h := p.told(t); h.Probes != balancer.ProbeBySelf || h.PassFraction != 0 {
 		t.Fatalf("held, and told %+v", h)
 	}
 	result(api.Closed)
-	if h := p.told(t); h.Share == 0 || h.Until == 0 {
+	if h := p.told(t); h.PassFraction == 0 || h.Until == 0 {
 		t.Fatalf("after one step told %+v", h)
 	}
 	result(api.Open)
-	if h := p.told(t); h.Share != 0 || h.Until == 0 {
+	if h := p.told(t); h.PassFraction != 0 || h.Until == 0 {
 		t.Fatalf("after a trial that failed told %+v", h)
 	}
 	result(api.Closed)
@@ -94,7 +94,7 @@
 	d.held = false // the lease ends in the middle of it
 	result(api.Closed)
 	p.handle(p.hold(p.s.clock.now()))
-	if h := p.told(t); h.Until == 0 || h.Tries == balancer.TriesOurs {
+	if h := p.told(t); h.Until == 0 || h.Probes == balancer.ProbeBySelf {
 		t.Fatalf("closed without the lease: told %+v", h)
 	}
 	d.epoch, d.held = 4, true
@@ -102,7 +102,7 @@
 	for range breaker.Steps {
 		result(api.Closed)
 	}
-	if h := p.told(t); h.Until != 0 || !h.Tried || d.wished["trials/s-1"] {
+	if h := p.told(t); h.Until != 0 || !h.ProbeSucceeded || d.wished["trials/s-1"] {
 		t.Fatalf("closed, and told %+v, wished %v", h, d.wished)
 	}
 	if p.board.Round("s-1") != 1 {
@@ -113,8 +113,8 @@
 // What this sidecar says is said again until taken back, or until the upstream is another; a jammed loop is doubted.
 func TestReportsAreSaidAgain(t *testing.T) {
 	p := breakersRig(t, nil)
-	p.s.report(&balancer.Action{Kind: balancer.Report, Upstream: "s-1", Evidence: balancer.BySilence, Count: 2})
-	p.s.report(&balancer.Action{Kind: balancer.Report, Upstream: "s-2", Class: "c", Evidence: balancer.ByErrors, Count: 4})
+	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 2})
+	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c", Evidence: balancer.EvidenceErrors, Count: 4})
 	for w, ok := p.s.reports.Take(); ok; w, ok = p.s.reports.Take() {
 		p.loopSaid(w)
 	}
@@ -136,7 +136,7 @@
 	index := int64(2)
 	p.s.dir.apply(&listing{Index: &index, Endpoints: []endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "davao", Status: statusReady, SinceMs: 9}}})
 	p.look()
-	p.s.report(&balancer.Action{Kind: balancer.Report, Upstream: "s-2", Class: "c"})
+	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c"})
 	w, _ := p.s.reports.Take()
 	if p.loopSaid(w); len(p.own) != 0 {
 		t.Errorf("still says %v", p.own)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -156,7 +156,7 @@
 
 // complete fills in what a sidecar does where the settings say nothing.
 func (c *Config) complete(s wire.Settings) wire.Settings {
-	s.Reports = c.Peers != nil
+	s.ShareEvidence = c.Peers != nil
 	if s.ConnectTimeout == 0 {
 		s.ConnectTimeout = connectDefault
 	}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -81,11 +81,11 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Limits != (Limits{0.05, 32, 256}) || s.Balancers != 30 || s.MaxAttempts != 1 || s.Cancelling || s.SecondCopies || s.MustSubscribe ||
-		s.MaxRetryAfter != 0 || s.ConnIdle < 24*365*time.Hour || s.ConnectTimeout != 200*time.Millisecond || s.WorthByWork || s.Zone != "" {
+	if c.Limits != (Limits{0.05, 32, 256}) || s.FleetSize != 30 || s.MaxAttempts != 1 || s.Cancellation || s.Hedging || s.MustSubscribe ||
+		s.MaxRetryAfter != 0 || s.ConnIdle < 24*365*time.Hour || s.ConnectTimeout != 200*time.Millisecond || s.WeightByWork || s.Zone != "" {
 		t.Errorf("read as %+v, %+v", c.Limits, s)
 	}
-	if k := s.Classes[1]; k.Effect != balancer.Keyed || k.Group != balancer.GroupCell || k.Window != 300500*time.Microsecond || k.Deadline != 6*time.Second {
+	if k := s.Classes[1]; k.Idempotency != balancer.IdempotentByKey || k.KeyScope != balancer.KeyScopeCell || k.DedupWindow != 300500*time.Microsecond || k.Deadline != 6*time.Second {
 		t.Errorf("keyed class read as %+v", k)
 	}
 	for name, change := range map[string][2]string{
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -69,7 +69,7 @@
 			t.Run(name+" "+class, func(t *testing.T) {
 				s := newUpstream(t, says(ok200("")))
 				c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
-				c.Settings.Cancelling = false
+				c.Settings.Cancellation = false
 				g := newGate(c, s.address)
 				r := start(t, c, "127.0.0.1:0")
 				p := dialRaw(t, r.address)
@@ -139,8 +139,8 @@
 			c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 			const window = time.Second
 			for i := range c.Settings.Classes {
-				if c.Settings.Classes[i].Effect == balancer.Keyed {
-					c.Settings.Classes[i].Window = window
+				if c.Settings.Classes[i].Idempotency == balancer.IdempotentByKey {
+					c.Settings.Classes[i].DedupWindow = window
 				}
 			}
 			g := newGate(c, s.address)
@@ -281,7 +281,7 @@
 				u.awaitRest(t)
 				body := strconv.Itoa(i)
 				rep := u.attempt(t.Context(), "s", testRequest("POST", body), 0)
-				for rep.result == balancer.ConnectFailed || rep.result == balancer.Moot { // seen just then: it never ran
+				for rep.result == balancer.ConnectFailed || rep.result == balancer.NotSent { // seen just then: it never ran
 					rep = u.attempt(t.Context(), "s", testRequest("POST", body), 0)
 				}
 				if string(rep.body) != "for "+body {
--- a/internal/sidecar/directory.go
+++ b/internal/sidecar/directory.go
@@ -120,13 +120,13 @@
 }
 
 // apply takes in a message and translates it for the module.
-func (d *directory) apply(l *listing) balancer.Members {
-	m := balancer.Members{Kind: balancer.Change, Entries: make([]balancer.Member, 0, len(l.Endpoints))}
+func (d *directory) apply(l *listing) balancer.EndpointUpdate {
+	m := balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
 	d.mu.Lock()
 	d.index = *l.Index
 	before := map[string]endpoint{}
 	if l.Snapshot {
-		m.Kind = balancer.Full
+		m.Kind = balancer.FullState
 		before, d.entries = d.entries, map[string]endpoint{}
 	}
 	for _, e := range l.Endpoints {
@@ -138,7 +138,7 @@
 		} else {
 			delete(d.entries, e.Name)
 		}
-		m.Entries = append(m.Entries, d.member(e))
+		m.Endpoints = append(m.Endpoints, d.member(e))
 	}
 	var dropped []string
 	for name, old := range before {
@@ -159,23 +159,23 @@
 }
 
 // member is what the module is told of an entry.
-func (d *directory) member(e endpoint) balancer.Member {
-	m := balancer.Member{Upstream: e.Name, Zone: e.Zone, Machine: e.Type, Cell: e.Group, State: balancer.Left,
-		CameUp: d.clock.unixMs(e.SinceMs), Weight: e.Weight}
+func (d *directory) member(e endpoint) balancer.Endpoint {
+	m := balancer.Endpoint{Upstream: e.Name, Zone: e.Zone, Machine: e.Type, Cell: e.Group, State: balancer.Removed,
+		StartedAt: d.clock.unixMs(e.SinceMs), Weight: e.Weight}
 	switch e.Status {
 	case statusReady:
 		m.State = balancer.Active
 	case statusTerminating:
-		m.State = balancer.Leaving
+		m.State = balancer.Draining
 	}
 	return m
 }
 
 // saved is the list as it stands, for the module.
-func (d *directory) saved() balancer.Members {
-	m := balancer.Members{Kind: balancer.Saved}
+func (d *directory) saved() balancer.EndpointUpdate {
+	m := balancer.EndpointUpdate{Kind: balancer.Cached}
 	for _, e := range d.whole().Endpoints {
-		m.Entries = append(m.Entries, d.member(e))
+		m.Endpoints = append(m.Endpoints, d.member(e))
 	}
 	return m
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -36,7 +36,7 @@
 	service *service // nil: the list is all that is asked for
 	client  *http.Client
 	index   int64
-	report  func(balancer.Members)
+	report  func(balancer.EndpointUpdate)
 	asked   chan struct{} // holds one: the module asked for a watch
 	turned  chan struct{} // holds one: discovery has moved
 
@@ -50,7 +50,7 @@
 // another watch begins at the new address.
 var errMoved = errors.New("discovery has moved")
 
-func newWatcher(c *Config, dir *directory, report func(balancer.Members)) *watcher {
+func newWatcher(c *Config, dir *directory, report func(balancer.EndpointUpdate)) *watcher {
 	w := &watcher{address: c.Discovery, dir: dir, report: report,
 		asked: make(chan struct{}, 1), turned: make(chan struct{}, 1)}
 	if c.Known != nil {
@@ -134,7 +134,7 @@
 		standing = errors.Is(context.Cause(at), errMoved)
 		end(nil)
 		if moduleAsks && !standing && ctx.Err() == nil {
-			w.report(balancer.Members{Kind: balancer.Failed})
+			w.report(balancer.EndpointUpdate{Kind: balancer.WatchFailed})
 		}
 	}
 }
@@ -181,7 +181,7 @@
 		},
 		Stands: func() {
 			wait = rewatchFirst
-			w.report(balancer.Members{Kind: balancer.Change})
+			w.report(balancer.EndpointUpdate{Kind: balancer.Delta})
 		},
 		Says: func(_ string, why error) { warn(ofDiscovery, "watch ended", why) },
 		Wait: func() time.Duration {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -18,14 +18,14 @@
 )
 
 // follow runs a watcher as a module would that asks again at once.
-func follow(t *testing.T, d *fakeDiscovery, known ...string) (*directory, chan balancer.Members) {
+func follow(t *testing.T, d *fakeDiscovery, known ...string) (*directory, chan balancer.EndpointUpdate) {
 	t.Helper()
-	told := make(chan balancer.Members, 64)
+	told := make(chan balancer.EndpointUpdate, 64)
 	u := testUpstreams(t, 4, known...)
 	var w *watcher
-	w = newWatcher(testConfig(t, d.address, known...), u.dir, func(m balancer.Members) {
+	w = newWatcher(testConfig(t, d.address, known...), u.dir, func(m balancer.EndpointUpdate) {
 		told <- m
-		if m.Kind == balancer.Failed {
+		if m.Kind == balancer.WatchFailed {
 			w.ask()
 		}
 	})
@@ -39,7 +39,7 @@
 	return u.dir, told
 }
 
-func next(t *testing.T, told chan balancer.Members) balancer.Members {
+func next(t *testing.T, told chan balancer.EndpointUpdate) balancer.EndpointUpdate {
 	t.Helper()
 	select {
 	case m := <-told:
@@ -60,12 +60,12 @@
 	})
 	dir, told := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
 	m := next(t, told)
-	if m.Kind != balancer.Change || len(m.Entries) != 2 || m.Entries[0].State != balancer.Active ||
-		m.Entries[1].State != balancer.Leaving || m.Entries[0].Machine != "m" || m.Entries[0].Zone != "a" ||
-		m.Entries[0].Weight != 3 {
+	if m.Kind != balancer.Delta || len(m.Endpoints) != 2 || m.Endpoints[0].State != balancer.Active ||
+		m.Endpoints[1].State != balancer.Draining || m.Endpoints[0].Machine != "m" || m.Endpoints[0].Zone != "a" ||
+		m.Endpoints[0].Weight != 3 {
 		t.Errorf("changes told as %+v", m)
 	}
-	if m = next(t, told); m.Kind != balancer.Full || len(m.Entries) != 1 {
+	if m = next(t, told); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
 		t.Errorf("snapshot told as %+v", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
@@ -97,10 +97,10 @@
 				<-done
 			})
 			dir, told := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
-			if m := next(t, told); m.Kind != balancer.Change {
+			if m := next(t, told); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
-			if m := next(t, told); m.Kind != balancer.Failed {
+			if m := next(t, told); m.Kind != balancer.WatchFailed {
 				t.Errorf("told %+v", m)
 			}
 			eventually(t, "asked again", func() bool { return len(d.watches()) == 2 })
@@ -124,7 +124,7 @@
 	})
 	dir, told := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the answer and the news, nothing for the second empty line
-		if m := next(t, told); m.Kind != balancer.Change || len(m.Entries) != 0 {
+		if m := next(t, told); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
 			t.Errorf("told %+v", m)
 		}
 	}
@@ -145,8 +145,8 @@
 			<-done
 		}
 	})
-	told := make(chan balancer.Members, 4)
-	w := newWatcher(testConfig(t, d.address), testUpstreams(t, 4).dir, func(m balancer.Members) { told <- m })
+	told := make(chan balancer.EndpointUpdate, 4)
+	w := newWatcher(testConfig(t, d.address), testUpstreams(t, 4).dir, func(m balancer.EndpointUpdate) { told <- m })
 	done := make(chan struct{})
 	go func() {
 		w.run(t.Context(), false)
@@ -154,7 +154,7 @@
 	}()
 	t.Cleanup(func() { <-done })
 	for range 2 {
-		if m := next(t, told); m.Kind != balancer.Change {
+		if m := next(t, told); m.Kind != balancer.Delta {
 			t.Errorf("told %+v", m)
 		}
 	}
@@ -194,9 +194,9 @@
 				send(list(6, false, entry("b", "127.0.0.2:2", "Ready")))
 				<-done
 			})
-			told := make(chan balancer.Members, 64)
+			told := make(chan balancer.EndpointUpdate, 64)
 			u := testUpstreams(t, 4)
-			w := newWatcher(testConfig(t, before.address), u.dir, func(m balancer.Members) { told <- m })
+			w := newWatcher(testConfig(t, before.address), u.dir, func(m balancer.EndpointUpdate) { told <- m })
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
@@ -204,16 +204,16 @@
 				close(done)
 			}()
 			w.ask()
-			if m := next(t, told); m.Kind != balancer.Change {
+			if m := next(t, told); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
 			w.move(after.address)
 			for {
 				m := next(t, told)
-				if m.Kind == balancer.Failed {
+				if m.Kind == balancer.WatchFailed {
 					t.Error("a move was told as a failure")
 				}
-				if len(m.Entries) == 1 {
+				if len(m.Endpoints) == 1 {
 					break
 				}
 			}
@@ -233,9 +233,9 @@
 		for _, late := range []time.Duration{0, time.Millisecond, time.Second} {
 			t.Run(fmt.Sprintf("asks %v, %v after", asks, late), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					told := make(chan balancer.Members, 64)
+					told := make(chan balancer.EndpointUpdate, 64)
 					u := testUpstreams(t, 4, entry("a", "127.0.0.2:1", "Ready"))
-					w := newWatcher(testConfig(t, "127.0.0.1:1"), u.dir, func(m balancer.Members) { told <- m })
+					w := newWatcher(testConfig(t, "127.0.0.1:1"), u.dir, func(m balancer.EndpointUpdate) { told <- m })
 					move := make(chan struct{})
 					w.client.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
 						ours, theirs := net.Pipe()
@@ -333,7 +333,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWatcher(testConfig(t, "127.0.0.1:1"), newDirectory(newClock(), func(string) {}), func(balancer.Members) {})
+				w := newWatcher(testConfig(t, "127.0.0.1:1"), newDirectory(newClock(), func(string) {}), func(balancer.EndpointUpdate) {})
 				dials := agents(w, x.script)
 				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan struct{})
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -27,7 +27,7 @@
 	p.h.giveBack()
 	longest, aim := time.Duration(0), time.Duration(0)
 	for _, class := range p.c.Settings.Classes {
-		longest, aim = max(longest, class.Deadline), max(aim, class.Aim)
+		longest, aim = max(longest, class.Deadline), max(aim, class.LatencyObjective)
 	}
 	killAfter := min(longest, killMost) + killBefore
 	last := time.AfterFunc(killAfter, func() {
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening for peers: %w", err)
 	}
-	f := &forwards{out: newUpstreams(c, clk, forwardOut), in: in, decide: spill.NewDecider(c.Peers.site(c), c.Seed), price: c.Settings.PriceCrossZone,
+	f := &forwards{out: newUpstreams(c, clk, forwardOut), in: in, decide: spill.NewDecider(c.Peers.site(c), c.Seed), price: c.Settings.CrossZoneCost,
 		inHand: map[string]bool{}}
 	f.out.dial = c.dial.from(c.Peers.Forward)
 	f.ctx, f.abort = context.WithCancel(context.Background())
@@ -126,7 +126,7 @@
 	switch rep.result {
 	case balancer.OK:
 		return answer{kind: served, reply: rep}, true
-	case balancer.Overloaded, balancer.ConnectFailed, balancer.Moot:
+	case balancer.Overloaded, balancer.ConnectFailed, balancer.NotSent:
 		f.home.Add(1)
 		return a, false
 	}
--- a/internal/sidecar/forward_test.go
+++ b/internal/sidecar/forward_test.go
@@ -80,7 +80,7 @@
 	up := newUpstream(t, says(ok200("yes")))
 	c := testConfig(t, quiet(t).address, entry("s-1", up.address, "Ready"))
 	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: freeAddress(t), Zone: "a"}
-	c.Settings.Reports = true
+	c.Settings.ShareEvidence = true
 	r := start(t, c, "127.0.0.1:0")
 	for hops, want := range map[string]int{"1": 200, "2": 400, "": 400} {
 		req := request(t, c.Peers.Forward, "confirm", "x")
@@ -115,7 +115,7 @@
 		t.Error("begun at home")
 		return false
 	}}
-	s.classes.Store(&map[string]balancer.Class{"confirm": {Effect: balancer.Unsafe, Deadline: patience}})
+	s.classes.Store(&map[string]balancer.Class{"confirm": {Idempotency: balancer.NotIdempotent, Deadline: patience}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -47,9 +47,9 @@
 
 // inherited is what a process tells the next one.
 type inherited struct {
-	List   *listing         `json:"List"`
-	Banned []string         `json:"Banned"`
-	Learnt *balancer.Learnt `json:"Learnt,omitempty"`
+	List   *listing           `json:"List"`
+	Banned []string           `json:"Banned"`
+	Learnt *balancer.Snapshot `json:"Learnt,omitempty"`
 	// Settings are those of the service; nil: none are followed, or none were told.
 	Settings *state.Settings `json:"Settings,omitempty"`
 }
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	p.loop.send = func(context.Context, string, *clientRequest, time.Duration) reply {
-		return reply{result: balancer.Moot, err: errors.New("nobody sends through a hollow sidecar")}
+		return reply{result: balancer.NotSent, err: errors.New("nobody sends through a hollow sidecar")}
 	}
 	p.watch.report = h.heard(p)
 	if p.service != nil && h.InForce != nil {
@@ -86,11 +86,11 @@
 }
 
 // heard is what the watcher reports to: the loop, and then whoever wants to know.
-func (h Hollow) heard(p *process) func(balancer.Members) {
+func (h Hollow) heard(p *process) func(balancer.EndpointUpdate) {
 	module, states := p.watch.report, map[string]string{}
-	return func(m balancer.Members) {
+	return func(m balancer.EndpointUpdate) {
 		module(m)
-		if m.Entries == nil || m.Kind != balancer.Change && m.Kind != balancer.Full { // no message: a watch stands or failed
+		if m.Endpoints == nil || m.Kind != balancer.Delta && m.Kind != balancer.FullState { // no message: a watch stands or failed
 			return
 		}
 		index, entries := p.up.dir.size()
@@ -104,17 +104,17 @@
 }
 
 // changes tells what a message changes in the entries' states as they were.
-func (h Hollow) changes(m balancer.Members, states map[string]string, index int64) {
-	words := map[balancer.State]string{balancer.Active: statusReady, balancer.Leaving: statusTerminating, balancer.Left: statusGone}
+func (h Hollow) changes(m balancer.EndpointUpdate, states map[string]string, index int64) {
+	words := map[balancer.EndpointState]string{balancer.Active: statusReady, balancer.Draining: statusTerminating, balancer.Removed: statusGone}
 	named := map[string]bool{}
-	for _, e := range m.Entries {
+	for _, e := range m.Endpoints {
 		named[e.Upstream] = true
-		if states[e.Upstream] = words[e.State]; e.State == balancer.Left {
+		if states[e.Upstream] = words[e.State]; e.State == balancer.Removed {
 			delete(states, e.Upstream)
 		}
 		h.Changed(e.Upstream, words[e.State], index)
 	}
-	if m.Kind != balancer.Full {
+	if m.Kind != balancer.FullState {
 		return
 	}
 	for name := range states {
--- a/internal/sidecar/keeper.go
+++ b/internal/sidecar/keeper.go
@@ -31,10 +31,10 @@
 // old one is gone. A nil keeper keeps nothing.
 type keeper struct {
 	store  *state.Store
-	bans   func() []string                // those in force
-	adopt  func(id string)                // takes a ban in that is on disk and not in force
-	list   func() (string, *listing)      // with its source
-	learnt func() (balancer.Learnt, bool) // what the module knows
+	bans   func() []string                  // those in force
+	adopt  func(id string)                  // takes a ban in that is on disk and not in force
+	list   func() (string, *listing)        // with its source
+	learnt func() (balancer.Snapshot, bool) // what the module knows
 	// settings are the service's, with a count of their changes; nil: none are followed.
 	settings func() (*state.Settings, int64)
 	log      func(slog.Level, string, error) // about the disk
--- a/internal/sidecar/keeper_test.go
+++ b/internal/sidecar/keeper_test.go
@@ -173,7 +173,7 @@
 	r.stop()
 	<-r.ended
 	k, err := state.New(dir, "n1").Load(time.Now())
-	if err != nil || k.Crashed || k.List == nil || k.Learnt == nil || len(k.Learnt.Learnt.Upstreams) != 1 {
+	if err != nil || k.Crashed || k.List == nil || k.Learnt == nil || len(k.Learnt.Learnt.Endpoints) != 1 {
 		t.Errorf("after its end: %+v, %v", k, err)
 	}
 }
--- a/internal/sidecar/kept.go
+++ b/internal/sidecar/kept.go
@@ -48,8 +48,8 @@
 		return
 	}
 	age := since(k.Learnt.SavedMs)
-	k.Learnt.Learnt.Pass(age, k.Crashed)
-	note(slog.LevelInfo, ofState, "knows what was learnt", slog.Int("upstreams", len(k.Learnt.Learnt.Upstreams)), millis("age_ms", age))
+	k.Learnt.Learnt.Age(age, k.Crashed)
+	note(slog.LevelInfo, ofState, "knows what was learnt", slog.Int("upstreams", len(k.Learnt.Learnt.Endpoints)), millis("age_ms", age))
 	p.loop.postNews(k.Learnt.Learnt)
 }
 
@@ -93,7 +93,7 @@
 	note(slog.LevelWarn, ofState, "nobody tells a list: the one that was set aside is used", slog.Int("upstreams", len(l.Endpoints)))
 	p.old.Store(p.kept.Suspect)
 	known := p.up.dir.apply(l)
-	known.Kind = balancer.Saved
+	known.Kind = balancer.Cached
 	p.loop.postList(known)
 }
 
@@ -120,9 +120,9 @@
 	if p.service != nil {
 		p.keep.settings = p.service.kept
 	}
-	p.keep.learnt = func() (balancer.Learnt, bool) {
+	p.keep.learnt = func() (balancer.Snapshot, bool) {
 		if !p.loop.started.Load() {
-			return balancer.Learnt{}, false
+			return balancer.Snapshot{}, false
 		}
 		return p.loop.learnt()
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -116,7 +116,7 @@
 }
 
 // learning asks for what the module has learnt; learnt holds one.
-type learning struct{ learnt chan balancer.Learnt }
+type learning struct{ learnt chan balancer.Snapshot }
 
 // abort fails all requests in hand, and has what comes later turned away: the process is about to be killed.
 type abort struct{}
@@ -145,8 +145,8 @@
 }
 
 // learnt asks what the module has learnt; false: it is too busy, or ends.
-func (l *loop) learnt() (balancer.Learnt, bool) {
-	ask := learning{make(chan balancer.Learnt, 1)}
+func (l *loop) learnt() (balancer.Snapshot, bool) {
+	ask := learning{make(chan balancer.Snapshot, 1)}
 	l.postNews(ask)
 	select {
 	case learnt := <-ask.learnt:
@@ -154,10 +154,10 @@
 	case <-time.After(doorWait):
 	case <-l.stop:
 	}
-	return balancer.Learnt{}, false
+	return balancer.Snapshot{}, false
 }
 
-func (l *loop) postList(m balancer.Members) { l.postNews(m) }
+func (l *loop) postList(m balancer.EndpointUpdate) { l.postNews(m) }
 
 // postNews reports what comes before requests that wait: it may forbid what they would be sent to.
 func (l *loop) postNews(e any) {
@@ -168,7 +168,7 @@
 }
 
 // run handles events until stop, beginning with the list as it was last known.
-func (l *loop) run(known balancer.Members) {
+func (l *loop) run(known balancer.EndpointUpdate) {
 	l.handle(known)
 	l.started.Store(true)
 	tell := time.NewTicker(countsEvery)
@@ -180,7 +180,7 @@
 		look = ticker.C
 		l.look(nil)
 	}
-	var verdicts *ring.Ring[string, balancer.Hearsay]
+	var verdicts *ring.Ring[string, balancer.PeerVerdict]
 	if l.shared != nil {
 		verdicts = l.shared.verdicts
 	}
@@ -197,7 +197,7 @@
 		case e := <-l.events:
 			l.event(e)
 		case <-l.timer.C:
-			l.handle(balancer.Wake{})
+			l.handle(balancer.TimerFired{})
 		case <-verdicts.Wake():
 			l.shared.echo.heard(l.clock.now())
 			for h, ok := verdicts.Take(); ok; h, ok = verdicts.Take() {
@@ -238,17 +238,17 @@
 
 func (l *loop) urgent(e any) {
 	switch e := e.(type) {
-	case balancer.Members:
+	case balancer.EndpointUpdate:
 		l.handle(e)
 	case ban:
 		l.handle(e.Ban)
 		close(e.done)
-	case balancer.Learnt:
+	case balancer.Snapshot:
 		l.handle(e)
 	case learning:
-		e.learnt <- l.b.Learnt(l.clock.now())
+		e.learnt <- l.b.Snapshot(l.clock.now())
 	case retune:
-		l.handle(balancer.Retune{Settings: e.settings})
+		l.handle(balancer.SettingsUpdate{Settings: e.settings})
 		l.classes = classTable(e.settings)
 		close(e.done)
 	}
@@ -271,7 +271,7 @@
 			f.expires = r.expires
 		}
 		l.flights[r.id] = f
-		l.handle(balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, Expires: r.expires, Hint: r.hint, Open: r.opened})
+		l.handle(balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, ExpiresAt: r.expires, CostHint: r.hint, BodyPending: r.opened})
 		l.forget(r.id)
 	case whole:
 		l.whole(e)
@@ -294,7 +294,7 @@
 		for id, f := range l.flights {
 			if !f.done {
 				l.finish(id, answer{kind: failed})
-				l.handle(balancer.Gone{ID: id})
+				l.handle(balancer.ClientDisconnected{ID: id})
 				l.forget(id)
 			}
 		}
@@ -305,7 +305,7 @@
 func (l *loop) left(f *flight) {
 	f.done = true
 	l.bad.note("client gone", func() []slog.Attr { return f.attrs(l.clock.now()) })
-	l.handle(balancer.Gone{ID: f.request.id})
+	l.handle(balancer.ClientDisconnected{ID: f.request.id})
 	l.forget(f.request.id)
 }
 
@@ -325,8 +325,8 @@
 		l.left(f)
 		f.request.answer <- answer{kind: left}
 	}
-	l.handle(balancer.Outcome{ID: id, Attempt: e.attempt, Result: e.reply.result,
-		Elapsed: e.at - a.sent, Finished: f.done, Spent: f.request.body.used()})
+	l.handle(balancer.AttemptEnded{ID: id, Attempt: e.attempt, Result: e.reply.result,
+		Elapsed: e.at - a.sent, Final: f.done, BodyConsumed: f.request.body.used()})
 	l.forget(id)
 }
 
@@ -345,7 +345,7 @@
 			context.AfterFunc(a.ctx, func() { over.Stop() })
 		}
 	}
-	l.handle(balancer.Whole{ID: f.request.id, Expires: e.expires})
+	l.handle(balancer.BodyComplete{ID: f.request.id, ExpiresAt: e.expires})
 	l.forget(f.request.id)
 }
 
@@ -359,9 +359,9 @@
 
 func (l *loop) act(a *balancer.Action) {
 	switch a.Kind {
-	case balancer.Send:
+	case balancer.StartAttempt:
 		l.start(a)
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		if f := l.flights[a.ID]; f != nil && a.Attempt < len(f.attempts) {
 			var cause error
 			if f.done {
@@ -369,18 +369,18 @@
 			}
 			f.attempts[a.Attempt].cancel(cause)
 		}
-	case balancer.Refuse:
-		l.finish(a.ID, answer{kind: refused, retryIn: a.RetryIn})
+	case balancer.Reject:
+		l.finish(a.ID, answer{kind: refused, retryIn: a.RetryAfter})
 	case balancer.Fail:
 		l.finish(a.ID, answer{kind: failed})
 	case balancer.SetTimer:
 		l.timer.Reset(a.At - l.clock.now())
 	case balancer.Subscribe:
 		l.ask()
-	case balancer.Report:
+	case balancer.ReportEvidence:
 		l.shared.report(a)
 	case balancer.Log:
-		note(slog.LevelInfo, ofDecisions, a.Text)
+		note(slog.LevelInfo, ofDecisions, a.Text, a.Attrs...)
 	}
 }
 
@@ -432,7 +432,7 @@
 	now := l.clock.now()
 	to := l.bad
 	if a.kind == served {
-		if now-f.taken <= f.request.rules.Aim {
+		if now-f.taken <= f.request.rules.LatencyObjective {
 			return true
 		}
 		to = l.slow
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -25,8 +25,8 @@
 	return &clientRequest{id: id, class: class, expires: l.clock.now() + patience, body: &clientBody{}, answer: make(chan answer, 1)}
 }
 
-func member(name string, state balancer.State) balancer.Member {
-	return balancer.Member{Upstream: name, Zone: "a", State: state}
+func member(name string, state balancer.EndpointState) balancer.Endpoint {
+	return balancer.Endpoint{Upstream: name, Zone: "a", State: state}
 }
 
 // Guards against sends to what a list in the queue already forbids: news of the list goes first.
@@ -39,8 +39,8 @@
 	for _, id := range []string{"1", "2", "3", "4"} {
 		l.post(arrival{l.newRequest(id, "search")})
 	}
-	l.postList(balancer.Members{Kind: balancer.Change, Entries: []balancer.Member{member("drains", balancer.Leaving)}})
-	go l.run(balancer.Members{Kind: balancer.Saved, Entries: []balancer.Member{
+	l.postList(balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{member("drains", balancer.Draining)}})
+	go l.run(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{
 		member("drains", balancer.Active), member("stays", balancer.Active)}})
 	for range 4 {
 		if to := <-sent; to != "stays" {
@@ -56,7 +56,7 @@
 		<-ctx.Done()
 		return reply{result: balancer.OK, body: []byte("late")}
 	})
-	l.handle(balancer.Members{Kind: balancer.Saved, Entries: []balancer.Member{member("s", balancer.Active)}})
+	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{member("s", balancer.Active)}})
 	r := l.newRequest("1", "search")
 	l.event(arrival{r})
 	if len(l.flights["1"].attempts) != 1 {
@@ -86,7 +86,7 @@
 		deadlines <- time.Until(d)
 		return reply{result: balancer.Timeout}
 	})
-	l.handle(balancer.Members{Kind: balancer.Saved, Entries: []balancer.Member{member("s", balancer.Active)}})
+	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{member("s", balancer.Active)}})
 	r := l.newRequest("1", "confirm")
 	r.expires = l.clock.now() + 3*time.Second
 	l.event(arrival{r})
@@ -114,7 +114,7 @@
 		}
 		return reply{result: balancer.OK}
 	})
-	l.handle(balancer.Members{Kind: balancer.Saved, Entries: []balancer.Member{member("s", balancer.Active)}})
+	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{member("s", balancer.Active)}})
 	r := l.newRequest("1", "search")
 	l.event(arrival{r})
 	l.event(<-l.events)
--- a/internal/sidecar/orders_planted_test.go
+++ b/internal/sidecar/orders_planted_test.go
@@ -144,7 +144,7 @@
 		}}
 	}}},
 	{"keyed requests without a window", "longer ago than its window", plant{settings: func(c *Config) {
-		c.Settings.Classes[1].Window = time.Minute
+		c.Settings.Classes[1].DedupWindow = time.Minute
 	}}},
 	{"an end with requests in hand", "was ended at", plant{killsAfter: 700 * milli}},
 }
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -129,8 +129,8 @@
 	w.config = func(address string) *Config {
 		c := testConfig(t, address, known...)
 		s := &c.Settings
-		s.SecondCopies, s.MustSubscribe = false, o.asks
-		s.Classes[1].Window = o.window
+		s.Hedging, s.MustSubscribe = false, o.asks
+		s.Classes[1].DedupWindow = o.window
 		c.dial = w.dial
 		if p.settings != nil {
 			p.settings(c)
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -170,8 +170,8 @@
 	p.dir.apply(c.Known)
 	l := newLoop(b, clk, ctx.Done())
 	asks := c.Settings.MustSubscribe
-	p.w = newWatcher(&c, p.dir, func(m balancer.Members) {
-		if m.Kind == balancer.Failed {
+	p.w = newWatcher(&c, p.dir, func(m balancer.EndpointUpdate) {
+		if m.Kind == balancer.WatchFailed {
 			p.failed.Add(1)
 		}
 		if _, ok := p.dir.place("a"); !ok && p.told.Load() == 0 {
@@ -331,7 +331,7 @@
 				time.Sleep(4 * time.Second)
 				close(late)
 				rep, n := <-ended, <-bytes
-				if drains && (n != 0 || rep.result != balancer.Moot) {
+				if drains && (n != 0 || rep.result != balancer.NotSent) {
 					t.Errorf("moves %v: %d bytes after the drain, result %d", moves, n, rep.result)
 				}
 				if !drains && n == 0 {
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -44,7 +44,7 @@
 			w.service.hear(l.Documents)
 			return nil
 		},
-		Stands: func() { w.report(balancer.Members{Kind: balancer.Change}) },
+		Stands: func() { w.report(balancer.EndpointUpdate{Kind: balancer.Delta}) },
 		Says: func(at string, why error) {
 			note(slog.LevelWarn, ofDiscovery, "watch ended", slog.String("peer", at), slog.Any("err", why))
 		},
--- a/internal/sidecar/replicas_test.go
+++ b/internal/sidecar/replicas_test.go
@@ -15,11 +15,11 @@
 	}
 	one, other := newDiscovery(t, ends), newDiscovery(t, ends)
 	dir, told := follow(t, &fakeDiscovery{address: one.address + "," + other.address}, entry("a", "127.0.0.2:1", "Ready"))
-	if m := next(t, told); m.Kind != balancer.Change || len(m.Entries) != 2 {
+	if m := next(t, told); m.Kind != balancer.Delta || len(m.Endpoints) != 2 {
 		t.Errorf("first told %+v", m)
 	}
 	m := next(t, told)
-	if m.Kind != balancer.Change || len(m.Entries) != 1 || m.Entries[0].Upstream != "b" || m.Entries[0].State != balancer.Leaving {
+	if m.Kind != balancer.Delta || len(m.Endpoints) != 1 || m.Endpoints[0].Upstream != "b" || m.Endpoints[0].State != balancer.Draining {
 		t.Errorf("of a list that is doubted, told %+v", m)
 	}
 	if _, ok := dir.place("a"); !ok {
