--- a/internal/sidecar/report.go
+++ b/internal/sidecar/report.go
@@ -84,7 +84,7 @@
 
 var resultNames = map[balancer.Result]string{balancer.OK: "ok", balancer.ServerError: "error",
 	balancer.Overloaded: "full", balancer.Timeout: "timeout", balancer.ConnectFailed: "connect", balancer.Reset: "reset",
-	balancer.Cancelled: "cancelled", balancer.Moot: "moot"}
+	balancer.Cancelled: "cancelled", balancer.NotSent: "moot"}
 
 var answerNames = map[answerKind]string{served: "served late", refused: "refused", failed: "failed",
 	duplicate: "duplicate"}
@@ -150,7 +150,7 @@
 // ended counts an attempt. One that was never sent tells nothing of its upstream.
 func (c *counts) ended(upstream string, res balancer.Result, took time.Duration) {
 	c.results[res]++
-	if res == balancer.Moot {
+	if res == balancer.NotSent {
 		return
 	}
 	u := c.upstreams[upstream]
@@ -186,7 +186,7 @@
 // attempts is how many attempts had each result, as an attribute of the log.
 func (c *counts) attempts() slog.Attr {
 	var each []any
-	for result := balancer.OK; result <= balancer.Moot; result++ {
+	for result := balancer.OK; result <= balancer.NotSent; result++ {
 		each = append(each, slog.Int(resultNames[result], c.results[result]))
 	}
 	return slog.Group("attempts", each...)
--- a/internal/sidecar/report_test.go
+++ b/internal/sidecar/report_test.go
@@ -14,7 +14,7 @@
 	c.ended("b", balancer.OK, 30*time.Millisecond)
 	c.ended("b", balancer.ServerError, time.Millisecond)
 	c.ended("a", balancer.Timeout, time.Second)
-	c.ended("c", balancer.Moot, 0)
+	c.ended("c", balancer.NotSent, 0)
 	got := c.byUpstream(func(name string) string { return "z" + name })
 	if want := "a@za 0 bad 1, b@zb 2 in 20ms bad 1"; got != want {
 		t.Errorf("worded as %q, want %q", got, want)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -377,14 +377,14 @@
 		return reject(http.StatusBadRequest, "the header names class %q, the path %q", name, inPath)
 	}
 	method := http.MethodPost
-	if class.Effect == balancer.Safe {
+	if class.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
 		return reject(http.StatusMethodNotAllowed, "class %s is asked for with %s", name, method)
 	}
-	if class.Effect == balancer.Keyed && r.Header.Get(headerKey) == "" {
+	if class.Idempotency == balancer.IdempotentByKey && r.Header.Get(headerKey) == "" {
 		return reject(http.StatusBadRequest, "class %s needs an Idempotency-Key", name)
 	}
 	timeout := class.Deadline
--- a/internal/sidecar/service_test.go
+++ b/internal/sidecar/service_test.go
@@ -334,14 +334,14 @@
 			t.Fatalf("answered %+v", a)
 		}
 	}
-	learnt := func() (balancer.LearntUpstream, float64) {
+	learnt := func() (balancer.EndpointSnapshot, float64) {
 		l, ok := p.loop.learnt()
-		if !ok || l.Upstreams["s"].Estimate == 0 {
+		if !ok || l.Endpoints["s"].PeakEWMA == 0 {
 			t.Fatalf("learnt %+v, %v", l, ok)
 		}
-		u := l.Upstreams["s"]
-		u.Age, u.UpFor = 0, 0
-		return u, l.Mean
+		u := l.Endpoints["s"]
+		u.Age, u.Uptime = 0, 0
+		return u, l.MeanLatency
 	}
 	before, mean := learnt()
 	d := document(2, probing)
--- a/internal/sidecar/share.go
+++ b/internal/sidecar/share.go
@@ -39,12 +39,12 @@
 	carrier  *peer.Carrier
 	dir      *directory
 	clock    clock
-	forwards *forwards                            // nil: nothing is forwarded
-	echo     echo                                 // of the loop
-	reports  *ring.Ring[string, word]             // from the loop
-	verdicts *ring.Ring[string, balancer.Hearsay] // to the loop
-	duties   *duties                              // nil: no list service is configured, nothing is held
-	asked    chan chan []breaker.Verdict          // by the door, of the thread of breakers
+	forwards *forwards                                // nil: nothing is forwarded
+	echo     echo                                     // of the loop
+	reports  *ring.Ring[string, word]                 // from the loop
+	verdicts *ring.Ring[string, balancer.PeerVerdict] // to the loop
+	duties   *duties                                  // nil: no list service is configured, nothing is held
+	asked    chan chan []breaker.Verdict              // by the door, of the thread of breakers
 	parts    sync.WaitGroup
 	ctx      context.Context // of the parts
 	stop     context.CancelFunc
@@ -52,7 +52,7 @@
 
 // share begins to take part. An error says what of the configuration can't be used.
 func share(c *Config, dir *directory, clk clock, version string) (*sharing, error) {
-	s := &sharing{dir: dir, clock: clk, asked: make(chan chan []breaker.Verdict), reports: ring.New[string, word](reportsMost), verdicts: ring.New[string, balancer.Hearsay](verdictMost),
+	s := &sharing{dir: dir, clock: clk, asked: make(chan chan []breaker.Verdict), reports: ring.New[string, word](reportsMost), verdicts: ring.New[string, balancer.PeerVerdict](verdictMost),
 		self: api.Member{Name: c.Name, Incarnation: api.Incarnation{StartedMs: time.Now().UnixMilli(), ID: rand.Uint64()},
 			Site: c.Peers.site(c), Version: version, Schema: api.Schema, Forward: cmp.Or(c.Peers.ForwardAs, c.Peers.Forward)}}
 	var err error
--- a/internal/sidecar/share_test.go
+++ b/internal/sidecar/share_test.go
@@ -33,9 +33,9 @@
 		}
 		return true
 	})
-	all[0].report(&balancer.Action{Kind: balancer.Report, Upstream: "s-1", Evidence: balancer.ByErrors, Count: 3})
-	all[1].report(&balancer.Action{Kind: balancer.Report, Upstream: "s-1", Evidence: balancer.BySilence, Count: 3})
-	var h balancer.Hearsay
+	all[0].report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceErrors, Count: 3})
+	all[1].report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 3})
+	var h balancer.PeerVerdict
 	told := func() (ok bool) {
 		h, ok = all[2].verdicts.Take()
 		return ok && h.Upstream != "" // else it only asks whether the loop is alive
@@ -50,7 +50,7 @@
 	if figures := all[2].lines(); !strings.Contains(figures, "gw.peers_present:3|g\n") {
 		t.Errorf("figures:\n%s", figures)
 	}
-	all[0].report(&balancer.Action{Kind: balancer.Report, Upstream: "s-1"})
+	all[0].report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1"})
 	eventually(t, "its end", func() bool { return told() && h.Until == 0 })
 	if h.Upstream != "s-1" || h.Until != 0 {
 		t.Errorf("told %+v of the end", h)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -237,8 +237,8 @@
 	clk := newClock()
 	up := newUpstreams(c, clk, p.most)
 	l := newLoop(b, clk, stop)
-	w := newWatcher(c, up.dir, func(m balancer.Members) {
-		if m.Kind == balancer.Change || m.Kind == balancer.Full {
+	w := newWatcher(c, up.dir, func(m balancer.EndpointUpdate) {
+		if m.Kind == balancer.Delta || m.Kind == balancer.FullState {
 			p.fresh.Store(true)
 		}
 		l.postList(m)
@@ -253,7 +253,7 @@
 
 // begin finds what this process begins with: the list, with the bans in already, and what was learnt. The process before
 // tells it; where there is none, the disk does. An error: the disk is another process's.
-func (p *process) begin() (known balancer.Members, learnt *balancer.Learnt, err error) {
+func (p *process) begin() (known balancer.EndpointUpdate, learnt *balancer.Snapshot, err error) {
 	first, source, banned := p.c.Known, p.c.Discovery, []string(nil)
 	var settings *state.Settings
 	if p.meets {
@@ -285,7 +285,7 @@
 		}
 	}
 	p.settleFirst(settings)
-	known.Kind = balancer.Saved
+	known.Kind = balancer.Cached
 	return known, learnt, nil
 }
 
@@ -448,7 +448,7 @@
 // confirm takes a ban in: in the directory, which what is decided already is held to, and then in the module.
 func confirm(dir *directory, l *loop, id string, lifted bool) error {
 	dir.setBan(id, lifted)
-	b := ban{balancer.Ban{Upstream: id, Lifted: lifted}, make(chan struct{})}
+	b := ban{balancer.Ban{Upstream: id, Cleared: lifted}, make(chan struct{})}
 	late := time.NewTimer(doorWait)
 	defer late.Stop()
 	go l.postNews(b) // ends with the loop
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -154,7 +154,7 @@
 func (u *upstreams) attempt(ctx context.Context, name string, r *clientRequest, before time.Duration) reply {
 	at, ok := u.dir.place(name)
 	if !ok {
-		return reply{result: balancer.Moot}
+		return reply{result: balancer.NotSent}
 	}
 	c := u.take(name, at)
 	if c == nil {
@@ -162,7 +162,7 @@
 		if c, err = u.connect(ctx, name, at); err != nil {
 			switch {
 			case errors.Is(err, errSaturated): // says nothing of the upstream
-				return reply{result: balancer.Moot, err: err}
+				return reply{result: balancer.NotSent, err: err}
 			case errors.Is(ctx.Err(), context.Canceled):
 				return reply{result: balancer.Cancelled, err: err}
 			}
@@ -170,7 +170,7 @@
 		}
 		if err := u.mayBegin(ctx, c, r, before); err != nil { // it took its time; others can use it
 			u.put(c)
-			return reply{result: balancer.Moot, err: err}
+			return reply{result: balancer.NotSent, err: err}
 		}
 	}
 	c.uses++
@@ -303,9 +303,9 @@
 	broken := func(err error) reply {
 		switch {
 		case c.stopped.Load():
-			return reply{result: balancer.Moot, err: err}
+			return reply{result: balancer.NotSent, err: err}
 		case !c.encoded.Load() && r.body.failed() != nil: // by its client; the upstream has no part in it
-			return reply{result: balancer.Moot, err: r.body.failed()}
+			return reply{result: balancer.NotSent, err: r.body.failed()}
 		case timedOut(ctx):
 			return reply{result: balancer.Timeout, err: err}
 		case ctx.Err() != nil:
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -333,11 +333,11 @@
 			t.Fatal(err)
 		}
 		u.dir.apply(parsed(t, list(2, false, entry("s", s.address, status))))
-		if rep, _ := u.exchange(t.Context(), t.Context(), c, testRequest("GET", ""), 0); rep.result != balancer.Moot {
+		if rep, _ := u.exchange(t.Context(), t.Context(), c, testRequest("GET", ""), 0); rep.result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.result)
 		}
 		u.discard(c)
-		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != balancer.Moot {
+		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != balancer.NotSent {
 			t.Errorf("%s: later result %d", status, rep.result)
 		}
 		if n := len(s.requests()); n != 0 {
@@ -465,7 +465,7 @@
 	end := make(chan reply, 1)
 	go func() { end <- u.attempt(ctx, "b", testRequest("GET", ""), 0) }()
 	eventually(t, "the idle connection gave way", func() bool { return a.closed.Load() == 1 && len(b.requests()) == 1 })
-	if rep := u.attempt(t.Context(), "a", testRequest("GET", ""), 0); rep.result != balancer.Moot {
+	if rep := u.attempt(t.Context(), "a", testRequest("GET", ""), 0); rep.result != balancer.NotSent {
 		t.Errorf("result %d over the limit", rep.result)
 	}
 	cancel()
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -12,7 +12,7 @@
 
 // A sidecar starts with what an earlier version of it wrote.
 func TestStoredFormsKeepTheirKeys(t *testing.T) {
-	golden.JSON(t, "stored", &List{}, &Learnt{}, &Life{}, &Settings{}, &balancer.Learnt{})
+	golden.JSON(t, "stored", &List{}, &Learnt{}, &Life{}, &Settings{}, &balancer.Snapshot{})
 }
 
 // testdata/written is a state directory that revision 835c747 wrote. All of it is read: bans, list, estimates and the life of
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -49,8 +49,8 @@
 
 // Learnt is what the decisions had learnt.
 type Learnt struct {
-	SavedMs int64           `json:"SavedMs"`
-	Learnt  balancer.Learnt `json:"Learnt"`
+	SavedMs int64             `json:"SavedMs"`
+	Learnt  balancer.Snapshot `json:"Learnt"`
 }
 
 // Life is one process of the sidecar.
@@ -308,7 +308,7 @@
 }
 
 // WriteLearnt keeps what was learnt.
-func (s *Store) WriteLearnt(l balancer.Learnt, now time.Time) error {
+func (s *Store) WriteLearnt(l balancer.Snapshot, now time.Time) error {
 	text, err := json.Marshal(Learnt{now.UnixMilli(), l})
 	if err != nil {
 		return fmt.Errorf("wording what was learnt: %w", err)
@@ -394,9 +394,9 @@
 	s.Settings = k.settingsSummary(now)
 	if k.Learnt != nil {
 		s.LearntAgeS = now.Sub(time.UnixMilli(k.Learnt.SavedMs)).Seconds()
-		s.LearntOf = len(k.Learnt.Learnt.Upstreams)
-		for _, id := range slices.Sorted(maps.Keys(k.Learnt.Learnt.Upstreams)) {
-			if k.Learnt.Learnt.Upstreams[id].Left > 0 {
+		s.LearntOf = len(k.Learnt.Learnt.Endpoints)
+		for _, id := range slices.Sorted(maps.Keys(k.Learnt.Learnt.Endpoints)) {
+			if k.Learnt.Learnt.Endpoints[id].EjectedFor > 0 {
 				s.Ejected = append(s.Ejected, id)
 			}
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -32,7 +32,7 @@
 	k = s.Begin(k, at)
 	_, err = s.Open(at)
 	err = errors.Join(err, s.Ban("u1", at), s.WriteList("127.0.0.1:1", json.RawMessage(listing), at),
-		s.WriteLearnt(balancer.Learnt{Mean: 1, Upstreams: map[string]balancer.LearntUpstream{"u0": {Estimate: 2, Left: time.Second}}}, at))
+		s.WriteLearnt(balancer.Snapshot{MeanLatency: 1, Endpoints: map[string]balancer.EndpointSnapshot{"u0": {PeakEWMA: 2, EjectedFor: time.Second}}}, at))
 	if settled {
 		err = errors.Join(err, s.Settled())
 	}
--- a/internal/wire/env.go
+++ b/internal/wire/env.go
@@ -72,31 +72,31 @@
 
 func (e *env) settings() balancer.Settings {
 	s := balancer.Settings{
-		Balancers:      count(e.Balancers),
-		Zone:           e.Zone,
-		MustSubscribe:  e.Discovery == "ask",
-		Tick:           duration(e.TickMs),
-		MaxAttempts:    count(e.Limits.SendCap),
-		SecondCopies:   e.Limits.SecondCopies,
-		Cancelling:     e.Limits.Cancelling,
-		RetryAfter:     e.Limits.RetryAfter,
-		MaxRetryAfter:  duration(e.Limits.MaxRetryAfterMs),
-		ConnectTimeout: duration(e.Limits.ConnectTimeoutMs),
-		PriceCrossZone: e.Prices.CrossZone,
-		OverShareWorth: e.OverShareWorth,
-		WorthByWork:    e.WorthBy == "work",
-		ColdFrom:       e.Rules.ColdFrom,
-		WarmUp:         duration(e.Rules.WarmUpMs),
-		FallMultiple:   e.Rules.FallMultiple,
-		FallTime:       duration(e.Rules.FallMs),
+		FleetSize:         count(e.Balancers),
+		Zone:              e.Zone,
+		MustSubscribe:     e.Discovery == "ask",
+		Tick:              duration(e.TickMs),
+		MaxAttempts:       count(e.Limits.SendCap),
+		Hedging:           e.Limits.SecondCopies,
+		Cancellation:      e.Limits.Cancelling,
+		RetryAfter:        e.Limits.RetryAfter,
+		MaxRetryAfter:     duration(e.Limits.MaxRetryAfterMs),
+		ConnectTimeout:    duration(e.Limits.ConnectTimeoutMs),
+		CrossZoneCost:     e.Prices.CrossZone,
+		OverQuotaFraction: e.OverShareWorth,
+		WeightByWork:      e.WorthBy == "work",
+		SlowStartCapacity: e.Rules.ColdFrom,
+		SlowStartWindow:   duration(e.Rules.WarmUpMs),
+		OverloadMultiple:  e.Rules.FallMultiple,
+		OverloadDuration:  duration(e.Rules.FallMs),
 	}
 	for _, c := range e.Classes {
-		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Aim: duration(c.AimMs), AimStretch: c.AimStretch,
-			Deadline: duration(c.DeadlineMs), Worth: c.Importance, LateShare: c.LateShare,
-			Effect: effect(c.Semantics), Group: group(c.KeyScope), Window: duration(c.DedupWindowMs), Stream: c.Stream})
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, LatencyObjective: duration(c.AimMs), ObjectiveStretch: c.AimStretch,
+			Deadline: duration(c.DeadlineMs), PriorityWeight: c.Importance, LateValueFraction: c.LateShare,
+			Idempotency: effect(c.Semantics), KeyScope: group(c.KeyScope), DedupWindow: duration(c.DedupWindowMs), Stream: c.Stream})
 	}
 	for _, t := range e.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Fraction: t.Fraction})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Fraction})
 	}
 	return s
 }
@@ -104,26 +104,26 @@
 // count takes a whole number that may be written with a fraction of 0. One too large for its type stands for many.
 func count(x float64) int { return int(min(max(x, -1), math.MaxInt32)) }
 
-func effect(word string) balancer.Effect {
+func effect(word string) balancer.Idempotency {
 	switch word {
 	case "retryable":
-		return balancer.Safe
+		return balancer.Idempotent
 	case "dedup":
-		return balancer.Keyed
+		return balancer.IdempotentByKey
 	case "fragile":
-		return balancer.Unsafe
+		return balancer.NotIdempotent
 	}
 	return unknownWord
 }
 
-func group(word string) balancer.Group {
+func group(word string) balancer.KeyScope {
 	switch word {
 	case "", "all":
-		return balancer.GroupAll
+		return balancer.KeyScopeAll
 	case "zone":
-		return balancer.GroupZone
+		return balancer.KeyScopeZone
 	case "cell":
-		return balancer.GroupCell
+		return balancer.KeyScopeCell
 	}
 	return unknownWord
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -44,8 +44,8 @@
 	for _, code := range []int{200, 429, 408, 521, 520, 444, 409, 500} {
 		fmt.Fprint(&text, int(result(code)), " ")
 	}
-	for kind := balancer.Send; kind <= balancer.Log; kind++ {
-		encoded, err := json.Marshal(encode(1, &balancer.Action{Kind: kind, ID: "r", Upstream: "u", Attempt: 2, Timeout: 3e6, RetryIn: 4e6, At: 5e6, Text: "x"}))
+	for kind := balancer.StartAttempt; kind <= balancer.Log; kind++ {
+		encoded, err := json.Marshal(encode(1, &balancer.Action{Kind: kind, ID: "r", Upstream: "u", Attempt: 2, Timeout: 3e6, RetryAfter: 4e6, At: 5e6, Text: "x"}))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -73,14 +73,14 @@
 // host is the table of instances in this process, and the numbered lists they share as messages.
 type host struct {
 	instances map[int]*balancer.Balancer
-	tables    map[int][]balancer.Member
+	tables    map[int][]balancer.Endpoint
 	acts      []balancer.Action
 }
 
 // Serve answers batches from in on out until in ends. Its error names the line that could not be handled.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Member{}}
+	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Endpoint{}}
 	for line := 1; ; line++ {
 		text, err := readLine(r)
 		if err == io.EOF {
@@ -180,45 +180,45 @@
 func (h *host) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case "Topology":
-		kinds := map[string]balancer.MembersKind{"INCREMENTAL": balancer.Change, "FULL": balancer.Full,
-			"SAVED": balancer.Saved, "FAILED": balancer.Failed}
+		kinds := map[string]balancer.UpdateKind{"INCREMENTAL": balancer.Delta, "FULL": balancer.FullState,
+			"SAVED": balancer.Cached, "FAILED": balancer.WatchFailed}
 		kind, known := kinds[e.Scope]
 		if !known {
 			return nil
 		}
-		if kind == balancer.Failed {
-			return balancer.Members{Kind: kind}
+		if kind == balancer.WatchFailed {
+			return balancer.EndpointUpdate{Kind: kind}
 		}
-		return balancer.Members{Kind: kind, Entries: h.tables[e.Table]}
+		return balancer.EndpointUpdate{Kind: kind, Endpoints: h.tables[e.Table]}
 	case "Order":
-		r := balancer.Request{ID: e.ID, Class: e.Type, Expires: duration(e.ExpiresMs)}
+		r := balancer.Request{ID: e.ID, Class: e.Type, ExpiresAt: duration(e.ExpiresMs)}
 		r.Tenant, _ = e.Billing.(string)
 		if e.Bits&hintValid != 0 {
-			r.Hint = duration(e.PredictedMs)
+			r.CostHint = duration(e.PredictedMs)
 		}
 		return r
 	case "FirstByte":
 		return balancer.FirstByte{ID: e.ID, Attempt: e.Hop}
 	case "Returned":
-		return balancer.Outcome{ID: e.ID, Attempt: e.Hop, Result: result(e.Result),
-			Elapsed: duration(e.ElapsedMs), Finished: e.Finished}
+		return balancer.AttemptEnded{ID: e.ID, Attempt: e.Hop, Result: result(e.Result),
+			Elapsed: duration(e.ElapsedMs), Final: e.Finished}
 	case "Hangup":
-		return balancer.Gone{ID: e.ID}
+		return balancer.ClientDisconnected{ID: e.ID}
 	case "Wakeup":
-		return balancer.Wake{}
+		return balancer.TimerFired{}
 	}
 	return nil
 }
 
 func encode(inst int, a *balancer.Action) action {
 	switch a.Kind {
-	case balancer.Send:
+	case balancer.StartAttempt:
 		return action{Verb: "Try", I: inst, ID: a.ID, Upstream: a.Upstream, LimitMs: millis(a.Timeout)}
-	case balancer.Cancel:
+	case balancer.CancelAttempt:
 		hop := a.Attempt
 		return action{Verb: "Retract", I: inst, ID: a.ID, Hop: &hop}
-	case balancer.Refuse:
-		return action{Verb: "Refuse", I: inst, ID: a.ID, RetryInMs: millis(a.RetryIn)}
+	case balancer.Reject:
+		return action{Verb: "Refuse", I: inst, ID: a.ID, RetryInMs: millis(a.RetryAfter)}
 	case balancer.Fail:
 		return action{Verb: "Error", I: inst, ID: a.ID}
 	case balancer.SetTimer:
@@ -226,7 +226,7 @@
 	case balancer.Subscribe:
 		return action{Verb: "Watch", I: inst, Enable: true}
 	case balancer.Log:
-		return action{Verb: "Emit", I: inst, ReasonText: a.Text}
+		return action{Verb: "Emit", I: inst, ReasonText: a.LogLine()}
 	}
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
@@ -247,21 +247,21 @@
 	case 444:
 		return balancer.Cancelled
 	case 409:
-		return balancer.Moot
+		return balancer.NotSent
 	}
 	return balancer.ServerError
 }
 
-func members(entries []entry) []balancer.Member {
-	states := map[string]balancer.State{"active": balancer.Active, "leaving": balancer.Leaving}
-	list := make([]balancer.Member, len(entries))
+func members(entries []entry) []balancer.Endpoint {
+	states := map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining}
+	list := make([]balancer.Endpoint, len(entries))
 	for i, e := range entries {
 		state, known := states[e.StageState]
 		if !known {
-			state = balancer.Left // gone, or in a state that promises nothing
+			state = balancer.Removed // gone, or in a state that promises nothing
 		}
-		list[i] = balancer.Member{Upstream: e.Upstream, Zone: e.RackZone, Cell: e.Cell, Machine: e.Machine,
-			State: state, CameUp: duration(e.CameUpMs), Weight: e.Weight}
+		list[i] = balancer.Endpoint{Upstream: e.Upstream, Zone: e.RackZone, Cell: e.Cell, Machine: e.Machine,
+			State: state, StartedAt: duration(e.CameUpMs), Weight: e.Weight}
 	}
 	return list
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -53,7 +53,7 @@
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0}]}\n":            "no Env",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{}}]}\n": "setting Classes",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"Order\",\"I\":\"x\"}]}\n":          "line 1: event 0",
-		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{\"Classes\":[{\"Name\":\"a\",\"Semantics\":\"odd\",\"AimMs\":1,\"DeadlineMs\":1}]}}]}\n": "Effect",
+		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{\"Classes\":[{\"Name\":\"a\",\"Semantics\":\"odd\",\"AimMs\":1,\"DeadlineMs\":1}]}}]}\n": "Idempotency",
 	} {
 		if _, err := serve(t, in); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v, want %q", in, err, want)
@@ -67,14 +67,14 @@
 // A panic in a decision becomes a BailOut with its text, and keeps the actions before it.
 func TestPanicBecomesBailOut(t *testing.T) {
 	h := &host{}
-	got := h.decide(nil, 0, 3, balancer.Wake{}, []action{{Verb: "Emit"}})
+	got := h.decide(nil, 0, 3, balancer.TimerFired{}, []action{{Verb: "Emit"}})
 	if len(got) != 2 || got[1].Verb != "BailOut" || got[1].I != 3 || got[1].ReasonText == "" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestEveryActionHasAWireForm(t *testing.T) {
-	for k, want := range map[balancer.ActionKind]string{balancer.Send: "Try", balancer.Cancel: "Retract", balancer.Refuse: "Refuse",
+	for k, want := range map[balancer.ActionKind]string{balancer.StartAttempt: "Try", balancer.CancelAttempt: "Retract", balancer.Reject: "Refuse",
 		balancer.Fail: "Error", balancer.SetTimer: "Defer", balancer.Subscribe: "Watch", balancer.Log: "Emit"} {
 		if got := encode(1, &balancer.Action{Kind: k}).Verb; got != want {
 			t.Errorf("kind %d: %s, want %s", k, got, want)
@@ -83,32 +83,32 @@
 }
 
 func TestTranslate(t *testing.T) {
-	h := &host{tables: map[int][]balancer.Member{3: {{Upstream: "s"}}}}
+	h := &host{tables: map[int][]balancer.Endpoint{3: {{Upstream: "s"}}}}
 	for _, c := range []struct {
 		e    event
 		want balancer.Event
 	}{
-		{event{Verb: "Hangup", ID: "x"}, balancer.Gone{ID: "x"}},
+		{event{Verb: "Hangup", ID: "x"}, balancer.ClientDisconnected{ID: "x"}},
 		{event{Verb: "FirstByte", ID: "x", Hop: 2}, balancer.FirstByte{ID: "x", Attempt: 2}},
 		{event{Verb: "Order", ID: "x", Type: "c", Billing: "t", ExpiresMs: 1.5, PredictedMs: 2, Bits: 1},
-			balancer.Request{ID: "x", Class: "c", Tenant: "t", Expires: 1500 * time.Microsecond, Hint: 2 * time.Millisecond}},
+			balancer.Request{ID: "x", Class: "c", Tenant: "t", ExpiresAt: 1500 * time.Microsecond, CostHint: 2 * time.Millisecond}},
 		{event{Verb: "Order", ID: "x", Type: "c", Billing: 0.0, PredictedMs: 2}, balancer.Request{ID: "x", Class: "c"}},
 		{event{Verb: "Returned", ID: "x", Hop: 1, Result: 520, ElapsedMs: 3},
-			balancer.Outcome{ID: "x", Attempt: 1, Result: balancer.Reset, Elapsed: 3 * time.Millisecond}},
+			balancer.AttemptEnded{ID: "x", Attempt: 1, Result: balancer.Reset, Elapsed: 3 * time.Millisecond}},
 		{event{Verb: "ProbeDone", Upstream: "s", Result: 200}, nil},
 		{event{Verb: "Heard"}, nil},
-		{event{Verb: "Wakeup"}, balancer.Wake{}},
+		{event{Verb: "Wakeup"}, balancer.TimerFired{}},
 	} {
 		if got := h.translate(&c.e); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.e.Verb, got, c.want)
 		}
 	}
-	m := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3}).(balancer.Members)
-	if m.Kind != balancer.Full || len(m.Entries) != 1 {
+	m := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3}).(balancer.EndpointUpdate)
+	if m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
 		t.Errorf("list: %+v", m)
 	}
 	for code, want := range map[int]balancer.Result{200: balancer.OK, 502: balancer.ServerError, 429: balancer.Overloaded,
-		408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset, 444: balancer.Cancelled, 409: balancer.Moot,
+		408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset, 444: balancer.Cancelled, 409: balancer.NotSent,
 		599: balancer.ServerError} {
 		if got := result(code); got != want {
 			t.Errorf("code %d: %d, want %d", code, got, want)
@@ -146,8 +146,8 @@
 
 // A list entry in a state that is not known gets no work.
 func TestUnknownStateIsNotActive(t *testing.T) {
-	for word, want := range map[string]balancer.State{"active": balancer.Active, "leaving": balancer.Leaving,
-		"left": balancer.Left, "resting": balancer.Left} {
+	for word, want := range map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining,
+		"left": balancer.Removed, "resting": balancer.Removed} {
 		got := members([]entry{{StageState: word, Weight: 3}})[0]
 		if got.State != want || got.Weight != 3 {
 			t.Errorf("%s: %d of weight %v, want %d of 3", word, got.State, got.Weight, want)
