--- a/cmd/orchiddrift/main.go
+++ b/cmd/mosslead-sidecar/main.go
@@ -1,4 +1,4 @@
-// Command orchiddrift is the sidecar: it reads its configuration from the file that GW_CONFIG names, and serves
+// Command mosslead-sidecar is the sidecar: it reads its configuration from the file that GW_CONFIG names, and serves
 // until SIGTERM or SIGINT. On SIGHUP it reads the file again and takes over its settings and the address of discovery.
 package main
 
@@ -15,7 +15,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "orchiddrift:", err)
+		fmt.Fprintln(os.Stderr, "mosslead-sidecar:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/mosslead-sidecar/main_test.go
@@ -191,7 +191,7 @@
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 			t.Errorf("%q: ended with %v", path, err)
 		}
-		if text := stderr.String(); !strings.HasPrefix(text, "orchiddrift: ") || strings.Count(text, "\n") != 1 {
+		if text := stderr.String(); !strings.HasPrefix(text, "mosslead-sidecar: ") || strings.Count(text, "\n") != 1 {
 			t.Errorf("%q: said %q", path, text)
 		}
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -66,7 +66,7 @@
 	root := group(&cobra.Command{
 		Use:   "mosslead",
 		Short: "Carry fleets of sidecars through failures",
-		Long: "mosslead is what stands around the sidecar orchiddrift: the list service, what processes keep on disk, and the " +
+		Long: "mosslead is what stands around the sidecar mosslead-sidecar: the list service, what processes keep on disk, and the " +
 			"laboratory in which fleets of it are broken on purpose.",
 		Example:       "  mosslead registry serve --dev\n  mosslead list get\n  mosslead lab run experiments/crash.toml",
 		Version:       version(),
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -19,7 +19,7 @@
 	c := group(&cobra.Command{
 		Use:     "state",
 		Short:   "Look at what a sidecar keeps on disk, and whether it is whole",
-		Example: "  mosslead state show /var/lib/orchiddrift\n  mosslead state check /var/lib/orchiddrift",
+		Example: "  mosslead state show /var/lib/mosslead-sidecar\n  mosslead state check /var/lib/mosslead-sidecar",
 	})
 	c.AddCommand(a.stateShow(), a.stateCheck(), a.stateRepair())
 	return c
@@ -39,7 +39,7 @@
 	c := &cobra.Command{
 		Use:     "show DIR",
 		Short:   "Show what is kept: bans, the list, what was learnt, the service's settings, how the last process ended",
-		Example: "  mosslead state show /var/lib/orchiddrift\n  mosslead state show DIR -o json | jq .bans",
+		Example: "  mosslead state show /var/lib/mosslead-sidecar\n  mosslead state show DIR -o json | jq .bans",
 		Args:    args(cobra.ExactArgs(1)),
 	}
 	format := outputFlag(c)
@@ -99,7 +99,7 @@
 		Short: "Check that all that is kept is whole; never writes, works beside a running sidecar",
 		Long: "Prints a line for each damage, and exits with 1 where there is any. A write torn by a crash is said and is no damage:\n" +
 			"nothing that was confirmed is lost by it.",
-		Example: "  mosslead state check /var/lib/orchiddrift",
+		Example: "  mosslead state check /var/lib/mosslead-sidecar",
 		Args:    args(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, given []string) error {
 			_, damages, err := summary(given[0])
@@ -126,7 +126,7 @@
 		Use:     "repair DIR",
 		Short:   "Keep what is whole, put the rest into quarantine, and name it",
 		Long:    "Takes the directory's lock, and so refuses while a sidecar writes there.",
-		Example: "  mosslead state repair /var/lib/orchiddrift",
+		Example: "  mosslead state repair /var/lib/mosslead-sidecar",
 		Args:    args(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, given []string) error {
 			if _, _, err := summary(given[0]); err != nil {
--- a/internal/lab/build/build.go
+++ b/internal/lab/build/build.go
@@ -40,17 +40,21 @@
 	}
 }
 
-// Sidecar builds cmd/orchiddrift into a directory, as the deploy file links it, and says from what.
+// sidecarCommands are the folders of the sidecar's command below cmd: the present one, and the one of earlier revisions.
+var sidecarCommands = []string{"mosslead-sidecar", "orchiddrift"}
+
+// Sidecar builds the sidecar's command into a directory, as the deploy file links it, and says from what.
 func Sidecar(ctx context.Context, root, dir string, s Source) (path, from string, err error) {
-	return program(ctx, root, dir, "orchiddrift", s)
+	return program(ctx, root, dir, sidecarCommands, s)
 }
 
 // Service builds cmd/mosslead, of which the list service is a part, into a directory, and says from what.
 func Service(ctx context.Context, root, dir string, s Source) (path, from string, err error) {
-	return program(ctx, root, dir, "mosslead", s)
+	return program(ctx, root, dir, []string{"mosslead"}, s)
 }
 
-func program(ctx context.Context, root, dir, name string, s Source) (path, from string, err error) {
+// program builds the first of the named commands that the tree has.
+func program(ctx context.Context, root, dir string, names []string, s Source) (path, from string, err error) {
 	tree := root
 	if s.Revision == "" && s.Patch != "" {
 		s.Revision = "HEAD"
@@ -71,6 +75,10 @@
 		}
 		from += " with " + s.Patch
 	}
+	name, err := command(tree, names)
+	if err != nil {
+		return "", "", fmt.Errorf("building %s: %w", from, err)
+	}
 	path = filepath.Join(dir, name)
 	if _, err := run(ctx, tree, "go", "build", "-ldflags=-linkmode=external", "-tags="+s.Tags, "-o", path, "./cmd/"+name); err != nil {
 		return "", "", fmt.Errorf("building %s: %w", from, err)
@@ -81,6 +89,16 @@
 	return path, from, nil
 }
 
+// command is the first of the names that is a folder below the tree's cmd.
+func command(tree string, names []string) (string, error) {
+	for _, name := range names {
+		if info, err := os.Stat(filepath.Join(tree, "cmd", name)); err == nil && info.IsDir() {
+			return name, nil
+		}
+	}
+	return "", fmt.Errorf("no command %s", strings.Join(names, " or "))
+}
+
 // workTree says what the work tree is: its revision, and whether it differs.
 func workTree(ctx context.Context, root string) (string, error) {
 	rev, err := run(ctx, root, "git", "rev-parse", "--short=12", "HEAD")
--- a/internal/sidecar/room_test.go
+++ b/internal/sidecar/room_test.go
@@ -283,7 +283,7 @@
 
 // Guards against clients that are held up by idle ones, which take all descriptors that clients may have and come again whenever
 // they are ended: each client that comes from discovery's return on is served within the second that is owed to it. The clock is
-// a fake one, so that a busy machine takes nothing of it; `orchiddrift`'s TestIdleClientsTakeEveryDescriptor has the processes.
+// a fake one, so that a busy machine takes nothing of it; `mosslead-sidecar`'s TestIdleClientsTakeEveryDescriptor has the processes.
 func TestIdleClientsHoldUpNobody(t *testing.T) {
 	hush(t)
 	const most, idle, owed = 20, 120, time.Second
