--- a/cmd/mosslead-sidecar/upgrade_test.go
+++ b/cmd/mosslead-sidecar/upgrade_test.go
@@ -91,8 +91,8 @@
 			until(t, freshDoor, "READY")
 			until(t, freshDoor, "DISABLE b")
 			k, err := statestore.New(kept, "n1").Load(time.Now())
-			if err != nil || len(k.Damages) > 0 || k.Bans["a"] == "" || k.Bans["b"] == "" {
-				t.Errorf("on disk: %v, %v, %v", k.Bans, k.Damages, err)
+			if err != nil || len(k.Corruptions) > 0 || k.Bans["a"] == "" || k.Bans["b"] == "" {
+				t.Errorf("on disk: %v, %v, %v", k.Bans, k.Corruptions, err)
 			}
 			term(t, fresh)
 			if k, err := statestore.New(kept, "n1").Load(time.Now()); err != nil || k.Crashed || len(k.Bans) != 2 {
--- a/internal/circuitbreaker/breaker_test.go
+++ b/internal/circuitbreaker/tracker_test.go
@@ -19,46 +19,46 @@
 var siteNames = []string{"makati", "cebu", "davao", "iloilo"}
 
 // newBoard is n00's at makati, of a fleet of 4 sites with members each and 4 upstreams each, u0 and u4 at makati.
-func newBoard(each int) *Board {
+func newBoard(each int) *VerdictTracker {
 	b := New(Config{Self: "n00", Site: "makati"})
 	var members []message.Member
 	for i := range 4 * each {
 		members = append(members, message.Member{Name: fmt.Sprintf("n%02d", i), Site: siteNames[i%4]})
 	}
-	b.Handle(0, Batch{Roster{members}, Listed{fleet(1)}})
+	b.Handle(0, Batch{Roster{members}, EndpointList{fleet(1)}})
 	return b
 }
 
 func fleet(sinceMs int64) (all []Upstream) {
 	for i := range 16 {
-		all = append(all, Upstream{Name: fmt.Sprint("u", i), Site: siteNames[i%4], SinceMs: sinceMs})
+		all = append(all, Upstream{Name: fmt.Sprint("u", i), Site: siteNames[i%4], StartedMs: sinceMs})
 	}
 	return all
 }
 
 func ill(upstream, class string, e message.Evidence) message.Report {
-	return message.Report{Upstream: upstream, SinceMs: 1, Class: class, State: message.Open, Evidence: e, Count: 3}
+	return message.Report{Upstream: upstream, StartedMs: 1, Class: class, State: message.Open, Evidence: e, Count: 3}
 }
 
-func heard(n int, r message.Report) Heard {
-	return Heard{From: message.Member{Name: fmt.Sprintf("n%02d", n)}, Report: r, TTL: ttl}
+func heard(n int, r message.Report) PeerReport {
+	return PeerReport{From: message.Member{Name: fmt.Sprintf("n%02d", n)}, Report: r, TTL: ttl}
 }
 
-func well(n int, upstream string) Heard {
-	return heard(n, message.Report{Upstream: upstream, SinceMs: 1, State: message.Closed, Count: 1})
+func well(n int, upstream string) PeerReport {
+	return heard(n, message.Report{Upstream: upstream, StartedMs: 1, State: message.Closed, Count: 1})
 }
 
-func (b *Board) isOpen(upstream, class string) bool {
-	old := b.told[subject{upstream, class}]
+func (b *VerdictTracker) isOpen(upstream, class string) bool {
+	old := b.announced[subject{upstream, class}]
 	return old != nil && old.Open
 }
 
 // Each hard case by itself: what is said, and whether u5 (at cebu) is open for n00 then.
 func TestVerdicts(t *testing.T) {
-	silent, errs := ill("u5", "", message.Silence), ill("u5", "", message.Errors)
+	silent, errs := ill("u5", "", message.Silence), ill("u5", "", message.ErrorAnswers)
 	older, doubting, odd, suspect := silent, silent, silent, silent
-	older.SinceMs, doubting.Doubt, odd.Evidence, suspect.Doubt = 0, 0.9, 77, Suspicion
-	most := func(n int) (all Batch) { // of cebu
+	older.StartedMs, doubting.SelfSuspicion, odd.Evidence, suspect.SelfSuspicion = 0, 0.9, 77, Suspicion
+	limit := func(n int) (all Batch) { // of cebu
 		for _, u := range []string{"u1", "u5", "u9"} {
 			all = append(all, heard(n, ill(u, "", message.Silence)))
 		}
@@ -81,7 +81,7 @@
 		{"one site", 3, []Event{heard(1, silent), heard(5, silent), heard(9, silent)}, false},
 		{"the own site, by its paths", 3, []Event{heard(4, silent), heard(8, silent)}, true},
 		{"the own site, by errors", 3, []Event{heard(4, errs), heard(8, errs)}, false},
-		{"the own site contradicts itself", 3, []Event{heard(4, silent), heard(8, silent), Own{well(0, "u5").Report}}, false},
+		{"the own site contradicts itself", 3, []Event{heard(4, silent), heard(8, silent), OwnReport{well(0, "u5").Report}}, false},
 		{"many could have met it", 75, []Event{heard(1, silent), heard(2, silent)}, false},
 		{"many did", 75, []Event{heard(1, silent), heard(2, silent), heard(5, silent), heard(6, silent), heard(3, silent)}, true},
 		{"one site blames, with one more", 75, []Event{heard(1, silent), heard(5, silent), heard(9, silent), heard(13, silent), heard(2, silent)}, false},
@@ -90,15 +90,15 @@
 		{"who doubts itself", 1, []Event{heard(1, silent), heard(2, doubting)}, false},
 		{"suspicions alone", 3, []Event{heard(1, suspect), heard(5, suspect), heard(2, suspect), heard(6, suspect)}, false},
 		{"suspicions beside a breaker", 3, []Event{heard(1, silent), heard(2, suspect), heard(6, suspect)}, true},
-		{"who speaks ill of most of the site", 1, []Event{heard(1, silent), most(2)}, false},
+		{"who speaks ill of most of the site", 1, []Event{heard(1, silent), limit(2)}, false},
 		{"broken links at two sites", 1, []Event{fromAll(1), fromAll(2)}, false},
 		{"who is not present", 1, []Event{heard(1, silent), heard(99, silent)}, false},
-		{"taken back", 1, []Event{heard(1, silent), heard(2, silent), Heard{From: message.Member{Name: "n02"}, Report: silent, Over: true}}, false},
+		{"taken back", 1, []Event{heard(1, silent), heard(2, silent), PeerReport{From: message.Member{Name: "n02"}, Report: silent, Withdrawn: true}}, false},
 		{"others, while its paths from here are well", 3, []Event{heard(1, silent), heard(2, silent), well(4, "u5")}, false},
-		{"a class", 1, []Event{heard(1, ill("u5", "c", message.Errors)), heard(2, ill("u5", "c", message.Errors))}, false},
-		{"another class each", 1, []Event{heard(1, ill("u5", "c", message.Errors)), heard(2, ill("u5", "d", message.Errors))}, false},
-		{"dropped by the list and listed again", 1, []Event{heard(1, silent), heard(2, silent), Listed{fleet(1)[6:]}, Listed{fleet(1)}}, false},
-		{"restarted", 1, []Event{heard(1, silent), heard(2, silent), Listed{fleet(2)}}, false},
+		{"a class", 1, []Event{heard(1, ill("u5", "c", message.ErrorAnswers)), heard(2, ill("u5", "c", message.ErrorAnswers))}, false},
+		{"another class each", 1, []Event{heard(1, ill("u5", "c", message.ErrorAnswers)), heard(2, ill("u5", "d", message.ErrorAnswers))}, false},
+		{"dropped by the list and listed again", 1, []Event{heard(1, silent), heard(2, silent), EndpointList{fleet(1)[6:]}, EndpointList{fleet(1)}}, false},
+		{"restarted", 1, []Event{heard(1, silent), heard(2, silent), EndpointList{fleet(2)}}, false},
 		{"reporters restarted", 1, []Event{heard(1, silent), heard(2, silent), Roster{[]message.Member{
 			{Name: "n01", Site: "cebu", Incarnation: message.Incarnation{StartedMs: 9}}, {Name: "n02", Site: "davao"}}}}, false},
 	} {
@@ -117,14 +117,14 @@
 // Sites that contradict each other, seen from one that says nothing.
 func TestSitesContradict(t *testing.T) {
 	b := newBoard(1)
-	b.c.Site = "quezon"
+	b.config.Site = "quezon"
 	if b.Handle(at, Batch{heard(1, ill("u5", "", message.Silence)), heard(2, ill("u5", "", message.Silence)), well(3, "u5"), well(0, "u5")}); b.isOpen("u5", "") {
 		t.Error("open though as many sites are served")
 	}
-	if b.Handle(at+wellTTL-time.Millisecond, Batch{heard(1, ill("u5", "", message.Silence)), heard(2, ill("u5", "", message.Silence))}); b.isOpen("u5", "") {
+	if b.Handle(at+servedTTL-time.Millisecond, Batch{heard(1, ill("u5", "", message.Silence)), heard(2, ill("u5", "", message.Silence))}); b.isOpen("u5", "") {
 		t.Error("their words do not last")
 	}
-	if b.Handle(at+wellTTL, Tick{}); !b.isOpen("u5", "") {
+	if b.Handle(at+servedTTL, Tick{}); !b.isOpen("u5", "") {
 		t.Error("their words last for ever")
 	}
 }
@@ -132,16 +132,16 @@
 // A board that has just begun opens nothing; one that loses sight of others is no bolder; what stands is not shaken by a little
 // doubt; what served before the trouble marks nobody down.
 func TestCaution(t *testing.T) {
-	two := Batch{heard(1, ill("u5", "", message.Errors)), heard(2, ill("u5", "", message.Errors))}
+	two := Batch{heard(1, ill("u5", "", message.ErrorAnswers)), heard(2, ill("u5", "", message.ErrorAnswers))}
 	b := newBoard(1)
-	if b.Handle(settle/2, two); b.isOpen("u5", "") {
+	if b.Handle(startupTime/2, two); b.isOpen("u5", "") {
 		t.Error("open before the roster can be whole")
 	}
-	if b.Handle(settle, Tick{}); !b.isOpen("u5", "") {
+	if b.Handle(startupTime, Tick{}); !b.isOpen("u5", "") {
 		t.Error("not open after")
 	}
-	unsure := two[1].(Heard)
-	unsure.Report.Doubt = 0.3
+	unsure := two[1].(PeerReport)
+	unsure.Report.SelfSuspicion = 0.3
 	if b.Handle(at, Batch{two[0], unsure}); !b.isOpen("u5", "") {
 		t.Error("closed by a little doubt")
 	}
@@ -155,7 +155,7 @@
 		t.Error("bolder for having lost the others")
 	}
 	b = newBoard(1)
-	b.Handle(at, Own{well(0, "u5").Report})
+	b.Handle(at, OwnReport{well(0, "u5").Report})
 	if b.Handle(at+time.Second, two); !b.isOpen("u5", "") || len(b.scores) > 0 {
 		t.Error("contradicted by what was before")
 	}
@@ -171,22 +171,22 @@
 	b.Handle(at, all)
 	said := 0
 	for _, by := range b.reports {
-		if said += len(by); len(by) > reportersMost {
+		if said += len(by); len(by) > maxReporters {
 			t.Fatalf("%d reporters of one subject", len(by))
 		}
 	}
-	if len(b.reports) > subjectsMost || b.says("n00") > sayMost {
-		t.Errorf("%d subjects, %d of one reporter", len(b.reports), b.says("n00"))
+	if len(b.reports) > maxSubjects || b.subjectsOf("n00") > maxSubjectsOfReporter {
+		t.Errorf("%d subjects, %d of one reporter", len(b.reports), b.subjectsOf("n00"))
 	}
 }
 
 // A process that was stopped, whose loop is jammed, or that lost most of the others doubts itself for a while.
 func TestDoubt(t *testing.T) {
 	now := at
-	d := NewDoubt(now, 100*time.Millisecond)
+	d := NewSelfSuspicion(now, 100*time.Millisecond)
 	look := func(gap time.Duration, present int, loop time.Duration) float64 {
 		now += gap
-		return d.Look(now, present, loop)
+		return d.Check(now, present, loop)
 	}
 	for range 50 {
 		if x := look(110*time.Millisecond, 40, 100*time.Millisecond); x != 0 {
@@ -221,19 +221,19 @@
 // A verdict holds for the class that was spoken of, and lapses with what was said; said anew without anything new it does, too.
 func TestAVerdictEnds(t *testing.T) {
 	b := newBoard(1)
-	b.Handle(at, heard(1, ill("u5", "c", message.Errors)))
-	v := b.Handle(at, heard(2, ill("u5", "c", message.Errors)))
-	if len(v) != 1 || !v[0].Open || v[0].Class != "c" || v[0].For != ttl || !strings.Contains(v[0].Why, "cebu/n01 errors 3") {
+	b.Handle(at, heard(1, ill("u5", "c", message.ErrorAnswers)))
+	v := b.Handle(at, heard(2, ill("u5", "c", message.ErrorAnswers)))
+	if len(v) != 1 || !v[0].Open || v[0].Class != "c" || v[0].For != ttl || !strings.Contains(v[0].Reason, "cebu/n01 errors 3") {
 		t.Fatalf("told %+v", v)
 	}
 	for now := at; now < at+time.Minute; now += time.Second {
-		b.Handle(now, Batch{heard(1, ill("u5", "c", message.Errors)), heard(2, ill("u5", "c", message.Errors))})
-		if open := now <= at+evidenceLasts; b.isOpen("u5", "c") != open {
+		b.Handle(now, Batch{heard(1, ill("u5", "c", message.ErrorAnswers)), heard(2, ill("u5", "c", message.ErrorAnswers))})
+		if open := now <= at+evidenceLifetime; b.isOpen("u5", "c") != open {
 			t.Fatalf("open %v after %v of repeats", !open, now-at)
 		}
 	}
-	if b.Handle(at+2*time.Minute, Tick{}); len(b.reports)+len(b.told) > 0 {
-		t.Errorf("kept %d reports and %d verdicts", len(b.reports), len(b.told))
+	if b.Handle(at+2*time.Minute, Tick{}); len(b.reports)+len(b.announced) > 0 {
+		t.Errorf("kept %d reports and %d verdicts", len(b.reports), len(b.announced))
 	}
 }
 
@@ -242,17 +242,17 @@
 	b := newBoard(1)
 	for i := range 3 {
 		u := fmt.Sprint("u", 4*i)
-		b.Handle(at, heard(1, ill(u, "", message.Errors)))
-		b.Handle(at, Own{well(0, u).Report})
-		b.Handle(at, Heard{From: message.Member{Name: "n01"}, Report: ill(u, "", message.Errors), Over: true})
+		b.Handle(at, heard(1, ill(u, "", message.ErrorAnswers)))
+		b.Handle(at, OwnReport{well(0, u).Report})
+		b.Handle(at, PeerReport{From: message.Member{Name: "n01"}, Report: ill(u, "", message.ErrorAnswers), Withdrawn: true})
 	}
 	later := at + 10*time.Second
-	b.Handle(later, Batch{heard(1, ill("u5", "", message.Errors)), heard(2, ill("u5", "", message.Errors))})
+	b.Handle(later, Batch{heard(1, ill("u5", "", message.ErrorAnswers)), heard(2, ill("u5", "", message.ErrorAnswers))})
 	if b.isOpen("u5", "") {
 		t.Error("believed as if it had never been wrong")
 	}
 	later += 10 * time.Minute
-	b.Handle(later, Batch{heard(1, ill("u6", "", message.Errors)), heard(2, ill("u6", "", message.Errors))})
+	b.Handle(later, Batch{heard(1, ill("u6", "", message.ErrorAnswers)), heard(2, ill("u6", "", message.ErrorAnswers))})
 	if !b.isOpen("u6", "") {
 		t.Error("not forgiven in ten minutes")
 	}
@@ -263,7 +263,7 @@
 	b, opened := newBoard(1), 0
 	for now := at; now < at+20*time.Second; now += 200 * time.Millisecond {
 		over := heard(2, ill("u5", "", message.Silence))
-		over.Over = now/(200*time.Millisecond)%2 == 0
+		over.Withdrawn = now/(200*time.Millisecond)%2 == 0
 		for _, v := range b.Handle(now, Batch{heard(1, ill("u5", "", message.Silence)), over}) {
 			if v.Open {
 				opened++
@@ -279,29 +279,29 @@
 func TestTrialsCloseInSteps(t *testing.T) {
 	b := newBoard(1)
 	b.Handle(at, Batch{heard(1, ill("u5", "", message.Silence)), heard(2, ill("u5", "", message.Silence))})
-	try := func(epoch uint64, step, count int, round uint64) *standing {
-		b.Handle(at, Trial{From: "n01", TTL: ttl, Tried: message.Tried{Upstream: "u5", SinceMs: 1, Epoch: epoch, OK: step > 0, Step: step, Count: count, Round: round}})
-		return b.told[subject{"u5", ""}]
+	try := func(epoch uint64, step, count int, round uint64) *announcement {
+		b.Handle(at, ProbeResult{From: "n01", TTL: ttl, Result: message.ProbeResult{Upstream: "u5", StartedMs: 1, Epoch: epoch, OK: step > 0, Step: step, Count: count, Round: round}})
+		return b.announced[subject{"u5", ""}]
 	}
-	if v := try(7, 0, 0, 0); v.Tries != Others || v.Share != 0 || !v.Open {
+	if v := try(7, 0, 0, 0); v.Probes != ProbeByPeer || v.PassFraction != 0 || !v.Open {
 		t.Fatalf("another holds the trials: %+v", v)
 	}
-	if v := try(7, 1, 1, 0); v.Share != shares[1] {
+	if v := try(7, 1, 1, 0); v.PassFraction != passFractions[1] {
 		t.Fatalf("after one step: %+v", v)
 	}
-	if v := try(6, Steps, 9, 1); v.Share != shares[1] || !v.Open {
+	if v := try(6, ProbeSteps, 9, 1); v.PassFraction != passFractions[1] || !v.Open {
 		t.Fatalf("an earlier epoch was taken: %+v", v)
 	}
-	if v := try(7, Steps, 3, 1); v.Open {
+	if v := try(7, ProbeSteps, 3, 1); v.Open {
 		t.Fatalf("not closed: %+v", v)
 	}
 	b.Handle(at, Batch{heard(3, ill("u5", "", message.Silence)), heard(2, ill("u5", "", message.Silence))})
 	if b.isOpen("u5", "") {
 		t.Error("reports of the round before count")
 	}
-	b.Handle(at, Listed{fleet(2)})
-	if try(9, 1, 1, 5); b.Round("u5") != 0 || b.trials["u5"].epoch != 7 {
-		t.Errorf("of its life before: round %d, epoch %d", b.Round("u5"), b.trials["u5"].epoch)
+	b.Handle(at, EndpointList{fleet(2)})
+	if try(9, 1, 1, 5); b.Round("u5") != 0 || b.probes["u5"].epoch != 7 {
+		t.Errorf("of its life before: round %d, epoch %d", b.Round("u5"), b.probes["u5"].epoch)
 	}
 }
 
@@ -320,9 +320,9 @@
 			}
 		}
 		for holder, epoch := range rapid.SliceOfNDistinct(rapid.Uint64Range(1, 3), 0, 3, rapid.ID).Draw(t, "epochs") {
-			step := rapid.IntRange(0, Steps).Draw(t, "step")
-			events = append(events, Trial{From: fmt.Sprintf("n%02d", holder), TTL: ttl, Tried: message.Tried{Upstream: "u1", SinceMs: 1,
-				Epoch: epoch, OK: step > 0, Step: step, Count: step, Round: uint64(step / Steps)}})
+			step := rapid.IntRange(0, ProbeSteps).Draw(t, "step")
+			events = append(events, ProbeResult{From: fmt.Sprintf("n%02d", holder), TTL: ttl, Result: message.ProbeResult{Upstream: "u1", StartedMs: 1,
+				Epoch: epoch, OK: step > 0, Step: step, Count: step, Round: uint64(step / ProbeSteps)}})
 		}
 		var views [2]string
 		for i := range views {
@@ -330,8 +330,8 @@
 			order := rapid.Permutation(events).Draw(t, "order")
 			b.Handle(at, append(append(Batch{}, order...), order[:len(order)/2]...))
 			for _, s := range b.subjects() {
-				if v := b.told[s]; v.Open {
-					views[i] += fmt.Sprintf("%v %v %v %v\n", s, v.Share, v.Tries, v.Why)
+				if v := b.announced[s]; v.Open {
+					views[i] += fmt.Sprintf("%v %v %v %v\n", s, v.PassFraction, v.Probes, v.Reason)
 				}
 			}
 		}
@@ -348,28 +348,28 @@
 		b, now := newBoard(2), at
 		for ; len(script) >= 4; script = script[4:] {
 			kind, x, y, z := script[0], script[1], script[2], script[3]
-			r := message.Report{Upstream: fmt.Sprint("u", x%20), SinceMs: int64(y % 3), State: message.BreakerState(y % 4), Evidence: message.Evidence(z % 6),
-				Class: strings.Repeat("c", int(z>>6)), Count: int(z) - 9, Doubt: float64(z)/200 - 0.1, Round: uint64(y >> 6)}
+			r := message.Report{Upstream: fmt.Sprint("u", x%20), StartedMs: int64(y % 3), State: message.BreakerState(y % 4), Evidence: message.Evidence(z % 6),
+				Class: strings.Repeat("c", int(z>>6)), Count: int(z) - 9, SelfSuspicion: float64(z)/200 - 0.1, Round: uint64(y >> 6)}
 			var e Event = heard(int(kind>>3), r)
 			switch kind % 8 {
 			case 0:
-				e = Own{r}
+				e = OwnReport{r}
 			case 1:
-				e = Listed{fleet(int64(x % 3))[y%17:]}
+				e = EndpointList{fleet(int64(x % 3))[y%17:]}
 			case 2:
-				e = Trial{From: fmt.Sprintf("n%02d", x%8), TTL: time.Duration(y) * time.Second, Over: z > 200,
-					Tried: message.Tried{Upstream: r.Upstream, SinceMs: 1, Epoch: uint64(y), OK: z%2 == 0, Step: int(z%7) - 1, Round: uint64(z >> 5)}}
+				e = ProbeResult{From: fmt.Sprintf("n%02d", x%8), TTL: time.Duration(y) * time.Second, Withdrawn: z > 200,
+					Result: message.ProbeResult{Upstream: r.Upstream, StartedMs: 1, Epoch: uint64(y), OK: z%2 == 0, Step: int(z%7) - 1, Round: uint64(z >> 5)}}
 			case 3:
-				e = Duty{r.Upstream, z%2 == 0}
+				e = ProbeLeadership{r.Upstream, z%2 == 0}
 			}
 			now += time.Duration(z) * time.Millisecond
 			for _, v := range b.Handle(now, e) {
-				if _, listed := b.listed[v.Upstream]; v.Open && (!listed || v.For <= 0 || v.For > message.TTLMost || v.Share < 0 || v.Share >= 1) {
+				if _, listed := b.listed[v.Upstream]; v.Open && (!listed || v.For <= 0 || v.For > message.MaxTTL || v.PassFraction < 0 || v.PassFraction >= 1) {
 					t.Fatalf("told %+v", v)
 				}
 			}
-			if len(b.reports) > subjectsMost || len(b.trials) > subjectsMost+16 {
-				t.Fatalf("%d subjects, %d trials", len(b.reports), len(b.trials))
+			if len(b.reports) > maxSubjects || len(b.probes) > maxSubjects+16 {
+				t.Fatalf("%d subjects, %d trials", len(b.reports), len(b.probes))
 			}
 		}
 	})
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	if err := errors.Join(s.Ban("u1", time.Now()), s.WriteList("here", json.RawMessage(`{"index":3,"endpoints":[{}]}`), time.Now()),
-		s.WriteSettings(statestore.Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Version: 41}}, time.Now())); err != nil {
+		s.WriteSettings(statestore.Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Revision: 41}}, time.Now())); err != nil {
 		t.Fatal(err)
 	}
 	if status, out, _ := call(t, "state", "check", dir); status != done || out != "" { // beside the process that writes
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -134,31 +134,31 @@
 		return usageError{fmt.Errorf("--output: table or json, not %q", format)}
 	}
 	came := changed{Service: x.service, Outcome: outcomeDone}
-	if x.before.Version == 0 {
-		x.before.Version = max(x.based, 0)
+	if x.before.Revision == 0 {
+		x.before.Revision = max(x.based, 0)
 	}
 	err := ask(c, at, func(ctx context.Context, service *client.Client) (err error) {
 		if x.based < 0 {
-			if x.before, err = service.Document(ctx, x.service, 0, true); err != nil && !api.IsCode(err, api.CodeNone) {
+			if x.before, err = service.Document(ctx, x.service, 0, true); err != nil && !api.IsCode(err, api.CodeNotFound) {
 				return err
 			}
-			none := x.before.Version == 0 || x.before.Deleted
+			none := x.before.Revision == 0 || x.before.Deleted
 			if none && x.text == nil {
-				return api.Fail(api.CodeNone, "there are no settings of %s", x.service)
+				return api.Errorf(api.CodeNotFound, "there are no settings of %s", x.service)
 			}
-			if x.based = x.before.Version; none { // a deletion may be another region's, and is no ground to put on
+			if x.based = x.before.Revision; none { // a deletion may be another region's, and is no ground to put on
 				x.based = 0
 			}
 		}
 		if came.Based = x.based; x.text == nil {
 			came.Version, err = service.Delete(ctx, x.service, x.based)
 		} else {
-			came.Version, err = service.Put(ctx, x.service, api.Put{Schema: x.schema, Settings: x.text, IfVersion: &x.based})
+			came.Version, err = service.Put(ctx, x.service, api.PutRequest{Schema: x.schema, Settings: x.text, IfRevision: &x.based})
 		}
 		return err
 	})
 	var hint string
-	if api.IsCode(err, api.CodeUnknown) {
+	if api.IsCode(err, api.CodeOutcomeUnknown) {
 		came.Lost = true
 		hint, err = a.lookUp(c, at, x, &came, err)
 	}
@@ -178,7 +178,7 @@
 
 // lookUp finds out what became of a change whose answer was lost, in a time of its own.
 func (a *app) lookUp(c *cobra.Command, at string, x change, came *changed, lost error) (hint string, err error) {
-	var fate client.Fate
+	var fate client.WriteOutcome
 	var now api.Document
 	err = ask(c, at, func(ctx context.Context, service *client.Client) (err error) {
 		fate, came.Version, now, err = service.Outcome(ctx, x.service, x.before, x.text)
@@ -189,28 +189,28 @@
 		came.Outcome = outcomeUnknown
 		return "", fmt.Errorf("it is unknown whether the %s was done, or will be: the answer was lost (%w), and so was the look-up (%w); "+
 			"look again with: mosslead config get %s", x.word(), lost, err, x.service)
-	case fate == client.FateDone:
+	case fate == client.OutcomeDone:
 		came.Outcome = outcomeDone
 		hint = fmt.Sprintf("the answer was lost (%v); looked up: the %s was done under version %d", lost, x.word(), came.Version)
-		if now.Version != came.Version {
-			hint += fmt.Sprintf(", and version %d has followed", now.Version)
+		if now.Revision != came.Version {
+			hint += fmt.Sprintf(", and version %d has followed", now.Revision)
 		}
 		return hint, nil
 	}
-	came.Version = now.Version
+	came.Version = now.Revision
 	switch {
-	case fate == client.FateUnknown:
+	case fate == client.OutcomeUnknown:
 		came.Outcome = outcomeUnknown
 		return "", fmt.Errorf("it is unknown whether the %s was done: the answer was lost (%w), and what is remembered does not tell; version %s is "+
-			"there now; look at it with: mosslead config get %s", x.word(), lost, versionWord(now.Version), x.service)
-	case now.Version == x.before.Version:
+			"there now; look at it with: mosslead config get %s", x.word(), lost, versionWord(now.Revision), x.service)
+	case now.Revision == x.before.Revision:
 		came.Outcome = outcomeNot
 		return "", fmt.Errorf("the %s was not done up to now: the answer was lost (%w), and the settings are still at version %s; the call may be on its way "+
-			"yet. Do it again with --if-version %d: only one of the two can be carried out", x.word(), lost, versionWord(now.Version), x.based)
+			"yet. Do it again with --if-version %d: only one of the two can be carried out", x.word(), lost, versionWord(now.Revision), x.based)
 	}
 	came.Outcome = outcomeNot
 	return "", fmt.Errorf("the %s was not done and won't be: the answer was lost (%w), and another change came first; version %d is there now",
-		x.word(), lost, now.Version)
+		x.word(), lost, now.Revision)
 }
 
 func versionWord(v int64) string {
@@ -270,10 +270,10 @@
 func document(ctx context.Context, service *client.Client, name string, version int64) (api.Document, error) {
 	d, err := service.Document(ctx, name, version, true)
 	switch {
-	case err == nil && d.Version == 0 || version == 0 && api.IsCode(err, api.CodeNone):
-		return d, api.Fail(api.CodeNone, "there are no settings of %s", name)
-	case api.IsCode(err, api.CodeNone):
-		return d, api.Fail(api.CodeNone, "version %d of the settings of %s is not remembered", version, name)
+	case err == nil && d.Revision == 0 || version == 0 && api.IsCode(err, api.CodeNotFound):
+		return d, api.Errorf(api.CodeNotFound, "there are no settings of %s", name)
+	case api.IsCode(err, api.CodeNotFound):
+		return d, api.Errorf(api.CodeNotFound, "version %d of the settings of %s is not remembered", version, name)
 	}
 	return d, err
 }
@@ -285,8 +285,8 @@
 	if d.Deleted {
 		schema = "deleted"
 	}
-	return fmt.Sprintf("%s\t%s\t%d\t%s\t%s", d.Service, cmp.Or(d.Region, "-"), d.Version, schema,
-		cmp.Or(strings.Trim(fmt.Sprint(d.Earlier), "[]"), "-"))
+	return fmt.Sprintf("%s\t%s\t%d\t%s\t%s", d.Service, cmp.Or(d.Region, "-"), d.Revision, schema,
+		cmp.Or(strings.Trim(fmt.Sprint(d.EarlierRevisions), "[]"), "-"))
 }
 
 func (a *app) configBack(at *string) *cobra.Command {
@@ -312,12 +312,12 @@
 				return err
 			}
 			switch {
-			case to == now.Version:
+			case to == now.Revision:
 				return fmt.Errorf("version %d is the present one", to)
-			case to == 0 && len(now.Earlier) == 0:
-				return api.Fail(api.CodeNone, "no earlier version of the settings of %s is remembered", given[0])
+			case to == 0 && len(now.EarlierRevisions) == 0:
+				return api.Errorf(api.CodeNotFound, "no earlier version of the settings of %s is remembered", given[0])
 			case to == 0:
-				to = now.Earlier[len(now.Earlier)-1]
+				to = now.EarlierRevisions[len(now.EarlierRevisions)-1]
 			}
 			then, err := document(ctx, service, given[0], to)
 			if err != nil {
@@ -329,7 +329,7 @@
 			if _, err := settings.Check(then.Schema, then.Settings); err != nil {
 				return fmt.Errorf("version %d: %w", to, err)
 			}
-			x.before, x.based, x.schema, x.text = now, now.Version, then.Schema, then.Settings
+			x.before, x.based, x.schema, x.text = now, now.Revision, then.Schema, then.Settings
 			if now.Deleted {
 				x.based = 0
 			}
--- a/internal/cli/config_status.go
+++ b/internal/cli/config_status.go
@@ -70,7 +70,7 @@
 		case len(silent) > 0:
 			return fmt.Errorf("no answer from %s", strings.Join(silent, ", "))
 		case !found:
-			return api.Fail(api.CodeNone, "there are no settings of %s", given[0])
+			return api.Errorf(api.CodeNotFound, "there are no settings of %s", given[0])
 		}
 		return nil
 	}
@@ -89,7 +89,7 @@
 	for _, text := range others {
 		name, list, ok := strings.Cut(text, "=")
 		switch {
-		case !ok || name == "" || len(name) > api.MaxWord:
+		case !ok || name == "" || len(name) > api.MaxLabel:
 			return nil, usageError{fmt.Errorf("--region: NAME=host:port,host:port, not %q", text)}
 		case slices.Contains(names, name):
 			return nil, usageError{fmt.Errorf("--region: %s is there twice", name)}
@@ -137,12 +137,12 @@
 	fmt.Fprintln(w, "service\towner\tversion\tsidecars of\tin force\tbehind\trejected\tunheard")
 	for _, s := range said {
 		for _, r := range s.Rollouts {
-			version := fmt.Sprint(r.Version)
+			version := fmt.Sprint(r.Revision)
 			if r.Deleted {
 				version += " deleted"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", r.Service, cmp.Or(r.Region, "-"), version, cmp.Or(s.Region, "-"), r.InForce, r.Behind,
-				r.Rejected, r.Unheard)
+				r.Rejected, r.Silent)
 		}
 	}
 	for _, s := range said {
@@ -159,34 +159,34 @@
 
 // others names those in whom a document is not in force, and why as far as they say.
 func others(w io.Writer, region string, r api.Rollout) {
-	if len(r.Others) == 0 {
+	if len(r.NotInForce) == 0 {
 		return
 	}
 	where := ""
 	if region != "" {
 		where = " in " + region
 	}
-	fmt.Fprintf(w, "\n%s version %d is not in force%s at:\n", r.Service, r.Version, where)
-	for _, x := range r.Others[:min(len(r.Others), namedMost)] {
+	fmt.Fprintf(w, "\n%s version %d is not in force%s at:\n", r.Service, r.Revision, where)
+	for _, x := range r.NotInForce[:min(len(r.NotInForce), namedMost)] {
 		has := "its file's settings"
-		if x.Version > 0 {
-			has = fmt.Sprint("version ", x.Version)
+		if x.Revision > 0 {
+			has = fmt.Sprint("version ", x.Revision)
 		}
-		if x.Version > 0 && x.Region != r.Region {
+		if x.Revision > 0 && x.Region != r.Region {
 			has += " of " + cmp.Or(x.Region, "no region")
 		}
 		why := ""
 		switch {
 		case x.SilentMs > 0:
 			why = fmt.Sprintf("not heard for %s", (time.Duration(x.SilentMs) * time.Millisecond).Round(time.Second))
-		case x.Rejected > 0:
-			why = fmt.Sprintf("rejected %d: %s", x.Rejected, x.Why)
-		case x.Why != "":
-			why = x.Why
+		case x.RejectedRevision > 0:
+			why = fmt.Sprintf("rejected %d: %s", x.RejectedRevision, x.Reason)
+		case x.Reason != "":
+			why = x.Reason
 		}
 		fmt.Fprintf(w, "  %s\thas %s\t%s\n", x.Node, has, oneLine(why))
 	}
-	if left := r.Behind + r.Rejected + r.Unheard - min(len(r.Others), namedMost); left > 0 {
+	if left := r.Behind + r.Rejected + r.Silent - min(len(r.NotInForce), namedMost); left > 0 {
 		fmt.Fprintf(w, "  and %d more\n", left)
 	}
 }
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -42,13 +42,13 @@
 		now = s.versions[n-1]
 		for _, d := range s.versions[:n-1] {
 			if !d.Deleted {
-				now.Earlier = append(now.Earlier, d.Version)
+				now.EarlierRevisions = append(now.EarlierRevisions, d.Revision)
 			}
 		}
-		now.Earlier = now.Earlier[max(0, len(now.Earlier)-api.MaxEarlier):]
+		now.EarlierRevisions = now.EarlierRevisions[max(0, len(now.EarlierRevisions)-api.MaxEarlierRevisions):]
 	}
 	say := func(x any) { _ = json.NewEncoder(rw).Encode(x) }
-	fail := func(status int, f *api.Failure) {
+	fail := func(status int, f *api.Error) {
 		rw.WriteHeader(status)
 		say(f)
 	}
@@ -57,31 +57,31 @@
 		say(s.rollouts)
 	case path == "/v1/settings":
 		now.Settings = nil
-		say(api.Documents{Version: now.Version, Documents: []api.Document{now}})
+		say(api.Documents{Revision: now.Revision, Documents: []api.Document{now}})
 	case strings.Contains(path, "/versions/"):
 		for _, d := range s.versions {
-			if strings.HasSuffix(path, "/"+versionWord(d.Version)) && (d.Version == now.Version || slices.Contains(now.Earlier, d.Version)) {
+			if strings.HasSuffix(path, "/"+versionWord(d.Revision)) && (d.Revision == now.Revision || slices.Contains(now.EarlierRevisions, d.Revision)) {
 				say(d)
 				return
 			}
 		}
-		fail(http.StatusNotFound, api.Fail(api.CodeNone, "it is remembered no more"))
-	case r.Method == http.MethodGet && now.Version == 0:
-		fail(http.StatusNotFound, api.Fail(api.CodeNone, "none"))
+		fail(http.StatusNotFound, api.Errorf(api.CodeNotFound, "it is remembered no more"))
+	case r.Method == http.MethodGet && now.Revision == 0:
+		fail(http.StatusNotFound, api.Errorf(api.CodeNotFound, "none"))
 	case r.Method == http.MethodGet:
 		say(now)
 	default:
-		var p api.Put
-		if err := json.NewDecoder(r.Body).Decode(&p); err != nil || p.IfVersion == nil {
-			fail(http.StatusBadRequest, api.Fail(api.CodeBad, "%v", err))
+		var p api.PutRequest
+		if err := json.NewDecoder(r.Body).Decode(&p); err != nil || p.IfRevision == nil {
+			fail(http.StatusBadRequest, api.Errorf(api.CodeBadRequest, "%v", err))
 			return
 		}
-		if *p.IfVersion != now.Version && !(*p.IfVersion == 0 && now.Deleted) {
-			fail(http.StatusConflict, api.Fail(api.CodeConflict, "the settings are at version %d", now.Version))
+		if *p.IfRevision != now.Revision && !(*p.IfRevision == 0 && now.Deleted) {
+			fail(http.StatusConflict, api.Errorf(api.CodeConflict, "the settings are at version %d", now.Revision))
 			return
 		}
 		done := func() {
-			s.versions = append(s.versions, api.Document{Service: "orders", Version: now.Version + 7, Schema: max(p.Schema, 1),
+			s.versions = append(s.versions, api.Document{Service: "orders", Revision: now.Revision + 7, Schema: max(p.Schema, 1),
 				Deleted: r.Method == http.MethodPost, Settings: p.Settings})
 		}
 		if lose := s.lose; lose != nil {
@@ -90,7 +90,7 @@
 			panic(http.ErrAbortHandler) // the connection breaks
 		}
 		done()
-		say(api.Done{Version: now.Version + 7})
+		say(api.WriteResult{Revision: now.Revision + 7})
 	}
 }
 
@@ -99,7 +99,7 @@
 	t.Helper()
 	s := &standIn{}
 	for i, text := range texts {
-		s.versions = append(s.versions, api.Document{Service: "orders", Version: int64(7 * (i + 1)), Schema: 1, Settings: json.RawMessage(text)})
+		s.versions = append(s.versions, api.Document{Service: "orders", Revision: int64(7 * (i + 1)), Schema: 1, Settings: json.RawMessage(text)})
 	}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
@@ -235,7 +235,7 @@
 		{"carried out, and another since", 1, func(s *standIn, done func()) { done(); s.add(orders) }, false, outcomeDone, 14, done, "and version 21 has followed"},
 		{"carried out, and many since", 1, func(s *standIn, done func()) {
 			done()
-			for range api.MaxEarlier + 1 {
+			for range api.MaxEarlierRevisions + 1 {
 				s.add(orders)
 			}
 		}, false, outcomeUnknown, 49, failed, "what is remembered does not tell"},
@@ -270,9 +270,9 @@
 func (s *standIn) add(text string) {
 	last := int64(0)
 	if n := len(s.versions); n > 0 {
-		last = s.versions[n-1].Version
+		last = s.versions[n-1].Revision
 	}
-	s.versions = append(s.versions, api.Document{Service: "orders", Version: last + 7, Schema: 1, Settings: json.RawMessage(text)})
+	s.versions = append(s.versions, api.Document{Service: "orders", Revision: last + 7, Schema: 1, Settings: json.RawMessage(text)})
 }
 
 // remove deletes what there is, as another operator.
@@ -317,13 +317,13 @@
 func TestStatusTellsRegionsApart(t *testing.T) {
 	south, at := standsIn(t)
 	north, northAt := standsIn(t)
-	document := api.Document{Service: "orders", Region: "south", Version: 41, Schema: 1}
+	document := api.Document{Service: "orders", Region: "south", Revision: 41, Schema: 1}
 	south.rollouts = api.Rollouts{Region: "south", Rollouts: []api.Rollout{
-		{Document: document, InForce: 7, Behind: 1, Rejected: 1, Unheard: 25, Others: []api.Ack{
-			{Node: "n3", Service: "orders", Region: "south", Version: 40, Rejected: 41, Why: "setting Classes: none\ngiven"}, {Node: "n9", Service: "orders", SilentMs: 181_000}}},
-		{Document: api.Document{Service: "fares", Region: "south", Version: 3, Deleted: true}}}}
+		{Document: document, InForce: 7, Behind: 1, Rejected: 1, Silent: 25, NotInForce: []api.Ack{
+			{Node: "n3", Service: "orders", Region: "south", Revision: 40, RejectedRevision: 41, Reason: "setting Classes: none\ngiven"}, {Node: "n9", Service: "orders", SilentMs: 181_000}}},
+		{Document: api.Document{Service: "fares", Region: "south", Revision: 3, Deleted: true}}}}
 	for range namedMost {
-		south.rollouts.Rollouts[0].Others = append(south.rollouts.Rollouts[0].Others, api.Ack{Node: "n0", Region: "north", Version: 9})
+		south.rollouts.Rollouts[0].NotInForce = append(south.rollouts.Rollouts[0].NotInForce, api.Ack{Node: "n0", Region: "north", Revision: 9})
 	}
 	north.rollouts = api.Rollouts{Region: "north", Rollouts: []api.Rollout{{Document: document, InForce: 5}}}
 	status, out, said := call(t, "config", "status", "--registry", at, "--region", "north="+northAt)
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -21,10 +21,10 @@
 			"  mosslead list register s-1 --address 10.0.0.18:9000 --zone a",
 	})
 	at := registryFlag(c)
-	c.AddCommand(a.listGet(at), a.listWatch(at), a.listRegister(at), a.listHand(at, "drain NAME", api.HandDrain,
+	c.AddCommand(a.listGet(at), a.listWatch(at), a.listRegister(at), a.listHand(at, "drain NAME", api.AdminDrain,
 		"Take nothing new at a server, whatever it says itself, until it is lifted"),
-		a.listHand(at, "ban NAME", api.HandBan, "Keep a server out of the list, whatever it says itself, until it is lifted"),
-		a.listHand(at, "lift NAME", api.HandNone, "Take an operator's drain or ban back"), a.listRemove(at))
+		a.listHand(at, "ban NAME", api.AdminBan, "Keep a server out of the list, whatever it says itself, until it is lifted"),
+		a.listHand(at, "lift NAME", api.AdminNone, "Take an operator's drain or ban back"), a.listRemove(at))
 	return c
 }
 
@@ -45,8 +45,8 @@
 			if len(given) == 1 {
 				var one api.Record
 				one, err = service.Record(ctx, given[0], sure)
-				if err == nil && one.Version == 0 {
-					err = api.Fail(api.CodeNone, "%s", given[0])
+				if err == nil && one.Revision == 0 {
+					err = api.Errorf(api.CodeNotFound, "%s", given[0])
 				}
 				all.Records = []api.Record{one}
 			} else {
@@ -58,8 +58,8 @@
 			return a.print(*format, all, func(w io.Writer) {
 				fmt.Fprintln(w, "name\taddress\tzone\ttype\tgroup\tstatus\tweight\tversion\tincarnation\tby hand")
 				for _, r := range all.Records {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%g\t%d\t%d\t%s\n", r.Name, r.Address, r.Zone, r.Type, r.Group, r.Status, r.Weight,
-						r.Version, r.Incarnation, r.Hand)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%g\t%d\t%d\t%s\n", r.Name, r.Address, r.Zone, r.Machine, r.Cell, r.Status, r.Weight,
+						r.Revision, r.Incarnation, r.AdminState)
 				}
 			})
 		})
@@ -85,16 +85,16 @@
 		}
 		defer s.Close()
 		s.Watch(c.Context(), nil, client.Watcher{
-			Take: func(l api.Listing) error {
+			Apply: func(l api.WatchEvent) error {
 				if *format == "json" {
 					return json.NewEncoder(a.out).Encode(l)
 				}
 				for _, e := range l.Endpoints {
-					fmt.Fprintf(a.out, "%d  %-12s %s  %s  zone %s\n", l.Index, e.Status, e.Name, e.Address, e.Zone)
+					fmt.Fprintf(a.out, "%d  %-12s %s  %s  zone %s\n", l.Revision, e.Status, e.Name, e.Address, e.Zone)
 				}
 				return nil
 			},
-			Says: func(at string, why error) { a.log.Warn("watch", "component", "list", "peer", at, "err", why) },
+			OnError: func(at string, why error) { a.log.Warn("watch", "component", "list", "peer", at, "err", why) },
 		})
 		return nil
 	}
@@ -121,10 +121,10 @@
 	f := c.Flags()
 	f.StringVar(&g.Address, "address", "", "host:port")
 	f.StringVar(&g.Zone, "zone", "", "zone")
-	f.StringVar(&g.Type, "type", "", "kind of machine")
-	f.IntVar(&g.Group, "group", 0, "cell")
+	f.StringVar(&g.Machine, "type", "", "kind of machine")
+	f.IntVar(&g.Cell, "group", 0, "cell")
 	f.Float64Var(&g.Weight, "weight", 1, "share of the work of one like it")
-	f.Int64Var(&g.SinceMs, "since-ms", 0, "Unix time of its start in milliseconds; 0: long ago")
+	f.Int64Var(&g.StartedMs, "since-ms", 0, "Unix time of its start in milliseconds; 0: long ago")
 	f.Int64Var(&g.Incarnation, "incarnation", 0, "number that rises with each start")
 	return c
 }
@@ -152,8 +152,8 @@
 		Args:    args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
 			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
-				_, err := service.SetStatus(ctx, given[0], api.Registration{}, api.Gone, nil)
-				if api.IsCode(err, api.CodeNone) {
+				_, err := service.SetStatus(ctx, given[0], api.Registration{}, api.Removed, nil)
+				if api.IsCode(err, api.CodeNotFound) {
 					return errors.New(given[0] + " is not in the list")
 				}
 				return err
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithTimeout(c.Context(), callPatience)
 	defer cancel()
 	err = f(ctx, s)
-	if api.IsCode(err, api.CodeBad) {
+	if api.IsCode(err, api.CodeBadRequest) {
 		return usageError{err}
 	}
 	return err
@@ -146,12 +146,12 @@
 				fmt.Fprintln(w, "address\tname\tstate\tleader\tepoch\tversion\tentries\twatches\told\tstarts")
 				for _, address := range slices.Sorted(maps.Keys(said)) {
 					s := said[address]
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%d\n", address, s.Replica.Name, s.State, s.Leader, s.Term, s.Version,
-						s.Entries, s.Watchers, time.Duration(s.StaleMs)*time.Millisecond, s.Replica.Starts)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%d\n", address, s.Replica.Name, s.State, s.Leader, s.Term, s.Revision,
+						s.Endpoints, s.Watchers, time.Duration(s.StalenessMs)*time.Millisecond, s.Replica.StartCount)
 				}
 				for _, address := range slices.Sorted(maps.Keys(said)) {
 					if s := said[address]; s.Preserving {
-						fmt.Fprintf(w, "\n%d servers fell silent at once; the service suspects itself and keeps them: %s\n", len(s.Silent), strings.Join(s.Silent, " "))
+						fmt.Fprintf(w, "\n%d servers fell silent at once; the service suspects itself and keeps them: %s\n", len(s.ExpiredLeases), strings.Join(s.ExpiredLeases, " "))
 						fmt.Fprintln(w, "If they are gone: mosslead registry overrule")
 					}
 				}
@@ -173,16 +173,16 @@
 
 // followingTable shows how far other regions are followed, as the leader says it.
 func followingTable(w io.Writer, s api.Status) {
-	if len(s.Following) == 0 {
+	if len(s.Replication) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "\nregion %s follows\tversion\tbegun\theard\tentries\tset aside\n", s.Region)
-	for _, f := range s.Following {
+	for _, f := range s.Replication {
 		heard := "not yet"
 		if f.AgeMs >= 0 {
 			heard = (time.Duration(f.AgeMs) * time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", f.Region, f.Version, f.Seen, heard, f.Entries, oneLine(f.Aside))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", f.Region, f.Revision, f.SeenRevision, heard, f.Endpoints, oneLine(f.RejectedReason))
 	}
 }
 
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -26,7 +26,7 @@
 }
 
 // summary reads a directory; one that is not there is a mistake of the caller's.
-func summary(dir string) (statestore.Summary, []durable.Damage, error) {
+func summary(dir string) (statestore.Summary, []durable.Corruption, error) {
 	if info, err := os.Stat(dir); err != nil {
 		return statestore.Summary{}, nil, usageError{err}
 	} else if !info.IsDir() {
@@ -54,9 +54,9 @@
 }
 
 func stateTable(w io.Writer, s statestore.Summary) {
-	fmt.Fprintf(w, "sidecar\t%s\nlast start\t%s\nits end\t%s\nearly ends in a row\t%d\n", s.Sidecar, s.Started, s.Ended, s.EarlyEnds)
+	fmt.Fprintf(w, "sidecar\t%s\nlast start\t%s\nits end\t%s\nearly ends in a row\t%d\n", s.Sidecar, s.Started, s.Ended, s.EarlyExits)
 	fmt.Fprintf(w, "list\t%d upstreams, version %d of %s, %s old\n", s.Upstreams, s.ListIndex, s.ListSource, age(s.ListAgeS))
-	fmt.Fprintf(w, "learnt\tof %d upstreams, %s old\n", s.LearntOf, age(s.LearntAgeS))
+	fmt.Fprintf(w, "learnt\tof %d upstreams, %s old\n", s.SnapshotEndpoints, age(s.SnapshotAgeS))
 	if k := s.Settings; k != nil {
 		of := map[bool]string{true: ", deleted: those of the file are in force"}[k.Deleted]
 		fmt.Fprintf(w, "settings\tof %s, version %d of region %q%s, %s old\n", k.Service, k.Version, k.Region, of, age(k.AgeS))
@@ -81,7 +81,7 @@
 	}
 	slices.Sort(bans)
 	fmt.Fprintf(w, "bans\t%s\n", strings.Join(bans, "\n\t"))
-	for _, text := range slices.Concat(s.Notes, s.Damages) {
+	for _, text := range slices.Concat(s.Notes, s.Corruptions) {
 		fmt.Fprintf(w, "note\t%s\n", text)
 	}
 	for _, name := range s.Quarantined {
--- a/internal/cli/transcript_test.go
+++ b/internal/cli/transcript_test.go
@@ -110,7 +110,7 @@
 		}
 	})
 	r.x.must(transcript.Eventually(r.x.Context(), r.named()+" leads", func() bool {
-		return node.Status().State == "leader" && len(node.Status().Members) == 1 && node.Status().StaleMs >= 0
+		return node.Status().State == "leader" && len(node.Status().Members) == 1 && node.Status().StalenessMs >= 0
 	}))
 }
 
@@ -225,7 +225,7 @@
 	x.must(err)
 	ctx, cancel := context.WithCancel(x.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- sidecar.RunHollow(ctx, c, sidecar.Hollow{}) }()
+	go func() { ended <- sidecar.RunHollow(ctx, c, sidecar.HollowObserver{}) }()
 	x.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -292,23 +292,23 @@
 }
 
 // follows waits until a region says that it has followed another so far, and writes down what it says of that.
-func (x *exchange) follows(r *region, other string, so func(api.Following) bool) {
+func (x *exchange) follows(r *region, other string, so func(api.ReplicationStatus) bool) {
 	x.Helper()
-	var f api.Following
+	var f api.ReplicationStatus
 	x.must(transcript.Eventually(x.Context(), r.name+" follows "+other, func() bool {
-		for _, f = range r.node.Status().Following {
+		for _, f = range r.node.Status().Replication {
 			if f.Region == other && so(f) {
 				return true
 			}
 		}
 		return false
 	}))
-	x.record.Say(r.name, r.name, "%s is followed up to version %d, begun up to %d, %d entries; set aside: %q", f.Region, f.Version, f.Seen, f.Entries, f.Aside)
+	x.record.Say(r.name, r.name, "%s is followed up to version %d, begun up to %d, %d entries; set aside: %q", f.Region, f.Revision, f.SeenRevision, f.Endpoints, f.RejectedReason)
 }
 
 // upTo is a condition for follows.
-func upTo(version int64) func(api.Following) bool {
-	return func(f api.Following) bool { return f.Version == version && f.Aside == "" }
+func upTo(version int64) func(api.ReplicationStatus) bool {
+	return func(f api.ReplicationStatus) bool { return f.Revision == version && f.RejectedReason == "" }
 }
 
 // with is settings that pass, with a deadline by which they are known.
@@ -380,7 +380,7 @@
 		s.tap.Lose(func(call string) (way, back bool) {
 			if way = strings.HasPrefix(call, "PUT"); way {
 				on := int64(1)
-				_, err := s.direct().Put(x.Context(), "orders", api.Put{Schema: 1, Settings: []byte(with(300)), IfVersion: &on})
+				_, err := s.direct().Put(x.Context(), "orders", api.PutRequest{Schema: 1, Settings: []byte(with(300)), IfRevision: &on})
 				x.must(err)
 			}
 			return way, false
@@ -518,7 +518,7 @@
 		x.record.Step("north hears of it, and keeps what it has")
 		x.between("north", "south").Only(1, false)
 		x.between("north", "south").Cut(false)
-		x.follows(north, "south", func(f api.Following) bool { return f.Aside != "" })
+		x.follows(north, "south", func(f api.ReplicationStatus) bool { return f.RejectedReason != "" })
 		x.hears(south, "north", `"version":1`)
 		x.operator(north, done, "get orders")
 		x.operator(south, done, "put orders --file other.json")
@@ -558,7 +558,7 @@
 		x.must(south.direct().Restore(x.Context(), backup))
 		x.between("north", "south").Only(1, true)
 		x.between("north", "south").Cut(false)
-		x.follows(north, "south", func(f api.Following) bool { return f.Version > 3 && f.Aside == "" })
+		x.follows(north, "south", func(f api.ReplicationStatus) bool { return f.Revision > 3 && f.RejectedReason == "" })
 		x.hears(north, "n1", `"DeadlineMs":100`)
 		x.operator(south, done, "put orders --file other.json")
 		x.hears(north, "n1", `"DeadlineMs":200`)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -31,7 +31,7 @@
 // tableRun makes changes to a table and keeps account of them.
 func tableRun(t *testing.T, f *crashfs.FS, n, size int) (run []attempt) {
 	t.Helper()
-	table, _, err := durable.OpenTable(f, "bans")
+	table, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		return nil // the failing call was one of the reader's: nothing was changed
 	}
@@ -86,12 +86,12 @@
 func crashTable(t *testing.T, f *crashfs.FS, run []attempt) int {
 	t.Helper()
 	return f.Crashes(1, func(n int, disk map[string][]byte) bool {
-		got, damages, err := durable.ReadTable(crashfs.From(disk), "bans")
+		got, corruptions, err := durable.ReadKeyValueLog(crashfs.From(disk), "bans")
 		if err != nil {
 			t.Errorf("after %d calls: %v", n, err)
 			return false
 		}
-		for _, d := range damages {
+		for _, d := range corruptions {
 			if !d.Torn {
 				t.Errorf("after %d calls: a crash passes for damage: %v", n, d)
 				return false
@@ -120,7 +120,7 @@
 
 func TestEveryCrashOfABoxReadsBackAsOldOrNew(t *testing.T) {
 	f := crashfs.New()
-	box := durable.NewBox(f, "list", boxMost)
+	box := durable.NewSnapshotFile(f, "list", boxMost)
 	var run []attempt
 	for i := range 12 {
 		a := attempt{key: "k", value: strings.Repeat(fmt.Sprint(i%10), 10+i*17), begun: f.Ops()}
@@ -131,9 +131,9 @@
 		run = append(run, a)
 	}
 	states := f.Crashes(1, func(n int, disk map[string][]byte) bool {
-		got, damages, err := durable.NewBox(crashfs.From(disk), "list", boxMost).Read()
-		if err != nil || len(damages) > 0 {
-			t.Errorf("after %d calls: %v, %v", n, damages, err)
+		got, corruptions, err := durable.NewSnapshotFile(crashfs.From(disk), "list", boxMost).Read()
+		if err != nil || len(corruptions) > 0 {
+			t.Errorf("after %d calls: %v, %v", n, corruptions, err)
 			return false
 		}
 		if w := wrong(run, n, map[string]string{"k": string(got)}); w != "" {
@@ -187,11 +187,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := crashfs.New()
-			table, _, err := durable.OpenTable(f, "bans")
+			table, _, err := durable.OpenKeyValueLog(f, "bans")
 			if err != nil {
 				t.Fatal(err)
 			}
-			box := durable.NewBox(f, "list", boxMost)
+			box := durable.NewSnapshotFile(f, "list", boxMost)
 			if err := errors.Join(table.Set("a", "1"), box.Write([]byte("one"))); err != nil {
 				t.Fatal(err)
 			}
@@ -208,12 +208,12 @@
 			if err := errors.Join(table.Set("c", "3"), box.Write([]byte("three")), table.Close()); err != nil {
 				t.Errorf("after it passed: %v", err)
 			}
-			got, damages, err := durable.ReadTable(crashfs.From(f.Files()), "bans")
-			if err != nil || len(damages) > 0 || !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
-				t.Errorf("read back: %v, %v, %v", got, damages, err)
+			got, corruptions, err := durable.ReadKeyValueLog(crashfs.From(f.Files()), "bans")
+			if err != nil || len(corruptions) > 0 || !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
+				t.Errorf("read back: %v, %v, %v", got, corruptions, err)
 			}
-			if value, damages, err := durable.NewBox(f, "list", boxMost).Read(); string(value) != "three" || len(damages) > 0 || err != nil {
-				t.Errorf("read back: %q, %v, %v", value, damages, err)
+			if value, corruptions, err := durable.NewSnapshotFile(f, "list", boxMost).Read(); string(value) != "three" || len(corruptions) > 0 || err != nil {
+				t.Errorf("read back: %q, %v, %v", value, corruptions, err)
 			}
 			for file := range f.Files() {
 				if strings.HasSuffix(file, ".tmp") {
@@ -227,11 +227,11 @@
 // A flipped bit anywhere is seen, and costs at most the entry that it hits, or a step back of a box.
 func TestFlippedBitsAreSeen(t *testing.T) {
 	f := crashfs.New()
-	table, _, err := durable.OpenTable(f, "bans")
+	table, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := durable.NewBox(f, "list", boxMost)
+	box := durable.NewSnapshotFile(f, "list", boxMost)
 	want := map[string]string{}
 	for i := range 6 {
 		key := fmt.Sprint("u", i)
@@ -248,9 +248,9 @@
 			files := f.Files()
 			files[name][bit/8] ^= 1 << (bit % 8)
 			disk := crashfs.From(files)
-			got, damages, err := durable.ReadTable(disk, "bans")
-			value, more, err2 := durable.NewBox(disk, "list", boxMost).Read()
-			if len(damages)+len(more) == 0 && err == nil && err2 == nil {
+			got, corruptions, err := durable.ReadKeyValueLog(disk, "bans")
+			value, more, err2 := durable.NewSnapshotFile(disk, "list", boxMost).Read()
+			if len(corruptions)+len(more) == 0 && err == nil && err2 == nil {
 				t.Fatalf("%s, bit %d: not seen", name, bit)
 			}
 			for key, x := range got {
@@ -271,21 +271,21 @@
 // What a newer version wrote is left alone, and said.
 func TestNewerFormIsRefused(t *testing.T) {
 	f := crashfs.New()
-	table, _, err := durable.OpenTable(f, "bans")
+	table, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(table.Set("a", "1"), table.Close(), durable.NewBox(f, "list", boxMost).Write([]byte("x"))); err != nil {
+	if err := errors.Join(table.Set("a", "1"), table.Close(), durable.NewSnapshotFile(f, "list", boxMost).Write([]byte("x"))); err != nil {
 		t.Fatal(err)
 	}
 	files := f.Files()
 	for name := range files {
 		files[name][3]++ // the version in the magic
 	}
-	if _, _, err := durable.OpenTable(crashfs.From(files), "bans"); err == nil || !strings.Contains(err.Error(), "newer version") {
+	if _, _, err := durable.OpenKeyValueLog(crashfs.From(files), "bans"); err == nil || !strings.Contains(err.Error(), "newer version") {
 		t.Errorf("table: %v", err)
 	}
-	box := durable.NewBox(crashfs.From(files), "list", boxMost)
+	box := durable.NewSnapshotFile(crashfs.From(files), "list", boxMost)
 	if err := box.Write([]byte("y")); err == nil || !strings.Contains(err.Error(), "newer version") {
 		t.Errorf("box: %v", err)
 	}
@@ -295,7 +295,7 @@
 func TestCommitsAreShared(t *testing.T) {
 	dir := t.TempDir()
 	f := &counting{FS: durable.OS(dir)}
-	table, _, err := durable.OpenTable(f, "bans")
+	table, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,8 +323,8 @@
 	if err != nil || len(names) > 2 {
 		t.Errorf("%d files: %v (%v)", len(names), names, err)
 	}
-	if again, damages, err := durable.ReadTable(f, "bans"); len(again) != 7 || len(damages) > 0 || err != nil {
-		t.Errorf("read back %d entries, %v, %v", len(again), damages, err)
+	if again, corruptions, err := durable.ReadKeyValueLog(f, "bans"); len(again) != 7 || len(corruptions) > 0 || err != nil {
+		t.Errorf("read back %d entries, %v, %v", len(again), corruptions, err)
 	}
 }
 
@@ -379,7 +379,7 @@
 // Whatever lies on the disk, reading ends, and what it gives was written whole by somebody.
 func FuzzReaders(f *testing.F) {
 	disk := crashfs.New()
-	table, _, err := durable.OpenTable(disk, "bans")
+	table, _, err := durable.OpenKeyValueLog(disk, "bans")
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -388,15 +388,15 @@
 			f.Fatal(err)
 		}
 	}
-	if err := errors.Join(table.Close(), durable.NewBox(disk, "list", boxMost).Write([]byte("value"))); err != nil {
+	if err := errors.Join(table.Close(), durable.NewSnapshotFile(disk, "list", boxMost).Write([]byte("value"))); err != nil {
 		f.Fatal(err)
 	}
 	files := disk.Files()
 	f.Add(files["bans.0000000000000001"], files["list.1"])
 	f.Fuzz(func(t *testing.T, segment, box []byte) {
 		disk := crashfs.From(map[string][]byte{"bans.0000000000000001": segment, "list.1": box})
-		entries, damages, err := durable.ReadTable(disk, "bans")
-		if err == nil && len(damages) == 0 && len(entries) > 0 && !bytes.Contains(segment, []byte("MTR1")) {
+		entries, corruptions, err := durable.ReadKeyValueLog(disk, "bans")
+		if err == nil && len(corruptions) == 0 && len(entries) > 0 && !bytes.Contains(segment, []byte("MTR1")) {
 			t.Errorf("entries %v out of nothing", entries)
 		}
 		for key, value := range entries {
@@ -404,8 +404,8 @@
 				t.Errorf("%q: %q is nowhere in the file", key, value)
 			}
 		}
-		value, damages, err := durable.NewBox(disk, "list", boxMost).Read()
-		if err == nil && len(damages) == 0 && !bytes.HasSuffix(box, value) {
+		value, corruptions, err := durable.NewSnapshotFile(disk, "list", boxMost).Read()
+		if err == nil && len(corruptions) == 0 && !bytes.HasSuffix(box, value) {
 			t.Errorf("%q is not in the file", value)
 		}
 	})
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -51,7 +51,7 @@
 }
 
 // readFrame reads the frame at the beginning of b. The payload is part of b.
-func readFrame(b []byte, magic [4]byte, most int) (number uint64, payload []byte, size int, err error) {
+func readFrame(b []byte, magic [4]byte, maxBytes int) (number uint64, payload []byte, size int, err error) {
 	if len(b) >= 4 && !bytes.Equal(b[:4], magic[:]) {
 		if bytes.Equal(b[:3], magic[:3]) && b[3] > magic[3] && b[3] <= '9' {
 			return 0, nil, 0, errNewer
@@ -62,7 +62,7 @@
 		return 0, nil, 0, errShort
 	}
 	length := binary.LittleEndian.Uint32(b[4:])
-	if uint64(length) > uint64(most) {
+	if uint64(length) > uint64(maxBytes) {
 		return 0, nil, 0, errLength
 	}
 	size = frameHead + int(length)
@@ -76,15 +76,15 @@
 	return binary.LittleEndian.Uint64(b[8:]), payload, size, nil
 }
 
-// Damage is something that is not as it was written.
-type Damage struct {
+// Corruption is something that is not as it was written.
+type Corruption struct {
 	File string
 	At   int64 // the byte where it begins
 	Err  error
 	Torn bool // it is what a crash leaves of a write that nobody was told is safe: nothing is lost
 }
 
-func (d Damage) String() string {
+func (d Corruption) String() string {
 	if d.Torn {
 		return fmt.Sprintf("%s: byte %d: torn write, nothing confirmed is lost: %v", d.File, d.At, d.Err)
 	}
@@ -92,17 +92,17 @@
 }
 
 // readFile reads a file of at most so many bytes; more is an error.
-func readFile(f FS, name string, most int) ([]byte, error) {
+func readFile(f FS, name string, maxBytes int) ([]byte, error) {
 	file, err := f.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, int64(most)+1))
+	text, err := io.ReadAll(io.LimitReader(file, int64(maxBytes)+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > most {
+	if len(text) > maxBytes {
 		return nil, errLength
 	}
 	return text, nil
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Lock is a directory's: whoever holds it is the one process that writes there. It ends with the process.
-type Lock struct{ f *os.File }
+// DirLock is a directory's: whoever holds it is the one process that writes there. It ends with the process.
+type DirLock struct{ f *os.File }
 
 const lockName = "LOCK"
 
@@ -111,7 +111,7 @@
 var ErrLocked = errors.New("another process holds the lock")
 
 // TryLock takes the lock of a directory, which it makes where it is missing. ErrLocked: another process has it.
-func TryLock(dir string) (*Lock, error) {
+func TryLock(dir string) (*DirLock, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
 	}
@@ -126,12 +126,12 @@
 		}
 		return nil, fmt.Errorf("lock: %w", err)
 	}
-	return &Lock{f}, nil
+	return &DirLock{f}, nil
 }
 
 // Holds tells whether the lock is still the directory's: it is not once the directory was deleted, or put back from a
 // copy.
-func (l *Lock) Holds(dir string) bool {
+func (l *DirLock) Holds(dir string) bool {
 	own, err := l.f.Stat()
 	if err != nil {
 		return false
@@ -141,4 +141,4 @@
 }
 
 // Release gives the lock to whoever waits for it.
-func (l *Lock) Release() error { return l.f.Close() }
+func (l *DirLock) Release() error { return l.f.Close() }
--- a/internal/durable/table.go
+++ b/internal/durable/keyvaluelog.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	entryMost   = 1 << 10 // bytes of a key with its value
-	tableMost   = 4 << 20 // bytes of a segment that is read
-	compactOver = 32 << 10
-	queued      = 64 // changes that wait for the disk; more wait for their turn
+	maxEntryBytes = 1 << 10 // bytes of a key with its value
+	maxTableBytes = 4 << 20 // bytes of a segment that is read
+	compactOver   = 32 << 10
+	queued        = 64 // changes that wait for the disk; more wait for their turn
 )
 
-// Table holds small entries by key. It is a log: a change is a record at its end, and all changes that wait together
+// KeyValueLog holds small entries by key. It is a log: a change is a record at its end, and all changes that wait together
 // are made safe by one sync. The log is bounded: it is written anew, with only what holds, when it has grown, and
 // whenever a write has failed, since nothing may be added to a file of which it is not known what is on the disk.
 // Safe for concurrent use.
-type Table struct {
+type KeyValueLog struct {
 	fs   FS
 	name string
 
@@ -47,27 +47,27 @@
 	done       chan error
 }
 
-// OpenTable reads the table of that name, and is ready to write. What could not be read is among the damages; what is
+// OpenKeyValueLog reads the table of that name, and is ready to write. What could not be read is among the damages; what is
 // whole is kept. An error means that the file system could not be asked, or that a newer version has written here.
-func OpenTable(f FS, name string) (*Table, []Damage, error) {
-	t := &Table{fs: f, name: name, changes: make(chan tableChange, queued), ended: make(chan struct{}), entries: map[string]string{}}
-	damages, err := t.load()
+func OpenKeyValueLog(f FS, name string) (*KeyValueLog, []Corruption, error) {
+	t := &KeyValueLog{fs: f, name: name, changes: make(chan tableChange, queued), ended: make(chan struct{}), entries: map[string]string{}}
+	corruptions, err := t.load()
 	if err != nil {
-		return nil, damages, err
+		return nil, corruptions, err
 	}
 	go t.commit()
-	return t, damages, nil
+	return t, corruptions, nil
 }
 
-// ReadTable reads the table of that name and writes nothing.
-func ReadTable(f FS, name string) (map[string]string, []Damage, error) {
-	t := &Table{fs: f, name: name, entries: map[string]string{}}
-	damages, err := t.load()
-	return t.entries, damages, err
+// ReadKeyValueLog reads the table of that name and writes nothing.
+func ReadKeyValueLog(f FS, name string) (map[string]string, []Corruption, error) {
+	t := &KeyValueLog{fs: f, name: name, entries: map[string]string{}}
+	corruptions, err := t.load()
+	return t.entries, corruptions, err
 }
 
 // Entries is all that holds now.
-func (t *Table) Entries() map[string]string {
+func (t *KeyValueLog) Entries() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.entries)
@@ -77,14 +77,16 @@
 var ErrClosed = errors.New("the table is closed")
 
 // Set gives a key its value. Once it has returned nil, that is safe; after an error it may or may not be.
-func (t *Table) Set(key, value string) error { return t.change(tableChange{key: key, value: value}) }
+func (t *KeyValueLog) Set(key, value string) error {
+	return t.change(tableChange{key: key, value: value})
+}
 
 // Delete takes a key away, as Set.
-func (t *Table) Delete(key string) error { return t.change(tableChange{key: key, remove: true}) }
+func (t *KeyValueLog) Delete(key string) error { return t.change(tableChange{key: key, remove: true}) }
 
-func (t *Table) change(c tableChange) error {
-	if n := len(c.key) + len(c.value); n > entryMost {
-		return fmt.Errorf("%s: an entry of %d bytes, %d at most", t.name, n, entryMost)
+func (t *KeyValueLog) change(c tableChange) error {
+	if n := len(c.key) + len(c.value); n > maxEntryBytes {
+		return fmt.Errorf("%s: an entry of %d bytes, %d at most", t.name, n, maxEntryBytes)
 	}
 	c.done = make(chan error, 1)
 	select {
@@ -106,14 +108,14 @@
 }
 
 // Close ends the table after the changes that wait. It is safe to call again.
-func (t *Table) Close() error {
+func (t *KeyValueLog) Close() error {
 	t.closing.Do(func() { t.changes <- tableChange{} })
 	<-t.ended
 	return nil
 }
 
 // commit takes changes, as many as wait, and makes them safe together.
-func (t *Table) commit() {
+func (t *KeyValueLog) commit() {
 	defer close(t.ended)
 	defer func() {
 		if t.log != nil {
@@ -147,7 +149,7 @@
 }
 
 // write makes a batch safe: at the end of the log, or in a new one.
-func (t *Table) write(batch []tableChange) error {
+func (t *KeyValueLog) write(batch []tableChange) error {
 	next := maps.Clone(t.entries)
 	var records []byte
 	number := t.number
@@ -182,7 +184,7 @@
 }
 
 // rewrite begins a new segment that holds these entries. The one before stays until the next time.
-func (t *Table) rewrite(entries map[string]string, number uint64) error {
+func (t *KeyValueLog) rewrite(entries map[string]string, number uint64) error {
 	if t.log != nil {
 		t.log.Close() // of no more use, whatever it says
 		t.log = nil
@@ -223,7 +225,7 @@
 }
 
 // clean removes segments older than the one before the present one. What fails is tried again the next time.
-func (t *Table) clean() {
+func (t *KeyValueLog) clean() {
 	segments, err := t.segments()
 	if err != nil {
 		return
@@ -235,10 +237,10 @@
 	}
 }
 
-func (t *Table) file(segment uint64) string { return fmt.Sprintf("%s.%016x", t.name, segment) }
+func (t *KeyValueLog) file(segment uint64) string { return fmt.Sprintf("%s.%016x", t.name, segment) }
 
 // segments are the numbers of those that are there, the newest first.
-func (t *Table) segments() (all []uint64, err error) {
+func (t *KeyValueLog) segments() (all []uint64, err error) {
 	names, err := t.fs.List()
 	if err != nil && !missing(err) {
 		return nil, err
@@ -257,7 +259,7 @@
 
 // load reads the newest segment whose beginning is whole. The log is not gone on with: the first change writes it anew,
 // so that nothing is ever added behind what a crash left.
-func (t *Table) load() (damages []Damage, err error) {
+func (t *KeyValueLog) load() (corruptions []Corruption, err error) {
 	segments, err := t.segments()
 	if err != nil {
 		return nil, fmt.Errorf("reading %s: %w", t.name, err)
@@ -267,37 +269,37 @@
 	}
 	for _, s := range segments {
 		name := t.file(s)
-		text, err := readFile(t.fs, name, tableMost)
+		text, err := readFile(t.fs, name, maxTableBytes)
 		if err != nil && !errors.Is(err, errLength) {
-			return damages, fmt.Errorf("reading %s: %w", name, err)
+			return corruptions, fmt.Errorf("reading %s: %w", name, err)
 		}
 		if err == nil {
-			var found []Damage
+			var found []Corruption
 			if found, err = t.replay(name, text); err == nil {
-				return append(damages, found...), nil
+				return append(corruptions, found...), nil
 			}
 		}
 		if errors.Is(err, errNewer) {
-			return damages, fmt.Errorf("%s: %w", name, err)
+			return corruptions, fmt.Errorf("%s: %w", name, err)
 		}
-		damages = append(damages, Damage{File: name, Err: err})
+		corruptions = append(corruptions, Corruption{File: name, Err: err})
 	}
-	return damages, nil
+	return corruptions, nil
 }
 
 // replay takes in a segment; an error: its beginning is not whole, and nothing was taken.
-func (t *Table) replay(name string, text []byte) (damages []Damage, err error) {
-	number, head, at, err := readFrame(text, headMagic, entryMost)
+func (t *KeyValueLog) replay(name string, text []byte) (corruptions []Corruption, err error) {
+	number, head, at, err := readFrame(text, headMagic, maxEntryBytes)
 	if err != nil {
 		return nil, err
 	}
 	if len(head) != 8 {
 		return nil, errLength
 	}
-	base := at + int(min(binary.LittleEndian.Uint64(head), tableMost)) // what was laid down whole, before the name was
+	base := at + int(min(binary.LittleEndian.Uint64(head), maxTableBytes)) // what was laid down whole, before the name was
 	entries := map[string]string{}
 	for at < len(text) {
-		n, payload, size, err := readFrame(text[at:], recordMagic, entryMost+binary.MaxVarintLen64+1)
+		n, payload, size, err := readFrame(text[at:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1)
 		var c tableChange
 		if err == nil {
 			c, err = decodeChange(payload)
@@ -311,7 +313,7 @@
 		if err != nil {
 			next := resync(text, at+1, number)
 			torn := next < 0 && at >= base
-			damages = append(damages, Damage{File: name, At: int64(at), Err: err, Torn: torn})
+			corruptions = append(corruptions, Corruption{File: name, At: int64(at), Err: err, Torn: torn})
 			if next < 0 {
 				break
 			}
@@ -328,11 +330,11 @@
 		}
 		at += size
 	}
-	if at < base && len(damages) == 0 {
-		damages = append(damages, Damage{File: name, At: int64(at), Err: errShort})
+	if at < base && len(corruptions) == 0 {
+		corruptions = append(corruptions, Corruption{File: name, At: int64(at), Err: errShort})
 	}
 	t.entries, t.number = entries, number
-	return damages, nil
+	return corruptions, nil
 }
 
 // resync finds the next whole record after damage; below 0: there is none.
@@ -341,7 +343,7 @@
 		if text[at] != recordMagic[0] {
 			continue
 		}
-		if n, _, _, err := readFrame(text[at:], recordMagic, entryMost+binary.MaxVarintLen64+1); err == nil && n >= after {
+		if n, _, _, err := readFrame(text[at:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1); err == nil && n >= after {
 			return at
 		}
 	}
--- a/internal/durable/quarantine.go
+++ b/internal/durable/quarantine.go
@@ -14,7 +14,7 @@
 
 // Quarantine puts files of a directory aside, where nothing reads them and a person can, and keeps at most so many of
 // all that were put there. One that is gone already is no error.
-func Quarantine(dir string, names []string, most int, now time.Time) error {
+func Quarantine(dir string, names []string, maxBytes int, now time.Time) error {
 	aside := filepath.Join(dir, quarantineDir)
 	if len(names) == 0 {
 		return nil
@@ -33,7 +33,7 @@
 	if err != nil {
 		return errors.Join(all, fmt.Errorf("quarantine: %w", err))
 	}
-	for _, e := range entries[:max(0, len(entries)-most)] {
+	for _, e := range entries[:max(0, len(entries)-maxBytes)] {
 		if err := os.Remove(filepath.Join(aside, e.Name())); err != nil {
 			all = errors.Join(all, fmt.Errorf("quarantine: %w", err))
 		}
--- a/internal/durable/box.go
+++ b/internal/durable/snapshotfile.go
@@ -7,29 +7,33 @@
 
 const temporary = ".tmp"
 
-// Box holds one value of bounded size. A write lays it down beside the one before, which stays: what is read is the
+// SnapshotFile holds one value of bounded size. A write lays it down beside the one before, which stays: what is read is the
 // newest that is whole. Not safe for concurrent use.
-type Box struct {
-	fs   FS
-	name string
-	most int
-	last uint64 // generation of the newest on disk, as far as known
-	read bool
+type SnapshotFile struct {
+	fs         FS
+	name       string
+	maxBytes   int
+	generation uint64 // generation of the newest on disk, as far as known
+	read       bool
 }
 
-// NewBox is the box of that name, for values of at most so many bytes.
-func NewBox(f FS, name string, most int) *Box { return &Box{fs: f, name: name, most: most} }
+// NewSnapshotFile is the box of that name, for values of at most so many bytes.
+func NewSnapshotFile(f FS, name string, maxBytes int) *SnapshotFile {
+	return &SnapshotFile{fs: f, name: name, maxBytes: maxBytes}
+}
 
 // slot is the file of a generation: two of them take turns.
-func (b *Box) slot(generation uint64) string { return fmt.Sprintf("%s.%d", b.name, generation%2) }
+func (b *SnapshotFile) slot(generation uint64) string {
+	return fmt.Sprintf("%s.%d", b.name, generation%2)
+}
 
 // Read gives the newest value that is whole; nil: there is none. Damages name what could not be used. An error means
 // that the file system could not be asked, or that a newer version of the program has written here.
-func (b *Box) Read() (value []byte, damages []Damage, err error) {
+func (b *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
 	found := false
 	for i := range uint64(2) {
 		name := b.slot(i)
-		text, err := readFile(b.fs, name, b.most+frameHead)
+		text, err := readFile(b.fs, name, b.maxBytes+frameHead)
 		if missing(err) {
 			continue
 		}
@@ -37,45 +41,45 @@
 		var payload []byte
 		if err == nil {
 			var size int
-			if generation, payload, size, err = readFrame(text, boxMagic, b.most); err == nil && size != len(text) {
+			if generation, payload, size, err = readFrame(text, boxMagic, b.maxBytes); err == nil && size != len(text) {
 				err = errors.New("more in it than was written")
 			}
 			if err == nil && generation%2 != i {
 				err = errors.New("a value of the other file's")
 			}
 		} else if !errors.Is(err, errLength) {
-			return nil, damages, fmt.Errorf("reading %s: %w", name, err)
+			return nil, corruptions, fmt.Errorf("reading %s: %w", name, err)
 		}
 		switch {
 		case errors.Is(err, errNewer):
-			return nil, damages, fmt.Errorf("%s: %w", name, err)
+			return nil, corruptions, fmt.Errorf("%s: %w", name, err)
 		case err != nil:
-			damages = append(damages, Damage{File: name, Err: err})
-		case !found || generation > b.last:
-			found, value, b.last = true, payload, generation
+			corruptions = append(corruptions, Corruption{File: name, Err: err})
+		case !found || generation > b.generation:
+			found, value, b.generation = true, payload, generation
 		}
 	}
 	b.read = true
-	return value, damages, nil
+	return value, corruptions, nil
 }
 
 // Write puts a value in place of the one before. Once it has returned nil the value is safe; after an error either of
 // the two may be read.
-func (b *Box) Write(value []byte) error { return b.write(value, true) }
+func (b *SnapshotFile) Write(value []byte) error { return b.write(value, true) }
 
-// WriteSoft is Write without waiting for the disk: what it writes outlives the process, and perhaps not the machine.
-func (b *Box) WriteSoft(value []byte) error { return b.write(value, false) }
+// WriteUnsynced is Write without waiting for the disk: what it writes outlives the process, and perhaps not the machine.
+func (b *SnapshotFile) WriteUnsynced(value []byte) error { return b.write(value, false) }
 
-func (b *Box) write(value []byte, safe bool) error {
-	if len(value) > b.most {
-		return fmt.Errorf("writing %s: %d bytes of %d at most", b.name, len(value), b.most)
+func (b *SnapshotFile) write(value []byte, safe bool) error {
+	if len(value) > b.maxBytes {
+		return fmt.Errorf("writing %s: %d bytes of %d at most", b.name, len(value), b.maxBytes)
 	}
 	if !b.read { // the generation must rise
 		if _, _, err := b.Read(); err != nil {
 			return err
 		}
 	}
-	next := b.last + 1
+	next := b.generation + 1
 	fresh := b.name + temporary
 	err := writeNew(b.fs, fresh, appendFrame(nil, boxMagic, next, value), safe)
 	if err == nil {
@@ -86,6 +90,6 @@
 	if err != nil { // the next write takes the same slot: the other one is the last that is known to be whole
 		return fmt.Errorf("writing %s: %w", b.name, err)
 	}
-	b.last = next
+	b.generation = next
 	return nil
 }
--- a/internal/federation/follow_test.go
+++ b/internal/federation/chunks_test.go
@@ -34,7 +34,7 @@
 }
 
 func (r *region) settle(op, service, text string, on int64) list.Result {
-	return r.apply(list.Command{Op: op, Name: service, IfVersion: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(text)}})
+	return r.apply(list.Command{Op: op, Name: service, IfRevision: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(text)}})
 }
 
 // copied is a replica of the region as it is now.
@@ -50,8 +50,8 @@
 	return &region{r.name, list.Load(s, history)}
 }
 
-func (r *region) tells(from int64) api.Listing {
-	l := r.list.OwnSince(from)
+func (r *region) tells(from int64) api.WatchEvent {
+	l := r.list.OwnChangesSince(from)
 	l.Region = r.name
 	return l
 }
@@ -59,37 +59,37 @@
 // watcher is a sidecar of a region: what the lines of a watch make of it.
 type watcher struct {
 	at      int64
-	entries map[string]api.Entry
+	entries map[string]api.Endpoint
 }
 
 func (w *watcher) hear(l *list.List) (wrong string) {
-	told := l.Since(w.at)
-	if told.Index < w.at {
-		return fmt.Sprintf("version %d after %d", told.Index, w.at)
+	told := l.ChangesSince(w.at)
+	if told.Revision < w.at {
+		return fmt.Sprintf("version %d after %d", told.Revision, w.at)
 	}
 	if told.Snapshot {
-		w.entries = map[string]api.Entry{}
+		w.entries = map[string]api.Endpoint{}
 	}
 	seen := map[string]bool{}
 	for _, e := range told.Endpoints {
 		if seen[e.Name] {
 			return e.Name + " twice"
 		}
-		if seen[e.Name] = true; e.Status == api.Gone {
+		if seen[e.Name] = true; e.Status == api.Removed {
 			delete(w.entries, e.Name)
 		} else {
 			w.entries[e.Name] = e
 		}
 	}
-	w.at = told.Index
-	if want := byName(l.Whole().Endpoints); !maps.Equal(w.entries, want) {
+	w.at = told.Revision
+	if want := byName(l.Full().Endpoints); !maps.Equal(w.entries, want) {
 		return fmt.Sprintf("a watcher has %v, and the list is %v", w.entries, want)
 	}
 	return ""
 }
 
-func byName(all []api.Entry) map[string]api.Entry {
-	m := map[string]api.Entry{}
+func byName(all []api.Endpoint) map[string]api.Endpoint {
+	m := map[string]api.Endpoint{}
 	for _, e := range all {
 		m[e.Name] = e
 	}
@@ -106,12 +106,12 @@
 		}
 		s[what] = version
 	}
-	for _, other := range l.Others() {
-		h := l.Held(other)
-		at(other, h.Version)
-		at(other+" seen", h.Seen)
+	for _, other := range l.Regions() {
+		h := l.Replicated(other)
+		at(other, h.Revision)
+		at(other+" seen", h.SeenRevision)
 		for service, d := range h.Documents {
-			at("settings of "+service+" by "+other, d.Version)
+			at("settings of "+service+" by "+other, d.Revision)
 		}
 	}
 	return wrong
@@ -124,10 +124,10 @@
 	history := rapid.IntRange(2, 20).Draw(t, "history")
 	north, south := newRegion("north", history), newRegion("south", history)
 	if careless {
-		south.list.Careless()
+		south.list.SkipRegionChecks()
 	}
 	behind := []*region{north.copied(t, history)}
-	var late []list.Piece // that were proposed once
+	var late []list.Chunk // that were proposed once
 	w, had := watcher{at: -1}, seen{}
 	steps := rapid.IntRange(1, 60).Draw(t, "steps")
 	for i := range steps {
@@ -138,16 +138,16 @@
 		case "register":
 			of.register(name, fmt.Sprint("127.0.0.1:", i+1))
 		case "leave":
-			of.apply(list.Command{Op: list.Leave, Name: name})
+			of.apply(list.Command{Op: list.Deregister, Name: name})
 		case "ban":
-			of.apply(list.Command{Op: list.Hand, Name: name, Hand: rapid.SampledFrom([]string{"", api.HandBan, api.HandDrain}).Draw(t, "hand")})
+			of.apply(list.Command{Op: list.SetAdminState, Name: name, AdminState: rapid.SampledFrom([]string{"", api.AdminBan, api.AdminDrain}).Draw(t, "hand")})
 		case "put", "delete":
 			d, _ := of.list.Document(service)
-			op := list.Put
-			if d.Version > 0 && rapid.IntRange(0, 3).Draw(t, "delete") == 0 {
-				op = list.Delete
+			op := list.PutDocument
+			if d.Revision > 0 && rapid.IntRange(0, 3).Draw(t, "delete") == 0 {
+				op = list.DeleteDocument
 			}
-			of.settle(op, service, fmt.Sprintf(`{"by":"%s %d"}`, of.name, i), d.Version)
+			of.settle(op, service, fmt.Sprintf(`{"by":"%s %d"}`, of.name, i), d.Revision)
 		case "copy":
 			behind = append(behind, north.copied(t, history))
 		case "follow":
@@ -158,22 +158,22 @@
 					source.register("only in a copy", fmt.Sprint("127.0.0.1:", i+1))
 				}
 			}
-			held := south.list.Held("north")
-			from := held.Version
+			replicated := south.list.Replicated("north")
+			from := replicated.Revision
 			if rapid.Bool().Draw(t, "whole") {
 				from = -1
 			}
 			told := source.tells(from)
 			if careless {
-				held.Seen, held.Documents = 0, nil
+				replicated.SeenRevision, replicated.Documents = 0, nil
 			}
 			// One entry or document a piece, so that small plays have many.
-			pieces, _, refused := Bound{Entries: 1, Bytes: 1}.Pieces("north", held, told)
-			if !careless && (refused != "") != (told.Index < held.Seen) {
-				return fmt.Sprintf("seen up to %d, told version %d: %q", held.Seen, told.Index, refused)
+			chunks, _, rejected := ChunkLimit{Entries: 1, Bytes: 1}.Chunks("north", replicated, told)
+			if !careless && (rejected != "") != (told.Revision < replicated.SeenRevision) {
+				return fmt.Sprintf("seen up to %d, told version %d: %q", replicated.SeenRevision, told.Revision, rejected)
 			}
-			for _, p := range pieces[:rapid.IntRange(0, len(pieces)).Draw(t, "pieces that arrive")] {
-				if r := south.apply(list.Command{Op: list.Follow, Piece: &p}); r.Err != nil {
+			for _, p := range chunks[:rapid.IntRange(0, len(chunks)).Draw(t, "pieces that arrive")] {
+				if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
 					return fmt.Sprintf("%+v: %v", p, r.Err)
 				}
 				late = append(late, p)
@@ -183,7 +183,7 @@
 			}
 		case "late":
 			if len(late) > 0 {
-				south.apply(list.Command{Op: list.Follow, Piece: &late[rapid.IntRange(0, len(late)-1).Draw(t, "piece")]})
+				south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &late[rapid.IntRange(0, len(late)-1).Draw(t, "piece")]})
 			}
 		case "snapshot":
 			before, _ := json.Marshal(south.list.State())
@@ -192,7 +192,7 @@
 				return fmt.Sprintf("a snapshot of a snapshot is another one:\n%s\n%s", before, after)
 			}
 			if careless {
-				south.list.Careless()
+				south.list.SkipRegionChecks()
 			}
 		}
 		if wrong = had.look(south.list); wrong != "" {
@@ -210,24 +210,24 @@
 	// Once the newest is told whole, it is held as it is; but settings that a copy invented at the same versions can't be told
 	// from others, and none was.
 	north.register("last", "127.0.0.1:9")
-	for north.list.Version() < south.list.Held("north").Seen { // a copy went on beyond it
-		north.register("last", fmt.Sprint("127.0.0.1:", north.list.Version()+10))
+	for north.list.Revision() < south.list.Replicated("north").SeenRevision { // a copy went on beyond it
+		north.register("last", fmt.Sprint("127.0.0.1:", north.list.Revision()+10))
 	}
-	pieces, odd, refused := Pieces("north", south.list.Held("north"), north.tells(-1))
-	if odd != "" || refused != "" {
-		return odd + refused
+	chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.tells(-1))
+	if anomaly != "" || rejected != "" {
+		return anomaly + rejected
 	}
 	for range 2 { // the second time changes nothing
-		for _, p := range pieces {
-			south.apply(list.Command{Op: list.Follow, Piece: &p})
+		for _, p := range chunks {
+			south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p})
 		}
 	}
-	held := south.list.Held("north")
-	if want := byName(north.tells(-1).Endpoints); !maps.Equal(held.Entries, want) || held.Version != north.list.Version() {
-		return fmt.Sprintf("held at %d: %v, and it is at %d: %v", held.Version, held.Entries, north.list.Version(), want)
+	replicated := south.list.Replicated("north")
+	if want := byName(north.tells(-1).Endpoints); !maps.Equal(replicated.Entries, want) || replicated.Revision != north.list.Revision() {
+		return fmt.Sprintf("held at %d: %v, and it is at %d: %v", replicated.Revision, replicated.Entries, north.list.Revision(), want)
 	}
 	for _, d := range north.tells(-1).Documents {
-		if h := held.Documents[d.Service]; h.Version != d.Version || h.Deleted != d.Deleted || string(h.Settings) != string(d.Settings) {
+		if h := replicated.Documents[d.Service]; h.Revision != d.Revision || h.Deleted != d.Deleted || string(h.Settings) != string(d.Settings) {
 			return fmt.Sprintf("held %+v of %+v", h, d)
 		}
 	}
@@ -260,35 +260,35 @@
 // Ten thousand entries to catch up: bounded pieces, documents first, the own region's writes told between any two, and a source
 // that is killed in the middle of a piece costs the rest of it alone.
 func TestTenThousandEntriesToCatchUp(t *testing.T) {
-	north, south := newRegion("north", list.History), newRegion("south", list.History)
+	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	south.register("own", "127.0.0.1:1")
 	w := watcher{at: -1}
 	for i := range 10_000 {
 		north.register(fmt.Sprint("u", i), "127.0.0.1:1")
 	}
 	for i := range 20 {
-		north.settle(list.Put, fmt.Sprint("s", i), `{"x":"`+strings.Repeat("y", 30<<10)+`"}`, 0)
+		north.settle(list.PutDocument, fmt.Sprint("s", i), `{"x":"`+strings.Repeat("y", 30<<10)+`"}`, 0)
 	}
 	had, writes, taken := seen{}, 0, 0
 	catchUp := func(most int, from int64) {
 		t.Helper()
-		pieces, odd, refused := Pieces("north", south.list.Held("north"), north.tells(from))
-		if odd != "" || refused != "" {
-			t.Fatal(odd, refused)
+		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.tells(from))
+		if anomaly != "" || rejected != "" {
+			t.Fatal(anomaly, rejected)
 		}
 		documents := 0
-		for i, p := range pieces {
+		for i, p := range chunks {
 			text, err := json.Marshal(p)
-			if err != nil || len(p.Entries) > MostEntries || len(text) > MostBytes+api.MaxSettings {
+			if err != nil || len(p.Entries) > MaxChunkEntries || len(text) > MaxChunkBytes+api.MaxSettings {
 				t.Fatalf("piece %d has %d entries and %d bytes, %v", i, len(p.Entries), len(text), err)
 			}
-			if documents += len(p.Documents); len(p.Documents) > 0 && documents > len(p.Documents) && len(pieces[i-1].Entries) > 0 {
+			if documents += len(p.Documents); len(p.Documents) > 0 && documents > len(p.Documents) && len(chunks[i-1].Entries) > 0 {
 				t.Errorf("documents after entries, in piece %d", i)
 			}
 			if i == most {
 				return
 			}
-			if r := south.apply(list.Command{Op: list.Follow, Piece: &p}); r.Err != nil {
+			if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
 				t.Fatal(r.Err)
 			}
 			taken++
@@ -303,40 +303,40 @@
 		}
 	}
 	catchUp(7, -1) // the source is killed, or the leader
-	if h := south.list.Held("north"); h.Version != 0 || h.Seen != north.list.Version() || len(h.Entries) == 0 {
-		t.Fatalf("in the middle: %d, seen %d, %d entries", h.Version, h.Seen, len(h.Entries))
+	if h := south.list.Replicated("north"); h.Revision != 0 || h.SeenRevision != north.list.Revision() || len(h.Entries) == 0 {
+		t.Fatalf("in the middle: %d, seen %d, %d entries", h.Revision, h.SeenRevision, len(h.Entries))
 	}
-	north.apply(list.Command{Op: list.Leave, Name: "u0"}) // was taken in; goes meanwhile
-	north.settle(list.Put, "s0", `{"x":"repaired"}`, 10_001)
+	north.apply(list.Command{Op: list.Deregister, Name: "u0"}) // was taken in; goes meanwhile
+	north.settle(list.PutDocument, "s0", `{"x":"repaired"}`, 10_001)
 	first := taken
 	catchUp(-1, -1)
-	h := south.list.Held("north")
-	if h.Version != north.list.Version() || len(h.Entries) != 9_999 || len(h.Documents) != 20 || string(h.Documents["s0"].Settings) != `{"x":"repaired"}` {
-		t.Errorf("at %d of %d: %d entries, %d documents", h.Version, north.list.Version(), len(h.Entries), len(h.Documents))
+	h := south.list.Replicated("north")
+	if h.Revision != north.list.Revision() || len(h.Entries) != 9_999 || len(h.Documents) != 20 || string(h.Documents["s0"].Settings) != `{"x":"repaired"}` {
+		t.Errorf("at %d of %d: %d entries, %d documents", h.Revision, north.list.Revision(), len(h.Entries), len(h.Documents))
 	}
 	if rest := taken - first; rest > 20 {
 		t.Errorf("%d pieces after %d: what was taken in comes again", rest, first)
 	}
-	if pieces, _, _ := Pieces("north", h, north.tells(-1)); len(pieces) != 0 {
-		t.Errorf("%d pieces without news", len(pieces))
+	if chunks, _, _ := Chunks("north", h, north.tells(-1)); len(chunks) != 0 {
+		t.Errorf("%d pieces without news", len(chunks))
 	}
 }
 
 // What is owned twice after a cut, and what comes back, is told the same way in both regions; a deleted document stays gone.
 func TestTheSmallerRegionsSettingsAreTold(t *testing.T) {
-	north, south := newRegion("north", list.History), newRegion("south", list.History)
-	follow := func(by, of *region) (odd string) {
+	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
+	follow := func(by, of *region) (anomaly string) {
 		t.Helper()
-		pieces, odd, refused := Pieces(of.name, by.list.Held(of.name), of.tells(-1))
-		if refused != "" {
-			t.Fatal(refused)
+		chunks, anomaly, rejected := Chunks(of.name, by.list.Replicated(of.name), of.tells(-1))
+		if rejected != "" {
+			t.Fatal(rejected)
 		}
-		for _, p := range pieces {
-			if r := by.apply(list.Command{Op: list.Follow, Piece: &p}); r.Err != nil {
+		for _, p := range chunks {
+			if r := by.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
 				t.Fatal(r.Err)
 			}
 		}
-		return odd
+		return anomaly
 	}
 	heal := func() { t.Helper(); follow(north, south); follow(south, north) }
 	is := func(owner, text string) {
@@ -347,25 +347,25 @@
 			}
 		}
 	}
-	south.settle(list.Put, "s", `1`, 0)
-	north.settle(list.Put, "s", `2`, 0)
+	south.settle(list.PutDocument, "s", `1`, 0)
+	north.settle(list.PutDocument, "s", `2`, 0)
 	heal()
 	is("north", `2`)
-	if r := south.settle(list.Put, "s", `3`, 1); r.Err == nil || r.Err.Code != api.CodeConflict || !strings.Contains(r.Err.Text, "region north") {
+	if r := south.settle(list.PutDocument, "s", `3`, 1); r.Err == nil || r.Err.Code != api.CodeConflict || !strings.Contains(r.Err.Text, "region north") {
 		t.Errorf("a put to the region that does not own it: %+v", r)
 	}
 	if n := len(south.list.Documents()); n != 2 {
 		t.Errorf("%d documents are listed", n)
 	}
-	if r := north.settle(list.Delete, "s", "", 1); r.Err != nil {
+	if r := north.settle(list.DeleteDocument, "s", "", 1); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	heal()
 	is("south", `1`)
-	if r := south.settle(list.Put, "s", `4`, 1); r.Err != nil {
+	if r := south.settle(list.PutDocument, "s", `4`, 1); r.Err != nil {
 		t.Fatal(r.Err)
 	}
-	if r := south.settle(list.Delete, "s", "", south.list.Version()); r.Err != nil {
+	if r := south.settle(list.DeleteDocument, "s", "", south.list.Revision()); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	heal()
@@ -377,24 +377,24 @@
 
 	// The owner, put back to an old copy that then goes on beyond what was seen: its entries are as it says, and the settings that
 	// are older than those held are set aside and told.
-	old := north.copied(t, list.History)
-	north.settle(list.Put, "t", `1`, 0)
-	old.settle(list.Put, "t", `other`, 0)
-	north.settle(list.Put, "t", `2`, north.list.Version())
+	old := north.copied(t, list.CompactionWindow)
+	north.settle(list.PutDocument, "t", `1`, 0)
+	old.settle(list.PutDocument, "t", `other`, 0)
+	north.settle(list.PutDocument, "t", `2`, north.list.Revision())
 	heal()
 	for range 9 {
-		old.register("u", fmt.Sprint("127.0.0.1:", old.list.Version()+1))
+		old.register("u", fmt.Sprint("127.0.0.1:", old.list.Revision()+1))
 	}
-	if odd := follow(south, old); !strings.Contains(odd, "settings of t go back") {
-		t.Errorf("an old copy: %q", odd)
+	if anomaly := follow(south, old); !strings.Contains(anomaly, "settings of t go back") {
+		t.Errorf("an old copy: %q", anomaly)
 	}
 	if d, _ := south.list.Document("t"); string(d.Settings) != `2` {
 		t.Errorf("after an old copy: %+v", d)
 	}
-	if !slices.ContainsFunc(south.list.Whole().Endpoints, func(e api.Entry) bool { return e.Name == "u" }) {
+	if !slices.ContainsFunc(south.list.Full().Endpoints, func(e api.Endpoint) bool { return e.Name == "u" }) {
 		t.Error("its entries are not as it says")
 	}
-	if _, _, refused := Pieces("north", south.list.Held("north"), api.Listing{Index: 1 << 40, Region: "west"}); refused == "" {
+	if _, _, rejected := Chunks("north", south.list.Replicated("north"), api.WatchEvent{Revision: 1 << 40, Region: "west"}); rejected == "" {
 		t.Error("another region's list is taken for north's")
 	}
 }
@@ -402,40 +402,40 @@
 // An owner that was put back to an old copy can put other settings at a version that was told before: they are not taken in, which
 // would change what a version says, and that is told.
 func TestOtherSettingsAtOneVersion(t *testing.T) {
-	north, south := newRegion("north", list.History), newRegion("south", list.History)
-	take := func(of *region) (odd string) {
+	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
+	take := func(of *region) (anomaly string) {
 		t.Helper()
-		pieces, odd, refused := Pieces("north", south.list.Held("north"), of.tells(-1))
-		if refused != "" {
-			t.Fatal(refused)
+		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), of.tells(-1))
+		if rejected != "" {
+			t.Fatal(rejected)
 		}
-		for _, p := range pieces {
-			if r := south.apply(list.Command{Op: list.Follow, Piece: &p}); r.Err != nil {
+		for _, p := range chunks {
+			if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
 				t.Fatal(r.Err)
 			}
 		}
-		return odd
+		return anomaly
 	}
-	old := north.copied(t, list.History)
-	north.settle(list.Put, "s", `1`, 0)
-	old.settle(list.Put, "s", `2`, 0)
+	old := north.copied(t, list.CompactionWindow)
+	north.settle(list.PutDocument, "s", `1`, 0)
+	old.settle(list.PutDocument, "s", `2`, 0)
 	for range 2 { // what is the same is not odd
-		if odd := take(north); odd != "" {
-			t.Errorf("the owner: %q", odd)
+		if anomaly := take(north); anomaly != "" {
+			t.Errorf("the owner: %q", anomaly)
 		}
 	}
 	for range 2 { // at the same version of the list, and at a higher one
-		if odd := take(old); !strings.Contains(odd, "settings of s at version 1 are others") {
-			t.Errorf("an old copy that went on: %q", odd)
+		if anomaly := take(old); !strings.Contains(anomaly, "settings of s at version 1 are others") {
+			t.Errorf("an old copy that went on: %q", anomaly)
 		}
 		old.register("u", "127.0.0.1:1")
 	}
 	if d, _ := south.list.Document("s"); string(d.Settings) != `1` {
 		t.Errorf("held: %+v", d)
 	}
-	old.settle(list.Delete, "s", "", 1)
-	if odd := take(old); odd != "" {
-		t.Errorf("a version later: %q", odd)
+	old.settle(list.DeleteDocument, "s", "", 1)
+	if anomaly := take(old); anomaly != "" {
+		t.Errorf("a version later: %q", anomaly)
 	}
 	if d, _ := south.list.Document("s"); !d.Deleted {
 		t.Errorf("held: %+v", d)
@@ -445,40 +445,40 @@
 // A piece that its leader gave up is carried out after the next listing was worked out, and takes in an entry that this one, since it
 // was not held by then, does not take away: what was worked out is refused, and worked out anew.
 func TestAPieceThatComesLate(t *testing.T) {
-	north, south := newRegion("north", list.History), newRegion("south", list.History)
-	north.settle(list.Put, "s", `1`, 0)
+	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
+	north.settle(list.PutDocument, "s", `1`, 0)
 	north.register("a", "127.0.0.1:1")
 	north.register("b", "127.0.0.1:2")
-	one := Bound{Entries: 1, Bytes: 1}
-	take := func(p list.Piece) error {
-		if r := south.apply(list.Command{Op: list.Follow, Piece: &p}); r.Err != nil {
+	one := ChunkLimit{Entries: 1, Bytes: 1}
+	take := func(p list.Chunk) error {
+		if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
 			return r.Err
 		}
 		return nil
 	}
-	first, _, _ := one.Pieces("north", south.list.Held("north"), north.tells(-1))
+	first, _, _ := one.Chunks("north", south.list.Replicated("north"), north.tells(-1))
 	if len(first) != 3 {
 		t.Fatalf("%d pieces", len(first))
 	}
 	if err := take(first[0]); err != nil {
 		t.Fatal(err)
 	}
-	north.apply(list.Command{Op: list.Leave, Name: "a"})
+	north.apply(list.Command{Op: list.Deregister, Name: "a"})
 	for _, late := range []bool{true, false} {
-		pieces, _, _ := one.Pieces("north", south.list.Held("north"), north.tells(-1))
+		chunks, _, _ := one.Chunks("north", south.list.Replicated("north"), north.tells(-1))
 		if late {
 			_ = take(first[1])
 		}
-		for _, p := range pieces {
+		for _, p := range chunks {
 			if take(p) != nil {
 				break
 			}
 		}
-		held := south.list.Held("north")
-		if want := byName(north.tells(-1).Endpoints); held.Version == north.list.Version() && !maps.Equal(held.Entries, want) {
-			t.Fatalf("held whole at %d: %v, and it is %v", held.Version, held.Entries, want)
-		} else if !late && held.Version != north.list.Version() {
-			t.Errorf("held at %d of %d", held.Version, north.list.Version())
+		replicated := south.list.Replicated("north")
+		if want := byName(north.tells(-1).Endpoints); replicated.Revision == north.list.Revision() && !maps.Equal(replicated.Entries, want) {
+			t.Fatalf("held whole at %d: %v, and it is %v", replicated.Revision, replicated.Entries, want)
+		} else if !late && replicated.Revision != north.list.Revision() {
+			t.Errorf("held at %d of %d", replicated.Revision, north.list.Revision())
 		}
 	}
 	for _, p := range first { // of what is over
--- a/internal/federation/explore/explore.go
+++ b/internal/federation/explore/explore.go
@@ -49,7 +49,7 @@
 }
 
 // Found is what an exploration came to.
-type Found = modelcheck.Found
+type Found = modelcheck.Result
 
 // Run explores breadth first. Whether what is held can be healed is looked at in each state.
 func Run(b Bounds, f Faults) Found { return modelcheck.Search(begin(b, f), b.Depth, (*state).heal) }
--- a/internal/federation/explore/promises.go
+++ b/internal/federation/explore/promises.go
@@ -15,49 +15,49 @@
 	if s.why != "" {
 		return s.why
 	}
-	if s.sidecar.Version < before.sidecar.Version {
-		return fmt.Sprintf("the sidecar has version %d after %d", s.sidecar.Version, before.sidecar.Version)
+	if s.sidecar.Revision < before.sidecar.Revision {
+		return fmt.Sprintf("the sidecar has version %d after %d", s.sidecar.Revision, before.sidecar.Revision)
 	}
 	if s.follower.List == before.follower.List {
 		return ""
 	}
-	held, was := s.follower.Held(north), before.follower.Held(north)
-	if held.Version < was.Version || held.Seen < was.Seen {
-		return fmt.Sprintf("held at %d, seen %d, after %d, seen %d", held.Version, held.Seen, was.Version, was.Seen)
+	replicated, was := s.follower.Replicated(north), before.follower.Replicated(north)
+	if replicated.Revision < was.Revision || replicated.SeenRevision < was.SeenRevision {
+		return fmt.Sprintf("held at %d, seen %d, after %d, seen %d", replicated.Revision, replicated.SeenRevision, was.Revision, was.SeenRevision)
 	}
 	for name, w := range was.Documents {
-		d, there := held.Documents[name]
+		d, there := replicated.Documents[name]
 		switch {
 		case !there:
-			return fmt.Sprintf("the settings of %s are held no more; they were at version %d, deleted %v", name, w.Version, w.Deleted)
-		case d.Version < w.Version, d.Version == w.Version && !alike(d, w):
+			return fmt.Sprintf("the settings of %s are held no more; they were at version %d, deleted %v", name, w.Revision, w.Deleted)
+		case d.Revision < w.Revision, d.Revision == w.Revision && !alike(d, w):
 			return fmt.Sprintf("the settings of %s are %+v after %+v", name, d, w)
 		}
 	}
-	for name, e := range held.Entries {
+	for name, e := range replicated.Entries {
 		if w, there := was.Entries[name]; there && !s.back && number(e) < number(w) {
 			return fmt.Sprintf("the entry %s is as of change %d after %d", name, number(e), number(w))
 		}
 	}
-	if wrong := s.unissued(held); wrong != "" {
+	if wrong := s.unissued(replicated); wrong != "" {
 		return wrong
 	}
-	if !s.back && held.Version > 0 && held.Version == held.Seen {
-		if p := s.issued[held.Version-1]; !p.is(held) {
-			return fmt.Sprintf("held whole at %d is %+v, and it was %+v", held.Version, held, p)
+	if !s.back && replicated.Revision > 0 && replicated.Revision == replicated.SeenRevision {
+		if p := s.issued[replicated.Revision-1]; !p.is(replicated) {
+			return fmt.Sprintf("held whole at %d is %+v, and it was %+v", replicated.Revision, replicated, p)
 		}
 	}
 	return s.ownTouched()
 }
 
 // unissued names what is held that the owner never issued.
-func (s *state) unissued(held list.Held) string {
-	for name, d := range held.Documents {
+func (s *state) unissued(replicated list.Replicated) string {
+	for name, d := range replicated.Documents {
 		if !slices.ContainsFunc(s.issued, func(p past) bool { i, there := p.documents[name]; return there && alike(i, d) }) {
 			return fmt.Sprintf("the owner never issued %+v", d)
 		}
 	}
-	for name, e := range held.Entries {
+	for name, e := range replicated.Entries {
 		if !slices.ContainsFunc(s.issued, func(p past) bool { i, there := p.entries[name]; return there && i == e }) {
 			return fmt.Sprintf("the owner never issued %+v", e)
 		}
@@ -67,11 +67,11 @@
 
 // ownTouched names what of the follower's own is not as it wrote it.
 func (s *state) ownTouched() string {
-	own := s.follower.OwnSince(-1)
-	if len(own.Endpoints) != 2 || len(own.Documents) != 1 || own.Documents[0].Version != 3 || own.Documents[0].Region != south {
+	own := s.follower.OwnChangesSince(-1)
+	if len(own.Endpoints) != 2 || len(own.Documents) != 1 || own.Documents[0].Revision != 3 || own.Documents[0].Region != south {
 		return fmt.Sprintf("the follower's own are %+v", own)
 	}
-	for _, e := range s.follower.Whole().Endpoints {
+	for _, e := range s.follower.Full().Endpoints {
 		if (e.Name == "a" || e.Name == "o") && e.Address != "own" {
 			return fmt.Sprintf("the follower's own entry is told as %+v", e)
 		}
@@ -80,16 +80,16 @@
 }
 
 // is tells whether what is held is all of what the owner told once.
-func (p past) is(held list.Held) bool {
-	return maps.Equal(held.Entries, p.entries) && maps.EqualFunc(held.Documents, p.documents, alike)
+func (p past) is(replicated list.Replicated) bool {
+	return maps.Equal(replicated.Entries, p.entries) && maps.EqualFunc(replicated.Documents, p.documents, alike)
 }
 
 func alike(a, b api.Document) bool {
-	return a.Service == b.Service && a.Region == b.Region && a.Version == b.Version && a.Deleted == b.Deleted && string(a.Settings) == string(b.Settings)
+	return a.Service == b.Service && a.Region == b.Region && a.Revision == b.Revision && a.Deleted == b.Deleted && string(a.Settings) == string(b.Settings)
 }
 
 // number is which of the owner's changes an entry is of.
-func number(e api.Entry) int {
+func number(e api.Endpoint) int {
 	n, _ := strconv.Atoi(e.Address)
 	return n
 }
@@ -105,16 +105,16 @@
 	if !s.leaders[s.newest].leads {
 		s.lead(s.newest)
 	}
-	refused := 0
+	rejected := 0
 	for range settleMost {
 		l := &s.leaders[s.newest]
 		switch {
-		case len(l.pieces) > 0:
+		case len(l.chunks) > 0:
 			s.propose(s.newest)
 		case len(l.lines) > 0:
-			s.take(s.newest)
-			if l.stand.Refused != "" {
-				if refused++; refused > 2 {
+			s.applyChunk(s.newest)
+			if l.sync.Rejected != "" {
+				if rejected++; rejected > 2 {
 					return true // it is said, and stays so until the owner goes on
 				}
 			}
@@ -136,15 +136,15 @@
 	if !n.settle() {
 		return "healing does not end"
 	}
-	stand, held := n.leaders[n.newest].stand, n.follower.Held(north)
+	sync, replicated := n.leaders[n.newest].sync, n.follower.Replicated(north)
 	owner := s.now
 	switch {
-	case !s.back && (stand.Refused != "" || stand.Odd != ""):
-		return fmt.Sprintf("set aside without cause: %s%s", stand.Refused, stand.Odd)
-	case stand.Refused == "" && !maps.Equal(held.Entries, owner.entries), stand.Refused == "" && held.Version != n.owner.Version():
-		return fmt.Sprintf("healed at %d: entries are %v, and the owner's at %d %v", held.Version, held.Entries, n.owner.Version(), owner.entries)
-	case stand.Refused == "" && stand.Odd == "" && !maps.EqualFunc(held.Documents, owner.documents, alike):
-		return fmt.Sprintf("healed, nothing said: documents are %+v, and the owner's %+v", held.Documents, owner.documents)
+	case !s.back && (sync.Rejected != "" || sync.Anomaly != ""):
+		return fmt.Sprintf("set aside without cause: %s%s", sync.Rejected, sync.Anomaly)
+	case sync.Rejected == "" && !maps.Equal(replicated.Entries, owner.entries), sync.Rejected == "" && replicated.Revision != n.owner.Revision():
+		return fmt.Sprintf("healed at %d: entries are %v, and the owner's at %d %v", replicated.Revision, replicated.Entries, n.owner.Revision(), owner.entries)
+	case sync.Rejected == "" && sync.Anomaly == "" && !maps.EqualFunc(replicated.Documents, owner.documents, alike):
+		return fmt.Sprintf("healed, nothing said: documents are %+v, and the owner's %+v", replicated.Documents, owner.documents)
 	}
 	n.read(n.follower)
 	if d, _ := n.follower.Document(service); !alike(d, n.sidecar) {
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -19,7 +19,7 @@
 )
 
 // one is the bound of pieces here: each is one entry or document.
-var one = federation.Bound{Entries: 1, Bytes: 1}
+var one = federation.ChunkLimit{Entries: 1, Bytes: 1}
 
 // frozen is a list that states may share once it has a key. Each change of such a one goes through a snapshot.
 type frozen struct {
@@ -43,26 +43,26 @@
 
 // past is what the owner's list once told.
 type past struct {
-	entries   map[string]api.Entry
+	entries   map[string]api.Endpoint
 	documents map[string]api.Document
 }
 
 // leader is a replica of the follower that takes itself for its leader.
 type leader struct {
 	leads    bool
-	stand    federation.Stand
+	sync     federation.SyncState
 	unheard  bool // the owner was, for long
 	watches  bool
 	source   int
 	at       int64 // what the watch has told up to
-	lines    []api.Listing
-	pieces   []list.Piece // of the line that was taken last, to be proposed one by one
+	lines    []api.WatchEvent
+	chunks   []list.Chunk // of the line that was taken last, to be proposed one by one
 	snapshot bool         // it was one
-	odd      string       // what of it is not taken in
+	anomaly  string       // what of it is not taken in
 	forgets  []string     // documents, see Faults
 }
 
-func (l *leader) drop() { l.watches, l.lines, l.pieces, l.forgets = false, nil, nil, nil }
+func (l *leader) drop() { l.watches, l.lines, l.chunks, l.forgets = false, nil, nil, nil }
 
 type state struct {
 	left     Bounds
@@ -77,7 +77,7 @@
 	back     bool   // the owner was put back
 	leaders  [2]leader
 	newest   int // which of them began last
-	late     []list.Piece
+	late     []list.Chunk
 	sidecar  api.Document
 	why      string // a promise was broken by the step itself
 }
@@ -92,7 +92,7 @@
 			l.Apply(list.Command{Op: list.Register, Region: south, Name: name, Registration: &api.Registration{Address: "own", Weight: 1}})
 		}
 		on := int64(0)
-		l.Apply(list.Command{Op: list.Put, Region: south, Name: "own", IfVersion: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(`{}`)}})
+		l.Apply(list.Command{Op: list.PutDocument, Region: south, Name: "own", IfRevision: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(`{}`)}})
 	})
 	s.leaders[0].leads = true
 	s.issue("+a")
@@ -134,14 +134,14 @@
 		switch {
 		case c.Name == service:
 			d, _ := l.Document(service)
-			c.Op, c.IfVersion = list.Delete, &d.Version
+			c.Op, c.IfRevision = list.DeleteDocument, &d.Revision
 			if what[0] == '+' {
-				c.Op, c.Document = list.Put, &api.Document{Schema: 1, Settings: json.RawMessage(strconv.Itoa(n))}
+				c.Op, c.Document = list.PutDocument, &api.Document{Schema: 1, Settings: json.RawMessage(strconv.Itoa(n))}
 			}
 		case what[0] == '+':
 			c.Op, c.Registration = list.Register, &api.Registration{Address: strconv.Itoa(n), Weight: 1}
 		default:
-			c.Op = list.Leave
+			c.Op = list.Deregister
 		}
 		if r := l.Apply(c); r.Err != nil {
 			s.why = fmt.Sprintf("the owner refuses %s: %v", what, r.Err)
@@ -153,8 +153,8 @@
 
 // told is what the owner's list tells now.
 func (s *state) told() past {
-	p := past{map[string]api.Entry{}, map[string]api.Document{}}
-	all := s.owner.OwnSince(-1)
+	p := past{map[string]api.Endpoint{}, map[string]api.Document{}}
+	all := s.owner.OwnChangesSince(-1)
 	for _, e := range all.Endpoints {
 		p.entries[e.Name] = e
 	}
@@ -165,15 +165,15 @@
 }
 
 // tells is the next line of a watch that was told up to from; false: there is nothing to tell.
-func (s *state) tells(at int, from int64) (api.Listing, bool) {
+func (s *state) tells(at int, from int64) (api.WatchEvent, bool) {
 	of := s.owner
 	if at == 1 {
 		of = s.behind
 	}
-	if from == of.Version() {
-		return api.Listing{}, false
+	if from == of.Revision() {
+		return api.WatchEvent{}, false
 	}
-	l := of.OwnSince(from)
+	l := of.OwnChangesSince(from)
 	l.Region = north
 	return l, l.Snapshot || len(l.Endpoints) > 0 || len(l.Documents) > 0
 }
@@ -182,7 +182,7 @@
 func (s *state) watch(who, at int) {
 	l := &s.leaders[who]
 	l.watches, l.source = true, at
-	l.at = l.stand.From(s.follower.Held(north).Version, l.unheard)
+	l.at = l.sync.NextRevision(s.follower.Replicated(north).Revision, l.unheard)
 	l.unheard = false
 	s.line(who)
 }
@@ -191,65 +191,65 @@
 func (s *state) line(who int) {
 	l := &s.leaders[who]
 	if told, any := s.tells(l.source, l.at); any {
-		l.lines, l.at = append(l.lines, told), told.Index
+		l.lines, l.at = append(l.lines, told), told.Revision
 	}
 }
 
-// take has a leader work out what a line comes to.
-func (s *state) take(who int) {
+// applyChunk has a leader work out what a line comes to.
+func (s *state) applyChunk(who int) {
 	l := &s.leaders[who]
 	told := l.lines[0]
 	l.lines = l.lines[1:]
-	held := s.follower.Held(north)
+	replicated := s.follower.Replicated(north)
 	if s.faults.NoSeen {
-		held.Seen = 0
+		replicated.SeenRevision = 0
 	}
-	pieces, odd, refused := one.Pieces(north, held, told)
-	if refused != "" {
-		l.stand.Took(told.Snapshot, "", refused)
+	chunks, anomaly, rejected := one.Chunks(north, replicated, told)
+	if rejected != "" {
+		l.sync.Record(told.Snapshot, "", rejected)
 		l.drop()
 		return
 	}
-	l.pieces, l.snapshot, l.odd = pieces, told.Snapshot, odd
+	l.chunks, l.snapshot, l.anomaly = chunks, told.Snapshot, anomaly
 	if s.faults.Forgets && told.Snapshot {
-		for name := range held.Documents {
+		for name := range replicated.Documents {
 			if !slices.ContainsFunc(told.Documents, func(d api.Document) bool { return d.Service == name }) {
 				l.forgets = append(l.forgets, name)
 			}
 		}
 	}
-	s.took(who)
+	s.chunkApplied(who)
 }
 
-// took notes that a line was taken in, once nothing of it is left.
-func (s *state) took(who int) {
-	if l := &s.leaders[who]; len(l.pieces) == 0 {
-		l.stand.Took(l.snapshot, l.odd, "")
-		l.odd, l.forgets = "", nil
+// chunkApplied notes that a line was taken in, once nothing of it is left.
+func (s *state) chunkApplied(who int) {
+	if l := &s.leaders[who]; len(l.chunks) == 0 {
+		l.sync.Record(l.snapshot, l.anomaly, "")
+		l.anomaly, l.forgets = "", nil
 	}
 }
 
 // carryOut is a piece that is committed.
-func (s *state) carryOut(p list.Piece, forgets []string) (err *api.Failure) {
+func (s *state) carryOut(p list.Chunk, forgets []string) (err *api.Error) {
 	s.follower.change(func(l *list.List) {
 		if s.faults.NoFrom {
-			p.From = l.Held(north).Version
+			p.From = l.Replicated(north).Revision
 		}
 		if s.faults.NoTurns {
-			p.Part = l.Held(north).Part
+			p.Part = l.Replicated(north).NextPart
 		}
 		if s.faults.NoSeen || p.Last && len(forgets) > 0 {
 			of := l.State()
-			for i := range of.Others {
-				o := &of.Others[i]
+			for i := range of.Regions {
+				o := &of.Regions[i]
 				if s.faults.NoSeen {
-					o.Seen = min(o.Seen, p.To)
+					o.SeenRevision = min(o.SeenRevision, p.To)
 				}
 				o.Documents = slices.DeleteFunc(o.Documents, func(d api.Document) bool { return p.Last && slices.Contains(forgets, d.Service) })
 			}
 			*l = *list.Load(of, history)
 		}
-		err = l.Apply(list.Command{Op: list.Follow, Region: south, Piece: &p}).Err
+		err = l.Apply(list.Command{Op: list.ReplicateRegion, Region: south, Chunk: &p}).Err
 	})
 	return err
 }
@@ -257,19 +257,19 @@
 // propose is a leader's next piece, which is carried out and answered.
 func (s *state) propose(who int) {
 	l := &s.leaders[who]
-	p := l.pieces[0]
-	l.pieces = l.pieces[1:]
+	p := l.chunks[0]
+	l.chunks = l.chunks[1:]
 	if err := s.carryOut(p, l.forgets); err != nil {
 		s.unanswered(who)
 		return
 	}
-	s.took(who)
+	s.chunkApplied(who)
 }
 
 // unanswered is a piece of which a leader does not hear that it was carried out.
 func (s *state) unanswered(who int) {
 	l := &s.leaders[who]
-	l.stand.Took(l.snapshot, "", "unanswered")
+	l.sync.Record(l.snapshot, "", "unanswered")
 	l.drop()
 }
 
@@ -290,7 +290,7 @@
 
 // read has the sidecar read at a replica of the follower.
 func (s *state) read(at frozen) {
-	if d, found := at.Document(service); found && (d.Version >= s.sidecar.Version || s.faults.NoHighest) {
+	if d, found := at.Document(service); found && (d.Revision >= s.sidecar.Revision || s.faults.NoHighest) {
 		s.sidecar = d
 	}
 }
@@ -300,26 +300,26 @@
 	s.freeze()
 	sum := sha256.New()
 	l := s.left
-	fmt.Fprint(sum, l.Changes, l.Losses, l.Lates, l.Repeats, l.Elections, l.Starts, l.Backs, l.Reads, s.changes, s.back, s.newest, s.sidecar.Version, string(s.sidecar.Settings))
+	fmt.Fprint(sum, l.Changes, l.Losses, l.Lates, l.Repeats, l.Elections, l.Starts, l.Backs, l.Reads, s.changes, s.back, s.newest, s.sidecar.Revision, string(s.sidecar.Settings))
 	for _, l := range []frozen{s.owner, s.behind, s.follower, s.lags} {
 		sum.Write(l.key)
 	}
-	keyOf := func(p list.Piece) {
+	keyOf := func(p list.Chunk) {
 		fmt.Fprint(sum, "|", p.From, p.To, p.Part, p.Last)
 		for _, e := range p.Entries {
 			fmt.Fprint(sum, e.Name, e.Address, e.Status)
 		}
 		for _, d := range p.Documents {
-			fmt.Fprint(sum, d.Service, d.Version, string(d.Settings))
+			fmt.Fprint(sum, d.Service, d.Revision, string(d.Settings))
 		}
 	}
 	for i := range s.leaders {
 		l := &s.leaders[i]
-		fmt.Fprint(sum, "|L", l.leads, l.stand, l.unheard, l.watches, l.source, l.at, l.snapshot, l.odd, l.forgets)
+		fmt.Fprint(sum, "|L", l.leads, l.sync, l.unheard, l.watches, l.source, l.at, l.snapshot, l.anomaly, l.forgets)
 		for _, x := range l.lines {
-			keyOf(list.Piece{From: int64(len(x.Endpoints)), To: x.Index, Last: x.Snapshot, Entries: x.Endpoints, Documents: x.Documents})
+			keyOf(list.Chunk{From: int64(len(x.Endpoints)), To: x.Revision, Last: x.Snapshot, Entries: x.Endpoints, Documents: x.Documents})
 		}
-		for _, p := range l.pieces {
+		for _, p := range l.chunks {
 			keyOf(p)
 		}
 	}
--- a/internal/federation/explore/steps.go
+++ b/internal/federation/explore/steps.go
@@ -77,7 +77,7 @@
 	l := &s.leaders[i]
 	who := leading(i)
 	switch {
-	case !l.watches && len(l.lines) == 0 && len(l.pieces) == 0:
+	case !l.watches && len(l.lines) == 0 && len(l.chunks) == 0:
 		for at := range 2 {
 			if at == 1 && s.behind.List == s.owner.List {
 				break // no difference
@@ -95,34 +95,34 @@
 			n.leaders[i].watches, n.leaders[i].lines = false, nil
 		})
 	}
-	if len(l.lines) > 0 && len(l.pieces) == 0 {
-		add(fmt.Sprintf("%s takes a line to %d", who, l.lines[0].Index), func(n *state) { n.take(i) })
+	if len(l.lines) > 0 && len(l.chunks) == 0 {
+		add(fmt.Sprintf("%s takes a line to %d", who, l.lines[0].Revision), func(n *state) { n.applyChunk(i) })
 		if s.left.Repeats > 0 {
-			add(fmt.Sprintf("%s takes a line to %d, which comes again", who, l.lines[0].Index), func(n *state) {
+			add(fmt.Sprintf("%s takes a line to %d, which comes again", who, l.lines[0].Revision), func(n *state) {
 				n.left.Repeats--
 				again := n.leaders[i].lines[0]
-				n.take(i)
+				n.applyChunk(i)
 				n.leaders[i].lines = append(slices.Clone(n.leaders[i].lines), again)
 			})
 		}
 	}
-	if len(l.pieces) > 0 {
-		s.stepsOfPiece(i, l.pieces[0], add)
+	if len(l.chunks) > 0 {
+		s.stepsOfChunk(i, l.chunks[0], add)
 	}
 	if i != s.newest {
 		add(fmt.Sprintf("%s ends", who), func(n *state) { n.leaders[i] = leader{} })
 	}
 }
 
-// stepsOfPiece are what may become of the next piece that a leader proposes.
-func (s *state) stepsOfPiece(i int, p list.Piece, add func(string, func(*state))) {
+// stepsOfChunk are what may become of the next piece that a leader proposes.
+func (s *state) stepsOfChunk(i int, p list.Chunk, add func(string, func(*state))) {
 	name := fmt.Sprintf("%s's piece %d from %d to %d", leading(i), p.Part, p.From, p.To)
 	add(name, func(n *state) { n.propose(i) })
 	if s.left.Losses > 0 {
 		add(name+" is lost", func(n *state) {
 			n.left.Losses--
-			if l := &n.leaders[i]; n.faults.GoesOn && len(l.pieces) > 1 {
-				l.pieces = l.pieces[1:]
+			if l := &n.leaders[i]; n.faults.GoesOn && len(l.chunks) > 1 {
+				l.chunks = l.chunks[1:]
 				return
 			}
 			n.unanswered(i)
--- a/internal/forwarding/spill_test.go
+++ b/internal/forwarding/decider_test.go
@@ -24,15 +24,15 @@
 	for name := range at {
 		all = append(all, message.Member{Name: name, Site: name[:1], Forward: "127.0.0.1:1"})
 	}
-	d.Roster(all)
+	d.SetMembers(all)
 	for name, p := range at {
-		d.Heard(now, name, p)
+		d.OnPressure(now, name, p)
 	}
 }
 
 func TestOneSpikeDoesNotFlip(t *testing.T) {
 	g := pressed(message.Pressure{CPU: 0.6})
-	if g.Add(10*second, message.Pressure{CPU: 1}); g.hot || !g.Accepts() && g.now.Total < coolFrom {
+	if g.Add(10*second, message.Pressure{CPU: 1}); g.hot || !g.Accepts() && g.now.Total < coolThreshold {
 		t.Errorf("one sample of 1 made it hot at %v", g.now.Total)
 	}
 	g = pressed(message.Pressure{CPU: 0.9})
@@ -43,7 +43,7 @@
 
 func TestWhoGetsTheWork(t *testing.T) {
 	process, site := message.Pressure{CPU: 1, Site: 0.2}, message.Pressure{CPU: 0.2, Site: 1}
-	far := Request{Left: second, Cross: 20 * time.Millisecond, Price: 0.1}
+	far := Request{TimeLeft: second, RoundTrip: 20 * time.Millisecond, Cost: 0.1}
 	for name, c := range map[string]struct {
 		own   message.Pressure
 		r     Request
@@ -56,8 +56,8 @@
 		"the site is short":                  {site, far, map[string]float64{"a1": 0, "b1": 0.1, "c1": 0.1}, 0, []string{"b1", "c1"}},
 		"the lower pressure of two":          {site, far, map[string]float64{"b1": 0.6, "b2": 0.1}, 0, []string{"b2"}},
 		"all are pressed":                    {site, far, map[string]float64{"b1": 0.8, "c1": 0.9}, 0, nil},
-		"no time for the way":                {site, Request{Left: 70 * time.Millisecond, Cross: 20 * time.Millisecond}, map[string]float64{"b1": 0}, 0, nil},
-		"crossing costs more than it brings": {site, Request{Left: second, Price: 0.95}, map[string]float64{"b1": 0}, 0, nil},
+		"no time for the way":                {site, Request{TimeLeft: 70 * time.Millisecond, RoundTrip: 20 * time.Millisecond}, map[string]float64{"b1": 0}, 0, nil},
+		"crossing costs more than it brings": {site, Request{TimeLeft: second, Cost: 0.95}, map[string]float64{"b1": 0}, 0, nil},
 		"what was heard is old":              {site, far, map[string]float64{"b1": 0, "c1": 0}, 4 * second, nil},
 		"nobody is there":                    {site, far, nil, 0, nil},
 	} {
@@ -86,16 +86,16 @@
 	d, g := NewDecider("a", 1), pressed(message.Pressure{Site: 1})
 	fleet(d, 0, map[string]float64{"b1": 0.1})
 	for _, served := range []bool{true, false} {
-		if choice, _ := d.Choose(0, g, Request{Left: second}); choice != Forward {
+		if choice, _ := d.Choose(0, g, Request{TimeLeft: second}); choice != Forward {
 			t.Fatal("kept")
 		}
-		d.Over("b1", served)
+		d.Done("b1", served)
 	}
-	if choice, _ := d.Choose(0, g, Request{Left: second}); choice == Forward {
+	if choice, _ := d.Choose(0, g, Request{TimeLeft: second}); choice == Forward {
 		t.Error("sent again to one that had just refused")
 	}
-	d.Heard(second, "b1", 0.1)
-	if choice, _ := d.Choose(second, g, Request{Left: second}); choice != Forward {
+	d.OnPressure(second, "b1", 0.1)
+	if choice, _ := d.Choose(second, g, Request{TimeLeft: second}); choice != Forward {
 		t.Error("left alone for good")
 	}
 }
@@ -106,7 +106,7 @@
 	fleet(d, 0, map[string]float64{"b1": 0.2, "b2": 0.2, "b3": 0.2, "b4": 0.2})
 	to, sent, most := map[string]int{}, 0, 0
 	for range 2000 {
-		if choice, name := d.Choose(0, g, Request{Left: second}); choice == Forward {
+		if choice, name := d.Choose(0, g, Request{TimeLeft: second}); choice == Forward {
 			to[name]++
 			sent++
 		}
@@ -115,7 +115,7 @@
 	for _, n := range to {
 		most, least = max(most, n), min(least, n)
 	}
-	if sent > int(2000*part+burst) || sent < int(2000*part) {
+	if sent > int(2000*maxForwardedFraction+burst) || sent < int(2000*maxForwardedFraction) {
 		t.Errorf("%d of 2000 forwarded", sent)
 	}
 	if len(to) != 4 || most > least+least/10 {
--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -14,7 +14,7 @@
 // newest goes.
 type broadcast struct {
 	key message.Key
-	p   *Carrier
+	p   *Gossiper
 }
 
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
@@ -26,11 +26,11 @@
 func (b *broadcast) Name() string {
 	return b.key.Owner + "\x00" + strconv.Itoa(int(b.key.Kind)) + "\x00" + b.key.Name
 }
-func (b *broadcast) Message() []byte { return b.p.aged(b.key) }
+func (b *broadcast) Message() []byte { return b.p.encodeNow(b.key) }
 func (b *broadcast) Finished()       {}
 
 // delegate is what the library asks of a carrier, on goroutines of its own.
-type delegate Carrier
+type delegate Gossiper
 
 // NodeMeta words this process. Its bounds were checked, so it fits.
 func (d *delegate) NodeMeta(int) []byte {
@@ -46,10 +46,10 @@
 
 func (d *delegate) NotifyMsg(text []byte) {
 	var r message.Record
-	if len(text) > message.RecordMost || message.Decode(text, &r) != nil {
+	if len(text) > message.MaxRecord || message.Decode(text, &r) != nil {
 		return
 	}
-	(*Carrier)(d).take(r)
+	(*Gossiper)(d).receive(r)
 }
 
 // GetBroadcasts fills a datagram as far as the budget goes.
@@ -65,22 +65,22 @@
 		used += overhead + len(text)
 	}
 	d.budget.AllowN(now, used)
-	kept := all[:0]
+	sendable := all[:0]
 	for _, text := range all {
 		if len(text) > 0 { // else it lapsed while it waited
-			kept = append(kept, text)
+			sendable = append(sendable, text)
 		}
 	}
-	return kept
+	return sendable
 }
 
 // LocalState is all that has not lapsed, for a member that push/pull meets.
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
-	all := d.records.live((*Carrier)(d).now())
+	all := d.records.live((*Gossiper)(d).now())
 	d.mu.Unlock()
 	text, err := message.Encode(all)
-	if err != nil || len(text) > message.StateMost {
+	if err != nil || len(text) > message.MaxState {
 		slog.Warn("no state for a member", "component", "peers", "bytes", len(text), "err", err)
 		return nil
 	}
@@ -89,16 +89,16 @@
 
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	var all []message.Record
-	if len(text) > message.StateMost || message.Decode(text, &all) != nil {
+	if len(text) > message.MaxState || message.Decode(text, &all) != nil {
 		return
 	}
 	for _, r := range all {
-		(*Carrier)(d).take(r)
+		(*Gossiper)(d).receive(r)
 	}
 }
 
 // events follows who is present.
-type events Carrier
+type events Gossiper
 
 func (e *events) NotifyJoin(n *memberlist.Node)   { e.set(n) }
 func (e *events) NotifyUpdate(n *memberlist.Node) { e.set(n) }
@@ -109,7 +109,7 @@
 	if n.Name != e.self.Name {
 		delete(e.members, n.Name)
 		if n.State != memberlist.StateLeft {
-			(*Carrier)(e).lose(n.Name, n.Address())
+			(*Gossiper)(e).memberFailed(n.Name, n.Address())
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if m.Name == e.self.Name {
-		(*Carrier)(e).meet(m.Incarnation)
+		(*Gossiper)(e).onIncarnation(m.Incarnation)
 		return
 	}
 	if old, known := e.members[m.Name]; !known || !old.Incarnation.Newer(m.Incarnation) {
@@ -131,7 +131,7 @@
 }
 
 // conflict hears of two processes under one name at two addresses.
-type conflict Carrier
+type conflict Gossiper
 
 func (c *conflict) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("two processes under one name", "component", "peers", "node", existing.Name, "peer", other.Address())
--- a/internal/gossip/carrier.go
+++ b/internal/gossip/gossiper.go
@@ -23,23 +23,23 @@
 )
 
 const (
-	heardMost     = 512                    // records of a kind that wait for their part
-	sweepEvery    = time.Second            // of what has lapsed
-	streamTimeout = 2 * time.Second        // of a connection to another, and of what goes over it
-	leavePatience = 500 * time.Millisecond // for the others to hear that this one leaves
-	rejoinEvery   = 5 * time.Second        // while nobody else is there
+	inboxSize      = 512                    // records of a kind that wait for their part
+	sweepInterval  = time.Second            // of what has lapsed
+	streamTimeout  = 2 * time.Second        // of a connection to another, and of what goes over it
+	leaveTimeout   = 500 * time.Millisecond // for the others to hear that this one leaves
+	rejoinInterval = 5 * time.Second        // while nobody else is there
 	// Of many that start together some miss the word of others: each is told to few while few are known. So a new process
-	// meets so many others, one at a time with growing waits from meetFirst on, before it relies on the library's own pace.
-	meetings    = 4
-	meetFirst   = 500 * time.Millisecond
-	gossipEvery = 100 * time.Millisecond
-	// bytesRate bounds the records that one process sends, in bytes a second; the library's probes and its push/pull come
+	// meets so many others, one at a time with growing waits from baseJoinDelay on, before it relies on the library's own pace.
+	initialJoins   = 4
+	baseJoinDelay  = 500 * time.Millisecond
+	gossipInterval = 100 * time.Millisecond
+	// maxBytesPerSecond bounds the records that one process sends, in bytes a second; the library's probes and its push/pull come
 	// to about 1 KB/s more. What does not go now goes later, the newest of each key.
-	bytesRate  = 6 << 10
-	bytesBurst = 16 << 10
+	maxBytesPerSecond = 6 << 10
+	maxBurstBytes     = 16 << 10
 	// A process that has taken part for so long and then hears of a newer one under its name stands aside. Before, what it
 	// hears is left of the process before it, whose clock was ahead, and it takes a later start for itself.
-	settledAfter = 5 * time.Second
+	establishedAfter = 5 * time.Second
 )
 
 // Config is what a carrier begins with.
@@ -51,32 +51,32 @@
 	Transport memberlist.Transport // nil: sockets at Address
 }
 
-// Carrier is one process among the members. Safe for concurrent use.
-type Carrier struct {
-	list   *memberlist.Memberlist
-	queue  *memberlist.TransmitLimitedQueue // records on their way
-	budget *rate.Limiter
-	heard  map[message.Kind]*conflate.Ring[message.Key, message.Record] // fixed
-	start  time.Time
-	seeds  []string
-	stop   context.CancelFunc
-	done   chan struct{}
-	asks   sync.WaitGroup
+// Gossiper is one process among the members. Safe for concurrent use.
+type Gossiper struct {
+	list       *memberlist.Memberlist
+	queue      *memberlist.TransmitLimitedQueue // records on their way
+	budget     *rate.Limiter
+	inboxes    map[message.Kind]*conflate.Queue[message.Key, message.Record] // fixed
+	start      time.Time
+	seeds      []string
+	stop       context.CancelFunc
+	done       chan struct{}
+	background sync.WaitGroup
 
 	name string
 
-	mu      sync.Mutex
-	self    message.Member
-	fenced  bool
-	seq     uint64
-	records *store
-	members map[string]message.Member // who is present, this one too
-	lost    map[string]gone           // who is not, and went without a word
+	mu       sync.Mutex
+	self     message.Member
+	fenced   bool
+	seq      uint64
+	records  *store
+	members  map[string]message.Member // who is present, this one too
+	departed map[string]departedMember // who is not, and went without a word
 }
 
 // Join begins to take part. It does not wait for the others: it goes on asking the seeds while nobody else is there. An error
 // says what of the configuration can't be used.
-func Join(c Config) (*Carrier, error) {
+func Join(c Config) (*Gossiper, error) {
 	if err := c.Member.Check(); err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 	}
 	conf.TCPTimeout = streamTimeout
 	conf.Name, conf.BindAddr, conf.BindPort = c.Member.Name, host, int(number)
-	conf.Transport, conf.LogOutput, conf.GossipInterval = c.Transport, io.Discard, gossipEvery
+	conf.Transport, conf.LogOutput, conf.GossipInterval = c.Transport, io.Discard, gossipInterval
 	conf.Delegate, conf.Events, conf.Conflict = (*delegate)(p), (*events)(p), (*conflict)(p)
 	if p.list, err = memberlist.Create(conf); err != nil {
 		_ = c.Transport.Shutdown() // what is wrong is said by err
@@ -114,35 +114,35 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	go p.run(ctx)
-	p.asks.Go(func() { p.askLost(ctx) })
+	p.background.Go(func() { p.rejoinLoop(ctx) })
 	return p, nil
 }
 
 // newCarrier takes part in nothing yet.
-func newCarrier(c Config) *Carrier {
-	p := &Carrier{self: c.Member, name: c.Member.Name, heard: map[message.Kind]*conflate.Ring[message.Key, message.Record]{}, start: time.Now(), records: newStore(message.OwnerMost),
+func newCarrier(c Config) *Gossiper {
+	p := &Gossiper{self: c.Member, name: c.Member.Name, inboxes: map[message.Kind]*conflate.Queue[message.Key, message.Record]{}, start: time.Now(), records: newStore(message.MaxRecordsPerOwner),
 		seeds:   slices.DeleteFunc(slices.Clone(c.Seeds), func(s string) bool { return s == c.Address || s == c.Advertise }),
-		members: map[string]message.Member{c.Member.Name: c.Member}, lost: map[string]gone{}, done: make(chan struct{}),
-		budget: rate.NewLimiter(bytesRate, bytesBurst)}
-	for _, kind := range []message.Kind{message.Breaker, message.Load, message.Digest, message.Incident, message.Trial, message.Ask} {
-		p.heard[kind] = conflate.New[message.Key, message.Record](heardMost)
+		members: map[string]message.Member{c.Member.Name: c.Member}, departed: map[string]departedMember{}, done: make(chan struct{}),
+		budget: rate.NewLimiter(maxBytesPerSecond, maxBurstBytes)}
+	for _, kind := range []message.Kind{message.Breaker, message.LoadReport, message.Digest, message.Incident, message.Probe, message.PressureRequest} {
+		p.inboxes[kind] = conflate.New[message.Key, message.Record](inboxSize)
 	}
 	p.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 3, NumNodes: p.Present}
 	return p
 }
 
 // run joins, and sweeps, until ctx ends.
-func (p *Carrier) run(ctx context.Context) {
+func (p *Gossiper) run(ctx context.Context) {
 	defer close(p.done)
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	join := time.NewTimer(0)
 	defer join.Stop()
-	for met := 0; ; {
+	for joined := 0; ; {
 		select {
 		case <-join.C:
-			join.Reset(p.join(met))
-			met++
+			join.Reset(p.join(joined))
+			joined++
 		case <-sweep.C:
 			p.mu.Lock()
 			p.records.sweep(p.now())
@@ -154,11 +154,11 @@
 }
 
 // join meets the seeds, or one of the others, and tells how long to wait for the next time.
-func (p *Carrier) join(met int) time.Duration {
+func (p *Gossiper) join(joined int) time.Duration {
 	by := p.seeds
 	if others := p.list.Members(); len(others) > 1 {
-		if met > meetings {
-			return rejoinEvery
+		if joined > initialJoins {
+			return rejoinInterval
 		}
 		by = []string{others[rand.IntN(len(others))].Address()}
 	}
@@ -167,43 +167,43 @@
 			slog.Debug("nobody to join by", "component", "peers", "err", err)
 		}
 	}
-	wait := min(meetFirst<<min(met, 10), rejoinEvery)
+	wait := min(baseJoinDelay<<min(joined, 10), rejoinInterval)
 	return time.Duration((0.5 + rand.Float64()) * float64(wait))
 }
 
-func (p *Carrier) now() time.Duration { return time.Since(p.start) }
+func (p *Gossiper) now() time.Duration { return time.Since(p.start) }
 
 // Address is where this process takes part.
-func (p *Carrier) Address() string { return p.list.LocalNode().Address() }
+func (p *Gossiper) Address() string { return p.list.LocalNode().Address() }
 
 // Leave tells the others that this process goes, and ends its part.
-func (p *Carrier) Leave() error {
+func (p *Gossiper) Leave() error {
 	p.stop()
 	<-p.done
-	err := errors.Join(p.list.Leave(leavePatience), p.list.Shutdown())
-	p.asks.Wait()
+	err := errors.Join(p.list.Leave(leaveTimeout), p.list.Shutdown())
+	p.background.Wait()
 	return err
 }
 
 // Self is this process's name.
-func (p *Carrier) Self() string { return p.name }
+func (p *Gossiper) Self() string { return p.name }
 
 // Fenced tells that a newer process has this one's name: it says nothing more and must not act for others.
-func (p *Carrier) Fenced() bool {
+func (p *Gossiper) Fenced() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fenced
 }
 
 // Present counts the members that are there, this one too.
-func (p *Carrier) Present() int {
+func (p *Gossiper) Present() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.members)
 }
 
 // Members are those that are there, this one too, by name.
-func (p *Carrier) Members() []message.Member {
+func (p *Gossiper) Members() []message.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make([]message.Member, 0, len(p.members))
@@ -214,38 +214,38 @@
 }
 
 // Dropped counts records that the parts did not take in time, and those left out for an owner's bound.
-func (p *Carrier) Dropped() (late, over uint64) {
+func (p *Gossiper) Dropped() (late, over uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, r := range p.heard {
+	for _, r := range p.inboxes {
 		late += r.Dropped()
 	}
-	return late, p.records.over
+	return late, p.records.dropped
 }
 
-// Heard holds what others say of a kind, as it comes. One part takes it; what no part takes is bounded like the rest.
-func (p *Carrier) Heard(kind message.Kind) *conflate.Ring[message.Key, message.Record] {
-	return p.heard[kind]
+// Inbox holds what others say of a kind, as it comes. One part takes it; what no part takes is bounded like the rest.
+func (p *Gossiper) Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record] {
+	return p.inboxes[kind]
 }
 
-// Say tells the others word, of a kind and under a name of this process's own, to be believed for ttl: some may miss it, so what lasts
+// Broadcast tells the others word, of a kind and under a name of this process's own, to be believed for ttl: some may miss it, so what lasts
 // has to be said again within that time. over takes it back; it is told on for ttl, which has to be that of what it takes back.
-func (p *Carrier) Say(kind message.Kind, name string, word any, ttl time.Duration, over bool) error {
-	r, err := p.word(kind, name, word, ttl, over)
+func (p *Gossiper) Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, over bool) error {
+	r, err := p.newRecord(kind, name, payload, ttl, over)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
 	p.records.merge(p.now(), r)
 	p.mu.Unlock()
-	p.pass(r.Key)
+	p.enqueue(r.Key)
 	return nil
 }
 
-// Whisper tells word to one member, in one datagram, and to nobody else. An error says that it is not there, or that the budget is
+// SendTo tells word to one member, in one datagram, and to nobody else. An error says that it is not there, or that the budget is
 // spent.
-func (p *Carrier) Whisper(to string, kind message.Kind, word any, ttl time.Duration) error {
-	r, err := p.word(kind, "", word, ttl, false)
+func (p *Gossiper) SendTo(to string, kind message.Kind, payload any, ttl time.Duration) error {
+	r, err := p.newRecord(kind, "", payload, ttl, false)
 	if err != nil {
 		return err
 	}
@@ -254,7 +254,7 @@
 		return err
 	}
 	if !p.budget.AllowN(time.Now(), len(text)) {
-		return errSpent
+		return errBudgetExceeded
 	}
 	for _, n := range p.list.Members() {
 		if n.Name == to {
@@ -265,15 +265,15 @@
 }
 
 var (
-	errFenced = errors.New("a newer process has this one's name")
-	errSpent  = errors.New("the budget of bytes is spent")
+	errFenced         = errors.New("a newer process has this one's name")
+	errBudgetExceeded = errors.New("the budget of bytes is spent")
 )
 
-// word numbers and checks what this process says.
-func (p *Carrier) word(kind message.Kind, name string, word any, ttl time.Duration, over bool) (r message.Record, err error) {
-	r = message.Record{Key: message.Key{Owner: p.self.Name, Kind: kind, Name: name}, TTL: ttl, Over: over}
-	if word != nil {
-		if r.Body, err = message.Encode(word); err != nil {
+// newRecord numbers and checks what this process says.
+func (p *Gossiper) newRecord(kind message.Kind, name string, payload any, ttl time.Duration, over bool) (r message.Record, err error) {
+	r = message.Record{Key: message.Key{Owner: p.self.Name, Kind: kind, Name: name}, TTL: ttl, Withdrawn: over}
+	if payload != nil {
+		if r.Body, err = message.Encode(payload); err != nil {
 			return r, err
 		}
 	}
@@ -290,34 +290,34 @@
 	return r, nil
 }
 
-// take takes in what came, and passes on what was news.
-func (p *Carrier) take(r message.Record) {
-	if (r.Kind == message.Load || r.Kind == message.Ask) && r.Owner != p.Self() && r.Check() == nil {
-		p.heard[r.Kind].Put(r.Key, r, false)
+// receive takes in what came, and passes on what was news.
+func (p *Gossiper) receive(r message.Record) {
+	if (r.Kind == message.LoadReport || r.Kind == message.PressureRequest) && r.Owner != p.Self() && r.Check() == nil {
+		p.inboxes[r.Kind].Push(r.Key, r, false)
 		return
 	}
 	p.mu.Lock()
-	var news bool
+	var changed bool
 	if r.Owner == p.self.Name {
-		p.meet(r.Incarnation)
+		p.onIncarnation(r.Incarnation)
 	} else {
-		news = p.records.merge(p.now(), r)
+		changed = p.records.merge(p.now(), r)
 	}
 	p.mu.Unlock()
-	if news {
-		if heard := p.heard[r.Kind]; heard != nil { // else of a later schema: carried on, not read
-			heard.Put(r.Key, r, r.Over)
+	if changed {
+		if inbox := p.inboxes[r.Kind]; inbox != nil { // else of a later schema: carried on, not read
+			inbox.Push(r.Key, r, r.Withdrawn)
 		}
-		p.pass(r.Key)
+		p.enqueue(r.Key)
 	}
 }
 
-// meet is told, with mu held, of a process under this one's name.
-func (p *Carrier) meet(other message.Incarnation) {
+// onIncarnation is told, with mu held, of a process under this one's name.
+func (p *Gossiper) onIncarnation(other message.Incarnation) {
 	if !other.Newer(p.self.Incarnation) || p.fenced {
 		return
 	}
-	if p.now() < settledAfter {
+	if p.now() < establishedAfter {
 		p.self.Incarnation.StartedMs = other.StartedMs + 1
 		p.members[p.self.Name] = p.self
 		return
@@ -326,15 +326,15 @@
 	slog.Warn("a newer process has this one's name: nothing is shared any more", "component", "peers", "node", p.self.Name)
 }
 
-// pass queues the record of a key for the others.
-func (p *Carrier) pass(key message.Key) {
+// enqueue queues the record of a key for the others.
+func (p *Gossiper) enqueue(key message.Key) {
 	p.queue.QueueBroadcast(&broadcast{key: key, p: p})
 }
 
-// aged is the record of a key as it is to be sent now, aged by the time that it has lain here; nil: it has lapsed.
-func (p *Carrier) aged(key message.Key) []byte {
+// encodeNow is the record of a key as it is to be sent now, aged by the time that it has lain here; nil: it has lapsed.
+func (p *Gossiper) encodeNow(key message.Key) []byte {
 	p.mu.Lock()
-	r, ok := p.records.left(p.now(), key)
+	r, ok := p.records.get(p.now(), key)
 	p.mu.Unlock()
 	if !ok {
 		return nil
--- a/internal/gossip/carrier_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -14,20 +14,20 @@
 		c := Config{Member: message.Member{Name: "n1", Incarnation: message.Incarnation{StartedMs: 1000}}}
 		p := newCarrier(c)
 		hear := func(started int64) {
-			p.take(message.Record{Key: message.Key{Owner: "n1", Kind: message.Breaker}, Incarnation: message.Incarnation{StartedMs: started}, Seq: 9, TTL: time.Second})
+			p.receive(message.Record{Key: message.Key{Owner: "n1", Kind: message.Breaker}, Incarnation: message.Incarnation{StartedMs: started}, Seq: 9, TTL: time.Second})
 		}
 		hear(5000) // by a clock that was ahead
 		if p.Fenced() || p.Members()[0].Incarnation.StartedMs != 5001 {
 			t.Fatalf("fenced %v, incarnation %+v", p.Fenced(), p.Members()[0].Incarnation)
 		}
-		time.Sleep(settledAfter)
+		time.Sleep(establishedAfter)
 		if hear(4000); p.Fenced() {
 			t.Fatal("an older process fences a newer one")
 		}
 		if hear(9000); !p.Fenced() {
 			t.Fatal("a newer process does not fence the older one")
 		}
-		if p.Say(message.Digest, "", message.Summary{}, time.Second, false) == nil {
+		if p.Broadcast(message.Digest, "", message.Summary{}, time.Second, false) == nil {
 			t.Error("it goes on saying")
 		}
 	})
--- a/internal/gossip/message/golden_test.go
+++ b/internal/gossip/message/golden_test.go
@@ -11,7 +11,7 @@
 // Sidecars of two versions gossip with each other for days. The bytes of each message are what they have in common.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	var text strings.Builder
-	for _, message := range []any{&Member{}, &Record{}, &Report{}, &Pressure{}, &Tried{}, &Summary{}, &Announcement{}} {
+	for _, message := range []any{&Member{}, &Record{}, &Report{}, &Pressure{}, &ProbeResult{}, &Summary{}, &Announcement{}} {
 		golden.Fill(message)
 		encoded, err := Encode(message)
 		if err != nil {
@@ -19,7 +19,7 @@
 		}
 		fmt.Fprintf(&text, "%x\n", encoded)
 	}
-	kinds := []Kind{Breaker, Load, Digest, Incident, Trial, Ask}
-	fmt.Fprintln(&text, kinds, Schema, []BreakerState{Closed, Open, HalfOpen}, []Evidence{Errors, Breaks, Silence, Full}, []Trouble{SiteLost, SiteCut})
+	kinds := []Kind{Breaker, LoadReport, Digest, Incident, Probe, PressureRequest}
+	fmt.Fprintln(&text, kinds, Schema, []BreakerState{Closed, Open, HalfOpen}, []Evidence{ErrorAnswers, BrokenConnections, Silence, Rejections}, []SiteFault{SiteUnreachable, SitePartitioned})
 	golden.Equal(t, "messages", text.String())
 }
--- a/internal/gossip/message/api.go
+++ b/internal/gossip/message/message.go
@@ -14,12 +14,12 @@
 
 // Bounds on what is said, in bytes where nothing else stands. What is beyond them is not taken in.
 const (
-	NameMost   = 64      // a member, an upstream, a class, a duty
-	BodyMost   = 1024    // the body of a record, encoded
-	RecordMost = 1400    // a record with its head, encoded: one datagram holds it
-	OwnerMost  = 256     // records of one owner
-	StateMost  = 1 << 20 // all records, encoded: what push/pull brings
-	TTLMost    = time.Minute
+	MaxName            = 64      // a member, an upstream, a class, a duty
+	MaxBody            = 1024    // the body of a record, encoded
+	MaxRecord          = 1400    // a record with its head, encoded: one datagram holds it
+	MaxRecordsPerOwner = 256     // records of one owner
+	MaxState           = 1 << 20 // all records, encoded: what push/pull brings
+	MaxTTL             = time.Minute
 )
 
 // Incarnation tells the processes of one member apart.
@@ -48,8 +48,8 @@
 
 // Check tells what of a member can't be taken in.
 func (m *Member) Check() error {
-	if m.Name == "" || max(len(m.Name), len(m.Site), len(m.Version), len(m.Forward)) > NameMost {
-		return fmt.Errorf("%w: a member's name, site, version and address hold 1 to %d bytes", errBounds, NameMost)
+	if m.Name == "" || max(len(m.Name), len(m.Site), len(m.Version), len(m.Forward)) > MaxName {
+		return fmt.Errorf("%w: a member's name, site, version and address hold 1 to %d bytes", errBounds, MaxName)
 	}
 	return nil
 }
@@ -59,12 +59,12 @@
 
 // The kinds. One that is unknown is carried on and not read.
 const (
-	Breaker  Kind = 1 // body: Report; named by upstream and class
-	Load     Kind = 2 // body: Pressure; told to who asked, and to nobody else
-	Digest   Kind = 3 // body: Summary; from the holder of a site's digest
-	Incident Kind = 4 // body: Announcement
-	Trial    Kind = 5 // body: Tried; from the holder of an upstream's trials
-	Ask      Kind = 6 // no body: the owner wants the receiver's Load
+	Breaker         Kind = 1 // body: Report; named by upstream and class
+	LoadReport      Kind = 2 // body: Pressure; told to who asked, and to nobody else
+	Digest          Kind = 3 // body: Summary; from the holder of a site's digest
+	Incident        Kind = 4 // body: Announcement
+	Probe           Kind = 5 // body: Tried; from the holder of an upstream's trials
+	PressureRequest Kind = 6 // no body: the owner wants the receiver's Load
 )
 
 // Key names a record. There is one of each key at a time.
@@ -81,12 +81,12 @@
 	Incarnation Incarnation   `cbor:"4,keyasint"` // of the owner
 	Seq         uint64        `cbor:"5,keyasint"` // rises with each record of the owner's process
 	TTL         time.Duration `cbor:"6,keyasint"` // what is left of it when sent; each hop ages it by its own monotonic clock
-	Over        bool          `cbor:"7,keyasint"` // the owner takes back what it said; kept until its TTL ends
+	Withdrawn   bool          `cbor:"7,keyasint"` // the owner takes back what it said; kept until its TTL ends
 	Body        []byte        `cbor:"8,keyasint"` // of the kind
 }
 
-// Later tells whether r was said after other by the same owner: of two with the same key it is the one that stands.
-func (r *Record) Later(other *Record) bool {
+// Supersedes tells whether r was said after other by the same owner: of two with the same key it is the one that stands.
+func (r *Record) Supersedes(other *Record) bool {
 	return cmp.Or(r.Incarnation.compare(other.Incarnation), cmp.Compare(r.Seq, other.Seq)) > 0
 }
 
@@ -95,11 +95,11 @@
 // Check tells what of a record can't be taken in.
 func (r *Record) Check() error {
 	switch {
-	case r.Owner == "" || len(r.Owner) > NameMost || len(r.Name) > 2*NameMost:
+	case r.Owner == "" || len(r.Owner) > MaxName || len(r.Name) > 2*MaxName:
 		return fmt.Errorf("%w: names of %d and %d bytes", errBounds, len(r.Owner), len(r.Name))
-	case len(r.Body) > BodyMost:
+	case len(r.Body) > MaxBody:
 		return fmt.Errorf("%w: a body of %d bytes", errBounds, len(r.Body))
-	case r.TTL <= 0 || r.TTL > TTLMost: // a clock that runs wild at the sender, or a lie
+	case r.TTL <= 0 || r.TTL > MaxTTL: // a clock that runs wild at the sender, or a lie
 		return fmt.Errorf("%w: a time to live of %v", errBounds, r.TTL)
 	}
 	return nil
@@ -120,49 +120,49 @@
 
 // The kinds of evidence. Errors are the server's own answers; the other two may be the path's doing.
 const (
-	Errors  Evidence = iota + 1 // error answers
-	Breaks                      // connections refused or broken
-	Silence                     // no answer
-	Full                        // it turns all away
+	ErrorAnswers      Evidence = iota + 1 // error answers
+	BrokenConnections                     // connections refused or broken
+	Silence                               // no answer
+	Rejections                            // it turns all away
 )
 
 // Report is what a sidecar says of an upstream, from its own outcomes alone.
 type Report struct {
-	Upstream string       `cbor:"1,keyasint"`
-	SinceMs  int64        `cbor:"2,keyasint"` // its start by the list: what is said holds for that life only
-	Class    string       `cbor:"3,keyasint"` // whose requests the evidence is of; empty: any
-	State    BreakerState `cbor:"4,keyasint"`
-	Evidence Evidence     `cbor:"5,keyasint"`
-	Count    int          `cbor:"6,keyasint"` // attempts that the evidence consists of
-	Version  int64        `cbor:"7,keyasint"` // of the list that the reporter has
-	Doubt    float64      `cbor:"8,keyasint"` // 0 to 1: how far the reporter doubts itself (stopped, starved, cut off)
-	Round    uint64       `cbor:"9,keyasint"` // the latest closing of the breaker that the reporter knew of
+	Upstream      string       `cbor:"1,keyasint"`
+	StartedMs     int64        `cbor:"2,keyasint"` // its start by the list: what is said holds for that life only
+	Class         string       `cbor:"3,keyasint"` // whose requests the evidence is of; empty: any
+	State         BreakerState `cbor:"4,keyasint"`
+	Evidence      Evidence     `cbor:"5,keyasint"`
+	Count         int          `cbor:"6,keyasint"` // attempts that the evidence consists of
+	ListRevision  int64        `cbor:"7,keyasint"` // of the list that the reporter has
+	SelfSuspicion float64      `cbor:"8,keyasint"` // 0 to 1: how far the reporter doubts itself (stopped, starved, cut off)
+	Round         uint64       `cbor:"9,keyasint"` // the latest closing of the breaker that the reporter knew of
 }
 
 // Pressure is how much of a sidecar is used: 0 nothing, 1 full. Parts beside the sum, so that operators see which it is.
 type Pressure struct {
-	Total   float64 `cbor:"1,keyasint"`
-	CPU     float64 `cbor:"2,keyasint"` // delay of its own loop, stolen time
-	Sockets float64 `cbor:"3,keyasint"`
-	Heap    float64 `cbor:"4,keyasint"`
-	InHand  float64 `cbor:"5,keyasint"` // against what admission allows
-	Site    float64 `cbor:"6,keyasint"` // what its site's upstreams are used
+	Total    float64 `cbor:"1,keyasint"`
+	CPU      float64 `cbor:"2,keyasint"` // delay of its own loop, stolen time
+	Sockets  float64 `cbor:"3,keyasint"`
+	Heap     float64 `cbor:"4,keyasint"`
+	InFlight float64 `cbor:"5,keyasint"` // against what admission allows
+	Site     float64 `cbor:"6,keyasint"` // what its site's upstreams are used
 }
 
 // Parts are the parts of the sum, each 0 to 1.
 func (p *Pressure) Parts() []*float64 {
-	return []*float64{&p.CPU, &p.Sockets, &p.Heap, &p.InHand, &p.Site}
+	return []*float64{&p.CPU, &p.Sockets, &p.Heap, &p.InFlight, &p.Site}
 }
 
-// Tried is what a trial came to.
-type Tried struct {
-	Upstream string `cbor:"1,keyasint"`
-	SinceMs  int64  `cbor:"2,keyasint"`
-	Epoch    uint64 `cbor:"3,keyasint"` // of the duty under which it was made: an older one is refused
-	OK       bool   `cbor:"4,keyasint"`
-	Step     int    `cbor:"5,keyasint"` // of the closing: how many in a row went well
-	Round    uint64 `cbor:"6,keyasint"` // closings so far, this one too once it is whole: reports of earlier rounds are void
-	Count    int    `cbor:"7,keyasint"` // trials made under Epoch
+// ProbeResult is what a trial came to.
+type ProbeResult struct {
+	Upstream  string `cbor:"1,keyasint"`
+	StartedMs int64  `cbor:"2,keyasint"`
+	Epoch     uint64 `cbor:"3,keyasint"` // of the duty under which it was made: an older one is refused
+	OK        bool   `cbor:"4,keyasint"`
+	Step      int    `cbor:"5,keyasint"` // of the closing: how many in a row went well
+	Round     uint64 `cbor:"6,keyasint"` // closings so far, this one too once it is whole: reports of earlier rounds are void
+	Count     int    `cbor:"7,keyasint"` // trials made under Epoch
 }
 
 // Summary is what the holder of a site's digest says for the members of its site.
@@ -174,19 +174,19 @@
 	Pressure float64  `cbor:"5,keyasint"` // mean
 }
 
-// Trouble is what an incident is about.
-type Trouble uint8
+// SiteFault is what an incident is about.
+type SiteFault uint8
 
 // The troubles of a site.
 const (
-	SiteLost Trouble = iota + 1 // its members and upstreams are silent
-	SiteCut                     // its upstreams are silent for others while they answer at home
+	SiteUnreachable SiteFault = iota + 1 // its members and upstreams are silent
+	SitePartitioned                      // its upstreams are silent for others while they answer at home
 )
 
 // Announcement is an incident of a site, said once for the fleet.
 type Announcement struct {
-	Site    string  `cbor:"1,keyasint"`
-	Trouble Trouble `cbor:"2,keyasint"`
-	Epoch   uint64  `cbor:"3,keyasint"`
-	Over    bool    `cbor:"4,keyasint"`
+	Site  string    `cbor:"1,keyasint"`
+	Fault SiteFault `cbor:"2,keyasint"`
+	Epoch uint64    `cbor:"3,keyasint"`
+	Over  bool      `cbor:"4,keyasint"`
 }
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -14,17 +14,19 @@
 // owner by (incarnation, sequence): what it leaves out lies below `most` keys whose records only ever rise, so no order of
 // merging brings it back. Time only takes out, and by each hop's own monotonic clock.
 type store struct {
-	most   int
-	owners map[string]map[message.Key]*held
-	over   uint64 // records left out for the bound
+	maxPerOwner int
+	owners      map[string]map[message.Key]*storedRecord
+	dropped     uint64 // records left out for the bound
 }
 
-type held struct {
+type storedRecord struct {
 	message.Record
 	until time.Duration
 }
 
-func newStore(most int) *store { return &store{most: most, owners: map[string]map[message.Key]*held{}} }
+func newStore(maxPerOwner int) *store {
+	return &store{maxPerOwner: maxPerOwner, owners: map[string]map[message.Key]*storedRecord{}}
+}
 
 // merge takes r in and tells whether it was news.
 func (s *store) merge(now time.Duration, r message.Record) bool {
@@ -32,30 +34,30 @@
 		return false
 	}
 	own := s.owners[r.Owner]
-	if old := own[r.Key]; old != nil && now < old.until && !r.Later(&old.Record) {
+	if old := own[r.Key]; old != nil && now < old.until && !r.Supersedes(&old.Record) {
 		return false
 	}
 	if own == nil {
-		own = map[message.Key]*held{}
+		own = map[message.Key]*storedRecord{}
 		s.owners[r.Owner] = own
 	}
-	own[r.Key] = &held{r, now + r.TTL}
-	if len(own) <= s.most {
+	own[r.Key] = &storedRecord{r, now + r.TTL}
+	if len(own) <= s.maxPerOwner {
 		return true
 	}
-	s.over++
-	least := r.Key
+	s.dropped++
+	oldest := r.Key
 	for key, h := range own {
-		if own[least].Later(&h.Record) {
-			least = key
+		if own[oldest].Supersedes(&h.Record) {
+			oldest = key
 		}
 	}
-	delete(own, least)
-	return least != r.Key
+	delete(own, oldest)
+	return oldest != r.Key
 }
 
-// left is the record of a key with what is left of its time; false: there is none.
-func (s *store) left(now time.Duration, key message.Key) (message.Record, bool) {
+// get is the record of a key with what is left of its time; false: there is none.
+func (s *store) get(now time.Duration, key message.Key) (message.Record, bool) {
 	h := s.owners[key.Owner][key]
 	if h == nil || h.until <= now {
 		return message.Record{}, false
@@ -69,7 +71,7 @@
 func (s *store) live(now time.Duration) (all []message.Record) {
 	for _, own := range s.owners {
 		for key := range own {
-			if r, ok := s.left(now, key); ok {
+			if r, ok := s.get(now, key); ok {
 				all = append(all, r)
 			}
 		}
@@ -80,7 +82,7 @@
 // sweep drops what has lapsed.
 func (s *store) sweep(now time.Duration) {
 	for owner, own := range s.owners {
-		maps.DeleteFunc(own, func(_ message.Key, h *held) bool { return h.until <= now })
+		maps.DeleteFunc(own, func(_ message.Key, h *storedRecord) bool { return h.until <= now })
 		if len(own) == 0 {
 			delete(s.owners, owner)
 		}
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -19,7 +19,7 @@
 	n := rapid.Uint64Range(1, 3*few).Draw(t, "seq")
 	own := message.Incarnation{StartedMs: rapid.Int64Range(1, 2).Draw(t, "start")}
 	return message.Record{Key: message.Key{Owner: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), Kind: message.Breaker,
-		Name: fmt.Sprint(n * 7 % (message.OwnerMost + 5))}, Incarnation: own, Seq: n, TTL: time.Minute, Body: []byte{byte(n)}}
+		Name: fmt.Sprint(n * 7 % (message.MaxRecordsPerOwner + 5))}, Incarnation: own, Seq: n, TTL: time.Minute, Body: []byte{byte(n)}}
 }
 
 func state(rs ...[]message.Record) map[message.Key]uint64 {
@@ -74,7 +74,7 @@
 			t.Fatalf("hop %d: not taken in", hop)
 		}
 		now += 1500 * time.Millisecond
-		r, _ = s.left(now, r.Key)
+		r, _ = s.get(now, r.Key)
 	}
 	if r.TTL != 500*time.Millisecond {
 		t.Fatalf("%v left after three hops of 1.5 s", r.TTL)
--- a/internal/lab/capacity/plays/duty.go
+++ b/internal/lab/capacity/plays/duty.go
@@ -50,7 +50,7 @@
 	for i := range int(at["candidates"]) {
 		own := client.New([]string{calls.address()})
 		d := lease.NewRunner(own, lease.Config{Name: "lab/capacity", Holder: fmt.Sprint("candidate-", i)}, func(lease.Action) {})
-		d.Want(true, 0)
+		d.Campaign(true, 0)
 		all.Go(func() { defer own.Close(); d.Run(running) })
 	}
 	if !pause.For(ctx, p.span(dutySettle)) {
--- a/internal/lab/capacity/plays/settings.go
+++ b/internal/lab/capacity/plays/settings.go
@@ -85,9 +85,9 @@
 		return 0, 0, err
 	}
 	for end := time.Now().Add(settingsWithin); ; {
-		version, err := c.Put(ctx, service, api.Put{Schema: settings.Schema, Settings: text, IfVersion: &on})
+		version, err := c.Put(ctx, service, api.PutRequest{Schema: settings.Schema, Settings: text, IfRevision: &on})
 		// A replica that has just begun has not said yet what it understands.
-		if !api.IsCode(err, api.CodeOldPeer) || time.Now().After(end) || !pause.For(ctx, settingsLook) {
+		if !api.IsCode(err, api.CodeOlderReplica) || time.Now().After(end) || !pause.For(ctx, settingsLook) {
 			return version, len(text), err
 		}
 	}
@@ -215,7 +215,7 @@
 		}
 		seen := 0
 		for _, r := range all.Rollouts {
-			if r.Service == settingsOf && r.Version == version {
+			if r.Service == settingsOf && r.Revision == version {
 				seen = r.InForce
 			}
 		}
@@ -316,7 +316,7 @@
 	steady := float64(link.bytes()-bytes) / time.Since(begun).Seconds()
 	bytes, begun = link.bytes(), time.Now()
 	for i := range settingsTurns {
-		if version, err = north.Hand(ctx, fmt.Sprint("upstream-", i%n), api.Ask{Hand: api.HandDrain}); err != nil {
+		if version, err = north.Hand(ctx, fmt.Sprint("upstream-", i%n), api.StateChange{AdminState: api.AdminDrain}); err != nil {
 			return nil, err
 		}
 		if err := followed(ctx, south, version); err != nil {
@@ -327,11 +327,11 @@
 	link.close()
 	cut := time.Now()
 	for i := range n {
-		hand := api.HandDrain // a ban would leave the entry out of the whole list
+		hand := api.AdminDrain // a ban would leave the entry out of the whole list
 		if i < settingsTurns {
-			hand = api.HandNone // it was drained before the cut
+			hand = api.AdminNone // it was drained before the cut
 		}
-		if _, err = north.Hand(ctx, fmt.Sprint("upstream-", i), api.Ask{Hand: hand}); err != nil {
+		if _, err = north.Hand(ctx, fmt.Sprint("upstream-", i), api.StateChange{AdminState: hand}); err != nil {
 			return nil, err
 		}
 	}
@@ -339,7 +339,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if version, _, err = put(ctx, north, settingsOf, 1, on.Version); err != nil {
+	if version, _, err = put(ctx, north, settingsOf, 1, on.Revision); err != nil {
 		return nil, err
 	}
 	if !pause.For(ctx, p.span(cutFor)-time.Since(cut)) {
@@ -363,8 +363,8 @@
 	for {
 		said, _ := c.Status(ctx) // who does not answer is asked again
 		for _, s := range said {
-			for _, f := range s.Following {
-				if f.Region == "north" && f.Version >= version {
+			for _, f := range s.Replication {
+				if f.Region == "north" && f.Revision >= version {
 					return nil
 				}
 			}
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -208,7 +208,7 @@
 	}
 	wasRan, wasRead, begun = ran, read, began
 	for i := range sidecarTurns {
-		if _, err := b.c.Hand(ctx, fmt.Sprint("upstream-", i%len(upstreams)), api.Ask{Hand: []string{api.HandDrain, api.HandNone}[i/len(upstreams)%2]}); err != nil {
+		if _, err := b.c.Hand(ctx, fmt.Sprint("upstream-", i%len(upstreams)), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/len(upstreams)%2]}); err != nil {
 			return nil, err
 		}
 		if !pause.For(ctx, p.span(turnEvery)) {
@@ -345,7 +345,7 @@
 }
 
 func registration(i int, address string) api.Registration {
-	return api.Registration{Address: address, Zone: fmt.Sprintf("zone-%d", i%4), Type: "cores-4", Weight: 4}
+	return api.Registration{Address: address, Zone: fmt.Sprintf("zone-%d", i%4), Machine: "cores-4", Weight: 4}
 }
 
 // settingsOfSidecar are as the laboratory words them.
--- a/internal/lab/gossipbench/spread.go
+++ b/internal/lab/gossipbench/spread.go
@@ -57,7 +57,7 @@
 }
 
 type member struct {
-	*gossip.Carrier
+	*gossip.Gossiper
 	self  message.Member
 	end   *end
 	known time.Time
@@ -86,7 +86,7 @@
 	for n := range p.Members {
 		m := &member{self: message.Member{Name: fmt.Sprintf("n%04d", n), Site: fmt.Sprint("site-", n%sites), Schema: message.Schema,
 			Incarnation: message.Incarnation{StartedMs: begun.UnixMilli(), ID: rng.Uint64()}}, end: f.end(n)}
-		if m.Carrier, err = gossip.Join(gossip.Config{Member: m.self, Address: m.end.String(), Seeds: seeds, Transport: m.end}); err != nil {
+		if m.Gossiper, err = gossip.Join(gossip.Config{Member: m.self, Address: m.end.String(), Seeds: seeds, Transport: m.end}); err != nil {
 			return r, err
 		}
 		if all = append(all, m); n < 3 {
@@ -128,8 +128,8 @@
 		if i == 0 {
 			upstream = slandered
 		}
-		report := message.Report{Upstream: upstream, SinceMs: 1, State: message.Open, Evidence: message.Errors, Count: 3}
-		if err := m.Say(message.Breaker, upstream, report, sayTTL, false); err != nil {
+		report := message.Report{Upstream: upstream, StartedMs: 1, State: message.Open, Evidence: message.ErrorAnswers, Count: 3}
+		if err := m.Broadcast(message.Breaker, upstream, report, sayTTL, false); err != nil {
 			return r, err
 		}
 		parts.Go(func() { m.again(ctx, upstream, report) })
@@ -166,7 +166,7 @@
 // listen is a member's board, until ctx ends.
 func (m *member) listen(ctx context.Context, begun time.Time) {
 	board := circuitbreaker.New(circuitbreaker.Config{Self: m.self.Name, Site: m.self.Site})
-	heard := m.Heard(message.Breaker)
+	heard := m.Inbox(message.Breaker)
 	take := func(verdicts []circuitbreaker.Verdict) {
 		for _, v := range verdicts {
 			switch {
@@ -177,8 +177,8 @@
 			}
 		}
 	}
-	take(board.Handle(time.Since(begun), circuitbreaker.Listed{Upstreams: []circuitbreaker.Upstream{{Name: blamed, SinceMs: 1}, {Name: slandered, SinceMs: 1},
-		{Name: "s-3", SinceMs: 1}, {Name: "s-4", SinceMs: 1}}}))
+	take(board.Handle(time.Since(begun), circuitbreaker.EndpointList{Upstreams: []circuitbreaker.Upstream{{Name: blamed, StartedMs: 1}, {Name: slandered, StartedMs: 1},
+		{Name: "s-3", StartedMs: 1}, {Name: "s-4", StartedMs: 1}}}))
 	roster := time.NewTicker(rosterEach)
 	defer roster.Stop()
 	take(board.Handle(time.Since(begun), circuitbreaker.Roster{Members: m.Members()}))
@@ -188,11 +188,11 @@
 			return
 		case <-roster.C:
 			take(board.Handle(time.Since(begun), circuitbreaker.Roster{Members: m.Members()}))
-		case <-heard.Wake():
-			for r, ok := heard.Take(); ok; r, ok = heard.Take() {
+		case <-heard.Ready():
+			for r, ok := heard.Pop(); ok; r, ok = heard.Pop() {
 				var report message.Report
 				if message.Decode(r.Body, &report) == nil {
-					take(board.Handle(time.Since(begun), circuitbreaker.Heard{From: message.Member{Name: r.Owner, Incarnation: r.Incarnation}, Report: report, TTL: r.TTL, Over: r.Over}))
+					take(board.Handle(time.Since(begun), circuitbreaker.PeerReport{From: message.Member{Name: r.Owner, Incarnation: r.Incarnation}, Report: report, TTL: r.TTL, Withdrawn: r.Withdrawn}))
 				}
 			}
 		}
@@ -202,7 +202,7 @@
 // again says what was said again, as sidecars do, until ctx ends.
 func (m *member) again(ctx context.Context, upstream string, report message.Report) {
 	for wait(ctx, sayAgain) == nil {
-		_ = m.Say(message.Breaker, upstream, report, sayTTL, false) // it was within the bounds before
+		_ = m.Broadcast(message.Breaker, upstream, report, sayTTL, false) // it was within the bounds before
 	}
 }
 
@@ -210,21 +210,21 @@
 func (m *member) ask(ctx context.Context, members int) {
 	for wait(ctx, askEvery) == nil {
 		for range 2 {
-			_ = m.Whisper(fmt.Sprintf("n%04d", rand.IntN(members)), message.Ask, nil, sayTTL) // one that is lost is asked for again
+			_ = m.SendTo(fmt.Sprintf("n%04d", rand.IntN(members)), message.PressureRequest, nil, sayTTL) // one that is lost is asked for again
 		}
 	}
 }
 
 // tell answers who asks, until ctx ends.
 func (m *member) tell(ctx context.Context) {
-	asked := m.Heard(message.Ask)
+	asked := m.Inbox(message.PressureRequest)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked.Wake():
-			for r, ok := asked.Take(); ok; r, ok = asked.Take() {
-				_ = m.Whisper(r.Owner, message.Load, message.Pressure{Total: 0.5, InHand: 0.5}, sayTTL)
+		case <-asked.Ready():
+			for r, ok := asked.Pop(); ok; r, ok = asked.Pop() {
+				_ = m.SendTo(r.Owner, message.LoadReport, message.Pressure{Total: 0.5, InFlight: 0.5}, sayTTL)
 			}
 		}
 	}
--- a/internal/lab/history/documents.go
+++ b/internal/lab/history/documents.go
@@ -25,14 +25,14 @@
 	case "read":
 		var d api.Document
 		d, err = c.Document(ctx, o.name, 0, true)
-		if api.IsCode(err, api.CodeNone) {
+		if api.IsCode(err, api.CodeNotFound) {
 			err = nil
 		}
-		if err == nil && !d.Deleted && d.Version > 0 {
-			x.record = api.Record{Entry: api.Entry{Name: o.name, Address: string(d.Settings), Status: api.Ready}, Version: d.Version, Own: api.Ready}
+		if err == nil && !d.Deleted && d.Revision > 0 {
+			x.record = api.Record{Endpoint: api.Endpoint{Name: o.name, Address: string(d.Settings), Status: api.Ready}, Revision: d.Revision, ServerStatus: api.Ready}
 		}
 	case "register":
-		x.version, err = c.Put(ctx, o.name, api.Put{Schema: 1, Settings: json.RawMessage(o.address), IfVersion: &o.ifVersion})
+		x.version, err = c.Put(ctx, o.name, api.PutRequest{Schema: 1, Settings: json.RawMessage(o.address), IfRevision: &o.ifVersion})
 	case "leave":
 		_, err = c.Delete(ctx, o.name, o.ifVersion)
 	}
@@ -63,11 +63,11 @@
 	rewatched(ctx, func(int) string {
 		held := ""
 		if n := len(t.told); n > 0 {
-			held = fmt.Sprintf("%s@%d", t.told[n-1].Region, t.told[n-1].Version)
+			held = fmt.Sprintf("%s@%d", t.told[n-1].Region, t.told[n-1].Revision)
 		}
 		return fmt.Sprintf("http://%s/api/targets?watch=1&from=-1&service=%s&held=%s", t.at, url.QueryEscape(t.service), url.QueryEscape(held))
 	}, func(line []byte) {
-		var l api.Listing
+		var l api.WatchEvent
 		if json.Unmarshal(line, &l) != nil {
 			return
 		}
@@ -99,17 +99,17 @@
 			says := func(rule, format string, args ...any) {
 				found = append(found, Breach{Rule: rule, At: t.times[i], Text: t.at + ": " + t.service + ": " + fmt.Sprintf(format, args...)})
 			}
-			if was := highest[d.Region]; d.Version < was {
-				says("monotonic", "version %d after %d", d.Version, was)
+			if was := highest[d.Region]; d.Revision < was {
+				says("monotonic", "version %d after %d", d.Revision, was)
 			}
-			highest[d.Region] = max(highest[d.Region], d.Version)
-			v := version{d.Service, d.Version}
+			highest[d.Region] = max(highest[d.Region], d.Revision)
+			v := version{d.Service, d.Revision}
 			had, known := issued[v]
 			switch {
 			case d.Service != t.service || !texts[string(d.Settings)] || d.Deleted != (len(d.Settings) == 0):
 				says("issued", "told what nobody put: %+v", d)
 			case known && had != string(d.Settings):
-				says("issued", "version %d says %s, and elsewhere %s", d.Version, d.Settings, had)
+				says("issued", "version %d says %s, and elsewhere %s", d.Revision, d.Settings, had)
 			}
 			issued[v] = string(d.Settings)
 		}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -111,14 +111,14 @@
 		default:
 			o.kind, o.ifVersion = "hand", known[name]
 			if rng.IntN(2) == 0 {
-				o.hand = api.HandDrain
+				o.hand = api.AdminDrain
 			}
 		}
 		x := call{caller: i, op: o, from: time.Since(r.begin)}
 		x.out = r.ask(ctx, c, o)
 		x.to = time.Since(r.begin)
 		if x.out.code == "" && !x.out.unknown {
-			known[name] = max(x.out.version, x.out.record.Version)
+			known[name] = max(x.out.version, x.out.record.Revision)
 		} else if x.out.code == api.CodeConflict {
 			delete(known, name) // to be read, or found absent
 		}
@@ -143,20 +143,20 @@
 	case kind == "read":
 		x.record, err = c.Record(ctx, o.name, true)
 	case kind == "register":
-		x.version, err = c.Register(ctx, o.name, api.Registration{Address: o.address, Weight: 1, IfVersion: &o.ifVersion})
+		x.version, err = c.Register(ctx, o.name, api.Registration{Address: o.address, Weight: 1, IfRevision: &o.ifVersion})
 	case kind == "drain":
-		x.version, err = c.Drain(ctx, o.name, api.Ask{IfVersion: &o.ifVersion})
+		x.version, err = c.Drain(ctx, o.name, api.StateChange{IfRevision: &o.ifVersion})
 	case kind == "leave":
-		err = c.Leave(ctx, o.name, api.Ask{IfVersion: &o.ifVersion})
+		err = c.Leave(ctx, o.name, api.StateChange{IfRevision: &o.ifVersion})
 	case kind == "hand":
-		x.version, err = c.Hand(ctx, o.name, api.Ask{Hand: o.hand, IfVersion: &o.ifVersion})
+		x.version, err = c.Hand(ctx, o.name, api.StateChange{AdminState: o.hand, IfRevision: &o.ifVersion})
 	}
 	switch {
 	case err == nil:
 	case api.IsCode(err, api.CodeConflict):
 		x.code = api.CodeConflict
-	case api.IsCode(err, api.CodeNone):
-		x.code = api.CodeNone
+	case api.IsCode(err, api.CodeNotFound):
+		x.code = api.CodeNotFound
 	default:
 		x.unknown = true
 	}
@@ -177,7 +177,7 @@
 
 // End waits for all, which end with the context of Start, and judges. final is the list as it is sure to be now, read by
 // the caller; it stands for the version that watches are compared with.
-func (r *Run) End(final api.Listing) ([]Breach, Count) {
+func (r *Run) End(final api.WatchEvent) ([]Breach, Count) {
 	n := r.ended()
 	for _, w := range r.watches {
 		n.Messages += w.messages
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -11,7 +11,7 @@
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 func record(version int64, address string) api.Record {
-	return api.Record{Entry: api.Entry{Name: "h-0", Address: address, Status: api.Ready}, Version: version, Own: api.Ready}
+	return api.Record{Endpoint: api.Endpoint{Name: "h-0", Address: address, Status: api.Ready}, Revision: version, ServerStatus: api.Ready}
 }
 
 func TestHistoriesAreJudged(t *testing.T) {
@@ -65,7 +65,7 @@
 			}
 		}
 		// At the end of all a is gone at version 4, and c is there at 5.
-		final := api.Listing{Index: 5, Endpoints: []api.Entry{{Name: "b", Status: api.Ready}, {Name: "c", Status: api.Ready}}}
+		final := api.WatchEvent{Revision: 5, Endpoints: []api.Endpoint{{Name: "b", Status: api.Ready}, {Name: "c", Status: api.Ready}}}
 		for _, b := range (&Run{watches: []*watch{w}}).watched(final) {
 			said = append(said, b.Text)
 		}
@@ -81,7 +81,7 @@
 		return call{op: op{kind: "register", name: "h-0", address: text}, out: x}
 	}
 	is := func(region string, version int64, text string) api.Document {
-		return api.Document{Service: "h-0", Region: region, Version: version, Settings: []byte(text), Deleted: text == ""}
+		return api.Document{Service: "h-0", Region: region, Revision: version, Settings: []byte(text), Deleted: text == ""}
 	}
 	calls := []call{put(`"a"`, out{version: 5}), put(`"b"`, out{version: 7}), put(`"c"`, out{unknown: true})}
 	for _, x := range []struct {
@@ -97,7 +97,7 @@
 		{"by nobody", "issued", [][]api.Document{{is("n", 6, `"x"`)}}},
 		{"another's text", "issued", [][]api.Document{{is("n", 7, `"a"`)}}},
 		{"two texts of one version", "issued", [][]api.Document{{is("n", 9, `"c"`)}, {is("n", 9, "")}}},
-		{"deleted, and says something", "issued", [][]api.Document{{{Service: "h-0", Version: 5, Settings: []byte(`"a"`), Deleted: true}}}},
+		{"deleted, and says something", "issued", [][]api.Document{{{Service: "h-0", Revision: 5, Settings: []byte(`"a"`), Deleted: true}}}},
 	} {
 		r := &Run{calls: calls}
 		for _, told := range x.told {
--- a/internal/lab/history/linear.go
+++ b/internal/lab/history/linear.go
@@ -46,7 +46,7 @@
 }
 
 func (e entry) status() string {
-	if e.hand == api.HandDrain {
+	if e.hand == api.AdminDrain {
 		return api.Terminating
 	}
 	return e.own
@@ -59,13 +59,13 @@
 			return e, true
 		}
 		r := x.record
-		if r.Version == 0 {
-			return e, !e.present && r.Hand == e.hand
+		if r.Revision == 0 {
+			return e, !e.present && r.AdminState == e.hand
 		}
-		if !e.present || r.Address != e.address || r.Own != e.own || r.Hand != e.hand || r.Status != e.status() {
+		if !e.present || r.Address != e.address || r.ServerStatus != e.own || r.AdminState != e.hand || r.Status != e.status() {
 			return e, false
 		}
-		return e.is(r.Version)
+		return e.is(r.Revision)
 	}
 	next, match := e.matches(o.ifVersion)
 	switch {
@@ -82,7 +82,7 @@
 		next.present, next.address, next.own = true, o.address, api.Ready
 	case "drain", "leave":
 		if !e.present {
-			return e, x.unknown || x.code == api.CodeNone
+			return e, x.unknown || x.code == api.CodeNotFound
 		}
 		if next.own = api.Terminating; o.kind == "leave" {
 			next = entry{hand: next.hand, floor: max(next.floor, next.version)}
--- a/internal/lab/history/watch.go
+++ b/internal/lab/history/watch.go
@@ -52,7 +52,7 @@
 	at string
 
 	index    int64 // -1: none yet
-	list     map[string]api.Entry
+	list     map[string]api.Endpoint
 	hashes   map[int64]uint64 // of the list at each version that was told
 	breaches []Breach
 	messages int
@@ -118,43 +118,43 @@
 
 // take applies a message; "": it was as it must be.
 func (w *watch) take(line []byte) string {
-	var l api.Listing
+	var l api.WatchEvent
 	if err := json.Unmarshal(line, &l); err != nil {
 		return fmt.Sprintf("no message: %.80q", line)
 	}
 	w.messages++
 	before := w.index
 	if l.Snapshot {
-		w.list = map[string]api.Entry{}
+		w.list = map[string]api.Endpoint{}
 	}
 	seen := map[string]bool{}
 	for _, e := range l.Endpoints {
 		if seen[e.Name] {
-			return fmt.Sprintf("%s is in message %d twice", e.Name, l.Index)
+			return fmt.Sprintf("%s is in message %d twice", e.Name, l.Revision)
 		}
 		seen[e.Name] = true
 		if w.list == nil {
-			return fmt.Sprintf("changes of version %d to one that has no list", l.Index)
+			return fmt.Sprintf("changes of version %d to one that has no list", l.Revision)
 		}
-		if e.Status == api.Gone {
+		if e.Status == api.Removed {
 			delete(w.list, e.Name)
 		} else {
 			w.list[e.Name] = e
 		}
 	}
-	w.index = l.Index
+	w.index = l.Revision
 	h := hash(w.list)
-	if had, ok := w.hashes[l.Index]; ok && had != h {
-		return fmt.Sprintf("version %d is another list than it was before", l.Index)
+	if had, ok := w.hashes[l.Revision]; ok && had != h {
+		return fmt.Sprintf("version %d is another list than it was before", l.Revision)
 	}
-	w.hashes[l.Index] = h
-	if l.Index <= before && !(l.Snapshot && l.Index == before) {
-		return fmt.Sprintf("version %d after %d", l.Index, before)
+	w.hashes[l.Revision] = h
+	if l.Revision <= before && !(l.Snapshot && l.Revision == before) {
+		return fmt.Sprintf("version %d after %d", l.Revision, before)
 	}
 	return ""
 }
 
-func hash(list map[string]api.Entry) uint64 {
+func hash(list map[string]api.Endpoint) uint64 {
 	h := xxhash.New()
 	for _, name := range slices.Sorted(maps.Keys(list)) {
 		text, err := json.Marshal(list[name])
@@ -167,12 +167,12 @@
 }
 
 // watched compares all watches with each other at the versions that they share, and with the list at the end.
-func (r *Run) watched(final api.Listing) (found []Breach) {
-	end := map[string]api.Entry{}
+func (r *Run) watched(final api.WatchEvent) (found []Breach) {
+	end := map[string]api.Endpoint{}
 	for _, e := range final.Endpoints {
 		end[e.Name] = e
 	}
-	at := map[int64]uint64{final.Index: hash(end)}
+	at := map[int64]uint64{final.Revision: hash(end)}
 	for _, w := range r.watches {
 		found = append(found, w.breaches...)
 		for _, version := range slices.Sorted(maps.Keys(w.hashes)) {
--- a/internal/lab/leases/candidate.go
+++ b/internal/lab/leases/candidate.go
@@ -52,8 +52,8 @@
 	}
 	service := client.New(all)
 	defer service.Close()
-	r := lease.NewRunner(service, lease.Config{Name: dutyName, Holder: c.Holder, Lease: c.Lease, Start: startsWithin}, func(lease.Action) {})
-	r.Want(true, 0)
+	r := lease.NewRunner(service, lease.Config{Name: dutyName, Holder: c.Holder, Lease: c.Lease, StartDelay: startsWithin}, func(lease.Action) {})
+	r.Campaign(true, 0)
 	var running sync.WaitGroup
 	running.Go(func() { r.Run(ctx) })
 	defer running.Wait()
@@ -68,7 +68,7 @@
 		case <-tick.C:
 		}
 		looked := clock()
-		epoch, ok := r.Act(time.Now())
+		epoch, ok := r.Holds(time.Now())
 		if !ok {
 			continue
 		}
--- a/internal/lab/leases/faults.go
+++ b/internal/lab/leases/faults.go
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, answersMost)
 	defer cancel()
-	if _, err := r.service.Duties(ctx, true); err != nil {
+	if _, err := r.service.Leaderships(ctx, true); err != nil {
 		return fmt.Errorf("the service does not come back: %w", err)
 	}
 	r.excused = append(r.excused, fencing.Span{From: from, To: clock()})
--- a/internal/lab/liar.go
+++ b/internal/lab/liar.go
@@ -40,8 +40,8 @@
 			p.mu.Lock()
 			since := u.entry.SinceMs
 			p.mu.Unlock()
-			r := message.Report{Upstream: u.Name, SinceMs: since, State: message.Open, Evidence: message.Silence, Count: lieCount}
-			if err := c.Say(message.Breaker, u.Name, r, lieTTL, false); err != nil {
+			r := message.Report{Upstream: u.Name, StartedMs: since, State: message.Open, Evidence: message.Silence, Count: lieCount}
+			if err := c.Broadcast(message.Breaker, u.Name, r, lieTTL, false); err != nil {
 				return fmt.Errorf("liar beside %s: %w", s.name, err)
 			}
 		}
--- a/internal/lab/loadtest/burden.go
+++ b/internal/lab/loadtest/burden.go
@@ -82,7 +82,7 @@
 	var lags []time.Duration
 	for i := range changes {
 		begun := time.Now()
-		if _, err := b.Client.Hand(ctx, fmt.Sprint("u", i%entries), api.Ask{Hand: []string{api.HandDrain, api.HandNone}[i/entries%2]}); err != nil {
+		if _, err := b.Client.Hand(ctx, fmt.Sprint("u", i%entries), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/entries%2]}); err != nil {
 			return w, err
 		}
 		late := time.After(hearWithin)
@@ -118,7 +118,7 @@
 }
 
 func registration(i int) api.Registration {
-	return api.Registration{Address: fmt.Sprintf("127.0.0.1:%d", 1+i), Zone: "south", Type: "cores-4", Weight: 1}
+	return api.Registration{Address: fmt.Sprintf("127.0.0.1:%d", 1+i), Zone: "south", Machine: "cores-4", Weight: 1}
 }
 
 // open has watchers follow from a version on; the moment of each line but empty ones goes to heard.
@@ -274,7 +274,7 @@
 }
 
 func renewOne(c *http.Client, at, name string) (lost int, err error) {
-	text, err := json.Marshal(api.Renewals{Leases: []api.Lease{{Name: name, Incarnation: 1}}})
+	text, err := json.Marshal(api.Heartbeats{Heartbeats: []api.Heartbeat{{Name: name, Incarnation: 1}}})
 	if err != nil {
 		return 0, err
 	}
@@ -283,14 +283,14 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	var done api.Renewed
+	var done api.HeartbeatResult
 	if err := json.NewDecoder(resp.Body).Decode(&done); err != nil {
 		return 0, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("answered %s", resp.Status)
 	}
-	return len(done.Lost), nil
+	return len(done.Expired), nil
 }
 
 // Quorum starts replicas that form one, r0 and so on. Their configurations are in Dir, each NAME.toml.
@@ -354,7 +354,7 @@
 		said, _ := c.Status(ctx)
 		serving := 0
 		for _, s := range said {
-			if s.Leader != "" && s.StaleMs >= 0 && s.StaleMs < 1000 {
+			if s.Leader != "" && s.StalenessMs >= 0 && s.StalenessMs < 1000 {
 				serving++
 			}
 		}
--- a/internal/lab/loadtest/rush.go
+++ b/internal/lab/loadtest/rush.go
@@ -56,18 +56,18 @@
 			seen := first
 			readLines(ctx, conn, func(line []byte) bool {
 				now := time.Since(begun)
-				var l api.Listing
+				var l api.WatchEvent
 				if json.Unmarshal(line, &l) != nil {
 					return true
 				}
 				lines.Add(1)
-				for v := seen + 1; v <= l.Index; v++ {
+				for v := seen + 1; v <= l.Revision; v++ {
 					if at := done[v-first].Load(); at > 0 { // else it was heard of before its caller was
 						own = append(own, max(0, now-time.Duration(at)))
 					}
 				}
-				heard.Add(l.Index - seen)
-				seen = l.Index
+				heard.Add(l.Revision - seen)
+				seen = l.Revision
 				return seen < first+int64(changes)
 			})
 			mu.Lock()
@@ -85,7 +85,7 @@
 			for i := k; i < changes && ctx.Err() == nil; i += side {
 				due := begun.Add(within * time.Duration(i) / time.Duration(changes))
 				pause.For(ctx, time.Until(due))
-				v, err := b.Client.Hand(ctx, fmt.Sprint("u", i), api.Ask{Hand: api.HandDrain})
+				v, err := b.Client.Hand(ctx, fmt.Sprint("u", i), api.StateChange{AdminState: api.AdminDrain})
 				if err == nil {
 					done[v-first].Store(int64(time.Since(begun)))
 				}
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -97,7 +97,7 @@
 		said, failed := p.service.client.Status(ctx)
 		serving := 0
 		for _, s := range said {
-			if s.Leader != "" && s.Entries >= entries && s.StaleMs >= 0 && time.Duration(s.StaleMs)*time.Millisecond < statusWithin {
+			if s.Leader != "" && s.Endpoints >= entries && s.StalenessMs >= 0 && time.Duration(s.StalenessMs)*time.Millisecond < statusWithin {
 				serving++
 			}
 		}
@@ -355,8 +355,8 @@
 
 // register has the service know of an upstream what the lab's own list says.
 func (p *play) register(u *upstream, e fake.Entry) {
-	g := api.Registration{Address: p.block.upstream(u.number), Zone: e.Zone, Type: e.Type, Group: e.Group, Weight: max(e.Weight, 0.01),
-		SinceMs: e.SinceMs, Incarnation: int64(u.starts)}
+	g := api.Registration{Address: p.block.upstream(u.number), Zone: e.Zone, Machine: e.Type, Cell: e.Group, Weight: max(e.Weight, 0.01),
+		StartedMs: e.SinceMs, Incarnation: int64(u.starts)}
 	p.service.registrar.Set(e.Name, g, e.Status)
 }
 
@@ -377,10 +377,10 @@
 		defer cancel()
 		all, err := p.service.client.Records(ctx, true)
 		p.note(err)
-		final := api.Listing{Index: all.Version, Snapshot: true}
+		final := api.WatchEvent{Revision: all.Revision, Snapshot: true}
 		for _, r := range all.Records {
-			if r.Status != api.Gone {
-				final.Endpoints = append(final.Endpoints, r.Entry)
+			if r.Status != api.Removed {
+				final.Endpoints = append(final.Endpoints, r.Endpoint)
 			}
 		}
 		found, n := run.End(final)
--- a/internal/lab/scale/days.go
+++ b/internal/lab/scale/days.go
@@ -72,9 +72,9 @@
 		return err
 	}
 	for i := range waveChanges {
-		k, hand := i/2, api.HandDrain
+		k, hand := i/2, api.AdminDrain
 		if k >= len(names) {
-			hand = api.HandNone
+			hand = api.AdminNone
 		}
 		if i%2 == 0 {
 			err = w.hand(ctx, w.regions[0], names[k%len(names)], hand, "change by hand")
@@ -222,7 +222,7 @@
 		return err
 	}
 	for _, name := range names {
-		if err := w.hand(ctx, r, name, api.HandDrain, "leader killed"); err != nil {
+		if err := w.hand(ctx, r, name, api.AdminDrain, "leader killed"); err != nil {
 			return err
 		}
 	}
@@ -241,7 +241,7 @@
 	}
 	begun := time.Now()
 	for _, name := range names {
-		if err = w.hand(ctx, r, name, api.HandNone, "leader stopped"); err != nil {
+		if err = w.hand(ctx, r, name, api.AdminNone, "leader stopped"); err != nil {
 			break
 		}
 	}
@@ -249,8 +249,8 @@
 	if err := errors.Join(err, x.child.Signal(syscall.SIGCONT)); err != nil {
 		return err
 	}
-	return errors.Join(w.hand(ctx, r, names[0], api.HandDrain, "leader let go"), loadtest.Await(ctx, r.client, len(r.replicas)),
-		w.hand(ctx, r, names[0], api.HandNone, "leader let go"))
+	return errors.Join(w.hand(ctx, r, names[0], api.AdminDrain, "leader let go"), loadtest.Await(ctx, r.client, len(r.replicas)),
+		w.hand(ctx, r, names[0], api.AdminNone, "leader let go"))
 }
 
 // comeBack breaks all connections at once.
@@ -262,11 +262,11 @@
 	if err := w.breakAll(); err != nil {
 		return err
 	}
-	if err := w.hand(ctx, w.regions[0], names[0], api.HandDrain, "all back at once"); err != nil {
+	if err := w.hand(ctx, w.regions[0], names[0], api.AdminDrain, "all back at once"); err != nil {
 		return err
 	}
 	pause.For(ctx, time.Second)
-	return w.hand(ctx, w.regions[0], names[1], api.HandDrain, "after all were back")
+	return w.hand(ctx, w.regions[0], names[1], api.AdminDrain, "after all were back")
 }
 
 func (w *world) breakAll() error {
@@ -313,7 +313,7 @@
 			}
 			errs[i] = errors.Join(w.each(of, doEnd), w.put(ctx, r, w.serviceOf(i), "settings during the cut"))
 			for _, name := range names[:4] {
-				errs[i] = errors.Join(errs[i], w.hand(ctx, r, name, api.HandDrain, "during the cut"))
+				errs[i] = errors.Join(errs[i], w.hand(ctx, r, name, api.AdminDrain, "during the cut"))
 				pause.For(ctx, w.spec.Cut/8)
 			}
 			errs[i] = errors.Join(errs[i], w.lapsed(ctx, lapses))
@@ -355,7 +355,7 @@
 		}
 		all.Go(func() {
 			for k, name := range names {
-				errs[i] = errors.Join(errs[i], w.hand(ctx, r, name, api.HandDrain, "from afar"))
+				errs[i] = errors.Join(errs[i], w.hand(ctx, r, name, api.AdminDrain, "from afar"))
 				services := w.putBy(i)
 				errs[i] = errors.Join(errs[i], w.put(ctx, r, services[k%len(services)], "settings from afar"))
 				pause.For(ctx, w.spec.Length/slowRounds)
@@ -406,7 +406,7 @@
 	if err != nil {
 		return err
 	}
-	return w.hand(ctx, r, names[0], api.HandDrain, cause)
+	return w.hand(ctx, r, names[0], api.AdminDrain, cause)
 }
 
 // pick draws names of hollow ones' upstreams that are as they were registered.
@@ -472,7 +472,7 @@
 // hand says an operator's word, and waits until the service has taken it in.
 func (w *world) hand(ctx context.Context, r *region, name, hand, cause string) error {
 	status := api.Ready
-	if hand == api.HandDrain {
+	if hand == api.AdminDrain {
 		status = api.Terminating
 	}
 	c := w.change(w.number(name), status, cause)
@@ -503,18 +503,18 @@
 		return fmt.Errorf("wording settings: %w", err)
 	}
 	begun := now()
-	v, err := r.client.Put(ctx, service, api.Put{Schema: 1, Settings: text, IfVersion: &had})
+	v, err := r.client.Put(ctx, service, api.PutRequest{Schema: 1, Settings: text, IfRevision: &had})
 	// A replica has not said yet what it understands, or no answer came: then it is looked up, and done again where it was not.
 	again := func() bool {
-		return api.IsCode(err, api.CodeOldPeer) || api.IsCode(err, api.CodeUnknown) || api.IsCode(err, api.CodeConflict)
+		return api.IsCode(err, api.CodeOlderReplica) || api.IsCode(err, api.CodeOutcomeUnknown) || api.IsCode(err, api.CodeConflict)
 	}
 	for again() && pause.For(ctx, 50*time.Millisecond) {
 		var d api.Document
-		if d, err = r.client.Document(ctx, service, 0, true); err == nil && d.Version != had {
-			v = d.Version // nobody else puts
+		if d, err = r.client.Document(ctx, service, 0, true); err == nil && d.Revision != had {
+			v = d.Revision // nobody else puts
 			break
 		}
-		v, err = r.client.Put(ctx, service, api.Put{Schema: 1, Settings: text, IfVersion: &had})
+		v, err = r.client.Put(ctx, service, api.PutRequest{Schema: 1, Settings: text, IfRevision: &had})
 	}
 	if err != nil {
 		return fmt.Errorf("settings of %s (%s): not accepted: %w", service, cause, err)
@@ -598,8 +598,8 @@
 	defer cancel()
 	for {
 		x, err := r.client.Record(ctx, c.Name, false)
-		if err == nil && x.Incarnation == incarnation && x.Own == api.Ready {
-			w.accept(c, x.Version)
+		if err == nil && x.Incarnation == incarnation && x.ServerStatus == api.Ready {
+			w.accept(c, x.Revision)
 			return nil
 		}
 		if !pause.For(ctx, 50*time.Millisecond) {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -19,14 +19,14 @@
 		return err
 	}
 	m := &Message{Whole: true} // a life begins with a whole list; of later ones Changed tells what is gone by them
-	return sidecar.RunHollow(ctx, c, sidecar.Hollow{
-		Changed: func(name, status string, _ int64) { m.Entries = append(m.Entries, Seen{name, status}) },
-		Listed: func(index int64, _ int, _ time.Time) {
+	return sidecar.RunHollow(ctx, c, sidecar.HollowObserver{
+		OnChange: func(name, status string, _ int64) { m.Entries = append(m.Entries, Seen{name, status}) },
+		OnList: func(index int64, _ int, _ time.Time) {
 			m.Index = index
 			took(m)
 			m = &Message{}
 		},
-		InForce: func(_ string, version int64, rejected error, _ time.Time) {
+		OnSettings: func(_ string, version int64, rejected error, _ time.Time) {
 			if rejected == nil && version > 0 {
 				took(inForce(x.Service, version))
 			}
@@ -74,8 +74,8 @@
 func atVersion(version int64) string { return fmt.Sprint("version ", version) }
 
 // message is what a line told.
-func message(l api.Listing) *Message {
-	m := &Message{Index: l.Index, Whole: l.Snapshot}
+func message(l api.WatchEvent) *Message {
+	m := &Message{Index: l.Revision, Whole: l.Snapshot}
 	for _, e := range l.Endpoints {
 		m.Entries = append(m.Entries, Seen{e.Name, e.Status})
 	}
--- a/internal/lab/scale/host.go
+++ b/internal/lab/scale/host.go
@@ -185,7 +185,7 @@
 }
 
 func registration(address, zone string, incarnation int64) api.Registration {
-	return api.Registration{Address: address, Zone: zone, Type: "cores-4", Weight: 1, Incarnation: incarnation}
+	return api.Registration{Address: address, Zone: zone, Machine: "cores-4", Weight: 1, Incarnation: incarnation}
 }
 
 // watch begins the life of a hollow sidecar, once the one before has ended.
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -54,7 +54,7 @@
 	r := &real{name: name, number: number, zone: zone, service: service, bare: bare}
 	var err error
 	r.door, err = newDoor(replicas, func(text []byte) {
-		var l api.Listing
+		var l api.WatchEvent
 		if json.Unmarshal(text, &l) == nil {
 			r.told(message(l))
 		}
--- a/internal/lab/scale/world.go
+++ b/internal/lab/scale/world.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	gone        = api.Gone
+	gone        = api.Removed
 	hostMost    = 300 // hollow ones of one process
 	alongEach   = 16  // of them, whose messages are counted too
 	serviceMost = 160
@@ -272,7 +272,7 @@
 				return err.Error(), false
 			}
 			for _, x := range rs.Records {
-				w.current[x.Name] = &Change{Name: x.Name, Status: x.Status, Region: r.name, Lo: x.Version, Hi: x.Version}
+				w.current[x.Name] = &Change{Name: x.Name, Status: x.Status, Region: r.name, Lo: x.Revision, Hi: x.Revision}
 			}
 			n += len(rs.Records)
 		}
@@ -322,11 +322,11 @@
 		said, _ := r.client.Status(w.ctx)
 		n := 0
 		for _, s := range said {
-			for _, f := range s.Following {
-				n += f.Entries
+			for _, f := range s.Replication {
+				n += f.Endpoints
 			}
 			if s.State == "leader" {
-				n += s.Entries
+				n += s.Endpoints
 			}
 		}
 		if all := w.spec.Hollow + w.spec.Real; len(w.regions) > 1 && n < all {
@@ -376,8 +376,8 @@
 	c := client.New([]string{at})
 	w.done.Go(func() {
 		defer c.Close()
-		c.Watch(w.ctx, nil, client.Watcher{Take: func(l api.Listing) error { w.saw(number, now(), message(l)); return nil },
-			Stands: func() {}, Says: func(string, error) {}})
+		c.Watch(w.ctx, nil, client.Watcher{Apply: func(l api.WatchEvent) error { w.saw(number, now(), message(l)); return nil },
+			OnEstablished: func() {}, OnError: func(string, error) {}})
 	})
 }
 
--- a/internal/lab/transcript/duties.go
+++ b/internal/lab/transcript/duties.go
@@ -32,23 +32,23 @@
 }
 
 // Take implements duty.Service.
-func (l *DutyLine) Take(ctx context.Context, c api.Claim) (g api.Grant, err error) {
-	return l.ask(ctx, fmt.Sprintf("take %s for %d ms, fitness %g, above epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.Grant, error) {
-		return l.Service.Take(ctx, c)
+func (l *DutyLine) AcquireLeadership(ctx context.Context, c api.LeadershipClaim) (g api.LeadershipGrant, err error) {
+	return l.ask(ctx, fmt.Sprintf("take %s for %d ms, fitness %g, above epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
+		return l.Service.AcquireLeadership(ctx, c)
 	})
 }
 
 // RenewDuty implements duty.Service.
-func (l *DutyLine) RenewDuty(ctx context.Context, c api.Claim) (api.Grant, error) {
-	return l.ask(ctx, fmt.Sprintf("renew %s for %d ms, fitness %g, epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.Grant, error) {
-		return l.Service.RenewDuty(ctx, c)
+func (l *DutyLine) RenewLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
+	return l.ask(ctx, fmt.Sprintf("renew %s for %d ms, fitness %g, epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
+		return l.Service.RenewLeadership(ctx, c)
 	})
 }
 
 // Release implements duty.Service.
-func (l *DutyLine) Release(ctx context.Context, c api.Claim) error {
-	_, err := l.ask(ctx, fmt.Sprintf("release %s, epoch %d", c.Name, c.Epoch), func() (api.Grant, error) {
-		return api.Grant{}, l.Service.Release(ctx, c)
+func (l *DutyLine) ReleaseLeadership(ctx context.Context, c api.LeadershipClaim) error {
+	_, err := l.ask(ctx, fmt.Sprintf("release %s, epoch %d", c.Name, c.Epoch), func() (api.LeadershipGrant, error) {
+		return api.LeadershipGrant{}, l.Service.ReleaseLeadership(ctx, c)
 	})
 	return err
 }
@@ -58,7 +58,7 @@
 	itself  = "itself"
 )
 
-func (l *DutyLine) ask(ctx context.Context, words string, call func() (api.Grant, error)) (g api.Grant, err error) {
+func (l *DutyLine) ask(ctx context.Context, words string, call func() (api.LeadershipGrant, error)) (g api.LeadershipGrant, err error) {
 	l.Record.Say(l.Name, service, "%s", words)
 	if !l.pass(ctx) {
 		return g, ctx.Err()
@@ -75,7 +75,7 @@
 		<-ctx.Done()
 	}
 	if !l.pass(ctx) {
-		return api.Grant{}, errors.Join(ctx.Err(), err)
+		return api.LeadershipGrant{}, errors.Join(ctx.Err(), err)
 	}
 	return g, err
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-func grantWords(g api.Grant) string {
+func grantWords(g api.LeadershipGrant) string {
 	if g.Holder == "" && g.Epoch == 0 {
 		return "done"
 	}
@@ -98,11 +98,11 @@
 	if g.Holder == "" {
 		words = fmt.Sprintf("nobody holds it, the last epoch was %d", g.Epoch)
 	}
-	if g.AfterMs > 0 {
-		words += fmt.Sprintf("; ask again after %d ms", g.AfterMs)
+	if g.RetryAfterMs > 0 {
+		words += fmt.Sprintf("; ask again after %d ms", g.RetryAfterMs)
 	}
-	if g.Better > 0 {
-		words += fmt.Sprintf("; one of fitness %g waits", g.Better)
+	if g.BetterFitness > 0 {
+		words += fmt.Sprintf("; one of fitness %g waits", g.BetterFitness)
 	}
 	return words
 }
@@ -140,7 +140,7 @@
 func NewCandidate(record *Transcript, s lease.Service, way time.Duration, name, of string) *Candidate {
 	c := &Candidate{Line: DutyLine{Service: s, Record: record, Name: name, Way: way}}
 	chance, begun := rand.New(rand.NewPCG(uint64(name[0]), 1)), time.Now()
-	c.Runner = lease.NewRunner(&c.Line, lease.Config{Name: of, Holder: name, Start: candidateStart, Chance: func() float64 {
+	c.Runner = lease.NewRunner(&c.Line, lease.Config{Name: of, Holder: name, StartDelay: candidateStart, Random: func() float64 {
 		c.mu.Lock()
 		hold := c.hold
 		c.mu.Unlock()
@@ -150,14 +150,14 @@
 		return float64(chance.IntN(1000)) / 1000
 	}}, func(a lease.Action) {
 		switch a := a.(type) {
-		case lease.Hold:
-			if left := a.Until - time.Since(begun); left > 0 {
+		case lease.Acquired:
+			if left := a.ExpiresAt - time.Since(begun); left > 0 {
 				record.Say(name, itself, "may act under epoch %d for %d ms", a.Epoch, left.Milliseconds())
 			} else {
 				record.Say(name, itself, "epoch %d was over before it knew of it", a.Epoch)
 			}
-		case lease.Lost:
-			record.Say(name, itself, "may not act any more under epoch %d: %s", a.Epoch, a.Why)
+		case lease.Expired:
+			record.Say(name, itself, "may not act any more under epoch %d: %s", a.Epoch, a.Reason)
 		}
 	})
 	return c
--- a/internal/lease/duty_test.go
+++ b/internal/lease/elector_test.go
@@ -19,7 +19,7 @@
 	t       *testing.T
 	now     time.Duration
 	service *memory.Service
-	all     []lease.Candidate
+	all     []lease.Elector
 }
 
 func newCrowd(t *testing.T, n int) *crowd {
@@ -27,8 +27,8 @@
 	c.service = memory.New(func() time.Duration { return c.now })
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
-		c.all = append(c.all, lease.NewCandidate(lease.Config{Name: "d", Holder: fmt.Sprint(i), Chance: rng.Float64}, 0))
-		c.tell(i, lease.Want{On: true})
+		c.all = append(c.all, lease.NewElector(lease.Config{Name: "d", Holder: fmt.Sprint(i), Random: rng.Float64}, 0))
+		c.tell(i, lease.Campaign{On: true})
 	}
 	return c
 }
@@ -36,21 +36,21 @@
 // tell has a candidate handle an event, and its calls carried out at once.
 func (c *crowd) tell(i int, e lease.Event) {
 	for _, a := range c.all[i].Handle(c.now, e) {
-		call, ok := a.(lease.Call)
+		call, ok := a.(lease.Request)
 		if !ok {
 			continue
 		}
-		answer := lease.Answer{ID: call.ID}
+		answer := lease.Response{ID: call.ID}
 		var err error
 		switch call.Op {
-		case lease.Take:
-			answer.Grant, err = c.service.Take(c.t.Context(), call.Claim)
+		case lease.Acquire:
+			answer.Grant, err = c.service.AcquireLeadership(c.t.Context(), call.Claim)
 		case lease.Renew:
-			answer.Grant, err = c.service.RenewDuty(c.t.Context(), call.Claim)
+			answer.Grant, err = c.service.RenewLeadership(c.t.Context(), call.Claim)
 		case lease.Release:
-			err = c.service.Release(c.t.Context(), call.Claim)
+			err = c.service.ReleaseLeadership(c.t.Context(), call.Claim)
 		}
-		answer.Told = err == nil
+		answer.Known = err == nil
 		c.tell(i, answer)
 	}
 }
@@ -60,7 +60,7 @@
 	c.t.Helper()
 	found := -1
 	for i := range c.all {
-		if _, ok := c.all[i].Act(c.now); ok {
+		if _, ok := c.all[i].Holds(c.now); ok {
 			if found >= 0 {
 				c.t.Fatalf("%d and %d may act", found, i)
 			}
@@ -71,7 +71,7 @@
 }
 
 // run lets time pass until over says so, and gives how much.
-func (c *crowd) run(most time.Duration, over func() bool) time.Duration {
+func (c *crowd) run(limit time.Duration, over func() bool) time.Duration {
 	c.t.Helper()
 	for begun := c.now; ; c.now += 10 * time.Millisecond {
 		for i := range c.all {
@@ -81,7 +81,7 @@
 		}
 		if took := c.now - begun; over() {
 			return took
-		} else if took >= most {
+		} else if took >= limit {
 			c.t.Fatalf("at %v, after %v: %d holds it", c.now, took, c.holder())
 		}
 	}
@@ -96,29 +96,29 @@
 // What 300 candidates cost the service: as many calls a second as duty.go says, held, handed on, and while nobody is answered.
 func TestThreeHundredCandidates(t *testing.T) {
 	c := newCrowd(t, 300)
-	rate := func(what string, most float64) {
+	rate := func(what string, limit float64) {
 		t.Helper()
 		before := c.service.Calls()
 		c.pass(20 * time.Second)
-		if got := float64(c.service.Calls()-before) / 20; got > most {
-			t.Errorf("%s: %.1f calls a second, at most %.0f", what, got, most)
+		if got := float64(c.service.Calls()-before) / 20; got > limit {
+			t.Errorf("%s: %.1f calls a second, at most %.0f", what, got, limit)
 		}
 	}
 	held := func() bool { return c.holder() >= 0 }
-	c.run(lease.Start, held)
+	c.run(lease.DefaultStartDelay, held)
 	c.pass(time.Minute)
 	rate("held", 12)
 	c.tell(c.holder(), lease.Stop{})
 	c.run(time.Second, held)
 	c.service.Down(true)
-	c.pass(lease.Lease)
+	c.pass(lease.DefaultLease)
 	if who := c.holder(); who >= 0 {
 		t.Errorf("%d acts without a service for a lease", who)
 	}
 	c.pass(10 * time.Second)
 	rate("down", 105)
 	c.service.Down(false)
-	c.run(lease.Lease+time.Second, held)
+	c.run(lease.DefaultLease+time.Second, held)
 }
 
 // silent is a service that does not answer renewals any more once it is cut.
@@ -128,15 +128,15 @@
 	cut bool
 }
 
-func (s *silent) RenewDuty(ctx context.Context, c api.Claim) (api.Grant, error) {
+func (s *silent) RenewLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	s.mu.Lock()
 	cut := s.cut
 	s.mu.Unlock()
 	if cut {
 		<-ctx.Done()
-		return api.Grant{}, ctx.Err()
+		return api.LeadershipGrant{}, ctx.Err()
 	}
-	return s.Service.RenewDuty(ctx, c)
+	return s.Service.RenewLeadership(ctx, c)
 }
 
 // A holder that is cut off acts to its own lease's end and no longer, another takes over within lease, margin and a second; one
@@ -152,15 +152,15 @@
 		for i := range all {
 			cuts[i] = &silent{Service: service}
 			all[i] = lease.NewRunner(cuts[i], lease.Config{Name: "d", Holder: fmt.Sprint(i)}, func(lease.Action) {})
-			all[i].Want(true, 0)
+			all[i].Campaign(true, 0)
 			running.Go(func() { all[i].Run(ctx) })
 		}
-		next := func(most time.Duration, than int) (who int) {
+		next := func(limit time.Duration, than int) (who int) {
 			t.Helper()
 			for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 				who = -1
 				for i, r := range all {
-					if _, ok := r.Act(time.Now()); ok {
+					if _, ok := r.Holds(time.Now()); ok {
 						if who >= 0 {
 							t.Fatalf("%d and %d may act", who, i)
 						}
@@ -170,24 +170,24 @@
 				if who >= 0 && who != than {
 					return who
 				}
-				if time.Since(begun) > most {
-					t.Fatalf("nobody but %d after %v", who, most)
+				if time.Since(begun) > limit {
+					t.Fatalf("nobody but %d after %v", who, limit)
 				}
 			}
 		}
-		first := next(lease.Start, -1)
-		epoch, _ := all[first].Act(time.Now())
+		first := next(lease.DefaultStartDelay, -1)
+		epoch, _ := all[first].Holds(time.Now())
 		cuts[first].mu.Lock()
 		cuts[first].cut = true
 		cuts[first].mu.Unlock()
-		second := next(lease.Lease+lease.Lease/10+time.Second, first)
-		if now, _ := all[second].Act(time.Now()); now <= epoch {
+		second := next(lease.DefaultLease+lease.DefaultLease/10+time.Second, first)
+		if now, _ := all[second].Holds(time.Now()); now <= epoch {
 			t.Errorf("epoch %d after %d", now, epoch)
 		}
-		all[second].Failed()
+		all[second].ReportFailure()
 		next(time.Second, second)
 		for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-			if _, ok := all[second].Act(time.Now()); ok {
+			if _, ok := all[second].Holds(time.Now()); ok {
 				t.Fatal("who failed has it again")
 			}
 		}
@@ -195,7 +195,7 @@
 		if now := next(time.Second, -1); now == third { // the one that is cut off can be the better one too
 			third = first
 		}
-		all[third].Want(true, 500)
+		all[third].Campaign(true, 500)
 		if who := next(15*time.Second, 3-second-third); who != third {
 			t.Errorf("handed on to %d, and %d is better", who, third)
 		}
