--- a/internal/lease/explore/explore.go
+++ b/internal/lease/explore/explore.go
@@ -44,14 +44,14 @@
 }
 
 // Found is what an exploration came to.
-type Found = modelcheck.Found
+type Found = modelcheck.Result
 
 // Run explores breadth first.
 func Run(b Bounds, f Faults) Found { return modelcheck.Search(begin(b, f), b.Depth, nil) }
 
 func (f Faults) config(who int) lease.Config {
-	c := lease.Config{Name: name, Holder: holder(who), Lease: Lease, Margin: Margin, Patience: 2 * Tick,
-		Start: time.Nanosecond, Chance: func() float64 { return 0 }}
+	c := lease.Config{Name: name, Holder: holder(who), Lease: Lease, Margin: Margin, Timeout: 2 * Tick,
+		StartDelay: time.Nanosecond, Random: func() float64 { return 0 }}
 	if f.NoMargin {
 		c.Margin = time.Nanosecond
 	}
--- a/internal/lease/explore/state.go
+++ b/internal/lease/explore/state.go
@@ -18,14 +18,14 @@
 const underWay = 2
 
 type candidate struct {
-	lease.Candidate
+	lease.Elector
 	clock   time.Duration // its own
 	rested  int           // ticks since its clock stood still, oneStill at most
 	stopped bool
 	wants   bool
-	calls   []lease.Call  // to the service
-	answer  *lease.Answer // from it, to the call that is out
-	act     uint64        // an act under this epoch is under way; 0: none
+	calls   []lease.Request // to the service
+	answer  *lease.Response // from it, to the call that is out
+	act     uint64          // an act under this epoch is under way; 0: none
 }
 
 // entry is one of the log that is not committed yet.
@@ -40,7 +40,7 @@
 	faults Faults
 	now    time.Duration
 	list   *list.List // shared by states until one changes it, as terms
-	terms  *leasetable.Terms
+	terms  *leasetable.Table
 	log    []entry
 	of     [2]candidate
 	seen   uint64 // the fence: the highest epoch it has seen
@@ -48,12 +48,12 @@
 }
 
 func begin(b Bounds, f Faults) *state {
-	s := &state{left: b, faults: f, list: list.New(1), terms: &leasetable.Terms{}}
+	s := &state{left: b, faults: f, list: list.New(1), terms: &leasetable.Table{}}
 	s.terms.Lead(0, nil)
 	for i := range s.of {
 		c := &s.of[i]
-		c.Candidate, c.rested, c.wants = lease.NewCandidate(f.config(i), 0), oneStill, true
-		s.tell(i, lease.Want{On: true})
+		c.Elector, c.rested, c.wants = lease.NewElector(f.config(i), 0), oneStill, true
+		s.tell(i, lease.Campaign{On: true})
 	}
 	return s
 }
@@ -71,12 +71,12 @@
 func (s *state) tell(who int, e lease.Event) {
 	c := &s.of[who]
 	for _, a := range c.Handle(c.clock, e) {
-		if call, ok := a.(lease.Call); ok {
+		if call, ok := a.(lease.Request); ok {
 			c.calls = append(c.calls, call)
 			c.calls = c.calls[max(0, len(c.calls)-underWay):]
 		}
 	}
-	if c.answer != nil && c.answer.ID != c.Out() {
+	if c.answer != nil && c.answer.ID != c.PendingID() {
 		c.answer = nil
 	}
 }
@@ -89,28 +89,28 @@
 }
 
 // arrive is a call at the leader.
-func (s *state) arrive(who int, call lease.Call) {
+func (s *state) arrive(who int, call lease.Request) {
 	s.own()
-	claim := &list.Claim{Claim: call.Claim}
-	op := map[lease.Op]string{lease.Take: list.Take, lease.Renew: list.Renew, lease.Release: list.Release}[call.Op]
-	if call.Op == lease.Take {
-		d, held := s.list.Duty(name)
-		over, after, ask := s.terms.Ask(s.now, d, held, call.Claim)
+	claim := &list.LeadershipClaim{LeadershipClaim: call.Claim}
+	op := map[lease.Op]string{lease.Acquire: list.AcquireLeadership, lease.Renew: list.RenewLeadership, lease.Release: list.ReleaseLeadership}[call.Op]
+	if call.Op == lease.Acquire {
+		d, held := s.list.Leadership(name)
+		over, after, ask := s.terms.Decide(s.now, d, held, call.Claim)
 		if !ask {
 			g := d.Grant()
-			g.AfterMs = after.Milliseconds()
+			g.RetryAfterMs = after.Milliseconds()
 			s.answer(who, call.ID, g)
 			return
 		}
-		claim.Over = over
+		claim.ExpiredTerm = over
 	}
 	s.log = append(s.log, entry{list.Command{Op: op, Claim: claim}, who, call.ID})
 }
 
-func (s *state) answer(who int, id uint64, g api.Grant) {
+func (s *state) answer(who int, id uint64, g api.LeadershipGrant) {
 	c := &s.of[who]
-	if id == c.Out() { // another is not read
-		c.answer = &lease.Answer{ID: id, Told: true, Grant: g}
+	if id == c.PendingID() { // another is not read
+		c.answer = &lease.Response{ID: id, Known: true, Grant: g}
 	}
 }
 
@@ -119,9 +119,9 @@
 	s.own()
 	e := s.log[0]
 	s.log = s.log[1:]
-	if d, held := s.list.Duty(name); s.faults.NoTurns && held && e.c.Claim.Over != nil {
+	if d, held := s.list.Leadership(name); s.faults.NoTurns && held && e.c.Claim.ExpiredTerm != nil {
 		claim := *e.c.Claim
-		claim.Over = &d.Term
+		claim.ExpiredTerm = &d.LeaseTerm
 		e.c.Claim = &claim
 	}
 	r := s.list.Apply(e.c)
@@ -129,11 +129,11 @@
 		return
 	}
 	if r.Err == nil {
-		s.terms.Turned(s.now, r.Duty)
+		s.terms.Committed(s.now, r.Leadership)
 	}
-	g := r.Duty.Grant()
-	if r.Err == nil && e.c.Op != list.Release {
-		g.Better = s.terms.Renewed(s.now, e.c.Claim.Claim)
+	g := r.Leadership.Grant()
+	if r.Err == nil && e.c.Op != list.ReleaseLeadership {
+		g.BetterFitness = s.terms.Renewed(s.now, e.c.Claim.LeadershipClaim)
 	}
 	s.answer(e.who, e.id, g)
 }
@@ -145,7 +145,7 @@
 	}
 	s.log = nil
 	s.own()
-	s.terms.Lead(s.now, s.list.Duties())
+	s.terms.Lead(s.now, s.list.Leaderships())
 }
 
 // take is an act that reaches the one acted upon.
@@ -166,10 +166,10 @@
 	if s.why != "" {
 		return s.why
 	}
-	d, _ := s.list.Duty(name)
+	d, _ := s.list.Leadership(name)
 	for i := range s.of {
 		c := &s.of[i]
-		if epoch, ok := c.Act(c.clock); ok && !(d.Holder == holder(i) && d.Epoch == epoch) {
+		if epoch, ok := c.Holds(c.clock); ok && !(d.Holder == holder(i) && d.Epoch == epoch) {
 			return fmt.Sprintf("%s may act under epoch %d, and the duty is of %q under %d", holder(i), epoch, d.Holder, d.Epoch)
 		}
 	}
@@ -185,7 +185,7 @@
 
 // key is the state up to what makes no difference: where time and epochs begin, and the ids of calls.
 func (s *state) key(b []byte) []byte {
-	d, held := s.list.Duty(name)
+	d, held := s.list.Leadership(name)
 	highest := s.list.Epoch()
 	if !held {
 		d.Epoch = highest
@@ -205,9 +205,9 @@
 	put(uint64(l.Ticks), uint64(l.Stops), uint64(l.Elections), uint64(l.Wishes), uint64(l.Delays), uint64(l.Acts), bit(held), highest-d.Epoch, highest-s.seen)
 	b = s.terms.AppendKey(append(b, d.Holder...), s.now, d)
 	for _, e := range s.log {
-		put(uint64(e.who), uint64(e.c.Op[2]), highest-e.c.Claim.Epoch, bit(e.id == s.of[e.who].Out()))
-		if over := e.c.Claim.Over; over != nil {
-			put(highest-over.Epoch, d.Turn-over.Turn)
+		put(uint64(e.who), uint64(e.c.Op[2]), highest-e.c.Claim.Epoch, bit(e.id == s.of[e.who].PendingID()))
+		if over := e.c.Claim.ExpiredTerm; over != nil {
+			put(highest-over.Epoch, d.Renewals-over.Renewals)
 		}
 	}
 	for i := range s.of {
@@ -215,10 +215,10 @@
 		b = c.AppendKey(append(b, '|'), c.clock, highest)
 		put(uint64(c.rested), bit(c.stopped), bit(c.wants), bit(c.act != 0), highest-c.act*bit(c.act != 0), uint64(len(c.calls)))
 		for _, x := range c.calls {
-			put(uint64(x.Op), highest-x.Claim.Epoch, bit(x.ID == c.Out()))
+			put(uint64(x.Op), highest-x.Claim.Epoch, bit(x.ID == c.PendingID()))
 		}
 		if a := c.answer; a != nil {
-			put(1, highest-a.Grant.Epoch, uint64(a.Grant.AfterMs))
+			put(1, highest-a.Grant.Epoch, uint64(a.Grant.RetryAfterMs))
 			b = append(b, a.Grant.Holder...)
 		}
 	}
--- a/internal/lease/explore/steps.go
+++ b/internal/lease/explore/steps.go
@@ -55,7 +55,7 @@
 			n.tell(i, *a)
 		})
 	}
-	epoch, acts := c.Act(c.clock)
+	epoch, acts := c.Holds(c.clock)
 	switch {
 	case c.act != 0:
 		add(holder(i)+"'s act arrives", func(n *state) { n.take(i) })
@@ -75,7 +75,7 @@
 				n.left.Wishes--
 			}
 			x.wants = !x.wants
-			n.tell(i, lease.Want{On: x.wants})
+			n.tell(i, lease.Campaign{On: x.wants})
 		})
 	}
 }
--- a/internal/lease/memory/memory.go
+++ b/internal/lease/memory/memory.go
@@ -18,7 +18,7 @@
 
 	mu    sync.Mutex
 	list  *list.List
-	terms leasetable.Terms
+	terms leasetable.Table
 	down  bool
 	calls int
 }
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		s.terms.Lead(s.now(), s.list.Duties())
+		s.terms.Lead(s.now(), s.list.Leaderships())
 	}
 	s.down = down
 }
@@ -50,56 +50,58 @@
 	return s.calls
 }
 
-// Duty is a duty as it is now.
-func (s *Service) Duty(name string) api.Grant {
+// Leadership is a duty as it is now.
+func (s *Service) Leadership(name string) api.LeadershipGrant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, _ := s.list.Duty(name)
+	d, _ := s.list.Leadership(name)
 	return d.Grant()
 }
 
-// Take implements duty.Service.
-func (s *Service) Take(_ context.Context, c api.Claim) (api.Grant, error) { return s.do(list.Take, c) }
+// AcquireLeadership implements duty.Service.
+func (s *Service) AcquireLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
+	return s.do(list.AcquireLeadership, c)
+}
 
-// RenewDuty implements duty.Service.
-func (s *Service) RenewDuty(_ context.Context, c api.Claim) (api.Grant, error) {
-	return s.do(list.Renew, c)
+// RenewLeadership implements duty.Service.
+func (s *Service) RenewLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
+	return s.do(list.RenewLeadership, c)
 }
 
-// Release implements duty.Service.
-func (s *Service) Release(_ context.Context, c api.Claim) error {
-	_, err := s.do(list.Release, c)
+// ReleaseLeadership implements duty.Service.
+func (s *Service) ReleaseLeadership(_ context.Context, c api.LeadershipClaim) error {
+	_, err := s.do(list.ReleaseLeadership, c)
 	return err
 }
 
-func (s *Service) do(op string, c api.Claim) (api.Grant, error) {
+func (s *Service) do(op string, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if s.down {
-		return api.Grant{}, api.Fail(api.CodeNoLeader, "down")
+		return api.LeadershipGrant{}, api.Errorf(api.CodeNoLeader, "down")
 	}
-	if err := c.Check(op != list.Take); err != nil {
-		return api.Grant{}, err
+	if err := c.Check(op != list.AcquireLeadership); err != nil {
+		return api.LeadershipGrant{}, err
 	}
 	now := s.now()
-	claim := &list.Claim{Claim: c}
-	if op == list.Take {
-		d, held := s.list.Duty(c.Name)
-		over, after, ask := s.terms.Ask(now, d, held, c)
-		if !ask {
+	claim := &list.LeadershipClaim{LeadershipClaim: c}
+	if op == list.AcquireLeadership {
+		d, isHeld := s.list.Leadership(c.Name)
+		over, after, acquire := s.terms.Decide(now, d, isHeld, c)
+		if !acquire {
 			g := d.Grant()
-			g.AfterMs = after.Milliseconds()
+			g.RetryAfterMs = after.Milliseconds()
 			return g, nil
 		}
-		claim.Over = over
+		claim.ExpiredTerm = over
 	}
 	r := s.list.Apply(list.Command{Op: op, Claim: claim})
-	g := r.Duty.Grant()
+	g := r.Leadership.Grant()
 	g.Name = c.Name
 	if r.Err == nil {
-		s.terms.Turned(now, r.Duty)
-		g.Better = s.terms.Renewed(now, c)
+		s.terms.Committed(now, r.Leadership)
+		g.BetterFitness = s.terms.Renewed(now, c)
 	}
 	return g, nil
 }
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -8,53 +8,55 @@
 	"mosslead/internal/registry/api"
 )
 
-// Runner carries a candidate out. Run is its one goroutine; everything else may be called from anywhere, and never waits.
+// Runner carries out an Elector. Run is its one goroutine; all other methods may be called from anywhere and
+// do not block.
 type Runner struct {
-	Held
-	service Service
-	c       Config
-	says    func(Action)
-	begin   time.Time
-	wake    chan struct{}
-
-	mu     sync.Mutex
-	want   *Want // not handled yet
-	failed bool
+	CurrentLease
+	service   Service
+	config    Config
+	onChange  func(Action)
+	startedAt time.Time
+	wake      chan struct{}
+
+	mu       sync.Mutex
+	campaign *Campaign // not handled yet
+	failed   bool
 }
 
-// NewRunner prepares a candidate. says is told of Hold and Lost, on Run's goroutine; before it is told of Lost, Act has ended.
-func NewRunner(s Service, c Config, says func(Action)) *Runner {
-	return &Runner{service: s, c: c, says: says, begin: time.Now(), wake: make(chan struct{}, 1)}
+// NewRunner prepares an elector. onChange gets Acquired and Expired, on Run's goroutine; Holds is false
+// already when it gets Expired.
+func NewRunner(s Service, c Config, onChange func(Action)) *Runner {
+	return &Runner{service: s, config: c, onChange: onChange, startedAt: time.Now(), wake: make(chan struct{}, 1)}
 }
 
-// Want says whether the duty is wanted, and how well this process is placed for it.
-func (r *Runner) Want(on bool, fitness float64) {
+// Campaign says whether the leadership is wanted, and how fit this process is for it.
+func (r *Runner) Campaign(on bool, fitness float64) {
 	r.mu.Lock()
-	r.want = &Want{on, min(max(fitness, 0), api.MaxFitness)}
+	r.campaign = &Campaign{on, min(max(fitness, 0), api.MaxFitness)}
 	r.mu.Unlock()
-	r.poke()
+	r.wakeUp()
 }
 
-// Failed says that this process does not get done what the duty is for: it loses it for a while.
-func (r *Runner) Failed() {
+// ReportFailure says that this process fails at the work of the leader. It loses the leadership for a while.
+func (r *Runner) ReportFailure() {
 	r.mu.Lock()
 	r.failed = true
 	r.mu.Unlock()
-	r.poke()
+	r.wakeUp()
 }
 
-func (r *Runner) poke() {
+func (r *Runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run keeps at it until ctx ends, and then gives up what is held: it returns within about two Patiences, or when the lease is
-// over.
+// Run takes part in the election until ctx ends, and then releases what it holds. It returns within about two
+// timeouts, or when the lease has ended.
 func (r *Runner) Run(ctx context.Context) {
-	now := func() time.Duration { return time.Since(r.begin) }
-	x := NewCandidate(r.c, now())
+	now := func() time.Duration { return time.Since(r.startedAt) }
+	x := NewElector(r.config, now())
 	calls := r.caller()
 	defer calls.close()
 	timer := time.NewTimer(0)
@@ -65,14 +67,14 @@
 		for _, e := range events {
 			for _, a := range x.Handle(now(), e) {
 				switch a := a.(type) {
-				case Call:
+				case Request:
 					calls.call(context.WithoutCancel(ctx), a)
-				case Hold:
-					r.hold(a.Epoch, r.begin.Add(a.Until))
-					r.says(a)
-				case Lost:
-					r.drop()
-					r.says(a)
+				case Acquired:
+					r.set(a.Epoch, r.startedAt.Add(a.ExpiresAt))
+					r.onChange(a)
+				case Expired:
+					r.clear()
+					r.onChange(a)
 				case Done:
 					return
 				}
@@ -89,44 +91,44 @@
 		case <-timer.C:
 			events = []Event{nil}
 		case <-r.wake:
-			events = r.words()
+			events = r.takeInputs()
 		}
 	}
 }
 
-// words are what was said since it was last asked.
-func (r *Runner) words() (events []Event) {
+// takeInputs returns the events since it was last called.
+func (r *Runner) takeInputs() (events []Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.failed {
-		events = append(events, Failed{})
+		events = append(events, WorkFailed{})
 	}
-	if r.want != nil {
-		events = append(events, *r.want)
+	if r.campaign != nil {
+		events = append(events, *r.campaign)
 	}
-	r.failed, r.want = false, nil
+	r.failed, r.campaign = false, nil
 	return events
 }
 
-// caller asks the service on a goroutine of its own, one call at a time: each ends the one before.
+// caller sends requests on a goroutine of its own, one at a time: each cancels the one before.
 type caller struct {
-	work    chan job
-	answers chan Answer // one that belongs to no call that is out may come yet
+	work    chan requestJob
+	answers chan Response // a response to a cancelled request may still arrive
 	ended   chan struct{}
-	cancel  context.CancelFunc // of the last call; nil: there was none
+	cancel  context.CancelFunc // of the latest request; nil: there was none
 }
 
-type job struct {
+type requestJob struct {
 	ctx context.Context
-	Call
+	Request
 }
 
 func (r *Runner) caller() *caller {
-	c := &caller{work: make(chan job), answers: make(chan Answer, 1), ended: make(chan struct{})}
+	c := &caller{work: make(chan requestJob), answers: make(chan Response, 1), ended: make(chan struct{})}
 	go func() {
 		defer close(c.ended)
 		for j := range c.work {
-			c.answers <- r.call(j.ctx, j.Call)
+			c.answers <- r.call(j.ctx, j.Request)
 		}
 	}()
 	return c
@@ -138,20 +140,20 @@
 	}
 }
 
-// call ends the call before, and begins one.
-func (c *caller) call(ctx context.Context, x Call) {
+// call cancels the request before, and sends one.
+func (c *caller) call(ctx context.Context, x Request) {
 	c.end()
-	ctx, c.cancel = context.WithTimeout(ctx, x.Patience)
+	ctx, c.cancel = context.WithTimeout(ctx, x.Timeout)
 	for {
 		select {
-		case c.work <- job{ctx, x}:
+		case c.work <- requestJob{ctx, x}:
 			return
 		case <-c.answers: // to a call that was ended
 		}
 	}
 }
 
-// close ends what is out, and returns once the goroutine has ended.
+// close cancels the pending request, and returns once the goroutine has ended.
 func (c *caller) close() {
 	c.end()
 	close(c.work)
@@ -164,17 +166,17 @@
 	}
 }
 
-func (r *Runner) call(ctx context.Context, c Call) (a Answer) {
+func (r *Runner) call(ctx context.Context, c Request) (a Response) {
 	a.ID = c.ID
 	var err error
 	switch c.Op {
-	case Take:
-		a.Grant, err = r.service.Take(ctx, c.Claim)
+	case Acquire:
+		a.Grant, err = r.service.AcquireLeadership(ctx, c.Claim)
 	case Renew:
-		a.Grant, err = r.service.RenewDuty(ctx, c.Claim)
+		a.Grant, err = r.service.RenewLeadership(ctx, c.Claim)
 	case Release:
-		err = r.service.Release(ctx, c.Claim)
+		err = r.service.ReleaseLeadership(ctx, c.Claim)
 	}
-	a.Told = err == nil
+	a.Known = err == nil
 	return a
 }
--- a/internal/lease/transcript_test.go
+++ b/internal/lease/transcript_test.go
@@ -32,7 +32,7 @@
 func (p *play) candidate(name string, fitness float64) *player {
 	ctx, end := context.WithCancel(p.Context())
 	c := &player{transcript.NewCandidate(&p.record, p.service, 2*time.Millisecond, name, trials), end}
-	c.Want(true, fitness)
+	c.Campaign(true, fitness)
 	p.all.Go(func() { c.Run(ctx) })
 	p.Cleanup(func() {
 		end()
@@ -44,7 +44,7 @@
 // acts has a candidate look whether it holds, and act some time later.
 func (p *play) acts(c *player, late time.Duration, want bool) {
 	p.Helper()
-	epoch, ok := c.Act(time.Now())
+	epoch, ok := c.Holds(time.Now())
 	if !ok {
 		p.Error("holds nothing")
 	}
@@ -130,7 +130,7 @@
 		time.Sleep(20 * time.Millisecond)
 		p.candidate("b", 400)
 		time.Sleep(100 * time.Millisecond)
-		a.Failed()
+		a.ReportFailure()
 		time.Sleep(600 * time.Millisecond)
 	}},
 }
--- a/internal/modelcheck/statespace.go
+++ b/internal/modelcheck/search.go
@@ -21,8 +21,8 @@
 	Hash() Hash
 }
 
-// Found is what a search came to.
-type Found struct {
+// Result is what a search came to.
+type Result struct {
 	States int      // that differ
 	Depth  int      // to which all were seen
 	Broken string   // the promise that does not hold; empty: all do
@@ -59,23 +59,23 @@
 
 // Search goes through all that can follow first in so many steps. look, where it is given, is asked of each state, the last ones too,
 // and tells what is amiss with it.
-func Search[S State[S]](first S, most int, look func(S) string) Found {
+func Search[S State[S]](first S, maxDepth int, check func(S) string) Result {
 	seen := map[Hash]struct{}{first.Hash(): {}}
 	level := []*node[S]{{s: first}}
 	var none S
 	for depth := 0; ; depth++ {
-		if depth == most && look == nil {
-			return Found{States: len(seen), Depth: most}
+		if depth == maxDepth && check == nil {
+			return Result{States: len(seen), Depth: maxDepth}
 		}
 		var next []*node[S]
 		for part := range slices.Chunk(level, 1024) {
-			for i, x := range expand(part, depth < most, look) {
+			for i, x := range expand(part, depth < maxDepth, check) {
 				if x.amiss != "" {
-					return Found{len(seen), depth, x.amiss, part[i].path()}
+					return Result{len(seen), depth, x.amiss, part[i].path()}
 				}
 				for _, x := range x.steps {
 					if x.broken != "" {
-						return Found{len(seen), depth, x.broken, append(part[i].path(), x.name)}
+						return Result{len(seen), depth, x.broken, append(part[i].path(), x.name)}
 					}
 					if _, ok := seen[x.hash]; ok {
 						continue
@@ -87,13 +87,13 @@
 			}
 		}
 		if level = next; len(level) == 0 {
-			return Found{States: len(seen), Depth: min(depth, most)}
+			return Result{States: len(seen), Depth: min(depth, maxDepth)}
 		}
 	}
 }
 
 // expand looks at each node, on all processors; the order does not depend on them.
-func expand[S State[S]](part []*node[S], further bool, look func(S) string) []expanded[S] {
+func expand[S State[S]](part []*node[S], expandStates bool, check func(S) string) []expanded[S] {
 	all := make([]expanded[S], len(part))
 	var at atomic.Int64
 	var work sync.WaitGroup
@@ -101,10 +101,10 @@
 		work.Go(func() {
 			for i := int(at.Add(1)) - 1; i < len(part); i = int(at.Add(1)) - 1 {
 				s, x := part[i].s, &all[i]
-				if look != nil {
-					x.amiss = look(s)
+				if check != nil {
+					x.amiss = check(s)
 				}
-				if !further || x.amiss != "" {
+				if !expandStates || x.amiss != "" {
 					continue
 				}
 				s.Steps(func(name string, do func(S)) {
--- a/internal/registry/acks.go
+++ b/internal/registry/acks.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	acksMost   = 20_000 // sidecars' words that are kept
-	ackHeard   = api.HeardMs * time.Millisecond
-	acksForget = 30 * time.Minute // after the last: such a sidecar is gone
+	maxAcks     = 20_000 // sidecars' words that are kept
+	ackTimeout  = api.AckTimeoutMs * time.Millisecond
+	ackLifetime = 30 * time.Minute // after the last: such a sidecar is gone
 )
 
 // acks are what sidecars last said of their settings. Only the leader keeps them, in memory: a new one hears all of them again
 // within the time that a sidecar lets pass between two.
 type acks struct {
-	last map[ackOf]ack
+	last map[ackKey]ack
 }
 
-type ackOf struct{ node, service string }
+type ackKey struct{ node, service string }
 
 type ack struct {
 	api.Ack
@@ -29,59 +29,59 @@
 }
 
 // lead begins with none.
-func (a *acks) lead() { a.last = map[ackOf]ack{} }
+func (a *acks) lead() { a.last = map[ackKey]ack{} }
 
-// take keeps a word; false: there is no room for another sidecar.
-func (a *acks) take(now time.Duration, said api.Ack) bool {
-	said.SilentMs = 0
-	of := ackOf{said.Node, said.Service}
-	if _, known := a.last[of]; !known && len(a.last) >= acksMost {
-		if a.forget(now); len(a.last) >= acksMost {
+// record keeps a word; false: there is no room for another sidecar.
+func (a *acks) record(now time.Duration, reported api.Ack) bool {
+	reported.SilentMs = 0
+	of := ackKey{reported.Node, reported.Service}
+	if _, known := a.last[of]; !known && len(a.last) >= maxAcks {
+		if a.forget(now); len(a.last) >= maxAcks {
 			return false
 		}
 	}
-	a.last[of] = ack{said, now}
+	a.last[of] = ack{reported, now}
 	return true
 }
 
 func (a *acks) forget(now time.Duration) {
 	for of, x := range a.last {
-		if now-x.at > acksForget {
+		if now-x.at > ackLifetime {
 			delete(a.last, of)
 		}
 	}
 }
 
 // rollouts counts for each of the documents, which are those that sidecars are told.
-func (a *acks) rollouts(now time.Duration, told []api.Document) []api.Rollout {
+func (a *acks) rollouts(now time.Duration, published []api.Document) []api.Rollout {
 	a.forget(now)
 	of := map[string][]ack{}
 	for _, x := range a.last {
 		of[x.Service] = append(of[x.Service], x)
 	}
 	all := []api.Rollout{}
-	for _, d := range told {
+	for _, d := range published {
 		d.Settings = nil
 		r := api.Rollout{Document: d}
 		for _, x := range of[d.Service] {
 			switch {
-			case now-x.at > ackHeard:
-				r.Unheard++
+			case now-x.at > ackTimeout:
+				r.Silent++
 				x.SilentMs = (now - x.at).Milliseconds()
 			case inForce(x.Ack, d):
 				r.InForce++
 				continue
-			case x.Rejected == d.Version:
+			case x.RejectedRevision == d.Revision:
 				r.Rejected++
 			default:
 				r.Behind++
 			}
-			r.Others = append(r.Others, x.Ack)
+			r.NotInForce = append(r.NotInForce, x.Ack)
 		}
-		slices.SortFunc(r.Others, func(a, b api.Ack) int {
-			return cmp.Or(cmp.Compare(b.Rejected, a.Rejected), strings.Compare(a.Node, b.Node))
+		slices.SortFunc(r.NotInForce, func(a, b api.Ack) int {
+			return cmp.Or(cmp.Compare(b.RejectedRevision, a.RejectedRevision), strings.Compare(a.Node, b.Node))
 		})
-		r.Others = r.Others[:min(len(r.Others), api.MaxOthers)]
+		r.NotInForce = r.NotInForce[:min(len(r.NotInForce), api.MaxNotInForce)]
 		all = append(all, r)
 	}
 	return all
@@ -89,5 +89,5 @@
 
 // inForce tells whether a document is in force at a sidecar: once it is deleted, that is with the settings of its file.
 func inForce(a api.Ack, d api.Document) bool {
-	return a.Region == d.Region && a.Version == d.Version || d.Deleted && a.Version == 0
+	return a.Region == d.Region && a.Revision == d.Revision || d.Deleted && a.Revision == 0
 }
--- a/internal/registry/acks_test.go
+++ b/internal/registry/acks_test.go
@@ -15,30 +15,30 @@
 	say := func(at time.Duration, x api.Ack) {
 		t.Helper()
 		x.Service, x.SilentMs = "orders", 5
-		if !a.take(at, x) {
+		if !a.record(at, x) {
 			t.Fatal("no room")
 		}
 	}
-	say(0, api.Ack{Node: "gone", Region: "south", Version: 4})
-	say(0, api.Ack{Node: "good", Region: "south", Version: 3})
-	for node, x := range map[string]api.Ack{"good": {Version: 4}, "behind": {Version: 3}, "rejects": {Version: 3, Rejected: 4, Why: "no"},
-		"rejected before": {Version: 2, Rejected: 3, Why: "no"}, "has none": {}} {
+	say(0, api.Ack{Node: "gone", Region: "south", Revision: 4})
+	say(0, api.Ack{Node: "good", Region: "south", Revision: 3})
+	for node, x := range map[string]api.Ack{"good": {Revision: 4}, "behind": {Revision: 3}, "rejects": {Revision: 3, RejectedRevision: 4, Reason: "no"},
+		"rejected before": {Revision: 2, RejectedRevision: 3, Reason: "no"}, "has none": {}} {
 		x.Node = node
-		if x.Version > 0 {
+		if x.Revision > 0 {
 			x.Region = "south"
 		}
 		say(time.Minute, x)
 	}
-	say(time.Minute, api.Ack{Node: "another region's", Region: "north", Version: 4})
-	document := api.Document{Service: "orders", Region: "south", Version: 4, Settings: []byte("{}")}
-	r := a.rollouts(time.Minute+time.Second, []api.Document{document, {Service: "fares", Version: 1}})
-	if len(r) != 2 || r[1].InForce+r[1].Behind+r[1].Rejected+r[1].Unheard+len(r[1].Others) != 0 {
+	say(time.Minute, api.Ack{Node: "another region's", Region: "north", Revision: 4})
+	document := api.Document{Service: "orders", Region: "south", Revision: 4, Settings: []byte("{}")}
+	r := a.rollouts(time.Minute+time.Second, []api.Document{document, {Service: "fares", Revision: 1}})
+	if len(r) != 2 || r[1].InForce+r[1].Behind+r[1].Rejected+r[1].Silent+len(r[1].NotInForce) != 0 {
 		t.Fatalf("%+v", r)
 	}
-	if o := r[0]; o.InForce != 1 || o.Behind != 4 || o.Rejected != 1 || o.Unheard != 1 || len(o.Others) != 6 || o.Settings != nil {
+	if o := r[0]; o.InForce != 1 || o.Behind != 4 || o.Rejected != 1 || o.Silent != 1 || len(o.NotInForce) != 6 || o.Settings != nil {
 		t.Errorf("%+v", o)
 	}
-	for _, x := range r[0].Others {
+	for _, x := range r[0].NotInForce {
 		if silent := map[string]int64{"gone": 61_000}[x.Node]; x.SilentMs != silent {
 			t.Errorf("%+v: silent for %d ms", x, silent)
 		}
@@ -47,7 +47,7 @@
 	if o := a.rollouts(time.Minute, []api.Document{document})[0]; o.InForce != 3 { // without settings; and at that version
 		t.Errorf("deleted: %+v", o)
 	}
-	if o := a.rollouts(acksForget+time.Second, []api.Document{document})[0]; o.InForce+o.Behind+o.Rejected != 0 || o.Unheard != 6 {
+	if o := a.rollouts(ackLifetime+time.Second, []api.Document{document})[0]; o.InForce+o.Behind+o.Rejected != 0 || o.Silent != 6 {
 		t.Errorf("after a while: %+v", o)
 	}
 }
--- a/internal/registry/api/answer.go
+++ b/internal/registry/api/answer.go
@@ -18,7 +18,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		f := &Failure{}
+		f := &Error{}
 		if json.Unmarshal(text, f) == nil && f.Code != "" {
 			return f
 		}
--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -10,33 +10,33 @@
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating" // finishes what it has, wants nothing new
-	Gone        = "Gone"        // only among changes
+	Removed     = "Gone"        // only among changes
 )
 
 // The words that an operator may say of an entry; they outrank the server's own.
 const (
-	HandNone  = ""
-	HandDrain = "drain" // Terminating, whatever the server says
-	HandBan   = "ban"   // not in the list, whatever the server says
+	AdminNone  = ""
+	AdminDrain = "drain" // Terminating, whatever the server says
+	AdminBan   = "ban"   // not in the list, whatever the server says
 )
 
-// Entry is an upstream in a list, in discovery's words.
-type Entry struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`  // kind of machine
-	Group   int     `json:"group"` // cell
-	Status  string  `json:"status"`
-	Weight  float64 `json:"weight"`
-	SinceMs int64   `json:"since_ms"` // Unix time of the server's last start, in milliseconds; 0: long ago
-}
-
-// Listing is one message of discovery: the whole list, or what changed since the one before.
-type Listing struct {
-	Index     int64   `json:"index"`
-	Snapshot  bool    `json:"snapshot"`
-	Endpoints []Entry `json:"endpoints"`
+// Endpoint is an upstream in a list, in discovery's words.
+type Endpoint struct {
+	Name      string  `json:"name"`
+	Address   string  `json:"address"`
+	Zone      string  `json:"zone"`
+	Machine   string  `json:"type"`  // kind of machine
+	Cell      int     `json:"group"` // cell
+	Status    string  `json:"status"`
+	Weight    float64 `json:"weight"`
+	StartedMs int64   `json:"since_ms"` // Unix time of the server's last start, in milliseconds; 0: long ago
+}
+
+// WatchEvent is one message of discovery: the whole list, or what changed since the one before.
+type WatchEvent struct {
+	Revision  int64      `json:"index"`
+	Snapshot  bool       `json:"snapshot"`
+	Endpoints []Endpoint `json:"endpoints"`
 	// Region is whose list it is, and Documents the settings that changed; both only for those who ask for them.
 	Region    string     `json:"region,omitempty"`
 	Documents []Document `json:"documents,omitempty"`
@@ -44,69 +44,69 @@
 
 // Record is an entry with what the service knows beside the list.
 type Record struct {
-	Entry
-	Version     int64  `json:"version"`     // of the list, when this last changed
-	Incarnation int64  `json:"incarnation"` // of the server's process: the higher is the newer
-	LeaseMs     int64  `json:"lease_ms"`    // 0: held without a lease
-	Own         string `json:"own"`         // the server's own word: Ready or Terminating
-	Hand        string `json:"hand"`        // the operator's
+	Endpoint
+	Revision     int64  `json:"version"`     // of the list, when this last changed
+	Incarnation  int64  `json:"incarnation"` // of the server's process: the higher is the newer
+	LeaseMs      int64  `json:"lease_ms"`    // 0: held without a lease
+	ServerStatus string `json:"own"`         // the server's own word: Ready or Terminating
+	AdminState   string `json:"hand"`        // the operator's
 }
 
 // Records is the list with all that is known.
 type Records struct {
-	Version int64    `json:"version"`
-	Records []Record `json:"records"`
+	Revision int64    `json:"version"`
+	Records  []Record `json:"records"`
 }
 
 // Registration is a server's wish to be listed. Registering again with the same incarnation changes what differs.
 type Registration struct {
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
-	Type        string  `json:"type"`
-	Group       int     `json:"group"`
+	Machine     string  `json:"type"`
+	Cell        int     `json:"group"`
 	Weight      float64 `json:"weight"` // absent: 1
-	SinceMs     int64   `json:"since_ms"`
+	StartedMs   int64   `json:"since_ms"`
 	Incarnation int64   `json:"incarnation"`
 	LeaseMs     int64   `json:"lease_ms"` // 0: without a lease
-	IfVersion   *int64  `json:"if_version,omitempty"`
+	IfRevision  *int64  `json:"if_version,omitempty"`
 }
 
-// Ask is what a drain, a leave or an operator's word is asked with.
-type Ask struct {
+// StateChange is what a drain, a leave or an operator's word is asked with.
+type StateChange struct {
 	Incarnation int64  `json:"incarnation,omitempty"` // 0: whichever there is
-	Hand        string `json:"hand,omitempty"`
-	IfVersion   *int64 `json:"if_version,omitempty"` // the entry's; 0: only if there is none
+	AdminState  string `json:"hand,omitempty"`
+	IfRevision  *int64 `json:"if_version,omitempty"` // the entry's; 0: only if there is none
 }
 
-// Done is what a write is answered with.
-type Done struct {
-	Version int64 `json:"version"` // of the entry
+// WriteResult is what a write is answered with.
+type WriteResult struct {
+	Revision int64 `json:"version"` // of the entry
 }
 
-// Lease is a server's sign of life.
-type Lease struct {
+// Heartbeat is a server's sign of life.
+type Heartbeat struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"incarnation"`
 }
 
-// Renewals are signs of life of several.
-type Renewals struct {
-	Leases []Lease `json:"leases"`
+// Heartbeats are signs of life of several.
+type Heartbeats struct {
+	Heartbeats []Heartbeat `json:"leases"`
 }
 
-// Renewed names those that hold no lease (any more) and have to register.
-type Renewed struct {
-	Lost []string `json:"lost"`
+// HeartbeatResult names those that hold no lease (any more) and have to register.
+type HeartbeatResult struct {
+	Expired []string `json:"lost"`
 }
 
 // Replica is a process of the service.
 type Replica struct {
-	Name   string `json:"name"`
-	Raft   string `json:"raft"` // where other replicas reach it
-	API    string `json:"api"`  // where it answers
-	Disk   string `json:"disk"` // random, made with its directory
-	Starts int64  `json:"starts"`
-	Schema int    `json:"schema"` // the newest form of commands that it understands
+	Name       string `json:"name"`
+	Raft       string `json:"raft"` // where other replicas reach it
+	API        string `json:"api"`  // where it answers
+	DiskID     string `json:"disk"` // random, made with its directory
+	StartCount int64  `json:"starts"`
+	Schema     int    `json:"schema"` // the newest form of commands that it understands
 }
 
 // Identity is what a replica says of itself before it takes part.
@@ -118,79 +118,79 @@
 
 // Status is the state of a replica and of the service as it sees it.
 type Status struct {
-	Replica    Replica            `json:"replica"`
-	State      string             `json:"state"` // leader, follower, candidate, starting
-	Leader     string             `json:"leader"`
-	Term       uint64             `json:"term"`
-	Version    int64              `json:"version"`
-	Entries    int                `json:"entries"`
-	Watchers   int                `json:"watchers"`
-	StaleMs    int64              `json:"stale_ms"` // the list may be so old; -1: it was never known to be the service's
-	Preserving bool               `json:"preserving"`
-	Silent     []string           `json:"silent"` // servers whose lease has lapsed, as the leader knows
-	Members    map[string]Replica `json:"members"`
-	Voters     []string           `json:"voters"`
-	Region     string             `json:"region,omitempty"`
-	Following  []Following        `json:"following,omitempty"` // other regions; by the leader alone
+	Replica       Replica             `json:"replica"`
+	State         string              `json:"state"` // leader, follower, candidate, starting
+	Leader        string              `json:"leader"`
+	Term          uint64              `json:"term"`
+	Revision      int64               `json:"version"`
+	Endpoints     int                 `json:"entries"`
+	Watchers      int                 `json:"watchers"`
+	StalenessMs   int64               `json:"stale_ms"` // the list may be so old; -1: it was never known to be the service's
+	Preserving    bool                `json:"preserving"`
+	ExpiredLeases []string            `json:"silent"` // servers whose lease has lapsed, as the leader knows
+	Members       map[string]Replica  `json:"members"`
+	Voters        []string            `json:"voters"`
+	Region        string              `json:"region,omitempty"`
+	Replication   []ReplicationStatus `json:"following,omitempty"` // other regions; by the leader alone
 }
 
 // The codes of failures.
 const (
-	CodeBad      = "bad request"
-	CodeOlder    = "older incarnation"
-	CodeConflict = "conflict"
-	CodeNone     = "not found"
-	CodeFull     = "full"
-	CodeNoLeader = "no leader"
-	CodeStale    = "stale"
-	CodeOldPeer  = "older replica"   // one that would not understand the command is in the quorum
-	CodeUnknown  = "outcome unknown" // it may have been done, or may be yet
+	CodeBadRequest       = "bad request"
+	CodeOlderIncarnation = "older incarnation"
+	CodeConflict         = "conflict"
+	CodeNotFound         = "not found"
+	CodeFull             = "full"
+	CodeNoLeader         = "no leader"
+	CodeStale            = "stale"
+	CodeOlderReplica     = "older replica"   // one that would not understand the command is in the quorum
+	CodeOutcomeUnknown   = "outcome unknown" // it may have been done, or may be yet
 )
 
-// Failure is what an answer says that is none.
-type Failure struct {
+// Error is what an answer says that is none.
+type Error struct {
 	Code string `json:"code"`
 	Text string `json:"error"`
 }
 
-func (f *Failure) Error() string { return f.Code + ": " + f.Text }
+func (f *Error) Error() string { return f.Code + ": " + f.Text }
 
-// Fail is a failure with that code.
-func Fail(code, format string, args ...any) *Failure {
-	return &Failure{Code: code, Text: fmt.Sprintf(format, args...)}
+// Errorf is a failure with that code.
+func Errorf(code, format string, args ...any) *Error {
+	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
 // IsCode tells whether err is a failure with that code.
 func IsCode(err error, code string) bool {
-	var f *Failure
+	var f *Error
 	return errors.As(err, &f) && f.Code == code
 }
 
 // The bounds on what may be registered.
 const (
-	MaxName    = 128
-	MaxAddress = 256
-	MaxWord    = 64
-	MaxEntries = 20_000
-	MinLeaseMs = 500
-	MaxLeaseMs = 600_000
+	MaxName      = 128
+	MaxAddress   = 256
+	MaxLabel     = 64
+	MaxEndpoints = 20_000
+	MinLeaseMs   = 500
+	MaxLeaseMs   = 600_000
 )
 
 // Check names what is wrong with a registration under a name; nil: nothing.
 func (r *Registration) Check(name string) error {
 	switch {
 	case name == "" || len(name) > MaxName:
-		return Fail(CodeBad, "name: 1 to %d bytes", MaxName)
+		return Errorf(CodeBadRequest, "name: 1 to %d bytes", MaxName)
 	case len(r.Address) > MaxAddress || !IsAddress(r.Address):
-		return Fail(CodeBad, "address: host:port of at most %d bytes", MaxAddress)
-	case len(r.Zone) > MaxWord || len(r.Type) > MaxWord:
-		return Fail(CodeBad, "zone and type: at most %d bytes", MaxWord)
+		return Errorf(CodeBadRequest, "address: host:port of at most %d bytes", MaxAddress)
+	case len(r.Zone) > MaxLabel || len(r.Machine) > MaxLabel:
+		return Errorf(CodeBadRequest, "zone and type: at most %d bytes", MaxLabel)
 	case !(r.Weight > 0 && r.Weight <= 1e6):
-		return Fail(CodeBad, "weight: more than 0, at most 1e6")
-	case r.Group < 0 || r.SinceMs < 0 || r.Incarnation < 0:
-		return Fail(CodeBad, "group, since_ms and incarnation: at least 0")
+		return Errorf(CodeBadRequest, "weight: more than 0, at most 1e6")
+	case r.Cell < 0 || r.StartedMs < 0 || r.Incarnation < 0:
+		return Errorf(CodeBadRequest, "group, since_ms and incarnation: at least 0")
 	case r.LeaseMs != 0 && (r.LeaseMs < MinLeaseMs || r.LeaseMs > MaxLeaseMs):
-		return Fail(CodeBad, "lease_ms: 0, or %d to %d", MinLeaseMs, MaxLeaseMs)
+		return Errorf(CodeBadRequest, "lease_ms: 0, or %d to %d", MinLeaseMs, MaxLeaseMs)
 	}
 	return nil
 }
--- a/internal/registry/api/settings.go
+++ b/internal/registry/api/settings.go
@@ -10,36 +10,36 @@
 type Document struct {
 	Service  string          `json:"service"`
 	Region   string          `json:"region,omitempty"` // its owner; empty where there is one region
-	Version  int64           `json:"version"`          // of the owner's list, when this last changed
+	Revision int64           `json:"version"`          // of the owner's list, when this last changed
 	Schema   int             `json:"schema"`           // of Settings, see package settings
 	Deleted  bool            `json:"deleted,omitempty"`
 	Settings json.RawMessage `json:"settings,omitempty"` // the object that a sidecar's file has under "settings"; absent once deleted
-	// Earlier are the versions before this one that are remembered, rising; only in the answer to a call for this document.
-	Earlier []int64 `json:"earlier,omitempty"`
+	// EarlierRevisions are the versions before this one that are remembered, rising; only in the answer to a call for this document.
+	EarlierRevisions []int64 `json:"earlier,omitempty"`
 }
 
 // Documents are all that a region knows, its own and others'.
 type Documents struct {
-	Version   int64      `json:"version"` // of the list that was read
+	Revision  int64      `json:"version"` // of the list that was read
 	Documents []Document `json:"documents"`
 }
 
-// Put is a wish to change the settings of a service.
-type Put struct {
-	Schema    int             `json:"schema"`
-	Settings  json.RawMessage `json:"settings,omitempty"`
-	IfVersion *int64          `json:"if_version"` // of the document that it was based on; 0: only if there is none, or it is deleted
+// PutRequest is a wish to change the settings of a service.
+type PutRequest struct {
+	Schema     int             `json:"schema"`
+	Settings   json.RawMessage `json:"settings,omitempty"`
+	IfRevision *int64          `json:"if_version"` // of the document that it was based on; 0: only if there is none, or it is deleted
 }
 
 // Ack is a sidecar's word on a document: it is in force there, or was rejected and the one before still is.
 type Ack struct {
-	Node     string `json:"node"`
-	Service  string `json:"service"`
-	Region   string `json:"region,omitempty"` // of the document
-	Version  int64  `json:"version"`          // in force; 0: its file's settings are
-	Rejected int64  `json:"rejected,omitempty"`
-	Why      string `json:"why,omitempty"` // the rejected version is not in force
-	// SilentMs is how long it was not heard, where that is over HeardMs; only in a Rollout.
+	Node             string `json:"node"`
+	Service          string `json:"service"`
+	Region           string `json:"region,omitempty"` // of the document
+	Revision         int64  `json:"version"`          // in force; 0: its file's settings are
+	RejectedRevision int64  `json:"rejected,omitempty"`
+	Reason           string `json:"why,omitempty"` // the rejected version is not in force
+	// SilentMs is how long it was not heard, where that is over AckTimeoutMs; only in a Rollout.
 	SilentMs int64 `json:"silent_ms,omitempty"`
 }
 
@@ -48,15 +48,15 @@
 	Acks []Ack `json:"acks"`
 }
 
-// Rollout is how far a document has come among the sidecars that speak to this region. Counts are of those heard within HeardMs;
+// Rollout is how far a document has come among the sidecars that speak to this region. Counts are of those heard within AckTimeoutMs;
 // Unheard of those that were heard once, and are not any more.
 type Rollout struct {
-	Document       // without Settings
-	InForce  int   `json:"in_force"`
-	Behind   int   `json:"behind"`
-	Rejected int   `json:"rejected"`
-	Unheard  int   `json:"unheard"`
-	Others   []Ack `json:"others,omitempty"` // of those in whom it is not in force, MaxOthers at most
+	Document         // without Settings
+	InForce    int   `json:"in_force"`
+	Behind     int   `json:"behind"`
+	Rejected   int   `json:"rejected"`
+	Silent     int   `json:"unheard"`
+	NotInForce []Ack `json:"others,omitempty"` // of those in whom it is not in force, MaxNotInForce at most
 }
 
 // Rollouts are those of all documents.
@@ -65,39 +65,39 @@
 	Rollouts []Rollout `json:"rollouts"`
 }
 
-// Following is how far one region has followed another.
-type Following struct {
-	Region  string `json:"region"`
-	Version int64  `json:"version"` // all of the other's changes up to it are in
-	Seen    int64  `json:"seen"`    // the highest that was told; above Version: some of it is on its way in
-	AgeMs   int64  `json:"age_ms"`  // since the other was last heard, by the leader's clock; -1: not since it leads
-	Entries int    `json:"entries"`
-	// Aside says why what the other tells is not taken in, as when its version went back; empty: it is.
-	Aside string `json:"aside,omitempty"`
+// ReplicationStatus is how far one region has followed another.
+type ReplicationStatus struct {
+	Region       string `json:"region"`
+	Revision     int64  `json:"version"` // all of the other's changes up to it are in
+	SeenRevision int64  `json:"seen"`    // the highest that was told; above Version: some of it is on its way in
+	AgeMs        int64  `json:"age_ms"`  // since the other was last heard, by the leader's clock; -1: not since it leads
+	Endpoints    int    `json:"entries"`
+	// RejectedReason says why what the other tells is not taken in, as when its version went back; empty: it is.
+	RejectedReason string `json:"aside,omitempty"`
 }
 
 // The bounds on documents.
 const (
-	MaxSettings    = 64 << 10 // bytes of one
-	MaxAllSettings = 8 << 20  // bytes of all of one region
-	MaxDocuments   = 1024     // of one region, deleted ones too
-	MaxWhy         = 256
-	MaxOthers      = 100
-	MaxEarlier     = 4 // versions of one document that are remembered beside the present one
-	HeardMs        = 60_000
+	MaxSettings         = 64 << 10 // bytes of one
+	MaxAllSettings      = 8 << 20  // bytes of all of one region
+	MaxDocuments        = 1024     // of one region, deleted ones too
+	MaxReason           = 256
+	MaxNotInForce       = 100
+	MaxEarlierRevisions = 4 // versions of one document that are remembered beside the present one
+	AckTimeoutMs        = 60_000
 )
 
 // Check names what is wrong with a wish in form; nil: nothing. What the settings say is checked by package settings.
-func (p *Put) Check(service string) error {
+func (p *PutRequest) Check(service string) error {
 	switch {
 	case service == "" || len(service) > MaxName:
-		return Fail(CodeBad, "service: 1 to %d bytes", MaxName)
-	case p.IfVersion == nil || *p.IfVersion < 0:
-		return Fail(CodeBad, "if_version: the version that the change is based on, 0 where there is none")
+		return Errorf(CodeBadRequest, "service: 1 to %d bytes", MaxName)
+	case p.IfRevision == nil || *p.IfRevision < 0:
+		return Errorf(CodeBadRequest, "if_version: the version that the change is based on, 0 where there is none")
 	case p.Schema < 1:
-		return Fail(CodeBad, "schema: at least 1")
+		return Errorf(CodeBadRequest, "schema: at least 1")
 	case len(p.Settings) > MaxSettings || len(bytes.TrimSpace(p.Settings)) == 0:
-		return Fail(CodeBad, "settings: an object of at most %d bytes", MaxSettings)
+		return Errorf(CodeBadRequest, "settings: an object of at most %d bytes", MaxSettings)
 	}
 	return nil
 }
@@ -106,11 +106,11 @@
 func (a *Ack) Check() error {
 	switch {
 	case a.Node == "" || len(a.Node) > MaxName || a.Service == "" || len(a.Service) > MaxName:
-		return Fail(CodeBad, "node and service: 1 to %d bytes", MaxName)
-	case len(a.Region) > MaxWord || len(a.Why) > MaxWhy:
-		return Fail(CodeBad, "region: at most %d bytes, why: %d", MaxWord, MaxWhy)
-	case a.Version < 0 || a.Rejected < 0:
-		return Fail(CodeBad, "version and rejected: at least 0")
+		return Errorf(CodeBadRequest, "node and service: 1 to %d bytes", MaxName)
+	case len(a.Region) > MaxLabel || len(a.Reason) > MaxReason:
+		return Errorf(CodeBadRequest, "region: at most %d bytes, why: %d", MaxLabel, MaxReason)
+	case a.Revision < 0 || a.RejectedRevision < 0:
+		return Errorf(CodeBadRequest, "version and rejected: at least 0")
 	}
 	return nil
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	dialPatience = 500 * time.Millisecond
-	callPatience = 3 * time.Second // of one try: a write waits for a quorum
+	dialTimeout    = 500 * time.Millisecond
+	attemptTimeout = 3 * time.Second // of one try: a write waits for a quorum
 )
 
 // Client asks a list service of one or several replicas. Safe for concurrent use.
@@ -53,7 +53,7 @@
 // New asks the replicas at these addresses, of which there is one at least. It begins with any: so a fleet is spread.
 func New(addresses []string) *Client {
 	return &Client{addresses: addresses, current: rand.IntN(len(addresses)),
-		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialPatience}).DialContext,
+		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}}
 }
 
@@ -97,11 +97,11 @@
 // call asks until there is an answer: another replica where one could not have carried it out, or always where doing it
 // twice is the same as once. It ends with ctx, and then gives the last failure; with CodeUnknown where it may have been
 // carried out.
-func (c *Client) call(ctx context.Context, again bool, method, path string, ask, answer any) error {
+func (c *Client) call(ctx context.Context, again bool, method, path string, change, answer any) error {
 	var body []byte
-	if ask != nil {
+	if change != nil {
 		var err error
-		if body, err = json.Marshal(ask); err != nil {
+		if body, err = json.Marshal(change); err != nil {
 			return fmt.Errorf("wording a call: %w", err)
 		}
 	}
@@ -109,16 +109,16 @@
 	var last error
 	for {
 		at := c.at()
-		err := c.try(ctx, at, method, path, body, answer)
-		var said *api.Failure
+		err := c.attempt(ctx, at, method, path, body, answer)
+		var failure *api.Error
 		switch {
 		case err == nil:
 			return nil
-		case errors.As(err, &said) && said.Code != api.CodeNoLeader && said.Code != api.CodeStale && !(said.Code == api.CodeUnknown && again):
+		case errors.As(err, &failure) && failure.Code != api.CodeNoLeader && failure.Code != api.CodeStale && !(failure.Code == api.CodeOutcomeUnknown && again):
 			return err
 		case !again && !notSent(err):
 			c.next(at) // the question what came of it goes elsewhere
-			return api.Fail(api.CodeUnknown, "%v", err)
+			return api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 		}
 		c.next(at)
 		if last == nil || ctx.Err() == nil { // a try that was cut short says less than the one before
@@ -131,16 +131,16 @@
 }
 
 // once asks one replica once, with a body.
-func (c *Client) once(ctx context.Context, at, path string, ask, answer any) error {
-	body, err := json.Marshal(ask)
+func (c *Client) once(ctx context.Context, at, path string, change, answer any) error {
+	body, err := json.Marshal(change)
 	if err != nil {
 		return fmt.Errorf("wording a call: %w", err)
 	}
-	return c.try(ctx, at, http.MethodPost, path, body, answer)
+	return c.attempt(ctx, at, http.MethodPost, path, body, answer)
 }
 
-func (c *Client) try(ctx context.Context, at, method, path string, body []byte, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, callPatience)
+func (c *Client) attempt(ctx context.Context, at, method, path string, body []byte, answer any) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+at+path, bytes.NewReader(body))
 	if err != nil {
@@ -182,36 +182,36 @@
 // Register lists a server. Where IfVersion is set and no answer came, the outcome is unknown; without, it is done again
 // until there is one.
 func (c *Client) Register(ctx context.Context, name string, g api.Registration) (version int64, err error) {
-	var done api.Done
-	err = c.call(ctx, g.IfVersion == nil, http.MethodPut, entry(name, ""), g, &done)
-	return done.Version, err
+	var done api.WriteResult
+	err = c.call(ctx, g.IfRevision == nil, http.MethodPut, entry(name, ""), g, &done)
+	return done.Revision, err
 }
 
 // Drain is a server's own word that it wants nothing new.
-func (c *Client) Drain(ctx context.Context, name string, ask api.Ask) (version int64, err error) {
-	var done api.Done
-	err = c.call(ctx, ask.IfVersion == nil, http.MethodPost, entry(name, "drain"), ask, &done)
-	return done.Version, err
+func (c *Client) Drain(ctx context.Context, name string, change api.StateChange) (version int64, err error) {
+	var done api.WriteResult
+	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entry(name, "drain"), change, &done)
+	return done.Revision, err
 }
 
 // Leave takes a server out.
-func (c *Client) Leave(ctx context.Context, name string, ask api.Ask) error {
-	return c.call(ctx, ask.IfVersion == nil, http.MethodPost, entry(name, "leave"), ask, nil)
+func (c *Client) Leave(ctx context.Context, name string, change api.StateChange) error {
+	return c.call(ctx, change.IfRevision == nil, http.MethodPost, entry(name, "leave"), change, nil)
 }
 
 // Hand says an operator's word of an entry, in ask.Hand.
-func (c *Client) Hand(ctx context.Context, name string, ask api.Ask) (version int64, err error) {
-	var done api.Done
-	err = c.call(ctx, ask.IfVersion == nil, http.MethodPost, entry(name, "hand"), ask, &done)
-	return done.Version, err
+func (c *Client) Hand(ctx context.Context, name string, change api.StateChange) (version int64, err error) {
+	var done api.WriteResult
+	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entry(name, "hand"), change, &done)
+	return done.Revision, err
 }
 
 // SetHand has an operator's word stand for an entry, whatever it was. Other than with Hand without a version, a try whose answer did not
 // come can't be carried out later, over what was said since, see revise.
 func (c *Client) SetHand(ctx context.Context, name, hand string) (version int64, err error) {
-	stands := func(r api.Record) bool { return r.Hand == hand }
-	return c.revise(ctx, name, nil, stands, func(on *int64) (int64, error) {
-		return c.Hand(ctx, name, api.Ask{Hand: hand, IfVersion: on})
+	applied := func(r api.Record) bool { return r.AdminState == hand }
+	return c.revise(ctx, name, nil, applied, func(on *int64) (int64, error) {
+		return c.Hand(ctx, name, api.StateChange{AdminState: hand, IfRevision: on})
 	})
 }
 
@@ -221,23 +221,23 @@
 //
 // A registration that is based on 0 is the exception: it is not void while there is no entry again.
 func (c *Client) SetStatus(ctx context.Context, name string, g api.Registration, status string, known *int64) (version int64, err error) {
-	stands := func(api.Record) bool { return false }
-	return c.revise(ctx, name, known, stands, func(on *int64) (int64, error) {
-		ask := api.Ask{Incarnation: g.Incarnation, IfVersion: on}
+	applied := func(api.Record) bool { return false }
+	return c.revise(ctx, name, known, applied, func(on *int64) (int64, error) {
+		change := api.StateChange{Incarnation: g.Incarnation, IfRevision: on}
 		switch status {
 		case api.Ready:
-			g.IfVersion = on
+			g.IfRevision = on
 			return c.Register(ctx, name, g)
 		case api.Terminating:
-			return c.Drain(ctx, name, ask)
+			return c.Drain(ctx, name, change)
 		}
-		return 0, c.Leave(ctx, name, ask)
+		return 0, c.Leave(ctx, name, change)
 	})
 }
 
 // revise tries to change an entry until it is told what came of it: each try is based on one version, and void at any other. known is
 // the version of the first; nil: it is read before. What was read and stands already is not tried.
-func (c *Client) revise(ctx context.Context, name string, known *int64, stands func(api.Record) bool, try func(on *int64) (int64, error)) (int64, error) {
+func (c *Client) revise(ctx context.Context, name string, known *int64, applied func(api.Record) bool, attempt func(on *int64) (int64, error)) (int64, error) {
 	var p pace
 	for guessed := known != nil; ; guessed = false {
 		if known == nil {
@@ -245,13 +245,13 @@
 			if err != nil {
 				return 0, err
 			}
-			if stands(r) {
-				return r.Version, nil
+			if applied(r) {
+				return r.Revision, nil
 			}
-			known = &r.Version
+			known = &r.Revision
 		}
-		version, err := try(known)
-		if !api.IsCode(err, api.CodeUnknown) && !api.IsCode(err, api.CodeConflict) {
+		version, err := attempt(known)
+		if !api.IsCode(err, api.CodeOutcomeUnknown) && !api.IsCode(err, api.CodeConflict) {
 			return version, err
 		}
 		known = nil
@@ -265,34 +265,34 @@
 }
 
 // Renew gives signs of life, and gets the names of those that hold no lease.
-func (c *Client) Renew(ctx context.Context, leases []api.Lease) (lost []string, err error) {
-	var done api.Renewed
-	err = c.call(ctx, true, http.MethodPost, "/v1/renew", api.Renewals{Leases: leases}, &done)
-	return done.Lost, err
+func (c *Client) Renew(ctx context.Context, leases []api.Heartbeat) (expired []string, err error) {
+	var done api.HeartbeatResult
+	err = c.call(ctx, true, http.MethodPost, "/v1/renew", api.Heartbeats{Heartbeats: leases}, &done)
+	return done.Expired, err
 }
 
 // Overrule ends the entries of silent servers that the service keeps since it doubts itself.
 func (c *Client) Overrule(ctx context.Context) (ended []string, err error) {
-	var done api.Renewed
+	var done api.HeartbeatResult
 	err = c.call(ctx, true, http.MethodPost, "/v1/overrule", nil, &done)
-	return done.Lost, err
+	return done.Expired, err
 }
 
 // Status is what each replica says, by address; or why it does not.
-func (c *Client) Status(ctx context.Context) (said map[string]api.Status, failed map[string]error) {
+func (c *Client) Status(ctx context.Context) (failure map[string]api.Status, failed map[string]error) {
 	c.mu.Lock()
 	addresses := slices.Clone(c.addresses)
 	c.mu.Unlock()
-	said, failed = map[string]api.Status{}, map[string]error{}
+	failure, failed = map[string]api.Status{}, map[string]error{}
 	for _, a := range addresses {
 		var s api.Status
-		if err := c.try(ctx, a, http.MethodGet, "/v1/status", nil, &s); err != nil {
+		if err := c.attempt(ctx, a, http.MethodGet, "/v1/status", nil, &s); err != nil {
 			failed[a] = err
 			continue
 		}
-		said[a] = s
+		failure[a] = s
 	}
-	return said, failed
+	return failure, failed
 }
 
 // Add has a replica taken in.
@@ -319,7 +319,7 @@
 // fleet does not come back at once; and from a budget, so that a service that fails at each try is not worn down.
 const (
 	paceFirst  = 200 * time.Millisecond
-	paceMost   = 5 * time.Second
+	maxPace    = 5 * time.Second
 	paceBurst  = 6                // tries
 	paceRefill = 2 * time.Second  // of one try
 	paceCalm   = 10 * time.Second // without a failure: from the beginning
@@ -343,14 +343,14 @@
 		}
 	}
 	p.last = now
-	most := min(paceFirst<<min(p.failures, 10), paceMost)
+	limit := min(paceFirst<<min(p.failures, 10), maxPace)
 	p.failures++
-	wait := time.Duration(chance * float64(most))
+	wait := time.Duration(chance * float64(limit))
 	p.tokens = max(p.tokens-1, -paceBurst) // what does not wait so long, as watches don't, owes no more
 	if p.tokens < 0 {
 		wait = max(wait, time.Duration(-p.tokens*(0.5+chance)*float64(paceRefill)))
 	}
-	return min(wait, 2*paceMost)
+	return min(wait, 2*maxPace)
 }
 
 // wait waits; false: ctx has ended.
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -21,23 +21,23 @@
 	"mosslead/internal/watch"
 )
 
-func list(index int64, names ...string) api.Listing {
-	l := api.Listing{Index: index, Snapshot: true, Endpoints: []api.Entry{}}
+func list(index int64, names ...string) api.WatchEvent {
+	l := api.WatchEvent{Revision: index, Snapshot: true, Endpoints: []api.Endpoint{}}
 	for _, name := range names {
 		name, status, has := strings.Cut(name, "=")
 		if !has {
 			status = api.Ready
 		}
-		l.Endpoints = append(l.Endpoints, api.Entry{Name: name, Address: "127.0.0.1:1", Status: status})
+		l.Endpoints = append(l.Endpoints, api.Endpoint{Name: name, Address: "127.0.0.1:1", Status: status})
 	}
 	return l
 }
 
 func TestDoubt(t *testing.T) {
-	change := func(l api.Listing) api.Listing { l.Snapshot = false; return l }
+	change := func(l api.WatchEvent) api.WatchEvent { l.Snapshot = false; return l }
 	for _, x := range []struct {
 		name   string
-		next   api.Listing
+		next   api.WatchEvent
 		doubts bool
 		binds  string // names that are taken out at once
 	}{
@@ -50,22 +50,22 @@
 		{"a change that takes all away, one by one", change(list(7, "a=Gone", "b=Gone")), false, ""},
 		{"a change that goes back", change(list(3, "b=Gone")), true, "b"},
 	} {
-		d := &doubt{}
+		d := &plausibility{}
 		d.start(list(5, "a", "b"))
-		if got := d.why(x.next) != ""; got != x.doubts {
+		if got := d.anomaly(x.next) != ""; got != x.doubts {
 			t.Errorf("%s: doubted is %v", x.name, got)
 			continue
 		}
 		if !x.doubts {
 			continue
 		}
-		bound, _ := d.bind(x.next)
+		bound, _ := d.drainsOnly(x.next)
 		var names []string
 		for _, e := range bound.Endpoints {
 			names = append(names, e.Name)
 		}
-		if got := strings.Join(names, " "); got != x.binds || bound.Snapshot || bound.Index != 5 {
-			t.Errorf("%s: binds %q of version %d", x.name, got, bound.Index)
+		if got := strings.Join(names, " "); got != x.binds || bound.Snapshot || bound.Revision != 5 {
+			t.Errorf("%s: binds %q of version %d", x.name, got, bound.Revision)
 		}
 	}
 }
@@ -85,17 +85,17 @@
 		}
 	}
 	var p pace
-	now, tries := time.Unix(0, 0), 0
-	for end := now.Add(time.Minute); now.Before(end); tries++ {
+	now, attempts := time.Unix(0, 0), 0
+	for end := now.Add(time.Minute); now.Before(end); attempts++ {
 		now = now.Add(p.next(now, 0)) // the least that chance allows
 	}
-	if most := paceBurst + int(time.Minute/paceRefill) + int(2*time.Minute/paceRefill); tries > most {
-		t.Errorf("%d tries in a minute", tries)
+	if limit := paceBurst + int(time.Minute/paceRefill) + int(2*time.Minute/paceRefill); attempts > limit {
+		t.Errorf("%d tries in a minute", attempts)
 	}
 }
 
 // serve answers lists and watches with what answer gives, line by line; an empty one ends the watch.
-func serve(t *testing.T, answer func(watch bool, from string, n int) []api.Listing) string {
+func serve(t *testing.T, answer func(watch bool, from string, n int) []api.WatchEvent) string {
 	t.Helper()
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -115,23 +115,23 @@
 // A replica that empties the list is not believed while another knows better, and is once the second read says the same.
 func TestAnEmptyListIsReadTwice(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
-		second := serve(t, func(watch bool, _ string, _ int) []api.Listing {
+		second := serve(t, func(watch bool, _ string, _ int) []api.WatchEvent {
 			if confirmed {
-				return []api.Listing{list(9)}
+				return []api.WatchEvent{list(9)}
 			}
-			return []api.Listing{list(9, "a", "b")}
+			return []api.WatchEvent{list(9, "a", "b")}
 		})
-		liar := serve(t, func(bool, string, int) []api.Listing { return []api.Listing{list(8)} })
+		liar := serve(t, func(bool, string, int) []api.WatchEvent { return []api.WatchEvent{list(8)} })
 		c := New([]string{liar, second})
 		c.current = 0
 		ctx, cancel := context.WithCancel(t.Context())
 		var took []int
 		start := list(5, "a")
-		c.Watch(ctx, &start, Watcher{Take: func(l api.Listing) error {
+		c.Watch(ctx, &start, Watcher{Apply: func(l api.WatchEvent) error {
 			took = append(took, len(l.Endpoints))
 			cancel()
 			return nil
-		}, Says: func(string, error) {}})
+		}, OnError: func(string, error) {}})
 		want := []int{2}
 		if confirmed {
 			want = []int{0}
@@ -146,19 +146,22 @@
 // A watch that ends goes on at another replica, from the version that it has.
 func TestWatchGoesOnElsewhere(t *testing.T) {
 	var from atomic.Value
-	ends := serve(t, func(_ bool, f string, _ int) []api.Listing { return []api.Listing{list(3, "a")} }) // from -1: it ends
-	other := serve(t, func(_ bool, f string, _ int) []api.Listing { from.Store(f); return []api.Listing{list(4, "a", "b")} })
+	ends := serve(t, func(_ bool, f string, _ int) []api.WatchEvent { return []api.WatchEvent{list(3, "a")} }) // from -1: it ends
+	other := serve(t, func(_ bool, f string, _ int) []api.WatchEvent {
+		from.Store(f)
+		return []api.WatchEvent{list(4, "a", "b")}
+	})
 	c := New([]string{ends, other})
 	c.current = 0
 	defer c.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c.Watch(ctx, nil, Watcher{Take: func(l api.Listing) error {
-		if l.Index == 4 {
+	c.Watch(ctx, nil, Watcher{Apply: func(l api.WatchEvent) error {
+		if l.Revision == 4 {
 			cancel()
 		}
 		return nil
-	}, Says: func(string, error) {}})
+	}, OnError: func(string, error) {}})
 	if from.Load() != "3" {
 		t.Errorf("went on from %v", from.Load())
 	}
@@ -189,13 +192,13 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		begun, took := time.Now(), time.Duration(0)
-		c.Watch(ctx, nil, Watcher{Take: func(l api.Listing) error {
-			if l.Index == 4 {
+		c.Watch(ctx, nil, Watcher{Apply: func(l api.WatchEvent) error {
+			if l.Revision == 4 {
 				took = time.Since(begun)
 				cancel()
 			}
 			return nil
-		}, Says: func(string, error) {}})
+		}, OnError: func(string, error) {}})
 		if took != watch.Silence || asked != "3" {
 			t.Errorf("went on after %v from %q", took, asked)
 		}
@@ -222,8 +225,8 @@
 	c.current = 0
 	defer c.Close()
 	version := int64(1)
-	_, err = c.Register(t.Context(), "a", api.Registration{Address: "127.0.0.1:1", IfVersion: &version})
-	if !api.IsCode(err, api.CodeUnknown) || calls.Load() != 1 {
+	_, err = c.Register(t.Context(), "a", api.Registration{Address: "127.0.0.1:1", IfRevision: &version})
+	if !api.IsCode(err, api.CodeOutcomeUnknown) || calls.Load() != 1 {
 		t.Errorf("%v after %d calls", err, calls.Load())
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -247,11 +250,11 @@
 func TestACallThatIsCutShortSaysWhatFailedBefore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	tries := 0
+	attempts := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if tries++; tries == 1 {
+		if attempts++; attempts == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
-			_ = json.NewEncoder(w).Encode(api.Fail(api.CodeNoLeader, "nobody leads"))
+			_ = json.NewEncoder(w).Encode(api.Errorf(api.CodeNoLeader, "nobody leads"))
 			return
 		}
 		cancel()
@@ -288,23 +291,23 @@
 					if r.FormValue("consistent") == "" {
 						t.Error("read what may be old")
 					}
-					_ = json.NewEncoder(w).Encode(api.Record{Version: int64(5 + reads), Hand: x.hands[reads]})
+					_ = json.NewEncoder(w).Encode(api.Record{Revision: int64(5 + reads), AdminState: x.hands[reads]})
 					reads++
 					return
 				}
-				var ask api.Ask
-				if err := json.NewDecoder(r.Body).Decode(&ask); err != nil || ask.Hand != "drain" || ask.IfVersion == nil {
-					t.Errorf("asked for %+v, %v", ask, err)
+				var change api.StateChange
+				if err := json.NewDecoder(r.Body).Decode(&change); err != nil || change.AdminState != "drain" || change.IfRevision == nil {
+					t.Errorf("asked for %+v, %v", change, err)
 					return
 				}
-				based = append(based, *ask.IfVersion)
+				based = append(based, *change.IfRevision)
 				status := x.outcomes[len(based)-1]
 				w.WriteHeader(status)
 				if status == 200 {
-					_ = json.NewEncoder(w).Encode(api.Done{Version: 50})
+					_ = json.NewEncoder(w).Encode(api.WriteResult{Revision: 50})
 					return
 				}
-				_ = json.NewEncoder(w).Encode(api.Fail(map[int]string{504: api.CodeUnknown, 409: api.CodeConflict}[status], "test"))
+				_ = json.NewEncoder(w).Encode(api.Errorf(map[int]string{504: api.CodeOutcomeUnknown, 409: api.CodeConflict}[status], "test"))
 			}))
 			defer s.Close()
 			c := New([]string{s.Listener.Addr().String()})
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -68,7 +68,7 @@
 func (p *outageParty) dial(ctx context.Context, _, at string) (net.Conn, error) {
 	if way := outages[p.way]; p.fails(at) && way.dial != "" {
 		if way.dial == "hangs" {
-			time.Sleep(dialPatience)
+			time.Sleep(dialTimeout)
 			return nil, context.DeadlineExceeded
 		}
 		return nil, errors.New("refused")
@@ -107,7 +107,7 @@
 			return say(outageHead + chunked(string(line)) + "0\r\n\r\n")
 		}
 		lives := say(outageHead + chunked(string(line)+"\n"))
-		for next := p.now() + 2*time.Second; lives && (l.Index == 7 || next < p.down); next += 2 * time.Second {
+		for next := p.now() + 2*time.Second; lives && (l.Revision == 7 || next < p.down); next += 2 * time.Second {
 			time.Sleep(next - p.now())
 			lives = say(chunked("\n"))
 		}
@@ -151,8 +151,8 @@
 	p.running.Go(func() {
 		defer c.Close()
 		start := list(1, "a")
-		c.Watch(ctx, &start, Watcher{Stands: func() {}, Says: func(string, error) {}, Take: func(l api.Listing) error {
-			if l.Index == 7 {
+		c.Watch(ctx, &start, Watcher{OnEstablished: func() {}, OnError: func(string, error) {}, Apply: func(l api.WatchEvent) error {
+			if l.Revision == 7 {
 				p.told.Store(int64(p.now()))
 				cancel()
 			}
@@ -180,11 +180,11 @@
 						all = append(all, p)
 						p.begin(ctx, x.replicas)
 					}
-					time.Sleep(long + 2*watch.Told)
+					time.Sleep(long + 2*watch.NotifyDeadline)
 					cancel()
 					running.Wait()
 					latest := slices.MaxFunc(all, func(a, b *outageParty) int { return int(a.late() - b.late()) })
-					if latest.late() > watch.Told {
+					if latest.late() > watch.NotifyDeadline {
 						t.Errorf("down at %v, back at %v: in hand at %v", latest.down, latest.event, time.Duration(latest.told.Load()))
 					}
 					t.Logf("in hand %v after the return, at the latest", latest.late())
--- a/internal/registry/client/doubt.go
+++ b/internal/registry/client/plausibility.go
@@ -2,28 +2,28 @@
 
 import "mosslead/internal/registry/api"
 
-// doubt knows the list that is believed, and what of the next message to believe. What it was told draining or gone
+// plausibility knows the list that is believed, and what of the next message to believe. What it was told draining or gone
 // binds at once, whatever else is doubted: to stop sending to one too many costs little.
-type doubt struct {
+type plausibility struct {
 	known bool // there is a list
 	index int64
 	ready map[string]bool // entries, and whether they are ready
 }
 
 // start is the list that is in use before the first message.
-func (d *doubt) start(l api.Listing) {
+func (d *plausibility) start(l api.WatchEvent) {
 	d.known = true
-	d.take(l)
+	d.accept(l)
 }
 
-// take believes a message.
-func (d *doubt) take(l api.Listing) {
-	d.index, d.known = l.Index, true
+// accept believes a message.
+func (d *plausibility) accept(l api.WatchEvent) {
+	d.index, d.known = l.Revision, true
 	if l.Snapshot || d.ready == nil {
 		d.ready = map[string]bool{}
 	}
 	for _, e := range l.Endpoints {
-		if e.Status == api.Gone {
+		if e.Status == api.Removed {
 			delete(d.ready, e.Name)
 		} else {
 			d.ready[e.Name] = e.Status == api.Ready
@@ -31,7 +31,7 @@
 	}
 }
 
-func usable(l api.Listing) (n int) {
+func usable(l api.WatchEvent) (n int) {
 	for _, e := range l.Endpoints {
 		if e.Status == api.Ready {
 			n++
@@ -40,7 +40,7 @@
 	return n
 }
 
-func (d *doubt) usable() (n int) {
+func (d *plausibility) usable() (n int) {
 	for _, ready := range d.ready {
 		if ready {
 			n++
@@ -49,12 +49,12 @@
 	return n
 }
 
-// why says what is strange about a message; "": nothing.
-func (d *doubt) why(l api.Listing) string {
+// anomaly says what is strange about a message; "": nothing.
+func (d *plausibility) anomaly(l api.WatchEvent) string {
 	switch {
 	case !d.known:
 		return ""
-	case l.Index < d.index:
+	case l.Revision < d.index:
 		return "its version goes back"
 	case l.Snapshot && usable(l) == 0 && d.usable() > 0:
 		return "it empties at once"
@@ -62,14 +62,14 @@
 	return ""
 }
 
-// bind is what of a doubted message holds all the same; false: nothing.
-func (d *doubt) bind(l api.Listing) (api.Listing, bool) {
-	c := api.Listing{Index: d.index, Endpoints: []api.Entry{}}
+// drainsOnly is what of a doubted message holds all the same; false: nothing.
+func (d *plausibility) drainsOnly(l api.WatchEvent) (api.WatchEvent, bool) {
+	c := api.WatchEvent{Revision: d.index, Endpoints: []api.Endpoint{}}
 	for _, e := range l.Endpoints {
 		if ready, listed := d.ready[e.Name]; listed && ready && e.Status != api.Ready {
 			c.Endpoints = append(c.Endpoints, e)
 		}
 	}
-	d.take(c)
+	d.accept(c)
 	return c, len(c.Endpoints) > 0
 }
--- a/internal/registry/client/registrar.go
+++ b/internal/registry/client/registrar.go
@@ -13,10 +13,10 @@
 // Registrar keeps servers registered: it renews the leases of all of them with one call, and registers anew whom the
 // service does not know (any more). One goroutine, Run, does all of it.
 type Registrar struct {
-	c     *Client
-	lease time.Duration
-	says  func(name string, err error)
-	wake  chan struct{}
+	c       *Client
+	lease   time.Duration
+	onError func(name string, err error)
+	wake    chan struct{}
 
 	mu       sync.Mutex
 	want     map[string]*wish
@@ -32,8 +32,8 @@
 }
 
 // NewRegistrar keeps servers registered with c, with leases of that length. says is told of failures.
-func NewRegistrar(c *Client, lease time.Duration, says func(name string, err error)) *Registrar {
-	return &Registrar{c: c, lease: lease, says: says, wake: make(chan struct{}, 1), want: map[string]*wish{}, versions: map[string]int64{}}
+func NewRegistrar(c *Client, lease time.Duration, onError func(name string, err error)) *Registrar {
+	return &Registrar{c: c, lease: lease, onError: onError, wake: make(chan struct{}, 1), want: map[string]*wish{}, versions: map[string]int64{}}
 }
 
 // Set wants a server listed as status says; Gone ends its entry. It returns at once.
@@ -97,14 +97,14 @@
 	}
 	r.mu.Unlock()
 	version, err := r.c.SetStatus(ctx, name, w.g, w.status, known)
-	if api.IsCode(err, api.CodeNone) && w.status != api.Ready { // gone already
+	if api.IsCode(err, api.CodeNotFound) && w.status != api.Ready { // gone already
 		err = nil
 	}
 	if err != nil {
 		if ctx.Err() == nil {
-			r.says(name, err)
+			r.onError(name, err)
 		}
-		if api.IsCode(err, api.CodeOlder) { // another process has taken the name
+		if api.IsCode(err, api.CodeOlderIncarnation) { // another process has taken the name
 			err = nil
 		}
 	}
@@ -121,7 +121,7 @@
 		return // wants something else by now
 	}
 	now.settled = err == nil
-	if w.status == api.Gone && now.settled {
+	if w.status == api.Removed && now.settled {
 		delete(r.want, name)
 	}
 }
@@ -136,11 +136,11 @@
 			return
 		case <-wait.C:
 		}
-		var leases []api.Lease
+		var leases []api.Heartbeat
 		r.mu.Lock()
 		for name, w := range r.want {
-			if w.settled && !w.silent && w.status != api.Gone {
-				leases = append(leases, api.Lease{Name: name, Incarnation: w.g.Incarnation})
+			if w.settled && !w.silent && w.status != api.Removed {
+				leases = append(leases, api.Heartbeat{Name: name, Incarnation: w.g.Incarnation})
 			}
 		}
 		r.mu.Unlock()
@@ -148,20 +148,20 @@
 			continue
 		}
 		one, cancel := context.WithTimeout(ctx, r.lease)
-		lost, err := r.c.Renew(one, leases)
+		expired, err := r.c.Renew(one, leases)
 		cancel()
 		if err != nil && ctx.Err() == nil {
-			r.says("", err)
+			r.onError("", err)
 		}
 		r.mu.Lock()
-		for _, name := range lost {
+		for _, name := range expired {
 			delete(r.versions, name) // there is no entry: where that is wrong, a try is void, and the entry is read
 			if w := r.want[name]; w != nil && w.status == api.Ready {
 				w.settled = false
 			}
 		}
 		r.mu.Unlock()
-		if len(lost) > 0 {
+		if len(expired) > 0 {
 			select {
 			case r.wake <- struct{}{}:
 			default:
--- a/internal/registry/client/registrar_test.go
+++ b/internal/registry/client/registrar_test.go
@@ -29,7 +29,7 @@
 }
 
 func newLateService(t *testing.T) *lateService {
-	s := &lateService{t: t, list: lists.New(lists.History), changed: make(chan struct{}, 1000)}
+	s := &lateService{t: t, list: lists.New(lists.CompactionWindow), changed: make(chan struct{}, 1000)}
 	s.Server = httptest.NewServer(s)
 	t.Cleanup(s.Close)
 	return s
@@ -42,14 +42,14 @@
 		s.changed <- struct{}{}
 	}()
 	if r.URL.Path == "/v1/renew" {
-		var ask api.Renewals
-		done := api.Renewed{Lost: []string{}}
-		if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+		var change api.Heartbeats
+		done := api.HeartbeatResult{Expired: []string{}}
+		if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
 			s.t.Error(err)
 		}
-		for _, x := range ask.Leases {
+		for _, x := range change.Heartbeats {
 			if e, ok := s.list.Get(x.Name); !ok || e.Incarnation != x.Incarnation {
-				done.Lost = append(done.Lost, x.Name)
+				done.Expired = append(done.Expired, x.Name)
 			}
 		}
 		_ = json.NewEncoder(w).Encode(done)
@@ -70,35 +70,35 @@
 		if err := json.NewDecoder(r.Body).Decode(c.Registration); err != nil {
 			s.t.Error(err)
 		}
-		c.IfVersion = c.Registration.IfVersion
+		c.IfRevision = c.Registration.IfRevision
 	} else {
-		var ask api.Ask
-		if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+		var change api.StateChange
+		if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
 			s.t.Error(err)
 		}
 		c.Op = r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:]
-		c.Incarnation, c.IfVersion = ask.Incarnation, ask.IfVersion
+		c.Incarnation, c.IfRevision = change.Incarnation, change.IfRevision
 	}
 	s.calls = append(s.calls, c.Op)
-	fate := s.fate
+	outcome := s.fate
 	s.fate = ""
-	if fate == "late" {
+	if outcome == "late" {
 		s.held = &c
 	} else {
 		result := s.list.Apply(c)
-		if fate == "" {
+		if outcome == "" {
 			if result.Err != nil {
 				w.WriteHeader(http.StatusConflict)
 				_ = json.NewEncoder(w).Encode(result.Err)
 				return
 			}
-			_ = json.NewEncoder(w).Encode(api.Done{Version: result.Version})
+			_ = json.NewEncoder(w).Encode(api.WriteResult{Revision: result.Revision})
 			return
 		}
 	}
-	if fate == "unknown" {
+	if outcome == "unknown" {
 		w.WriteHeader(http.StatusGatewayTimeout)
-		_ = json.NewEncoder(w).Encode(api.Fail(api.CodeUnknown, "test"))
+		_ = json.NewEncoder(w).Encode(api.Errorf(api.CodeOutcomeUnknown, "test"))
 		return
 	}
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
@@ -107,10 +107,10 @@
 }
 
 // next decides what becomes of the next write.
-func (s *lateService) next(fate string) {
+func (s *lateService) next(outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fate = fate
+	s.fate = outcome
 }
 
 // apply carries a command out beside the calls.
@@ -136,9 +136,9 @@
 	defer s.mu.Unlock()
 	e, ok := s.list.Get("u")
 	if !ok {
-		return api.Gone, e.Hand
+		return api.Removed, e.AdminState
 	}
-	return e.Own, e.Hand
+	return e.ServerStatus, e.AdminState
 }
 
 // settled waits until the registrar has nothing to tell.
@@ -193,7 +193,7 @@
 	for name, wishes := range map[string][]string{ // the one before the last comes late
 		"a registration over a drain":        {api.Ready, api.Terminating},
 		"a drain over a registration":        {api.Ready, api.Terminating, api.Ready},
-		"a leave over a registration":        {api.Ready, api.Gone, api.Ready},
+		"a leave over a registration":        {api.Ready, api.Removed, api.Ready},
 		"a registration over a second drain": {api.Ready, api.Terminating, api.Ready, api.Terminating},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -219,8 +219,8 @@
 
 // Guards against calls that a change costs where answers come, and against one that is not settled where they don't.
 func TestWhatAServersWordCosts(t *testing.T) {
-	ban := lists.Command{Op: lists.Hand, Name: "u", Hand: api.HandBan}
-	lapse := lists.Command{Op: lists.Expire, Lapsed: []api.Lease{{Name: "u", Incarnation: 7}}}
+	ban := lists.Command{Op: lists.SetAdminState, Name: "u", AdminState: api.AdminBan}
+	lapse := lists.Command{Op: lists.Expire, Expired: []api.Heartbeat{{Name: "u", Incarnation: 7}}}
 	older := lists.Command{Op: lists.Register, Name: "u", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: 6}}
 	newer := lists.Command{Op: lists.Register, Name: "u", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: 8}}
 	type step struct {
@@ -236,28 +236,28 @@
 			{status: api.Ready, calls: "register", own: api.Ready},
 			{status: api.Terminating, calls: "drain", own: api.Terminating},
 			{status: api.Ready, calls: "register", own: api.Ready},
-			{status: api.Gone, calls: "leave", own: api.Gone},
+			{status: api.Removed, calls: "leave", own: api.Removed},
 			{status: api.Ready, calls: "register", own: api.Ready},
 		},
 		"no answer": {
 			{fate: "no answer", status: api.Ready, calls: "register read register", own: api.Ready},
 			{fate: "no answer", status: api.Terminating, calls: "drain read drain", own: api.Terminating},
-			{fate: "no answer", status: api.Gone, calls: "leave read leave", own: api.Gone},
+			{fate: "no answer", status: api.Removed, calls: "leave read leave", own: api.Removed},
 		},
 		"the answer is that nobody knows": {
 			{fate: "unknown", status: api.Ready, calls: "register read register", own: api.Ready},
 			{fate: "unknown", status: api.Terminating, calls: "drain read drain", own: api.Terminating},
-			{fate: "unknown", status: api.Gone, calls: "leave read leave", own: api.Gone},
+			{fate: "unknown", status: api.Removed, calls: "leave read leave", own: api.Removed},
 		},
 		"an operator's word between": {
 			{status: api.Ready, calls: "register", own: api.Ready},
-			{before: &ban, status: api.Terminating, calls: "drain read drain", own: api.Terminating, hand: api.HandBan},
-			{status: api.Gone, calls: "leave", own: api.Gone, hand: api.HandBan},
+			{before: &ban, status: api.Terminating, calls: "drain read drain", own: api.Terminating, hand: api.AdminBan},
+			{status: api.Removed, calls: "leave", own: api.Removed, hand: api.AdminBan},
 		},
 		"it has lapsed": {
 			{status: api.Ready, calls: "register", own: api.Ready},
-			{before: &lapse, status: api.Terminating, calls: "drain read drain", own: api.Gone},
-			{status: api.Gone, calls: "read leave", own: api.Gone},
+			{before: &lapse, status: api.Terminating, calls: "drain read drain", own: api.Removed},
+			{status: api.Removed, calls: "read leave", own: api.Removed},
 		},
 		"a process before it": {{before: &older, status: api.Ready, calls: "register read register", own: api.Ready}},
 		"a process after it":  {{before: &newer, status: api.Ready, calls: "register read register", own: api.Ready}},
@@ -292,7 +292,7 @@
 	r := startRegistrar(t, s, api.MinLeaseMs*time.Millisecond)
 	r.Set("u", lateWish(7), api.Ready)
 	s.settled(r)
-	s.apply(lists.Command{Op: lists.Expire, Lapsed: []api.Lease{{Name: "u", Incarnation: 7}}})
+	s.apply(lists.Command{Op: lists.Expire, Expired: []api.Heartbeat{{Name: "u", Incarnation: 7}}})
 	for end := time.After(10 * time.Second); ; {
 		if own, _ := s.own(); own == api.Ready {
 			break
--- a/internal/registry/client/settings.go
+++ b/internal/registry/client/settings.go
@@ -13,17 +13,17 @@
 
 // Put changes the settings of a service, based on the version that it names. CodeConflict: they are at another version, or another
 // region owns them; CodeUnknown: it may have been done.
-func (c *Client) Put(ctx context.Context, service string, p api.Put) (version int64, err error) {
-	var done api.Done
+func (c *Client) Put(ctx context.Context, service string, p api.PutRequest) (version int64, err error) {
+	var done api.WriteResult
 	err = c.call(ctx, false, http.MethodPut, document(service), p, &done)
-	return done.Version, err
+	return done.Revision, err
 }
 
 // Delete ends the settings of a service: its sidecars go back to those of their files.
 func (c *Client) Delete(ctx context.Context, service string, ifVersion int64) (version int64, err error) {
-	var done api.Done
-	err = c.call(ctx, false, http.MethodPost, document(service)+"/delete", api.Put{IfVersion: &ifVersion}, &done)
-	return done.Version, err
+	var done api.WriteResult
+	err = c.call(ctx, false, http.MethodPost, document(service)+"/delete", api.PutRequest{IfRevision: &ifVersion}, &done)
+	return done.Revision, err
 }
 
 // Document is the settings of a service, or with a version other than 0 those of a time before, where they are remembered.
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -35,18 +35,18 @@
 
 // Config is a replica's configuration. Absent times and bounds have the defaults that are noted.
 type Config struct {
-	Name      string   `toml:"name"`
-	Dir       string   `toml:"dir"`       // log, snapshots and identity; absent with Dev
-	Listen    string   `toml:"listen"`    // of the API; absent: the peer's
-	RaftBind  string   `toml:"raft_bind"` // absent: the peer's
-	Metrics   string   `toml:"metrics"`   // absent: no figures
-	Join      bool     `toml:"join"`      // it is to be added to a quorum that is there: it forms none
-	Peers     []Peer   `toml:"replica"`   // of the first quorum, this one among them; or, with Join, whom to ask
-	Grace     Duration `toml:"grace"`     // from a lease's end to the entry's; absent: 2s
-	Preserve  float64  `toml:"preserve"`  // share of leases silent at once that puts the service in doubt; absent: 0.2
-	Stale     Duration `toml:"stale"`     // a list may be so old; absent: 3s
-	Watchers  int      `toml:"watchers"`  // at most; absent: 20000
-	Heartbeat Duration `toml:"heartbeat"` // a leader that is silent for so long is followed by another; absent: 300ms
+	Name         string   `toml:"name"`
+	Dir          string   `toml:"dir"`       // log, snapshots and identity; absent with Dev
+	Listen       string   `toml:"listen"`    // of the API; absent: the peer's
+	RaftBind     string   `toml:"raft_bind"` // absent: the peer's
+	Metrics      string   `toml:"metrics"`   // absent: no figures
+	Join         bool     `toml:"join"`      // it is to be added to a quorum that is there: it forms none
+	Peers        []Peer   `toml:"replica"`   // of the first quorum, this one among them; or, with Join, whom to ask
+	Grace        Duration `toml:"grace"`     // from a lease's end to the entry's; absent: 2s
+	Preserve     float64  `toml:"preserve"`  // share of leases silent at once that puts the service in doubt; absent: 0.2
+	MaxStaleness Duration `toml:"stale"`     // a list may be so old; absent: 3s
+	Watchers     int      `toml:"watchers"`  // at most; absent: 20000
+	Heartbeat    Duration `toml:"heartbeat"` // a leader that is silent for so long is followed by another; absent: 300ms
 
 	// Region names the quorum that this replica belongs to among several; absent: there is one. All its replicas have the same here.
 	Region string `toml:"region"`
@@ -61,11 +61,11 @@
 	Breaks string `toml:"breaks"` // makes the service lie, for the proof that its checkers see that; never elsewhere
 }
 
-// breakStale lets a replica serve what it has as if it were fresh.
-const breakStale = "stale-read"
+// faultStaleRead lets a replica serve what it has as if it were fresh.
+const faultStaleRead = "stale-read"
 
-// breakBack lets a replica take in what another region told before, also where it is older than what it has.
-const breakBack = "follow-back"
+// faultRollback lets a replica take in what another region told before, also where it is older than what it has.
+const faultRollback = "follow-back"
 
 // LoadConfig reads a file. An error names file, line and key.
 func LoadConfig(path string) (*Config, error) {
@@ -100,7 +100,7 @@
 func (c *Config) complete() error {
 	c.Grace.Duration = cmp.Or(c.Grace.Duration, 2*time.Second)
 	c.Preserve = cmp.Or(c.Preserve, 0.2)
-	c.Stale.Duration = cmp.Or(c.Stale.Duration, 3*time.Second)
+	c.MaxStaleness.Duration = cmp.Or(c.MaxStaleness.Duration, 3*time.Second)
 	c.Watchers = cmp.Or(c.Watchers, 20_000)
 	c.Heartbeat.Duration = cmp.Or(c.Heartbeat.Duration, 300*time.Millisecond)
 	if c.Dev {
@@ -136,13 +136,13 @@
 		return fmt.Errorf("metrics: host:port, not %q", c.Metrics)
 	case !(c.Preserve > 0 && c.Preserve <= 1):
 		return fmt.Errorf("preserve: above 0, at most 1, not %g", c.Preserve)
-	case c.Grace.Duration < 0 || c.Stale.Duration < 0 || c.Heartbeat.Duration < 0 || c.Watchers < 0:
+	case c.Grace.Duration < 0 || c.MaxStaleness.Duration < 0 || c.Heartbeat.Duration < 0 || c.Watchers < 0:
 		return errors.New("grace, stale, heartbeat and watchers: at least 0")
-	case len(c.Region) > api.MaxWord:
-		return fmt.Errorf("region: at most %d bytes", api.MaxWord)
+	case len(c.Region) > api.MaxLabel:
+		return fmt.Errorf("region: at most %d bytes", api.MaxLabel)
 	case c.Region == "" && len(c.Follow) > 0:
 		return errors.New("region: absent, and other regions are to be followed")
-	case c.Breaks != "" && c.Breaks != breakStale && c.Breaks != breakBack:
+	case c.Breaks != "" && c.Breaks != faultStaleRead && c.Breaks != faultRollback:
 		return fmt.Errorf("breaks: nothing is called %q", c.Breaks)
 	}
 	return c.completeFollow()
@@ -158,8 +158,8 @@
 	seen := map[string]bool{c.Region: true}
 	for _, f := range c.Follow {
 		switch {
-		case f.Region == "" || len(f.Region) > api.MaxWord || seen[f.Region]:
-			return fmt.Errorf("follow.region: %q is absent, over %d bytes, this one, or there twice", f.Region, api.MaxWord)
+		case f.Region == "" || len(f.Region) > api.MaxLabel || seen[f.Region]:
+			return fmt.Errorf("follow.region: %q is absent, over %d bytes, this one, or there twice", f.Region, api.MaxLabel)
 		case len(f.API) == 0:
 			return fmt.Errorf("follow.api of %s: absent", f.Region)
 		}
--- a/internal/registry/documents.go
+++ b/internal/registry/documents.go
@@ -12,7 +12,7 @@
 
 // documentCommand has a command of schema 3 carried out.
 func (n *Node) documentCommand(c list.Command) (list.Result, error) {
-	if err := n.speaks(list.DocumentSchema); err != nil {
+	if err := n.requireSchema(list.DocumentSchema); err != nil {
 		return list.Result{}, err
 	}
 	c.Region = n.c.Region
@@ -21,7 +21,7 @@
 
 // putSettings changes the settings of a service, once they are such as a sidecar would take in.
 func (n *Node) putSettings(r *http.Request, body []byte) (any, error) {
-	var p api.Put
+	var p api.PutRequest
 	service := r.PathValue("service")
 	if err := read(body, &p); err != nil {
 		return nil, err
@@ -30,35 +30,35 @@
 		return nil, err
 	}
 	if _, err := settings.Check(p.Schema, p.Settings); err != nil {
-		return nil, api.Fail(api.CodeBad, "settings: %v", err)
+		return nil, api.Errorf(api.CodeBadRequest, "settings: %v", err)
 	}
-	return n.settle(list.Command{Op: list.Put, Name: service, IfVersion: p.IfVersion, Document: &api.Document{Service: service, Schema: p.Schema, Settings: p.Settings}})
+	return n.applyDocument(list.Command{Op: list.PutDocument, Name: service, IfRevision: p.IfRevision, Document: &api.Document{Service: service, Schema: p.Schema, Settings: p.Settings}})
 }
 
 func (n *Node) deleteSettings(r *http.Request, body []byte) (any, error) {
-	var p api.Put
+	var p api.PutRequest
 	service := r.PathValue("service")
 	if err := read(body, &p); err != nil {
 		return nil, err
 	}
 	switch {
 	case len(service) > api.MaxName:
-		return nil, api.Fail(api.CodeBad, "service: at most %d bytes", api.MaxName)
-	case p.IfVersion == nil || *p.IfVersion < 0:
-		return nil, api.Fail(api.CodeBad, "if_version: the version that is to be deleted")
+		return nil, api.Errorf(api.CodeBadRequest, "service: at most %d bytes", api.MaxName)
+	case p.IfRevision == nil || *p.IfRevision < 0:
+		return nil, api.Errorf(api.CodeBadRequest, "if_version: the version that is to be deleted")
 	}
-	return n.settle(list.Command{Op: list.Delete, Name: service, IfVersion: p.IfVersion})
+	return n.applyDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: p.IfRevision})
 }
 
-func (n *Node) settle(c list.Command) (any, error) {
+func (n *Node) applyDocument(c list.Command) (any, error) {
 	result, err := n.documentCommand(c)
-	return api.Done{Version: result.Version}, err
+	return api.WriteResult{Revision: result.Revision}, err
 }
 
 // documents are all, without what they say.
 func (n *Node) documents(*http.Request, []byte) (any, error) {
 	var all api.Documents
-	n.machine.read(func(l *list.List) { all = api.Documents{Version: l.Version(), Documents: l.Documents()} })
+	n.machine.read(func(l *list.List) { all = api.Documents{Revision: l.Revision(), Documents: l.Documents()} })
 	for i := range all.Documents {
 		all.Documents[i].Settings = nil
 	}
@@ -71,7 +71,7 @@
 	if text := r.PathValue("version"); text != "" {
 		var err error
 		if version, err = strconv.ParseInt(text, 10, 64); err != nil || version < 1 {
-			return nil, api.Fail(api.CodeBad, "version: a whole number above 0, not %.40q", text)
+			return nil, api.Errorf(api.CodeBadRequest, "version: a whole number above 0, not %.40q", text)
 		}
 	}
 	var d api.Document
@@ -80,25 +80,25 @@
 		if version > 0 {
 			d, found = l.DocumentAt(service, version)
 		} else if d, found = l.Document(service); d.Region == l.Region() {
-			d.Earlier = l.EarlierOf(service)
+			d.EarlierRevisions = l.EarlierRevisions(service)
 		}
 	})
 	switch {
 	case found:
 		return d, nil
 	case version > 0:
-		return nil, api.Fail(api.CodeNone, "settings of %s at version %d: %d versions before the present one are remembered, by the region that owns them", service, version, list.Earlier)
+		return nil, api.Errorf(api.CodeNotFound, "settings of %s at version %d: %d versions before the present one are remembered, by the region that owns them", service, version, list.MaxEarlierRevisions)
 	}
-	return nil, api.Fail(api.CodeNone, "settings of %s", service)
+	return nil, api.Errorf(api.CodeNotFound, "settings of %s", service)
 }
 
 // acknowledged takes in what sidecars say of their settings.
 func (n *Node) acknowledged(_ *http.Request, body []byte) (any, error) {
-	var said api.Acks
-	if err := read(body, &said); err != nil {
+	var reported api.Acks
+	if err := read(body, &reported); err != nil {
 		return nil, err
 	}
-	for i, a := range said.Acks {
+	for i, a := range reported.Acks {
 		if err := a.Check(); err != nil {
 			return nil, fmt.Errorf("acks[%d]: %w", i, err)
 		}
@@ -106,12 +106,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Fail(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
 	}
 	now := n.now()
-	for _, a := range said.Acks {
-		if !n.acks.take(now, a) {
-			return nil, api.Fail(api.CodeFull, "%d sidecars are heard", acksMost)
+	for _, a := range reported.Acks {
+		if !n.acks.record(now, a) {
+			return nil, api.Errorf(api.CodeFull, "%d sidecars are heard", maxAcks)
 		}
 	}
 	return struct{}{}, nil
@@ -119,18 +119,18 @@
 
 // rollouts tells how far each document that is told has come.
 func (n *Node) rollouts(*http.Request, []byte) (any, error) {
-	var told []api.Document
+	var published []api.Document
 	n.machine.read(func(l *list.List) {
 		for _, d := range l.Documents() {
 			if one, _ := l.Document(d.Service); one.Region == d.Region {
-				told = append(told, one)
+				published = append(published, one)
 			}
 		}
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Fail(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
 	}
-	return api.Rollouts{Region: n.c.Region, Rollouts: n.acks.rollouts(n.now(), told)}, nil
+	return api.Rollouts{Region: n.c.Region, Rollouts: n.acks.rollouts(n.now(), published)}, nil
 }
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	askAgain = 300 * time.Millisecond
-	// askLong is how long a replica that was part before looks for others that know better, before it goes on with what
+	identityRetryInterval = 300 * time.Millisecond
+	// identityTimeout is how long a replica that was part before looks for others that know better, before it goes on with what
 	// it has: all may have been down.
-	askLong = time.Second
+	identityTimeout = time.Second
 )
 
 // form decides how this replica takes part. It gives the quorum to begin with, or none.
@@ -36,30 +36,30 @@
 	}
 	formed := n.wasFormed()
 	for begun := time.Now(); ctx.Err() == nil; {
-		answered, known, err := n.askOthers(ctx)
+		answered, known, err := n.queryIdentities(ctx)
 		switch {
-		case known != nil && known.Disk == "" && !formed: // the others have formed it a moment ago
+		case known != nil && known.DiskID == "" && !formed: // the others have formed it a moment ago
 			return n.first(), nil
-		case known != nil && (known.Disk == "" || known.Disk == n.me.Disk && n.me.Starts > known.Starts):
+		case known != nil && (known.DiskID == "" || known.DiskID == n.me.DiskID && n.me.StartCount > known.StartCount):
 			return nil, nil // the others remember us, and nothing newer
 		case known != nil:
 			if err = n.rejoin(ctx, *known); err == nil {
 				return nil, nil
 			}
 			n.log.Warn("not taken in", "component", "registry", "node", n.me.Name, "err", err)
-		case formed && (answered == len(n.others()) || time.Since(begun) > askLong):
+		case formed && (answered == len(n.others()) || time.Since(begun) > identityTimeout):
 			return nil, nil
 		case !formed && !n.c.Join && answered == len(n.others()) && err == nil:
 			return n.first(), nil
 		case !formed && n.c.Join && answered > 0:
-			if err = n.askIn(ctx); err == nil {
+			if err = n.requestJoin(ctx); err == nil {
 				return nil, nil
 			}
 			n.log.Warn("not taken in yet", "component", "registry", "node", n.me.Name, "err", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(askAgain):
+		case <-time.After(identityRetryInterval):
 		}
 	}
 	return nil, nil
@@ -86,8 +86,8 @@
 // errFormed says that others belong to a quorum that does not know this replica.
 var errFormed = errors.New("there is a quorum, and it does not know this replica")
 
-// askOthers asks who they are. known is what a formed quorum knows of this replica, by whoever knows most.
-func (n *Node) askOthers(ctx context.Context) (answered int, known *api.Replica, err error) {
+// queryIdentities asks who they are. known is what a formed quorum knows of this replica, by whoever knows most.
+func (n *Node) queryIdentities(ctx context.Context) (answered int, known *api.Replica, err error) {
 	for _, p := range n.others() {
 		var id api.Identity
 		if n.call(ctx, http.MethodGet, n.apiOf(p.Name, p.API)+"/v1/identity", nil, &id) != nil {
@@ -99,7 +99,7 @@
 		}
 		if m, ok := id.Members[n.c.Name]; !ok {
 			err = errFormed
-		} else if known == nil || m.Starts > known.Starts {
+		} else if known == nil || m.StartCount > known.StartCount {
 			known = &m
 		}
 	}
@@ -109,7 +109,7 @@
 // rejoin sets aside what is here, and asks to be taken out and in again.
 func (n *Node) rejoin(ctx context.Context, known api.Replica) error {
 	n.log.Warn("its disk is not the one that the others know: taken in anew", "component", "registry", "node", n.me.Name,
-		"starts", n.me.Starts, "known_starts", known.Starts)
+		"starts", n.me.StartCount, "known_starts", known.StartCount)
 	aside := filepath.Join(n.c.Dir, "aside-"+time.Now().UTC().Format("20060102T150405.000"))
 	for _, name := range []string{"log.bolt", "snapshots"} {
 		if _, err := os.Stat(filepath.Join(n.c.Dir, name)); err != nil {
@@ -122,15 +122,15 @@
 			return err
 		}
 	}
-	n.me.Starts = max(n.me.Starts, known.Starts+1)
+	n.me.StartCount = max(n.me.StartCount, known.StartCount+1)
 	if err := n.remember(false); err != nil {
 		return err
 	}
-	return n.askIn(ctx)
+	return n.requestJoin(ctx)
 }
 
-// askIn asks any of the others to have this replica taken in.
-func (n *Node) askIn(ctx context.Context) error {
+// requestJoin asks any of the others to have this replica taken in.
+func (n *Node) requestJoin(ctx context.Context) error {
 	err := errors.New("nobody to ask")
 	for _, p := range n.others() {
 		if err = n.call(ctx, http.MethodPost, n.apiOf(p.Name, p.API)+"/v1/replicas", n.me, nil); err == nil {
@@ -149,10 +149,10 @@
 }
 
 // call asks another replica.
-func (n *Node) call(ctx context.Context, method, url string, ask, answer any) error {
+func (n *Node) call(ctx context.Context, method, url string, change, answer any) error {
 	var body io.Reader
-	if ask != nil {
-		text, err := json.Marshal(ask)
+	if change != nil {
+		text, err := json.Marshal(change)
 		if err != nil {
 			return err
 		}
@@ -170,50 +170,50 @@
 	return api.ReadAnswer(resp, answer)
 }
 
-// takeIn is the leader's part: a replica is added, or its address or disk changed.
-func (n *Node) takeIn(m api.Replica) error {
+// admitReplica is the leader's part: a replica is added, or its address or disk changed.
+func (n *Node) admitReplica(m api.Replica) error {
 	r := n.raft.Load()
 	if r == nil {
 		return errStarting
 	}
 	known, there := n.members()[m.Name]
-	if there && known.Disk != "" && known.Disk != m.Disk || there && m.Starts < known.Starts {
+	if there && known.DiskID != "" && known.DiskID != m.DiskID || there && m.StartCount < known.StartCount {
 		if n.voters() == 1 {
-			return api.Fail(api.CodeConflict, "%s is the only replica", m.Name)
+			return api.Errorf(api.CodeConflict, "%s is the only replica", m.Name)
 		}
 	}
 	// Out first, so that the quorum never counts on what a lost disk had.
 	if there {
 		if err := r.RemoveServer(raft.ServerID(m.Name), 0, raftTimeout).Error(); err != nil {
-			return api.Fail(api.CodeNoLeader, "%v", err)
+			return api.Errorf(api.CodeNoLeader, "%v", err)
 		}
 	}
 	if err := n.joined(m); err != nil {
 		return err
 	}
 	if err := r.AddVoter(raft.ServerID(m.Name), raft.ServerAddress(m.Raft), 0, raftTimeout).Error(); err != nil {
-		return api.Fail(api.CodeNoLeader, "%v", err)
+		return api.Errorf(api.CodeNoLeader, "%v", err)
 	}
 	return nil
 }
 
-// takeOut removes a replica.
-func (n *Node) takeOut(name string) error {
+// evictReplica removes a replica.
+func (n *Node) evictReplica(name string) error {
 	r := n.raft.Load()
 	if r == nil {
 		return errStarting
 	}
 	if _, there := n.members()[name]; !there {
-		return api.Fail(api.CodeNone, "replica %s", name)
+		return api.Errorf(api.CodeNotFound, "replica %s", name)
 	}
 	if n.voters() == 1 {
-		return api.Fail(api.CodeConflict, "%s is the only replica", name)
+		return api.Errorf(api.CodeConflict, "%s is the only replica", name)
 	}
 	if err := n.parted(name); err != nil {
 		return err
 	}
 	if err := r.RemoveServer(raft.ServerID(name), 0, raftTimeout).Error(); err != nil {
-		return api.Fail(api.CodeNoLeader, "%v", err)
+		return api.Errorf(api.CodeNoLeader, "%v", err)
 	}
 	return nil
 }
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -12,79 +12,79 @@
 	"mosslead/internal/registry/list"
 )
 
-// machine is the list as the log makes it, for many readers. It implements raft.FSM.
-type machine struct {
-	mu      sync.RWMutex
-	list    *list.List
-	touched func(records []api.Record) // after a command, with the entries as they are now; not under mu
-	turned  func(r list.Result)        // after a command on duties, or one that voids them; not under mu
+// stateMachine is the list as the log makes it, for many readers. It implements raft.FSM.
+type stateMachine struct {
+	mu           sync.RWMutex
+	list         *list.List
+	onEntries    func(records []api.Record) // after a command, with the entries as they are now; not under mu
+	onLeadership func(r list.Result)        // after a command on duties, or one that voids them; not under mu
 
-	careless bool // see breakBack
+	uncheckedRegions bool // see faultRollback
 }
 
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c list.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil { // by a newer program: none that this one knows of
-		return list.Result{Err: api.Fail(api.CodeBad, "log entry %d: %v", l.Index, err)}
+		return list.Result{Err: api.Errorf(api.CodeBadRequest, "log entry %d: %v", l.Index, err)}
 	}
 	c.Index = l.Index
 	m.mu.Lock()
-	if m.careless {
-		m.list.Careless()
+	if m.uncheckedRegions {
+		m.list.SkipRegionChecks()
 	}
 	result := m.list.Apply(c)
 	var now []api.Record
 	switch c.Op {
-	case list.Take, list.Renew, list.Release, list.Lapse, list.Put, list.Delete, list.Follow: // no own entry is touched
+	case list.AcquireLeadership, list.RenewLeadership, list.ReleaseLeadership, list.ForgetLeaderships, list.PutDocument, list.DeleteDocument, list.ReplicateRegion: // no own entry is touched
 	case list.Restore:
 		now = m.list.Records()
 	case list.Expire:
-		for _, x := range c.Lapsed {
+		for _, x := range c.Expired {
 			r, _ := m.list.Get(x.Name)
 			now = append(now, r)
 		}
 	default:
 		r, there := m.list.Get(c.Name)
 		if !there {
-			r.Own = api.Gone
+			r.ServerStatus = api.Removed
 		}
 		now = append(now, r)
 	}
 	m.mu.Unlock()
 	switch {
-	case result.Duty.Name != "" || result.Forgot || c.Op == list.Lapse:
-		m.turned(result)
+	case result.Leadership.Name != "" || result.LeadershipsVoid || c.Op == list.ForgetLeaderships:
+		m.onLeadership(result)
 	case result.Err == nil:
-		m.touched(now)
+		m.onEntries(now)
 	}
 	return result
 }
 
 // read runs f on the list, which f must not keep.
-func (m *machine) read(f func(*list.List)) {
+func (m *stateMachine) read(f func(*list.List)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	f(m.list)
 }
 
-func (m *machine) state() (s list.State) {
+func (m *stateMachine) state() (s list.State) {
 	m.read(func(l *list.List) { s = l.State() })
 	return s
 }
 
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) { return snapshot{m.state()}, nil }
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) { return snapshot{m.state()}, nil }
 
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var s list.State
 	if err := json.NewDecoder(r).Decode(&s); err != nil {
 		return fmt.Errorf("reading a snapshot: %w", err)
 	}
 	m.mu.Lock()
-	m.list = list.Load(s, list.History)
+	m.list = list.Load(s, list.CompactionWindow)
 	now := m.list.Records()
 	m.mu.Unlock()
-	m.touched(now)
+	m.onEntries(now)
 	return nil
 }
 
--- /dev/null
+++ b/internal/registry/leadership.go
@@ -0,0 +1,133 @@
+package registry
+
+import (
+	"net/http"
+	"time"
+
+	"mosslead/internal/registry/api"
+	"mosslead/internal/registry/list"
+)
+
+const maxClaim = 4 << 10 // bytes of a claim
+
+var schemaFeatures = map[int]string{list.LeadershipSchema: "duties", list.DocumentSchema: "settings and other regions"}
+
+// requireSchema is nil if all replicas of the quorum understand a schema: one that does not would part from the others.
+func (n *Node) requireSchema(schema int) error {
+	names := n.voterNames()
+	if schema < list.LeadershipSchema {
+		return nil
+	}
+	ok := false
+	n.machine.read(func(l *list.List) { ok = len(names) > 0 && l.Understands(schema, names) })
+	if !ok {
+		return api.Errorf(api.CodeOlderReplica, "a replica of the quorum knows of no %s, or has not said yet that it does", schemaFeatures[schema])
+	}
+	return nil
+}
+
+// applyLeadership has a command of schema 2 carried out.
+func (n *Node) applyLeadership(c list.Command) (list.Result, error) {
+	if err := n.requireSchema(list.LeadershipSchema); err != nil {
+		return list.Result{}, err
+	}
+	return n.apply(c)
+}
+
+// onLeadership follows a command on duties.
+func (n *Node) onLeadership(r list.Result) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	switch {
+	case !n.leading:
+	case r.LeadershipsVoid:
+		n.leaderships.Invalidate(n.now())
+	case r.Err == nil && r.Leadership.Name != "":
+		n.leaderships.Committed(n.now(), r.Leadership)
+	}
+}
+
+// claim reads what is asked of a duty.
+func claim(r *http.Request, body []byte, replicated bool) (c api.LeadershipClaim, err error) {
+	if err := read(body, &c); err != nil {
+		return c, err
+	}
+	if name := r.PathValue("name"); c.Name == "" {
+		c.Name = name
+	} else if c.Name != name {
+		return c, api.Errorf(api.CodeBadRequest, "name: %.40q in the claim, %.40q in the path", c.Name, name)
+	}
+	return c, c.Check(replicated)
+}
+
+// acquireLeadership gives a duty that nobody holds, or whose lease is over; else it tells who holds it, and when to ask again.
+// That is decided here without the log: to be refused by a leader that is none any more does no harm.
+func (n *Node) acquireLeadership(r *http.Request, body []byte) (any, error) {
+	c, err := claim(r, body, false)
+	if err != nil {
+		return nil, err
+	}
+	if err := n.requireSchema(list.LeadershipSchema); err != nil {
+		return nil, err
+	}
+	var d list.Leadership
+	var replicated bool
+	n.machine.read(func(l *list.List) { d, replicated = l.Leadership(c.Name) })
+	n.mu.Lock()
+	if !n.leading {
+		n.mu.Unlock()
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
+	}
+	over, after, change := n.leaderships.Decide(n.now(), d, replicated, c)
+	n.mu.Unlock()
+	if !change {
+		g := d.Grant()
+		g.RetryAfterMs = after.Milliseconds()
+		return g, nil
+	}
+	return n.applyClaim(list.Command{Op: list.AcquireLeadership, Claim: &list.LeadershipClaim{LeadershipClaim: c, ExpiredTerm: over}})
+}
+
+// changeLeadership renews or gives up; a claim that does not hold (any more) changes nothing and is told who does.
+func (n *Node) changeLeadership(op string) work {
+	return func(r *http.Request, body []byte) (any, error) {
+		c, err := claim(r, body, true)
+		if err != nil {
+			return nil, err
+		}
+		return n.applyClaim(list.Command{Op: op, Claim: &list.LeadershipClaim{LeadershipClaim: c}})
+	}
+}
+
+// applyClaim has a command on a duty carried out, and words the duty as it is then.
+func (n *Node) applyClaim(c list.Command) (any, error) {
+	result, err := n.applyLeadership(c)
+	switch {
+	case api.IsCode(err, api.CodeConflict):
+		g := result.Leadership.Grant()
+		g.Name = c.Claim.Name
+		if c.Op == list.AcquireLeadership { // another was first
+			g.RetryAfterMs = (500 * time.Millisecond).Milliseconds()
+		}
+		return g, nil
+	case err != nil:
+		return nil, err
+	}
+	g := result.Leadership.Grant()
+	n.mu.Lock()
+	if n.leading && c.Op != list.ReleaseLeadership {
+		g.BetterFitness = n.leaderships.Renewed(n.now(), c.Claim.LeadershipClaim)
+	}
+	n.mu.Unlock()
+	return g, nil
+}
+
+func (n *Node) listLeaderships(*http.Request, []byte) (any, error) {
+	all := api.Leaderships{Leaderships: []api.LeadershipGrant{}}
+	n.machine.read(func(l *list.List) {
+		for _, d := range l.Leaderships() {
+			all.Leaderships = append(all.Leaderships, d.Grant())
+		}
+	})
+	return all, nil
+}
--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -12,16 +12,16 @@
 
 // What a command of schema 3 does.
 const (
-	Put    = "put"    // the settings of a service
-	Delete = "delete" // the same
-	Follow = "follow" // what another region's list tells, see Piece
+	PutDocument     = "put"    // the settings of a service
+	DeleteDocument  = "delete" // the same
+	ReplicateRegion = "follow" // what another region's list tells, see Piece
 )
 
 // DocumentSchema is the form of commands, and of backups, from which on documents and other regions are in them.
 const DocumentSchema = 3
 
-// Earlier is how many versions of a document are remembered beside the present one.
-const Earlier = api.MaxEarlier
+// MaxEarlierRevisions is how many versions of a document are remembered beside the present one.
+const MaxEarlierRevisions = api.MaxEarlierRevisions
 
 // Document is an own one. Its Region is left empty: it is the list's.
 type Document struct {
@@ -29,12 +29,12 @@
 	Earlier []api.Document `json:"earlier,omitempty"` // the newest last
 }
 
-// call gives the list its region's name. Which document of two regions is told depends on it.
-func (l *List) call(region string) {
+// setRegion gives the list its region's name. Which document of two regions is told depends on it.
+func (l *List) setRegion(region string) {
 	if region != l.region {
 		l.region = region
 		if len(l.documents) > 0 {
-			l.version++
+			l.revision++
 		}
 	}
 }
@@ -42,28 +42,28 @@
 // Region is whose list this is; empty: there is one region, or nothing was written yet that tells.
 func (l *List) Region() string { return l.region }
 
-// settle is a command on an own document.
-func (l *List) settle(c Command) Result {
+// applyDocument is a command on an own document.
+func (l *List) applyDocument(c Command) Result {
 	own := l.documents[c.Name]
 	live, at := own != nil && !own.Deleted, int64(0)
 	if own != nil {
-		at = own.Version
+		at = own.Revision
 	}
-	told, _ := l.Document(c.Name)
-	put := c.Op == Put
+	visible, _ := l.Document(c.Name)
+	put := c.Op == PutDocument
 	switch {
-	case c.IfVersion == nil || put && c.Document == nil:
-		return Result{Version: at, Err: api.Fail(api.CodeBad, "%s: a version that it is based on, and a document, are needed", c.Name)}
-	case told.Version > 0 && told.Region != l.region && !told.Deleted && (put || !live): // an own one beside it can be deleted
-		return Result{Version: at, Err: api.Fail(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, told.Region, told.Version)}
+	case c.IfRevision == nil || put && c.Document == nil:
+		return Result{Revision: at, Err: api.Errorf(api.CodeBadRequest, "%s: a version that it is based on, and a document, are needed", c.Name)}
+	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (put || !live): // an own one beside it can be deleted
+		return Result{Revision: at, Err: api.Errorf(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, visible.Region, visible.Revision)}
 	case own == nil && !put:
-		return Result{Err: api.Fail(api.CodeNone, "settings of %s", c.Name)}
-	case *c.IfVersion != at && !(put && !live && *c.IfVersion == 0):
-		return Result{Version: at, Err: api.Fail(api.CodeConflict, "the settings of %s are at version %d", c.Name, at)}
+		return Result{Err: api.Errorf(api.CodeNotFound, "settings of %s", c.Name)}
+	case *c.IfRevision != at && !(put && !live && *c.IfRevision == 0):
+		return Result{Revision: at, Err: api.Errorf(api.CodeConflict, "the settings of %s are at version %d", c.Name, at)}
 	case !put && !live:
-		return Result{Version: at}
+		return Result{Revision: at}
 	case own == nil && len(l.documents) >= api.MaxDocuments:
-		return Result{Err: api.Fail(api.CodeFull, "%d documents, deleted ones too", len(l.documents))}
+		return Result{Err: api.Errorf(api.CodeFull, "%d documents, deleted ones too", len(l.documents))}
 	}
 	next := &Document{Document: api.Document{Service: c.Name, Deleted: !put}}
 	if put {
@@ -75,7 +75,7 @@
 			}
 		}
 		if bytes > api.MaxAllSettings {
-			return Result{Version: at, Err: api.Fail(api.CodeFull, "%d bytes of settings in all, and %d are the most", bytes, api.MaxAllSettings)}
+			return Result{Revision: at, Err: api.Errorf(api.CodeFull, "%d bytes of settings in all, and %d are the most", bytes, api.MaxAllSettings)}
 		}
 	}
 	if own != nil {
@@ -83,12 +83,12 @@
 		if live {
 			next.Earlier = append(next.Earlier, own.Document)
 		}
-		next.Earlier = next.Earlier[max(0, len(next.Earlier)-Earlier):]
+		next.Earlier = next.Earlier[max(0, len(next.Earlier)-MaxEarlierRevisions):]
 	}
-	l.version++
-	next.Version = l.version
+	l.revision++
+	next.Revision = l.revision
 	l.documents[c.Name] = next
-	return Result{Version: l.version}
+	return Result{Revision: l.revision}
 }
 
 // Document is the settings of a service as its sidecars are told them: of those that several regions have the one of the region
@@ -116,7 +116,7 @@
 		if d := l.documents[service]; d != nil && !yield(l.named(d.Document)) {
 			return
 		}
-		for _, o := range l.others {
+		for _, o := range l.regions {
 			if d, ok := o.documents[service]; ok && !yield(d) {
 				return
 			}
@@ -134,24 +134,24 @@
 func (l *List) DocumentAt(service string, version int64) (api.Document, bool) {
 	if own := l.documents[service]; own != nil {
 		for _, d := range own.Earlier {
-			if d.Version == version {
+			if d.Revision == version {
 				return l.named(d), true
 			}
 		}
 	}
 	for d := range l.allOf(service) {
-		if d.Version == version {
+		if d.Revision == version {
 			return d, true
 		}
 	}
 	return api.Document{}, false
 }
 
-// EarlierOf are the versions of an own document that are remembered, rising, the present one left out.
-func (l *List) EarlierOf(service string) (versions []int64) {
+// EarlierRevisions are the versions of an own document that are remembered, rising, the present one left out.
+func (l *List) EarlierRevisions(service string) (versions []int64) {
 	if own := l.documents[service]; own != nil {
 		for _, d := range own.Earlier {
-			versions = append(versions, d.Version)
+			versions = append(versions, d.Revision)
 		}
 	}
 	return versions
@@ -163,7 +163,7 @@
 	for _, d := range l.documents {
 		all = append(all, l.named(d.Document))
 	}
-	for _, o := range l.others {
+	for _, o := range l.regions {
 		all = slices.AppendSeq(all, maps.Values(o.documents))
 	}
 	slices.SortFunc(all, func(a, b api.Document) int {
@@ -172,22 +172,22 @@
 	return all
 }
 
-// OwnSince is what another region that has the version is to be told: entries and documents that are written here, and changed
+// OwnChangesSince is what another region that has the version is to be told: entries and documents that are written here, and changed
 // after it. All of them where that is no longer known.
-func (l *List) OwnSince(version int64) (c api.Listing) {
-	if !l.Knows(version) {
+func (l *List) OwnChangesSince(version int64) (c api.WatchEvent) {
+	if !l.Remembers(version) {
 		c = l.ownEntries()
 		version = -1
 	} else {
-		c = api.Listing{Index: l.version, Endpoints: []api.Entry{}}
-		for _, t := range l.after(version) {
-			if l.ownAt(t.name) == t.version {
-				c.Endpoints = append(c.Endpoints, l.records[t.name].Entry)
+		c = api.WatchEvent{Revision: l.revision, Endpoints: []api.Endpoint{}}
+		for _, t := range l.changesAfter(version) {
+			if l.ownRevision(t.name) == t.revision {
+				c.Endpoints = append(c.Endpoints, l.records[t.name].Endpoint)
 			}
 		}
 	}
 	for _, d := range l.ownDocuments() {
-		if d.Version > version {
+		if d.Revision > version {
 			c.Documents = append(c.Documents, l.named(d.Document))
 		}
 	}
@@ -208,13 +208,13 @@
 	for _, d := range s.Documents {
 		l.documents[d.Service] = &d
 	}
-	for _, o := range s.Others {
-		l.others[o.Name] = o.load()
+	for _, o := range s.Regions {
+		l.regions[o.Name] = o.load()
 	}
-	for name, version := range s.Moved {
-		l.moved[name] = version
-		if version > l.floor {
-			l.touches = append(l.touches, touch{version, name})
+	for name, version := range s.RegionRevisions {
+		l.regionRevisions[name] = version
+		if version > l.compacted {
+			l.changes = append(l.changes, entryChange{version, name})
 		}
 	}
 }
@@ -228,7 +228,7 @@
 		}
 	}
 	for _, d := range l.documents {
-		d.Version = l.version
+		d.Revision = l.revision
 	}
-	maps.Copy(l.others, was.others)
+	maps.Copy(l.regions, was.regions)
 }
--- a/internal/registry/list/documents_test.go
+++ b/internal/registry/list/documents_test.go
@@ -14,7 +14,7 @@
 // state. A write is done exactly where it is based on the present version, and what was written last is told.
 func TestVersionsOfDocumentsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(History)
+		l := New(CompactionWindow)
 		type known struct {
 			version int64
 			text    string
@@ -30,31 +30,31 @@
 			case 0:
 				on = 0
 			case 1:
-				on = rapid.Int64Range(0, l.Version()+1).Draw(t, "version")
+				on = rapid.Int64Range(0, l.Revision()+1).Draw(t, "version")
 			}
-			c := Command{Op: rapid.SampledFrom([]string{Put, Put, Delete, Register, Restore, "snapshot"}).Draw(t, "op"), Name: service, IfVersion: &on, Region: "north"}
+			c := Command{Op: rapid.SampledFrom([]string{PutDocument, PutDocument, DeleteDocument, Register, Restore, "snapshot"}).Draw(t, "op"), Name: service, IfRevision: &on, Region: "north"}
 			live := is.version > 0 && !is.deleted
 			switch c.Op {
-			case Put:
+			case PutDocument:
 				text := fmt.Sprintf(`{"x":%d}`, i)
 				c.Document = &api.Document{Schema: 1, Settings: json.RawMessage(text)}
 				done := on == is.version || on == 0 && !live
-				if r := l.Apply(c); (r.Err == nil) != done || done && r.Version <= is.version {
+				if r := l.Apply(c); (r.Err == nil) != done || done && r.Revision <= is.version {
 					t.Fatalf("put on %d where %+v is: %+v", on, is, r)
 				} else if done {
-					present[service] = known{r.Version, text, false}
+					present[service] = known{r.Revision, text, false}
 				}
-			case Delete:
+			case DeleteDocument:
 				r := l.Apply(c)
 				switch {
 				case is.version == 0:
-					if r.Err == nil || r.Err.Code != api.CodeNone {
+					if r.Err == nil || r.Err.Code != api.CodeNotFound {
 						t.Fatalf("what was never there is deleted: %+v", r)
 					}
-				case (r.Err == nil) != (on == is.version), r.Err == nil && is.deleted && r.Version != is.version:
+				case (r.Err == nil) != (on == is.version), r.Err == nil && is.deleted && r.Revision != is.version:
 					t.Fatalf("deleted on %d where %+v is: %+v", on, is, r)
 				case r.Err == nil && !is.deleted:
-					present[service] = known{r.Version, "", true}
+					present[service] = known{r.Revision, "", true}
 				}
 			case Register:
 				l.Apply(Command{Op: Register, Name: service, Registration: &api.Registration{Address: fmt.Sprint("127.0.0.1:", i+1), Weight: 1}})
@@ -62,10 +62,10 @@
 				backup := backups[rapid.IntRange(0, len(backups)-1).Draw(t, "backup")]
 				l.Apply(Command{Op: Restore, State: &backup})
 				for _, d := range l.Documents() {
-					if was := present[d.Service]; d.Version <= was.version {
+					if was := present[d.Service]; d.Revision <= was.version {
 						t.Fatalf("restored: %+v after %+v", d, was)
 					}
-					present[d.Service] = known{d.Version, string(d.Settings), d.Deleted}
+					present[d.Service] = known{d.Revision, string(d.Settings), d.Deleted}
 				}
 			case "snapshot":
 				text, err := json.Marshal(l.State())
@@ -73,15 +73,15 @@
 				if err != nil || json.Unmarshal(text, &s) != nil {
 					t.Fatal(err)
 				}
-				l = Load(s, History)
+				l = Load(s, CompactionWindow)
 				backups = append(backups, s)
 			}
 			for service, is := range present {
 				d, found := l.Document(service)
-				if !found || d.Version != is.version || string(d.Settings) != is.text || d.Deleted != is.deleted || d.Region != "north" {
+				if !found || d.Revision != is.version || string(d.Settings) != is.text || d.Deleted != is.deleted || d.Region != "north" {
 					t.Fatalf("%s is %+v, and %+v was written", service, d, is)
 				}
-				if len(l.documents[service].Earlier) > Earlier {
+				if len(l.documents[service].Earlier) > MaxEarlierRevisions {
 					t.Fatalf("%d versions of %s are remembered", len(l.documents[service].Earlier), service)
 				}
 			}
@@ -93,10 +93,10 @@
 }
 
 func TestDocumentsAreBounded(t *testing.T) {
-	l := New(History)
+	l := New(CompactionWindow)
 	zero := int64(0)
-	put := func(service, text string) *api.Failure {
-		return l.Apply(Command{Op: Put, Name: service, IfVersion: &zero, Document: &api.Document{Schema: 1, Settings: json.RawMessage(text)}}).Err
+	put := func(service, text string) *api.Error {
+		return l.Apply(Command{Op: PutDocument, Name: service, IfRevision: &zero, Document: &api.Document{Schema: 1, Settings: json.RawMessage(text)}}).Err
 	}
 	large := `"` + string(make([]byte, api.MaxSettings-2)) + `"`
 	n := 0
@@ -105,34 +105,34 @@
 	if n != api.MaxAllSettings/api.MaxSettings {
 		t.Errorf("%d large ones", n)
 	}
-	l = New(History)
+	l = New(CompactionWindow)
 	for n = 0; put(fmt.Sprint("s", n), `{}`) == nil; n++ {
 	}
 	if n != api.MaxDocuments {
 		t.Errorf("%d small ones", n)
 	}
-	for _, p := range []*Piece{nil, {}, {Region: "", To: 1}, {Region: "north", From: 2, To: 1}, {Region: "north", From: 0, To: 5, Part: 1}} {
-		if r := l.Apply(Command{Op: Follow, Piece: p}); r.Err == nil {
+	for _, p := range []*Chunk{nil, {}, {Region: "", To: 1}, {Region: "north", From: 2, To: 1}, {Region: "north", From: 0, To: 5, Part: 1}} {
+		if r := l.Apply(Command{Op: ReplicateRegion, Chunk: p}); r.Err == nil {
 			t.Errorf("%+v was taken in", p)
 		}
 	}
-	var many []api.Entry
-	for i := range api.MaxEntries + 1 {
-		many = append(many, api.Entry{Name: fmt.Sprint("u", i), Status: api.Ready})
+	var many []api.Endpoint
+	for i := range api.MaxEndpoints + 1 {
+		many = append(many, api.Endpoint{Name: fmt.Sprint("u", i), Status: api.Ready})
 	}
-	if r := l.Apply(Command{Op: Follow, Piece: &Piece{Region: "north", To: 5, Entries: many}}); r.Err == nil || r.Err.Code != api.CodeFull || len(l.Others()) != 0 {
+	if r := l.Apply(Command{Op: ReplicateRegion, Chunk: &Chunk{Region: "north", To: 5, Entries: many}}); r.Err == nil || r.Err.Code != api.CodeFull || len(l.Regions()) != 0 {
 		t.Errorf("too many entries: %+v", r)
 	}
 }
 
 // A backup brings back what this region wrote; of the others, what was heard since stays.
 func TestARestoreKeepsWhatOthersSaid(t *testing.T) {
-	l := New(History)
+	l := New(CompactionWindow)
 	on := func(to int64, name string) {
-		from := l.Held("north").Version
-		if r := l.Apply(Command{Op: Follow, Region: "south", Piece: &Piece{Region: "north", From: from, To: to, Last: true,
-			Entries:   []api.Entry{{Name: name, Status: api.Ready}},
-			Documents: []api.Document{{Service: "s", Version: to, Schema: 1, Settings: json.RawMessage(`{}`)}}}}); r.Err != nil {
+		from := l.Replicated("north").Revision
+		if r := l.Apply(Command{Op: ReplicateRegion, Region: "south", Chunk: &Chunk{Region: "north", From: from, To: to, Last: true,
+			Entries:   []api.Endpoint{{Name: name, Status: api.Ready}},
+			Documents: []api.Document{{Service: "s", Revision: to, Schema: 1, Settings: json.RawMessage(`{}`)}}}}); r.Err != nil {
 			t.Fatal(r.Err)
 		}
 	}
@@ -140,7 +140,7 @@
 	backup := l.State()
 	on(9, "late")
 	l.Apply(Command{Op: Restore, State: &backup})
-	empty := New(History)
+	empty := New(CompactionWindow)
 	empty.Apply(Command{Op: Restore, State: &backup})
 	for _, x := range []struct {
 		l       *List
@@ -148,8 +148,8 @@
 		entries int
 	}{{l, 9, 2}, {empty, 5, 1}} {
 		d, _ := x.l.Document("s")
-		if h := x.l.Held("north"); h.Version != x.version || h.Seen != x.version || len(x.l.Whole().Endpoints) != x.entries || d.Version != x.version || d.Region != "north" {
-			t.Errorf("held at %d, seen %d; told %+v and %+v", h.Version, h.Seen, x.l.Whole(), d)
+		if h := x.l.Replicated("north"); h.Revision != x.version || h.SeenRevision != x.version || len(x.l.Full().Endpoints) != x.entries || d.Revision != x.version || d.Region != "north" {
+			t.Errorf("held at %d, seen %d; told %+v and %+v", h.Revision, h.SeenRevision, x.l.Full(), d)
 		}
 	}
 }
--- a/internal/registry/list/list_test.go
+++ b/internal/registry/list/list_test.go
@@ -15,12 +15,12 @@
 // mirror is a watcher's list: what messages make of it.
 type mirror struct {
 	at      int64
-	entries map[string]api.Entry
+	entries map[string]api.Endpoint
 }
 
-func (m *mirror) take(t *rapid.T, l api.Listing) {
+func (m *mirror) take(t *rapid.T, l api.WatchEvent) {
 	if l.Snapshot {
-		m.entries = map[string]api.Entry{}
+		m.entries = map[string]api.Endpoint{}
 	}
 	last := int64(0)
 	seen := map[string]bool{}
@@ -29,16 +29,16 @@
 			t.Fatalf("%s is told twice in one message", e.Name)
 		}
 		seen[e.Name] = true
-		if e.Status == api.Gone {
+		if e.Status == api.Removed {
 			delete(m.entries, e.Name)
 		} else {
 			m.entries[e.Name] = e
 		}
 	}
-	if l.Index < m.at || l.Index < last {
-		t.Fatalf("version %d after %d", l.Index, m.at)
+	if l.Revision < m.at || l.Revision < last {
+		t.Fatalf("version %d after %d", l.Revision, m.at)
 	}
-	m.at = l.Index
+	m.at = l.Revision
 }
 
 // Whatever happens, and however far behind, a watcher that applies what it is told has the list; and a list that went
@@ -54,37 +54,37 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("u", rapid.IntRange(0, 4).Draw(t, "name"))
 			c := Command{Name: name, Incarnation: rapid.Int64Range(0, 3).Draw(t, "incarnation")}
-			switch c.Op = rapid.SampledFrom([]string{Register, Register, Drain, Leave, Hand, Expire, "of tomorrow"}).Draw(t, "op"); c.Op {
+			switch c.Op = rapid.SampledFrom([]string{Register, Register, Drain, Deregister, SetAdminState, Expire, "of tomorrow"}).Draw(t, "op"); c.Op {
 			case Register:
 				c.Registration = &api.Registration{Address: fmt.Sprint("127.0.0.1:", rapid.IntRange(1, 3).Draw(t, "port")), Incarnation: c.Incarnation, LeaseMs: 1000}
-			case Hand:
-				c.Hand = rapid.SampledFrom([]string{"", api.HandDrain, api.HandBan}).Draw(t, "hand")
+			case SetAdminState:
+				c.AdminState = rapid.SampledFrom([]string{"", api.AdminDrain, api.AdminBan}).Draw(t, "hand")
 			case Expire:
-				c.Lapsed = []api.Lease{{Name: name, Incarnation: c.Incarnation}}
+				c.Expired = []api.Heartbeat{{Name: name, Incarnation: c.Incarnation}}
 			}
 			if rapid.Bool().Draw(t, "conditional") {
-				at := rapid.Int64Range(0, l.Version()).Draw(t, "if_version")
-				c.IfVersion = &at
+				at := rapid.Int64Range(0, l.Revision()).Draw(t, "if_version")
+				c.IfRevision = &at
 			}
 			before := l.State()
 			result := l.Apply(c)
-			if result.Err != nil && l.Version() != before.Version {
+			if result.Err != nil && l.Revision() != before.Revision {
 				t.Fatalf("%+v failed, and changed the list", c)
 			}
-			if l.Version() < version {
-				t.Fatalf("version %d after %d", l.Version(), version)
+			if l.Revision() < version {
+				t.Fatalf("version %d after %d", l.Revision(), version)
 			}
-			version = l.Version()
-			if r, there := l.Get(name); there && r.Hand != api.HandNone && r.Status == api.Ready {
+			version = l.Revision()
+			if r, there := l.Get(name); there && r.AdminState != api.AdminNone && r.Status == api.Ready {
 				t.Fatalf("%s is ready against the operator's word", name)
 			}
-			if len(l.touches) > 2*l.history {
-				t.Fatalf("%d changes are remembered", len(l.touches))
+			if len(l.changes) > 2*l.history {
+				t.Fatalf("%d changes are remembered", len(l.changes))
 			}
 			w := &watchers[rapid.IntRange(0, 2).Draw(t, "watcher")]
-			w.take(t, l.Since(w.at))
-			want := map[string]api.Entry{}
-			for _, e := range l.Whole().Endpoints {
+			w.take(t, l.ChangesSince(w.at))
+			want := map[string]api.Endpoint{}
+			for _, e := range l.Full().Endpoints {
 				want[e.Name] = e
 			}
 			if !maps.Equal(w.entries, want) {
@@ -109,11 +109,11 @@
 }
 
 func TestConditionsAndIncarnations(t *testing.T) {
-	l := New(History)
+	l := New(CompactionWindow)
 	register := func(incarnation int64, ifVersion ...int64) Result {
 		c := Command{Op: Register, Name: "u", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: incarnation}}
 		if len(ifVersion) > 0 {
-			c.IfVersion = &ifVersion[0]
+			c.IfRevision = &ifVersion[0]
 		}
 		return l.Apply(c)
 	}
@@ -130,37 +130,37 @@
 	}{
 		{"if there is none, and there is none", register(5, 0), ""},
 		{"if there is none, and there is one", register(5, 0), api.CodeConflict},
-		{"older", register(4), api.CodeOlder},
+		{"older", register(4), api.CodeOlderIncarnation},
 		{"the same again", register(5), ""},
-		{"drain of an older process", l.Apply(Command{Op: Drain, Name: "u", Incarnation: 4}), api.CodeOlder},
-		{"leave", l.Apply(Command{Op: Leave, Name: "u", Incarnation: 5}), ""},
-		{"drain of who left", l.Apply(Command{Op: Drain, Name: "u"}), api.CodeNone},
-		{"older after its end", register(4), api.CodeOlder},
+		{"drain of an older process", l.Apply(Command{Op: Drain, Name: "u", Incarnation: 4}), api.CodeOlderIncarnation},
+		{"leave", l.Apply(Command{Op: Deregister, Name: "u", Incarnation: 5}), ""},
+		{"drain of who left", l.Apply(Command{Op: Drain, Name: "u"}), api.CodeNotFound},
+		{"older after its end", register(4), api.CodeOlderIncarnation},
 		{"newer", register(6), ""},
 	} {
 		if code(step.got) != step.want {
 			t.Errorf("%s: %q, want %q", step.what, code(step.got), step.want)
 		}
 	}
-	if l.Version() != 3 { // registered, left, registered anew; the same again changes nothing
-		t.Errorf("version %d", l.Version())
+	if l.Revision() != 3 { // registered, left, registered anew; the same again changes nothing
+		t.Errorf("version %d", l.Revision())
 	}
 }
 
 func TestRestoreGoesOnFromTheHigherVersion(t *testing.T) {
-	old := New(History)
+	old := New(CompactionWindow)
 	old.Apply(Command{Op: Register, Name: "kept", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1}})
 	backup := old.State()
-	now := New(History)
+	now := New(CompactionWindow)
 	for i := range 10 {
 		now.Apply(Command{Op: Register, Name: fmt.Sprint("late", i), Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1}})
 	}
-	before := now.Version()
-	now.Apply(Command{Op: Join, Replica: &api.Replica{Name: "r"}})
+	before := now.Revision()
+	now.Apply(Command{Op: AddReplica, Replica: &api.Replica{Name: "r"}})
 	now.Apply(Command{Op: Restore, State: &backup})
-	l := now.Since(before)
-	if now.Version() <= before || !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "kept" {
-		t.Errorf("after a restore at %d, a watcher from %d gets %+v", now.Version(), before, l)
+	l := now.ChangesSince(before)
+	if now.Revision() <= before || !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "kept" {
+		t.Errorf("after a restore at %d, a watcher from %d gets %+v", now.Revision(), before, l)
 	}
 	if got := slices.Collect(maps.Keys(now.Replicas())); len(got) != 1 {
 		t.Errorf("replicas %v", got)
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -34,9 +34,9 @@
 )
 
 const (
-	writePatienceRaft = 2 * time.Second // to have a command in the log of a quorum
+	raftWriteTimeout  = 2 * time.Second // to have a command in the log of a quorum
 	freshEvery        = 200 * time.Millisecond
-	snapshotsKept     = 2
+	retainedSnapshots = 2
 	raftTimeout       = 2 * time.Second
 )
 
@@ -44,22 +44,22 @@
 type Node struct {
 	c       *Config
 	log     *slog.Logger
-	box     *durable.Box // identity
-	lock    *durable.Lock
+	box     *durable.SnapshotFile // identity
+	lock    *durable.DirLock
 	me      api.Replica
-	machine *machine
+	machine *stateMachine
 	watches *watches
 	client  *http.Client // to other replicas
 	start   time.Time
 
 	raft atomic.Pointer[raft.Raft] // nil until it takes part
 
-	mu        sync.Mutex
-	leases    leases
-	terms     leasetable.Terms // of duties
-	acks      acks
-	followers map[string]*follower // of other regions, by name; while it leads
-	leading   bool                 // and all that was committed before is applied here
+	mu          sync.Mutex
+	leases      leaseTable
+	leaderships leasetable.Table // of duties
+	acks        acks
+	followers   map[string]*follower // of other regions, by name; while it leads
+	leading     bool                 // and all that was committed before is applied here
 
 	freshAt atomic.Int64 // time since start at which the list was known to be the service's
 }
@@ -73,14 +73,14 @@
 
 // Open prepares a replica. An error means that its directory can't be used, or is in use.
 func Open(c *Config, log *slog.Logger) (*Node, error) {
-	n := &Node{c: c, log: log, start: time.Now(), machine: &machine{list: list.New(list.History), careless: c.Breaks == breakBack}}
-	n.leases = leases{grace: c.Grace.Duration, share: c.Preserve}
-	n.machine.touched, n.machine.turned = n.touched, n.turned
+	n := &Node{c: c, log: log, start: time.Now(), machine: &stateMachine{list: list.New(list.CompactionWindow), uncheckedRegions: c.Breaks == faultRollback}}
+	n.leases = leaseTable{grace: c.Grace.Duration, preserveFraction: c.Preserve}
+	n.machine.onEntries, n.machine.onLeadership = n.touched, n.onLeadership
 	n.watches = newWatches(n.machine, c.Watchers, c.Region, n.freshEnough)
-	n.client = &http.Client{Timeout: raftTimeout + writePatienceRaft,
+	n.client = &http.Client{Timeout: raftTimeout + raftWriteTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	self := c.self()
-	n.me = api.Replica{Name: c.Name, Raft: self.Raft, API: self.API, Disk: rand.Text(), Starts: 1, Schema: list.Schema}
+	n.me = api.Replica{Name: c.Name, Raft: self.Raft, API: self.API, DiskID: rand.Text(), StartCount: 1, Schema: list.Schema}
 	if c.Dev {
 		return n, nil
 	}
@@ -98,7 +98,7 @@
 		return fmt.Errorf("dir: %w", err)
 	}
 	n.lock = lock
-	n.box = durable.NewBox(durable.OS(dir), "identity", 4096)
+	n.box = durable.NewSnapshotFile(durable.OS(dir), "identity", 4096)
 	text, damages, err := n.box.Read()
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
@@ -106,13 +106,13 @@
 	for _, d := range damages {
 		n.log.Warn("damaged", "component", "registry", "file", d.File, "err", d.Err)
 	}
-	known := identity{Disk: n.me.Disk}
+	known := identity{Disk: n.me.DiskID}
 	if text != nil {
 		if err := json.Unmarshal(text, &known); err != nil {
 			return fmt.Errorf("identity: %w", err)
 		}
 	}
-	n.me.Disk, n.me.Starts = known.Disk, known.Starts+1
+	n.me.DiskID, n.me.StartCount = known.Disk, known.Starts+1
 	return n.remember(known.Formed)
 }
 
@@ -120,7 +120,7 @@
 	if n.c.Dev {
 		return nil
 	}
-	text, err := json.Marshal(identity{n.me.Disk, n.me.Starts, formed})
+	text, err := json.Marshal(identity{n.me.DiskID, n.me.StartCount, formed})
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
@@ -146,7 +146,7 @@
 			cancel(err)
 		}
 	})
-	n.log.Info("serves", "component", "registry", "node", n.me.Name, "address", ln.Addr().String(), "starts", n.me.Starts)
+	n.log.Info("serves", "component", "registry", "node", n.me.Name, "address", ln.Addr().String(), "starts", n.me.StartCount)
 	if n.c.Metrics != "" {
 		stop, err := n.serveMetrics(&running)
 		if err != nil {
@@ -156,7 +156,7 @@
 		}
 	}
 	if ctx.Err() == nil {
-		if err := n.takePart(ctx); err != nil {
+		if err := n.participate(ctx); err != nil {
 			cancel(err)
 		}
 	}
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// takePart starts the log, and follows leadership until ctx ends.
-func (n *Node) takePart(ctx context.Context) error {
+// participate joins the quorum, starts raft, and follows leadership until ctx ends.
+func (n *Node) participate(ctx context.Context) error {
 	form, err := n.form(ctx)
 	if err != nil {
 		return err
@@ -192,8 +192,8 @@
 	n.raft.Store(r)
 	var following sync.WaitGroup
 	defer following.Wait()
-	following.Go(func() { n.keepFresh(ctx, r) })
-	following.Go(func() { n.keepLeases(ctx, r) })
+	following.Go(func() { n.trackFreshness(ctx, r) })
+	following.Go(func() { n.expireLeases(ctx, r) })
 	following.Go(func() { n.announce(ctx) })
 	stopFollowing := func() {}
 	defer func() { stopFollowing() }()
@@ -210,7 +210,7 @@
 			stopFollowing = func() {}
 			n.lead(r, leads)
 			if n.leads() {
-				stopFollowing = n.followOthers(ctx)
+				stopFollowing = n.followRegions(ctx)
 			}
 		}
 	}
@@ -248,8 +248,8 @@
 			return nil, stop, fmt.Errorf("log: %w", err)
 		}
 		closers = append(closers, store)
-		logs, stable = store, patient{store, ctx, n.log}
-		if snaps, err = raft.NewFileSnapshotStoreWithLogger(n.c.Dir, snapshotsKept, c.Logger); err != nil {
+		logs, stable = store, retryingStore{store, ctx, n.log}
+		if snaps, err = raft.NewFileSnapshotStoreWithLogger(n.c.Dir, retainedSnapshots, c.Logger); err != nil {
 			return nil, stop, fmt.Errorf("snapshots: %w", err)
 		}
 		stream, err := listen(n.c.RaftBind, n.me.Raft)
@@ -300,8 +300,8 @@
 	return &stream{ln, raft.ServerAddress(known)}, nil
 }
 
-func (s *stream) Dial(address raft.ServerAddress, patience time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", string(address), min(patience, time.Second))
+func (s *stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	return net.DialTimeout("tcp", string(address), min(timeout, time.Second))
 }
 
 func (s *stream) Addr() net.Addr { return known(s.known) }
@@ -341,11 +341,11 @@
 		return
 	}
 	var records []api.Record
-	var duties []list.Duty
-	n.machine.read(func(l *list.List) { records, duties = l.Records(), l.Duties() })
+	var leaderships []list.Leadership
+	n.machine.read(func(l *list.List) { records, leaderships = l.Records(), l.Leaderships() })
 	n.mu.Lock()
 	n.leading = true
-	n.terms.Lead(n.now(), duties)
+	n.leaderships.Lead(n.now(), leaderships)
 	n.leases.lead(n.now(), records)
 	n.acks.lead()
 	n.mu.Unlock()
@@ -367,18 +367,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(askAgain):
+		case <-time.After(identityRetryInterval):
 		}
 	}
 }
 
 func (n *Node) joined(m api.Replica) error {
-	_, err := n.apply(list.Command{Op: list.Join, Replica: &m})
+	_, err := n.apply(list.Command{Op: list.AddReplica, Replica: &m})
 	return err
 }
 
 func (n *Node) parted(name string) error {
-	_, err := n.apply(list.Command{Op: list.Part, Name: name})
+	_, err := n.apply(list.Command{Op: list.RemoveReplica, Name: name})
 	return err
 }
 
@@ -419,13 +419,13 @@
 		}
 	}
 	n.mu.Unlock()
-	n.watches.news()
+	n.watches.notify()
 }
 
-// keepFresh finds out how old the list here may be. What this replica's log holds at its start is the list of before, and the engine
+// trackFreshness finds out how old the list here may be. What this replica's log holds at its start is the list of before, and the engine
 // hears of a leader before it hears how much is committed: so nothing is fresh until this start itself is in the list, which the
 // quorum has committed behind all else that it had; or, for one that leads, until all of that is in.
-func (n *Node) keepFresh(ctx context.Context, r *raft.Raft) {
+func (n *Node) trackFreshness(ctx context.Context, r *raft.Raft) {
 	tick := time.NewTicker(freshEvery)
 	defer tick.Stop()
 	known := false // this start
@@ -439,7 +439,7 @@
 		case raft.Follower:
 			if !known {
 				m := n.members()[n.me.Name]
-				known = m.Disk == n.me.Disk && m.Starts == n.me.Starts
+				known = m.DiskID == n.me.DiskID && m.StartCount == n.me.StartCount
 			}
 			if at := r.LastContact(); known && !at.IsZero() && r.AppliedIndex() >= r.CommitIndex() {
 				n.freshAt.Store(int64(at.Sub(n.start)))
@@ -455,19 +455,19 @@
 
 // freshEnough is nil while the list is not older than it may be.
 func (n *Node) freshEnough() error {
-	if n.c.Breaks == breakStale {
+	if n.c.Breaks == faultStaleRead {
 		return nil
 	}
 	at := time.Duration(n.freshAt.Load())
-	if old := n.now() - at; at == 0 || old > n.c.Stale.Duration {
-		return api.Fail(api.CodeStale, "no contact with a quorum for %s", old.Round(time.Millisecond))
+	if old := n.now() - at; at == 0 || old > n.c.MaxStaleness.Duration {
+		return api.Errorf(api.CodeStale, "no contact with a quorum for %s", old.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// keepLeases ends entries whose lease has lapsed, on the leader.
-func (n *Node) keepLeases(ctx context.Context, r *raft.Raft) {
-	tick := time.NewTicker(lookEvery)
+// expireLeases ends entries whose lease has lapsed, on the leader.
+func (n *Node) expireLeases(ctx context.Context, r *raft.Raft) {
+	tick := time.NewTicker(leaseCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -476,32 +476,32 @@
 		case <-tick.C:
 		}
 		n.mu.Lock()
-		var ended []api.Lease
-		var idle []list.Term
-		was, holding := n.leases.holding, false
+		var ended []api.Heartbeat
+		var idle []list.LeaseTerm
+		was, holding := n.leases.preserving, false
 		if n.leading {
-			ended = n.leases.look(n.now())
-			holding = n.leases.holding
-			idle = n.terms.Idle(n.now())
+			ended = n.leases.expire(n.now())
+			holding = n.leases.preserving
+			idle = n.leaderships.Expired(n.now())
 		}
 		n.mu.Unlock()
 		if holding != was {
 			n.log.Warn("leases fell silent together: entries are kept", "component", "registry", "node", n.me.Name, "holding", holding)
 		}
 		if len(ended) > 0 {
-			if _, err := n.apply(list.Command{Op: list.Expire, Lapsed: ended}); err != nil {
+			if _, err := n.apply(list.Command{Op: list.Expire, Expired: ended}); err != nil {
 				n.log.Warn("lapsed entries stay", "component", "registry", "node", n.me.Name, "err", err)
 			}
 		}
 		if len(idle) > 0 {
-			if _, err := n.dutyCommand(list.Command{Op: list.Lapse, Terms: idle}); err != nil {
+			if _, err := n.applyLeadership(list.Command{Op: list.ForgetLeaderships, ExpiredTerms: idle}); err != nil {
 				n.log.Warn("lapsed duties stay", "component", "registry", "node", n.me.Name, "err", err)
 			}
 		}
 	}
 }
 
-var errStarting = api.Fail(api.CodeNoLeader, "this replica does not take part yet")
+var errStarting = api.Errorf(api.CodeNoLeader, "this replica does not take part yet")
 
 // apply has a command carried out, by this replica as the leader.
 func (n *Node) apply(c list.Command) (list.Result, error) {
@@ -513,13 +513,13 @@
 	if err != nil {
 		return list.Result{}, fmt.Errorf("command: %w", err)
 	}
-	f := r.Apply(text, writePatienceRaft)
+	f := r.Apply(text, raftWriteTimeout)
 	switch err := f.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return list.Result{}, api.Fail(api.CodeNoLeader, "%v", err) // not in the log
+		return list.Result{}, api.Errorf(api.CodeNoLeader, "%v", err) // not in the log
 	default:
-		return list.Result{}, api.Fail(api.CodeUnknown, "%v", err)
+		return list.Result{}, api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
 	result := f.Response().(list.Result)
 	if result.Err != nil {
@@ -534,11 +534,11 @@
 	if r == nil {
 		return errStarting
 	}
-	if n.c.Breaks == breakStale {
+	if n.c.Breaks == faultStaleRead {
 		return nil
 	}
-	if err := r.Barrier(writePatienceRaft).Error(); err != nil {
-		return api.Fail(api.CodeNoLeader, "%v", err)
+	if err := r.Barrier(raftWriteTimeout).Error(); err != nil {
+		return api.Errorf(api.CodeNoLeader, "%v", err)
 	}
 	return nil
 }
--- a/internal/registry/plays_test.go
+++ b/internal/registry/plays_test.go
@@ -134,7 +134,7 @@
 			f.t.Fatal(err)
 		}
 	}
-	rest := func(least, most int) { time.Sleep(time.Duration(least+rng.IntN(most-least)) * time.Millisecond) }
+	rest := func(least, limit int) { time.Sleep(time.Duration(least+rng.IntN(limit-least)) * time.Millisecond) }
 	for range 2 {
 		rest(100, 400)
 		switch rng.IntN(6) {
@@ -245,13 +245,13 @@
 			if breaks == "" {
 				f.south.until("south says that north went back", func(all map[string]api.Status) bool {
 					for _, s := range all {
-						if len(s.Following) == 1 && strings.Contains(s.Following[0].Aside, "goes back") && s.Following[0].Seen >= highest {
+						if len(s.Replication) == 1 && strings.Contains(s.Replication[0].RejectedReason, "goes back") && s.Replication[0].SeenRevision >= highest {
 							return true
 						}
 					}
 					return false
 				})
-				if d, err := f.south.all.Document(ctx, "h-0", 0, true); err != nil || d.Version != highest {
+				if d, err := f.south.all.Document(ctx, "h-0", 0, true); err != nil || d.Revision != highest {
 					t.Errorf("south has %+v, %v; %d was seen", d, err, highest)
 				}
 				for n := 20; version <= highest; n++ {
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -141,12 +141,12 @@
 	ctx, cancel := context.WithTimeout(q.t.Context(), 20*time.Second)
 	defer cancel()
 	for {
-		said, _ := q.all.Status(ctx)
-		if is(said) {
-			return said
+		reported, _ := q.all.Status(ctx)
+		if is(reported) {
+			return reported
 		}
 		if ctx.Err() != nil {
-			q.t.Fatalf("never: %s; last %+v", what, said)
+			q.t.Fatalf("never: %s; last %+v", what, reported)
 		}
 		time.Sleep(20 * time.Millisecond) // between two looks
 	}
@@ -155,10 +155,10 @@
 func (q *quorum) serving(n int) string {
 	q.t.Helper()
 	leader := ""
-	q.until(fmt.Sprintf("%d serve", n), func(said map[string]api.Status) bool {
+	q.until(fmt.Sprintf("%d serve", n), func(reported map[string]api.Status) bool {
 		serving, known := 0, true
-		for _, s := range said {
-			if s.Leader != "" && s.StaleMs >= 0 && s.StaleMs < 1000 && len(s.Members) >= n {
+		for _, s := range reported {
+			if s.Leader != "" && s.StalenessMs >= 0 && s.StalenessMs < 1000 && len(s.Members) >= n {
 				serving++
 				known = known && s.Members[s.Replica.Name] == s.Replica
 				leader = s.Leader
@@ -181,12 +181,12 @@
 // A watcher sees every change through the death of the leader, the loss of a disk, and an old copy of one.
 func TestQuorumOfProcessesLosesItsMembersOneByOne(t *testing.T) {
 	q := newQuorum(t, 3)
-	got := make(chan api.Listing, 64)
+	got := make(chan api.WatchEvent, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		q.all.Watch(ctx, nil, client.Watcher{Take: func(l api.Listing) error { got <- l; return nil }, Says: func(string, error) {}})
+		q.all.Watch(ctx, nil, client.Watcher{Apply: func(l api.WatchEvent) error { got <- l; return nil }, OnError: func(string, error) {}})
 	}()
 	defer func() { stop(); <-ended }()
 	hears := func(name string) {
@@ -238,7 +238,7 @@
 	q.register("while a disk is lost")
 	q.start(follower, nil)
 	q.serving(3)
-	if now := disk(); now.Disk == was.Disk {
+	if now := disk(); now.DiskID == was.DiskID {
 		t.Errorf("an empty disk is taken for the one that was lost: %+v", now)
 	}
 	hears("while a disk is lost")
@@ -266,13 +266,13 @@
 	ctx := t.Context()
 	m := api.Replica{Name: "r9", Raft: address(t), API: address(t)}
 	q.start("r9", map[string]any{"join": true, "listen": m.API, "raft_bind": m.Raft})
-	q.until("four", func(said map[string]api.Status) bool {
-		for _, s := range said {
+	q.until("four", func(reported map[string]api.Status) bool {
+		for _, s := range reported {
 			if len(s.Voters) != 4 || len(s.Members) != 4 {
 				return false
 			}
 		}
-		return len(said) == 3
+		return len(reported) == 3
 	})
 	q.register("one")
 	own := client.New([]string{m.API})
@@ -283,7 +283,7 @@
 	if err := q.all.Remove(ctx, "r9"); err != nil {
 		t.Fatal(err)
 	}
-	if err := q.all.Remove(ctx, "r9"); !api.IsCode(err, api.CodeNone) {
+	if err := q.all.Remove(ctx, "r9"); !api.IsCode(err, api.CodeNotFound) {
 		t.Errorf("removed twice: %v", err)
 	}
 
@@ -297,11 +297,11 @@
 		t.Fatal(err)
 	}
 	after, err := q.all.Records(ctx, true)
-	if err != nil || len(after.Records) != 1 || after.Version <= before.Version+1 {
+	if err != nil || len(after.Records) != 1 || after.Revision <= before.Revision+1 {
 		t.Errorf("after a restore: %+v, %v", after, err)
 	}
 	torn := bytes.Replace(text, []byte(`127.0.0.1:1`), []byte(`127.0.0.1:2`), 1)
-	if err := q.all.Restore(ctx, torn); !api.IsCode(err, api.CodeBad) {
+	if err := q.all.Restore(ctx, torn); !api.IsCode(err, api.CodeBadRequest) {
 		t.Errorf("a damaged backup: %v", err)
 	}
 }
@@ -377,7 +377,7 @@
 		if resp.StatusCode != x.status || err != nil {
 			t.Errorf("%s %.40s %.60q: %s %.100s, want %d", x.method, x.path, x.body, resp.Status, text, x.status)
 		}
-		var f api.Failure
+		var f api.Error
 		if resp.StatusCode >= 400 && x.path != "/nothing" && !strings.HasSuffix(x.path, "/steal") && (json.Unmarshal(text, &f) != nil || f.Text == "" || len(text) > 1000) {
 			t.Errorf("%s %.40s: not one clear answer: %.200s", x.method, x.path, text)
 		}
@@ -388,7 +388,7 @@
 // and whoever held it is told so.
 func TestADutyOutlivesTheLeader(t *testing.T) {
 	q := newQuorum(t, 3)
-	ask := func(what string, do func(ctx context.Context) (api.Grant, error)) (g api.Grant) {
+	change := func(what string, do func(ctx context.Context) (api.LeadershipGrant, error)) (g api.LeadershipGrant) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(t.Context(), 15*time.Second)
 		defer cancel()
@@ -402,9 +402,9 @@
 		}
 		return g
 	}
-	take := func(holder string) api.Grant {
-		return ask(holder+" takes", func(ctx context.Context) (api.Grant, error) {
-			return q.all.Take(ctx, api.Claim{Name: "digest/cebu", Holder: holder, LeaseMs: 1500})
+	take := func(holder string) api.LeadershipGrant {
+		return change(holder+" takes", func(ctx context.Context) (api.LeadershipGrant, error) {
+			return q.all.AcquireLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: holder, LeaseMs: 1500})
 		})
 	}
 	first := take("a")
@@ -413,23 +413,23 @@
 	}
 	leader := q.serving(3)
 	q.kill(leader)
-	if g := take("b"); g.Holder != "a" || g.Epoch != first.Epoch || g.AfterMs <= 0 {
+	if g := take("b"); g.Holder != "a" || g.Epoch != first.Epoch || g.RetryAfterMs <= 0 {
 		t.Errorf("a new leader gives away what is held: %+v", g)
 	}
 	if g := take("a"); g.Epoch != first.Epoch {
 		t.Errorf("the holder asks again and gets %+v", g)
 	}
-	var second api.Grant
+	var second api.LeadershipGrant
 	for second.Holder != "b" {
 		second = take("b")
 	}
 	if second.Epoch <= first.Epoch {
 		t.Errorf("after %+v: %+v", first, second)
 	}
-	late := ask("a renews", func(ctx context.Context) (api.Grant, error) {
-		return q.all.RenewDuty(ctx, api.Claim{Name: "digest/cebu", Holder: "a", LeaseMs: 1500, Epoch: first.Epoch})
+	late := change("a renews", func(ctx context.Context) (api.LeadershipGrant, error) {
+		return q.all.RenewLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: "a", LeaseMs: 1500, Epoch: first.Epoch})
 	})
-	if late.By("a", 0) {
+	if late.HeldBy("a", 0) {
 		t.Errorf("renewed under an old epoch: %+v", late)
 	}
 }
@@ -457,7 +457,7 @@
 		q.start(name, nil)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		for {
-			var l api.Listing
+			var l api.WatchEvent
 			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/api/targets", nil)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -13,12 +13,12 @@
 	"mosslead/internal/registry/list"
 )
 
-// anewAfter is how long another region may be unheard before all of its list is asked for again instead of what changed: for as
+// resyncAfter is how long another region may be unheard before all of its list is asked for again instead of what changed: for as
 // long as that it could have been put back to an old copy, and have gone on from it to a version that tells nothing of that.
-const anewAfter = 10 * time.Second
+const resyncAfter = 10 * time.Second
 
-// errStepped ends what only a leader does.
-var errStepped = errors.New("this replica leads no more")
+// errNotLeader ends what only a leader does.
+var errNotLeader = errors.New("this replica leads no more")
 
 // follower follows one other region while this replica leads. run is its one owner.
 type follower struct {
@@ -26,13 +26,13 @@
 	region string
 	client *client.Client
 
-	mu    sync.Mutex
-	heard time.Duration // when the other last gave a sign of life; 0: not since this replica leads
-	stand federation.Stand
+	mu        sync.Mutex
+	lastHeard time.Duration // when the other last gave a sign of life; 0: not since this replica leads
+	sync      federation.SyncState
 }
 
-// followOthers follows the other regions until stop is called, which waits for their end.
-func (n *Node) followOthers(ctx context.Context) (stop func()) {
+// followRegions follows the other regions until stop is called, which waits for their end.
+func (n *Node) followRegions(ctx context.Context) (stop func()) {
 	if len(n.c.Follow) == 0 {
 		return func() {}
 	}
@@ -51,7 +51,7 @@
 		n.mu.Lock()
 		n.followers = nil
 		n.mu.Unlock()
-		cancel(errStepped)
+		cancel(errNotLeader)
 		running.Wait()
 	}
 }
@@ -59,72 +59,72 @@
 // run follows until ctx ends. Calls go to the region's replicas in turn, at the client's pace.
 func (f *follower) run(ctx context.Context) {
 	defer f.client.Close()
-	f.client.Region(ctx, f.from, client.Watcher{
-		Take: func(l api.Listing) error { return f.take(ctx, l) },
-		Says: func(at string, why error) {
+	f.client.Region(ctx, f.nextRevision, client.Watcher{
+		Apply: func(l api.WatchEvent) error { return f.apply(ctx, l) },
+		OnError: func(at string, why error) {
 			if ctx.Err() == nil {
 				f.n.log.Warn("a region is not followed for now", "component", "registry", "node", f.n.me.Name, "region", f.region, "at", at, "err", why)
 			}
 		},
-	}, f.heardOf)
+	}, f.onHeard)
 }
 
-func (f *follower) heardOf() {
+func (f *follower) onHeard() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard = f.n.now()
+	f.lastHeard = f.n.now()
 }
 
-// from is the version that is asked on from; -1: all is asked for.
-func (f *follower) from() int64 {
+// nextRevision is the version that is asked on from; -1: all is asked for.
+func (f *follower) nextRevision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.stand.From(f.n.held(f.region).Version, f.n.now()-f.heard >= anewAfter)
+	return f.sync.NextRevision(f.n.replicated(f.region).Revision, f.n.now()-f.lastHeard >= resyncAfter)
 }
 
-func (n *Node) held(region string) (h list.Held) {
-	n.machine.read(func(l *list.List) { h = l.Held(region) })
-	return list.Held{Version: h.Version, Seen: h.Seen} // the rest may change by now
+func (n *Node) replicated(region string) (h list.Replicated) {
+	n.machine.read(func(l *list.List) { h = l.Replicated(region) })
+	return list.Replicated{Revision: h.Revision, SeenRevision: h.SeenRevision} // the rest may change by now
 }
 
-// take has the log take in what the other region tells. An error ends the watch, so that the next call begins from what is held
+// apply has the log take in what the other region tells. An error ends the watch, so that the next call begins from what is held
 // by then.
-func (f *follower) take(ctx context.Context, l api.Listing) error {
-	var pieces []list.Piece
-	var odd, refused string
+func (f *follower) apply(ctx context.Context, l api.WatchEvent) error {
+	var chunks []list.Chunk
+	var anomaly, rejected string
 	f.n.machine.read(func(of *list.List) {
-		held := of.Held(f.region)
-		if f.n.c.Breaks == breakBack {
-			held.Seen, held.Documents = 0, nil
+		replicated := of.Replicated(f.region)
+		if f.n.c.Breaks == faultRollback {
+			replicated.SeenRevision, replicated.Documents = 0, nil
 		}
-		pieces, odd, refused = federation.Pieces(f.region, held, l)
+		chunks, anomaly, rejected = federation.Chunks(f.region, replicated, l)
 	})
-	if refused != "" {
-		f.stands(l.Snapshot, "", refused)
-		return fmt.Errorf("set aside: %s", refused)
+	if rejected != "" {
+		f.recordSync(l.Snapshot, "", rejected)
+		return fmt.Errorf("set aside: %s", rejected)
 	}
-	for _, p := range pieces {
+	for _, p := range chunks {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		if _, err := f.n.documentCommand(list.Command{Op: list.Follow, Piece: &p}); err != nil {
-			f.stands(l.Snapshot, "", err.Error())
-			return fmt.Errorf("version %d, piece %d of %d: %w", p.To, p.Part+1, len(pieces), err)
+		if _, err := f.n.documentCommand(list.Command{Op: list.ReplicateRegion, Chunk: &p}); err != nil {
+			f.recordSync(l.Snapshot, "", err.Error())
+			return fmt.Errorf("version %d, piece %d of %d: %w", p.To, p.Part+1, len(chunks), err)
 		}
 	}
-	f.stands(l.Snapshot, odd, "")
+	f.recordSync(l.Snapshot, anomaly, "")
 	return nil
 }
 
-// stands notes what came of a listing.
-func (f *follower) stands(snapshot bool, odd, refused string) {
+// recordSync notes what came of a listing.
+func (f *follower) recordSync(snapshot bool, anomaly, rejected string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stand.Took(snapshot, odd, refused)
+	f.sync.Record(snapshot, anomaly, rejected)
 }
 
-// following is how far this replica has followed others, as the leader; nil elsewhere.
-func (n *Node) following() (all []api.Following) {
+// replication is how far this replica has followed others, as the leader; nil elsewhere.
+func (n *Node) replication() (all []api.ReplicationStatus) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.c.Follow {
@@ -132,18 +132,18 @@
 		if f == nil {
 			continue
 		}
-		x := api.Following{Region: c.Region, AgeMs: -1}
+		x := api.ReplicationStatus{Region: c.Region, AgeMs: -1}
 		n.machine.read(func(l *list.List) {
-			h := l.Held(c.Region)
-			x.Version, x.Seen, x.Entries = h.Version, h.Seen, len(h.Entries)
+			h := l.Replicated(c.Region)
+			x.Revision, x.SeenRevision, x.Endpoints = h.Revision, h.SeenRevision, len(h.Entries)
 		})
 		f.mu.Lock()
-		if f.heard > 0 {
-			x.AgeMs = (n.now() - f.heard).Milliseconds()
+		if f.lastHeard > 0 {
+			x.AgeMs = (n.now() - f.lastHeard).Milliseconds()
 		}
-		x.Aside = f.stand.Refused
-		if x.Aside == "" {
-			x.Aside = f.stand.Odd
+		x.RejectedReason = f.sync.Rejected
+		if x.RejectedReason == "" {
+			x.RejectedReason = f.sync.Anomaly
 		}
 		f.mu.Unlock()
 		all = append(all, x)
--- a/internal/registry/regions_test.go
+++ b/internal/registry/regions_test.go
@@ -75,8 +75,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	for {
-		v, err := c.Put(ctx, service, api.Put{Schema: 1, Settings: json.RawMessage(form(n)), IfVersion: &on})
-		if api.IsCode(err, api.CodeOldPeer) && ctx.Err() == nil { // it has not said yet what it understands
+		v, err := c.Put(ctx, service, api.PutRequest{Schema: 1, Settings: json.RawMessage(form(n)), IfRevision: &on})
+		if api.IsCode(err, api.CodeOlderReplica) && ctx.Err() == nil { // it has not said yet what it understands
 			time.Sleep(10 * time.Millisecond) // between two tries
 			continue
 		}
@@ -88,11 +88,11 @@
 }
 
 // following waits for what a region says of the other one.
-func (r *twoRegions) following(region, what string, is func(api.Following) bool) {
+func (r *twoRegions) following(region, what string, is func(api.ReplicationStatus) bool) {
 	r.t.Helper()
-	(&quorum{t: r.t, all: r.all[region]}).until(what, func(said map[string]api.Status) bool {
-		s := said[r.at[region]]
-		return len(s.Following) == 1 && s.Region == region && is(s.Following[0])
+	(&quorum{t: r.t, all: r.all[region]}).until(what, func(reported map[string]api.Status) bool {
+		s := reported[r.at[region]]
+		return len(s.Replication) == 1 && s.Region == region && is(s.Replication[0])
 	})
 }
 
@@ -126,11 +126,11 @@
 	deleted := watchBare(t, r.at["south"], "from=-1&service=gone&held=")
 	orders.hears(`"region":"north"`, form(1))
 	deleted.hears(`"region":"north"`, form(1))
-	if _, err := r.all["south"].Put(ctx, "orders", api.Put{Schema: 1, Settings: json.RawMessage(form(3)), IfVersion: &first}); !api.IsCode(err, api.CodeConflict) || !strings.Contains(err.Error(), "region north") {
+	if _, err := r.all["south"].Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(form(3)), IfRevision: &first}); !api.IsCode(err, api.CodeConflict) || !strings.Contains(err.Error(), "region north") {
 		t.Errorf("a put to the region that does not own them: %v", err)
 	}
-	r.following("south", "all of north is in", func(f api.Following) bool {
-		return f.Region == "north" && f.Version >= gone && f.Seen == f.Version && f.AgeMs >= 0 && f.Entries == 1 && f.Aside == ""
+	r.following("south", "all of north is in", func(f api.ReplicationStatus) bool {
+		return f.Region == "north" && f.Revision >= gone && f.SeenRevision == f.Revision && f.AgeMs >= 0 && f.Endpoints == 1 && f.RejectedReason == ""
 	})
 
 	// South hears nothing of what it asks north, and nothing fails; north's calls are refused.
@@ -145,11 +145,11 @@
 	r.register("south", "s2")
 	r.register("north", "n2")
 	list.hears(`"name":"s2"`)
-	if _, err := r.all["south"].Drain(ctx, "s1", api.Ask{}); err != nil {
+	if _, err := r.all["south"].Drain(ctx, "s1", api.StateChange{}); err != nil {
 		t.Fatal(err)
 	}
 	list.hears(`"name":"s1"`, `"Terminating"`)
-	if err := r.all["north"].Leave(ctx, "n1", api.Ask{}); err != nil {
+	if err := r.all["north"].Leave(ctx, "n1", api.StateChange{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := r.all["north"].Delete(ctx, "gone", gone); err != nil {
@@ -160,7 +160,7 @@
 	r.put("south", "late", 5, 0) // both, while neither hears of the other
 	r.put("north", "late", 6, 0)
 	list.hears(`"name":"dies"`, `"Gone"`)
-	r.following("south", "north is unheard", func(f api.Following) bool { return f.AgeMs > 2500 })
+	r.following("south", "north is unheard", func(f api.ReplicationStatus) bool { return f.AgeMs > 2500 })
 	whole := watchBare(t, r.at["south"], "from=-1")
 	if line := whole.next(); !strings.Contains(line, `"name":"n1"`) || strings.Contains(line, `"name":"n2"`) {
 		t.Errorf("cut off, south tells %s", line)
@@ -183,8 +183,10 @@
 		t.Errorf("in force in south %v after the heal", took)
 	}
 	whole.hears(`"name":"n1"`, `"Gone"`)
-	r.following("south", "north is followed again", func(f api.Following) bool { return f.Version >= repaired && f.Aside == "" && f.AgeMs < 2500 })
-	r.following("north", "south is followed again", func(f api.Following) bool { return f.Entries == 2 && f.Aside == "" })
+	r.following("south", "north is followed again", func(f api.ReplicationStatus) bool {
+		return f.Revision >= repaired && f.RejectedReason == "" && f.AgeMs < 2500
+	})
+	r.following("north", "south is followed again", func(f api.ReplicationStatus) bool { return f.Endpoints == 2 && f.RejectedReason == "" })
 	if all, err := r.all["north"].Documents(ctx, true); err != nil || len(all.Documents) != 4 { // late twice
 		t.Errorf("north lists %+v, %v", all, err)
 	}
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -37,14 +37,14 @@
 	mux.HandleFunc("GET /v1/entries", n.either(n.entries))
 	mux.HandleFunc("GET /v1/entries/{name}", n.either(n.entry))
 	mux.HandleFunc("PUT /v1/entries/{name}", n.onLeader(maxBody, n.register))
-	for _, op := range []string{list.Drain, list.Leave, list.Hand} {
+	for _, op := range []string{list.Drain, list.Deregister, list.SetAdminState} {
 		mux.HandleFunc("POST /v1/entries/{name}/"+op, n.onLeader(maxBody, n.change(op)))
 	}
 	mux.HandleFunc("POST /v1/renew", n.onLeader(maxBody, n.renew))
-	mux.HandleFunc("GET /v1/duties", n.either(n.dutiesHeld))
-	mux.HandleFunc("POST /v1/duties/{name}/take", n.onLeader(maxClaim, n.takeDuty))
-	mux.HandleFunc("POST /v1/duties/{name}/renew", n.onLeader(maxClaim, n.changeDuty(list.Renew)))
-	mux.HandleFunc("POST /v1/duties/{name}/release", n.onLeader(maxClaim, n.changeDuty(list.Release)))
+	mux.HandleFunc("GET /v1/duties", n.either(n.listLeaderships))
+	mux.HandleFunc("POST /v1/duties/{name}/take", n.onLeader(maxClaim, n.acquireLeadership))
+	mux.HandleFunc("POST /v1/duties/{name}/renew", n.onLeader(maxClaim, n.changeLeadership(list.RenewLeadership)))
+	mux.HandleFunc("POST /v1/duties/{name}/release", n.onLeader(maxClaim, n.changeLeadership(list.ReleaseLeadership)))
 	mux.HandleFunc("GET /v1/settings", n.either(n.documents))
 	mux.HandleFunc("GET /v1/settings/{service}", n.either(n.document))
 	mux.HandleFunc("GET /v1/settings/{service}/versions/{version}", n.either(n.document))
@@ -66,20 +66,20 @@
 type work func(r *http.Request, body []byte) (any, error)
 
 // onLeader has a call answered here if this replica leads, and else by the leader.
-func (n *Node) onLeader(most int64, do work) http.HandlerFunc {
+func (n *Node) onLeader(limit int64, do work) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, most))
+		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, limit))
 		if err != nil {
-			refuse(rw, api.Fail(api.CodeBad, "%v", err))
+			writeError(rw, api.Errorf(api.CodeBadRequest, "%v", err))
 			return
 		}
 		if n.leads() {
-			answer(rw, r, body, do)
+			writeAnswer(rw, r, body, do)
 			return
 		}
 		at, ok := n.leaderAPI()
 		if !ok || r.Header.Get(forwarded) != "" {
-			refuse(rw, api.Fail(api.CodeNoLeader, "%s knows of no leader", n.me.Name))
+			writeError(rw, api.Errorf(api.CodeNoLeader, "%s knows of no leader", n.me.Name))
 			return
 		}
 		n.forward(rw, r, at, body)
@@ -95,39 +95,39 @@
 		return do(r, body)
 	})
 	return func(rw http.ResponseWriter, r *http.Request) {
-		if r.FormValue("consistent") != "" && n.c.Breaks != breakStale {
+		if r.FormValue("consistent") != "" && n.c.Breaks != faultStaleRead {
 			sure(rw, r)
 			return
 		}
 		if err := n.freshEnough(); err != nil {
-			refuse(rw, err)
+			writeError(rw, err)
 			return
 		}
-		answer(rw, r, nil, do)
+		writeAnswer(rw, r, nil, do)
 	}
 }
 
 func (n *Node) forward(rw http.ResponseWriter, r *http.Request, at string, body []byte) {
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, at+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
-		refuse(rw, api.Fail(api.CodeBad, "%v", err))
+		writeError(rw, api.Errorf(api.CodeBadRequest, "%v", err))
 		return
 	}
 	req.Header.Set(forwarded, n.me.Name)
 	resp, err := n.client.Do(req)
 	if err != nil {
-		code := api.CodeUnknown
+		code := api.CodeOutcomeUnknown
 		var dial *net.OpError
 		if errors.As(err, &dial) && dial.Op == "dial" { // never sent
 			code = api.CodeNoLeader
 		}
-		refuse(rw, api.Fail(code, "%v", err))
+		writeError(rw, api.Errorf(code, "%v", err))
 		return
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxRestore))
 	if err != nil {
-		refuse(rw, api.Fail(api.CodeUnknown, "%v", err))
+		writeError(rw, api.Errorf(api.CodeOutcomeUnknown, "%v", err))
 		return
 	}
 	rw.Header().Set("Content-Type", "application/json")
@@ -135,30 +135,30 @@
 	_, _ = rw.Write(text)
 }
 
-func answer(rw http.ResponseWriter, r *http.Request, body []byte, do work) {
+func writeAnswer(rw http.ResponseWriter, r *http.Request, body []byte, do work) {
 	x, err := do(r, body)
 	if err != nil {
-		refuse(rw, err)
+		writeError(rw, err)
 		return
 	}
 	text, err := json.Marshal(x)
 	if err != nil {
-		refuse(rw, err)
+		writeError(rw, err)
 		return
 	}
 	rw.Header().Set("Content-Type", "application/json")
 	_, _ = rw.Write(append(text, '\n'))
 }
 
-var statusOf = map[string]int{api.CodeBad: http.StatusBadRequest, api.CodeOlder: http.StatusConflict, api.CodeConflict: http.StatusConflict,
-	api.CodeNone: http.StatusNotFound, api.CodeFull: http.StatusServiceUnavailable, api.CodeNoLeader: http.StatusServiceUnavailable,
-	api.CodeStale: http.StatusServiceUnavailable, api.CodeUnknown: http.StatusGatewayTimeout,
-	api.CodeOldPeer: http.StatusServiceUnavailable}
+var statusOf = map[string]int{api.CodeBadRequest: http.StatusBadRequest, api.CodeOlderIncarnation: http.StatusConflict, api.CodeConflict: http.StatusConflict,
+	api.CodeNotFound: http.StatusNotFound, api.CodeFull: http.StatusServiceUnavailable, api.CodeNoLeader: http.StatusServiceUnavailable,
+	api.CodeStale: http.StatusServiceUnavailable, api.CodeOutcomeUnknown: http.StatusGatewayTimeout,
+	api.CodeOlderReplica: http.StatusServiceUnavailable}
 
-func refuse(rw http.ResponseWriter, err error) {
-	var f *api.Failure
+func writeError(rw http.ResponseWriter, err error) {
+	var f *api.Error
 	if !errors.As(err, &f) {
-		f = api.Fail(api.CodeUnknown, "%v", err)
+		f = api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
 	text, _ := json.Marshal(f) // two strings
 	rw.Header().Set("Content-Type", "application/json")
@@ -172,10 +172,10 @@
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return api.Fail(api.CodeBad, "%v", err)
+		return api.Errorf(api.CodeBadRequest, "%v", err)
 	}
 	if d.More() {
-		return api.Fail(api.CodeBad, "more than one value")
+		return api.Errorf(api.CodeBadRequest, "more than one value")
 	}
 	return nil
 }
@@ -186,19 +186,19 @@
 		return
 	}
 	if err := n.freshEnough(); err != nil {
-		refuse(rw, err)
+		writeError(rw, err)
 		return
 	}
-	answer(rw, r, nil, func(*http.Request, []byte) (any, error) {
-		var l api.Listing
-		n.machine.read(func(of *list.List) { l = of.Whole() })
+	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) {
+		var l api.WatchEvent
+		n.machine.read(func(of *list.List) { l = of.Full() })
 		return l, nil
 	})
 }
 
 func (n *Node) entries(*http.Request, []byte) (any, error) {
 	var all api.Records
-	n.machine.read(func(l *list.List) { all = api.Records{Version: l.Version(), Records: l.Records()} })
+	n.machine.read(func(l *list.List) { all = api.Records{Revision: l.Revision(), Records: l.Records()} })
 	return all, nil
 }
 
@@ -210,7 +210,7 @@
 
 func (n *Node) done(c list.Command) (any, error) {
 	result, err := n.apply(c)
-	return api.Done{Version: result.Version}, err
+	return api.WriteResult{Revision: result.Revision}, err
 }
 
 func (n *Node) register(r *http.Request, body []byte) (any, error) {
@@ -221,46 +221,46 @@
 	if err := g.Check(r.PathValue("name")); err != nil {
 		return nil, err
 	}
-	return n.done(list.Command{Op: list.Register, Name: r.PathValue("name"), Registration: &g, IfVersion: g.IfVersion})
+	return n.done(list.Command{Op: list.Register, Name: r.PathValue("name"), Registration: &g, IfRevision: g.IfRevision})
 }
 
 func (n *Node) change(op string) work {
 	return func(r *http.Request, body []byte) (any, error) {
-		var ask api.Ask
+		var change api.StateChange
 		if len(body) > 0 {
-			if err := read(body, &ask); err != nil {
+			if err := read(body, &change); err != nil {
 				return nil, err
 			}
 		}
 		name := r.PathValue("name")
 		switch {
 		case len(name) > api.MaxName:
-			return nil, api.Fail(api.CodeBad, "name: at most %d bytes", api.MaxName)
-		case op == list.Hand && ask.Hand != api.HandNone && ask.Hand != api.HandDrain && ask.Hand != api.HandBan:
-			return nil, api.Fail(api.CodeBad, "hand: drain, ban or nothing, not %.40q", ask.Hand)
+			return nil, api.Errorf(api.CodeBadRequest, "name: at most %d bytes", api.MaxName)
+		case op == list.SetAdminState && change.AdminState != api.AdminNone && change.AdminState != api.AdminDrain && change.AdminState != api.AdminBan:
+			return nil, api.Errorf(api.CodeBadRequest, "hand: drain, ban or nothing, not %.40q", change.AdminState)
 		}
-		return n.done(list.Command{Op: op, Name: name, Incarnation: ask.Incarnation, Hand: ask.Hand, IfVersion: ask.IfVersion})
+		return n.done(list.Command{Op: op, Name: name, Incarnation: change.Incarnation, AdminState: change.AdminState, IfRevision: change.IfRevision})
 	}
 }
 
 func (n *Node) renew(_ *http.Request, body []byte) (any, error) {
-	var ask api.Renewals
-	if err := read(body, &ask); err != nil {
+	var change api.Heartbeats
+	if err := read(body, &change); err != nil {
 		return nil, err
 	}
-	lost := []string{}
+	expired := []string{}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Fail(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
 	}
 	now := n.now()
-	for _, x := range ask.Leases {
+	for _, x := range change.Heartbeats {
 		if !n.leases.renew(now, x) {
-			lost = append(lost, x.Name)
+			expired = append(expired, x.Name)
 		}
 	}
-	return api.Renewed{Lost: lost}, nil
+	return api.HeartbeatResult{Expired: expired}, nil
 }
 
 // overrule ends those who are silent although the service is in doubt of itself.
@@ -268,15 +268,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	silent := n.leases.silent(n.now())
-	if !n.leases.holding {
-		return nil, api.Fail(api.CodeConflict, "there is nothing to overrule")
+	if !n.leases.preserving {
+		return nil, api.Errorf(api.CodeConflict, "there is nothing to overrule")
 	}
 	n.leases.overruled = true
-	return api.Renewed{Lost: silent}, nil
+	return api.HeartbeatResult{Expired: silent}, nil
 }
 
 func (n *Node) identityOf(rw http.ResponseWriter, r *http.Request) {
-	answer(rw, r, nil, func(*http.Request, []byte) (any, error) {
+	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) {
 		id := api.Identity{Replica: n.me, Formed: n.raft.Load() != nil, Members: n.members()}
 		for _, name := range n.voterNames() {
 			if _, ok := id.Members[name]; !ok {
@@ -288,23 +288,23 @@
 }
 
 func (n *Node) status(rw http.ResponseWriter, r *http.Request) {
-	answer(rw, r, nil, func(*http.Request, []byte) (any, error) { return n.Status(), nil })
+	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) { return n.Status(), nil })
 }
 
 // Status is what this replica knows of itself and of the service.
 func (n *Node) Status() api.Status {
-	s := api.Status{Replica: n.me, State: "starting", Members: n.members(), Voters: n.voterNames(), Watchers: n.watches.watching(), StaleMs: -1,
+	s := api.Status{Replica: n.me, State: "starting", Members: n.members(), Voters: n.voterNames(), Watchers: n.watches.watching(), StalenessMs: -1,
 		Region: n.c.Region}
 	if at := time.Duration(n.freshAt.Load()); at > 0 {
-		s.StaleMs = (n.now() - at).Milliseconds()
+		s.StalenessMs = (n.now() - at).Milliseconds()
 	}
-	n.machine.read(func(l *list.List) { s.Version, s.Entries = l.Version(), l.Len() })
+	n.machine.read(func(l *list.List) { s.Revision, s.Endpoints = l.Revision(), l.Len() })
 	n.mu.Lock()
 	if n.leading {
-		s.Preserving, s.Silent = n.leases.holding, n.leases.silent(n.now())
+		s.Preserving, s.ExpiredLeases = n.leases.preserving, n.leases.silent(n.now())
 	}
 	n.mu.Unlock()
-	s.Following = n.following()
+	s.Replication = n.replication()
 	if r := n.raft.Load(); r != nil {
 		_, leader := r.LeaderWithID()
 		s.Leader, s.Term = string(leader), r.CurrentTerm()
@@ -325,7 +325,7 @@
 // readyz says whether lists are served here.
 func (n *Node) readyz(rw http.ResponseWriter, _ *http.Request) {
 	if err := n.freshEnough(); err != nil {
-		refuse(rw, err)
+		writeError(rw, err)
 	}
 }
 
@@ -334,8 +334,8 @@
 	if err := read(body, &m); err != nil {
 		return nil, err
 	}
-	if known, there := n.members()[m.Name]; there && known.Disk != m.Disk {
-		return nil, api.Fail(api.CodeConflict, "%s is known with another disk", m.Name)
+	if known, there := n.members()[m.Name]; there && known.DiskID != m.DiskID {
+		return nil, api.Errorf(api.CodeConflict, "%s is known with another disk", m.Name)
 	}
 	return struct{}{}, n.joined(m)
 }
@@ -346,13 +346,13 @@
 		return nil, err
 	}
 	if m.Name == "" || len(m.Name) > api.MaxName || !api.IsAddress(m.Raft) || !api.IsAddress(m.API) {
-		return nil, api.Fail(api.CodeBad, "a replica has a name, and host:port for raft and api")
+		return nil, api.Errorf(api.CodeBadRequest, "a replica has a name, and host:port for raft and api")
 	}
-	return struct{}{}, n.takeIn(m)
+	return struct{}{}, n.admitReplica(m)
 }
 
 func (n *Node) removeReplica(r *http.Request, _ []byte) (any, error) {
-	return struct{}{}, n.takeOut(r.PathValue("name"))
+	return struct{}{}, n.evictReplica(r.PathValue("name"))
 }
 
 // Backup is a list as a file holds it.
@@ -381,22 +381,22 @@
 		return nil, fmt.Errorf("backup: %w", err)
 	}
 	for i, r := range s.Records {
-		if r.Name == "" || i > 0 && r.Name <= s.Records[i-1].Name || r.Version > s.Version {
+		if r.Name == "" || i > 0 && r.Name <= s.Records[i-1].Name || r.Revision > s.Revision {
 			return nil, fmt.Errorf("backup: record %d is none", i)
 		}
 	}
-	for i, d := range s.Duties {
-		if d.Name == "" || d.Holder == "" || d.Epoch > s.Epoch || s.Epoch > 1<<62 {
+	for i, d := range s.Leaderships {
+		if d.Name == "" || d.Holder == "" || d.Epoch > s.HighestEpoch || s.HighestEpoch > 1<<62 {
 			return nil, fmt.Errorf("backup: duty %d is none", i)
 		}
 	}
 	for i, d := range s.Documents {
-		if d.Service == "" || i > 0 && d.Service <= s.Documents[i-1].Service || d.Version < 1 || d.Version > s.Version {
+		if d.Service == "" || i > 0 && d.Service <= s.Documents[i-1].Service || d.Revision < 1 || d.Revision > s.Revision {
 			return nil, fmt.Errorf("backup: document %d is none", i)
 		}
 	}
-	for i, o := range s.Others {
-		if o.Name == "" || i > 0 && o.Name <= s.Others[i-1].Name || o.Version > o.Seen {
+	for i, o := range s.Regions {
+		if o.Name == "" || i > 0 && o.Name <= s.Regions[i-1].Name || o.Revision > o.SeenRevision {
 			return nil, fmt.Errorf("backup: region %d is none", i)
 		}
 	}
@@ -426,9 +426,9 @@
 func (n *Node) restore(_ *http.Request, body []byte) (any, error) {
 	s, err := CheckBackup(body)
 	if err != nil {
-		return nil, api.Fail(api.CodeBad, "%v", err)
+		return nil, api.Errorf(api.CodeBadRequest, "%v", err)
 	}
-	if err := n.speaks(s.Schema()); err != nil {
+	if err := n.requireSchema(s.Schema()); err != nil {
 		return nil, err
 	}
 	c := list.Command{Op: list.Restore, State: s}
--- a/internal/registry/settings_test.go
+++ b/internal/registry/settings_test.go
@@ -78,7 +78,7 @@
 	zero := int64(0)
 	put := func(service, text string, on int64) int64 {
 		t.Helper()
-		return must(c.Put(ctx, service, api.Put{Schema: 1, Settings: json.RawMessage(text), IfVersion: &on}))
+		return must(c.Put(ctx, service, api.PutRequest{Schema: 1, Settings: json.RawMessage(text), IfRevision: &on}))
 	}
 	if v := must(c.Register(ctx, "u", api.Registration{Address: "127.0.0.1:1", Weight: 1})); v != 1 {
 		t.Fatalf("version %d", v)
@@ -106,7 +106,7 @@
 	if got := old.next(); !strings.Contains(got, `"documents":[{"service":"orders","version":3`) {
 		t.Errorf("one that holds another region's gets %s", got)
 	}
-	must(c.Drain(ctx, "u", api.Ask{}))
+	must(c.Drain(ctx, "u", api.StateChange{}))
 	drained := `{"index":4,"snapshot":false,"endpoints":[` + strings.Replace(entry, "Ready", "Terminating", 1) + `]}`
 	for _, b := range []*bare{plain, holds, old} {
 		if got := b.next(); got != drained {
@@ -126,47 +126,47 @@
 		on   *int64
 		code string
 	}{
-		{form(0), nil, api.CodeBad},
-		{`{"classes":[]}`, &zero, api.CodeBad},
-		{`[]`, &zero, api.CodeBad},
+		{form(0), nil, api.CodeBadRequest},
+		{`{"classes":[]}`, &zero, api.CodeBadRequest},
+		{`[]`, &zero, api.CodeBadRequest},
 		{form(0), &[]int64{4}[0], api.CodeConflict},
 	} {
-		if _, err := c.Put(ctx, "orders", api.Put{Schema: 1, Settings: json.RawMessage(x.text), IfVersion: x.on}); !api.IsCode(err, x.code) {
+		if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(x.text), IfRevision: x.on}); !api.IsCode(err, x.code) {
 			t.Errorf("%s: %v, want %s", x.text, err, x.code)
 		}
 	}
-	if _, err := c.Put(ctx, "orders", api.Put{Schema: 99, Settings: json.RawMessage(form(0)), IfVersion: &zero}); !api.IsCode(err, api.CodeBad) {
+	if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 99, Settings: json.RawMessage(form(0)), IfRevision: &zero}); !api.IsCode(err, api.CodeBadRequest) {
 		t.Errorf("of a later schema: %v", err)
 	}
 	if v := put("orders", form(0), 0); v != 6 {
 		t.Errorf("put again after it was deleted: version %d", v)
 	}
-	if d, err := c.Document(ctx, "orders", 3, true); err != nil || d.Version != 3 || string(d.Settings) != form(0) {
+	if d, err := c.Document(ctx, "orders", 3, true); err != nil || d.Revision != 3 || string(d.Settings) != form(0) {
 		t.Errorf("version 3: %+v, %v", d, err)
 	}
-	if _, err := c.Document(ctx, "orders", 4, true); !api.IsCode(err, api.CodeNone) {
+	if _, err := c.Document(ctx, "orders", 4, true); !api.IsCode(err, api.CodeNotFound) {
 		t.Errorf("version 4: %v", err)
 	}
-	if all, err := c.Documents(ctx, false); err != nil || len(all.Documents) != 2 || all.Documents[0].Version != 6 || all.Documents[0].Settings != nil {
+	if all, err := c.Documents(ctx, false); err != nil || len(all.Documents) != 2 || all.Documents[0].Revision != 6 || all.Documents[0].Settings != nil {
 		t.Errorf("all: %+v, %v", all, err)
 	}
-	if _, err := c.Delete(ctx, "nobody's", 3); !api.IsCode(err, api.CodeNone) {
+	if _, err := c.Delete(ctx, "nobody's", 3); !api.IsCode(err, api.CodeNotFound) {
 		t.Errorf("deleting what is not there: %v", err)
 	}
 
-	said := []api.Ack{{Node: "a", Service: "orders", Version: 6}, {Node: "b", Service: "orders", Version: 3},
-		{Node: "c", Service: "orders", Version: 3, Rejected: 6, Why: "no room"}, {Node: "a", Service: "elsewhere", Version: 6}}
-	if err := c.Acknowledge(ctx, said); err != nil {
+	reported := []api.Ack{{Node: "a", Service: "orders", Revision: 6}, {Node: "b", Service: "orders", Revision: 3},
+		{Node: "c", Service: "orders", Revision: 3, RejectedRevision: 6, Reason: "no room"}, {Node: "a", Service: "elsewhere", Revision: 6}}
+	if err := c.Acknowledge(ctx, reported); err != nil {
 		t.Fatal(err)
 	}
 	all, err := c.Rollouts(ctx)
 	if err != nil || len(all.Rollouts) != 2 {
 		t.Fatalf("%+v, %v", all, err)
 	}
-	if r := all.Rollouts[0]; r.InForce != 1 || r.Behind != 1 || r.Rejected != 1 || r.Unheard != 0 || len(r.Others) != 2 || r.Others[0].Node != "c" || r.Settings != nil {
+	if r := all.Rollouts[0]; r.InForce != 1 || r.Behind != 1 || r.Rejected != 1 || r.Silent != 0 || len(r.NotInForce) != 2 || r.NotInForce[0].Node != "c" || r.Settings != nil {
 		t.Errorf("%+v", r)
 	}
-	if err := c.Acknowledge(ctx, []api.Ack{{Node: "a"}}); !api.IsCode(err, api.CodeBad) {
+	if err := c.Acknowledge(ctx, []api.Ack{{Node: "a"}}); !api.IsCode(err, api.CodeBadRequest) {
 		t.Errorf("a word on nothing: %v", err)
 	}
 
@@ -184,7 +184,7 @@
 		t.Fatalf("%+v, %v", restored, err)
 	}
 	for _, d := range restored.Documents {
-		if d.Version <= late || d.Deleted != (d.Service == "late") {
+		if d.Revision <= late || d.Deleted != (d.Service == "late") {
 			t.Errorf("restored: %+v", d)
 		}
 	}
@@ -229,8 +229,8 @@
 	defer c.Close()
 	ctx := t.Context()
 	zero := int64(0)
-	was := (&quorum{t: t, all: c}).until("it said what it understands", func(said map[string]api.Status) bool {
-		return said[at].Members["dev"].Schema == 3
+	was := (&quorum{t: t, all: c}).until("it said what it understands", func(reported map[string]api.Status) bool {
+		return reported[at].Members["dev"].Schema == 3
 	})[at].Replica
 	announce := func(schema int) {
 		t.Helper()
@@ -247,14 +247,14 @@
 		resp.Body.Close()
 	}
 	put := func() error {
-		_, err := c.Put(ctx, "orders", api.Put{Schema: 1, Settings: json.RawMessage(form(0)), IfVersion: &zero})
+		_, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(form(0)), IfRevision: &zero})
 		return err
 	}
 	announce(2)
-	if err := put(); !api.IsCode(err, api.CodeOldPeer) || !strings.Contains(err.Error(), "settings") {
+	if err := put(); !api.IsCode(err, api.CodeOlderReplica) || !strings.Contains(err.Error(), "settings") {
 		t.Errorf("beside schema 2: %v", err)
 	}
-	if g, err := c.Take(ctx, api.Claim{Name: "d", Holder: "h", LeaseMs: 1000}); err != nil || g.Holder != "h" {
+	if g, err := c.AcquireLeadership(ctx, api.LeadershipClaim{Name: "d", Holder: "h", LeaseMs: 1000}); err != nil || g.Holder != "h" {
 		t.Errorf("a duty beside schema 2: %+v, %v", g, err)
 	}
 	if all, err := c.Documents(ctx, true); err != nil || len(all.Documents) != 0 {
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -17,143 +17,143 @@
 )
 
 const (
-	emptyLineEvery = 2 * time.Second
-	// writePatience is how long a watcher may take no line before its watch ends. It comes back with its version, and is
+	keepaliveInterval = 2 * time.Second
+	// writeTimeout is how long a watcher may take no line before its watch ends. It comes back with its version, and is
 	// told what changed since, or the whole list: so nothing is queued for it, and nothing skipped.
-	writePatience = 5 * time.Second
+	writeTimeout = 5 * time.Second
 	// pacePerWatcher is about what it costs to tell one watcher; changes within the time that telling all of them takes
 	// are told together.
 	pacePerWatcher = 8 * time.Microsecond
-	paceMost       = 100 * time.Millisecond
-	linesKept      = 64
-	// aheadPatience is how long a watcher who knows of a version that this replica lacks waits for it. A replica that hears its leader
+	maxPace        = 100 * time.Millisecond
+	maxCachedLines = 64
+	// catchUpTimeout is how long a watcher who knows of a version that this replica lacks waits for it. A replica that hears its leader
 	// lacks it for milliseconds; whoever has another service's version, or was told what is lost, gets the whole list after it. It is
 	// under client.callMost, within which a watch has to stand.
-	aheadPatience = time.Second
+	catchUpTimeout = time.Second
 )
 
 // watches tell all watchers of changes: one goroutine wakes them, and each writes for itself.
 type watches struct {
-	m      *machine
-	most   int
+	m      *stateMachine
+	max    int
 	region string       // as it is told to those who ask for own entries
 	fresh  func() error // nil: the list is as fresh as it must be
 
-	mu      sync.Mutex
-	count   int
-	told    int64
-	changed chan struct{}   // closed when there is news
-	lines   map[line]worded // up to told
-	begins  *time.Timer     // of the next telling, where one is due
-	last    time.Time
+	mu           sync.Mutex
+	count        int
+	published    int64
+	changed      chan struct{}           // closed when there is news
+	lines        map[lineKey]encodedLine // up to told
+	publishTimer *time.Timer             // of the next telling, where one is due
+	last         time.Time
 }
 
-// line names one that several watchers may be told.
-type line struct {
+// lineKey names one that several watchers may be told.
+type lineKey struct {
 	from    int64  // the version that it leads on from
 	own     bool   // with what this region writes alone
 	service string // with the settings of this service; empty: without any
 }
 
-// worded is a line in words, and which settings are in it.
-type worded struct {
-	text []byte
-	held string
+// encodedLine is a line in words, and which settings are in it.
+type encodedLine struct {
+	text     []byte
+	settings string
 }
 
-// wish is what a watcher asks for, and has.
-type wish struct {
-	from    int64
-	own     bool
-	service string // whose settings it is to hear of; empty: of none
-	held    string // which settings it has, as REGION@VERSION; empty: none
+// watchState is what a watcher asks for, and has.
+type watchState struct {
+	from     int64
+	own      bool
+	service  string // whose settings it is to hear of; empty: of none
+	settings string // which settings it has, as REGION@VERSION; empty: none
 }
 
-func newWatches(m *machine, most int, region string, fresh func() error) *watches {
-	return &watches{m: m, most: most, region: region, fresh: fresh, changed: make(chan struct{}), lines: map[line]worded{}}
+func newWatches(m *stateMachine, limit int, region string, fresh func() error) *watches {
+	return &watches{m: m, max: limit, region: region, fresh: fresh, changed: make(chan struct{}), lines: map[lineKey]encodedLine{}}
 }
 
-// news says that the list has changed. Watchers hear of it after a while that grows with their number.
-func (w *watches) news() {
+// notify says that the list has changed. Watchers hear of it after a while that grows with their number.
+func (w *watches) notify() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.begins != nil {
+	if w.publishTimer != nil {
 		return
 	}
-	pace := min(time.Duration(w.count)*pacePerWatcher, paceMost)
-	w.begins = time.AfterFunc(max(0, pace-time.Since(w.last)), w.tell)
+	pace := min(time.Duration(w.count)*pacePerWatcher, maxPace)
+	w.publishTimer = time.AfterFunc(max(0, pace-time.Since(w.last)), w.publish)
 }
 
-func (w *watches) tell() {
+func (w *watches) publish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.begins, w.last = nil, time.Now()
-	w.m.read(func(l *list.List) { w.told = l.Version() })
+	w.publishTimer, w.last = nil, time.Now()
+	w.m.read(func(l *list.List) { w.published = l.Revision() })
 	clear(w.lines)
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// anew stands for every version after which the whole list is to be told, so that all who need it share one line.
-const anew = -1
+// fullList stands for every version after which the whole list is to be told, so that all who need it share one line.
+const fullList = -1
 
 // line is what is to be said to a watcher, what it has then, and a channel that is closed on the next news. Nil: nothing. first: it
 // was told nothing yet.
-func (w *watches) line(has wish, first bool) (text []byte, then wish, next <-chan struct{}, err error) {
+func (w *watches) line(has watchState, first bool) (text []byte, then watchState, next <-chan struct{}, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	next = w.changed
-	if has.from == w.told && !(first && has.service != "") {
+	if has.from == w.published && !(first && has.service != "") {
 		return nil, has, next, nil
 	}
-	var l api.Listing
-	of := line{from: has.from, own: has.own}
+	var l api.WatchEvent
+	of := lineKey{from: has.from, own: has.own}
 	then = has
 	w.m.read(func(x *list.List) {
-		if !x.Knows(of.from) {
-			of.from = anew
+		if !x.Remembers(of.from) {
+			of.from = fullList
 		}
 		var settings api.Document
-		held := has.held
+		replicated := has.settings
 		if has.service != "" {
 			if d, found := x.Document(has.service); found {
-				if held = fmt.Sprintf("%s@%d", d.Region, d.Version); held != has.held {
+				if replicated = fmt.Sprintf("%s@%d", d.Region, d.Revision); replicated != has.settings {
 					of.service, settings = has.service, d
 				}
 			}
 		}
 		if known := w.lines[of]; known.text != nil { // the list may be ahead of it by now
 			if text = known.text; of.service != "" {
-				then.held = known.held
+				then.settings = known.settings
 			}
 			return
 		}
-		then.held = held
+		then.settings = replicated
 		if of.own {
-			l = x.OwnSince(of.from)
+			l = x.OwnChangesSince(of.from)
 			l.Region = w.region
 		} else {
-			l = x.Since(of.from)
+			l = x.ChangesSince(of.from)
 		}
 		if of.service != "" {
 			l.Documents = []api.Document{settings}
 		}
 	})
 	if text != nil {
-		then.from = w.told
+		then.from = w.published
 		return text, then, next, nil
 	}
-	then.from = l.Index
+	then.from = l.Revision
 	if !l.Snapshot && len(l.Endpoints) == 0 && len(l.Documents) == 0 { // nothing, or only what did not outlast the moment
-		then.from = max(has.from, l.Index)
+		then.from = max(has.from, l.Revision)
 		return nil, then, next, nil
 	}
 	if text, err = json.Marshal(l); err != nil {
 		return nil, has, next, fmt.Errorf("wording a change: %w", err)
 	}
 	text = append(text, '\n')
-	if l.Index == w.told && len(w.lines) < linesKept {
-		w.lines[of] = worded{text, then.held}
+	if l.Revision == w.published && len(w.lines) < maxCachedLines {
+		w.lines[of] = encodedLine{text, then.settings}
 	}
 	return text, then, next, nil
 }
@@ -166,30 +166,30 @@
 		from, err = -1, nil // the whole list
 	}
 	if err != nil {
-		refuse(rw, api.Fail(api.CodeBad, "from: a whole number, not %.40q", r.FormValue("from")))
+		writeError(rw, api.Errorf(api.CodeBadRequest, "from: a whole number, not %.40q", r.FormValue("from")))
 		return
 	}
-	has := wish{from: from, own: r.FormValue("own") != "", service: r.FormValue("service"), held: r.FormValue("held")}
+	has := watchState{from: from, own: r.FormValue("own") != "", service: r.FormValue("service"), settings: r.FormValue("held")}
 	if len(has.service) > api.MaxName || has.own && has.service != "" {
-		refuse(rw, api.Fail(api.CodeBad, "service: at most %d bytes, and not with own", api.MaxName))
+		writeError(rw, api.Errorf(api.CodeBadRequest, "service: at most %d bytes, and not with own", api.MaxName))
 		return
 	}
 	if !has.own { // another region judges by itself what an older version means
 		w.catchUp(r.Context(), from)
 	}
 	if err := w.fresh(); err != nil {
-		refuse(rw, err)
+		writeError(rw, err)
 		return
 	}
 	w.mu.Lock()
-	full := w.count >= w.most
+	full := w.count >= w.max
 	if !full {
 		w.count++
 	}
 	w.mu.Unlock()
 	if full {
 		rw.Header().Set("Retry-After", "1")
-		refuse(rw, api.Fail(api.CodeFull, "%d watches", w.most))
+		writeError(rw, api.Errorf(api.CodeFull, "%d watches", w.max))
 		return
 	}
 	defer func() {
@@ -199,7 +199,7 @@
 	}()
 	conn, buffers, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
-		refuse(rw, fmt.Errorf("watch: %w", err))
+		writeError(rw, fmt.Errorf("watch: %w", err))
 		return
 	}
 	defer conn.Close()
@@ -210,16 +210,16 @@
 	w.follow(conn, has, r.Context().Done())
 }
 
-// catchUp waits until a version is told here, or for aheadPatience. Without it, a watcher who comes from a replica that is ahead by a
+// catchUp waits until a version is told here, or for catchUpTimeout. Without it, a watcher who comes from a replica that is ahead by a
 // moment would be told an older list as the whole one, and so go back.
 func (w *watches) catchUp(ctx context.Context, from int64) {
-	late := time.NewTimer(aheadPatience)
+	late := time.NewTimer(catchUpTimeout)
 	defer late.Stop()
 	for {
 		w.mu.Lock()
-		told, next := w.told, w.changed
+		published, next := w.published, w.changed
 		w.mu.Unlock()
-		if from <= told {
+		if from <= published {
 			return
 		}
 		select {
@@ -233,20 +233,20 @@
 }
 
 const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\nTrailer: " +
-	watchEnd + "\r\nConnection: close\r\n\r\n"
+	endTrailer + "\r\nConnection: close\r\n\r\n"
 
-// watchEnd is the trailer that says why a watch was ended.
-const watchEnd = "X-Registry-End"
+// endTrailer is the trailer that says why a watch was ended.
+const endTrailer = "X-Registry-End"
 
 var errWatchOver = errors.New("this replica stops")
 
 // follow tells of changes until the watcher is gone, or this replica's list is too old to be told.
-func (w *watches) follow(conn net.Conn, has wish, over <-chan struct{}) {
-	out := chunks{conn}
+func (w *watches) follow(conn net.Conn, has watchState, over <-chan struct{}) {
+	out := chunkWriter{conn}
 	if !out.write([]byte(watchHead), false) {
 		return
 	}
-	idle := time.NewTimer(emptyLineEvery)
+	idle := time.NewTimer(keepaliveInterval)
 	defer idle.Stop()
 	for first := true; ; first = false {
 		if err := w.fresh(); err != nil {
@@ -264,7 +264,7 @@
 			if !out.write(text, true) {
 				return
 			}
-			idle.Reset(emptyLineEvery)
+			idle.Reset(keepaliveInterval)
 		case first:
 			if !out.write([]byte("\n"), true) { // the watch stands
 				return
@@ -276,7 +276,7 @@
 			if !out.write([]byte("\n"), true) {
 				return
 			}
-			idle.Reset(emptyLineEvery)
+			idle.Reset(keepaliveInterval)
 		case <-over:
 			out.end(errWatchOver)
 			return
@@ -284,11 +284,11 @@
 	}
 }
 
-// chunks writes the chunks of an answer.
-type chunks struct{ conn net.Conn }
+// chunkWriter writes the chunks of an answer.
+type chunkWriter struct{ conn net.Conn }
 
-func (c chunks) write(text []byte, framed bool) bool {
-	_ = c.conn.SetWriteDeadline(time.Now().Add(writePatience))
+func (c chunkWriter) write(text []byte, framed bool) bool {
+	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if !framed {
 		_, err := c.conn.Write(text)
 		return err == nil
@@ -299,10 +299,10 @@
 }
 
 // end says why, in the trailer, and ends the answer.
-func (c chunks) end(why error) {
+func (c chunkWriter) end(why error) {
 	w := bufio.NewWriter(c.conn)
-	_ = c.conn.SetWriteDeadline(time.Now().Add(writePatience))
-	fmt.Fprintf(w, "0\r\n%s: %.200q\r\n\r\n", watchEnd, why.Error())
+	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	fmt.Fprintf(w, "0\r\n%s: %.200q\r\n\r\n", endTrailer, why.Error())
 	_ = w.Flush()
 }
 
