--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -28,19 +28,19 @@
 )
 
 const (
-	ownSockets = 32   // descriptors that are neither a client's nor an upstream's
-	memoryPart = 0.75 // of the limit that the heap may use
+	fixedSockets = 32   // descriptors that are neither a client's nor an upstream's
+	heapFraction = 0.75 // of the limit that the heap may use
 	// A peer that sends no whole request is cut off this long after it connected: it is owed an answer or a close
 	// within 3 s, and a connection without a request may be closed from 2 s on.
-	sendPatience = 2500 * time.Millisecond
-	clientIdle   = 2 * time.Minute
-	mayClose     = 2 * time.Second      // a connection may be closed once no request came on it for so long
-	startLook    = 5 * time.Millisecond // how often a new process looks whether it could take clients
-	// listPatience is how long a process without a list of use says that it is not ready. A call to discovery that hangs has
+	requestTimeout    = 2500 * time.Millisecond
+	clientIdleTimeout = 2 * time.Minute
+	closableAfter     = 2 * time.Second      // a connection may be closed once no request came on it for so long
+	startPollInterval = 5 * time.Millisecond // how often a new process looks whether it could take clients
+	// readyWithoutListAfter is how long a process without a list of use says that it is not ready. A call to discovery that hangs has
 	// another beside it after 1.25 s and one in its place after 2.5 s; whoever could answer has had three. Nine in ten processes
 	// are to be ready within 10 s, also where discovery is down for longer.
-	listPatience = 3 * time.Second
-	fewestConns  = 2 // to clients, and as many to upstreams: one that a request holds, and one for whoever comes beside it
+	readyWithoutListAfter = 3 * time.Second
+	minConns              = 2 // to clients, and as many to upstreams: one that a request holds, and one for whoever comes beside it
 )
 
 // Reload is a configuration that was read anew, or why it can't be used.
@@ -78,25 +78,25 @@
 
 // process is one sidecar process: its parts, and what is shared with the other process of an upgrade.
 type process struct {
-	c     *Config // in use; reload changes it
-	up    *upstreams
-	loop  *loop
-	watch *watcher
-	s     *server
-	conns *clientConns
-	h     *handover
+	config    *Config // in use; reload changes it
+	upstreams *upstreamPool
+	loop      *dispatcher
+	watch     *watcher
+	server    *server
+	conns     *clientConns
+	handover  *handover
 	// service is whose settings are followed; nil: the file's are in force.
-	service *service
-	keep    *keeper                         // nil: nothing outlives the process
-	kept    statestore.Kept                 // what it begins with
-	old     atomic.Pointer[statestore.List] // the list from disk, where one is used
-	most    int                             // connections to clients, and as many to upstreams
-	meets   bool
-	heap    float64     // bytes that it may use alone
-	fresh   atomic.Bool // a list has come since the start
-	// taking says that clients are taken: at once, or once the process before has yielded.
-	taking   atomic.Bool
-	draining atomic.Bool // told to end
+	service      *settingsFollower
+	persister    *statePersister                 // nil: nothing outlives the process
+	loaded       statestore.Loaded               // what it begins with
+	cachedList   atomic.Pointer[statestore.List] // the list from disk, where one is used
+	maxConns     int                             // connections to clients, and as many to upstreams
+	handsOver    bool
+	maxHeapBytes float64     // bytes that it may use alone
+	listReceived atomic.Bool // a list has come since the start
+	// accepting says that clients are taken: at once, or once the process before has yielded.
+	accepting atomic.Bool
+	draining  atomic.Bool // told to end
 }
 
 // serve owns both listeners; ops may be nil. Where tmp is set, the clients' listener is shared with the process before
@@ -112,68 +112,68 @@
 	if err != nil {
 		return err
 	}
-	known, learnt, err := p.begin()
+	known, snapshot, err := p.restore()
 	if err != nil {
 		return err
 	}
-	waits := p.h.peer != nil
+	waits := p.handover.other != nil
 	if waits {
 		p.conns.pause(true)
 	}
-	if learnt != nil {
-		p.loop.postNews(*learnt) // holds more than one
+	if snapshot != nil {
+		p.loop.enqueueUrgent(*snapshot) // holds more than one
 	}
 	if c.Peers != nil {
-		if p.loop.shared, err = share(c, p.up.dir, p.loop.clock, program()); err != nil {
+		if p.loop.sharing, err = newSharing(c, p.upstreams.directory, p.loop.clock, program()); err != nil {
 			return err
 		}
-		defer p.loop.shared.close()
+		defer p.loop.sharing.close()
 	}
 	go p.loop.run(known)
 	go p.watch.run(running, c.Settings.MustSubscribe)
-	p.h.join()
-	defer p.h.close()
+	p.handover.join()
+	defer p.handover.close()
 	over := make(chan struct{})
-	p.keepWith()
-	if p.keep != nil && !waits {
-		go p.recall()
-		go p.lastResort(running)
+	p.connectPersister()
+	if p.persister != nil && !waits {
+		go p.restoreSnapshot()
+		go p.useSuspectList(running)
 	}
-	go p.keep.run(over)
-	defer p.keep.end(over)
+	go p.persister.run(over)
+	defer p.persister.end(over)
 	if p.service != nil {
-		p.service.silent = p.s.stopping.Load // the other process of an upgrade speaks
+		p.service.muted = p.server.stopping.Load // the other process of an upgrade speaks
 		go p.service.acknowledge(running, p.watch.source)
 	}
 	if ops != nil {
-		d := newDoor(ops)
-		d.ready = func() bool { return p.s.ready() && !p.s.stopping.Load() }
-		d.figures = func() string {
+		d := newAdminServer(ops)
+		d.ready = func() bool { return p.server.ready() && !p.server.stopping.Load() }
+		d.stats = func() string {
 			now := p.loop.stats.snapshot()
-			return now.lines() + p.keep.lines(p.onKept()) + p.loop.shared.lines() + p.service.lines(p.up.dir)
+			return now.lines() + p.persister.lines(p.usesCachedList()) + p.loop.sharing.lines() + p.service.lines(p.upstreams.directory)
 		}
-		d.peers = p.loop.shared.view
+		d.peers = p.loop.sharing.describe
 		d.ban = p.ban
 		go d.run()
 		defer d.close()
 	}
-	srv := &http.Server{Handler: p.s, ReadHeaderTimeout: sendPatience, IdleTimeout: clientIdle,
+	srv := &http.Server{Handler: p.server, ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout,
 		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true, ConnState: p.conns.state,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
-	p.loop.shared.forward(p)
+	p.loop.sharing.startForwarding(p)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(p.conns) }()
-	go p.take(running, waits)
+	go p.startAccepting(running, waits)
 	for ctx.Err() == nil {
 		select {
 		case err := <-ended:
 			return fmt.Errorf("serving: %w", err)
 		case r := <-reloads:
 			p.reload(r)
-		case <-p.service.news():
-			p.settle(p.loop.postNews)
+		case <-p.service.pending():
+			p.applyDocument(p.loop.enqueueUrgent)
 		case <-ctx.Done():
 		}
 	}
@@ -182,12 +182,12 @@
 
 // newProcess puts the parts together; nothing runs yet.
 func newProcess(c *Config, listener net.Listener, door bool, tmp string, stop <-chan struct{}) (*process, error) {
-	own := ownSockets
+	own := fixedSockets
 	if door {
-		own += doorConns + 2 // the listener, and the caller that another gives way to
+		own += maxAdminConns + 2 // the listener, and the caller that another gives way to
 	}
 	if c.State != "" {
-		own += keepSockets
+		own += stateSockets
 	}
 	if c.Service != "" {
 		own += ackSockets
@@ -201,196 +201,196 @@
 	if tmp != "" {
 		own *= 2 // the next process begins beside this one
 	}
-	if least := own + 2*fewestConns; c.Limits.Sockets < least {
-		return nil, fmt.Errorf("limits: sockets: %d is under %d, which is what this configuration needs", c.Limits.Sockets, least)
+	if atLeast := own + 2*minConns; c.Limits.Sockets < atLeast {
+		return nil, fmt.Errorf("limits: sockets: %d is under %d, which is what this configuration needs", c.Limits.Sockets, atLeast)
 	}
-	p := &process{c: c, most: (c.Limits.Sockets - own) / 2, meets: tmp != "",
-		heap: c.Limits.MemoryMB * memoryPart * (1 << 20)}
+	p := &process{config: c, maxConns: (c.Limits.Sockets - own) / 2, handsOver: tmp != "",
+		maxHeapBytes: c.Limits.MemoryMB * heapFraction * (1 << 20)}
 	if err := p.assemble(stop); err != nil {
 		return nil, err
 	}
-	up, l := p.up, p.loop
-	l.send, l.sockets = up.attempt, up.sockets
+	up, l := p.upstreams, p.loop
+	l.attempt, l.connectionStats = up.attempt, up.connectionStats
 	classes := l.classes
-	up.dispatched = l.stats.dispatched
+	up.dispatched = l.stats.countDispatched
 	if door {
-		l.look = func(ejected []string) { l.stats.upstreams(up.dir.avoided(ejected)) }
-	}
-	p.s = &server{clock: l.clock, post: l.post, stop: stop, bad: l.bad, stats: l.stats, budget: up.budget,
-		ready: p.ready, sends: func() bool { return !up.dir.empty() }}
-	p.s.classes.Store(&classes)
-	p.conns = newClientConns(listener, p.most)
-	p.h = &handover{dir: tmp, yielded: make(chan struct{}), over: make(chan struct{}), halved: p.memory, state: p.state, ban: p.banned,
-		yield: p.yield, resume: p.resume, bounded: p.bounded,
-		holds: func() uses { return uses{p.conns.count(), up.count()} }}
-	p.memory(false)
+		l.onEjected = func(ejected []string) { l.stats.setEndpoints(up.directory.countUnavailable(ejected)) }
+	}
+	p.server = &server{clock: l.clock, post: l.enqueue, stop: stop, failures: l.failures, stats: l.stats, budget: up.budget,
+		ready: p.ready, hasEndpoints: func() bool { return !up.directory.empty() }}
+	p.server.classes.Store(&classes)
+	p.conns = newClientConns(listener, p.maxConns)
+	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), shareMemory: p.limitMemory, state: p.handoverState, ban: p.banned,
+		yield: p.yield, resume: p.resume, limitBeside: p.limitBeside,
+		use: func() connectionUse { return connectionUse{p.conns.count(), up.count()} }}
+	p.limitMemory(false)
 	return p, nil
 }
 
 // assemble puts together what decides and what it hears, with clients or without; nothing runs yet.
 func (p *process) assemble(stop <-chan struct{}) error {
-	c := p.c
+	c := p.config
 	b, err := balancer.New(c.Settings.Settings, c.Seed)
 	if err != nil {
 		return err
 	}
 	clk := newClock()
-	up := newUpstreams(c, clk, p.most)
-	l := newLoop(b, clk, stop)
-	w := newWatcher(c, up.dir, func(m balancer.EndpointUpdate) {
+	up := newUpstreamPool(c, clk, p.maxConns)
+	l := newDispatcher(b, clk, stop)
+	w := newWatcher(c, up.directory, func(m balancer.EndpointUpdate) {
 		if m.Kind == balancer.Delta || m.Kind == balancer.FullState {
-			p.fresh.Store(true)
+			p.listReceived.Store(true)
 		}
-		l.postList(m)
+		l.enqueueUpdate(m)
 	})
-	l.ask, l.zone = w.ask, up.dir.zone
+	l.subscribe, l.zone = w.subscribe, up.directory.zone
 	l.classes = classTable(c.Settings.Settings)
-	l.stats.name(slices.Collect(maps.Keys(l.classes)))
-	p.up, p.loop, p.watch, p.service = up, l, w, newService(c)
+	l.stats.addClasses(slices.Collect(maps.Keys(l.classes)))
+	p.upstreams, p.loop, p.watch, p.service = up, l, w, newSettingsFollower(c)
 	w.service = p.service
 	return nil
 }
 
-// begin finds what this process begins with: the list, with the bans in already, and what was learnt. The process before
+// restore finds what this process begins with: the list, with the bans in already, and what was learnt. The process before
 // tells it; where there is none, the disk does. An error: the disk is another process's.
-func (p *process) begin() (known balancer.EndpointUpdate, learnt *balancer.Snapshot, err error) {
-	first, source, banned := p.c.Known, p.c.Discovery, []string(nil)
+func (p *process) restore() (known balancer.EndpointUpdate, snapshot *balancer.Snapshot, err error) {
+	first, source, banned := p.config.Known, p.config.Discovery, []string(nil)
 	var settings *statestore.Settings
-	if p.meets {
-		before := p.h.find()
-		p.memory(p.h.peer != nil)
-		if list := before.List; list != nil && list.Index != nil && (first == nil || *list.Index >= *first.Index) {
+	if p.handsOver {
+		before := p.handover.receiveState()
+		p.limitMemory(p.handover.other != nil)
+		if list := before.List; list != nil && list.Revision != nil && (first == nil || *list.Revision >= *first.Revision) {
 			first = list
 		}
-		learnt, banned, settings = before.Learnt, before.Banned, before.Settings
+		snapshot, banned, settings = before.Snapshot, before.Banned, before.Settings
 	}
-	if p.keep, p.kept, err = openState(p.c, p.h.peer == nil); err != nil {
+	if p.persister, p.loaded, err = openState(p.config, p.handover.other == nil); err != nil {
 		return known, nil, err
 	}
-	if p.keep != nil && p.h.peer == nil {
-		first, source = p.fromDisk(first)
-		for id := range p.kept.Bans {
+	if p.persister != nil && p.handover.other == nil {
+		first, source = p.chooseList(first)
+		for id := range p.loaded.Bans {
 			banned = append(banned, id)
 		}
 	}
 	for _, id := range banned {
-		p.up.dir.setBan(id, false)
+		p.upstreams.directory.setBan(id, false)
 		p.loop.handle(balancer.Ban{Upstream: id})
 	}
 	if first != nil {
-		known = p.up.dir.apply(first)
+		known = p.upstreams.directory.apply(first)
 		p.watch.index = 0
-		if source == p.c.Discovery { // versions of another discovery mean nothing here
-			p.watch.index = *first.Index
+		if source == p.config.Discovery { // versions of another discovery mean nothing here
+			p.watch.index = *first.Revision
 		}
 	}
-	p.settleFirst(settings)
+	p.restoreDocument(settings)
 	known.Kind = balancer.Cached
-	return known, learnt, nil
+	return known, snapshot, nil
 }
 
-// take begins to take clients. Where the process before still does, it waits until this one could, and that one yields.
-func (p *process) take(running context.Context, waits bool) {
-	for waits && (p.up.dir.empty() || !p.loop.started.Load()) && running.Err() == nil {
-		time.Sleep(startLook)
+// startAccepting begins to take clients. Where the process before still does, it waits until this one could, and that one yields.
+func (p *process) startAccepting(running context.Context, waits bool) {
+	for waits && (p.upstreams.directory.empty() || !p.loop.ready.Load()) && running.Err() == nil {
+		time.Sleep(startPollInterval)
 	}
 	if waits && !p.draining.Load() {
-		p.h.take()
+		p.handover.awaitYield()
 		p.conns.pause(false)
 	}
-	p.taking.Store(true)
-	if !p.meets || p.draining.Load() { // one that ends hands nothing over
+	p.accepting.Store(true)
+	if !p.handsOver || p.draining.Load() { // one that ends hands nothing over
 		return
 	}
-	if err := p.h.serve(); err != nil {
-		warn(ofHandover, "no other process will find this one", err)
+	if err := p.handover.serve(); err != nil {
+		logWarning(ofHandover, "no other process will find this one", err)
 	}
 }
 
 // ready tells whether clients may come: once they are taken, the module has the list as it was last known, and there is a server
 // to send to. Nothing else is waited for: no answer of discovery, as what was last known serves while it is down; no connection,
 // as the first request opens it; nothing learnt, as it only betters what is done without. Where no server is known, it is ready
-// all the same after listPatience. Requests then wait in the module for a list, and are refused just before their time is over:
+// all the same after readyWithoutListAfter. Requests then wait in the module for a list, and are refused just before their time is over:
 // discovery may come back at any moment, and whoever is not ready serves nobody then.
 func (p *process) ready() bool {
-	return p.taking.Load() && p.loop.started.Load() && (!p.up.dir.empty() || p.loop.clock.now()-clockStart >= listPatience)
+	return p.accepting.Load() && p.loop.ready.Load() && (!p.upstreams.directory.empty() || p.loop.clock.now()-clockStart >= readyWithoutListAfter)
 }
 
 // reload takes a configuration over whole, or not at all.
 func (p *process) reload(r Reload) {
 	file := r.Config
 	if r.Err == nil {
-		r.Err = file.follows(p.c)
+		r.Err = file.replaces(p.config)
 	}
 	if r.Err == nil {
-		r.Config, r.Err = p.service.over(file)
+		r.Config, r.Err = p.service.overlay(file)
 	}
-	p.loop.stats.reload(r.Err == nil)
+	p.loop.stats.countReload(r.Err == nil)
 	if r.Err != nil {
-		warn(ofReload, "the configuration in use stays", r.Err)
+		logWarning(ofReload, "the configuration in use stays", r.Err)
 		return
 	}
-	p.c = r.Config
-	classes := p.tune(p.loop.postNews)
-	note(slog.LevelInfo, ofReload, "taken", slog.Any("classes", slices.Sorted(maps.Keys(classes))), slog.String("discovery", p.c.Discovery))
-	p.watch.move(p.c.Discovery)
+	p.config = r.Config
+	classes := p.applySettings(p.loop.enqueueUrgent)
+	logAttrs(slog.LevelInfo, ofReload, "taken", slog.Any("classes", slices.Sorted(maps.Keys(classes))), slog.String("discovery", p.config.Discovery))
+	p.watch.move(p.config.Discovery)
 	if p.service != nil {
 		p.service.file = file
 	}
 }
 
-// tune puts the settings of the configuration in use into force; post hands the module its part. No connection is closed, and what was
+// applySettings puts the settings of the configuration in use into force; post hands the module its part. No connection is closed, and what was
 // learnt stays.
-func (p *process) tune(post func(any)) map[string]balancer.Class {
-	fresh := retune{p.c.Settings.Settings, make(chan struct{})}
+func (p *process) applySettings(post func(any)) map[string]balancer.Class {
+	fresh := settingsCommand{p.config.Settings.Settings, make(chan struct{})}
 	post(fresh)
 	<-fresh.done // the module first: what the table admits must be known to it
-	classes := classTable(p.c.Settings.Settings)
-	p.loop.stats.name(slices.Collect(maps.Keys(classes)))
-	p.up.retune(p.c.Settings)
-	p.s.classes.Store(&classes)
+	classes := classTable(p.config.Settings.Settings)
+	p.loop.stats.addClasses(slices.Collect(maps.Keys(classes)))
+	p.upstreams.updateSettings(p.config.Settings)
+	p.server.classes.Store(&classes)
 	return classes
 }
 
-// memory bounds the heap, by half of what is allowed while two processes share it.
-func (p *process) memory(shared bool) {
-	limit := p.heap
+// limitMemory bounds the heap, by half of what is allowed while two processes share it.
+func (p *process) limitMemory(shared bool) {
+	limit := p.maxHeapBytes
 	if shared {
 		limit /= 2
 	}
 	debug.SetMemoryLimit(int64(limit))
 }
 
-// state is what the next process begins with.
-func (p *process) state() inherited {
-	s := inherited{List: p.up.dir.whole(), Banned: p.up.dir.bans()}
+// handoverState is what the next process begins with.
+func (p *process) handoverState() handoverState {
+	s := handoverState{List: p.upstreams.directory.full(), Banned: p.upstreams.directory.bans()}
 	if p.service != nil {
-		s.Settings, _ = p.service.kept()
+		s.Settings, _ = p.service.persisted()
 	}
-	if learnt, ok := p.loop.learnt(); ok { // else the new process begins without
-		s.Learnt = &learnt
+	if snapshot, ok := p.loop.snapshot(); ok { // else the new process begins without
+		s.Snapshot = &snapshot
 	}
 	return s
 }
 
-// bounded sets the limits to what is left beside the process before, or with nil to all.
-func (p *process) bounded(others *uses) {
-	p.memory(others != nil)
+// limitBeside sets the limits to what is left beside the process before, or with nil to all.
+func (p *process) limitBeside(others *connectionUse) {
+	p.limitMemory(others != nil)
 	if others == nil {
-		others = &uses{}
+		others = &connectionUse{}
 	}
-	p.conns.limit(p.most - others.Clients)
-	p.up.limit(p.most - others.Upstreams)
+	p.conns.limit(p.maxConns - others.Clients)
+	p.upstreams.limit(p.maxConns - others.Upstreams)
 }
 
 // yield leaves the clients to the next process.
 func (p *process) yield() {
-	p.s.stopping.Store(true)
+	p.server.stopping.Store(true)
 	p.conns.pause(true)
-	p.conns.lingers.Store(true)
-	p.conns.endQuiet(mayClose)
-	p.up.keep(false, 0)
-	p.keep.want(false)
+	p.conns.lingering.Store(true)
+	p.conns.endIdle(closableAfter)
+	p.upstreams.setRetention(false, 0)
+	p.persister.setWriting(false)
 }
 
 // resume takes clients again: the next process died. One that was told to end does not.
@@ -398,35 +398,35 @@
 	if p.draining.Load() {
 		return
 	}
-	p.s.stopping.Store(false)
-	p.conns.lingers.Store(false)
-	p.keep.want(true)
-	p.up.keep(true, p.most)
+	p.server.stopping.Store(false)
+	p.conns.lingering.Store(false)
+	p.persister.setWriting(true)
+	p.upstreams.setRetention(true, p.maxConns)
 	p.conns.pause(false)
 }
 
 // ban takes an upstream out of use by hand, or with lifted back, here and in the other process of an upgrade.
-func (p *process) ban(id string, lifted bool) error {
-	if !p.up.dir.ban(id, lifted) {
-		return fmt.Errorf("no upstream is called %s", short(id))
+func (p *process) ban(id string, cleared bool) error {
+	if !p.upstreams.directory.ban(id, cleared) {
+		return fmt.Errorf("no upstream is called %s", quoteShort(id))
 	}
-	err := confirm(p.up.dir, p.loop, id, lifted)
-	kept := false
-	if err == nil && p.meets {
-		kept, err = p.h.banned(call{ID: id, Lifted: lifted, Writes: p.keep.writesNow()}, p.up.dir.bans())
+	err := confirm(p.upstreams.directory, p.loop, id, cleared)
+	persisted := false
+	if err == nil && p.handsOver {
+		persisted, err = p.handover.relayBan(banMessage{ID: id, Cleared: cleared, Writes: p.persister.writesNow()}, p.upstreams.directory.bans())
 	}
-	if err != nil || kept {
+	if err != nil || persisted {
 		return err
 	}
-	return p.keep.ban(id, lifted)
+	return p.persister.ban(id, cleared)
 }
 
 // banned takes in a ban that came to the other process, and tells whether it is on disk.
-func (p *process) banned(b call) (kept bool, err error) {
-	if err := confirm(p.up.dir, p.loop, b.ID, b.Lifted); err != nil {
-		return false, fmt.Errorf("%s: %w", short(b.ID), err)
+func (p *process) banned(b banMessage) (persisted bool, err error) {
+	if err := confirm(p.upstreams.directory, p.loop, b.ID, b.Cleared); err != nil {
+		return false, fmt.Errorf("%s: %w", quoteShort(b.ID), err)
 	}
-	return p.keep.accept(b.ID, b.Lifted, b.Writes)
+	return p.persister.accept(b.ID, b.Cleared, b.Writes)
 }
 
 // program is the version of this program, as it was built.
@@ -446,12 +446,12 @@
 }
 
 // confirm takes a ban in: in the directory, which what is decided already is held to, and then in the module.
-func confirm(dir *directory, l *loop, id string, lifted bool) error {
-	dir.setBan(id, lifted)
-	b := ban{balancer.Ban{Upstream: id, Cleared: lifted}, make(chan struct{})}
-	late := time.NewTimer(doorWait)
+func confirm(dir *endpointDirectory, l *dispatcher, id string, cleared bool) error {
+	dir.setBan(id, cleared)
+	b := banCommand{balancer.Ban{Upstream: id, Cleared: cleared}, make(chan struct{})}
+	late := time.NewTimer(adminTimeout)
 	defer late.Stop()
-	go l.postNews(b) // ends with the loop
+	go l.enqueueUrgent(b) // ends with the loop
 	select {
 	case <-b.done:
 		return nil
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -12,57 +12,57 @@
 // stats owns what is counted of requests since the process began. Both the figures for operators and the line of
 // counts in the log read it; each reads one consistent snapshot.
 type stats struct {
-	mu  sync.Mutex
-	now figures
+	mu      sync.Mutex
+	current statsSnapshot
 }
 
-// figures is a snapshot of stats.
-type figures struct {
-	classes        map[string]ends // those in force, and any other that was counted
-	taken, gone    int64           // gone: the client left before the answer
-	dispatches     int64           // attempts written whole
-	concurrent     int64           // requests taken and not ended
-	targets        int64           // upstreams in the list
-	avoided        int64           // of them, those banned by hand or ejected
-	loaded, turned int64           // files taken and turned down at SIGHUP
+// statsSnapshot is a snapshot of stats.
+type statsSnapshot struct {
+	classes                         map[string]outcomes // those in force, and any other that was counted
+	accepted, disconnected          int64               // gone: the client left before the answer
+	dispatches                      int64               // attempts written whole
+	concurrent                      int64               // requests taken and not ended
+	targets                         int64               // upstreams in the list
+	unavailable                     int64               // of them, those banned by hand or ejected
+	reloadsApplied, reloadsRejected int64               // files taken and turned down at SIGHUP
 }
 
-// ends is how requests of a class ended.
-type ends struct{ served, refused, failed int64 }
+// outcomes is how requests of a class ended.
+type outcomes struct{ served, rejected, failed int64 }
 
-func newStats() *stats { return &stats{now: figures{classes: map[string]ends{}}} }
+func newStats() *stats { return &stats{current: statsSnapshot{classes: map[string]outcomes{}}} }
 
-func (s *stats) change(f func(*figures)) {
+func (s *stats) change(f func(*statsSnapshot)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.now)
+	f(&s.current)
 }
 
-func (s *stats) snapshot() figures {
+func (s *stats) snapshot() statsSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.now
-	now.classes = maps.Clone(s.now.classes)
+	now := s.current
+	now.classes = maps.Clone(s.current.classes)
 	return now
 }
 
 // begin counts a request as taken, until end.
 func (s *stats) begin() {
-	s.change(func(f *figures) { f.taken++; f.concurrent++ })
+	s.change(func(f *statsSnapshot) { f.accepted++; f.concurrent++ })
 }
 
 // end counts a request that was taken by how it ended, once.
 func (s *stats) end(class string, how answerKind) {
-	s.change(func(f *figures) {
+	s.change(func(f *statsSnapshot) {
 		f.concurrent--
 		c := f.classes[class]
 		switch how {
 		case served:
 			c.served++
-		case refused:
-			c.refused++
-		case left:
-			f.gone++
+		case rejected:
+			c.rejected++
+		case clientGone:
+			f.disconnected++
 		default:
 			c.failed++
 		}
@@ -70,66 +70,66 @@
 	})
 }
 
-// name lists classes from now on, also those without a request.
-func (s *stats) name(classes []string) {
-	s.change(func(f *figures) {
+// addClasses lists classes from now on, also those without a request.
+func (s *stats) addClasses(classes []string) {
+	s.change(func(f *statsSnapshot) {
 		for _, class := range classes {
 			f.classes[class] = f.classes[class] // 0 where it is new
 		}
 	})
 }
 
-func (s *stats) dispatched() {
-	s.change(func(f *figures) { f.dispatches++ })
+func (s *stats) countDispatched() {
+	s.change(func(f *statsSnapshot) { f.dispatches++ })
 }
 
-func (s *stats) reload(taken bool) {
-	s.change(func(f *figures) {
+func (s *stats) countReload(taken bool) {
+	s.change(func(f *statsSnapshot) {
 		if taken {
-			f.loaded++
+			f.reloadsApplied++
 		} else {
-			f.turned++
+			f.reloadsRejected++
 		}
 	})
 }
 
-func (s *stats) upstreams(targets, avoided int) {
-	s.change(func(f *figures) { f.targets, f.avoided = int64(targets), int64(avoided) })
+func (s *stats) setEndpoints(targets, avoided int) {
+	s.change(func(f *statsSnapshot) { f.targets, f.unavailable = int64(targets), int64(avoided) })
 }
 
 // total adds up the classes.
-func (f *figures) total() (t ends) {
+func (f *statsSnapshot) total() (t outcomes) {
 	for _, c := range f.classes {
 		t.served += c.served
-		t.refused += c.refused
+		t.rejected += c.rejected
 		t.failed += c.failed
 	}
 	return t
 }
 
 // since is what was counted after an earlier snapshot, for the log.
-func (f *figures) since(before *figures) []slog.Attr {
+func (f *statsSnapshot) since(before *statsSnapshot) []slog.Attr {
 	now, then := f.total(), before.total()
-	return []slog.Attr{slog.Int64("taken", f.taken-before.taken), slog.Int64("served", now.served-then.served),
-		slog.Int64("refused", now.refused-then.refused), slog.Int64("failed", now.failed-then.failed), slog.Int64("gone", f.gone-before.gone)}
+	return []slog.Attr{slog.Int64("taken", f.accepted-before.accepted), slog.Int64("served", now.served-then.served),
+		slog.Int64("refused", now.rejected-then.rejected), slog.Int64("failed", now.failed-then.failed), slog.Int64("gone", f.disconnected-before.disconnected)}
 }
 
 // lines words the figures for operators, in the form of their page; metrics libraries have forms of their own.
-func (f *figures) lines() string {
+func (f *statsSnapshot) lines() string {
 	var s strings.Builder
 	counter := func(name string, n int64) { fmt.Fprintf(&s, "gw.%s:%d|c\n", name, n) }
 	gauge := func(name string, n int64) { fmt.Fprintf(&s, "gw.%s:%d|g\n", name, n) }
 	for _, class := range slices.Sorted(maps.Keys(f.classes)) {
 		c := f.classes[class]
 		counter("success."+class, c.served)
-		counter("overload."+class, c.refused)
+		counter("overload."+class, c.rejected)
 		counter("error."+class, c.failed)
 	}
 	counter("dispatches", f.dispatches)
 	gauge("concurrent", f.concurrent)
 	gauge("targets", f.targets)
-	gauge("targets_disabled", f.avoided)
-	counter("reload_success", f.loaded)
-	counter("reload_failure", f.turned)
+	gauge("targets_disabled", f.unavailable)
+	counter("reload_success", f.reloadsApplied)
+	counter("reload_failure", f.reloadsRejected)
 	return s.String()
 }
--- /dev/null
+++ b/internal/sidecar/upstreampool.go
@@ -0,0 +1,532 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptrace"
+	"net/url"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mosslead/balancer"
+	"mosslead/internal/wire"
+)
+
+const (
+	maxHeader           = 16 << 10
+	replacedIdleTimeout = 500 * time.Millisecond // for the last requests that clients bring to a process that is replaced
+	idleFraction        = 0.6                    // idle connections are retired after this part of the time after which upstreams close them
+	minIdleBeforeReuse  = 10 * time.Millisecond  // before a connection is used again: a second answer may follow the first by some milliseconds
+)
+
+// upstreamPool carries out attempts, over connections that carry one request at a time.
+type upstreamPool struct {
+	directory  *endpointDirectory
+	dial       dialer
+	dispatched func() // an attempt was written whole
+	budget     *byteBudget
+
+	mu           sync.Mutex
+	times        connTimeouts
+	maxConns     int  // connections
+	retainsIdle  bool // idle connections are kept; not once another process takes the clients
+	open         int
+	opened       int             // since the last line of counts
+	idle         []*upstreamConn // the one idle for longest first
+	awaitingLate []*upstreamConn // they carry an answer that nobody waits for; the oldest first
+}
+
+func newUpstreamPool(c *Config, clk clock, bound int) *upstreamPool {
+	u := &upstreamPool{dial: c.dial, dispatched: func() {}, budget: &byteBudget{left: int64(c.Limits.MemoryMB * budgetFraction * (1 << 20))},
+		maxConns: bound, retainsIdle: true}
+	u.updateSettings(c.Settings)
+	u.directory = newEndpointDirectory(clk, u.drop)
+	return u
+}
+
+// connTimeouts are what the settings say of connections.
+type connTimeouts struct {
+	connect time.Duration
+	idle    time.Duration // after which a connection is retired
+	late    time.Duration // for how long one waits for an answer that comes too late, or for a stalled one
+}
+
+// updateSettings takes other settings, for what begins from now on.
+func (u *upstreamPool) updateSettings(s wire.Settings) {
+	t := connTimeouts{connect: s.ConnectTimeout, idle: time.Duration(float64(s.ConnIdle) * idleFraction)}
+	for _, class := range s.Classes {
+		t.late = max(t.late, class.Deadline)
+	}
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.times = t
+}
+
+// upstreamConn is one connection. It watches its own writes: the HTTP library reports a request as written
+// when it is still in a buffer.
+type upstreamConn struct {
+	net.Conn
+	http       *http.ClientConn
+	name       string
+	address    endpointAddress
+	retire     *time.Timer
+	uses       int       // requests that it was taken for
+	releasedAt time.Time // when it was put back last
+	closed     bool      // under the pool's lock
+
+	writeTimeout   time.Duration // for a write
+	allowed        func() error  // why the request that comes next may not be written any more; nil: it may
+	firstByteSent  atomic.Bool   // its first byte was
+	disallowed     atomic.Bool   // it was not allowed
+	requestEncoded atomic.Bool   // the whole request was, as far as the library knows
+	writeFailed    atomic.Bool   // a write failed, so its last byte was not written
+	idleReading    atomic.Bool   // the library waits for bytes, and has none left over from what it read before
+}
+
+// errAnswered ends an attempt whose request has its final answer: no other attempt will follow.
+var errAnswered = errors.New("the request has its final answer")
+
+var (
+	errEndpointUnavailable = errors.New("the upstream drains or is gone")
+	errClientGone          = errors.New("the client has gone")
+	errRetryWindowOver     = errors.New("no other attempt may begin any more")
+	errUnexpectedBytes     = errors.New("the connection brought what no request on it asked for, or its end")
+	errSaturated           = errors.New("all upstream connections that the limits allow are busy")
+)
+
+// Write looks once more whether the request may still go. Guards against attempts that begin although, between the decision
+// and the write, the upstream drained, the client left, the time for a repeat ran out or the connection ended: while the
+// connection was made, say.
+func (c *upstreamConn) Write(p []byte) (int, error) {
+	if !c.firstByteSent.Swap(true) {
+		if err := c.allowed(); err != nil {
+			c.disallowed.Store(true)
+			return 0, err
+		}
+	}
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // can't fail on an open connection
+	n, err := c.Conn.Write(p)
+	if err != nil {
+		c.writeFailed.Store(true)
+	}
+	return n, err
+}
+
+// Read notes when the library has taken in all that came, and waits for more.
+func (c *upstreamConn) Read(p []byte) (int, error) {
+	c.idleReading.Store(true)
+	n, err := c.Conn.Read(p)
+	c.idleReading.Store(false)
+	return n, err
+}
+
+// unusable tells whether a connection that was used before can't be used again: its other side has ended it, or sent more than
+// the answers to what it was asked, which the library would take for the next one. Asked with no request on it.
+func (c *upstreamConn) unusable() bool {
+	bytes, end := pending(c.Conn)
+	return bytes || end || !c.idleReading.Load()
+}
+
+// attemptReply is how an attempt ended; the rest belongs to an answer.
+type attemptReply struct {
+	result        balancer.Result
+	header        http.Header
+	body          []byte
+	rest          *responseRest // nil: body is all
+	reservedBytes int64         // of the budget, for body
+	budget        *byteBudget
+	use           connUse
+	err           error // what broke the attempt, for the log
+
+	abandon func() // closes the connection, which still waits for the answer; nil: it does not
+}
+
+// attempt sends a request to an upstream once, and waits for its end or that of ctx. From the clock time before on, where that
+// is above 0, it does not begin.
+func (u *upstreamPool) attempt(ctx context.Context, name string, r *clientRequest, before time.Duration) attemptReply {
+	at, ok := u.directory.place(name)
+	if !ok {
+		return attemptReply{result: balancer.NotSent}
+	}
+	c := u.acquire(name, at)
+	if c == nil {
+		var err error
+		if c, err = u.connect(ctx, name, at); err != nil {
+			switch {
+			case errors.Is(err, errSaturated): // says nothing of the upstream
+				return attemptReply{result: balancer.NotSent, err: err}
+			case errors.Is(ctx.Err(), context.Canceled):
+				return attemptReply{result: balancer.Cancelled, err: err}
+			}
+			return attemptReply{result: balancer.ConnectFailed, err: err}
+		}
+		if err := u.canBegin(ctx, c, r, before); err != nil { // it took its time; others can use it
+			u.release(c)
+			return attemptReply{result: balancer.NotSent, err: err}
+		}
+	}
+	c.uses++
+	use := connUse{nth: c.uses}
+	if c.uses > 1 {
+		use.idle = time.Since(c.releasedAt)
+	}
+	// The exchange has a life of its own: it may outlast the attempt, see leave.
+	exchangeCtx, end := context.WithCancel(context.WithoutCancel(ctx))
+	settled, left := make(chan attemptReply), make(chan struct{})
+	go func() {
+		rep, reusable := u.exchange(ctx, exchangeCtx, c, r, before)
+		finish := func(reusable bool) {
+			end()
+			if reusable {
+				u.release(c)
+			} else {
+				u.discard(c)
+			}
+		}
+		if rep.rest != nil {
+			rep.rest.end, rep.rest.finish = end, finish
+		} else {
+			finish(reusable)
+		}
+		rep.use = use
+		select {
+		case settled <- rep:
+		case <-left: // nobody waits for it
+			rep.drop()
+		}
+	}()
+	select {
+	case rep := <-settled:
+		return rep
+	case <-ctx.Done():
+	}
+	rep := attemptReply{result: balancer.Cancelled, use: use, err: context.Cause(ctx)}
+	timeout := timedOut(ctx)
+	if timeout {
+		rep.result = balancer.Timeout
+	}
+	if !(timeout || context.Cause(ctx) == errAnswered) || !u.awaitLateAnswer(c, exchangeCtx, end) {
+		end()
+		ended := <-settled
+		if ended.rest == nil {
+			return ended
+		}
+		ended.drop() // it began just too late
+		return rep
+	}
+	close(left)
+	rep.abandon = func() { u.abandon(c, exchangeCtx) }
+	return rep
+}
+
+// canBegin tells why an attempt may not begin, or no more; nil: it may.
+func (u *upstreamPool) canBegin(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) error {
+	switch {
+	case ctx.Err() != nil:
+		return context.Cause(ctx)
+	case before > 0 && u.directory.clock.now() >= before:
+		return errRetryWindowOver
+	case r.clientGone():
+		return errClientGone
+	case !u.directory.ready(c.name, c.address):
+		return errEndpointUnavailable
+	case c.uses > 1 && !c.idleReading.Load():
+		return errUnexpectedBytes
+	}
+	return nil
+}
+
+// timedOut tells whether what ended ctx is that its time is up; that of a request whose body comes slowly is set late,
+// see loop.whole.
+func timedOut(ctx context.Context) bool {
+	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
+}
+
+// awaitLateAnswer lets a connection wait for an answer that nobody else waits for, so that it can be used again: the
+// upstream works on it all the same, and the first request on a new connection would pay for a handshake with
+// time that it may not have. It does so only for a request that was sent whole.
+func (u *upstreamPool) awaitLateAnswer(c *upstreamConn, exchangeCtx context.Context, end context.CancelFunc) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if !c.requestEncoded.Load() || c.writeFailed.Load() || c.closed || exchangeCtx.Err() != nil {
+		return false
+	}
+	u.awaitingLate = append(u.awaitingLate, c)
+	timer := time.AfterFunc(u.times.late, end)
+	context.AfterFunc(exchangeCtx, func() { timer.Stop() })
+	return true
+}
+
+// abandon closes c unless the exchange of that life is over: it may carry another by now.
+func (u *upstreamPool) abandon(c *upstreamConn, exchangeCtx context.Context) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if exchangeCtx.Err() == nil {
+		u.closeLocked(c)
+	}
+}
+
+// exchange sends r for an attempt that waits until ctx ends, and reads its answer until life does.
+func (u *upstreamPool) exchange(ctx, exchangeCtx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) (rep attemptReply, reusable bool) {
+	c.allowed = func() error { return u.canBegin(ctx, c, r, before) }
+	c.firstByteSent.Store(false)
+	c.requestEncoded.Store(false)
+	var req *http.Request
+	var early atomic.Bool // the answer came while some of the body had not gone to the writer
+	trace := &httptrace.ClientTrace{WroteRequest: func(i httptrace.WroteRequestInfo) {
+		c.requestEncoded.Store(i.Err == nil)
+		if i.Err == nil && !c.writeFailed.Load() {
+			u.dispatched()
+		}
+	}, GotFirstResponseByte: func() {
+		if body, ok := req.Body.(*bodyReader); ok {
+			early.Store(body.incomplete())
+		}
+	}}
+	req = r.outgoing(httptrace.WithClientTrace(exchangeCtx, trace), c.address.address)
+	left := r.timeout.Microseconds()
+	if deadline, ok := ctx.Deadline(); ok {
+		left = max(time.Until(deadline).Microseconds(), 1)
+	}
+	if left > 0 {
+		req.Header.Set(headerTimeout, strconv.FormatInt(left, 10)+"u")
+	}
+	begun := false // the answer: whatever is left to be said of the writing, the request may have run
+	broken := func(err error) attemptReply {
+		switch {
+		case c.disallowed.Load():
+			return attemptReply{result: balancer.NotSent, err: err}
+		case !c.requestEncoded.Load() && r.body.failed() != nil: // by its client; the upstream has no part in it
+			return attemptReply{result: balancer.NotSent, err: r.body.failed()}
+		case timedOut(ctx):
+			return attemptReply{result: balancer.Timeout, err: err}
+		case ctx.Err() != nil:
+			return attemptReply{result: balancer.Cancelled, err: err}
+		case !begun && !c.requestEncoded.Load() || c.writeFailed.Load():
+			return attemptReply{result: balancer.ConnectFailed, err: err}
+		}
+		return attemptReply{result: balancer.Reset, err: err}
+	}
+	resp, err := c.http.RoundTrip(req)
+	if err != nil {
+		return broken(err), false
+	}
+	begun = true
+	defer func() {
+		if rep.rest == nil {
+			resp.Body.Close()
+		}
+	}()
+	if resp.StatusCode == http.StatusSwitchingProtocols { // asked for by nobody; its body has no end
+		return attemptReply{result: balancer.ServerError}, false
+	}
+	if resp.StatusCode == http.StatusOK && early.Load() && c.uses > 1 { // most likely another answer to the request before
+		return broken(errUnexpectedBytes), false
+	}
+	if resp.StatusCode == http.StatusOK {
+		body, leading, complete, err := u.readAnswer(resp)
+		if err != nil {
+			return broken(err), false
+		}
+		rep = attemptReply{result: balancer.OK, header: endToEnd(resp.Header), body: body, reservedBytes: leading, budget: u.budget}
+		if complete {
+			return rep, !resp.Close && c.requestEncoded.Load()
+		}
+		if ctx.Err() != nil { // too late to begin
+			rep.release()
+			return broken(ctx.Err()), false
+		}
+		rep.rest = &responseRest{body: resp.Body, length: resp.ContentLength, stallTimeout: c.writeTimeout, reusable: !resp.Close && c.requestEncoded.Load()}
+		return rep, false
+	}
+	_, err = io.CopyN(io.Discard, resp.Body, minRetainedBytes) // few words; a connection with more to come is not used again
+	reusable = errors.Is(err, io.EOF) && !resp.Close && c.requestEncoded.Load()
+	switch status := resp.StatusCode; {
+	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
+		resp.Header.Get("X-Not-Processed") == "1":
+		return attemptReply{result: balancer.Overloaded}, reusable
+	}
+	return attemptReply{result: balancer.ServerError, err: fmt.Errorf("answered %s", resp.Status)}, reusable
+}
+
+// connect opens a connection. At the limit it closes the oldest that waits for an answer in vain, or the one idle
+// for longest, instead of failing.
+func (u *upstreamPool) connect(ctx context.Context, name string, at endpointAddress) (*upstreamConn, error) {
+	u.mu.Lock()
+	for u.open >= u.maxConns {
+		switch {
+		case len(u.awaitingLate) > 0:
+			u.closeLocked(u.awaitingLate[0])
+		case len(u.idle) > 0:
+			u.closeLocked(u.idle[0])
+			u.idle = slices.Delete(u.idle, 0, 1)
+		default:
+			u.mu.Unlock()
+			return nil, errSaturated
+		}
+	}
+	u.open++
+	u.opened++
+	times := u.times
+	u.mu.Unlock()
+	c := &upstreamConn{name: name, address: at, writeTimeout: times.late}
+	var err error
+	if c.Conn, err = u.dial.within(ctx, times.connect, "tcp", at.address); err == nil {
+		var protocols http.Protocols
+		protocols.SetHTTP1(true)
+		transport := &http.Transport{
+			DialContext:            func(context.Context, string, string) (net.Conn, error) { return c, nil },
+			DisableCompression:     true, // bodies go through as they are
+			MaxResponseHeaderBytes: maxHeader,
+			Protocols:              &protocols,
+		}
+		// A ClientConn never sends a request twice, as a Transport does on connections that it reuses.
+		if c.http, err = transport.NewClientConn(ctx, "http", at.address); err == nil {
+			return c, nil
+		}
+		c.Conn.Close()
+	}
+	u.mu.Lock()
+	u.open--
+	u.mu.Unlock()
+	return nil, fmt.Errorf("connecting to %s: %w", name, err)
+}
+
+// acquire returns the upstream's connection that was used last, or nil. One that the upstream closed, or on which it said more
+// than it was asked, is dropped; one that has not rested yet is left.
+func (u *upstreamPool) acquire(name string, at endpointAddress) *upstreamConn {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for i := len(u.idle) - 1; i >= 0; i-- {
+		c := u.idle[i]
+		if c.name != name || c.uses > 0 && time.Since(c.releasedAt) < minIdleBeforeReuse {
+			continue
+		}
+		u.idle = slices.Delete(u.idle, i, i+1)
+		if c.retire.Stop() && c.http.Err() == nil && c.address == at && (c.uses == 0 || !c.unusable()) {
+			return c
+		}
+		u.closeLocked(c)
+	}
+	return nil
+}
+
+func (u *upstreamPool) release(c *upstreamConn) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.endLateWait(c)
+	if c.closed || !u.retainsIdle || !u.directory.ready(c.name, c.address) || c.http.Err() != nil {
+		u.closeLocked(c)
+		return
+	}
+	c.releasedAt = time.Now()
+	c.retire = time.AfterFunc(u.times.idle, func() { u.retire(c) })
+	u.idle = append(u.idle, c)
+}
+
+// retire closes c unless it is in use again.
+func (u *upstreamPool) retire(c *upstreamConn) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if i := slices.Index(u.idle, c); i >= 0 {
+		u.idle = slices.Delete(u.idle, i, i+1)
+		u.closeLocked(c)
+	}
+}
+
+func (u *upstreamPool) discard(c *upstreamConn) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.closeLocked(c)
+}
+
+// limit bounds the connections anew.
+func (u *upstreamPool) limit(bound int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.maxConns = max(bound, 1)
+}
+
+// setRetention says whether idle connections are kept. Where not, none is opened beyond those that there are, each ends with
+// its next request, and those that get none within replacedIdleTimeout end then.
+func (u *upstreamPool) setRetention(on bool, bound int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.retainsIdle, u.maxConns = on, max(bound, 1)
+	if on {
+		return
+	}
+	u.maxConns = max(u.open, 1)
+	for _, c := range u.idle {
+		c.retire.Reset(replacedIdleTimeout)
+	}
+}
+
+func (u *upstreamPool) count() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.open
+}
+
+// drop closes an upstream's idle connections; those in use end with what they carry, see put.
+func (u *upstreamPool) drop(name string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.idle = slices.DeleteFunc(u.idle, func(c *upstreamConn) bool {
+		if c.name == name {
+			u.closeLocked(c)
+		}
+		return c.name == name
+	})
+}
+
+func (u *upstreamPool) endLateWait(c *upstreamConn) {
+	u.awaitingLate = slices.DeleteFunc(u.awaitingLate, func(x *upstreamConn) bool { return x == c })
+}
+
+// closeLocked is called with mu held. A connection that is closed while it waits for a late answer is closed
+// again when the wait ends, to no effect.
+func (u *upstreamPool) closeLocked(c *upstreamConn) {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	u.endLateWait(c)
+	if c.retire != nil {
+		c.retire.Stop()
+	}
+	c.http.Close()
+	u.open--
+}
+
+// clientGone tells whether r's client has left, as far as can be seen now.
+func (r *clientRequest) clientGone() bool { return r.disconnected != nil && r.disconnected() }
+
+// outgoing is the request as an upstream gets it.
+func (r *clientRequest) outgoing(ctx context.Context, address string) *http.Request {
+	// Opaque keeps path and query byte for byte.
+	req := &http.Request{Method: r.method, URL: &url.URL{Scheme: "http", Host: address, Opaque: r.target},
+		Host: r.host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.header.Clone()}
+	if r.body.length != 0 {
+		req.Body, req.ContentLength = r.body.reader(), r.body.length
+	}
+	return req.WithContext(ctx)
+}
+
+// connectionStats is the pool's state, for the line of counts.
+func (u *upstreamPool) connectionStats() slog.Attr {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	opened := u.opened
+	u.opened = 0
+	return slog.Group("upstream_connections", slog.Int("open", u.open), slog.Int("idle", len(u.idle)),
+		slog.Int("await_late_answers", len(u.awaitingLate)), slog.Int("most", u.maxConns), slog.Int("opened", opened))
+}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -17,11 +17,11 @@
 	"mosslead/internal/lab/transcript"
 )
 
-func testUpstreams(t *testing.T, most int, entries ...string) *upstreams {
+func testUpstreams(t *testing.T, bound int, entries ...string) *upstreamPool {
 	t.Helper()
 	c := testConfig(t, "127.0.0.1:1", entries...)
-	u := newUpstreams(c, newClock(), most)
-	u.dir.apply(c.Known)
+	u := newUpstreamPool(c, newClock(), bound)
+	u.directory.apply(c.Known)
 	t.Cleanup(func() {
 		for _, e := range c.Known.Endpoints {
 			u.drop(e.Name)
@@ -31,18 +31,18 @@
 }
 
 // awaitRest waits until each connection that is kept may be used again.
-func (u *upstreams) awaitRest(t *testing.T) {
+func (u *upstreamPool) awaitRest(t *testing.T) {
 	t.Helper()
 	eventually(t, "the connections have rested", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return !slices.ContainsFunc(u.idle, func(c *upstreamConn) bool { return time.Since(c.since) < restLeast })
+		return !slices.ContainsFunc(u.idle, func(c *upstreamConn) bool { return time.Since(c.releasedAt) < minIdleBeforeReuse })
 	})
 }
 
 func testRequest(method, body string) *clientRequest {
 	return &clientRequest{id: "1", method: method, target: "/search/a%2Fb?x=%20y&z", host: "service.internal",
-		header: http.Header{"X-Request-Id": {"9b1f03aa5c7e2d41"}, "Idempotency-Key": {"k"}}, body: &clientBody{kept: []byte(body), length: int64(len(body))}}
+		header: http.Header{"X-Request-Id": {"9b1f03aa5c7e2d41"}, "Idempotency-Key": {"k"}}, body: &clientBody{retained: []byte(body), length: int64(len(body))}}
 }
 
 // slowWrites is a connection whose writes return a second after what they carry has gone out.
@@ -127,7 +127,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf?")
 			return false
 		}, balancer.Reset},
-		{"large", says(ok200(strings.Repeat("x", keepMost+1))), balancer.OK},
+		{"large", says(ok200(strings.Repeat("x", maxRetainedBytes+1))), balancer.OK},
 		{"another protocol", says("HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n"),
 			balancer.ServerError},
 		{"headers too large", says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeader) + "\r\n\r\n"), balancer.Reset},
@@ -163,7 +163,7 @@
 		if want == balancer.Timeout {
 			ctx, cancel = context.WithTimeout(context.Background(), 200*time.Millisecond)
 		}
-		end := make(chan reply, 1)
+		end := make(chan attemptReply, 1)
 		go func() { end <- u.attempt(ctx, "s", testRequest("GET", ""), 0) }()
 		eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 		if want == balancer.Cancelled {
@@ -213,7 +213,7 @@
 			ctx, cancel := context.WithCancelCause(context.Background())
 			defer cancel(nil)
 			ctx, expire := newDeadline(ctx)
-			end := make(chan reply, 1)
+			end := make(chan attemptReply, 1)
 			go func() { end <- u.attempt(ctx, "s", testRequest("POST", "first"), 0) }()
 			eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 			c.end(cancel, expire)
@@ -225,7 +225,7 @@
 			eventually(t, "the connection is idle", func() bool {
 				u.mu.Lock()
 				defer u.mu.Unlock()
-				return len(u.idle) == 1 && len(u.late) == 0 && time.Since(u.idle[0].since) >= restLeast
+				return len(u.idle) == 1 && len(u.awaitingLate) == 0 && time.Since(u.idle[0].releasedAt) >= minIdleBeforeReuse
 			})
 			rep.abandon() // comes too late to harm
 			next := u.attempt(t.Context(), "s", testRequest("POST", "second"), 0)
@@ -296,7 +296,7 @@
 	eventually(t, "none is counted", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return u.open == 0 && len(u.late) == 0
+		return u.open == 0 && len(u.awaitingLate) == 0
 	})
 }
 
@@ -309,7 +309,7 @@
 	}
 	defer l.Close()
 	u := testUpstreams(t, 4, entry("s", l.Addr().String(), "Ready"))
-	c, err := u.connect(t.Context(), "s", place{address: l.Addr().String()})
+	c, err := u.connect(t.Context(), "s", endpointAddress{address: l.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,11 +328,11 @@
 	for _, status := range []string{"Terminating", "Gone"} {
 		s := newUpstream(t, says(ok200("")))
 		u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
-		c, err := u.connect(t.Context(), "s", place{address: s.address})
+		c, err := u.connect(t.Context(), "s", endpointAddress{address: s.address})
 		if err != nil {
 			t.Fatal(err)
 		}
-		u.dir.apply(parsed(t, list(2, false, entry("s", s.address, status))))
+		u.directory.apply(parsed(t, list(2, false, entry("s", s.address, status))))
 		if rep, _ := u.exchange(t.Context(), t.Context(), c, testRequest("GET", ""), 0); rep.result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.result)
 		}
@@ -410,14 +410,14 @@
 	// Gone: the pool goes too.
 	u.times.idle = time.Hour
 	send(balancer.OK)
-	u.dir.apply(parsed(t, list(2, false, entry("s", s.address, "Gone"))))
+	u.directory.apply(parsed(t, list(2, false, entry("s", s.address, "Gone"))))
 	eventually(t, "pool dropped", func() bool { return s.closed.Load() == 3 })
 
 	// Back at another address: no connection to the old one is used.
-	u.dir.apply(parsed(t, list(3, false, entry("s", s.address, "Ready"))))
+	u.directory.apply(parsed(t, list(3, false, entry("s", s.address, "Ready"))))
 	send(balancer.OK)
 	moved := newUpstream(t, says(ok200("")))
-	u.dir.apply(parsed(t, list(4, false, entry("s", moved.address, "Ready"))))
+	u.directory.apply(parsed(t, list(4, false, entry("s", moved.address, "Ready"))))
 	eventually(t, "old address dropped", func() bool { return s.closed.Load() == 4 })
 	send(balancer.OK)
 	if len(moved.requests()) != 1 {
@@ -426,7 +426,7 @@
 
 	// A new process at the same address: connections to the old one are dead, if silently.
 	again := strings.Replace(entry("s", moved.address, "Ready"), `"since_ms":0`, `"since_ms":1000`, 1)
-	u.dir.apply(parsed(t, list(5, false, again)))
+	u.directory.apply(parsed(t, list(5, false, again)))
 	eventually(t, "old process dropped", func() bool { return moved.closed.Load() == 1 })
 }
 
@@ -462,7 +462,7 @@
 		t.Fatalf("result %d", rep.result)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	end := make(chan reply, 1)
+	end := make(chan attemptReply, 1)
 	go func() { end <- u.attempt(ctx, "b", testRequest("GET", ""), 0) }()
 	eventually(t, "the idle connection gave way", func() bool { return a.closed.Load() == 1 && len(b.requests()) == 1 })
 	if rep := u.attempt(t.Context(), "a", testRequest("GET", ""), 0); rep.result != balancer.NotSent {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -18,15 +18,15 @@
 )
 
 // follow runs a watcher as a module would that asks again at once.
-func follow(t *testing.T, d *fakeDiscovery, known ...string) (*directory, chan balancer.EndpointUpdate) {
+func follow(t *testing.T, d *fakeDiscovery, known ...string) (*endpointDirectory, chan balancer.EndpointUpdate) {
 	t.Helper()
-	told := make(chan balancer.EndpointUpdate, 64)
+	established := make(chan balancer.EndpointUpdate, 64)
 	u := testUpstreams(t, 4, known...)
 	var w *watcher
-	w = newWatcher(testConfig(t, d.address, known...), u.dir, func(m balancer.EndpointUpdate) {
-		told <- m
+	w = newWatcher(testConfig(t, d.address, known...), u.directory, func(m balancer.EndpointUpdate) {
+		established <- m
 		if m.Kind == balancer.WatchFailed {
-			w.ask()
+			w.subscribe()
 		}
 	})
 	done := make(chan struct{})
@@ -35,14 +35,14 @@
 		close(done)
 	}()
 	t.Cleanup(func() { <-done })
-	w.ask()
-	return u.dir, told
+	w.subscribe()
+	return u.directory, established
 }
 
-func next(t *testing.T, told chan balancer.EndpointUpdate) balancer.EndpointUpdate {
+func next(t *testing.T, established chan balancer.EndpointUpdate) balancer.EndpointUpdate {
 	t.Helper()
 	select {
-	case m := <-told:
+	case m := <-established:
 		return m
 	case <-time.After(patience):
 		t.Fatal("nothing was reported")
@@ -58,14 +58,14 @@
 		send(`{"index":6,"snapshot":true,"new_field":[1],"endpoints":[` + entry("c", "127.0.0.2:3", "Ready") + `]}`)
 		<-done
 	})
-	dir, told := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
-	m := next(t, told)
+	dir, established := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
+	m := next(t, established)
 	if m.Kind != balancer.Delta || len(m.Endpoints) != 2 || m.Endpoints[0].State != balancer.Active ||
 		m.Endpoints[1].State != balancer.Draining || m.Endpoints[0].Machine != "m" || m.Endpoints[0].Zone != "a" ||
 		m.Endpoints[0].Weight != 3 {
 		t.Errorf("changes told as %+v", m)
 	}
-	if m = next(t, told); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
+	if m = next(t, established); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
 		t.Errorf("snapshot told as %+v", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
@@ -96,11 +96,11 @@
 				}
 				<-done
 			})
-			dir, told := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
-			if m := next(t, told); m.Kind != balancer.Delta {
+			dir, established := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
+			if m := next(t, established); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
-			if m := next(t, told); m.Kind != balancer.WatchFailed {
+			if m := next(t, established); m.Kind != balancer.WatchFailed {
 				t.Errorf("told %+v", m)
 			}
 			eventually(t, "asked again", func() bool { return len(d.watches()) == 2 })
@@ -122,14 +122,14 @@
 		send(list(9, false))
 		<-done
 	})
-	dir, told := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
+	dir, established := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the answer and the news, nothing for the second empty line
-		if m := next(t, told); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
+		if m := next(t, established); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
 			t.Errorf("told %+v", m)
 		}
 	}
-	if len(told) != 0 {
-		t.Errorf("told %+v too", <-told)
+	if len(established) != 0 {
+		t.Errorf("told %+v too", <-established)
 	}
 	if _, ok := dir.place("a"); !ok {
 		t.Error("the known list is lost")
@@ -145,8 +145,8 @@
 			<-done
 		}
 	})
-	told := make(chan balancer.EndpointUpdate, 4)
-	w := newWatcher(testConfig(t, d.address), testUpstreams(t, 4).dir, func(m balancer.EndpointUpdate) { told <- m })
+	established := make(chan balancer.EndpointUpdate, 4)
+	w := newWatcher(testConfig(t, d.address), testUpstreams(t, 4).directory, func(m balancer.EndpointUpdate) { established <- m })
 	done := make(chan struct{})
 	go func() {
 		w.run(t.Context(), false)
@@ -154,7 +154,7 @@
 	}()
 	t.Cleanup(func() { <-done })
 	for range 2 {
-		if m := next(t, told); m.Kind != balancer.Delta {
+		if m := next(t, established); m.Kind != balancer.Delta {
 			t.Errorf("told %+v", m)
 		}
 	}
@@ -194,22 +194,22 @@
 				send(list(6, false, entry("b", "127.0.0.2:2", "Ready")))
 				<-done
 			})
-			told := make(chan balancer.EndpointUpdate, 64)
+			established := make(chan balancer.EndpointUpdate, 64)
 			u := testUpstreams(t, 4)
-			w := newWatcher(testConfig(t, before.address), u.dir, func(m balancer.EndpointUpdate) { told <- m })
+			w := newWatcher(testConfig(t, before.address), u.directory, func(m balancer.EndpointUpdate) { established <- m })
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
 				w.run(ctx, asks)
 				close(done)
 			}()
-			w.ask()
-			if m := next(t, told); m.Kind != balancer.Delta {
+			w.subscribe()
+			if m := next(t, established); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
 			w.move(after.address)
 			for {
-				m := next(t, told)
+				m := next(t, established)
 				if m.Kind == balancer.WatchFailed {
 					t.Error("a move was told as a failure")
 				}
@@ -233,9 +233,9 @@
 		for _, late := range []time.Duration{0, time.Millisecond, time.Second} {
 			t.Run(fmt.Sprintf("asks %v, %v after", asks, late), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					told := make(chan balancer.EndpointUpdate, 64)
+					established := make(chan balancer.EndpointUpdate, 64)
 					u := testUpstreams(t, 4, entry("a", "127.0.0.2:1", "Ready"))
-					w := newWatcher(testConfig(t, "127.0.0.1:1"), u.dir, func(m balancer.EndpointUpdate) { told <- m })
+					w := newWatcher(testConfig(t, "127.0.0.1:1"), u.directory, func(m balancer.EndpointUpdate) { established <- m })
 					move := make(chan struct{})
 					w.client.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
 						ours, theirs := net.Pipe()
@@ -256,14 +256,14 @@
 						w.run(ctx, asks)
 						close(done)
 					}()
-					w.ask()
+					w.subscribe()
 					synctest.Wait()
 					close(move)
 					w.move("127.0.0.2:1")
 					time.Sleep(late + time.Millisecond)
 					synctest.Wait()
-					if _, ok := u.dir.place("a"); ok || *u.dir.whole().Index != 6 {
-						t.Errorf("version %d is in use, and takes work: %v", *u.dir.whole().Index, ok)
+					if _, ok := u.directory.place("a"); ok || *u.directory.full().Revision != 6 {
+						t.Errorf("version %d is in use, and takes work: %v", *u.directory.full().Revision, ok)
 					}
 					cancel()
 					<-done
@@ -333,7 +333,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWatcher(testConfig(t, "127.0.0.1:1"), newDirectory(newClock(), func(string) {}), func(balancer.EndpointUpdate) {})
+				w := newWatcher(testConfig(t, "127.0.0.1:1"), newEndpointDirectory(newClock(), func(string) {}), func(balancer.EndpointUpdate) {})
 				dials := agents(w, x.script)
 				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan struct{})
@@ -342,7 +342,7 @@
 					close(done)
 				}()
 				synctest.Wait()
-				if got := *w.dir.whole().Index; got != 5 {
+				if got := *w.dir.full().Revision; got != 5 {
 					t.Fatalf("version %d at the start", got)
 				}
 				if x.moves {
@@ -350,7 +350,7 @@
 				}
 				time.Sleep(x.within)
 				synctest.Wait()
-				if got := *w.dir.whole().Index; got != 7 {
+				if got := *w.dir.full().Revision; got != 7 {
 					t.Errorf("version %d after %v", got, x.within)
 				}
 				for i, at := range (*dials)[1:] {
--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -12,7 +12,7 @@
 
 // A sidecar starts with what an earlier version of it wrote.
 func TestStoredFormsKeepTheirKeys(t *testing.T) {
-	golden.JSON(t, "stored", &List{}, &Learnt{}, &Life{}, &Settings{}, &balancer.Snapshot{})
+	golden.JSON(t, "stored", &List{}, &Snapshot{}, &Incarnation{}, &Settings{}, &balancer.Snapshot{})
 }
 
 // testdata/written is a state directory that revision 835c747 wrote. All of it is read: bans, list, estimates and the life of
@@ -22,9 +22,9 @@
 	if err := os.CopyFS(dir, os.DirFS("testdata/written")); err != nil {
 		t.Fatal(err)
 	}
-	summary, damages, err := Summarize(dir, noon.Add(time.Second))
-	if err != nil || len(damages) > 0 {
-		t.Fatalf("error %v, damages %v", err, damages)
+	summary, corruptions, err := Summarize(dir, noon.Add(time.Second))
+	if err != nil || len(corruptions) > 0 {
+		t.Fatalf("error %v, damages %v", err, corruptions)
 	}
 	summary.Dir = ""
 	text, err := json.MarshalIndent(summary, "", " ")
@@ -36,5 +36,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "written-values", golden.Values([]any{k.Name, k.Bans, k.List, k.Learnt, k.Life, k.Crashed})+"\n")
+	golden.Equal(t, "written-values", golden.Values([]any{k.Name, k.Bans, k.List, k.Snapshot, k.Incarnation, k.Crashed})+"\n")
 }
--- a/internal/statestore/settings.go
+++ b/internal/statestore/settings.go
@@ -19,7 +19,7 @@
 
 // LoadSettings reads the settings into what LoadFirst has given, for a sidecar that follows those of its service. Whether they are of use
 // is for the reader of settings to say.
-func (s *Store) LoadSettings(k *Kept) error {
+func (s *Store) LoadSettings(k *Loaded) error {
 	if k.SetAside || k.foreign {
 		return nil
 	}
@@ -27,17 +27,17 @@
 	if err != nil {
 		return err
 	}
-	var kept Settings
-	if understood(k, text, &kept) {
-		k.Settings = &kept
+	var loaded Settings
+	if decode(k, text, &loaded) {
+		k.Settings = &loaded
 	}
 	return nil
 }
 
 // WriteSettings keeps the settings.
-func (s *Store) WriteSettings(kept Settings, now time.Time) error {
-	kept.SavedMs = now.UnixMilli()
-	text, err := json.Marshal(kept)
+func (s *Store) WriteSettings(loaded Settings, now time.Time) error {
+	loaded.SavedMs = now.UnixMilli()
+	text, err := json.Marshal(loaded)
 	if err != nil {
 		return fmt.Errorf("wording the settings: %w", err)
 	}
@@ -53,11 +53,11 @@
 	AgeS    float64 `json:"age_s"`
 }
 
-func (k *Kept) settingsSummary(now time.Time) *SettingsSummary {
+func (k *Loaded) settingsSummary(now time.Time) *SettingsSummary {
 	if k.Settings == nil {
 		return nil
 	}
 	d := k.Settings.Document
-	return &SettingsSummary{Service: k.Settings.Service, Region: d.Region, Version: d.Version, Deleted: d.Deleted,
+	return &SettingsSummary{Service: k.Settings.Service, Region: d.Region, Version: d.Revision, Deleted: d.Deleted,
 		AgeS: now.Sub(time.UnixMilli(k.Settings.SavedMs)).Seconds()}
 }
--- a/internal/statestore/settings_test.go
+++ b/internal/statestore/settings_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-var ofOrders = Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Version: 9, Schema: 1, Settings: json.RawMessage(`{"Zone":"a"}`)},
+var ofOrders = Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Revision: 9, Schema: 1, Settings: json.RawMessage(`{"Zone":"a"}`)},
 	Seen: map[string]int64{"south": 12, "north": 3}}
 
 // Guards against settings that come back as others, that age, that are another sidecar's, or that are read by one that follows none.
@@ -33,7 +33,7 @@
 	settled(t, dir, ofOrders)
 	late := noon.Add(1000 * time.Hour)
 	k, err := New(dir, "s1").Load(late)
-	if err != nil || k.Settings == nil || k.Settings.Service != "orders" || k.Settings.Document.Version != 9 ||
+	if err != nil || k.Settings == nil || k.Settings.Service != "orders" || k.Settings.Document.Revision != 9 ||
 		string(k.Settings.Document.Settings) != `{"Zone":"a"}` || k.Settings.Seen["south"] != 12 || k.Settings.Seen["north"] != 3 {
 		t.Errorf("kept %+v, %v", k.Settings, err)
 	}
@@ -66,14 +66,14 @@
 		t.Fatal(err)
 	}
 	k, err := New(dir, "s1").Load(noon)
-	if err != nil || k.Settings != nil || len(k.Damages) != 1 {
-		t.Errorf("kept %+v, damages %v, %v", k.Settings, k.Damages, err)
+	if err != nil || k.Settings != nil || len(k.Corruptions) != 1 {
+		t.Errorf("kept %+v, damages %v, %v", k.Settings, k.Corruptions, err)
 	}
 	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
 		t.Errorf("dropped %v, %v", dropped, err)
 	}
-	if k, err = New(dir, "s1").Load(noon); err != nil || k.Settings != nil || len(k.Damages) != 0 {
-		t.Errorf("after the repair %+v, damages %v, %v", k.Settings, k.Damages, err)
+	if k, err = New(dir, "s1").Load(noon); err != nil || k.Settings != nil || len(k.Corruptions) != 0 {
+		t.Errorf("after the repair %+v, damages %v, %v", k.Settings, k.Corruptions, err)
 	}
 }
 
@@ -81,7 +81,7 @@
 func TestCrashLoopSetsSettingsAside(t *testing.T) {
 	dir := t.TempDir()
 	settled(t, dir, ofOrders)
-	for i := range earlyEnds + 1 {
+	for i := range crashLoopExits + 1 {
 		s := New(dir, "s1")
 		if err := s.Lock(); err != nil {
 			t.Fatal(err)
@@ -90,7 +90,7 @@
 		if err = errors.Join(err, s.LoadSettings(&k)); err != nil {
 			t.Fatal(err)
 		}
-		if k = s.Begin(k, noon); (k.Settings == nil) != (i == earlyEnds) || k.SetAside != (i == earlyEnds) {
+		if k = s.Begin(k, noon); (k.Settings == nil) != (i == crashLoopExits) || k.SetAside != (i == crashLoopExits) {
 			t.Errorf("start %d: settings %+v, set aside %v", i+1, k.Settings, k.SetAside)
 		}
 		if err := s.Release(false); err != nil {
--- a/internal/statestore/state_test.go
+++ b/internal/statestore/store_test.go
@@ -19,7 +19,7 @@
 const listing = `{"index":7,"snapshot":true,"endpoints":[{"name":"u0"},{"name":"u1"}]}`
 
 // lived begins a process of the sidecar at a time, lets it write, and ends it.
-func lived(t *testing.T, dir, name string, at time.Time, settled, clean bool) Kept {
+func lived(t *testing.T, dir, name string, at time.Time, settled, clean bool) Loaded {
 	t.Helper()
 	s := New(dir, name)
 	if err := s.Lock(); err != nil {
@@ -32,7 +32,7 @@
 	k = s.Begin(k, at)
 	_, err = s.Open(at)
 	err = errors.Join(err, s.Ban("u1", at), s.WriteList("127.0.0.1:1", json.RawMessage(listing), at),
-		s.WriteLearnt(balancer.Snapshot{MeanLatency: 1, Endpoints: map[string]balancer.EndpointSnapshot{"u0": {PeakEWMA: 2, EjectedFor: time.Second}}}, at))
+		s.WriteSnapshot(balancer.Snapshot{MeanLatency: 1, Endpoints: map[string]balancer.EndpointSnapshot{"u0": {PeakEWMA: 2, EjectedFor: time.Second}}}, at))
 	if settled {
 		err = errors.Join(err, s.Settled())
 	}
@@ -60,8 +60,8 @@
 			if err != nil || k.Bans["u1"] == "" || k.Crashed {
 				t.Errorf("%v, bans %v, crashed %v", err, k.Bans, k.Crashed)
 			}
-			if (k.List != nil) != c.list || (k.Learnt != nil) != c.learnt || (len(k.Notes) > 0) != c.noted {
-				t.Errorf("list %v, learnt %v, notes %v", k.List, k.Learnt, k.Notes)
+			if (k.List != nil) != c.list || (k.Snapshot != nil) != c.learnt || (len(k.Notes) > 0) != c.noted {
+				t.Errorf("list %v, learnt %v, notes %v", k.List, k.Snapshot, k.Notes)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 	for range 6 {
 		k := lived(t, dir, "s1", noon, false, false)
 		aside = append(aside, k.SetAside)
-		if k.SetAside && (k.List != nil || k.Suspect == nil || k.Learnt != nil || k.Bans["u1"] == "") {
+		if k.SetAside && (k.List != nil || k.SuspectList == nil || k.Snapshot != nil || k.Bans["u1"] == "") {
 			t.Errorf("set aside: %+v", k)
 		}
 	}
@@ -138,8 +138,8 @@
 	dir := t.TempDir()
 	lived(t, dir, "s1", noon, true, true)
 	lived(t, dir, "s1", noon, true, true)
-	if s, damages, err := Summarize(dir, noon); err != nil || len(damages) > 0 || s.Upstreams != 2 || s.ListIndex != 7 || s.Ended != "clean" || len(s.Ejected) != 1 || s.Sidecar != "s1" {
-		t.Errorf("whole: %+v, %v, %v", s, damages, err)
+	if s, corruptions, err := Summarize(dir, noon); err != nil || len(corruptions) > 0 || s.Upstreams != 2 || s.ListIndex != 7 || s.Ended != "clean" || len(s.Ejected) != 1 || s.Sidecar != "s1" {
+		t.Errorf("whole: %+v, %v, %v", s, corruptions, err)
 	}
 	path := filepath.Join(dir, "list.0")
 	text, err := os.ReadFile(path)
@@ -150,9 +150,9 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, damages, err := Summarize(dir, noon)
-	if err != nil || len(damages) != 1 || !strings.Contains(damages[0].String(), "list.0: byte 0: wrong checksum") {
-		t.Errorf("damaged: %v, %v", damages, err)
+	_, corruptions, err := Summarize(dir, noon)
+	if err != nil || len(corruptions) != 1 || !strings.Contains(corruptions[0].String(), "list.0: byte 0: wrong checksum") {
+		t.Errorf("damaged: %v, %v", corruptions, err)
 	}
 	s := New(dir, "s1")
 	if err := s.Lock(); err != nil {
@@ -167,8 +167,8 @@
 	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
 		t.Errorf("repair: %v, %v", dropped, err)
 	}
-	if s, damages, err := Summarize(dir, noon); err != nil || len(damages) > 0 || s.Upstreams != 2 || len(s.Quarantined) != 1 || len(s.Bans) != 1 {
-		t.Errorf("repaired: %+v, %v, %v", s, damages, err)
+	if s, corruptions, err := Summarize(dir, noon); err != nil || len(corruptions) > 0 || s.Upstreams != 2 || len(s.Quarantined) != 1 || len(s.Bans) != 1 {
+		t.Errorf("repaired: %+v, %v, %v", s, corruptions, err)
 	}
 }
 
--- a/internal/watch/messages.go
+++ b/internal/watch/messages.go
@@ -12,22 +12,22 @@
 // Messages takes a stream of JSON objects apart, each on a line or indented over several. What is between them never
 // reaches the decoder, which would keep it: empty lines are signs of life, and come for days.
 type Messages struct {
-	body  io.Reader
-	rest  []byte           // read behind the last message
-	begun bool             // within a message
-	most  int              // bytes of one message
-	left  int              // bytes that the message may still have
-	heard func(blank bool) // something came: a part of a message or, where blank, an empty line between them
+	body      io.Reader
+	rest      []byte           // read behind the last message
+	begun     bool             // within a message
+	maxBytes  int              // bytes of one message
+	bytesLeft int              // bytes that the message may still have
+	onData    func(blank bool) // something came: a part of a message or, where blank, an empty line between them
 }
 
 // NewMessages reads from body, at most so many bytes of one message.
-func NewMessages(body io.Reader, most int) *Messages {
-	return &Messages{body: body, most: most, heard: func(bool) {}}
+func NewMessages(body io.Reader, maxBytes int) *Messages {
+	return &Messages{body: body, maxBytes: maxBytes, onData: func(bool) {}}
 }
 
 // Next waits for a message and reads it into m. io.EOF: they ended between two.
 func (s *Messages) Next(m any) error {
-	s.begun, s.left = false, s.most
+	s.begun, s.bytesLeft = false, s.maxBytes
 	d := json.NewDecoder(s)
 	if err := d.Decode(m); err != nil {
 		return err
@@ -39,10 +39,10 @@
 
 // Read is the decoder's.
 func (s *Messages) Read(p []byte) (int, error) {
-	if s.left == 0 {
-		return 0, fmt.Errorf("over %d bytes", s.most)
+	if s.bytesLeft == 0 {
+		return 0, fmt.Errorf("over %d bytes", s.maxBytes)
 	}
-	p = p[:min(len(p), s.left)]
+	p = p[:min(len(p), s.bytesLeft)]
 	for {
 		n, again := copy(p, s.rest), len(s.rest) > 0
 		var err error
@@ -55,13 +55,13 @@
 		}
 		blank := len(bytes.TrimLeft(text, space)) == 0
 		if n > 0 && !again && !(blank && s.begun) { // empty lines within a message do not bring it nearer
-			s.heard(blank)
+			s.onData(blank)
 		}
 		if len(text) == 0 && err == nil {
 			continue
 		}
 		s.begun = s.begun || len(text) > 0
-		s.left -= len(text)
+		s.bytesLeft -= len(text)
 		return copy(p, text), err
 	}
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Told is what all waits are cut to: what the other side has is acted on so long after it had it and could be reached, whatever
+// NotifyDeadline is what all waits are cut to: what the other side has is acted on so long after it had it and could be reached, whatever
 // failed, was refused or was given up before. Each path is as long as the wait that was begun just before it came back, and
 // the answer to the call after it (an agent has it at once; a list service reads it from memory):
 //
 //	followed here, where Wait is 2 s at the most:
 //	    refused, reset, ended, an error or a spoilt list, in a loop   Wait 2.0                         2.0 s
-//	    a connection that never comes up, an answer without a head    Step 1.25, stepLater 2.0         2.0 s
+//	    a connection that never comes up, an answer without a head    Step 1.25, lateStep 2.0         2.0 s
 //	    the same, and the connection is given up meanwhile            never later than the step        2.0 s
 //	    silent after a line, a head or a part of a message            Silence 2.5                      2.5 s
 //	    a part of a message, just before that silence counts          Silence 2.5, Silence 2.5         5.0 s
 //	one message without end, a byte at a time: as a part of it, since only its first bytes put the clock off
 //	asked for by another (Tries), and several replicas: beside the callers' constants
-const Told = 6 * time.Second
+const NotifyDeadline = 6 * time.Second
 
 const (
 	// Silence is how long a watch may bring nothing. An empty line comes every 2 s; what comes a quarter late costs one
@@ -33,10 +33,10 @@
 	// Step is how long a call may bring nothing before another is opened beside it. The one after that takes its place, so
 	// that each has two steps to answer: some hold back an answer's head until its first line.
 	Step = Silence / 2
-	// stepLater is the step once an outage is evident: after so many calls without a line. What the other side has
+	// lateStep is the step once an outage is evident: after so many calls without a line. What the other side has
 	// binds within 3 s of its return, whoever asks.
-	stepLater = 2 * time.Second
-	evident   = 3
+	lateStep    = 2 * time.Second
+	outageAfter = 3
 )
 
 var (
@@ -48,38 +48,38 @@
 
 // Follower follows one list. It holds two connections at the most. Its functions are called one at a time, by Follow.
 type Follower[M any] struct {
-	Client *http.Client
-	Step   time.Duration               // 0: Step
-	Most   int                         // bytes of one message
-	Tries  int                         // calls without a line before Follow gives up; it does too when none is open. 0: it never does
-	At     func() string               // host:port that the next call goes to
-	Moved  <-chan struct{}             // At says something else now, and is called at once; nil: it never does
-	From   func() int64                // the version that is held; -1: the whole list is asked for
-	Query  func() string               // what the next call asks for beside, as "&own=1"; nil: nothing
-	Take   func(at string, m *M) error // a message. An error: it is of no use, and its watch is ended
-	Stands func()                      // once for each watch that was taken up and has no news
-	Heard  func()                      // for each line, before it is taken in; may be nil
-	Says   func(at string, why error)
-	Wait   func() time.Duration // after a watch that ended, until the next call; used where Tries is 0
+	Client          *http.Client
+	Step            time.Duration               // 0: Step
+	MaxMessageBytes int                         // bytes of one message
+	MaxCalls        int                         // calls without a line before Follow gives up; it does too when none is open. 0: it never does
+	Address         func() string               // host:port that the next call goes to
+	AddressChanged  <-chan struct{}             // At says something else now, and is called at once; nil: it never does
+	Revision        func() int64                // the version that is held; -1: the whole list is asked for
+	Query           func() string               // what the next call asks for beside, as "&own=1"; nil: nothing
+	Apply           func(at string, m *M) error // a message. An error: it is of no use, and its watch is ended
+	OnEstablished   func()                      // once for each watch that was taken up and has no news
+	OnLine          func()                      // for each line, before it is taken in; may be nil
+	OnError         func(at string, why error)
+	Wait            func() time.Duration // after a watch that ended, until the next call; used where Tries is 0
 }
 
 // call is one watch.
 type call struct {
-	at     string
-	from   int64
-	query  string
-	cancel context.CancelFunc
-	over   chan struct{}
-	told   bool // it has brought a line
-	signs  bool // since its last line: a head, or a part of a message
-	silent bool // that was said
-	former bool // it goes to where the list is no more, and is read on until a call to the new place has spoken
+	at             string
+	from           int64
+	query          string
+	cancel         context.CancelFunc
+	done           chan struct{}
+	established    bool // it has brought a line
+	partial        bool // since its last line: a head, or a part of a message
+	reportedSilent bool // that was said
+	former         bool // it goes to where the list is no more, and is read on until a call to the new place has spoken
 }
 
 // end waits for the call's end, so that there is never a third connection.
 func (c *call) end() {
 	c.cancel()
-	<-c.over
+	<-c.done
 }
 
 // event is what a call reports: one of message, blank, err, or else that something was heard.
@@ -101,7 +101,7 @@
 		}
 	}()
 	events := make(chan event[M])
-	tries := 0 // since the last line
+	calls := 0 // since the last line
 	next, due := time.NewTimer(0), time.Now()
 	defer next.Stop()
 	set := func(wait time.Duration) {
@@ -112,8 +112,8 @@
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
-		case <-f.Moved:
-			at := f.At()
+		case <-f.AddressChanged:
+			at := f.Address()
 			if len(open) > 0 && open[len(open)-1].at == at {
 				continue // it was begun there already
 			}
@@ -124,13 +124,13 @@
 			for _, c := range open {
 				c.former = true
 			}
-			tries = 0
+			calls = 0
 			set(0)
 		case <-next.C:
 			if len(open) > 0 && !open[len(open)-1].former {
-				f.doubt(open[len(open)-1])
+				f.reportSilent(open[len(open)-1])
 			}
-			if f.Tries > 0 && tries >= f.Tries {
+			if f.MaxCalls > 0 && calls >= f.MaxCalls {
 				return ErrSilent
 			}
 			if len(open) == 2 {
@@ -138,8 +138,8 @@
 				open = open[1:]
 			}
 			open = append(open, f.begin(ctx, events))
-			tries++
-			set(f.step(tries))
+			calls++
+			set(f.step(calls))
 		case e := <-events:
 			i := slices.Index(open, e.from)
 			if i < 0 || ctx.Err() != nil { // another is believed, or took its place
@@ -147,7 +147,7 @@
 			}
 			if e.from.former {
 				if e.message != nil {
-					e.err = f.Take(e.from.at, e.message)
+					e.err = f.Apply(e.from.at, e.message)
 				}
 				if e.err != nil { // the call to the new place has its own clock
 					e.from.end()
@@ -162,41 +162,41 @@
 				} else if i > 0 {
 					open[0].end()
 				}
-				open, tries, newest = []*call{e.from}, 0, true
+				open, calls, newest = []*call{e.from}, 0, true
 				e.err = f.line(e)
 			}
 			switch {
 			case e.err != nil:
 				e.from.end()
 				open = slices.DeleteFunc(open, func(c *call) bool { return c == e.from })
-				if !e.from.silent {
-					f.Says(e.from.at, e.err)
+				if !e.from.reportedSilent {
+					f.OnError(e.from.at, e.err)
 				}
 				switch {
-				case f.Tries > 0 && (len(open) == 0 || open[0].former):
+				case f.MaxCalls > 0 && (len(open) == 0 || open[0].former):
 					return e.err
-				case f.Tries == 0 && newest:
+				case f.MaxCalls == 0 && newest:
 					if wait := f.Wait(); time.Until(due) > wait { // an end never puts the next call off
 						set(wait)
 					}
 				}
 			case e.message != nil || e.blank:
-				e.from.signs = false
+				e.from.partial = false
 				set(Silence)
-			case newest && !e.from.signs: // once: a message that never becomes whole keeps no watch alive
-				e.from.signs = true
+			case newest && !e.from.partial: // once: a message that never becomes whole keeps no watch alive
+				e.from.partial = true
 				set(f.quiet(e.from))
 			}
 		}
 	}
 }
 
-func (f *Follower[M]) step(tries int) time.Duration {
+func (f *Follower[M]) step(calls int) time.Duration {
 	switch {
 	case f.Step > 0:
 		return f.Step
-	case tries > evident:
-		return stepLater
+	case calls > outageAfter:
+		return lateStep
 	}
 	return Step
 }
@@ -204,32 +204,32 @@
 // quiet is how long a call may go on without a line after a sign of life. Where the caller sets the step, a first line comes
 // with the head.
 func (f *Follower[M]) quiet(c *call) time.Duration {
-	if f.Step > 0 && !c.told {
+	if f.Step > 0 && !c.established {
 		return f.Step
 	}
 	return Silence
 }
 
-// doubt says once that a call is silent.
-func (f *Follower[M]) doubt(c *call) {
-	if !c.silent {
-		c.silent = true
-		f.Says(c.at, ErrSilent)
+// reportSilent says once that a call is silent.
+func (f *Follower[M]) reportSilent(c *call) {
+	if !c.reportedSilent {
+		c.reportedSilent = true
+		f.OnError(c.at, ErrSilent)
 	}
 }
 
 // line takes in what a call brought, which is believed.
 func (f *Follower[M]) line(e event[M]) error {
-	first := !e.from.told
-	e.from.told, e.from.silent = true, false
-	if f.Heard != nil {
-		f.Heard()
+	first := !e.from.established
+	e.from.established, e.from.reportedSilent = true, false
+	if f.OnLine != nil {
+		f.OnLine()
 	}
 	switch {
 	case e.message != nil:
-		return f.Take(e.from.at, e.message)
-	case first && f.Stands != nil:
-		f.Stands()
+		return f.Apply(e.from.at, e.message)
+	case first && f.OnEstablished != nil:
+		f.OnEstablished()
 	}
 	return nil
 }
@@ -237,12 +237,12 @@
 // begin makes the next call.
 func (f *Follower[M]) begin(ctx context.Context, events chan<- event[M]) *call {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &call{at: f.At(), from: f.From(), cancel: cancel, over: make(chan struct{})}
+	c := &call{at: f.Address(), from: f.Revision(), cancel: cancel, done: make(chan struct{})}
 	if f.Query != nil {
 		c.query = f.Query()
 	}
 	go func() {
-		defer close(c.over)
+		defer close(c.done)
 		f.read(ctx, c, events)
 	}()
 	return c
@@ -250,7 +250,7 @@
 
 // read carries a call out, and reports what it brings until it ends.
 func (f *Follower[M]) read(ctx context.Context, c *call, events chan<- event[M]) {
-	tell := func(e event[M]) {
+	report := func(e event[M]) {
 		e.from = c
 		select {
 		case events <- e:
@@ -260,26 +260,26 @@
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet,
 		fmt.Sprintf("http://%s/api/targets?watch=1&from=%d%s", c.at, c.from, c.query), nil)
 	if err != nil {
-		tell(event[M]{err: err})
+		report(event[M]{err: err})
 		return
 	}
 	resp, err := f.Client.Do(req)
 	if err != nil {
-		tell(event[M]{err: err})
+		report(event[M]{err: err})
 		return
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		tell(event[M]{err: fmt.Errorf("answered %s", resp.Status)})
+		report(event[M]{err: fmt.Errorf("answered %s", resp.Status)})
 		return
 	}
-	tell(event[M]{}) // its head is a sign of life too
-	in := NewMessages(resp.Body, f.Most)
-	in.heard = func(blank bool) { tell(event[M]{blank: blank}) }
+	report(event[M]{}) // its head is a sign of life too
+	in := NewMessages(resp.Body, f.MaxMessageBytes)
+	in.onData = func(blank bool) { report(event[M]{blank: blank}) }
 	for err == nil {
 		m := new(M)
 		if err = in.Next(m); err == nil {
-			tell(event[M]{message: m})
+			report(event[M]{message: m})
 		}
 	}
 	if err != io.EOF {
@@ -290,5 +290,5 @@
 			err = fmt.Errorf("%w: %s", errEnded, why)
 		}
 	}
-	tell(event[M]{err: err})
+	report(event[M]{err: err})
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -123,7 +123,7 @@
 		{"the same, and the next two are as bad", Follower[version]{}, [][]step{endless, bad, bad, news}, 9500, 4, "1"},
 		{"silent, and the next two are never answered", Follower[version]{}, [][]step{stood, mute, mute, news}, 7000, 4, "1"},
 		{"silent, and the next is refused", Follower[version]{}, [][]step{stood, nil, nil, news}, 5000, 4, "1"},
-		{"silent, and asked for, the next never answered", Follower[version]{Step: Silence, Tries: 2}, [][]step{stood, mute, news}, 7000, 3, "1"},
+		{"silent, and asked for, the next never answered", Follower[version]{Step: Silence, MaxCalls: 2}, [][]step{stood, mute, news}, 7000, 3, "1"},
 		{"silent, and the next has its head and nothing else", Follower[version]{}, [][]step{stood, {{0, head}}, news}, 7000, 3, "1"},
 		{"slow: head and line after 2 s", Follower[version]{}, [][]step{stood, {{ms(2000), head}, {0, chunk(lineB)}}}, 6500, 3, "1"},
 		{"silent, and it comes back before the next speaks", Follower[version]{}, [][]step{append(slices.Clone(stood), step{ms(3000), chunk(lineB)}),
@@ -142,8 +142,8 @@
 				held, at, believed := 0, time.Duration(0), int32(0)
 				f := x.f
 				f.Client = &http.Client{Transport: &http.Transport{DialContext: a.dial, DisableKeepAlives: true}}
-				f.Most, f.At, f.From = 1000, func() string { return "agent" }, func() int64 { return int64(held) }
-				f.Take = func(_ string, v *version) error {
+				f.MaxMessageBytes, f.Address, f.Revision = 1000, func() string { return "agent" }, func() int64 { return int64(held) }
+				f.Apply = func(_ string, v *version) error {
 					if held = v.Index; held != 1 {
 						at = time.Since(a.begun)
 						time.AfterFunc(time.Second, func() { // whatever else there is comes before
@@ -153,7 +153,7 @@
 					}
 					return nil
 				}
-				f.Says = func(string, error) {}
+				f.OnError = func(string, error) {}
 				if f.Wait == nil {
 					f.Wait = func() time.Duration { return ms(250) }
 				}
@@ -178,8 +178,8 @@
 func TestAskedForGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &agent{scripts: [][]step{{}}, begun: time.Now()}
-		f := Follower[version]{Client: &http.Client{Transport: &http.Transport{DialContext: a.dial}}, Step: Silence, Tries: 2,
-			At: func() string { return "agent" }, From: func() int64 { return 0 }, Says: func(string, error) {}}
+		f := Follower[version]{Client: &http.Client{Transport: &http.Transport{DialContext: a.dial}}, Step: Silence, MaxCalls: 2,
+			Address: func() string { return "agent" }, Revision: func() int64 { return 0 }, OnError: func(string, error) {}}
 		if err := f.Follow(t.Context()); !errors.Is(err, ErrSilent) || time.Since(a.begun) != 2*Silence || len(a.calls) != 2 {
 			t.Errorf("%v after %v, calls at %v", err, time.Since(a.begun), a.calls)
 		}
@@ -208,7 +208,7 @@
 	} {
 		blanks := 0
 		in := NewMessages(cut(strings.NewReader(text)), 600)
-		in.heard = func(blank bool) {
+		in.onData = func(blank bool) {
 			if blank {
 				blanks++
 			}
@@ -249,9 +249,9 @@
 		ctx, stop := context.WithCancel(t.Context())
 		var taken []int
 		heard := 0
-		f := Follower[version]{Client: server.Client(), Most: 1 << 10, At: func() string { return server.Listener.Addr().String() },
-			From: func() int64 { return 7 }, Query: x.query, Heard: func() { heard++ }, Says: func(string, error) {},
-			Take: func(_ string, v *version) error {
+		f := Follower[version]{Client: server.Client(), MaxMessageBytes: 1 << 10, Address: func() string { return server.Listener.Addr().String() },
+			Revision: func() int64 { return 7 }, Query: x.query, OnLine: func() { heard++ }, OnError: func(string, error) {},
+			Apply: func(_ string, v *version) error {
 				if taken = append(taken, v.Index); v.Index == 2 {
 					stop()
 				}
@@ -301,8 +301,8 @@
 		"nothing was open":               {plays: [][]step{nil, blank}, f: Follower[version]{Wait: func() time.Duration { return ms(5000) }, Step: ms(5000)}, calls: "old new", from: "0", took: "", open: 1},
 		"two were open":                  {plays: [][]step{mute, {{0, head}, {ms(500), line(2)}}, blank}, f: Follower[version]{Step: ms(600)}, calls: "old old new", from: "0", took: "old 2 1.1s", open: 1},
 		"it moves on":                    {plays: [][]step{old, {{0, head}, {ms(200), line(3)}}, blank}, back: true, calls: "old new third", from: "1", took: "old 1 0s, old 2 1.001s, new 3 1.2s", open: 1},
-		"asked for, refused":             {f: Follower[version]{Step: Silence, Tries: 2}, plays: [][]step{old, nil}, calls: "old new", from: "1", took: "old 1 0s", err: errRefused},
-		"asked for, silent":              {f: Follower[version]{Step: Silence, Tries: 2}, plays: [][]step{old, mute, mute}, calls: "old new new", from: "1", took: "old 1 0s, old 2 1.001s", err: ErrSilent},
+		"asked for, refused":             {f: Follower[version]{Step: Silence, MaxCalls: 2}, plays: [][]step{old, nil}, calls: "old new", from: "1", took: "old 1 0s", err: errRefused},
+		"asked for, silent":              {f: Follower[version]{Step: Silence, MaxCalls: 2}, plays: [][]step{old, mute, mute}, calls: "old new new", from: "1", took: "old 1 0s, old 2 1.001s", err: ErrSilent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -315,19 +315,19 @@
 				held, first := 0, ""
 				f := x.f
 				f.Client = &http.Client{Transport: &http.Transport{DialContext: a.dial, DisableKeepAlives: true}}
-				f.Most, f.Moved, f.From = 1000, moved, func() int64 {
+				f.MaxMessageBytes, f.AddressChanged, f.Revision = 1000, moved, func() int64 {
 					if at.Load() == "new" && first == "" {
 						first = fmt.Sprint(held)
 					}
 					return int64(held)
 				}
-				f.At = func() string { return at.Load().(string) }
-				f.Take = func(from string, v *version) error {
+				f.Address = func() string { return at.Load().(string) }
+				f.Apply = func(from string, v *version) error {
 					held = v.Index
 					took = append(took, fmt.Sprintf("%s %d %v", from, held, time.Since(a.begun)))
 					return nil
 				}
-				f.Says = func(string, error) {}
+				f.OnError = func(string, error) {}
 				if f.Wait == nil {
 					f.Wait = func() time.Duration { return ms(250) }
 				}
