--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -233,7 +233,7 @@
 		return OK, 20 * ms
 	})
 	w.fleet(8)
-	w.reply, w.rig.logs = fine, nil
+	w.reply, w.logs = fine, nil
 	w.play(10*time.Second, 200)
 	for i := range 4 {
 		w.list(Delta, Endpoint{Upstream: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -53,7 +53,7 @@
 			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
 		}
 	case Reject, Fail:
-		if a.Kind == Reject && !(q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotentByKey && q.class.KeyScope == KeyScopeAll) &&
+		if a.Kind == Reject && (q.class.Idempotency != Idempotent && (q.class.Idempotency != IdempotentByKey || q.class.KeyScope != KeyScopeAll)) &&
 			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
 			f.t.Fatalf("refused %s, which may have run", a.ID)
 		}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -87,10 +87,10 @@
 }
 
 func (e *SettingError) Error() string {
-	switch {
-	case e.Field == "":
+	switch e.Field {
+	case "":
 		return fmt.Sprintf("setting %s: %s", e.Setting, e.Reason)
-	case e.Field == fieldName:
+	case fieldName:
 		return fmt.Sprintf("setting %s: %s %q %s", e.Setting, e.Field, e.Element, e.Reason)
 	}
 	return fmt.Sprintf("setting %s: %s: %s %s", e.Setting, e.Element, e.Field, e.Reason)
--- a/cmd/mosslead-sidecar/descriptors_test.go
+++ b/cmd/mosslead-sidecar/descriptors_test.go
@@ -43,14 +43,14 @@
 		calls.Add(1)
 		select {
 		case <-ctx.Done():
-			fmt.Fprintln(w, list)
+			_, _ = fmt.Fprintln(w, list)
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		case <-r.Context().Done():
 		}
 	})}
 	go func() { _ = srv.Serve(l) }()
-	t.Cleanup(func() { returns(); srv.Close() })
+	t.Cleanup(func() { returns(); _ = srv.Close() })
 	return l.Addr().String(), calls, returns
 }
 
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -69,7 +69,7 @@
 				return
 			}
 			go func() { // ends with the connection
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				for r := bufio.NewReader(c); ; {
 					if _, err := http.ReadRequest(r); err != nil {
 						return
@@ -125,7 +125,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	wait("two watches and a third in place of one", func() bool { return calls.Load() >= 3 })
 	http.DefaultClient.CloseIdleConnections()
@@ -143,10 +143,10 @@
 			all.Go(func() {
 				for done.Err() == nil {
 					if c, err := (&net.Dialer{}).DialContext(done, "tcp", address); err == nil {
-						over := context.AfterFunc(done, func() { c.Close() })
+						over := context.AfterFunc(done, func() { _ = c.Close() })
 						each(c)
 						over()
-						c.Close()
+						_ = c.Close()
 					}
 					select { // else they would take the processors, too
 					case <-done.Done():
@@ -162,7 +162,7 @@
 	var ids atomic.Int64
 	if hanging {
 		hang := again(limit/2, func(c net.Conn) {
-			fmt.Fprintf(c, "GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 1500m\r\n\r\n", ids.Add(1))
+			_, _ = fmt.Fprintf(c, "GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 1500m\r\n\r\n", ids.Add(1))
 			_, _ = bufio.NewReader(c).ReadString('\n')
 		})
 		defer hang()
@@ -201,9 +201,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(5 * time.Second)) // a read shows it
-		fmt.Fprintf(c, "GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 1500m\r\n\r\n", ids.Add(1))
+		_, _ = fmt.Fprintf(c, "GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 1500m\r\n\r\n", ids.Add(1))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return strings.HasPrefix(line, "HTTP/1.1 200")
 	})
--- a/cmd/mosslead-sidecar/main_test.go
+++ b/cmd/mosslead-sidecar/main_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
@@ -70,7 +70,7 @@
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		resp, err := http.Get("http://" + address + "/-/ready")
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return cmd
 			}
@@ -109,7 +109,7 @@
 	discovery := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			asked <- name
-			fmt.Fprintln(w, `{"index":2,"snapshot":false,"endpoints":[]}`)
+			_, _ = fmt.Fprintln(w, `{"index":2,"snapshot":false,"endpoints":[]}`)
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}))
--- a/cmd/mosslead-sidecar/restart_test.go
+++ b/cmd/mosslead-sidecar/restart_test.go
@@ -44,7 +44,7 @@
 			defer client.CloseIdleConnections()
 			for ; time.Since(begun) < 10*time.Second; time.Sleep(20 * time.Millisecond) {
 				if resp, err := client.Get("http://" + address + "/-/ready"); err == nil {
-					resp.Body.Close()
+					_ = resp.Body.Close()
 					if resp.StatusCode == http.StatusOK {
 						ready <- true
 						return
--- a/cmd/mosslead-sidecar/term_test.go
+++ b/cmd/mosslead-sidecar/term_test.go
@@ -48,8 +48,8 @@
 				if err != nil {
 					t.Fatalf("after %d answers: %v; it ended with %v and said %s", answers, err, cmd.Wait(), said.Bytes())
 				}
-				resp.Body.Close()
-				conn.Close()
+				_ = resp.Body.Close()
+				_ = conn.Close()
 				answers++
 			}
 			err := cmd.Wait()
--- a/cmd/mosslead-sidecar/upgrade_test.go
+++ b/cmd/mosslead-sidecar/upgrade_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(2 * time.Second)) // where it fails, so does what follows
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return ""
@@ -53,12 +53,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
+			defer func() { _ = l.Close() }()
 			socket, err := l.(*net.TCPListener).File()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer socket.Close()
+			defer func() { _ = socket.Close() }()
 			dir := t.TempDir()
 			path := filepath.Join(dir, "config.json")
 			text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":"127.0.0.1:1","seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
--- a/internal/cli/burden.go
+++ b/internal/cli/burden.go
@@ -93,21 +93,21 @@
 			}
 		}
 		return a.print(*format, found, func(w io.Writer) {
-			fmt.Fprintln(w, "watchers\tentries\tchanges\tp50 ms\tp99 ms\tmost ms\tunheard\tKB a watcher\tCPU ms a change")
+			_, _ = fmt.Fprintln(w, "watchers\tentries\tchanges\tp50 ms\tp99 ms\tmost ms\tunheard\tKB a watcher\tCPU ms a change")
 			for _, x := range found.Watchers {
-				fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%d\t%.1f\t%.1f\n", x.Watchers, x.Entries, x.Changes, x.P50Ms, x.P99Ms, x.MostMs, x.Unheard, x.KBPerWatcher, x.CPUPerChange)
+				_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%d\t%.1f\t%.1f\n", x.Watchers, x.Entries, x.Changes, x.P50Ms, x.P99Ms, x.MostMs, x.Unheard, x.KBPerWatcher, x.CPUPerChange)
 			}
-			fmt.Fprintln(w, "\nwatchers\tentries\tchanges\tin s\tp99 ms\tchanges a line\tall heard\tMB")
+			_, _ = fmt.Fprintln(w, "\nwatchers\tentries\tchanges\tin s\tp99 ms\tchanges a line\tall heard\tMB")
 			for _, x := range found.Churn {
-				fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%v\t%.0f\n", x.Watchers, x.Entries, x.Changes, x.Seconds, x.P99Ms, x.Joined, x.AllHeard, x.MemoryMB)
+				_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%v\t%.0f\n", x.Watchers, x.Entries, x.Changes, x.Seconds, x.P99Ms, x.Joined, x.AllHeard, x.MemoryMB)
 			}
-			fmt.Fprintln(w, "\ncome back\tentries\twhole list\twithin s\tall back s\tp99 ms\tfailed\tMB")
+			_, _ = fmt.Fprintln(w, "\ncome back\tentries\twhole list\twithin s\tall back s\tp99 ms\tfailed\tMB")
 			for _, x := range found.Return {
-				fmt.Fprintf(w, "%d\t%d\t%v\t%.1f\t%.2f\t%.1f\t%d\t%.0f\n", x.Watchers, x.Entries, x.Whole, x.Within, x.AllBack, x.P99Ms, x.Failed, x.MemoryMB)
+				_, _ = fmt.Fprintf(w, "%d\t%d\t%v\t%.1f\t%.2f\t%.1f\t%d\t%.0f\n", x.Watchers, x.Entries, x.Whole, x.Within, x.AllBack, x.P99Ms, x.Failed, x.MemoryMB)
 			}
-			fmt.Fprintln(w, "\nreplicas\tservers\tasked/s\ttook/s\tfailed\tlost\tp99 ms\tcores\tcallers' cores")
+			_, _ = fmt.Fprintln(w, "\nreplicas\tservers\tasked/s\ttook/s\tfailed\tlost\tp99 ms\tcores\tcallers' cores")
 			for _, x := range found.Renewals {
-				fmt.Fprintf(w, "%d\t%d\t%.0f\t%.0f\t%d\t%d\t%.1f\t%.2f\t%.2f\n", x.Replicas, x.Servers, x.Asked, x.Took, x.Failed, x.Lost, x.P99Ms, x.Cores, x.OwnCores)
+				_, _ = fmt.Fprintf(w, "%d\t%d\t%.0f\t%.0f\t%d\t%d\t%.1f\t%.2f\t%.2f\n", x.Replicas, x.Servers, x.Asked, x.Took, x.Failed, x.Lost, x.P99Ms, x.Cores, x.OwnCores)
 			}
 		})
 	}
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -69,9 +69,9 @@
 
 // writeCapacity is the table for people.
 func writeCapacity(w io.Writer, t *capacity.Table) {
-	fmt.Fprintln(w, "load\tvalue\tunit")
+	_, _ = fmt.Fprintln(w, "load\tvalue\tunit")
 	for _, q := range t.Load {
-		fmt.Fprintf(w, "%s\t%.4g\t%s\n", q.What, q.Value, q.Unit)
+		_, _ = fmt.Fprintf(w, "%s\t%.4g\t%s\n", q.What, q.Value, q.Unit)
 	}
 	for _, part := range []struct {
 		name string
@@ -80,7 +80,7 @@
 		if len(part.rows) == 0 {
 			continue
 		}
-		fmt.Fprintf(w, "\nrole (%s)\twhat\tday\tfigure\t95%%\tunit\tbudget\tbudget/figure\tcarried\n", part.name)
+		_, _ = fmt.Fprintf(w, "\nrole (%s)\twhat\tday\tfigure\t95%%\tunit\tbudget\tbudget/figure\tcarried\n", part.name)
 		for _, r := range part.rows {
 			figure, interval, budget, left := "not measured", "-", "-", "-"
 			if r.Figure != nil {
@@ -92,12 +92,12 @@
 			if r.Left() > 0 {
 				left = fmt.Sprintf("%.3g", r.Left())
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n", r.Role, r.What, r.Day, figure, interval, r.Unit, budget, left, r.Carried)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\n", r.Role, r.What, r.Day, figure, interval, r.Unit, budget, left, r.Carried)
 		}
 	}
-	fmt.Fprintln(w, "\nmissing first\twhat\twhy\ta year\tfigure/budget")
+	_, _ = fmt.Fprintln(w, "\nmissing first\twhat\twhy\ta year\tfigure/budget")
 	for _, c := range t.Missing {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.3g\n", c.Row.Role, c.Row.What, c.Why, c.PerYear, c.Over)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.3g\n", c.Row.Role, c.Row.What, c.Why, c.PerYear, c.Over)
 	}
 }
 
@@ -208,7 +208,7 @@
 			return err
 		}
 		return a.print(*format, m, func(w io.Writer) {
-			fmt.Fprintln(w, "series\tunit\tstraight in\tslope\t95%\tpredicted\tcame")
+			_, _ = fmt.Fprintln(w, "series\tunit\tstraight in\tslope\t95%\tpredicted\tcame")
 			for _, s := range m.Series {
 				_, l, err := m.Line(s.Name)
 				if err != nil {
@@ -222,7 +222,7 @@
 					}
 					came = fmt.Sprintf("%.4g", sum/float64(len(m.Checks)))
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g to %.4g\t%.4g (%.4g to %.4g)\t%s\n", s.Name, s.Unit, s.Form, l.Slope.Value, l.Slope.Low, l.Slope.High, says.Value, says.Low, says.High, came)
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g to %.4g\t%.4g (%.4g to %.4g)\t%s\n", s.Name, s.Unit, s.Form, l.Slope.Value, l.Slope.Low, l.Slope.High, says.Value, says.Low, says.High, came)
 			}
 		})
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -55,10 +55,10 @@
 	case err == nil:
 		return done
 	case errors.As(err, &wrong):
-		fmt.Fprintf(a.err, "mosslead: %v\n", err)
+		_, _ = fmt.Fprintf(a.err, "mosslead: %v\n", err)
 		return usage
 	}
-	fmt.Fprintf(a.err, "mosslead: %v\n", err)
+	_, _ = fmt.Fprintf(a.err, "mosslead: %v\n", err)
 	return failed
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -70,8 +70,7 @@
 }
 
 func TestEveryCommandHasHelpWithAnExample(t *testing.T) {
-	var walk func(path []string)
-	walk = func(path []string) {
+	walk := func(path []string) {
 		status, out, _ := call(t, append(path, "--help")...)
 		if status != done || !strings.Contains(out, "Examples:\n  ") || !strings.Contains(out, "mosslead") {
 			t.Errorf("%v --help: status %d, %q", path, status, out)
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }()
 		in = f
 	}
 	text, err := io.ReadAll(io.LimitReader(in, api.MaxSettings+1))
@@ -166,12 +166,12 @@
 		return err
 	}
 	if said := a.print(format, came, func(w io.Writer) {
-		fmt.Fprintf(w, "service\toutcome\tversion\tbased on\n%s\t%s\t%s\t%d\n", came.Service, came.Outcome, versionWord(came.Version), came.Based)
+		_, _ = fmt.Fprintf(w, "service\toutcome\tversion\tbased on\n%s\t%s\t%s\t%d\n", came.Service, came.Outcome, versionWord(came.Version), came.Based)
 	}); said != nil {
 		return said
 	}
 	if hint != "" {
-		fmt.Fprintln(a.err, "mosslead: "+hint)
+		_, _ = fmt.Fprintln(a.err, "mosslead: "+hint)
 	}
 	return err
 }
@@ -244,9 +244,9 @@
 					return err
 				}
 				return a.print(*format, all, func(w io.Writer) {
-					fmt.Fprintln(w, documentHead)
+					_, _ = fmt.Fprintln(w, documentHead)
 					for _, d := range all.Documents {
-						fmt.Fprintln(w, documentRow(d))
+						_, _ = fmt.Fprintln(w, documentRow(d))
 					}
 				})
 			}
@@ -255,10 +255,10 @@
 				return err
 			}
 			return a.print(*format, d, func(w io.Writer) {
-				fmt.Fprintf(w, "%s\n%s\n", documentHead, documentRow(d))
+				_, _ = fmt.Fprintf(w, "%s\n%s\n", documentHead, documentRow(d))
 				var text bytes.Buffer
 				if json.Indent(&text, d.Settings, "", "  ") == nil {
-					fmt.Fprintf(w, "\n%s\n", strings.ReplaceAll(text.String(), "\t", " ")) // a tab would be a column
+					_, _ = fmt.Fprintf(w, "\n%s\n", strings.ReplaceAll(text.String(), "\t", " ")) // a tab would be a column
 				}
 			})
 		})
--- a/internal/cli/config_status.go
+++ b/internal/cli/config_status.go
@@ -134,14 +134,14 @@
 }
 
 func statusTable(w io.Writer, said []regionStatus) {
-	fmt.Fprintln(w, "service\towner\tversion\tsidecars of\tin force\tbehind\trejected\tunheard")
+	_, _ = fmt.Fprintln(w, "service\towner\tversion\tsidecars of\tin force\tbehind\trejected\tunheard")
 	for _, s := range said {
 		for _, r := range s.Rollouts {
 			version := fmt.Sprint(r.Revision)
 			if r.Deleted {
 				version += " deleted"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", r.Service, cmp.Or(r.Region, "-"), version, cmp.Or(s.Region, "-"), r.InForce, r.Behind,
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\n", r.Service, cmp.Or(r.Region, "-"), version, cmp.Or(s.Region, "-"), r.InForce, r.Behind,
 				r.Rejected, r.Silent)
 		}
 	}
@@ -152,7 +152,7 @@
 	}
 	for _, s := range said {
 		if s.Failed != "" {
-			fmt.Fprintf(w, "\n%s: %s\n", s.Region, s.Failed)
+			_, _ = fmt.Fprintf(w, "\n%s: %s\n", s.Region, s.Failed)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	if region != "" {
 		where = " in " + region
 	}
-	fmt.Fprintf(w, "\n%s version %d is not in force%s at:\n", r.Service, r.Revision, where)
+	_, _ = fmt.Fprintf(w, "\n%s version %d is not in force%s at:\n", r.Service, r.Revision, where)
 	for _, x := range r.NotInForce[:min(len(r.NotInForce), namedMost)] {
 		has := "its file's settings"
 		if x.Revision > 0 {
@@ -184,10 +184,10 @@
 		case x.Reason != "":
 			why = x.Reason
 		}
-		fmt.Fprintf(w, "  %s\thas %s\t%s\n", x.Node, has, oneLine(why))
+		_, _ = fmt.Fprintf(w, "  %s\thas %s\t%s\n", x.Node, has, oneLine(why))
 	}
 	if left := r.Behind + r.Rejected + r.Silent - min(len(r.NotInForce), namedMost); left > 0 {
-		fmt.Fprintf(w, "  and %d more\n", left)
+		_, _ = fmt.Fprintf(w, "  and %d more\n", left)
 	}
 }
 
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -76,7 +76,7 @@
 			fail(http.StatusBadRequest, api.Errorf(api.CodeBadRequest, "%v", err))
 			return
 		}
-		if *p.IfRevision != now.Revision && !(*p.IfRevision == 0 && now.Deleted) {
+		if *p.IfRevision != now.Revision && (*p.IfRevision != 0 || !now.Deleted) {
 			fail(http.StatusConflict, api.Errorf(api.CodeConflict, "the settings are at version %d", now.Revision))
 			return
 		}
--- a/internal/cli/duties.go
+++ b/internal/cli/duties.go
@@ -87,9 +87,9 @@
 			breaches += len(p.Breaches)
 		}
 		err = a.print(*format, results, func(w io.Writer) {
-			fmt.Fprintln(w, "experiment\tseed\thand-ons\tacts\ttaken\trefused\tlongest gap\tbreaches\ts")
+			_, _ = fmt.Fprintln(w, "experiment\tseed\thand-ons\tacts\ttaken\trefused\tlongest gap\tbreaches\ts")
 			for _, x := range results {
-				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%v\t%d\t%.0f\n", x.Kind, x.Seed, x.HandOns, x.Acts, x.Taken, x.Refused,
+				_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%v\t%d\t%.0f\n", x.Kind, x.Seed, x.HandOns, x.Acts, x.Taken, x.Refused,
 					x.Longest.Round(time.Millisecond), len(x.Breaches), x.Seconds)
 			}
 		})
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -81,7 +81,7 @@
 				} else {
 					a.table(r)
 				}
-				fmt.Fprintf(a.err, "report: %s\n", filepath.Join(out, "index.html"))
+				_, _ = fmt.Fprintf(a.err, "report: %s\n", filepath.Join(out, "index.html"))
 			}
 			if err != nil {
 				return err
@@ -134,16 +134,16 @@
 	if !a.terminal {
 		return
 	}
-	fmt.Fprintf(a.err, "\r\033[K%d of %d  %s", done, total, what)
+	_, _ = fmt.Fprintf(a.err, "\r\033[K%d of %d  %s", done, total, what)
 	if done == total {
-		fmt.Fprint(a.err, "\r\033[K")
+		_, _ = fmt.Fprint(a.err, "\r\033[K")
 	}
 }
 
 // table prints a result for people.
 func (a *app) table(r *report.Result) {
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "%s\t%s\n", "figure", strings.Join(r.Variants, "\t"))
+	_, _ = fmt.Fprintf(w, "%s\t%s\n", "figure", strings.Join(r.Variants, "\t"))
 	for _, name := range report.Names {
 		row, any := []string{name[0]}, false
 		for _, v := range r.Variants {
@@ -159,21 +159,21 @@
 			}
 		}
 		if any {
-			fmt.Fprintln(w, strings.Join(row, "\t"))
+			_, _ = fmt.Fprintln(w, strings.Join(row, "\t"))
 		}
 	}
-	w.Flush()
-	fmt.Fprintln(a.out)
+	_ = w.Flush()
+	_, _ = fmt.Fprintln(a.out)
 	for _, x := range r.Expects {
 		word := "held  "
 		if !x.Held {
 			word = "FAILED"
 		}
-		fmt.Fprintf(a.out, "%s  %s: %s\n", word, x.Says, x.Shows)
+		_, _ = fmt.Fprintf(a.out, "%s  %s: %s\n", word, x.Says, x.Shows)
 	}
 	for _, p := range r.Plays {
 		for _, doubt := range slices.Concat(p.Doubts, p.Notes) {
-			fmt.Fprintf(a.out, "DOUBT   %s, seed %d, play %d: %s\n", p.Variant, p.Seed, p.Repeat+1, doubt)
+			_, _ = fmt.Fprintf(a.out, "DOUBT   %s, seed %d, play %d: %s\n", p.Variant, p.Seed, p.Repeat+1, doubt)
 		}
 	}
 }
@@ -197,14 +197,14 @@
 			for _, path := range paths {
 				e, err := experiment.LoadFile(path)
 				if f, wrong := capacity.LoadFleet(path); err != nil && wrong == nil { // figures to work with, and nothing to play
-					fmt.Fprintf(w, "%s\t%s\n", path, f.Question)
+					_, _ = fmt.Fprintf(w, "%s\t%s\n", path, f.Question)
 					continue
 				}
 				if err != nil {
-					fmt.Fprintf(w, "%s\t%v\n", path, err)
+					_, _ = fmt.Fprintf(w, "%s\t%v\n", path, err)
 					continue
 				}
-				fmt.Fprintf(w, "%s\t%s\n", path, e.Question)
+				_, _ = fmt.Fprintf(w, "%s\t%s\n", path, e.Question)
 			}
 			return w.Flush()
 		},
@@ -245,13 +245,13 @@
 				return json.NewEncoder(a.out).Encode(ratios)
 			}
 			w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-			fmt.Fprintf(w, "figure\t%s\t%s\tratio\t95%%\tplays\t\n", variantA, variantB)
+			_, _ = fmt.Fprintf(w, "figure\t%s\t%s\tratio\t95%%\tplays\t\n", variantA, variantB)
 			for _, r := range ratios {
 				interval := "-"
 				if r.High > 0 {
 					interval = fmt.Sprintf("%.3f to %.3f", r.Low, r.High)
 				}
-				fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.3f\t%s\t%d\t%s\n", r.Figure, r.A, r.B, r.Value, interval, r.Compared, r.Verdict)
+				_, _ = fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.3f\t%s\t%d\t%s\n", r.Figure, r.A, r.B, r.Value, interval, r.Compared, r.Verdict)
 			}
 			return w.Flush()
 		},
@@ -282,7 +282,7 @@
 			if err != nil {
 				return usageError{err}
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }()
 			if err := r.Plot(f, chart, format); err != nil {
 				return usageError{err}
 			}
@@ -302,9 +302,9 @@
 		Args:    args(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "kind\tof\twhat it does")
+			_, _ = fmt.Fprintln(w, "kind\tof\twhat it does")
 			for _, kind := range slices.Sorted(maps.Keys(experiment.FaultKinds)) {
-				fmt.Fprintf(w, "%s\t%s\t%s\n", kind, experiment.FaultKinds[kind].Party, experiment.FaultKinds[kind].Says)
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", kind, experiment.FaultKinds[kind].Party, experiment.FaultKinds[kind].Says)
 			}
 			return w.Flush()
 		},
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -56,9 +56,9 @@
 				return err
 			}
 			return a.print(*format, all, func(w io.Writer) {
-				fmt.Fprintln(w, "name\taddress\tzone\ttype\tgroup\tstatus\tweight\tversion\tincarnation\tby hand")
+				_, _ = fmt.Fprintln(w, "name\taddress\tzone\ttype\tgroup\tstatus\tweight\tversion\tincarnation\tby hand")
 				for _, r := range all.Records {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%g\t%d\t%d\t%s\n", r.Name, r.Address, r.Zone, r.Machine, r.Cell, r.Status, r.Weight,
+					_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%g\t%d\t%d\t%s\n", r.Name, r.Address, r.Zone, r.Machine, r.Cell, r.Status, r.Weight,
 						r.Revision, r.Incarnation, r.AdminState)
 				}
 			})
@@ -90,7 +90,7 @@
 					return json.NewEncoder(a.out).Encode(l)
 				}
 				for _, e := range l.Endpoints {
-					fmt.Fprintf(a.out, "%d  %-12s %s  %s  zone %s\n", l.Revision, e.Status, e.Name, e.Address, e.Zone)
+					_, _ = fmt.Fprintf(a.out, "%d  %-12s %s  %s  zone %s\n", l.Revision, e.Status, e.Name, e.Address, e.Zone)
 				}
 				return nil
 			},
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -143,23 +143,23 @@
 				failures[address] = err.Error()
 			}
 			err := a.print(*format, map[string]any{"replicas": said, "failed": failures}, func(w io.Writer) {
-				fmt.Fprintln(w, "address\tname\tstate\tleader\tepoch\tversion\tentries\twatches\told\tstarts")
+				_, _ = fmt.Fprintln(w, "address\tname\tstate\tleader\tepoch\tversion\tentries\twatches\told\tstarts")
 				for _, address := range slices.Sorted(maps.Keys(said)) {
 					s := said[address]
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%d\n", address, s.Replica.Name, s.State, s.Leader, s.Term, s.Revision,
+					_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%d\n", address, s.Replica.Name, s.State, s.Leader, s.Term, s.Revision,
 						s.Endpoints, s.Watchers, time.Duration(s.StalenessMs)*time.Millisecond, s.Replica.StartCount)
 				}
 				for _, address := range slices.Sorted(maps.Keys(said)) {
 					if s := said[address]; s.Preserving {
-						fmt.Fprintf(w, "\n%d servers fell silent at once; the service suspects itself and keeps them: %s\n", len(s.ExpiredLeases), strings.Join(s.ExpiredLeases, " "))
-						fmt.Fprintln(w, "If they are gone: mosslead registry overrule")
+						_, _ = fmt.Fprintf(w, "\n%d servers fell silent at once; the service suspects itself and keeps them: %s\n", len(s.ExpiredLeases), strings.Join(s.ExpiredLeases, " "))
+						_, _ = fmt.Fprintln(w, "If they are gone: mosslead registry overrule")
 					}
 				}
 				for _, address := range slices.Sorted(maps.Keys(said)) {
 					followingTable(w, said[address])
 				}
 				for _, address := range slices.Sorted(maps.Keys(failures)) {
-					fmt.Fprintf(w, "\n%s: %s\n", address, failures[address])
+					_, _ = fmt.Fprintf(w, "\n%s: %s\n", address, failures[address])
 				}
 			})
 			if err == nil && len(said) == 0 {
@@ -176,13 +176,13 @@
 	if len(s.Replication) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\nregion %s follows\tversion\tbegun\theard\tentries\tset aside\n", s.Region)
+	_, _ = fmt.Fprintf(w, "\nregion %s follows\tversion\tbegun\theard\tentries\tset aside\n", s.Region)
 	for _, f := range s.Replication {
 		heard := "not yet"
 		if f.AgeMs >= 0 {
 			heard = (time.Duration(f.AgeMs) * time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", f.Region, f.Revision, f.SeenRevision, heard, f.Endpoints, oneLine(f.RejectedReason))
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", f.Region, f.Revision, f.SeenRevision, heard, f.Endpoints, oneLine(f.RejectedReason))
 	}
 }
 
@@ -225,7 +225,7 @@
 			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
 				ended, err := service.Overrule(ctx)
 				for _, name := range ended {
-					fmt.Fprintln(a.out, name)
+					_, _ = fmt.Fprintln(a.out, name)
 				}
 				return err
 			})
@@ -289,7 +289,7 @@
 		RunE: func(_ *cobra.Command, given []string) error {
 			_, records, err := backupFile(given[0])
 			if err == nil {
-				fmt.Fprintf(a.out, "whole: %d records\n", records)
+				_, _ = fmt.Fprintf(a.out, "whole: %d records\n", records)
 			}
 			return err
 		},
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -88,7 +88,7 @@
 			if err := a.print(*format, r, func(w io.Writer) { scaleTable(w, r) }); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.err, "result: %s\n", spec.Dir)
+			_, _ = fmt.Fprintf(a.err, "result: %s\n", spec.Dir)
 		}
 		if err != nil {
 			return err
@@ -102,58 +102,58 @@
 }
 
 func scaleTable(w io.Writer, r *scale.Result) {
-	fmt.Fprintf(w, "%d hollow in %d processes, %d real, %d replicas in a region; leases of %.3g s; %d processes, %d descriptors at most in one\n",
+	_, _ = fmt.Fprintf(w, "%d hollow in %d processes, %d real, %d replicas in a region; leases of %.3g s; %d processes, %d descriptors at most in one\n",
 		r.Hollow, r.Hosts, r.Real, r.Replicas, r.LeaseS, r.Processes, r.Descriptors)
-	fmt.Fprintf(w, "not played: %s\n", r.Gossip)
-	fmt.Fprintln(w, "\nday\tseed\tverdicts\tcause\tchanges\tcounted\tp50 ms\tp99 ms\tlongest ms")
+	_, _ = fmt.Fprintf(w, "not played: %s\n", r.Gossip)
+	_, _ = fmt.Fprintln(w, "\nday\tseed\tverdicts\tcause\tchanges\tcounted\tp50 ms\tp99 ms\tlongest ms")
 	for _, p := range r.Plays {
 		word := "held"
 		if !p.Held {
 			word = "FAILED " + strings.Join(p.Failed, ", ")
 		}
 		if len(p.Delays) == 0 {
-			fmt.Fprintf(w, "%s\t%d\t%s\t-\t-\t-\t-\t-\t-\n", p.Day, p.Seed, word)
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t-\t-\t-\t-\t-\t-\n", p.Day, p.Seed, word)
 		}
 		for _, d := range p.Delays {
-			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%d\t%.1f\t%.1f\t%.1f\n", p.Day, p.Seed, word, d.Cause, d.Changes, d.Counted, d.P50Ms, d.P99Ms, d.MostMs)
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%d\t%.1f\t%.1f\t%.1f\n", p.Day, p.Seed, word, d.Cause, d.Changes, d.Counted, d.P50Ms, d.P99Ms, d.MostMs)
 			word = ""
 		}
 	}
-	fmt.Fprintln(w, "\nWhat a process spends is judged where it ran for the whole day; one that was restarted began with a whole list, and is in the means")
-	fmt.Fprintln(w, "and mosts below. Hollow ones have an even part of their host, with the gates that count; processor time and memory are judged on")
-	fmt.Fprintln(w, "real ones without load. Real ones are seen at their door, late by 200 ms at the most.")
-	fmt.Fprintln(w, "\nday\tseed\trole\tprocesses\tbytes/s\tmost\tup\tdown\tmessages/s up\tdown\tKB\tmost\tCPU %\tmost")
+	_, _ = fmt.Fprintln(w, "\nWhat a process spends is judged where it ran for the whole day; one that was restarted began with a whole list, and is in the means")
+	_, _ = fmt.Fprintln(w, "and mosts below. Hollow ones have an even part of their host, with the gates that count; processor time and memory are judged on")
+	_, _ = fmt.Fprintln(w, "real ones without load. Real ones are seen at their door, late by 200 ms at the most.")
+	_, _ = fmt.Fprintln(w, "\nday\tseed\trole\tprocesses\tbytes/s\tmost\tup\tdown\tmessages/s up\tdown\tKB\tmost\tCPU %\tmost")
 	for _, p := range r.Plays {
 		for _, x := range p.Roles {
-			fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\n", p.Day, p.Seed, x.Role, x.Count, x.BytesS, x.MostBytes,
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\n", p.Day, p.Seed, x.Role, x.Count, x.BytesS, x.MostBytes,
 				x.UpS, x.DownS, x.UpMsgsS, x.DownMsgsS, x.KB, x.MostKB, 100*x.CPU, 100*x.MostCPU)
 		}
 	}
-	fmt.Fprintln(w, "\nday\tseed\tin s\tMB of all\trequests beside\tserved")
+	_, _ = fmt.Fprintln(w, "\nday\tseed\tin s\tMB of all\trequests beside\tserved")
 	for _, p := range r.Plays {
-		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%d\t%d\n", p.Day, p.Seed, p.Seconds, p.MemoryMB, p.Load.Sent, p.Load.Served)
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%d\t%d\n", p.Day, p.Seed, p.Seconds, p.MemoryMB, p.Load.Sent, p.Load.Served)
 	}
-	fmt.Fprintln(w, "\nrequests inside a region\tregion\tseed\tbefore the cut\tserved\tduring it\tserved\tleft out, as they went to the other")
+	_, _ = fmt.Fprintln(w, "\nrequests inside a region\tregion\tseed\tbefore the cut\tserved\tduring it\tserved\tleft out, as they went to the other")
 	for _, p := range r.Plays {
 		for _, x := range p.Inside {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Day, x.Region, p.Seed, x.Before.Sent, x.Before.Served, x.During.Sent, x.During.Served, x.Outside)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Day, x.Region, p.Seed, x.Before.Sent, x.Before.Served, x.During.Sent, x.During.Served, x.Outside)
 		}
 	}
-	fmt.Fprintln(w, "\nhollow beside real\ta second\thollow\treal\tratio")
+	_, _ = fmt.Fprintln(w, "\nhollow beside real\ta second\thollow\treal\tratio")
 	for _, p := range r.Plays {
 		for _, x := range p.Comparisons {
-			fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.3f\n", x.Phase, x.What, x.Hollow, x.Real, x.Ratio)
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.3f\n", x.Phase, x.What, x.Hollow, x.Real, x.Ratio)
 		}
 	}
 	for _, p := range r.Plays {
 		for _, f := range p.Findings {
-			fmt.Fprintf(w, "\nFAILED %s, seed %d, %s, %s: %s", p.Day, p.Seed, f.Verdict, f.Process, f.Text)
+			_, _ = fmt.Fprintf(w, "\nFAILED %s, seed %d, %s, %s: %s", p.Day, p.Seed, f.Verdict, f.Process, f.Text)
 		}
 		if p.Error != "" {
-			fmt.Fprintf(w, "\nBROKEN OFF %s, seed %d: %s", p.Day, p.Seed, p.Error)
+			_, _ = fmt.Fprintf(w, "\nBROKEN OFF %s, seed %d: %s", p.Day, p.Seed, p.Error)
 		}
 	}
-	fmt.Fprintln(w)
+	_, _ = fmt.Fprintln(w)
 }
 
 // labHollow is what the scale run starts: a host of hollow sidecars, which takes its orders from the standard input.
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -54,14 +54,14 @@
 }
 
 func stateTable(w io.Writer, s statestore.Summary) {
-	fmt.Fprintf(w, "sidecar\t%s\nlast start\t%s\nits end\t%s\nearly ends in a row\t%d\n", s.Sidecar, s.Started, s.Ended, s.EarlyExits)
-	fmt.Fprintf(w, "list\t%d upstreams, version %d of %s, %s old\n", s.Upstreams, s.ListIndex, s.ListSource, age(s.ListAgeS))
-	fmt.Fprintf(w, "learnt\tof %d upstreams, %s old\n", s.SnapshotEndpoints, age(s.SnapshotAgeS))
+	_, _ = fmt.Fprintf(w, "sidecar\t%s\nlast start\t%s\nits end\t%s\nearly ends in a row\t%d\n", s.Sidecar, s.Started, s.Ended, s.EarlyExits)
+	_, _ = fmt.Fprintf(w, "list\t%d upstreams, version %d of %s, %s old\n", s.Upstreams, s.ListIndex, s.ListSource, age(s.ListAgeS))
+	_, _ = fmt.Fprintf(w, "learnt\tof %d upstreams, %s old\n", s.SnapshotEndpoints, age(s.SnapshotAgeS))
 	if k := s.Settings; k != nil {
 		of := map[bool]string{true: ", deleted: those of the file are in force"}[k.Deleted]
-		fmt.Fprintf(w, "settings\tof %s, version %d of region %q%s, %s old\n", k.Service, k.Version, k.Region, of, age(k.AgeS))
+		_, _ = fmt.Fprintf(w, "settings\tof %s, version %d of region %q%s, %s old\n", k.Service, k.Version, k.Region, of, age(k.AgeS))
 	}
-	fmt.Fprintf(w, "left out\t%s\n", strings.Join(s.Ejected, " "))
+	_, _ = fmt.Fprintf(w, "left out\t%s\n", strings.Join(s.Ejected, " "))
 	if k := s.Settings; k != nil {
 		what := fmt.Sprintf("version %d", k.Version)
 		switch {
@@ -73,19 +73,19 @@
 		if k.Region != "" {
 			what += " of " + k.Region
 		}
-		fmt.Fprintf(w, "settings\tof %s: %s, %s old\n", k.Service, what, age(k.AgeS))
+		_, _ = fmt.Fprintf(w, "settings\tof %s: %s, %s old\n", k.Service, what, age(k.AgeS))
 	}
 	var bans []string
 	for id, since := range s.Bans {
 		bans = append(bans, fmt.Sprintf("%s since %s", id, since))
 	}
 	slices.Sort(bans)
-	fmt.Fprintf(w, "bans\t%s\n", strings.Join(bans, "\n\t"))
+	_, _ = fmt.Fprintf(w, "bans\t%s\n", strings.Join(bans, "\n\t"))
 	for _, text := range slices.Concat(s.Notes, s.Corruptions) {
-		fmt.Fprintf(w, "note\t%s\n", text)
+		_, _ = fmt.Fprintf(w, "note\t%s\n", text)
 	}
 	for _, name := range s.Quarantined {
-		fmt.Fprintf(w, "in quarantine\t%s\n", name)
+		_, _ = fmt.Fprintf(w, "in quarantine\t%s\n", name)
 	}
 }
 
@@ -105,7 +105,7 @@
 			_, damages, err := summary(given[0])
 			n := 0
 			for _, d := range damages {
-				fmt.Fprintln(a.out, d)
+				_, _ = fmt.Fprintln(a.out, d)
 				if !d.Torn {
 					n++
 				}
@@ -137,7 +137,7 @@
 				return fmt.Errorf("%s: a sidecar writes there; stop it first, or let it put damaged files aside at its next start", given[0])
 			}
 			for _, d := range dropped {
-				fmt.Fprintf(a.out, "dropped %s\n", d)
+				_, _ = fmt.Fprintf(a.out, "dropped %s\n", d)
 			}
 			return err
 		},
--- a/internal/cli/transcript_test.go
+++ b/internal/cli/transcript_test.go
@@ -179,7 +179,7 @@
 	x.must(err)
 	resp, err := http.DefaultClient.Do(req)
 	x.must(err)
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	_, err = io.Copy(io.Discard, resp.Body)
 	x.must(err)
 }
@@ -202,7 +202,7 @@
 	x.Cleanup(func() {
 		cancel()
 		<-ended
-		resp.Body.Close()
+		_ = resp.Body.Close()
 	})
 	x.hears(at, name, part)
 }
--- a/internal/durable/crashfs/crashfs.go
+++ b/internal/durable/crashfs/crashfs.go
@@ -257,6 +257,7 @@
 	return slices.ContainsFunc(f.ops[i:], func(x op) bool { return x.kind == syncFile && x.inode == f.ops[i].inode })
 }
 
+// Close closes the file. What was not synced stays at risk.
 func (o *file) Close() error {
 	o.f.mu.Lock()
 	defer o.f.mu.Unlock()
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	text, err := io.ReadAll(io.LimitReader(file, int64(maxBytes)+1))
 	if err != nil {
 		return nil, err
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -46,6 +46,7 @@
 
 func (o osFS) path(name string) string { return filepath.Join(o.dir, name) }
 
+// Open implements FS.
 func (o osFS) Open(name string) (File, error) {
 	f, err := os.Open(o.path(name))
 	if err != nil {
@@ -54,6 +55,7 @@
 	return f, nil
 }
 
+// Create implements FS. It makes the directory anew if that was deleted while the process ran.
 func (o osFS) Create(name string) (File, error) {
 	const flags = os.O_WRONLY | os.O_CREATE | os.O_EXCL
 	f, err := os.OpenFile(o.path(name), flags, 0o600)
@@ -68,8 +70,10 @@
 	return f, nil
 }
 
+// Rename implements FS.
 func (o osFS) Rename(from, to string) error { return os.Rename(o.path(from), o.path(to)) }
 
+// Remove implements FS.
 func (o osFS) Remove(name string) error {
 	if err := os.Remove(o.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -77,6 +81,7 @@
 	return nil
 }
 
+// List implements FS.
 func (o osFS) List() (names []string, err error) {
 	entries, err := os.ReadDir(o.dir)
 	if err != nil {
@@ -90,12 +95,13 @@
 	return names, nil
 }
 
+// Sync implements FS.
 func (o osFS) Sync() error {
 	d, err := os.Open(o.dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	if err := d.Sync(); err != nil {
 		return fmt.Errorf("syncing %s: %w", o.dir, err)
 	}
@@ -120,7 +126,7 @@
 		return nil, fmt.Errorf("lock: %w", err)
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, ErrLocked
 		}
--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -119,7 +119,7 @@
 	defer close(t.ended)
 	defer func() {
 		if t.log != nil {
-			t.log.Close() // everything in it is safe
+			_ = t.log.Close() // everything in it is safe
 		}
 	}()
 	for {
@@ -186,7 +186,7 @@
 // rewrite begins a new segment that holds these entries. The one before stays until the next time.
 func (t *KeyValueLog) rewrite(entries map[string]string, number uint64) error {
 	if t.log != nil {
-		t.log.Close() // of no more use, whatever it says
+		_ = t.log.Close() // of no more use, whatever it says
 		t.log = nil
 	}
 	var text []byte
@@ -215,7 +215,7 @@
 		err = t.fs.Sync()
 	}
 	if err != nil {
-		log.Close()
+		_ = log.Close()
 		_ = t.fs.Remove(fresh) // where it fails too, the next attempt sees to it
 		return err
 	}
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -109,6 +109,7 @@
 	return s
 }
 
+// Clone implements modelcheck.State.
 func (s *state) Clone() *state {
 	c := *s
 	c.issued, c.late = slices.Clip(s.issued), slices.Clone(s.late)
@@ -300,22 +301,22 @@
 	s.freeze()
 	sum := sha256.New()
 	l := s.left
-	fmt.Fprint(sum, l.Changes, l.Losses, l.Lates, l.Repeats, l.Elections, l.Starts, l.Backs, l.Reads, s.changes, s.back, s.newest, s.sidecar.Revision, string(s.sidecar.Settings))
+	_, _ = fmt.Fprint(sum, l.Changes, l.Losses, l.Lates, l.Repeats, l.Elections, l.Starts, l.Backs, l.Reads, s.changes, s.back, s.newest, s.sidecar.Revision, string(s.sidecar.Settings))
 	for _, l := range []frozen{s.owner, s.behind, s.follower, s.lags} {
 		sum.Write(l.key)
 	}
 	keyOf := func(p list.Chunk) {
-		fmt.Fprint(sum, "|", p.From, p.To, p.Part, p.Last)
+		_, _ = fmt.Fprint(sum, "|", p.From, p.To, p.Part, p.Last)
 		for _, e := range p.Entries {
-			fmt.Fprint(sum, e.Name, e.Address, e.Status)
+			_, _ = fmt.Fprint(sum, e.Name, e.Address, e.Status)
 		}
 		for _, d := range p.Documents {
-			fmt.Fprint(sum, d.Service, d.Revision, string(d.Settings))
+			_, _ = fmt.Fprint(sum, d.Service, d.Revision, string(d.Settings))
 		}
 	}
 	for i := range s.leaders {
 		l := &s.leaders[i]
-		fmt.Fprint(sum, "|L", l.leads, l.sync, l.unheard, l.watches, l.source, l.at, l.snapshot, l.anomaly, l.forgets)
+		_, _ = fmt.Fprint(sum, "|L", l.leads, l.sync, l.unheard, l.watches, l.source, l.at, l.snapshot, l.anomaly, l.forgets)
 		for _, x := range l.lines {
 			keyOf(list.Chunk{From: int64(len(x.Endpoints)), To: x.Revision, Last: x.Snapshot, Entries: x.Endpoints, Documents: x.Documents})
 		}
--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -17,6 +17,7 @@
 	p   *Gossiper
 }
 
+// Invalidates tells whether b replaces other in the queue.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	o, same := other.(*broadcast)
 	return same && o.key == b.key
@@ -26,8 +27,12 @@
 func (b *broadcast) Name() string {
 	return b.key.Owner + "\x00" + strconv.Itoa(int(b.key.Kind)) + "\x00" + b.key.Name
 }
+
+// Message encodes the record as it is when it is sent.
 func (b *broadcast) Message() []byte { return b.p.encodeNow(b.key) }
-func (b *broadcast) Finished()       {}
+
+// Finished implements memberlist.Broadcast.
+func (b *broadcast) Finished() {}
 
 // delegate is what the library asks of a carrier, on goroutines of its own.
 type delegate Gossiper
@@ -44,6 +49,7 @@
 	return text
 }
 
+// NotifyMsg takes in a record that came in a datagram.
 func (d *delegate) NotifyMsg(text []byte) {
 	var r message.Record
 	if len(text) > message.MaxRecord || message.Decode(text, &r) != nil {
@@ -87,6 +93,7 @@
 	return text
 }
 
+// MergeRemoteState takes in the records of a member's push/pull.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	var all []message.Record
 	if len(text) > message.MaxState || message.Decode(text, &all) != nil {
@@ -100,9 +107,13 @@
 // events follows who is present.
 type events Gossiper
 
-func (e *events) NotifyJoin(n *memberlist.Node)   { e.set(n) }
+// NotifyJoin implements memberlist.EventDelegate.
+func (e *events) NotifyJoin(n *memberlist.Node) { e.set(n) }
+
+// NotifyUpdate implements memberlist.EventDelegate.
 func (e *events) NotifyUpdate(n *memberlist.Node) { e.set(n) }
 
+// NotifyLeave removes a member, and remembers one that did not leave by itself.
 func (e *events) NotifyLeave(n *memberlist.Node) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,6 +144,7 @@
 // conflict hears of two processes under one name at two addresses.
 type conflict Gossiper
 
+// NotifyConflict logs two processes under one name, and lets the newer one win.
 func (c *conflict) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("two processes under one name", "component", "peers", "node", existing.Name, "peer", other.Address())
 	(*events)(c).set(other)
--- a/internal/gossip/message/golden_test.go
+++ b/internal/gossip/message/golden_test.go
@@ -20,6 +20,6 @@
 		fmt.Fprintf(&text, "%x\n", encoded)
 	}
 	kinds := []Kind{Breaker, LoadReport, Digest, Incident, Probe, PressureRequest}
-	fmt.Fprintln(&text, kinds, Schema, []BreakerState{Closed, Open, HalfOpen}, []Evidence{ErrorAnswers, BrokenConnections, Silence, Rejections}, []SiteFault{SiteUnreachable, SitePartitioned})
+	fmt.Fprintln(&text, string(kinds), Schema, string([]BreakerState{Closed, Open, HalfOpen}), string([]Evidence{ErrorAnswers, BrokenConnections, Silence, Rejections}), string([]SiteFault{SiteUnreachable, SitePartitioned}))
 	golden.Equal(t, "messages", text.String())
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	s := &stream{Conn: c}
-	s.stop = context.AfterFunc(t.ctx, func() { c.Close() })
+	s.stop = context.AfterFunc(t.ctx, func() { _ = c.Close() })
 	return s, nil
 }
 
@@ -62,6 +62,7 @@
 	stop func() bool
 }
 
+// Close closes the connection. A second call is no error.
 func (s *stream) Close() error {
 	s.stop()
 	if err := s.Conn.Close(); !errors.Is(err, net.ErrClosed) {
--- a/internal/lab/build/build.go
+++ b/internal/lab/build/build.go
@@ -130,7 +130,7 @@
 	files := tar.NewReader(strings.NewReader(text))
 	for {
 		h, err := files.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("directory of programs: %w", err)
 	}
-	defer os.RemoveAll(work)
+	defer func() { _ = os.RemoveAll(work) }()
 	r := &report.Result{Schema: report.Schema, Experiment: e.Name, Question: e.Question, Text: e.Text, Started: time.Now().UTC().Truncate(time.Second),
 		Machine: report.NewMachine(), Programs: map[string]string{}}
 	total := len(e.Variants) * len(e.Seeds) * e.Repeats
--- a/internal/lab/capacity/plays/counter.go
+++ b/internal/lab/capacity/plays/counter.go
@@ -46,9 +46,9 @@
 		}
 		far, err := net.Dial("tcp", c.target)
 		if err != nil || !c.keep(near, far) {
-			near.Close()
+			_ = near.Close()
 			if err == nil {
-				far.Close()
+				_ = far.Close()
 			}
 			continue
 		}
@@ -68,8 +68,8 @@
 
 // pass ends both connections with the first end.
 func (c *counter) pass(from, to net.Conn, n *atomic.Int64, requests bool) {
-	defer from.Close()
-	defer to.Close()
+	defer func() { _ = from.Close() }()
+	defer func() { _ = to.Close() }()
 	defer func() {
 		c.mu.Lock()
 		delete(c.conns, from)
@@ -95,11 +95,11 @@
 
 // close ends all connections and waits for what passes them on.
 func (c *counter) close() {
-	c.ln.Close()
+	_ = c.ln.Close()
 	c.mu.Lock()
 	c.closed = true
 	for x := range c.conns {
-		x.Close()
+		_ = x.Close()
 	}
 	c.mu.Unlock()
 	c.all.Wait()
--- a/internal/lab/capacity/plays/exchange.go
+++ b/internal/lab/capacity/plays/exchange.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -28,7 +28,7 @@
 		if err != nil {
 			return
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		buf := make([]byte, exchangeBytes)
 		for {
 			if _, err := io.ReadFull(c, buf); err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { c.Close(); <-done }()
+	defer func() { _ = c.Close(); <-done }()
 	buf := make([]byte, exchangeBytes)
 	lags := make([]time.Duration, 0, exchanges)
 	before := proc.OwnCPU()
--- a/internal/lab/capacity/plays/plays.go
+++ b/internal/lab/capacity/plays/plays.go
@@ -49,7 +49,7 @@
 }
 
 // once plays one size.
-func (x play) once(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error) {
+func (x play) once(ctx context.Context, p *Player, at sizes, dir string) (map[string]float64, error) {
 	if !x.exchange {
 		return x.run(p, ctx, at, dir)
 	}
@@ -85,7 +85,7 @@
 	for i := range total {
 		at := x.at[i%len(x.at)]
 		p.progress(i, total, fmt.Sprint(name, " ", at))
-		got, err := x.once(p, ctx, at, fmt.Sprint(name, "-", i))
+		got, err := x.once(ctx, p, at, fmt.Sprint(name, "-", i))
 		if err != nil {
 			return nil, fmt.Errorf("%s at %v: %w", name, at, err)
 		}
@@ -104,7 +104,7 @@
 	m.Checks = nil
 	for i := range x.repeats {
 		p.progress(i, x.repeats, fmt.Sprint(m.Name, " ", m.Prediction.Sizes))
-		got, err := x.once(p, ctx, m.Prediction.Sizes, fmt.Sprint(m.Name, "-check-", i))
+		got, err := x.once(ctx, p, m.Prediction.Sizes, fmt.Sprint(m.Name, "-check-", i))
 		if err != nil {
 			return fmt.Errorf("%s at %v: %w", m.Name, m.Prediction.Sizes, err)
 		}
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -241,7 +241,7 @@
 		var served sync.WaitGroup
 		served.Go(func() { _ = s.Serve(ln) }) // ends with Close
 		defer served.Wait()
-		defer s.Close()
+		defer func() { _ = s.Close() }()
 		upstreams = append(upstreams, ln.Addr().String())
 	}
 	b, err := p.bed(ctx, dir, upstreams, nil)
@@ -264,7 +264,7 @@
 		if err != nil {
 			return err
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
 		}
@@ -367,7 +367,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // where it fails, so does what follows
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", err
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -296,7 +296,7 @@
 	if x.Interval == nil {
 		return x
 	}
-	i := x.Interval.Times(by)
+	i := x.Times(by)
 	return figure{&i, x.slopes}
 }
 
@@ -304,7 +304,7 @@
 	if x.Interval == nil || y.Interval == nil {
 		return figure{}
 	}
-	i := x.Interval.And(*y.Interval)
+	i := x.And(*y.Interval)
 	return figure{&i, slices.Concat(x.slopes, y.slopes)}
 }
 
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	var flags int
 	if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, d.Fd(), getFlags, uintptr(unsafe.Pointer(&flags))); errno != 0 {
 		return fmt.Errorf("flags of %s: %w", dir, errno)
--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -131,7 +131,7 @@
 	a.timer.Stop()
 	a.signal()
 	a.mu.Unlock()
-	a.server.Close()
+	_ = a.server.Close()
 	a.done.Wait()
 }
 
--- a/internal/lab/fake/naive.go
+++ b/internal/lab/fake/naive.go
@@ -92,7 +92,7 @@
 			if err != nil {
 				return fmt.Errorf("holding descriptors: %w", err)
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }()
 		}
 	}
 	listener, err := net.Listen("tcp", c.Listen)
@@ -104,7 +104,7 @@
 		if err != nil {
 			return fmt.Errorf("listening for operators: %w", err)
 		}
-		defer door.Close()
+		defer func() { _ = door.Close() }()
 		go n.door(door)
 	}
 	go n.watch(ctx, c.Discovery)
@@ -141,6 +141,7 @@
 	ending *atomic.Bool
 }
 
+// Accept accepts a connection that nobody will answer.
 func (l deafListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	return deafConn{conn, l.ending}, err
@@ -189,7 +190,7 @@
 						n.take(l)
 					}
 				}
-				resp.Body.Close()
+				_ = resp.Body.Close()
 			}
 		}
 		select {
@@ -331,7 +332,7 @@
 		}
 		return http.StatusBadGateway, nil
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(notProcessed) == "1" {
 		return turnedAway, nil
 	}
@@ -365,6 +366,6 @@
 		}
 		n.mu.Unlock()
 		_, _ = io.WriteString(c, answer)
-		c.Close()
+		_ = c.Close()
 	}
 }
--- a/internal/lab/fake/standin_test.go
+++ b/internal/lab/fake/standin_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(patience))
 	return c, bufio.NewReader(c)
 }
@@ -50,7 +50,7 @@
 	if id != "" {
 		head = "X-Request-ID: " + id + "\r\n"
 	}
-	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", method, path, head, len(body), body)
+	_, _ = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", method, path, head, len(body), body)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 	rec.Request(&record.Request{ID: "long", Class: "r", Key: "k", Safe: true, Work: time.Hour})
 	rec.Request(&record.Request{ID: "next", Class: "r", Key: "k", Safe: true, Work: time.Millisecond})
 	busy, busyReader := dial(t, u.Address())
-	fmt.Fprint(busy, "GET /r/k HTTP/1.1\r\nHost: x\r\nX-Request-ID: long\r\n\r\n")
+	_, _ = fmt.Fprint(busy, "GET /r/k HTTP/1.1\r\nHost: x\r\nX-Request-ID: long\r\n\r\n")
 	for u.Held() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -115,7 +115,7 @@
 		t.Error("a connection outlived its process")
 	}
 	if fresh, err := net.DialTimeout("tcp", u.Address(), patience); err == nil {
-		fresh.Close()
+		_ = fresh.Close()
 		t.Error("a dead process takes connections")
 	}
 	if err := u.Start(2, true); err != nil {
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { resp.Body.Close() })
+	t.Cleanup(func() { _ = resp.Body.Close() })
 	return &watch{t, bufio.NewScanner(resp.Body)}
 }
 
--- a/internal/lab/fake/upstream.go
+++ b/internal/lab/fake/upstream.go
@@ -122,7 +122,7 @@
 	if u.listener == nil {
 		return
 	}
-	u.listener.Close()
+	_ = u.listener.Close()
 	u.listener = nil
 	u.timer.Stop()
 	close(u.down)
@@ -285,7 +285,7 @@
 func (u *Upstream) answer(c *conn, requests <-chan *incoming, down <-chan struct{}) {
 	defer u.done.Done()
 	defer func() {
-		c.Close()
+		_ = c.Close()
 		for range requests { // the reader ends with the connection
 		}
 		u.mu.Lock()
@@ -461,5 +461,5 @@
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // a reset; a connection that is closed already needs none
 	}
-	c.Close()
+	_ = c.Close()
 }
--- a/internal/lab/fake/window.go
+++ b/internal/lab/fake/window.go
@@ -63,7 +63,7 @@
 
 // Close ends the window and what goes through it.
 func (w *Window) Close() {
-	w.server.Close()
+	_ = w.server.Close()
 	w.done.Wait()
 	w.client.CloseIdleConnections()
 }
@@ -101,7 +101,7 @@
 	if err != nil { // as a connection that is refused
 		panic(http.ErrAbortHandler)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	rw.WriteHeader(resp.StatusCode)
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(rw, resp.Body)
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -165,23 +165,23 @@
 	p.tell(u, fake.Ready, true)
 }
 
-func (p *play) pause(s *sidecar, for_ time.Duration) {
+func (p *play) pause(s *sidecar, duration time.Duration) {
 	paused := &record.Life{Party: s.name, Paused: true, Start: p.rec.Now()}
 	p.rec.Life(paused)
 	p.signal(s, syscall.SIGSTOP)
-	p.sleep(for_)
+	p.sleep(duration)
 	p.signal(s, syscall.SIGCONT)
 	p.rec.Change(func() { paused.End = p.rec.Now() })
 }
 
 // starve leaves a sidecar's process a tenth of the time: 1 ms in 10. Where this process itself wakes late, and so feeds the other
 // for longer, the next stop is longer by as much.
-func (p *play) starve(s *sidecar, for_ time.Duration) {
+func (p *play) starve(s *sidecar, duration time.Duration) {
 	starved := &record.Life{Party: s.name, Paused: true, Start: p.rec.Now()}
 	p.rec.Life(starved)
 	defer p.rec.Change(func() { starved.End = p.rec.Now() })
 	stop := starvedFor
-	for until := starved.Start + for_; p.rec.Now() < until; {
+	for until := starved.Start + duration; p.rec.Now() < until; {
 		p.signal(s, syscall.SIGSTOP)
 		going := p.sleep(stop)
 		from := p.rec.Now()
@@ -194,17 +194,17 @@
 }
 
 // ban disables upstreams at a sidecar's door. It binds from the yes on.
-func (p *play) ban(s *sidecar, ups []*upstream, for_ time.Duration) {
+func (p *play) ban(s *sidecar, ups []*upstream, duration time.Duration) {
 	for _, u := range ups {
 		if !p.insist(s, "DISABLE "+u.Name) {
 			continue
 		}
 		p.rec.Tell(record.Told{At: p.rec.Now(), Sidecar: s.name, Upstream: u.Name, Source: record.Operator})
 	}
-	if for_ <= 0 {
+	if duration <= 0 {
 		return // it stays
 	}
-	p.sleep(for_)
+	p.sleep(duration)
 	for _, u := range ups {
 		at := p.rec.Now() // before the call: it may be used from the yes on
 		if p.insist(s, "ENABLE "+u.Name) {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -88,7 +88,11 @@
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h stepHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *stepHeap) Push(x any)   { *h = append(*h, x.(step)) }
+
+// Push implements heap.Interface.
+func (h *stepHeap) Push(x any) { *h = append(*h, x.(step)) }
+
+// Pop implements heap.Interface.
 func (h *stepHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -105,7 +105,7 @@
 // Limit is N with what chance is granted: N + 2√N + 2 (the operators' standing test).
 func (w Window) Limit() float64 { return w.N + 2*math.Sqrt(w.N) + 2 }
 
-// Breach: it fell, and over two thirds of what it got came from sidecars that had been told of the start.
+// Breach tells whether the window holds more than the rule allows.
 func (w Window) Breach() bool { return w.Got > w.Limit() && w.Told > w.Got*2/3 }
 
 // Seen is what was seen in a play.
--- a/internal/lab/gossipbench/net.go
+++ b/internal/lab/gossipbench/net.go
@@ -47,7 +47,9 @@
 	return e
 }
 
-func (e *end) String() string  { return net.JoinHostPort(e.ip.String(), strconv.Itoa(e.port)) }
+func (e *end) String() string { return net.JoinHostPort(e.ip.String(), strconv.Itoa(e.port)) }
+
+// Network implements net.Addr.
 func (e *end) Network() string { return "memory" }
 
 // FinalAdvertiseAddr is the member's address.
--- a/internal/lab/history/watch.go
+++ b/internal/lab/history/watch.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
@@ -148,7 +148,7 @@
 		return fmt.Sprintf("version %d is another list than it was before", l.Revision)
 	}
 	w.hashes[l.Revision] = h
-	if l.Revision <= before && !(l.Snapshot && l.Revision == before) {
+	if l.Revision <= before && (!l.Snapshot || l.Revision != before) {
 		return fmt.Sprintf("version %d after %d", l.Revision, before)
 	}
 	return ""
--- a/internal/lab/leases/candidate.go
+++ b/internal/lab/leases/candidate.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		value++
-		fmt.Fprintf(journal, "act %d %d %d\n", value, epoch, looked)
+		_, _ = fmt.Fprintf(journal, "act %d %d %d\n", value, epoch, looked)
 		time.Sleep(linger)
 		if conn == nil {
 			if conn, err = dial(c.Target); err != nil {
@@ -86,7 +86,7 @@
 			conn = nil
 			continue
 		}
-		fmt.Fprintf(journal, "heard %d %d %v %d\n", value, clock(), taken, before)
+		_, _ = fmt.Fprintf(journal, "heard %d %d %v %d\n", value, clock(), taken, before)
 	}
 }
 
@@ -106,7 +106,7 @@
 
 func (l *link) close() {
 	if l != nil {
-		_ = l.Conn.Close()
+		_ = l.Close()
 	}
 }
 
--- a/internal/lab/leases/run.go
+++ b/internal/lab/leases/run.go
@@ -205,7 +205,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }()
 		holder := strings.TrimSuffix(filepath.Base(path), ".journal")
 		for lines := bufio.NewScanner(f); lines.Scan(); {
 			var a fencing.Act
--- a/internal/lab/leases/target.go
+++ b/internal/lab/leases/target.go
@@ -54,7 +54,7 @@
 
 func (t *target) serve(conn net.Conn) {
 	defer func() {
-		conn.Close()
+		_ = conn.Close()
 		t.mu.Lock()
 		delete(t.conns, conn)
 		t.mu.Unlock()
@@ -112,10 +112,10 @@
 }
 
 func (t *target) close() {
-	t.ln.Close()
+	_ = t.ln.Close()
 	t.mu.Lock()
 	for c := range t.conns {
-		c.Close()
+		_ = c.Close()
 	}
 	t.mu.Unlock()
 	t.done.Wait()
--- a/internal/lab/liar.go
+++ b/internal/lab/liar.go
@@ -20,7 +20,7 @@
 
 // lie lets a member beside a sidecar, of its site and with links like its own, say over and over that upstreams never answer. The
 // sidecars can't tell it from one of theirs.
-func (p *play) lie(s *sidecar, ups []*upstream, for_ time.Duration) (err error) {
+func (p *play) lie(s *sidecar, ups []*upstream, duration time.Duration) (err error) {
 	if p.mesh == nil {
 		return nil // nobody hears it
 	}
@@ -35,7 +35,7 @@
 		return fmt.Errorf("liar beside %s: %w", s.name, err)
 	}
 	defer func() { err = errors.Join(err, c.Leave()) }()
-	for until := p.rec.Now() + for_; p.rec.Now() < until; {
+	for until := p.rec.Now() + duration; p.rec.Now() < until; {
 		for _, u := range ups {
 			p.mu.Lock()
 			since := u.entry.SinceMs
--- a/internal/lab/load/busy.go
+++ b/internal/lab/load/busy.go
@@ -75,7 +75,7 @@
 			return conn
 		}
 		p.open--
-		conn.Close()
+		_ = conn.Close()
 	}
 	return nil
 }
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -83,7 +83,7 @@
 	c.requests.Wait()
 	for i := range c.pools {
 		for _, conn := range c.pools[i].idle {
-			conn.Close()
+			_ = conn.Close()
 		}
 	}
 }
@@ -243,7 +243,7 @@
 			return conn, nil
 		}
 		p.open--
-		conn.Close()
+		_ = conn.Close()
 	}
 	if p.shut {
 		p.mu.Unlock()
@@ -272,7 +272,7 @@
 	defer p.mu.Unlock()
 	if !keep {
 		p.open--
-		conn.Close()
+		_ = conn.Close()
 		return
 	}
 	conn.last = time.Now()
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -104,7 +104,7 @@
 			open.Add(1)
 			go func() {
 				defer open.Done()
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				r := bufio.NewReader(c)
 				for {
 					req, err := http.ReadRequest(r)
@@ -122,7 +122,7 @@
 			}()
 		}
 	}()
-	t.Cleanup(func() { ln.Close(); open.Wait() })
+	t.Cleanup(func() { _ = ln.Close(); open.Wait() })
 	return ln.Addr().String()
 }
 
@@ -157,7 +157,7 @@
 		return func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, text)
 			if end {
-				c.Close()
+				_ = c.Close()
 			}
 		}
 	}
--- a/internal/lab/loadtest/burden.go
+++ b/internal/lab/loadtest/burden.go
@@ -7,6 +7,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"net"
@@ -149,11 +150,11 @@
 
 // follow reads a watch until ctx ends. Chunks are lines here: the service writes one line a chunk.
 func follow(ctx context.Context, conn net.Conn, first chan<- error, heard chan<- time.Time) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	in := bufio.NewReaderSize(conn, 512)
 	for body := false; ; {
 		line, err := in.ReadSlice('\n')
-		if err != nil && err != bufio.ErrBufferFull {
+		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			if first != nil {
 				first <- err
 			}
@@ -282,7 +283,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	var done api.HeartbeatResult
 	if err := json.NewDecoder(resp.Body).Decode(&done); err != nil {
 		return 0, err
@@ -309,7 +310,7 @@
 		a, err1 := loopback.Address()
 		b, err2 := loopback.Address()
 		if err1 != nil || err2 != nil {
-			return nil, nil, fmt.Errorf("no free address: %v %v", err1, err2)
+			return nil, nil, fmt.Errorf("no free address: %w %w", err1, err2)
 		}
 		peers = append(peers, map[string]any{"name": fmt.Sprint("r", i), "api": a, "raft": b})
 		at = append(at, a)
--- a/internal/lab/loadtest/rush.go
+++ b/internal/lab/loadtest/rush.go
@@ -159,7 +159,7 @@
 			read := 0
 			if err == nil {
 				got := false
-				stop := time.AfterFunc(hearWithin, func() { conn.Close() })
+				stop := time.AfterFunc(hearWithin, func() { _ = conn.Close() })
 				readLines(ctx, conn, func(line []byte) bool { got, read = true, len(watchHeader)+len(line); return false })
 				stop.Stop()
 				if !got {
@@ -198,10 +198,10 @@
 		return nil, err
 	}
 	if _, err = fmt.Fprintf(conn, "GET /api/targets?watch=1&from=%d HTTP/1.1\r\nHost: lab\r\n\r\n", version); err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, err
 	}
-	context.AfterFunc(ctx, func() { conn.Close() })
+	context.AfterFunc(ctx, func() { _ = conn.Close() })
 	return conn, nil
 }
 
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -34,7 +34,7 @@
 }
 
 // Release gives the part back.
-func (p *Part) Release() { p.claim.Close() }
+func (p *Part) Release() { _ = p.claim.Close() }
 
 // own is this process's part, for whoever only wants addresses.
 var own = sync.OnceValues(Claim)
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Close()
+		_ = l.Close()
 	}
 }
 
@@ -45,5 +45,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
+	_ = l.Close()
 }
--- a/internal/lab/memnet/conn.go
+++ b/internal/lab/memnet/conn.go
@@ -50,7 +50,7 @@
 
 // broken tells whether a reset has arrived.
 func (e *end) broken() bool {
-	return slices.ContainsFunc(e.in, func(s segment) bool { return s.err == errReset && past(s.due) })
+	return slices.ContainsFunc(e.in, func(s segment) bool { return errors.Is(s.err, errReset) && past(s.due) })
 }
 
 // send puts something on its way to the other end; after is what it waits for besides the way.
@@ -202,11 +202,19 @@
 	e.net.changed.Broadcast()
 }
 
-func (e *end) LocalAddr() net.Addr  { return e.addr }
+// LocalAddr implements net.Conn.
+func (e *end) LocalAddr() net.Addr { return e.addr }
+
+// RemoteAddr implements net.Conn.
 func (e *end) RemoteAddr() net.Addr { return e.peer.addr }
 
-func (e *end) SetDeadline(t time.Time) error      { return e.until(t, &e.readBy, &e.writeBy) }
-func (e *end) SetReadDeadline(t time.Time) error  { return e.until(t, &e.readBy) }
+// SetDeadline implements net.Conn.
+func (e *end) SetDeadline(t time.Time) error { return e.until(t, &e.readBy, &e.writeBy) }
+
+// SetReadDeadline implements net.Conn.
+func (e *end) SetReadDeadline(t time.Time) error { return e.until(t, &e.readBy) }
+
+// SetWriteDeadline implements net.Conn.
 func (e *end) SetWriteDeadline(t time.Time) error { return e.until(t, &e.writeBy) }
 
 func (e *end) until(t time.Time, bounds ...*time.Time) error {
--- a/internal/lab/memnet/memnet_test.go
+++ b/internal/lab/memnet/memnet_test.go
@@ -46,30 +46,30 @@
 		text       string
 		read, back error // what the near side's reading ends with, and its writing then
 	}{
-		"closed": {func(_, far net.Conn, _ *Host) { _, _ = io.WriteString(far, "ab"); far.Close() }, "ab", nil, nil},
+		"closed": {func(_, far net.Conn, _ *Host) { _, _ = io.WriteString(far, "ab"); _ = far.Close() }, "ab", nil, nil},
 		"half":   {func(_, far net.Conn, _ *Host) { _ = far.(*end).CloseWrite() }, "", nil, nil},
 		"unread": {func(near, far net.Conn, _ *Host) {
 			_, _ = near.Write([]byte("x"))
 			time.Sleep(time.Second)
-			far.Close()
+			_ = far.Close()
 		}, "", syscall.ECONNRESET, syscall.EPIPE},
 		"crossed": {func(near, far net.Conn, _ *Host) {
 			_, _ = near.Write([]byte("x"))
-			far.Close()
+			_ = far.Close()
 			time.Sleep(time.Second)
 		}, "", nil, syscall.EPIPE},
 		"too late": {func(near, far net.Conn, _ *Host) {
-			far.Close()
+			_ = far.Close()
 			time.Sleep(time.Second)
 			_, _ = near.Write([]byte("x"))
 			time.Sleep(time.Second)
 		}, "", nil, syscall.EPIPE},
 		"dead":   {func(_, far net.Conn, b *Host) { _, _ = io.WriteString(far, "ab"); b.Kill() }, "ab", syscall.ECONNRESET, syscall.EPIPE},
-		"silent": {func(_, far net.Conn, b *Host) { b.Silence(true); far.Close() }, "", os.ErrDeadlineExceeded, nil},
+		"silent": {func(_, far net.Conn, b *Host) { b.Silence(true); _ = far.Close() }, "", os.ErrDeadlineExceeded, nil},
 		"back again": {func(_, far net.Conn, b *Host) {
 			b.Silence(true)
 			_, _ = io.WriteString(far, "ab")
-			far.Close()
+			_ = far.Close()
 			b.Silence(false)
 		}, "ab", nil, nil},
 	} {
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -263,12 +263,14 @@
 	closed bool
 }
 
+// Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{IP: l.host.ip, Port: l.port} }
 
 func (l *listener) failed(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Addr: l.Addr(), Err: err}
 }
 
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	n := l.host.net
 	n.mu.Lock()
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -345,7 +345,11 @@
 func (h jobHeap) Len() int           { return len(h) }
 func (h jobHeap) Less(i, j int) bool { return h[i].ends < h[j].ends }
 func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *jobHeap) Push(x any)        { *h = append(*h, x.(runningJob)) }
+
+// Push implements heap.Interface.
+func (h *jobHeap) Push(x any) { *h = append(*h, x.(runningJob)) }
+
+// Pop implements heap.Interface.
 func (h *jobHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -69,7 +69,7 @@
 	others := slices.ContainsFunc(ev.peers, func(o *sidecar) bool { return !slices.Contains(ev.sidecars, o) })
 	for _, s := range ev.sidecars {
 		for _, o := range ev.peers {
-			if l := s.peers[o.name]; l != nil && !(others && slices.Contains(ev.sidecars, o)) {
+			if l := s.peers[o.name]; l != nil && (!others || !slices.Contains(ev.sidecars, o)) {
 				all = append(all, l)
 			}
 		}
@@ -94,7 +94,7 @@
 			}
 		}
 		p.note(lines.Err())
-		f.Close()
+		_ = f.Close()
 	}
 	slices.SortStableFunc(p.rec.Said, func(a, b record.Said) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -75,7 +75,7 @@
 	// A pipe and not the file itself: a limit on the size of the child's files is not to bound its log.
 	read, write, err := os.Pipe()
 	if err != nil {
-		log.Close()
+		_ = log.Close()
 		return nil, fmt.Errorf("log of %s: %w", s.Name, err)
 	}
 	cmd.Stdout, cmd.Stderr = write, write
@@ -90,17 +90,17 @@
 	done := make(chan error)
 	starts <- func() { done <- cmd.Start() }
 	err = <-done
-	write.Close()
+	_ = write.Close()
 	if err != nil {
-		read.Close()
-		log.Close()
+		_ = read.Close()
+		_ = log.Close()
 		return nil, fmt.Errorf("starting %s: %w", s.Name, err)
 	}
 	c.logs.Add(1)
 	go func() {
 		defer c.logs.Done()
-		defer log.Close()
-		defer read.Close()
+		defer func() { _ = log.Close() }()
+		defer func() { _ = read.Close() }()
 		keep(log, read)
 	}()
 	go func() {
@@ -115,9 +115,9 @@
 	w := bufio.NewWriter(to)
 	_, _ = io.CopyN(w, from, logKeep) // a log that can't be written is no reason to stop the play
 	if n, _ := io.Copy(io.Discard, from); n > 0 {
-		fmt.Fprintf(w, "\n(%d bytes more were left out)\n", n)
+		_, _ = fmt.Fprintf(w, "\n(%d bytes more were left out)\n", n)
 	}
-	w.Flush()
+	_ = w.Flush()
 }
 
 // PID is the process's number.
--- a/internal/lab/relay/mesh.go
+++ b/internal/lab/relay/mesh.go
@@ -72,7 +72,7 @@
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
 	if h.listener, err = net.Listen("tcp", address); err != nil {
-		h.packets.Close()
+		_ = h.packets.Close()
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
 	m.mu.Lock()
@@ -226,8 +226,8 @@
 	hubs, ways := m.hubs, m.ways
 	m.mu.Unlock()
 	for _, h := range hubs {
-		h.packets.Close()
-		h.listener.Close()
+		_ = h.packets.Close()
+		_ = h.listener.Close()
 	}
 	for _, h := range hubs {
 		h.done.Wait()
--- a/internal/lab/relay/mesh_test.go
+++ b/internal/lab/relay/mesh_test.go
@@ -32,11 +32,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	free.Close()
+	_ = free.Close()
 	if err := m.Add(name, free.Addr().String(), at.String(), 1); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { udp.Close(); tcp.Close() })
+	t.Cleanup(func() { _, _ = udp.Close(), tcp.Close() })
 	_ = udp.SetDeadline(time.Now().Add(patience))
 	return member{udp, tcp, free.Addr().String()}
 }
@@ -49,21 +49,21 @@
 	return m, join(t, m, "a", "127.250.1.1"), join(t, m, "b", "127.250.1.2")
 }
 
-func (from member) say(t *testing.T, to member, text string) {
+func (m member) say(t *testing.T, to member, text string) {
 	t.Helper()
 	at, err := net.ResolveUDPAddr("udp", to.at)
 	if err == nil {
-		_, err = from.udp.WriteToUDP([]byte(text), at)
+		_, err = m.udp.WriteToUDP([]byte(text), at)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (to member) hears(t *testing.T) string {
+func (m member) hears(t *testing.T) string {
 	t.Helper()
 	buf := make([]byte, 100)
-	n, _, err := to.udp.ReadFromUDP(buf)
+	n, _, err := m.udp.ReadFromUDP(buf)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,12 +85,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	in, err := a.tcp.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	setWay(t, m, State{SilentForth: true})
 	a.say(t, b, "lost")
 	b.say(t, a, "heard")
@@ -154,7 +154,7 @@
 	_, _, b := pairOf(t)
 	c, err := net.DialTimeout("tcp", b.at, patience) // from no party's address
 	if err == nil {
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(patience))
 		_, err = c.Read(make([]byte, 1))
 	}
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -156,8 +156,8 @@
 		}
 		return nil
 	case s.Reset && !was.Reset:
-		l.listener.Close()
-		l.hush(false)
+		_ = l.listener.Close()
+		_ = l.hush(false)
 		for p := range l.conns {
 			p.abort()
 		}
@@ -239,7 +239,7 @@
 	if !l.closed {
 		l.closed = true
 		if l.listener != nil {
-			l.listener.Close()
+			_ = l.listener.Close()
 		}
 		close(l.changed)
 		l.changed = make(chan struct{})
@@ -291,8 +291,8 @@
 	go func() { defer ways.Done(); l.pass(p, true) }()
 	go func() { defer ways.Done(); l.pass(p, false) }()
 	ways.Wait()
-	p.in.Close()
-	p.out.Close()
+	_ = p.in.Close()
+	_ = p.out.Close()
 }
 
 // piece is some bytes on their way; err ends the direction.
@@ -436,5 +436,5 @@
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // a reset, not an orderly end; on a closed connection there is nothing to set
 	}
-	c.Close()
+	_ = c.Close()
 }
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -36,12 +36,12 @@
 			open.Add(1)
 			go func() {
 				defer open.Done()
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				_, _ = io.Copy(c, c)
 			}()
 		}
 	}()
-	t.Cleanup(func() { ln.Close(); open.Wait() })
+	t.Cleanup(func() { _ = ln.Close(); open.Wait() })
 	return ln.Addr().String()
 }
 
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(patience))
 	return c
 }
@@ -113,7 +113,7 @@
 				t.Errorf("on a silent link: %v, want nothing in time", err)
 			}
 			if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
-				fresh.Close()
+				_ = fresh.Close()
 				t.Error("a new connection came up on a silent link")
 			}
 			set(t, l, State{})
@@ -145,7 +145,7 @@
 	}
 	l.accepts(l.listener, c)
 	if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
-		fresh.Close()
+		_ = fresh.Close()
 		t.Error("a new connection came up on a silent link")
 	}
 }
@@ -163,7 +163,7 @@
 	if fresh, err := net.DialTimeout("tcp", l.Address(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new connection: %v, want it refused", err)
 		if err == nil {
-			fresh.Close()
+			_ = fresh.Close()
 		}
 	}
 	set(t, l, State{})
@@ -217,7 +217,7 @@
 		t.Fatal(err)
 	}
 	set(t, l, State{SilentForth: true, SilentBack: true})
-	c.Close()
+	_ = c.Close()
 	select {
 	case <-ended:
 	case <-time.After(patience):
--- a/internal/lab/relay/tap.go
+++ b/internal/lab/relay/tap.go
@@ -41,7 +41,7 @@
 // close returns once all is heard that was sent whole.
 func (t *tap) close() {
 	if t != nil {
-		t.in.Close()
+		_ = t.in.Close()
 		<-t.over
 	}
 }
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -128,8 +128,8 @@
 		}
 	}
 	e := p.e.Registry
-	text, err := toml.Marshal(map[string]any{"name": r.name, "dir": r.data(), "replica": peers, "dial": dial, "grace": e.Grace.Duration.String(),
-		"preserve": e.Preserve, "stale": e.Stale.Duration.String(), "breaks": p.v.ServiceBreaks})
+	text, err := toml.Marshal(map[string]any{"name": r.name, "dir": r.data(), "replica": peers, "dial": dial, "grace": e.Grace.String(),
+		"preserve": e.Preserve, "stale": e.Stale.String(), "breaks": p.v.ServiceBreaks})
 	if err != nil {
 		return fmt.Errorf("configuration of %s: %w", r.name, err)
 	}
@@ -294,7 +294,7 @@
 	}
 	for _, a := range p.service.replicas {
 		for _, b := range p.service.replicas {
-			if a == b || !(in[a.name] && !in[b.name] && isTo(b)) {
+			if a == b || (!in[a.name] || in[b.name] || !isTo(b)) {
 				continue
 			}
 			for _, what := range []string{"raft", "api"} {
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			return nil, err
 		}
-		box.Color, box.LineStyle.Width = color.NRGBA{90, 100, 115, uint8(34 + 14*(i%3))}, 0
+		box.Color, box.Width = color.NRGBA{90, 100, 115, uint8(34 + 14*(i%3))}, 0
 		p.Add(box)
 	}
 	p.Add(plotter.NewGrid())
--- a/internal/lab/report/result.go
+++ b/internal/lab/report/result.go
@@ -433,7 +433,7 @@
 	if err != nil {
 		return fmt.Errorf("writing the page: %w", err)
 	}
-	defer page.Close()
+	defer func() { _ = page.Close() }()
 	if err := r.Page(page); err != nil {
 		return fmt.Errorf("writing the page: %w", err)
 	}
--- a/internal/lab/scale/clock.go
+++ b/internal/lab/scale/clock.go
@@ -1,8 +1,6 @@
 package scale
 
 import (
-	"time"
-
 	"golang.org/x/sys/unix"
 )
 
@@ -15,6 +13,3 @@
 	}
 	return t.Nano()
 }
-
-// instant is the same clock's reading at a moment of this process's own.
-func instant(at time.Time) int64 { return now() - int64(time.Since(at)) }
--- a/internal/lab/scale/gate.go
+++ b/internal/lab/scale/gate.go
@@ -73,7 +73,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
-		c.Close()
+		_ = c.Close()
 		return false
 	}
 	g.conns[c] = true
@@ -81,7 +81,7 @@
 }
 
 func (g *Gate) drop(c net.Conn) {
-	c.Close()
+	_ = c.Close()
 	g.mu.Lock()
 	delete(g.conns, c)
 	g.mu.Unlock()
@@ -109,8 +109,8 @@
 		_ = out.(*net.TCPConn).CloseWrite() // it may be gone already
 	})
 	pass(in, out, &g.counts.Down, down)
-	in.Close()
-	out.Close()
+	_ = in.Close()
+	_ = out.Close()
 	forth.Wait()
 	readers.Wait()
 }
@@ -157,7 +157,7 @@
 				}
 			}
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 	}
@@ -166,7 +166,7 @@
 // pass moves bytes until one side has ended.
 func pass(to, from net.Conn, count *atomic.Int64, along io.WriteCloser) {
 	if along != nil {
-		defer along.Close()
+		defer func() { _ = along.Close() }()
 	}
 	raw, err := from.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -207,7 +207,7 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 	}
 	for c := range g.conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -215,9 +215,9 @@
 func (g *Gate) Close() {
 	g.mu.Lock()
 	g.closed = true
-	g.listener.Close()
+	_ = g.listener.Close()
 	for c := range g.conns {
-		c.Close()
+		_ = c.Close()
 	}
 	g.mu.Unlock()
 	g.done.Wait()
--- a/internal/lab/scale/gate_test.go
+++ b/internal/lab/scale/gate_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -34,7 +35,7 @@
 				return
 			}
 			all.Go(func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				for r := bufio.NewReader(c); ; {
 					req, err := http.ReadRequest(r)
 					if err != nil {
@@ -51,7 +52,7 @@
 		}
 	})
 	defer all.Wait()
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	lines := make(chan string, 1)
 	d, err := newDoor([]string{ln.Addr().String()}, func(text []byte) { lines <- string(text) })
 	if err != nil {
@@ -62,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second)) // where it fails, so does what follows
 	call := "POST /call HTTP/1.1\r\nHost: lab\r\nContent-Length: 5\r\n\r\nhello"
 	ask := "GET /watch HTTP/1.1\r\nHost: lab\r\n\r\n"
@@ -87,14 +88,14 @@
 		t.Errorf("counted %d up, %d down", up, down)
 	}
 	d.breakAll()
-	if _, err := c.Read(make([]byte, 1)); err == nil || err == io.EOF {
+	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("a connection that was broken: %v", err)
 	}
 	again, err := net.Dial("tcp", d.addresses()[0])
 	if err != nil {
 		t.Fatalf("after a break: %v", err)
 	}
-	again.Close()
+	_ = again.Close()
 	d.close() // by then all that was read along is counted
 	// Two answers, the head of the watch and its two lines.
 	if up, down := d.UpMsgs.Load(), d.DownMsgs.Load(); up != 3 || down != 5 {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration of %s: %w", x.Name, err)
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }()
 	_, err = f.Write(text)
 	if err2 := f.Close(); err == nil {
 		err = err2
--- a/internal/lab/scale/hosts.go
+++ b/internal/lab/scale/hosts.go
@@ -37,19 +37,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("pipe to %s: %w", name, err)
 	}
-	defer orders.Close()
+	defer func() { _ = orders.Close() }()
 	from, words, err := os.Pipe()
 	if err != nil {
-		to.Close()
+		_ = to.Close()
 		return nil, fmt.Errorf("pipe from %s: %w", name, err)
 	}
-	defer words.Close()
+	defer func() { _ = words.Close() }()
 	r := &remote{to: to, from: from, counts: make(chan counts, 1), ready: make(chan struct{}), ended: make(chan struct{})}
 	r.child, err = proc.Start(proc.Spec{Name: name, Path: command[0], Args: command[1:], Dir: dir, LogFile: filepath.Join(dir, name+".log"),
 		Stdin: orders, Stdout: words})
 	if err != nil {
-		to.Close()
-		from.Close()
+		_ = to.Close()
+		_ = from.Close()
 		return nil, err
 	}
 	go r.listen(heard)
@@ -132,8 +132,8 @@
 }
 
 func (r *remote) close() {
-	r.to.Close()
+	_ = r.to.Close()
 	_, _ = r.child.Stop(5*time.Second, func() {}) // whatever came of it
 	<-r.ended
-	r.from.Close()
+	_ = r.from.Close()
 }
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -118,7 +118,7 @@
 			return err
 		}
 		if resp, err := c.Do(req); err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(time.Second)) // where it fails, so does what follows
 	if _, err := io.WriteString(c, "STATS\n"); err != nil {
 		return 0, 0, err
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -249,7 +249,7 @@
 	if err != nil {
 		return false
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(time.Second)) // where it fails, so does what follows
 	if _, err := io.WriteString(c, "GET /-/ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n"); err != nil {
 		return false
@@ -258,7 +258,7 @@
 	if err != nil {
 		return false
 	}
-	resp.Body.Close()
+	_ = resp.Body.Close()
 	return resp.StatusCode == http.StatusOK
 }
 
@@ -359,7 +359,7 @@
 	if err != nil {
 		return "", fmt.Errorf("door of %s: %w", s.name, err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(doorWithin)) // where it fails, so does what follows
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", fmt.Errorf("door of %s: %w", s.name, err)
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -35,7 +35,8 @@
 		}
 		rng := rand.New(rand.NewPCG(p.seed, faultStream+uint64(i)))
 		ev := &event{Fault: f}
-		if f.Of.Kind == "replica" {
+		switch f.Of.Kind {
+		case "replica":
 			if ev.Of = f.Of.Names; p.service != nil {
 				by := f.Of
 				if slices.Contains(by.Names, "leader") {
@@ -43,12 +44,12 @@
 				}
 				ev.replicas = choose(p.service.replicas, by, rng, func(r *replica) (string, string) { return r.name, "" })
 			}
-		} else if f.Of.Kind == "upstream" {
+		case "upstream":
 			ev.ups = choose(p.upstreams, f.Of, rng, func(u *upstream) (string, string) { return u.Name, u.entry.Zone })
 			for _, u := range ev.ups {
 				ev.Of = append(ev.Of, u.Name)
 			}
-		} else { // a sidecar, or its discovery
+		default: // a sidecar, or its discovery
 			ev.sidecars = choose(p.sidecars, f.Of, rng, func(s *sidecar) (string, string) { return s.name, s.zone })
 			for _, s := range ev.sidecars {
 				ev.Of = append(ev.Of, s.name)
--- a/internal/lab/transcript/duties.go
+++ b/internal/lab/transcript/duties.go
@@ -31,21 +31,21 @@
 	l.cut = on
 }
 
-// Take implements duty.Service.
+// AcquireLeadership implements lease.Service.
 func (l *DutyLine) AcquireLeadership(ctx context.Context, c api.LeadershipClaim) (g api.LeadershipGrant, err error) {
 	return l.ask(ctx, fmt.Sprintf("take %s for %d ms, fitness %g, above epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
 		return l.Service.AcquireLeadership(ctx, c)
 	})
 }
 
-// RenewDuty implements duty.Service.
+// RenewLeadership implements lease.Service.
 func (l *DutyLine) RenewLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return l.ask(ctx, fmt.Sprintf("renew %s for %d ms, fitness %g, epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
 		return l.Service.RenewLeadership(ctx, c)
 	})
 }
 
-// Release implements duty.Service.
+// ReleaseLeadership implements lease.Service.
 func (l *DutyLine) ReleaseLeadership(ctx context.Context, c api.LeadershipClaim) error {
 	_, err := l.ask(ctx, fmt.Sprintf("release %s, epoch %d", c.Name, c.Epoch), func() (api.LeadershipGrant, error) {
 		return api.LeadershipGrant{}, l.Service.ReleaseLeadership(ctx, c)
--- a/internal/lab/transcript/party.go
+++ b/internal/lab/transcript/party.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	_, err = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, err
 }
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	context.AfterFunc(ctx, func() { l.Close() })
+	context.AfterFunc(ctx, func() { _ = l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
--- a/internal/lab/transcript/tap.go
+++ b/internal/lab/transcript/tap.go
@@ -57,7 +57,7 @@
 // Close ends all connections, and returns once nothing is passed on any more.
 func (t *Tap) Close() {
 	t.Cut(true)
-	t.server.Close()
+	_ = t.server.Close()
 	t.serving.Wait()
 	t.client.CloseIdleConnections()
 }
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if r.FormValue("watch") != "" && resp.StatusCode == http.StatusOK && !c.back {
 		return t.lines(rw, resp.Body, c.quiet)
 	}
--- a/internal/lab/transcript/tap_test.go
+++ b/internal/lab/transcript/tap_test.go
@@ -18,7 +18,7 @@
 		if r.FormValue("watch") == "" {
 			body, _ := io.ReadAll(r.Body)
 			rw.WriteHeader(http.StatusTeapot)
-			fmt.Fprintf(rw, "said %s\n", body)
+			_, _ = fmt.Fprintf(rw, "said %s\n", body)
 			return
 		}
 		line := "{}\n"
@@ -65,7 +65,7 @@
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err == nil {
-			defer resp.Body.Close()
+			defer func() { _ = resp.Body.Close() }()
 			if text, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusTeapot || string(text) != "said "+body+"\n" {
 				t.Errorf("%s: %d %s", path, resp.StatusCode, text)
 			}
@@ -80,7 +80,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { resp.Body.Close() })
+		t.Cleanup(func() { _ = resp.Body.Close() })
 		in := bufio.NewReader(resp.Body)
 		return func() string {
 			line, err := in.ReadString('\n')
--- a/internal/lease/explore/state.go
+++ b/internal/lease/explore/state.go
@@ -58,6 +58,7 @@
 	return s
 }
 
+// Clone implements modelcheck.State.
 func (s *state) Clone() *state {
 	c := *s
 	c.log = slices.Clone(s.log)
@@ -169,7 +170,7 @@
 	d, _ := s.list.Leadership(name)
 	for i := range s.of {
 		c := &s.of[i]
-		if epoch, ok := c.Holds(c.clock); ok && !(d.Holder == holder(i) && d.Epoch == epoch) {
+		if epoch, ok := c.Holds(c.clock); ok && (d.Holder != holder(i) || d.Epoch != epoch) {
 			return fmt.Sprintf("%s may act under epoch %d, and the duty is of %q under %d", holder(i), epoch, d.Holder, d.Epoch)
 		}
 	}
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -114,7 +114,7 @@
 		switch {
 		case err == nil:
 			return nil
-		case errors.As(err, &failure) && failure.Code != api.CodeNoLeader && failure.Code != api.CodeStale && !(failure.Code == api.CodeOutcomeUnknown && again):
+		case errors.As(err, &failure) && failure.Code != api.CodeNoLeader && failure.Code != api.CodeStale && (failure.Code != api.CodeOutcomeUnknown || !again):
 			return err
 		case !again && !notSent(err):
 			c.next(at) // the question what came of it goes elsewhere
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	return api.ReadAnswer(resp, answer)
 }
 
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -212,7 +212,7 @@
 		calls.Add(1)
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err == nil {
-			conn.Close() // after it was read: nobody knows what came of it
+			_ = conn.Close() // after it was read: nobody knows what came of it
 		}
 	}))
 	defer s.Close()
@@ -220,7 +220,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
+	_ = gone.Close()
 	c := New([]string{gone.Addr().String(), strings.TrimPrefix(s.URL, "http://")})
 	c.current = 0
 	defer c.Close()
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -75,7 +75,7 @@
 	}
 	ours, theirs := net.Pipe()
 	p.running.Go(func() {
-		defer theirs.Close()
+		defer func() { _ = theirs.Close() }()
 		in := bufio.NewReader(theirs)
 		for {
 			req, err := http.ReadRequest(in)
--- a/internal/registry/client/registrar_test.go
+++ b/internal/registry/client/registrar_test.go
@@ -102,7 +102,7 @@
 		return
 	}
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
-		conn.Close()
+		_ = conn.Close()
 	}
 }
 
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	return api.ReadAnswer(resp, answer)
 }
 
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -22,6 +22,7 @@
 	uncheckedRegions bool // see faultRollback
 }
 
+// Apply implements raft.FSM: it carries out a committed command.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	var c list.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil { // by a newer program: none that this one knows of
@@ -72,10 +73,12 @@
 	return s
 }
 
+// Snapshot implements raft.FSM.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) { return snapshot{m.state()}, nil }
 
+// Restore implements raft.FSM.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	var s list.State
 	if err := json.NewDecoder(r).Decode(&s); err != nil {
 		return fmt.Errorf("reading a snapshot: %w", err)
@@ -90,6 +93,7 @@
 
 type snapshot struct{ state list.State }
 
+// Persist implements raft.FSMSnapshot.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(s.state); err != nil {
 		_ = sink.Cancel()
@@ -98,4 +102,5 @@
 	return sink.Close()
 }
 
+// Release implements raft.FSMSnapshot.
 func (snapshot) Release() {}
--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -58,7 +58,7 @@
 		return Result{Revision: at, Err: api.Errorf(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, visible.Region, visible.Revision)}
 	case own == nil && !put:
 		return Result{Err: api.Errorf(api.CodeNotFound, "settings of %s", c.Name)}
-	case *c.IfRevision != at && !(put && !live && *c.IfRevision == 0):
+	case *c.IfRevision != at && (!put || live || *c.IfRevision != 0):
 		return Result{Revision: at, Err: api.Errorf(api.CodeConflict, "the settings of %s are at version %d", c.Name, at)}
 	case !put && !live:
 		return Result{Revision: at}
--- a/internal/registry/list/leadership.go
+++ b/internal/registry/list/leadership.go
@@ -126,7 +126,7 @@
 // replicas have to agree. Epochs go on.
 func (l *List) forget(joins api.Replica) bool {
 	known, there := l.replicas[joins.Name]
-	if joins.Schema >= LeadershipSchema && !(there && known.Schema < LeadershipSchema) {
+	if joins.Schema >= LeadershipSchema && (!there || known.Schema >= LeadershipSchema) {
 		return false
 	}
 	clear(l.leaderships)
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -161,7 +161,7 @@
 		}
 	}
 	<-ctx.Done()
-	server.Close()
+	_ = server.Close()
 	running.Wait()
 	if n.lock != nil {
 		_ = n.lock.Release()
@@ -300,20 +300,24 @@
 	return &stream{ln, raft.ServerAddress(known)}, nil
 }
 
+// Dial implements raft.StreamLayer.
 func (s *stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", string(address), min(timeout, time.Second))
 }
 
+// Addr implements raft.StreamLayer.
 func (s *stream) Addr() net.Addr { return known(s.known) }
 
 type known string
 
+// Network implements net.Addr.
 func (known) Network() string  { return "tcp" }
 func (k known) String() string { return string(k) }
 
 // dialer knows where others are reached from here.
 type dialer map[string]Peer
 
+// ServerAddr implements raft.ServerAddressProvider.
 func (d dialer) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if p, ok := d[string(id)]; ok && p.Raft != "" {
 		return raft.ServerAddress(p.Raft), nil
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -373,7 +373,7 @@
 			t.Fatalf("%s %.40s: %v", x.method, x.path, err)
 		}
 		text, err := io.ReadAll(resp.Body)
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		if resp.StatusCode != x.status || err != nil {
 			t.Errorf("%s %.40s %.60q: %s %.100s, want %d", x.method, x.path, x.body, resp.Status, text, x.status)
 		}
@@ -470,7 +470,7 @@
 				continue // it does not listen yet
 			}
 			err = api.ReadAnswer(resp, &l)
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if api.IsCode(err, api.CodeStale) {
 				continue
 			}
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -10,19 +10,21 @@
 
 const storeRetryInterval = 200 * time.Millisecond
 
-// retryingStore is a store for terms and votes that waits where the disk fails: a replica that can't remember its vote must not
-// go on, and the engine knows no other way than to end the process. Others go on without this one meanwhile, as if it
-// stood still; it takes part again once there is room.
+// retryingStore stores raft's terms and votes, and retries while the disk fails. A replica that can't
+// remember its vote must not go on, and raft itself would end the process. Other replicas go on without this
+// one meanwhile; it takes part again once the disk has space.
 type retryingStore struct {
 	raft.StableStore
 	ctx context.Context
 	log *slog.Logger
 }
 
+// Set implements raft.StableStore. It returns once the value is written.
 func (p retryingStore) Set(key, value []byte) error {
 	return p.retry(func() error { return p.StableStore.Set(key, value) })
 }
 
+// SetUint64 implements raft.StableStore. It returns once the value is written.
 func (p retryingStore) SetUint64(key []byte, value uint64) error {
 	return p.retry(func() error { return p.StableStore.SetUint64(key, value) })
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -124,7 +124,7 @@
 		writeError(rw, api.Errorf(code, "%v", err))
 		return
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxRestore))
 	if err != nil {
 		writeError(rw, api.Errorf(api.CodeOutcomeUnknown, "%v", err))
--- a/internal/registry/settings_test.go
+++ b/internal/registry/settings_test.go
@@ -42,7 +42,7 @@
 			}
 		}
 	}()
-	t.Cleanup(func() { resp.Body.Close(); <-ended })
+	t.Cleanup(func() { _ = resp.Body.Close(); <-ended })
 	return b
 }
 
@@ -244,7 +244,7 @@
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, err)
 		}
-		resp.Body.Close()
+		_ = resp.Body.Close()
 	}
 	put := func() error {
 		_, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(form(0)), IfRevision: &zero})
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -103,7 +103,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	next = w.changed
-	if has.from == w.published && !(first && has.service != "") {
+	if has.from == w.published && (!first || has.service == "") {
 		return nil, has, next, nil
 	}
 	var l api.WatchEvent
@@ -202,7 +202,7 @@
 		writeError(rw, fmt.Errorf("watch: %w", err))
 		return
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if buffers.Reader.Buffered() > 0 { // a second request, behind one that never ends
 		return
 	}
@@ -302,7 +302,7 @@
 func (c chunkWriter) end(why error) {
 	w := bufio.NewWriter(c.conn)
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	fmt.Fprintf(w, "0\r\n%s: %.200q\r\n\r\n", endTrailer, why.Error())
+	_, _ = fmt.Fprintf(w, "0\r\n%s: %.200q\r\n\r\n", endTrailer, why.Error())
 	_ = w.Flush()
 }
 
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -56,7 +56,7 @@
 		default: // full: the caller that has been silent for longest gives way
 			d.mu.Lock()
 			if len(d.waiting) > 0 {
-				d.waiting[0].Close()
+				_ = d.waiting[0].Close()
 				d.waiting = slices.Delete(d.waiting, 0, 1)
 			}
 			d.mu.Unlock()
@@ -69,7 +69,7 @@
 		go func() {
 			defer d.running.Done()
 			defer func() { <-d.slots }()
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			d.serve(c)
 		}()
 	}
@@ -77,10 +77,10 @@
 
 // close ends the listener and all callers.
 func (d *adminServer) close() {
-	d.listener.Close()
+	_ = d.listener.Close()
 	d.mu.Lock()
 	for _, c := range d.waiting {
-		c.Close()
+		_ = c.Close()
 	}
 	d.mu.Unlock()
 	d.running.Wait()
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(patience))
 	if _, err := io.WriteString(conn, line); err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 		calls := 0
 		d := &adminServer{ban: func(string, bool) error { calls++; return nil }}
 		d.serve(&brokenConn{theirs, io.MultiReader(strings.NewReader("DISABLE s-1"), iotest.ErrReader(broken))})
-		ours.Close()
+		_ = ours.Close()
 		if calls != want {
 			t.Errorf("ended by %v: %d calls carried out", broken, calls)
 		}
@@ -93,7 +93,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		silent = append(silent, conn)
 	}
 	if got := r.call(t, "READY\n"); got != "YES\n" {
@@ -202,7 +202,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(patience))
 	if _, err := io.WriteString(conn, "READY"); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -129,6 +129,7 @@
 	ended     atomic.Bool  // no more are to come
 }
 
+// Close implements io.Closer. The body belongs to its request, and stays open.
 func (r *bodyReader) Close() error { return nil }
 
 // incomplete tells whether some of the body has not gone to the writer yet, so that no upstream can have it whole.
@@ -205,7 +206,6 @@
 	body     io.Reader
 	conn     *http.ResponseController
 	timeLeft time.Duration // patience, before what the bytes to come add
-	failed   error
 }
 
 // newRateLimitedReader begins a body's patience. A peer that never sent a request is owed an answer or a close within 3 s of
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -46,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(patience))
 	in := bufio.NewReader(conn)
 	const head = "POST /confirm/%d HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000e%d\r\n"
@@ -70,7 +71,7 @@
 			t.Fatalf("%d: %v", n, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		if resp.StatusCode != 200 {
 			t.Fatalf("%d: %s", n, resp.Status)
 		}
@@ -94,7 +95,7 @@
 		_, _ = io.WriteString(conn, "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000d1\r\n"+framing)
 		_, _ = io.WriteString(conn, strings.Repeat("x", 200<<10))
 		eventually(t, "the attempt", func() bool { return s.opened.Load() > before })
-		conn.Close()
+		_ = conn.Close()
 		eventually(t, "the end of the attempt", func() bool { return s.closed.Load() == s.opened.Load() })
 	}
 	if n := len(s.requests()); n != 0 {
@@ -109,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	attempts := make(chan int, 16)
 	go func() {
 		for {
@@ -120,7 +121,7 @@
 			n, _ := io.CopyN(io.Discard, c, 100<<10) // past what is kept
 			attempts <- int(n)
 			_ = c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	r := start(t, testConfig(t, quiet(t).address, entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
@@ -163,7 +164,7 @@
 			}
 			close(release) // only now does the upstream go on
 			_, err = io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if complete != (err == nil) {
 				t.Errorf("%s, whole %v: %v", name, complete, err)
 			}
@@ -208,7 +209,7 @@
 	if b.endAttempt() {
 		t.Error("spent before anything was read")
 	}
-	if text, err := io.ReadAll(first); err != errAttemptEnded || string(text) != "kept " {
+	if text, err := io.ReadAll(first); !errors.Is(err, errAttemptEnded) || string(text) != "kept " {
 		t.Errorf("the attempt that has ended read %q, %v", text, err)
 	}
 	if text, err := io.ReadAll(b.reader()); err != nil || string(text) != "kept rest" {
@@ -216,7 +217,7 @@
 	}
 	b = body()
 	_, _ = io.ReadAtLeast(b.reader(), make([]byte, 6), 6)
-	if text, err := io.ReadAll(b.reader()); err != errAttemptEnded || len(text) > 0 {
+	if text, err := io.ReadAll(b.reader()); !errors.Is(err, errAttemptEnded) || len(text) > 0 {
 		t.Errorf("after some of the rest was taken, the next read %q, %v", text, err)
 	}
 	if !b.endAttempt() {
@@ -272,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp, text := r.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 || text != "small" {
 		t.Errorf("beside it: %s %q", resp.Status, text)
 	}
--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -18,7 +18,7 @@
 	wished map[string]bool
 }
 
-func (l *leases) campaign(name string, wanted bool)        { l.wished[name] = wanted }
+func (l *leases) campaign(name string, wanted bool)    { l.wished[name] = wanted }
 func (l *leases) holds(string) (epoch uint64, ok bool) { return l.epoch, l.held }
 
 // breakersRig is the breakers' part without its thread: n0 at makati, beside n1 at cebu and n2 at davao.
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -36,6 +36,7 @@
 	return c
 }
 
+// Accept implements net.Listener. At the limit it evicts connections, and waits until one has gone.
 func (c *clientConns) Accept() (net.Conn, error) {
 	failing := false
 	for empty := 0; ; {
@@ -149,6 +150,7 @@
 	}
 }
 
+// Close implements net.Listener.
 func (c *clientConns) Close() error {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -115,7 +115,7 @@
 			eventually(t, "ready", func() bool {
 				resp, err := r.client.Get("http://" + r.address + "/-/ready")
 				if err == nil {
-					resp.Body.Close()
+					_ = resp.Body.Close()
 				}
 				return err == nil && resp.StatusCode == 200
 			})
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -56,13 +56,13 @@
 // attempts can't be cancelled, too. Nothing is sent for it, and the connection, which has cost a handshake, is there for the next.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for name, leave := range map[string]func(*rawClient){
-		"closes":             func(p *rawClient) { p.Close() },
+		"closes":             func(p *rawClient) { _ = p.Close() },
 		"ends its sending":   func(p *rawClient) { _ = p.Conn.(*net.TCPConn).CloseWrite() },
-		"resets":             func(p *rawClient) { _ = p.Conn.(*net.TCPConn).SetLinger(0); p.Close() },
-		"closes behind half": func(p *rawClient) { p.send("GET /sea"); p.Close() },
+		"resets":             func(p *rawClient) { _ = p.Conn.(*net.TCPConn).SetLinger(0); _ = p.Close() },
+		"closes behind half": func(p *rawClient) { p.send("GET /sea"); _ = p.Close() },
 		"closes behind another": func(p *rawClient) {
 			p.send(text("search"))
-			p.Close()
+			_ = p.Close()
 		},
 	} {
 		for _, class := range []string{"search", "confirm"} {
@@ -114,7 +114,7 @@
 			if !strings.HasPrefix(c.first, "POST") {
 				p.send(c.more)
 			}
-			p.Close()
+			_ = p.Close()
 			eventually(t, "the request is over", func() bool { return strings.Contains(r.call(t, "STATS\n"), "gw.concurrent:0|g") })
 			if n := s.opened.Load(); n != 0 {
 				t.Errorf("%d connections", n)
@@ -207,7 +207,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
+			defer func() { _ = l.Close() }()
 			go func() {
 				for {
 					c, err := l.Accept()
@@ -237,7 +237,7 @@
 				u.awaitRest(t)
 			}
 			rest, client := io.Pipe()
-			defer client.Close()
+			defer func() { _ = client.Close() }()
 			r := testRequest("POST", "what is kept")
 			r.body.length, r.body.rest = 1<<20, rest
 			r.body.onComplete, r.body.onError, r.body.budget = func() {}, func(error) {}, &byteBudget{}
@@ -245,7 +245,7 @@
 				_, _ = client.Write(make([]byte, 4<<10)) // some more has come
 				if x.whole {
 					_, _ = client.Write(make([]byte, 1<<20-4<<10-len(r.body.retained)))
-					client.Close()
+					_ = client.Close()
 				}
 			}()
 			rep := u.attempt(t.Context(), "s", r, 0)
@@ -267,7 +267,7 @@
 		"another answer": func(c net.Conn) { _, _ = io.WriteString(c, ok200("stale")) },
 		"half a line":    func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
 		"its end":        func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
-		"a reset":        func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"a reset":        func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := make(chan net.Conn, 8)
@@ -303,7 +303,7 @@
 	t.Run("a drip", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			body, drip := io.Pipe()
-			rest := responseRest{body: body, length: -1, stallTimeout: 3 * time.Second, end: func() { body.Close() }}
+			rest := responseRest{body: body, length: -1, stallTimeout: 3 * time.Second, end: func() { _ = body.Close() }}
 			over := make(chan struct{})
 			defer func() { <-over }()
 			go func() {
@@ -337,7 +337,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		n, err := io.Copy(io.Discard, resp.Body)
 		if err == nil || n > maxBodyBytes+maxRetainedBytes+copyBufferBytes {
 			t.Errorf("%d bytes, %v", n, err)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(patience)) // a read shows it
 	return &rawClient{t, conn, bufio.NewReader(conn)}
 }
@@ -249,9 +249,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				client, server := net.Pipe()
-				defer client.Close()
+				defer func() { _ = client.Close() }()
 				conn := &framedConn{Conn: server, acceptedAt: time.Now(), listener: newClientConns(nil, 1), active: c.active}
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				if c.used {
 					conn.framing.handedOn = 1
 				}
--- a/internal/sidecar/eviction.go
+++ b/internal/sidecar/eviction.go
@@ -68,7 +68,7 @@
 		how := evictionClass(i)
 		switch {
 		case one.conn == nil:
-		case how >= classIdle && wait > 0 && !(how == classIdle && now.Sub(one.since) >= closableAfter):
+		case how >= classIdle && wait > 0 && (how != classIdle || now.Sub(one.since) < closableAfter):
 		case one.left <= 0:
 			return one.conn, how, 0
 		case wait == 0 || one.left < wait:
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -59,7 +59,7 @@
 				}
 				_, _ = io.WriteString(conn, says.text) // fails where the end comes first
 				all.Go(func() {
-					defer conn.Close()
+					defer func() { _ = conn.Close() }()
 					_ = conn.SetReadDeadline(begun.Add(limit))
 					line, err := bufio.NewReader(conn).ReadString('\n')
 					if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -77,7 +77,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if bytesReserved := time.Since(begun); resp.StatusCode != 200 || bytesReserved > limit {
 				t.Errorf("the client beside them: %s after %v", resp.Status, bytesReserved)
 			}
@@ -128,7 +128,7 @@
 			l := &failing{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fails)}, until: time.Now().Add(time.Second)}
 			c := newClientConns(l, 8)
 			client, server := net.Pipe()
-			defer client.Close()
+			defer func() { _ = client.Close() }()
 			resting := &framedConn{Conn: server, listener: c}
 			resting.framing.handedOn = 1
 			c.state(resting, http.StateIdle)
@@ -143,7 +143,7 @@
 			if err != nil {
 				t.Fatalf("%v: %v", fails, err)
 			}
-			conn.Close()
+			_ = conn.Close()
 			if late := time.Since(begun) - time.Second; late > acceptRetryInterval {
 				t.Errorf("%v: accepted %v after one could be", fails, late)
 			}
@@ -240,10 +240,10 @@
 func TestRoomIsTakenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := net.Pipe()
-		defer client.Close()
+		defer func() { _ = client.Close() }()
 		all := newClientConns(nil, 1)
 		conn := &framedConn{Conn: server, listener: all}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		conn.framing.handedOn = 1
 		all.state(conn, http.StateIdle)
 		until := time.Now().Add(time.Second)
@@ -300,10 +300,10 @@
 			}
 			srv := &http.Server{Handler: answers}
 			all.Go(func() { _ = srv.Serve(l) }) // ends with srv
-			context.AfterFunc(ctx, func() { srv.Close() })
+			context.AfterFunc(ctx, func() { _ = srv.Close() })
 		}
 		listens("up-1", "10.0.0.11", 8000, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-		listens("up-2", "10.0.0.12", 8000, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") })
+		listens("up-2", "10.0.0.12", 8000, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "done") })
 		listens("discovery", "10.0.0.9", 7000, func(w http.ResponseWriter, r *http.Request) { // silent until it is back
 			for at := back; ; at = ctx {
 				select {
@@ -311,7 +311,7 @@
 					if ctx.Err() != nil {
 						return
 					}
-					fmt.Fprintln(w, list(2, true, entry("serves", up2, "Ready")))
+					_, _ = fmt.Fprintln(w, list(2, true, entry("serves", up2, "Ready")))
 					_ = http.NewResponseController(w).Flush()
 				case <-r.Context().Done():
 					return
@@ -336,10 +336,10 @@
 			all.Go(func() {
 				for ctx.Err() == nil {
 					if conn, err := clients.Dial(ctx, "tcp", "10.0.0.1:9000"); err == nil {
-						over := context.AfterFunc(ctx, func() { conn.Close() })
+						over := context.AfterFunc(ctx, func() { _ = conn.Close() })
 						_, _ = io.Copy(io.Discard, conn) // until it is ended
 						over()
-						conn.Close()
+						_ = conn.Close()
 					}
 					time.Sleep(20 * time.Millisecond)
 				}
@@ -358,7 +358,7 @@
 					t.Error(err)
 					return
 				}
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				_ = conn.SetDeadline(begun.Add(patience)) // a read shows it
 				_, _ = io.WriteString(conn, text("search"))
 				line, err := bufio.NewReader(conn).ReadString('\n')
--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -182,9 +182,9 @@
 	f.abort()
 	if f.srv != nil {
 		f.conns.stopped.Store(true)
-		f.srv.Close()
+		_ = f.srv.Close()
 	}
-	f.listener.Close()
+	_ = f.listener.Close()
 }
 
 // figures words the pressure and what was forwarded, for operators.
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -125,7 +125,7 @@
 		return context.WithValue(ctx, connKey{}, c)
 	}}
 	go func() { _ = srv.Serve(conns) }() // until Close
-	t.Cleanup(func() { srv.Close() })
+	t.Cleanup(func() { _ = srv.Close() })
 	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: patience, Transport: &http.Transport{}}}
 	t.Cleanup(r.client.CloseIdleConnections)
 	same := func() *http.Request {
@@ -154,6 +154,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -49,15 +49,15 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		if !strings.HasPrefix(resp.Status, c.want) {
 			t.Errorf("%s: %s, want %s", name, resp.Status, c.want)
 		}
 		if second, err := http.ReadResponse(in, nil); err == nil {
-			second.Body.Close()
+			_ = second.Body.Close()
 			t.Errorf("%s: what follows was answered too: %s", name, second.Status)
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
 	if got := s.requests(); len(got) != 0 {
 		t.Errorf("%d requests reached the upstream, the first %s %s", len(got), got[0].method, got[0].target)
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -169,7 +169,7 @@
 		return nil, fmt.Errorf("GW_PASSED_SOCKET: %q is not the number of a descriptor above 2", text)
 	}
 	file := os.NewFile(uintptr(fd), "passed socket")
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	l, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("GW_PASSED_SOCKET: descriptor %d: %w", fd, err)
@@ -194,7 +194,7 @@
 			h.other, h.predecessor = l, l
 			return *m.State
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
 	if !errors.Is(err, os.ErrNotExist) {
 		logWarning(ofHandover, "starting without the process before", err)
@@ -225,7 +225,7 @@
 			}
 		})
 		logWarning(ofHandover, "the process before is gone", err)
-		l.conn.Close()
+		_ = l.conn.Close()
 		h.forget(l)
 		h.limitBeside(nil)
 		once.Do(func() { close(h.yielded) })
@@ -258,7 +258,7 @@
 	}
 	l.(*net.UnixListener).SetUnlinkOnClose(false) // by then the name may be the next process's
 	if err := os.Rename(own, filepath.Join(h.dir, linkName)); err != nil {
-		l.Close()
+		_ = l.Close()
 		return err
 	}
 	h.mu.Lock()
@@ -293,7 +293,7 @@
 	before := h.other
 	h.other = l
 	h.mu.Unlock()
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if closed {
 		return
 	}
@@ -429,9 +429,9 @@
 	}
 	h.closed = true
 	if h.listen != nil {
-		h.listen.Close()
+		_ = h.listen.Close()
 	}
 	if h.other != nil {
-		h.other.conn.Close()
+		_ = h.other.conn.Close()
 	}
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	var all []net.Listener
 	for range n {
 		f, err := l.(*net.TCPListener).File()
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		own, err := net.FileListener(f)
-		f.Close()
+		_ = f.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,14 +131,14 @@
 			}
 			old.awaitReady(t, "NO")
 		}
-		conn.Close()
+		_ = conn.Close()
 		old.awaitReady(t, "YES")
 		client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 		resp, err := client.Do(request(t, old.address, "confirm", ""))
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("ready %v, then gone: %v, %v", ready, resp, err)
 		}
-		resp.Body.Close()
+		_ = resp.Body.Close()
 	}
 }
 
--- a/internal/sidecar/leaderships.go
+++ b/internal/sidecar/leaderships.go
@@ -172,18 +172,6 @@
 	}
 }
 
-// failed says that a duty does not get done here: this sidecar loses it for a while.
-func (d *leaderships) failed(name string) {
-	if d == nil {
-		return
-	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if h := d.byName[name]; h != nil {
-		h.ReportFailure()
-	}
-}
-
 // setPressure tells of this sidecar's pressure, 0 to 1: one under less is fitter.
 func (d *leaderships) setPressure(pressure float64) {
 	if d != nil {
--- a/internal/sidecar/orders_rules_test.go
+++ b/internal/sidecar/orders_rules_test.go
@@ -177,7 +177,7 @@
 
 // mayHaveRun tells whether an attempt may have run, as far as was known to the sidecar at a moment.
 func (a *orderAttempt) mayHaveRun(by moment) bool {
-	return a.whole && !(a.answer != nil && a.answer.never && a.answer.whole && a.answer.at+a.onTape.way <= by.at)
+	return a.whole && (a.answer == nil || !a.answer.never || !a.answer.whole || a.answer.at+a.onTape.way > by.at)
 }
 
 // trial is one judgement.
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -256,7 +256,7 @@
 		go client.connect(0)
 	case closesClient:
 		if c := client.busiest(); c != nil {
-			c.Close()
+			_ = c.Close()
 		}
 	case halfCloses:
 		if c := client.busiest(); c != nil {
@@ -283,7 +283,7 @@
 		}
 	case closesResting:
 		for _, c := range up.resting() {
-			c.Close()
+			_ = c.Close()
 		}
 	case resetsAll:
 		w.mu.Lock()
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -66,7 +66,6 @@
 	termed      time.Time // SIGTERM
 	killed      time.Time // SIGKILL
 	config      func(address string) *Config
-	dialPlan    [2][]time.Duration // what the next dials to an upstream wait before they go out; negative: for ever
 }
 
 // orderRequest is a request that a client meant to send.
@@ -86,18 +85,9 @@
 	}
 }
 
-func (w *world) now() time.Duration { return time.Since(w.begun) }
-
 // say puts words into the transcript.
 func (w *world) say(from, to, format string, args ...any) { w.record.Say(from, to, format, args...) }
 
-// mark is the place in the record that comes next.
-func (w *world) mark() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.events)
-}
-
 // plant is a fault that is put between the sidecar and the network; each may be nil.
 type plant struct {
 	toUpstream  func(w *world, c net.Conn) net.Conn
@@ -365,7 +355,7 @@
 			line.dead = line.dead || err != nil || resp.Close
 			w.mu.Unlock()
 			if err != nil {
-				line.Close()
+				_ = line.Close()
 				return
 			}
 		}
@@ -461,7 +451,7 @@
 	w.mu.Lock()
 	u.conns = append(u.conns, c)
 	w.mu.Unlock()
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(in)
@@ -602,7 +592,7 @@
 		c.begins(200, body)
 		c.write("HTTP/1.1 200 OK\r\n\r\n" + body)
 		if a.gap == 0 || w.passes(a.gap) {
-			c.conn.Close()
+			_ = c.conn.Close()
 			c.whole()
 		}
 	case cutsUnstated:
@@ -612,7 +602,7 @@
 			c.reset()
 		}
 	case closesUnanswered:
-		c.conn.Close()
+		_ = c.conn.Close()
 	case resetsUnanswered:
 		c.reset()
 	case spoils:
@@ -738,7 +728,7 @@
 }
 
 func (d *orderDiscovery) serve(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -939,7 +929,7 @@
 		} else if c.opened {
 			_, _ = io.WriteString(c, "0\r\n\r\n") // where it fails it has ended
 		}
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -1004,7 +994,7 @@
 	old.frozen = true
 	door := old.door
 	w.mu.Unlock()
-	door.Close()
+	_ = door.Close()
 	d := newOrderDiscovery(w, "new discovery", "10.0.0.8")
 	w.mu.Lock()
 	w.disc = d
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -91,7 +91,7 @@
 	}
 	ours, theirs := net.Pipe()
 	p.running.Go(func() {
-		defer theirs.Close()
+		defer func() { _ = theirs.Close() }()
 		if _, err := http.ReadRequest(bufio.NewReader(theirs)); err != nil {
 			return
 		}
@@ -315,7 +315,7 @@
 					go func() {
 						got := make([]byte, 100)
 						n, _ := theirs.Read(got)
-						theirs.Close()
+						_ = theirs.Close()
 						bytes <- n
 					}()
 					return ours, nil
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -42,7 +42,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				resp.Body.Close()
+				_ = resp.Body.Close()
 				return resp.StatusCode
 			}
 			if got := status(); got != http.StatusServiceUnavailable {
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -50,7 +50,7 @@
 // drop frees the connection, for another request if the answer was read to its end.
 func (a *responseRest) drop() {
 	a.once.Do(func() {
-		a.body.Close()
+		_ = a.body.Close()
 		a.finish(a.complete && a.reusable)
 	})
 }
--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -72,14 +72,14 @@
 			go func() {
 				defer wg.Done()
 				defer u.closed.Add(1)
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				u.serve(c, n)
 			}()
 		}
 	}()
 	t.Cleanup(func() {
-		l.Close()
-		conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
+		_ = l.Close()
+		conns.Range(func(c, _ any) bool { _ = c.(net.Conn).Close(); return true })
 		wg.Wait()
 	})
 	return u
@@ -161,7 +161,7 @@
 		}, ctx.Done())
 	})}
 	go func() { _ = srv.Serve(l) }()
-	t.Cleanup(func() { cancel(); srv.Close() })
+	t.Cleanup(func() { cancel(); _ = srv.Close() })
 	return d
 }
 
@@ -240,7 +240,7 @@
 		if err != nil {
 			return false
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		return resp.StatusCode == http.StatusOK
 	})
 	return r
@@ -298,7 +298,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -315,7 +315,7 @@
 			end <- err.Error()
 			return
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			end <- err.Error()
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -109,7 +109,7 @@
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.1 "+c.want) {
 			t.Errorf("%s: %q, %v; want %s", name, line, err, c.want)
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
 	if n := len(s.requests()); n != 0 {
 		t.Errorf("%d of them reached the upstream", n)
@@ -138,7 +138,7 @@
 				t.Error(err)
 				return
 			}
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			_, _ = io.WriteString(conn, text)
 			_ = conn.SetReadDeadline(time.Now().Add(patience))
 			if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
@@ -266,12 +266,12 @@
 		t.Fatal(err)
 	}
 	go func() { _ = srv.Serve(newClientConns(l, 8)) }()
-	defer srv.Close()
+	defer func() { _ = srv.Close() }()
 	ctx, leave := context.WithCancel(t.Context())
 	req := request(t, l.Addr().String(), "search", "").WithContext(ctx)
 	go func() {
 		if resp, err := http.DefaultClient.Do(req); err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 		}
 	}()
 	come, ok := (<-events).(requestArrived)
@@ -304,7 +304,7 @@
 			t.Fatal(err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		clients = append(clients, client)
 	}
 	if bytesReserved := time.Since(begun); len(s.requests()) != len(clients) || bytesReserved > requestTimeout {
@@ -334,7 +334,7 @@
 		if err != nil {
 			t.Fatalf("a new connection after SIGTERM: %v", err)
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		if resp.StatusCode != 200 {
 			t.Fatalf("after SIGTERM: %s", resp.Status)
 		}
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	at := l.Addr().String()
-	l.Close()
+	_ = l.Close()
 	n, err := registry.Open(registry.Dev(at), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/settingsfollower_rig_test.go
+++ b/internal/sidecar/settingsfollower_rig_test.go
@@ -72,7 +72,7 @@
 	srv := &http.Server{ReadHeaderTimeout: patience, Handler: mux}
 	go func() { _ = srv.Serve(l) }()
 	s.srv = srv
-	t.Cleanup(func() { cancel(); srv.Close() })
+	t.Cleanup(func() { cancel(); _ = srv.Close() })
 }
 
 func (s *fakeService) watch(ctx context.Context, w http.ResponseWriter, r *http.Request) {
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -135,7 +135,7 @@
 			established, end := hollowOf(t, c)
 			hears(t, established, 3, "")
 			endKept(t, c, end)
-			svc.srv.Close()
+			_ = svc.srv.Close()
 			established, end = hollowOf(t, c)
 			hears(t, established, 3, "")
 			endKept(t, c, end)
@@ -199,7 +199,7 @@
 			established, end := hollowOf(t, c)
 			hears(t, established, 3, "")
 			endKept(t, c, end)
-			svc.srv.Close()
+			_ = svc.srv.Close()
 			more := withService(t, c.Discovery, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1))
 			more.State = c.State
 			established, end = hollowOf(t, more)
@@ -213,7 +213,7 @@
 			established, end := hollowOf(t, c)
 			hears(t, established, 3, "")
 			endKept(t, c, end)
-			svc.srv.Close()
+			_ = svc.srv.Close()
 			for _, file := range keptFiles(t, c.State) {
 				text, err := os.ReadFile(file)
 				if err == nil {
@@ -371,7 +371,7 @@
 	}
 	eventually(t, "the settings in the old process", inForce(old))
 	eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
-	svc.srv.Close()
+	_ = svc.srv.Close()
 	fresh := startOn(t, c, listeners[1], tmp)
 	fresh.awaitReady(t, "YES")
 	if !inForce(fresh)() {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -69,7 +69,7 @@
 	var ops net.Listener
 	if c.Ops != "" {
 		if ops, err = net.Listen("tcp", c.Ops); err != nil {
-			listener.Close()
+			_ = listener.Close()
 			return fmt.Errorf("listening for operators: %w", err)
 		}
 	}
@@ -102,9 +102,9 @@
 // serve owns both listeners; ops may be nil. Where tmp is set, the clients' listener is shared with the process before
 // and the one after, which are found there.
 func serve(ctx context.Context, c *Config, listener, ops net.Listener, tmp string, reloads <-chan Reload) error {
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	if ops != nil {
-		defer ops.Close()
+		defer func() { _ = ops.Close() }()
 	}
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -74,7 +74,9 @@
 func (s *stats) addClasses(classes []string) {
 	s.change(func(f *statsSnapshot) {
 		for _, class := range classes {
-			f.classes[class] = f.classes[class] // 0 where it is new
+			if _, counted := f.classes[class]; !counted {
+				f.classes[class] = outcomes{}
+			}
 		}
 	})
 }
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -112,7 +112,7 @@
 			return 0, err
 		}
 	}
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // can't fail on an open connection
+	_ = c.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // can't fail on an open connection
 	n, err := c.Conn.Write(p)
 	if err != nil {
 		c.writeFailed.Store(true)
@@ -213,7 +213,7 @@
 	if timeout {
 		rep.result = balancer.Timeout
 	}
-	if !(timeout || context.Cause(ctx) == errAnswered) || !u.awaitLateAnswer(c, exchangeCtx, end) {
+	if (!timeout && !errors.Is(context.Cause(ctx), errAnswered)) || !u.awaitLateAnswer(exchangeCtx, c, end) {
 		end()
 		ended := <-settled
 		if ended.rest == nil {
@@ -223,7 +223,7 @@
 		return rep
 	}
 	close(left)
-	rep.abandon = func() { u.abandon(c, exchangeCtx) }
+	rep.abandon = func() { u.abandon(exchangeCtx, c) }
 	return rep
 }
 
@@ -253,7 +253,7 @@
 // awaitLateAnswer lets a connection wait for an answer that nobody else waits for, so that it can be used again: the
 // upstream works on it all the same, and the first request on a new connection would pay for a handshake with
 // time that it may not have. It does so only for a request that was sent whole.
-func (u *upstreamPool) awaitLateAnswer(c *upstreamConn, exchangeCtx context.Context, end context.CancelFunc) bool {
+func (u *upstreamPool) awaitLateAnswer(exchangeCtx context.Context, c *upstreamConn, end context.CancelFunc) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !c.requestEncoded.Load() || c.writeFailed.Load() || c.closed || exchangeCtx.Err() != nil {
@@ -266,7 +266,7 @@
 }
 
 // abandon closes c unless the exchange of that life is over: it may carry another by now.
-func (u *upstreamPool) abandon(c *upstreamConn, exchangeCtx context.Context) {
+func (u *upstreamPool) abandon(exchangeCtx context.Context, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if exchangeCtx.Err() == nil {
@@ -322,7 +322,7 @@
 	begun = true
 	defer func() {
 		if rep.rest == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 		}
 	}()
 	if resp.StatusCode == http.StatusSwitchingProtocols { // asked for by nobody; its body has no end
@@ -392,7 +392,7 @@
 		if c.http, err = transport.NewClientConn(ctx, "http", at.address); err == nil {
 			return c, nil
 		}
-		c.Conn.Close()
+		_ = c.Close()
 	}
 	u.mu.Lock()
 	u.open--
@@ -503,7 +503,7 @@
 	if c.retire != nil {
 		c.retire.Stop()
 	}
-	c.http.Close()
+	_ = c.http.Close()
 	u.open--
 }
 
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused.Close()
+	_ = refused.Close()
 	for _, c := range []struct {
 		name   string
 		answer func(net.Conn, got) bool
@@ -120,7 +120,7 @@
 		}, balancer.Reset},
 		{"delimited by the end", func(c net.Conn, _ got) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nwhole")
-			c.Close()
+			_ = c.Close()
 			return true
 		}, balancer.OK},
 		{"delimited by a reset", func(c net.Conn, _ got) bool {
@@ -307,7 +307,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	u := testUpstreams(t, 4, entry("s", l.Addr().String(), "Ready"))
 	c, err := u.connect(t.Context(), "s", endpointAddress{address: l.Addr().String()})
 	if err != nil {
--- a/internal/watch/messages.go
+++ b/internal/watch/messages.go
@@ -54,7 +54,7 @@
 			text = bytes.TrimLeft(text, space)
 		}
 		blank := len(bytes.TrimLeft(text, space)) == 0
-		if n > 0 && !again && !(blank && s.begun) { // empty lines within a message do not bring it nearer
+		if n > 0 && !again && (!blank || !s.begun) { // empty lines within a message do not bring it nearer
 			s.onData(blank)
 		}
 		if len(text) == 0 && err == nil {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -268,7 +268,7 @@
 		report(event[M]{err: err})
 		return
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		report(event[M]{err: fmt.Errorf("answered %s", resp.Status)})
 		return
@@ -282,7 +282,7 @@
 			report(event[M]{message: m})
 		}
 	}
-	if err != io.EOF {
+	if !errors.Is(err, io.EOF) {
 		err = fmt.Errorf("reading a list: %w", err)
 	} else {
 		err = errEnded
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -221,12 +221,12 @@
 				got = append(got, v)
 			}
 		}
-		if !slices.Equal(got, want) || err != io.EOF || blanks == 0 {
+		if !slices.Equal(got, want) || !errors.Is(err, io.EOF) || blanks == 0 {
 			t.Errorf("%s: %v, %v, %d empty lines", name, got, err, blanks)
 		}
 	}
 	for _, bad := range []string{`{"index":1`, `{"index":1]`, `{"index":1,"x":"` + strings.Repeat("x", 600) + `"}`} {
-		if err := NewMessages(strings.NewReader(bad), 600).Next(&version{}); err == nil || err == io.EOF {
+		if err := NewMessages(strings.NewReader(bad), 600).Next(&version{}); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%.20s: %v", bad, err)
 		}
 	}
@@ -244,7 +244,7 @@
 		asked := make(chan string, 1)
 		server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			asked <- r.URL.RawQuery
-			fmt.Fprint(rw, lineA+"\n"+lineB)
+			_, _ = fmt.Fprint(rw, lineA+"\n"+lineB)
 		}))
 		ctx, stop := context.WithCancel(t.Context())
 		var taken []int
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -4,6 +4,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -83,7 +84,7 @@
 	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Endpoint{}}
 	for line := 1; ; line++ {
 		text, err := readLine(r)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/known_red_test.go
+++ b/known_red_test.go
@@ -22,7 +22,7 @@
 		skips  = "package p\n\nimport \"testing\"\n\nfunc TestA(t *testing.T) { t.Skip() }\n"
 		exits  = "package p\n\nimport (\n\t\"os\"\n\t\"testing\"\n)\n\nfunc TestA(t *testing.T) { os.Exit(3) }\n"
 		broken = "package p\n\nfunc TestA(t *testing.T) {}\n"
-		line   = "tiny/p TestA: a cause: more of it (issue 25)\n"
+		line   = "tiny/p TestA | go test ./p -run TestA | seed 7 | a cause: more of it | issue 25\n"
 	)
 	for name, c := range map[string]struct {
 		p, q, known string // the two packages' tests; "-" stands for no file
@@ -35,7 +35,7 @@
 		"an empty file, one fails":   {bad, good, "", false, "as known"},
 		"a known one":                {bad, good, line, true, "known red: " + line},
 		"a line without its end":     {bad, good, strings.TrimSpace(line), true, "known red: " + line},
-		"two known ones":             {worse, good, line + "tiny/p TestAB: too (issue 7)\n", true, "known red: tiny/p TestAB: too (issue 7)"},
+		"two known ones":             {worse, good, line + "tiny/p TestAB | go test ./p | seed none | too | issue 7\n", true, "known red: tiny/p TestAB | go test ./p | seed none | too | issue 7"},
 		"no other package":           {bad, "-", line, true, "known red: "},
 		"another of its package":     {worse, good, line, false, "--- FAIL: TestAB"},
 		"the like-named of another":  {bad, bad, line, false, "FAIL\ttiny/q"},
@@ -46,8 +46,13 @@
 		"a known one is not there":   {good, good, strings.Replace(line, "TestA", "TestB", 1), false, "TestB does not fail"},
 		"no such package":            {bad, good, strings.Replace(line, "/p", "/r", 1), false, "no package tiny/r"},
 		"four lines":                 {bad, good, strings.Repeat(line, 4), false, "over three lines"},
-		"no issue":                   {bad, good, "tiny/p TestA: a cause\n", false, "not of the form"},
-		"no cause":                   {bad, good, "tiny/p TestA: (issue 25)\n", false, "not of the form"},
+		"no issue":                   {bad, good, strings.Replace(line, " | issue 25", "", 1), false, "not of the form"},
+		"no number of an issue":      {bad, good, strings.Replace(line, "issue 25", "issue", 1), false, "not of the form"},
+		"nothing seen":               {bad, good, strings.Replace(line, "a cause: more of it", "", 1), false, "not of the form"},
+		"no seed":                    {bad, good, strings.Replace(line, " | seed 7", "", 1), false, "not of the form"},
+		"no command":                 {bad, good, strings.Replace(line, " | go test ./p -run TestA", "", 1), false, "not of the form"},
+		"another command":            {bad, good, strings.Replace(line, "go test", "make", 1), false, "not of the form"},
+		"the form of before":         {bad, good, "tiny/p TestA: a cause (issue 25)\n", false, "not of the form"},
 		"a part of a test":           {bad, good, strings.Replace(line, "TestA", "TestA/b", 1), false, "not of the form"},
 		"a blank line":               {bad, good, line + "\n", false, "not of the form"},
 	} {
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The whole check: formatting, vet, the deploy file's build, all tests. Run from anywhere; needs Go and a C compiler.
+# The whole check: formatting, vet, linter, the deploy file's build, all tests. Run from anywhere; needs Go and a C compiler.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
@@ -8,6 +8,7 @@
 	exit 1
 fi
 go vet ./...
+./lint.sh
 build=$(sed -n 's/^build = "\(.*\)".*/\1/p' deploy/balancer.toml)
 test -n "$build"
 sh -ec "$build"
