--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -77,21 +77,24 @@
 // ParseConfig reads a configuration that is in no file.
 func ParseConfig(text []byte) (*Config, error) { return parseConfig(text) }
 
-// parseConfig checks everything that a sidecar relies on, the module's settings too: what is wrong must
+// configFile is the form of the configuration file.
+type configFile struct {
+	Name, Listen, Discovery, Seed string
+	Ops, State, Service           string
+	Peers                         *Peers
+	Limits                        *struct {
+		Cores    float64
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  float64 // some write whole numbers with a fraction of 0
+	}
+	Known    json.RawMessage
+	Settings json.RawMessage
+}
+
+// parseConfig checks everything that a sidecar relies on, the balancer's settings too: what is wrong must
 // show at the start and not under traffic.
 func parseConfig(text []byte) (*Config, error) {
-	var file struct {
-		Name, Listen, Discovery, Seed string
-		Ops, State, Service           string
-		Peers                         *Peers
-		Limits                        *struct {
-			Cores    float64
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  float64 // some write whole numbers with a fraction of 0
-		}
-		Known    json.RawMessage
-		Settings json.RawMessage
-	}
+	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, settings.Located(text, text, err)
 	}
@@ -99,39 +102,19 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{keys: keys, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Ops: file.Ops, State: file.State, Service: file.Service, Peers: file.Peers}
-	for _, a := range []struct{ key, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"ops", c.Ops}} {
-		if a.key == "ops" && a.address == "" {
-			continue // no door
-		}
-		for _, one := range addressesOf(a.key, a.address) {
-			if err := checkAddress(one); err != nil {
-				return nil, fmt.Errorf("%s: %w", a.key, err)
-			}
-		}
-	}
-	if named := c.keys["service"]; named && (c.Service == "" || len(c.Service) > api.MaxName) {
-		return nil, fmt.Errorf("service: 1 to %d bytes, or no such key", api.MaxName)
+	c := &Config{keys: keys, Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Ops: file.Ops, State: file.State,
+		Service: file.Service, Peers: file.Peers}
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
 	}
-	if c.Service != "" {
-		if _, err := client.Addresses(c.Discovery); err != nil {
-			return nil, fmt.Errorf("discovery: with service it is a list service, at one address or several: %w", err)
-		}
+	if err := c.checkService(); err != nil {
+		return nil, err
 	}
 	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", file.Seed)
 	}
-	if file.Limits == nil {
-		return nil, errors.New("limits: missing")
-	}
-	c.Limits = Limits{file.Limits.Cores, file.Limits.MemoryMB, int(max(-1, min(file.Limits.Sockets, math.MaxInt32)))}
-	switch {
-	case !(c.Limits.Cores > 0):
-		return nil, fmt.Errorf("limits: cores: %v is not above 0", c.Limits.Cores)
-	case c.Limits.MemoryMB < minMemoryMB:
-		return nil, fmt.Errorf("limits: memory_mb: %v is under %d", c.Limits.MemoryMB, minMemoryMB)
-	case c.Limits.Sockets < minSockets:
-		return nil, fmt.Errorf("limits: sockets: %d is under %d", c.Limits.Sockets, minSockets)
+	if c.Limits, err = file.limits(); err != nil {
+		return nil, err
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
 		if c.Known, err = parseListing(file.Known); err != nil {
@@ -154,6 +137,52 @@
 	return c, nil
 }
 
+// checkAddresses checks where the sidecar listens, and where discovery is.
+func (c *Config) checkAddresses() error {
+	for _, a := range []struct{ key, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"ops", c.Ops}} {
+		if a.key == "ops" && a.address == "" {
+			continue // no admin port
+		}
+		for _, one := range addressesOf(a.key, a.address) {
+			if err := checkAddress(one); err != nil {
+				return fmt.Errorf("%s: %w", a.key, err)
+			}
+		}
+	}
+	return nil
+}
+
+// checkService checks the name of the service whose settings are followed, if there is one.
+func (c *Config) checkService() error {
+	if c.keys["service"] && (c.Service == "" || len(c.Service) > api.MaxName) {
+		return fmt.Errorf("service: 1 to %d bytes, or no such key", api.MaxName)
+	}
+	if c.Service == "" {
+		return nil
+	}
+	if _, err := client.Addresses(c.Discovery); err != nil {
+		return fmt.Errorf("discovery: with service it is a list service, at one address or several: %w", err)
+	}
+	return nil
+}
+
+// limits are what the platform allows the process.
+func (f *configFile) limits() (Limits, error) {
+	if f.Limits == nil {
+		return Limits{}, errors.New("limits: missing")
+	}
+	l := Limits{f.Limits.Cores, f.Limits.MemoryMB, int(max(-1, min(f.Limits.Sockets, math.MaxInt32)))}
+	switch {
+	case !(l.Cores > 0):
+		return l, fmt.Errorf("limits: cores: %v is not above 0", l.Cores)
+	case l.MemoryMB < minMemoryMB:
+		return l, fmt.Errorf("limits: memory_mb: %v is under %d", l.MemoryMB, minMemoryMB)
+	case l.Sockets < minSockets:
+		return l, fmt.Errorf("limits: sockets: %d is under %d", l.Sockets, minSockets)
+	}
+	return l, nil
+}
+
 // withDefaults fills in what a sidecar does where the settings say nothing.
 func (c *Config) withDefaults(s wire.Settings) wire.Settings {
 	s.ShareEvidence = c.Peers != nil
--- /dev/null
+++ b/internal/sidecar/exchange.go
@@ -0,0 +1,169 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"mosslead/balancer"
+)
+
+// upstreamExchange is one request and its answer on a connection. It may outlast its attempt, which waits until ctx ends: the answer
+// is read until life does, so that the connection can be used again, see awaitLateAnswer.
+type upstreamExchange struct {
+	pool   *upstreamPool
+	ctx    context.Context
+	life   context.Context
+	end    context.CancelFunc // of life
+	conn   *upstreamConn
+	client *clientRequest
+	before time.Duration // clock time from which on it may not begin; 0: any
+	use    connUse
+
+	ended     chan attemptReply
+	abandoned chan struct{} // closed when nobody waits for its end
+
+	answered bool        // the answer has begun: whatever is left to be said of the writing, the request may have run
+	early    atomic.Bool // it began while some of the body had not gone to the writer
+}
+
+// startExchange begins to send a request.
+func (u *upstreamPool) startExchange(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration, use connUse) *upstreamExchange {
+	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, client: r, before: before, use: use,
+		ended: make(chan attemptReply), abandoned: make(chan struct{})}
+	x.life, x.end = context.WithCancel(context.WithoutCancel(ctx))
+	go x.run()
+	return x
+}
+
+// run carries the exchange out, and gives the connection back.
+func (x *upstreamExchange) run() {
+	rep, reusable := x.roundTrip()
+	finish := func(reusable bool) {
+		x.end()
+		if reusable {
+			x.pool.release(x.conn)
+		} else {
+			x.pool.discard(x.conn)
+		}
+	}
+	if rep.rest != nil {
+		rep.rest.end, rep.rest.finish = x.end, finish
+	} else {
+		finish(reusable)
+	}
+	rep.use = x.use
+	select {
+	case x.ended <- rep:
+	case <-x.abandoned:
+		rep.drop()
+	}
+}
+
+// roundTrip sends the request and reads its answer, or the beginning of a large one.
+func (x *upstreamExchange) roundTrip() (rep attemptReply, reusable bool) {
+	resp, err := x.conn.http.RoundTrip(x.request())
+	if err != nil {
+		return x.failure(err), false
+	}
+	x.answered = true
+	defer func() {
+		if rep.rest == nil {
+			_ = resp.Body.Close()
+		}
+	}()
+	switch {
+	case resp.StatusCode == http.StatusSwitchingProtocols: // asked for by nobody; its body has no end
+		return attemptReply{result: balancer.ServerError}, false
+	case resp.StatusCode != http.StatusOK:
+		return x.errorAnswer(resp)
+	case x.early.Load() && x.conn.uses > 1: // most likely another answer to the request before
+		return x.failure(errUnexpectedBytes), false
+	}
+	return x.success(resp)
+}
+
+// request is the request as it is sent. Its parts report what becomes of it.
+func (x *upstreamExchange) request() *http.Request {
+	c := x.conn
+	c.allowed = func() error { return x.pool.canBegin(x.ctx, c, x.client, x.before) }
+	c.firstByteSent.Store(false)
+	c.requestEncoded.Store(false)
+	var req *http.Request
+	trace := &httptrace.ClientTrace{
+		WroteRequest: func(info httptrace.WroteRequestInfo) {
+			c.requestEncoded.Store(info.Err == nil)
+			if info.Err == nil && !c.writeFailed.Load() {
+				x.pool.dispatched()
+			}
+		},
+		GotFirstResponseByte: func() {
+			if body, ok := req.Body.(*bodyReader); ok {
+				x.early.Store(body.incomplete())
+			}
+		},
+	}
+	req = x.client.outgoing(httptrace.WithClientTrace(x.life, trace), c.address.address)
+	left := x.client.timeout.Microseconds()
+	if deadline, ok := x.ctx.Deadline(); ok {
+		left = max(time.Until(deadline).Microseconds(), 1)
+	}
+	if left > 0 {
+		req.Header.Set(headerTimeout, strconv.FormatInt(left, 10)+"u")
+	}
+	return req
+}
+
+// failure is the result of an exchange that err has ended.
+func (x *upstreamExchange) failure(err error) attemptReply {
+	c := x.conn
+	switch {
+	case c.disallowed.Load():
+		return attemptReply{result: balancer.NotSent, err: err}
+	case !c.requestEncoded.Load() && x.client.body.failed() != nil: // by its client; the upstream has no part in it
+		return attemptReply{result: balancer.NotSent, err: x.client.body.failed()}
+	case timedOut(x.ctx):
+		return attemptReply{result: balancer.Timeout, err: err}
+	case x.ctx.Err() != nil:
+		return attemptReply{result: balancer.Cancelled, err: err}
+	case !x.answered && !c.requestEncoded.Load() || c.writeFailed.Load():
+		return attemptReply{result: balancer.ConnectFailed, err: err}
+	}
+	return attemptReply{result: balancer.Reset, err: err}
+}
+
+// success reads a 200 answer.
+func (x *upstreamExchange) success(resp *http.Response) (rep attemptReply, reusable bool) {
+	body, reserved, complete, err := x.pool.readAnswer(resp)
+	if err != nil {
+		return x.failure(err), false
+	}
+	rep = attemptReply{result: balancer.OK, header: endToEnd(resp.Header), body: body, reservedBytes: reserved, budget: x.pool.budget}
+	reusable = !resp.Close && x.conn.requestEncoded.Load()
+	if complete {
+		return rep, reusable
+	}
+	if x.ctx.Err() != nil { // too late to begin
+		rep.release()
+		return x.failure(x.ctx.Err()), false
+	}
+	rep.rest = &responseRest{body: resp.Body, length: resp.ContentLength, stallTimeout: x.conn.writeTimeout, reusable: reusable}
+	return rep, false
+}
+
+// errorAnswer reads an answer other than 200. A connection with more of it to come is not used again.
+func (x *upstreamExchange) errorAnswer(resp *http.Response) (rep attemptReply, reusable bool) {
+	_, err := io.CopyN(io.Discard, resp.Body, minRetainedBytes)
+	reusable = errors.Is(err, io.EOF) && !resp.Close && x.conn.requestEncoded.Load()
+	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	if unavailable && resp.Header.Get(headerNotProcessed) == "1" {
+		return attemptReply{result: balancer.Overloaded}, reusable
+	}
+	return attemptReply{result: balancer.ServerError, err: fmt.Errorf("answered %s", resp.Status)}, reusable
+}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -286,73 +286,87 @@
 
 // serveSuccessor stands beside the next process until it ends, or this one does. One at a time; the others wait.
 func (h *handover) serveSuccessor(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
 	l := newLink(conn)
 	l.ban = h.ban
+	before, closed := h.replaceOther(l)
+	if closed {
+		return
+	}
+	h.sendState(l) // after replaceOther: a ban from now on is passed on
+	logAttrs(slog.LevelInfo, ofHandover, "a new process has come")
+	h.shareMemory(true)
+	defer h.shareMemory(false)
+	ready, returned, err := h.followSuccessor(l)
 	h.mu.Lock()
-	closed := h.closed
-	before := h.other
-	h.other = l
+	if h.other == l {
+		h.other = before
+	}
+	closed = h.closed
 	h.mu.Unlock()
-	defer func() { _ = conn.Close() }()
 	if closed {
 		return
 	}
-	s := h.state() // after peer: a ban from now on is passed on
+	logWarning(ofHandover, "the new process is gone", err)
+	switch {
+	case returned:
+		h.limitBeside(nil)
+	case ready:
+		h.resume()
+	}
+}
+
+// replaceOther makes l the link to the other process, and gives the one before.
+func (h *handover) replaceOther(l *handoverLink) (before *handoverLink, closed bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	before, h.other = h.other, l
+	return before, h.closed
+}
+
+// sendState tells the new process what it begins with. A snapshot may hold a number that JSON does not have: the bans go
+// without it then.
+func (h *handover) sendState(l *handoverLink) {
+	s := h.state()
 	err := l.send(handoverMessage{State: &s})
-	if err != nil && s.Snapshot != nil { // a number that JSON does not have, perhaps: the bans matter more
+	if err != nil && s.Snapshot != nil {
 		s.Snapshot = nil
 		err = l.send(handoverMessage{State: &s})
 	}
 	if err != nil {
 		logWarning(ofHandover, "taking a new process in", err)
 	}
-	logAttrs(slog.LevelInfo, ofHandover, "a new process has come")
-	h.shareMemory(true)
-	defer h.shareMemory(false)
-	yielded := make(chan struct{})
-	end := make(chan struct{})
-	established := make(chan struct{})
+}
+
+// followSuccessor handles what the new process says until the link ends: whether it was ready, and whether it has returned
+// the clients since.
+func (h *handover) followSuccessor(l *handoverLink) (ready, returned bool, err error) {
+	yielded, end, reported := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(established)
+		defer close(reported)
 		select {
 		case <-yielded:
 			h.reportUse(l, end)
 		case <-end:
 		}
 	}()
-	ready, back := false, false
 	err = l.follow(func(m handoverMessage) {
 		switch {
 		case m.Ready && !ready:
 			ready = true
 			h.yield()
 			close(yielded)
-		case m.Returning && ready && !back:
-			back = true
+		case m.Returning && ready && !returned:
+			returned = true
 			logAttrs(slog.LevelInfo, ofHandover, "the new process ends")
 			h.resume()
-		case m.Uses != nil && back:
+		case m.Uses != nil && returned:
 			h.limitBeside(m.Uses)
 		}
 	})
 	close(end)
-	<-established
-	h.mu.Lock()
-	if h.other == l {
-		h.other = before
-	}
-	closed = h.closed
-	h.mu.Unlock()
-	if closed {
-		return
-	}
-	logWarning(ofHandover, "the new process is gone", err)
-	switch {
-	case back:
-		h.limitBeside(nil)
-	case ready:
-		h.resume()
-	}
+	<-reported
+	return ready, returned, err
 }
 
 // reportUse keeps the other process told what this one holds of the limits, until end or the link's.
--- /dev/null
+++ b/internal/sidecar/requesthandler.go
@@ -0,0 +1,171 @@
+package sidecar
+
+import (
+	"errors"
+	"log/slog"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// requestHandler carries one request from its arrival to its answer, on the goroutine of its connection.
+type requestHandler struct {
+	server  *server
+	w       http.ResponseWriter
+	r       *http.Request
+	conn    *framedConn
+	req     *clientRequest
+	outcome answerKind // for the statistics
+	begun   sync.Once
+}
+
+// run forwards the request to a peer or hands it to the dispatcher, and answers it.
+func (h *requestHandler) run() {
+	s, req := h.server, h.req
+	defer func() {
+		h.begin()
+		s.stats.end(req.class, h.outcome)
+	}()
+	defer req.body.release()
+	h.followBody()
+	a, done := answer{kind: duplicate}, true
+	if s.forwards.reserve(req.id) {
+		defer s.forwards.release(req.id)
+		a, done = s.forwards.forward(h.r.Context(), s.clock.now(), req)
+	}
+	if done {
+		h.answerForwarded(a)
+		return
+	}
+	req.disconnected = func() bool { return h.r.Context().Err() != nil || h.conn.disconnected() }
+	if !s.post(requestArrived{req}) {
+		h.answerStopped()
+		return
+	}
+	h.awaitAnswer()
+}
+
+// begin counts the request, once its body has been received.
+func (h *requestHandler) begin() { h.begun.Do(h.server.stats.begin) }
+
+// followBody has the dispatcher told when the body is complete, or fails.
+func (h *requestHandler) followBody() {
+	req := h.req
+	if !req.bodyPending {
+		h.begin()
+		return
+	}
+	req.body.onComplete = func() {
+		h.begin()
+		h.server.post(bodyComplete{req, h.server.clock.now() + req.timeout})
+	}
+	req.body.onError = func(err error) { req.bodyErrors <- err }
+}
+
+// answerForwarded answers a request that a peer has answered, or whose id is in use.
+func (h *requestHandler) answerForwarded(a answer) {
+	defer a.reply.drop()
+	if h.outcome = a.kind; h.r.Context().Err() != nil {
+		h.outcome = clientGone
+		panic(http.ErrAbortHandler)
+	}
+	if h.outcome == failed {
+		h.server.failures.log("failed", func() []slog.Attr {
+			return []slog.Attr{slog.String("request", truncate(h.req.id)), slog.String("class", h.req.class), slog.Any("forwarded", a.reply.err)}
+		})
+	}
+	h.write(a)
+}
+
+// awaitAnswer waits for the dispatcher's answer, and watches the client meanwhile. The library tells of a client that
+// has gone as long as it reads; where it does not, the connection is looked at now and then.
+func (h *requestHandler) awaitAnswer() {
+	pipelined := h.conn.pipelined // the library reads no further
+	var polls <-chan time.Time
+	var ticker *time.Ticker
+	poll := func() {
+		pipelined = nil
+		ticker = time.NewTicker(disconnectPollInterval)
+		polls = ticker.C
+	}
+	defer func() {
+		if ticker != nil {
+			ticker.Stop()
+		}
+	}()
+	for {
+		if polls == nil && h.req.body.receiving() { // nobody reads on while no attempt does
+			poll()
+		}
+		select {
+		case <-pipelined:
+			poll()
+		case <-polls:
+			if h.conn.disconnected() {
+				h.abort()
+			}
+		case a := <-h.req.answer:
+			h.answerDispatched(a)
+			return
+		case err := <-h.req.bodyErrors:
+			h.answerBodyError(err)
+			return
+		case <-h.r.Context().Done():
+			h.abort() // returning would send an empty 200
+		case <-h.server.stop:
+			h.answerStopped()
+			return
+		}
+	}
+}
+
+// answerDispatched gives the dispatcher's answer.
+func (h *requestHandler) answerDispatched(a answer) {
+	h.outcome = a.kind
+	defer a.reply.drop()
+	if a.kind == clientGone {
+		panic(http.ErrAbortHandler)
+	}
+	if h.req.forwarded && a.kind == rejected && !a.attempted { // the peer may go on with it
+		h.w.Header().Set(headerNotProcessed, "1")
+	}
+	h.write(a)
+}
+
+// answerBodyError answers a request whose body failed: too late, too large, or broken off by a client that has gone.
+func (h *requestHandler) answerBodyError(err error) {
+	h.server.post(clientDisconnected{h.req})
+	if !isTimeout(err) && !errors.Is(err, errBodyLarge) {
+		panic(http.ErrAbortHandler)
+	}
+	h.outcome = failed
+	bad := &rejection{http.StatusRequestTimeout, "the body did not come in time"}
+	if !isTimeout(err) {
+		bad = &rejection{http.StatusRequestEntityTooLarge, tooLarge}
+	}
+	h.server.reject(h.w, h.r, bad)
+}
+
+// answerStopped answers a request that this process can't serve any more.
+func (h *requestHandler) answerStopped() {
+	h.outcome = failed
+	h.server.writeLine(h.w, http.StatusInternalServerError, "stopped")
+}
+
+// write writes an answer. A client whose answer breaks off can tell by its connection, which is aborted.
+func (h *requestHandler) write(a answer) {
+	if h.req.body.receiving() {
+		h.server.answerEarly(h.w, h.req, a)
+		return
+	}
+	if err := h.server.writeAnswer(h.w, a); err != nil {
+		h.outcome = failed // by the upstream, or by a client that does not take its answer
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// abort ends a request whose client has gone.
+func (h *requestHandler) abort() {
+	h.server.post(clientDisconnected{h.req})
+	panic(http.ErrAbortHandler)
+}
--- /dev/null
+++ b/internal/sidecar/requestparser.go
@@ -0,0 +1,169 @@
+package sidecar
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"mosslead/balancer"
+	"mosslead/internal/forwarding"
+)
+
+// maxTimeout bounds what a client may state as its time or a request's cost.
+const maxTimeout = time.Hour
+
+const tooLarge = "a body holds 32 MB at most" // maxBodyBytes
+
+// connKey is the context key of a client's connection.
+type connKey struct{}
+
+// rejection answers a malformed request, without the balancer.
+type rejection struct {
+	status int
+	text   string
+}
+
+func rejectf(status int, format string, args ...any) *rejection {
+	return &rejection{status, fmt.Sprintf(format, args...)}
+}
+
+// parse checks a request for what the balancer and the upstreams rely on, and reads its body as far as it is retained.
+func (s *server) parse(w http.ResponseWriter, r *http.Request) (*clientRequest, *rejection) {
+	if bad := checkHead(r); bad != nil {
+		return nil, bad
+	}
+	class, bad := s.classOf(w, r)
+	if bad != nil {
+		return nil, bad
+	}
+	timeout, bad := parseClientTimeout(r, class.Deadline)
+	if bad != nil {
+		return nil, bad
+	}
+	hint, bad := parseCostHint(r)
+	if bad != nil {
+		return nil, bad
+	}
+	body, bad := s.readRequestBody(w, r)
+	if bad != nil {
+		return nil, bad
+	}
+	header := endToEnd(r.Header)
+	header.Del(headerTimeout) // what is left of it goes with each attempt
+	header.Del(forwarding.HeaderHop)
+	forwarded, _ := r.Context().Value(hopKey{}).(bool)
+	return &clientRequest{
+		id: r.Header.Get(headerID), class: class.Name, settings: class, tenant: r.Header.Get(headerTenant),
+		expiresAt: s.clock.now() + timeout, costHint: hint, method: r.Method, target: r.RequestURI, host: r.Host,
+		header: header, body: body, timeout: timeout, bodyPending: body.rest != nil, forwarded: forwarded,
+		answer: make(chan answer, 1), bodyErrors: make(chan error, 1),
+	}, nil
+}
+
+// checkHead checks the target and the headers that may come once only: the upstream could go by another of them.
+func checkHead(r *http.Request) *rejection {
+	if !strings.HasPrefix(r.RequestURI, "/") || strings.HasPrefix(r.RequestURI, "//") {
+		return rejectf(http.StatusBadRequest, "the request target is not a path")
+	}
+	if len(r.Header[headerID]) != 1 || r.Header.Get(headerID) == "" {
+		return rejectf(http.StatusBadRequest, "one X-Request-ID is needed")
+	}
+	for _, name := range []string{headerClass, headerTenant, headerTimeout, headerCost, headerKey} {
+		if len(r.Header[name]) > 1 {
+			return rejectf(http.StatusBadRequest, "more than one %s", name)
+		}
+	}
+	return nil
+}
+
+// classOf is the class that header and path name, and whose method the request has. They must name the same one: the
+// upstream may go by the other, and that one may not be idempotent.
+func (s *server) classOf(w http.ResponseWriter, r *http.Request) (balancer.Class, *rejection) {
+	inPath, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	name := cmp.Or(r.Header.Get(headerClass), inPath)
+	class, known := (*s.classes.Load())[name]
+	if !known {
+		return class, rejectf(http.StatusNotFound, "unknown class %q", name)
+	}
+	if name != inPath {
+		return class, rejectf(http.StatusBadRequest, "the header names class %q, the path %q", name, inPath)
+	}
+	method := http.MethodPost
+	if class.Idempotency == balancer.Idempotent {
+		method = http.MethodGet
+	}
+	if r.Method != method {
+		w.Header().Set("Allow", method)
+		return class, rejectf(http.StatusMethodNotAllowed, "class %s is asked for with %s", name, method)
+	}
+	if class.Idempotency == balancer.IdempotentByKey && r.Header.Get(headerKey) == "" {
+		return class, rejectf(http.StatusBadRequest, "class %s needs an Idempotency-Key", name)
+	}
+	return class, nil
+}
+
+// parseClientTimeout is the time that the client states, or else its class's deadline.
+func parseClientTimeout(r *http.Request, deadline time.Duration) (time.Duration, *rejection) {
+	texts, stated := r.Header[headerTimeout]
+	if !stated {
+		return deadline, nil
+	}
+	timeout, err := parseTimeout(texts[0])
+	if err != nil {
+		return 0, rejectf(http.StatusBadRequest, "X-Timeout: %v", err)
+	}
+	return timeout, nil
+}
+
+// parseTimeout reads a number and a unit: m milliseconds or u microseconds. To time.ParseDuration, m is minutes.
+func parseTimeout(text string) (time.Duration, error) {
+	unit := time.Millisecond
+	number, ok := strings.CutSuffix(text, "m")
+	if !ok {
+		unit = time.Microsecond
+		number, ok = strings.CutSuffix(text, "u")
+	}
+	v, err := strconv.ParseFloat(number, 64)
+	if d := v * float64(unit); !ok || err != nil || math.IsNaN(v) || v < 0 || d > float64(maxTimeout) {
+		return 0, fmt.Errorf("%q is not a usable number with the unit m or u", text)
+	}
+	return time.Duration(v * float64(unit)), nil
+}
+
+// parseCostHint is the work that the client expects, in microseconds on the wire; 0: it states none.
+func parseCostHint(r *http.Request) (time.Duration, *rejection) {
+	text := r.Header.Get(headerCost)
+	if text == "" {
+		return 0, nil
+	}
+	us, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(us >= 0) || us > maxTimeout.Seconds()*1e6 {
+		return 0, rejectf(http.StatusBadRequest, "X-Cost: %q is not a usable number of microseconds", text)
+	}
+	return time.Duration(us * float64(time.Microsecond)), nil
+}
+
+// readRequestBody reads a body up to what is retained.
+func (s *server) readRequestBody(w http.ResponseWriter, r *http.Request) (*clientBody, *rejection) {
+	if r.ContentLength > maxBodyBytes {
+		return nil, rejectf(http.StatusRequestEntityTooLarge, tooLarge)
+	}
+	conn := http.NewResponseController(w)
+	var arrivedAt time.Time
+	if c, ok := r.Context().Value(connKey{}).(*framedConn); ok && c.framing.firstRequest() {
+		arrivedAt = c.arrivedAt
+	}
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // reading may first write 100 Continue
+	body, err := readBody(r, conn, arrivedAt, s.budget)
+	switch {
+	case isTimeout(err):
+		return nil, rejectf(http.StatusRequestTimeout, "the body did not come in time")
+	case err != nil:
+		return nil, rejectf(http.StatusBadRequest, "reading the body: %v", err)
+	}
+	return body, nil
+}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -1,22 +1,18 @@
 package sidecar
 
 import (
-	"cmp"
 	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"maps"
-	"math"
 	"net/http"
 	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"mosslead/balancer"
-	"mosslead/internal/forwarding"
 )
 
 // clientRequest is a request that was taken from the client and checked.
@@ -86,12 +82,8 @@
 	forwards     *forwarder  // nil: nothing is forwarded
 }
 
-// rejection answers a malformed request, without the module.
-type rejection struct {
-	status int
-	text   string
-}
-
+// ServeHTTP takes a client's request, and returns once it has its answer. It aborts the connection, by panicking with
+// http.ErrAbortHandler, where the client has gone or must see that its answer is incomplete.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(*framedConn)
 	if r.ContentLength != 0 { // also where nobody reads it: the library does, before it closes or goes on
@@ -110,113 +102,8 @@
 		s.reject(w, r, bad)
 		return
 	}
-	how := clientGone
-	var begun sync.Once
-	begin := func() { begun.Do(s.stats.begin) }
-	defer func() { begin(); s.stats.end(req.class, how) }()
-	defer req.body.release()
-	if req.bodyPending {
-		req.body.onComplete = func() {
-			begin()
-			s.post(bodyComplete{req, s.clock.now() + req.timeout})
-		}
-		req.body.onError = func(err error) { req.bodyErrors <- err }
-	} else {
-		begin()
-	}
-	a, done := answer{kind: duplicate}, true
-	if s.forwards.reserve(req.id) {
-		defer s.forwards.release(req.id)
-		a, done = s.forwards.forward(r.Context(), s.clock.now(), req)
-	}
-	if done {
-		defer a.reply.drop()
-		if how = a.kind; r.Context().Err() != nil {
-			how = clientGone
-			panic(http.ErrAbortHandler)
-		}
-		if how == failed {
-			s.failures.log("failed", func() []slog.Attr {
-				return []slog.Attr{slog.String("request", truncate(req.id)), slog.String("class", req.class), slog.Any("forwarded", a.reply.err)}
-			})
-		}
-		if req.body.receiving() {
-			s.answerEarly(w, req, a)
-			return
-		}
-		if err := s.writeAnswer(w, a); err != nil {
-			how = failed
-			panic(http.ErrAbortHandler)
-		}
-		return
-	}
-	req.disconnected = func() bool { return r.Context().Err() != nil || conn.disconnected() }
-	if !s.post(requestArrived{req}) {
-		how = failed
-		s.writeLine(w, http.StatusInternalServerError, "stopped")
-		return
-	}
-	ahead, looks := conn.pipelined, (<-chan time.Time)(nil)
-	for {
-		if looks == nil && req.body.receiving() { // nobody reads on while no attempt does
-			ahead = nil
-			defer s.pollDisconnect(&looks).Stop()
-		}
-		select {
-		case <-ahead: // the library reads no further
-			ahead = nil
-			defer s.pollDisconnect(&looks).Stop()
-		case <-looks:
-			if conn.disconnected() {
-				s.post(clientDisconnected{req})
-				panic(http.ErrAbortHandler)
-			}
-		case a := <-req.answer:
-			how = a.kind
-			defer a.reply.drop()
-			if how == clientGone {
-				panic(http.ErrAbortHandler)
-			}
-			if req.forwarded && a.kind == rejected && !a.attempted { // the peer may go on with it
-				w.Header().Set(headerNotProcessed, "1")
-			}
-			if req.body.receiving() {
-				s.answerEarly(w, req, a)
-				return
-			}
-			if err := s.writeAnswer(w, a); err != nil {
-				how = failed                // by the upstream, or by a client that does not take its answer
-				panic(http.ErrAbortHandler) // the client can tell that the answer is not whole
-			}
-			return
-		case err := <-req.bodyErrors:
-			s.post(clientDisconnected{req})
-			if !isTimeout(err) && !errors.Is(err, errBodyLarge) {
-				panic(http.ErrAbortHandler)
-			}
-			how = failed
-			bad := &rejection{http.StatusRequestTimeout, "the body did not come in time"}
-			if !isTimeout(err) {
-				bad = &rejection{http.StatusRequestEntityTooLarge, tooLarge}
-			}
-			s.reject(w, r, bad)
-			return
-		case <-r.Context().Done():
-			s.post(clientDisconnected{req})
-			panic(http.ErrAbortHandler) // no answer: returning would send an empty 200
-		case <-s.stop:
-			how = failed
-			s.writeLine(w, http.StatusInternalServerError, "stopped")
-			return
-		}
-	}
-}
-
-// pollDisconnect begins to look now and then whether a client has left that nobody reads from.
-func (s *server) pollDisconnect(at *<-chan time.Time) *time.Ticker {
-	t := time.NewTicker(disconnectPollInterval)
-	*at = t.C
-	return t
+	h := &requestHandler{server: s, w: w, r: r, conn: conn, req: req, outcome: clientGone}
+	h.run()
 }
 
 // reject answers a malformed request, and ends its connection.
@@ -350,102 +237,3 @@
 	}
 	w.WriteHeader(status)
 }
-
-// parse takes in a whole request and checks what the module and the upstreams rely on.
-func (s *server) parse(w http.ResponseWriter, r *http.Request) (*clientRequest, *rejection) {
-	reject := func(status int, format string, args ...any) (*clientRequest, *rejection) {
-		return nil, &rejection{status, fmt.Sprintf(format, args...)}
-	}
-	if !strings.HasPrefix(r.RequestURI, "/") || strings.HasPrefix(r.RequestURI, "//") {
-		return reject(http.StatusBadRequest, "the request target is not a path")
-	}
-	if len(r.Header[headerID]) != 1 || r.Header.Get(headerID) == "" {
-		return reject(http.StatusBadRequest, "one X-Request-ID is needed")
-	}
-	for _, one := range []string{headerClass, headerTenant, headerTimeout, headerCost, headerKey} {
-		if len(r.Header[one]) > 1 { // which of them would the upstream go by?
-			return reject(http.StatusBadRequest, "more than one %s", one)
-		}
-	}
-	inPath, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	name := cmp.Or(r.Header.Get(headerClass), inPath)
-	class, known := (*s.classes.Load())[name]
-	if !known {
-		return reject(http.StatusNotFound, "unknown class %q", name)
-	}
-	if name != inPath { // the upstream may go by the other one, and that one may not be safe to repeat
-		return reject(http.StatusBadRequest, "the header names class %q, the path %q", name, inPath)
-	}
-	method := http.MethodPost
-	if class.Idempotency == balancer.Idempotent {
-		method = http.MethodGet
-	}
-	if r.Method != method {
-		w.Header().Set("Allow", method)
-		return reject(http.StatusMethodNotAllowed, "class %s is asked for with %s", name, method)
-	}
-	if class.Idempotency == balancer.IdempotentByKey && r.Header.Get(headerKey) == "" {
-		return reject(http.StatusBadRequest, "class %s needs an Idempotency-Key", name)
-	}
-	timeout := class.Deadline
-	if texts, stated := r.Header[headerTimeout]; stated {
-		var err error
-		if timeout, err = parseTimeout(texts[0]); err != nil {
-			return reject(http.StatusBadRequest, "X-Timeout: %v", err)
-		}
-	}
-	var hint time.Duration
-	if text := r.Header.Get(headerCost); text != "" {
-		us, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(us >= 0) || us > maxTimeout.Seconds()*1e6 {
-			return reject(http.StatusBadRequest, "X-Cost: %q is not a usable number of microseconds", text)
-		}
-		hint = time.Duration(us * float64(time.Microsecond))
-	}
-	if r.ContentLength > maxBodyBytes {
-		return reject(http.StatusRequestEntityTooLarge, tooLarge)
-	}
-	conn := http.NewResponseController(w)
-	var accepted time.Time
-	if c, ok := r.Context().Value(connKey{}).(*framedConn); ok && c.framing.firstRequest() {
-		accepted = c.arrivedAt
-	}
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // reading may first write 100 Continue
-	body, err := readBody(r, conn, accepted, s.budget)
-	switch {
-	case isTimeout(err):
-		return reject(http.StatusRequestTimeout, "the body did not come in time")
-	case err != nil:
-		return reject(http.StatusBadRequest, "reading the body: %v", err)
-	}
-	header := endToEnd(r.Header)
-	header.Del(headerTimeout) // what is left of it goes with each attempt
-	header.Del(forwarding.HeaderHop)
-	hop, _ := r.Context().Value(hopKey{}).(bool)
-	return &clientRequest{id: r.Header.Get(headerID), class: name, settings: class, tenant: r.Header.Get(headerTenant),
-		expiresAt: s.clock.now() + timeout, costHint: hint, method: r.Method, target: r.RequestURI, host: r.Host,
-		header: header, body: body, timeout: timeout, bodyPending: body.rest != nil, forwarded: hop,
-		answer: make(chan answer, 1), bodyErrors: make(chan error, 1)}, nil
-}
-
-// connKey is the context key of a client's connection.
-type connKey struct{}
-
-const tooLarge = "a body holds 32 MB at most" // maxBodyBytes
-
-const maxTimeout = time.Hour
-
-// parseTimeout reads a number and a unit: m milliseconds or u microseconds. To time.ParseDuration, m is minutes.
-func parseTimeout(text string) (time.Duration, error) {
-	unit := time.Millisecond
-	number, ok := strings.CutSuffix(text, "m")
-	if !ok {
-		unit = time.Microsecond
-		number, ok = strings.CutSuffix(text, "u")
-	}
-	v, err := strconv.ParseFloat(number, 64)
-	if d := v * float64(unit); !ok || err != nil || math.IsNaN(v) || v < 0 || d > float64(maxTimeout) {
-		return 0, fmt.Errorf("%q is not a usable number with the unit m or u", text)
-	}
-	return time.Duration(v * float64(unit)), nil
-}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -133,35 +133,17 @@
 	go p.watch.run(running, c.Settings.MustSubscribe)
 	p.handover.join()
 	defer p.handover.close()
-	over := make(chan struct{})
-	p.connectPersister()
-	if p.persister != nil && !waits {
-		go p.restoreSnapshot()
-		go p.useSuspectList(running)
-	}
-	go p.persister.run(over)
-	defer p.persister.end(over)
+	defer p.startPersister(running, !waits)()
 	if p.service != nil {
 		p.service.muted = p.server.stopping.Load // the other process of an upgrade speaks
 		go p.service.acknowledge(running, p.watch.source)
 	}
 	if ops != nil {
-		d := newAdminServer(ops)
-		d.ready = func() bool { return p.server.ready() && !p.server.stopping.Load() }
-		d.stats = func() string {
-			now := p.loop.stats.snapshot()
-			return now.lines() + p.persister.lines(p.usesCachedList()) + p.loop.sharing.lines() + p.service.lines(p.upstreams.directory)
-		}
-		d.peers = p.loop.sharing.describe
-		d.ban = p.ban
-		go d.run()
-		defer d.close()
+		admin := p.newAdminServer(ops)
+		go admin.run()
+		defer admin.close()
 	}
-	srv := &http.Server{Handler: p.server, ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout,
-		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true, ConnState: p.conns.state,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
-		}}
+	srv := p.newHTTPServer()
 	p.loop.sharing.startForwarding(p)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(p.conns) }()
@@ -180,6 +162,41 @@
 	return p.drain(srv)
 }
 
+// startPersister begins to write what is to outlive the process, and with first, where there is no process before, brings
+// in what was learned before. stop ends the writing, and waits until it has.
+func (p *process) startPersister(running context.Context, first bool) (stop func()) {
+	over := make(chan struct{})
+	p.connectPersister()
+	if p.persister != nil && first {
+		go p.restoreSnapshot()
+		go p.useSuspectList(running)
+	}
+	go p.persister.run(over)
+	return func() { p.persister.end(over) }
+}
+
+// newAdminServer is the operators' port of this process.
+func (p *process) newAdminServer(listener net.Listener) *adminServer {
+	d := newAdminServer(listener)
+	d.ready = func() bool { return p.server.ready() && !p.server.stopping.Load() }
+	d.stats = func() string {
+		now := p.loop.stats.snapshot()
+		return now.lines() + p.persister.lines(p.usesCachedList()) + p.loop.sharing.lines() + p.service.lines(p.upstreams.directory)
+	}
+	d.peers = p.loop.sharing.describe
+	d.ban = p.ban
+	return d
+}
+
+// newHTTPServer serves the clients' connections.
+func (p *process) newHTTPServer() *http.Server {
+	return &http.Server{Handler: p.server, ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout,
+		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true, ConnState: p.conns.state,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		}}
+}
+
 // newProcess puts the parts together; nothing runs yet.
 func newProcess(c *Config, listener net.Listener, door bool, tmp string, stop <-chan struct{}) (*process, error) {
 	own := fixedSockets
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -4,14 +4,11 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
-	"net/http/httptrace"
 	"net/url"
 	"slices"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -152,59 +149,18 @@
 // attempt sends a request to an upstream once, and waits for its end or that of ctx. From the clock time before on, where that
 // is above 0, it does not begin.
 func (u *upstreamPool) attempt(ctx context.Context, name string, r *clientRequest, before time.Duration) attemptReply {
-	at, ok := u.directory.place(name)
-	if !ok {
-		return attemptReply{result: balancer.NotSent}
-	}
-	c := u.acquire(name, at)
+	c, failure := u.connFor(ctx, name, r, before)
 	if c == nil {
-		var err error
-		if c, err = u.connect(ctx, name, at); err != nil {
-			switch {
-			case errors.Is(err, errSaturated): // says nothing of the upstream
-				return attemptReply{result: balancer.NotSent, err: err}
-			case errors.Is(ctx.Err(), context.Canceled):
-				return attemptReply{result: balancer.Cancelled, err: err}
-			}
-			return attemptReply{result: balancer.ConnectFailed, err: err}
-		}
-		if err := u.canBegin(ctx, c, r, before); err != nil { // it took its time; others can use it
-			u.release(c)
-			return attemptReply{result: balancer.NotSent, err: err}
-		}
+		return failure
 	}
 	c.uses++
 	use := connUse{nth: c.uses}
 	if c.uses > 1 {
 		use.idle = time.Since(c.releasedAt)
 	}
-	// The exchange has a life of its own: it may outlast the attempt, see leave.
-	exchangeCtx, end := context.WithCancel(context.WithoutCancel(ctx))
-	settled, left := make(chan attemptReply), make(chan struct{})
-	go func() {
-		rep, reusable := u.exchange(ctx, exchangeCtx, c, r, before)
-		finish := func(reusable bool) {
-			end()
-			if reusable {
-				u.release(c)
-			} else {
-				u.discard(c)
-			}
-		}
-		if rep.rest != nil {
-			rep.rest.end, rep.rest.finish = end, finish
-		} else {
-			finish(reusable)
-		}
-		rep.use = use
-		select {
-		case settled <- rep:
-		case <-left: // nobody waits for it
-			rep.drop()
-		}
-	}()
+	x := u.startExchange(ctx, c, r, before, use)
 	select {
-	case rep := <-settled:
+	case rep := <-x.ended:
 		return rep
 	case <-ctx.Done():
 	}
@@ -213,20 +169,46 @@
 	if timeout {
 		rep.result = balancer.Timeout
 	}
-	if (!timeout && !errors.Is(context.Cause(ctx), errAnswered)) || !u.awaitLateAnswer(exchangeCtx, c, end) {
-		end()
-		ended := <-settled
+	mayOutlast := timeout || errors.Is(context.Cause(ctx), errAnswered)
+	if !mayOutlast || !u.awaitLateAnswer(x.life, c, x.end) {
+		x.end()
+		ended := <-x.ended
 		if ended.rest == nil {
 			return ended
 		}
 		ended.drop() // it began just too late
 		return rep
 	}
-	close(left)
-	rep.abandon = func() { u.abandon(exchangeCtx, c) }
+	close(x.abandoned)
+	rep.abandon = func() { u.abandon(x.life, c) }
 	return rep
 }
 
+// connFor is a connection on which the attempt may begin, an idle or a new one; nil: failure says why there is none.
+func (u *upstreamPool) connFor(ctx context.Context, name string, r *clientRequest, before time.Duration) (c *upstreamConn, failure attemptReply) {
+	at, ok := u.directory.place(name)
+	if !ok {
+		return nil, attemptReply{result: balancer.NotSent}
+	}
+	if c = u.acquire(name, at); c != nil {
+		return c, failure
+	}
+	c, err := u.connect(ctx, name, at)
+	switch {
+	case errors.Is(err, errSaturated): // says nothing of the upstream
+		return nil, attemptReply{result: balancer.NotSent, err: err}
+	case err != nil && errors.Is(ctx.Err(), context.Canceled):
+		return nil, attemptReply{result: balancer.Cancelled, err: err}
+	case err != nil:
+		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
+	}
+	if err := u.canBegin(ctx, c, r, before); err != nil { // connecting took its time; others can use the connection
+		u.release(c)
+		return nil, attemptReply{result: balancer.NotSent, err: err}
+	}
+	return c, failure
+}
+
 // canBegin tells why an attempt may not begin, or no more; nil: it may.
 func (u *upstreamPool) canBegin(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) error {
 	switch {
@@ -274,89 +256,6 @@
 	}
 }
 
-// exchange sends r for an attempt that waits until ctx ends, and reads its answer until life does.
-func (u *upstreamPool) exchange(ctx, exchangeCtx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) (rep attemptReply, reusable bool) {
-	c.allowed = func() error { return u.canBegin(ctx, c, r, before) }
-	c.firstByteSent.Store(false)
-	c.requestEncoded.Store(false)
-	var req *http.Request
-	var early atomic.Bool // the answer came while some of the body had not gone to the writer
-	trace := &httptrace.ClientTrace{WroteRequest: func(i httptrace.WroteRequestInfo) {
-		c.requestEncoded.Store(i.Err == nil)
-		if i.Err == nil && !c.writeFailed.Load() {
-			u.dispatched()
-		}
-	}, GotFirstResponseByte: func() {
-		if body, ok := req.Body.(*bodyReader); ok {
-			early.Store(body.incomplete())
-		}
-	}}
-	req = r.outgoing(httptrace.WithClientTrace(exchangeCtx, trace), c.address.address)
-	left := r.timeout.Microseconds()
-	if deadline, ok := ctx.Deadline(); ok {
-		left = max(time.Until(deadline).Microseconds(), 1)
-	}
-	if left > 0 {
-		req.Header.Set(headerTimeout, strconv.FormatInt(left, 10)+"u")
-	}
-	begun := false // the answer: whatever is left to be said of the writing, the request may have run
-	broken := func(err error) attemptReply {
-		switch {
-		case c.disallowed.Load():
-			return attemptReply{result: balancer.NotSent, err: err}
-		case !c.requestEncoded.Load() && r.body.failed() != nil: // by its client; the upstream has no part in it
-			return attemptReply{result: balancer.NotSent, err: r.body.failed()}
-		case timedOut(ctx):
-			return attemptReply{result: balancer.Timeout, err: err}
-		case ctx.Err() != nil:
-			return attemptReply{result: balancer.Cancelled, err: err}
-		case !begun && !c.requestEncoded.Load() || c.writeFailed.Load():
-			return attemptReply{result: balancer.ConnectFailed, err: err}
-		}
-		return attemptReply{result: balancer.Reset, err: err}
-	}
-	resp, err := c.http.RoundTrip(req)
-	if err != nil {
-		return broken(err), false
-	}
-	begun = true
-	defer func() {
-		if rep.rest == nil {
-			_ = resp.Body.Close()
-		}
-	}()
-	if resp.StatusCode == http.StatusSwitchingProtocols { // asked for by nobody; its body has no end
-		return attemptReply{result: balancer.ServerError}, false
-	}
-	if resp.StatusCode == http.StatusOK && early.Load() && c.uses > 1 { // most likely another answer to the request before
-		return broken(errUnexpectedBytes), false
-	}
-	if resp.StatusCode == http.StatusOK {
-		body, leading, complete, err := u.readAnswer(resp)
-		if err != nil {
-			return broken(err), false
-		}
-		rep = attemptReply{result: balancer.OK, header: endToEnd(resp.Header), body: body, reservedBytes: leading, budget: u.budget}
-		if complete {
-			return rep, !resp.Close && c.requestEncoded.Load()
-		}
-		if ctx.Err() != nil { // too late to begin
-			rep.release()
-			return broken(ctx.Err()), false
-		}
-		rep.rest = &responseRest{body: resp.Body, length: resp.ContentLength, stallTimeout: c.writeTimeout, reusable: !resp.Close && c.requestEncoded.Load()}
-		return rep, false
-	}
-	_, err = io.CopyN(io.Discard, resp.Body, minRetainedBytes) // few words; a connection with more to come is not used again
-	reusable = errors.Is(err, io.EOF) && !resp.Close && c.requestEncoded.Load()
-	switch status := resp.StatusCode; {
-	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
-		resp.Header.Get("X-Not-Processed") == "1":
-		return attemptReply{result: balancer.Overloaded}, reusable
-	}
-	return attemptReply{result: balancer.ServerError, err: fmt.Errorf("answered %s", resp.Status)}, reusable
-}
-
 // connect opens a connection. At the limit it closes the oldest that waits for an answer in vain, or the one idle
 // for longest, instead of failing.
 func (u *upstreamPool) connect(ctx context.Context, name string, at endpointAddress) (*upstreamConn, error) {
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -30,6 +30,12 @@
 	return u
 }
 
+// roundTrip sends a request on a connection, without an attempt that waits for it.
+func (u *upstreamPool) roundTrip(ctx context.Context, c *upstreamConn, r *clientRequest) (attemptReply, bool) {
+	x := &upstreamExchange{pool: u, ctx: ctx, life: ctx, conn: c, client: r}
+	return x.roundTrip()
+}
+
 // awaitRest waits until each connection that is kept may be used again.
 func (u *upstreamPool) awaitRest(t *testing.T) {
 	t.Helper()
@@ -316,7 +322,7 @@
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil { // the write will fail
 		t.Fatal(err)
 	}
-	rep, reusable := u.exchange(t.Context(), t.Context(), c, testRequest("POST", "b"), 0)
+	rep, reusable := u.roundTrip(t.Context(), c, testRequest("POST", "b"))
 	u.discard(c)
 	if rep.result != balancer.ConnectFailed || reusable {
 		t.Errorf("result %d, reusable %v", rep.result, reusable)
@@ -333,7 +339,7 @@
 			t.Fatal(err)
 		}
 		u.directory.apply(parsed(t, list(2, false, entry("s", s.address, status))))
-		if rep, _ := u.exchange(t.Context(), t.Context(), c, testRequest("GET", ""), 0); rep.result != balancer.NotSent {
+		if rep, _ := u.roundTrip(t.Context(), c, testRequest("GET", "")); rep.result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.result)
 		}
 		u.discard(c)
