--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against an upstream that stays unused when it is called back, and against one that is pushed over: it gets its
-// first request soon, though idle ones look faster, and then no more than its cold budget.
+// first request soon, though idle ones look faster, and then no more than its slow-start budget.
 func TestLiftedBanIsColdAndGetsWork(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(12)
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against cold upstreams that stay unused when they are needed most: while work is refused, the work admitted
+// Guards against upstreams in slow start that stay unused when they are needed most: while work is refused, the work admitted
 // shrinks, and a budget that is a part of it would shrink too.
 func TestColdBudgetHoldsWhileWorkIsRefused(t *testing.T) {
 	r := newRig(t, testSettings())
@@ -39,7 +39,7 @@
 	}
 }
 
-// Guards against upstreams that are crowded while a part of them is out by hand: what is in hand is set against those
+// Guards against upstreams that are congested while a part of them is out by an operator: what is in flight is set against those
 // that take some of it.
 func TestCrowdIsMeasuredOnUsableUpstreams(t *testing.T) {
 	s := testSettings()
@@ -50,7 +50,7 @@
 		r.request(fmt.Sprint(i), "c", 30*time.Second)
 	}
 	r.pass(150 * ms)
-	if p := r.b.pressure(); p > 1 { // 6 in hand for each, over both sidecars, and no attempt told of a crowd
+	if p := r.b.pressure(); p > 1 { // 6 in flight for each, over both sidecars, and no attempt told of a crowd
 		t.Errorf("pressure %.2f with all in use", p)
 	}
 	for i := range 4 {
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -11,7 +11,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// The estimate by hand: decay 1 s, so w = 1/2 after 693.147... ms.
+// The estimate by an operator: decay 1 s, so w = 1/2 after 693.147... ms.
 func TestEstimate(t *testing.T) {
 	const decay = time.Second
 	half := time.Duration(math.Round(math.Ln2 * 1e9))
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"mosslead/balancer"
 )
 
-// A sidecar embeds the module: it reports what happens, with its own clock, and carries out the actions.
+// A sidecar embeds the balancer: it reports what happens, with its own clock, and carries out the actions.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Zone:        "east",
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -90,7 +90,7 @@
 
 func fine(string) (Result, time.Duration) { return OK, 20 * ms }
 
-// A crashed upstream refuses at once and so looks fast; it must not draw picks. It comes back by single trials.
+// A crashed upstream refuses at once and so looks fast; it must not draw picks. It comes back by single probes.
 func TestCrashedUpstreamDrawsNoPicks(t *testing.T) {
 	down := true
 	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
@@ -324,7 +324,7 @@
 // A request counts as lost for as long as its attempt is: not when it is sent again, and not when it has ended.
 func TestLostIsTheAttemptNotTheRequest(t *testing.T) {
 	s := testSettings()
-	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // it is worth waiting for after its aim
+	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // it is worth waiting for after its objective
 	r := newRig(t, s)
 	r.fleet(1)
 	r.wantSend(r.request("lost", "c", time.Second))
@@ -346,7 +346,7 @@
 	}
 }
 
-// A cut zone with the list lost: work stays home, the cut zone is left alone but for trials, and comes back.
+// A cut zone with the list lost: work stays home, the cut zone is left alone but for probes, and comes back.
 func TestZoneCutWithListLost(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
@@ -478,7 +478,7 @@
 	}
 }
 
-// What is counted in hand is exact, also late in a long life.
+// What is counted in flight is exact, also late in a long life.
 func TestInHandDoesNotDrift(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.now = 400 * 24 * time.Hour
@@ -553,7 +553,7 @@
 	}
 }
 
-// Pressure rises with the age of what is in hand, without a step: a burst after a lull is let in, more than can be
+// Pressure rises with the age of what is in flight, without a step: a burst after a lull is let in, more than can be
 // served is not admitted up to the moment it is old.
 func TestPressureRisesWithAge(t *testing.T) {
 	for _, c := range []struct {
@@ -586,7 +586,7 @@
 	}
 }
 
-// What is refused earns no further attempts: the budget is relative to first attempts.
+// What is refused earns no retries: the budget is relative to first attempts.
 func TestRefusedRequestsEarnNoRetries(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
@@ -606,12 +606,12 @@
 	}
 }
 
-// Copies stop before first attempts are refused: near the limit they crowd what is crowded (i38832b, i4fffd9).
+// Copies stop before first attempts are refused: near the limit they crowd what is congested (i38832b, i4fffd9).
 func TestNoCopiesNearTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		inHand int
 		copied bool
-	}{{15, true}, {24, false}} { // the limit is 26: 0.65 of the aim of 200 ms at 200 answers a second
+	}{{15, true}, {24, false}} { // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
 		r := newRig(t, testSettings())
 		r.fleet(4)
 		for range 400 {
@@ -634,11 +634,11 @@
 	}
 }
 
-// Two or three in hand at a quiet sidecar are no overload, however few answers it has had.
+// Two or three in flight at a quiet sidecar are no overload, however few answers it has had.
 func TestQuietSidecarDoesNotShedOnAFewInHand(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(10)
-	for i := range 60 { // three at once every second, each answered in half its aim
+	for i := range 60 { // three at once every second, each answered in half its objective
 		for j := range 3 {
 			r.wantSend(r.request(fmt.Sprint(i, "-", j), "c", time.Second))
 			r.pass(25 * ms)
@@ -653,8 +653,8 @@
 	}
 }
 
-// A quiet sidecar takes its part in an overload: with attempts near their aim or beyond it sheds though it never has
-// more than one in hand, and lets work in again soon after.
+// A quiet sidecar takes its part in an overload: with attempts near their objective or beyond it sheds though it never has
+// more than one in flight, and lets work in again soon after.
 func TestQuietSidecarShedsInOverload(t *testing.T) {
 	latency := 240 * ms
 	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
@@ -699,7 +699,7 @@
 	}
 }
 
-// Whether copies pay is learnt from those that are sent: where upstreams pause they win.
+// Whether copies pay is learned from those that are sent: where upstreams pause they win.
 func TestCopiesThatWinGoOn(t *testing.T) {
 	for _, pauses := range []bool{false, true} {
 		var w *world
@@ -721,7 +721,7 @@
 }
 
 // A refused client is to stay away for good. Where the longest advice ends before the deadline it is back while late
-// answers count, past its aim, and in the way: there it is told to be back in time.
+// answers count, past its objective, and in the way: there it is told to be back in time.
 func TestAdviceOnRefusal(t *testing.T) {
 	for _, c := range []struct {
 		longest   time.Duration
--- a/balancer/peerverdict_test.go
+++ b/balancer/peerverdict_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// However verdicts, ejections, bans and the list come together: hearsay keeps out no more than its part of the usable ones.
+// However verdicts, ejections, bans and the list come together: peer verdicts keeps out no more than its part of the usable ones.
 func TestHearsayIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An upstream that errs in half of its answers for one class is left out for that class, and for no other; said so.
+// An upstream that errs in half of its answers for one class is ejected for that class, and for no other; said so.
 func TestAnUpstreamBadForOneClass(t *testing.T) {
 	r, n := sharingRig(t, 4), 0
 	half := func(u string) Result {
@@ -101,7 +101,7 @@
 	}
 }
 
-// The trials of an upstream are made by the one whose duty they are: safe requests, one at a time, paced, cut short in time for
+// The probes of an upstream are made by the one whose leadership they are: safe requests, one at a time, paced, cut short in time for
 // another attempt. The others make none, also when their own ejection is over.
 func TestOneTrialForAll(t *testing.T) {
 	silent := func(u string) Result {
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The four rules, checked on the stream of actions under random legal events. This knows nothing of the module.
+// The four rules, checked on the stream of actions under random legal events. This knows nothing of the balancer.
 
 type sent struct {
 	upstream, zone string
--- a/balancer/rejection_test.go
+++ b/balancer/rejection_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Guards against an upstream that drains before the list tells: it turns away all it is sent, at once. It is left out
-// after three in a row, and what it turns away is no crowd, for which others would be refused.
+// Guards against an upstream that drains before the list tells: it rejects all it is sent, at once. It is left out
+// after three in a row, and what it rejects is no crowd, for which others would be refused.
 func TestOneThatTurnsAllAwayIsLeftOut(t *testing.T) {
 	type out struct {
 		id  string
 		n   int
 		due time.Duration
 	}
-	const takes = 60 * ms // a third of the aim, with several in hand everywhere
+	const takes = 60 * ms // a third of the objective, with several in flight everywhere
 	r := newRig(t, testSettings())
 	r.fleet(4)
 	var busy []out
@@ -41,7 +41,7 @@
 		}
 		r.pass(5 * ms)
 	}
-	if sent > 12 { // three, and a trial now and then
+	if sent > 12 { // three, and a probe now and then
 		t.Errorf("%d sent to the one that turns all away", sent)
 	}
 	if refused > 3 { // for those that told of a crowd, before it was left out
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against refusals for a crowd that is none: the first request turned away may tell of one, the next at the same
+// Guards against refusals for a crowd that is none: the first request rejected may tell of one, the next at the same
 // upstream tell of that upstream.
 func TestTurnedAwayAgainTellsOfNoCrowd(t *testing.T) {
 	r := newRig(t, testSettings())
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// rig drives a Balancer by hand.
+// rig drives a Balancer by an operator.
 type rig struct {
 	t    *testing.T
 	b    *Balancer
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -51,7 +51,7 @@
 	r.wantSend(r.pass(20 * ms))
 }
 
-// A time-out at the deadline leaves the answer owed; without late worth it may come at the aim already.
+// A time-out at the deadline leaves the answer owed; without late worth it may come at the objective already.
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	r := newRig(t, unsafeSettings())
 	r.fleet(2)
@@ -94,7 +94,7 @@
 	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Reject)
 }
 
-// Once it may have run, a keyed request stays in its group; before that it may go anywhere.
+// Once it may have run, a idempotent by key request stays in its group; before that it may go anywhere.
 func TestKeyedStaysInItsGroup(t *testing.T) {
 	for group, same := range map[KeyScope]func(a, b Endpoint) bool{
 		KeyScopeAll:  func(a, b Endpoint) bool { return true },
@@ -224,7 +224,7 @@
 	}
 }
 
-// A restart voids what was learnt of the old process, and the new one is cold.
+// A restart voids the snapshot of the old process, and the new one is in slow start.
 func TestRestartIsANewProcess(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
@@ -237,7 +237,7 @@
 	}
 }
 
-// A cold upstream gets its warmth's share of the mean load at most, whatever goes on: first tries, retries, panic.
+// A upstream in slow start gets its warmth's share of the mean load at most, whatever goes on: first tries, retries, panic.
 func TestColdBudget(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(10)
@@ -289,7 +289,7 @@
 		}
 		ended += len(finals(acts))
 	}
-	// 200 a second over 4 cold upstreams at 0.2 to 0.4 of their share: about 60 a second may go.
+	// 200 a second over 4 upstreams in slow start at 0.2 to 0.4 of their share: about 60 a second may go.
 	if sent > 160 || sent < 40 || ended == 0 {
 		t.Errorf("%d sent, %d ended unsent", sent, ended)
 	}
@@ -308,7 +308,7 @@
 	}
 	r.wantFinal(r.request("stale", "c", 550*ms), Reject) // the first came 450 ms ago
 	r.wantSend(r.request("early", "c", 900*ms))          // the first came 100 ms ago
-	if f := finals(r.pass(105 * ms)); len(f) != 1 {      // and so it ends when its aim does
+	if f := finals(r.pass(105 * ms)); len(f) != 1 {      // and so it ends when its objective does
 		t.Errorf("still open after its aim: %+v", f)
 	}
 	r.wantSend(r.request("first", "c", 601*ms))
@@ -425,7 +425,7 @@
 	}
 }
 
-// Where work stays at home, what cold upstreams may get is spent by those that have them in their subset at home: it
+// Where work stays at home, what upstreams in slow start may get is spent by those that have them in their subset at home: it
 // is not left to sidecars of other zones that hardly come.
 func TestColdBudgetFollowsTheWork(t *testing.T) {
 	s := testSettings()
--- a/balancer/settingsupdate_test.go
+++ b/balancer/settingsupdate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against rules that change under a request in hand: it keeps its class, and makes no more attempts than it might
-// when it came, nor than now; and against what was learnt being lost.
+// Guards against rules that change under a request in flight: it keeps its class, and makes no more attempts than it might
+// when it came, nor than now; and against the snapshot being lost.
 func TestRetune(t *testing.T) {
 	s := testSettings()
 	r := newRig(t, s)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Guards against a cold upstream pushed over by many sidecars that each keep to their part. Demand is the worst there
+// Guards against a upstream in slow start pushed over by many sidecars that each keep to their part. Demand is the worst there
 // is: whatever a budget allows is sent at once. 300 sidecars of unequal traffic, 160 upstreams in four zones, six in ten
 // of them cold, a quarter of these small; with the rule's windows counted over all sidecars. See docs/ARCHITECTURE.md,
 // "Cold upstreams".
@@ -44,7 +44,7 @@
 	}
 }
 
-// demand is for cold upstreams, and without end.
+// demand is for upstreams in slow start, and without end.
 type demand struct {
 	told      float64         // share of the sidecars that know of a start at once, the others later
 	restarted bool            // all processes begin within a second of the starts, and know no rate
@@ -59,7 +59,7 @@
 	slow      bool // another site's settings: a lower multiple over a longer time, a longer warm-up
 }
 
-// saturate gives the most that a cold upstream got in a window, as a share of its limit, and which.
+// saturate gives the most that a upstream in slow start got in a window, as a share of its limit, and which.
 func (d demand) saturate(t *testing.T, seed uint64) (most float64, where string) {
 	const (
 		capacity, small     = 24.0, 15.0 // requests of mean work a second, when warm
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Guards against a new process that goes to slow upstreams as to any other, and knows no rate, on which cold budgets
-// rest: it begins with what the one before has learnt, but for upstreams that started anew.
+// Guards against a new process that goes to slow upstreams as to any other, and knows no rate, on which slow-start budgets
+// rest: it begins with what the one before has learned, but for upstreams that started anew.
 func TestLearntGoesOn(t *testing.T) {
 	old := newRig(t, testSettings())
 	list := []Endpoint{{Upstream: "slow", Zone: "a"}, {Upstream: "quick", Zone: "a"}, {Upstream: "failing", Zone: "a"},
@@ -70,7 +70,7 @@
 	r.wantSend(r.request("1", "c", time.Second))
 }
 
-// Guards against a cold upstream pushed over after a crash: what the process before may have sent it since it last told
+// Guards against a upstream in slow start pushed over after a crash: what the process before may have sent it since it last told
 // counts as sent, and what is left of its warm-up is no longer than it was.
 func TestBudgetOfAColdUpstreamIsUsedUpAfterACrash(t *testing.T) {
 	for _, crashed := range []bool{false, true} {
@@ -91,7 +91,7 @@
 	}
 }
 
-// Guards against a process that begins with nothing because the one before was in debt to a cold upstream, by a costly
+// Guards against a process that begins with nothing because the one before was in debt to a upstream in slow start, by a costly
 // request; and against a debt that a crash makes good.
 func TestDebtToAColdUpstreamIsKept(t *testing.T) {
 	old := newRig(t, testSettings())
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// binomialTail is the probability of k or more successes in n trials of probability p, 0 < p < 1.
+// binomialTail is the probability of k or more successes in n probes of probability p, 0 < p < 1.
 func binomialTail(k, n int, p float64) float64 {
 	term, below := math.Pow(1-p, float64(n)), 0.0
 	for i := range k {
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -247,7 +247,7 @@
 	tr.handle(e)
 }
 
-// restart goes on with another Balancer that begins with what this one has learnt.
+// restart goes on with another Balancer that begins with what this one has learned.
 func (tr *trace) restart() {
 	learnt := tr.b.Snapshot(tr.now)
 	learnt.Age(time.Duration(tr.rng.IntN(4000))*ms, tr.rng.IntN(2) == 0)
--- a/cmd/mosslead-sidecar/descriptors_test.go
+++ b/cmd/mosslead-sidecar/descriptors_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// own is what README states a process keeps beside clients and upstreams, and what a door adds.
+// own is what README states a process keeps beside clients and upstreams, and what an admin port adds.
 const own, ownDoor = 32, 14
 
 // descriptors counts those that a process has open.
@@ -87,7 +87,7 @@
 // Guards against a process without a descriptor for what it needs: idle clients take all that they can get while discovery is
 // silent and operators stand in their door. With more requests that hang than clients may have, it stays within its limit, what it
 // sets aside for itself is enough, and SIGHUP finds a descriptor for the file. With idle clients alone, one that comes is served
-// within a second of discovery's return; who is let in beside requests that hung is the module's matter.
+// within a second of discovery's return; who is let in beside requests that hung is the balancer's matter.
 func TestIdleClientsTakeEveryDescriptor(t *testing.T) {
 	for name, hanging := range map[string]bool{"with requests that hang": true, "alone": false} {
 		t.Run(name, func(t *testing.T) { idleClients(t, hanging) })
--- a/cmd/mosslead-sidecar/main_test.go
+++ b/cmd/mosslead-sidecar/main_test.go
@@ -155,7 +155,7 @@
 	term(t, cmd)
 }
 
-const keeps = `"msg":"the configuration in use stays"`
+const keeps = `"msg":"reload rejected, configuration unchanged"`
 
 // logText is a log that is read while it is written.
 type logText struct {
--- a/cmd/mosslead-sidecar/upgrade_test.go
+++ b/cmd/mosslead-sidecar/upgrade_test.go
@@ -15,7 +15,7 @@
 	"mosslead/internal/statestore"
 )
 
-// ask makes a call at a door, and gives its first line; empty: nobody answers.
+// ask makes a call at an admin port, and gives its first line; empty: nobody answers.
 func ask(address, line string) string {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/internal/circuitbreaker/tracker_test.go
+++ b/internal/circuitbreaker/tracker_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	at  = 10 * time.Second // when things are said in these tests; the board has settled
+	at  = 10 * time.Second // when things are said in these tests; the tracker has settled
 	ttl = 5 * time.Second
 )
 
@@ -161,7 +161,7 @@
 	}
 }
 
-// Nobody fills the board, however much is said.
+// Nobody fills the tracker, however much is said.
 func TestTheBoardIsBounded(t *testing.T) {
 	b := newBoard(75)
 	var all Batch
@@ -180,7 +180,7 @@
 	}
 }
 
-// A process that was stopped, whose loop is jammed, or that lost most of the others doubts itself for a while.
+// A process that was stopped, whose loop is jammed, or that lost most of the others distrusts itself for a while.
 func TestDoubt(t *testing.T) {
 	now := at
 	d := NewSelfSuspicion(now, 100*time.Millisecond)
@@ -275,7 +275,7 @@
 	}
 }
 
-// The holder's trials close the breaker for all in steps; an old holder's do nothing; what comes late from before is void.
+// The holder's probes close the breaker for all in steps; an old holder's do nothing; what comes late from before is void.
 func TestTrialsCloseInSteps(t *testing.T) {
 	b := newBoard(1)
 	b.Handle(at, Batch{heard(1, ill("u5", "", message.Silence)), heard(2, ill("u5", "", message.Silence))})
@@ -305,7 +305,7 @@
 	}
 }
 
-// Order, and repetition, make no difference, to what one learns of a trial's success either.
+// Order, and repetition, make no difference, to what one learns of a probe's success either.
 func TestOrderMakesNoDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var events []Event
--- a/internal/conflate/queue.go
+++ b/internal/conflate/queue.go
@@ -1,5 +1,5 @@
-// Package conflate owns bounded hand-overs between two parts that have a thread each: putting never waits, and of what can't be
-// held the stated thing is dropped.
+// Package conflate provides a bounded queue in which a newer value of a key replaces the one that waits.
+// Pushing never blocks.
 package conflate
 
 import (
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Queue holds the newest word on each key, the key that was put first in front. Safe for concurrent use by any number of
-// putters and one taker.
+// Queue holds the newest value of each key, in the order in which keys were first pushed. Safe for concurrent
+// use by any number of producers and one consumer.
 type Queue[K comparable, V any] struct {
 	max   int
 	ready chan struct{}
@@ -19,20 +19,22 @@
 	dropped uint64
 }
 
+// item is a value that waits.
 type item[K comparable, V any] struct {
 	key         K
 	value       V
-	mustDeliver bool
+	mustDeliver bool // it is never dropped
 }
 
-// New is a ring for most keys, one at least.
+// New returns a queue for limit keys, one at least.
 func New[K comparable, V any](limit int) *Queue[K, V] {
 	return &Queue[K, V]{max: max(limit, 1), ready: make(chan struct{}, 1), order: list.New(), byKey: map[K]*list.Element{}}
 }
 
-// Push hands v over. A word on the same key that was not taken yet is replaced, in its place. When the ring is full, the oldest
-// word that may be dropped goes; where keep says so v never does, nor does what replaces it: the end of a ban or of a duty
-// must arrive. Kept words go beyond the bound, each key once: keys of kept words have to be bounded by who puts them.
+// Push adds a value, or replaces the one that waits under the same key, in its place. When the queue is full
+// the oldest value without mustDeliver is dropped. A value with mustDeliver is never dropped, nor is one that
+// replaces it: the end of a ban or of a leadership must arrive. Such values may exceed the bound, so
+// producers have to bound their keys.
 func (r *Queue[K, V]) Push(key K, v V, mustDeliver bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +54,7 @@
 	}
 }
 
-// dropOldest makes room, if anything may go.
+// dropOldest makes space, if any value may be dropped.
 func (r *Queue[K, V]) dropOldest() bool {
 	for e := r.order.Front(); e != nil; e = e.Next() {
 		if s := e.Value.(*item[K, V]); !s.mustDeliver {
@@ -65,7 +67,7 @@
 	return false
 }
 
-// Ready is readable when there may be something to take. A nil Ring's never is.
+// Ready is readable when there may be something to pop. That of a nil Queue never is.
 func (r *Queue[K, V]) Ready() <-chan struct{} {
 	if r == nil {
 		return nil
@@ -73,7 +75,8 @@
 	return r.ready
 }
 
-// Pop gives the oldest word; false: there is none. The taker takes until then each time it was woken.
+// Pop removes the oldest value; false: there is none. The consumer pops until then each time that Ready was
+// readable.
 func (r *Queue[K, V]) Pop() (v V, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +89,7 @@
 	return s.value, true
 }
 
-// Dropped counts what was dropped.
+// Dropped counts the values that were dropped.
 func (r *Queue[K, V]) Dropped() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/durable/crashfs/crashfs.go
+++ b/internal/durable/crashfs/crashfs.go
@@ -2,7 +2,7 @@
 // and gives every state that a disk may be found in afterwards. It can also fail calls, fill up and turn read-only.
 //
 // What a disk keeps: the content of a file as of its last sync, and of what was written since any part, in any order,
-// the last piece torn at any byte; the names as of the directory's last sync, and of the changes since any part. That
+// the last chunk torn at any byte; the names as of the directory's last sync, and of the changes since any part. That
 // is more than a journalling file system loses.
 package crashfs
 
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -10,7 +10,7 @@
 	"io/fs"
 )
 
-// A frame is how anything is laid down: magic, the length of the payload, a number that rises, the checksum of all of
+// A frame is how anything is written: magic, the length of the payload, a number that rises, the checksum of all of
 // these and the payload (CRC32C), and the payload. Numbers are little-endian.
 //
 //	4 bytes magic | 4 bytes length | 8 bytes number | 4 bytes CRC32C | payload
@@ -76,12 +76,12 @@
 	return binary.LittleEndian.Uint64(b[8:]), payload, size, nil
 }
 
-// Corruption is something that is not as it was written.
+// Corruption is a part of a file that is not as it was written.
 type Corruption struct {
 	File string
-	At   int64 // the byte where it begins
+	At   int64 // the byte at which it begins
 	Err  error
-	Torn bool // it is what a crash leaves of a write that nobody was told is safe: nothing is lost
+	Torn bool // a crash left it of a write that was never confirmed: nothing is lost
 }
 
 func (d Corruption) String() string {
@@ -129,7 +129,7 @@
 		err = closed
 	}
 	if err != nil {
-		_ = f.Remove(name) // it is of no use; where that fails too, the next write sees to it
+		_ = f.Remove(name) // it is unusable; where that fails too, the next write sees to it
 	}
 	return err
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -1,9 +1,9 @@
-// Package durable owns the files that must outlive a process: they are written whole or not at all, and never trusted
-// when read. Everything has a version, a length and a checksum.
+// Package durable stores files that must outlive a process. They are written completely or not at all, and
+// never trusted when read: everything has a version, a length and a checksum.
 //
-// A Box holds one value, in two generations; a Table holds small entries of which none may be lost once Set or Delete has
-// returned nil. A Dir is the directory with its lock. All of them write through FS, so that tests can take the power away
-// between any two calls.
+// A SnapshotFile holds one value, in two generations; a KeyValueLog holds small entries, none of which is
+// lost once Set or Delete has returned nil. A DirLock makes one process the writer of a directory. All of
+// them write through FS, so that tests can cut the power between any two calls.
 package durable
 
 import (
@@ -32,8 +32,8 @@
 	Sync() error
 }
 
-// File is an open file. What was written is safe once Sync has returned nil, and after an error of any call it is not
-// known how much is: the file must not be used again.
+// File is an open file. What was written is durable once Sync has returned nil. After an error of any call it
+// is not known how much is: the file must not be used again.
 type File interface {
 	io.Reader
 	io.Writer
@@ -41,7 +41,7 @@
 	Close() error
 }
 
-// osFS is a directory of the machine's.
+// osFS is a directory of the operating system.
 type osFS struct{ dir string }
 
 func (o osFS) path(name string) string { return filepath.Join(o.dir, name) }
@@ -108,7 +108,8 @@
 	return nil
 }
 
-// DirLock is a directory's: whoever holds it is the one process that writes there. It ends with the process.
+// DirLock is the lock of a directory: its holder is the one process that writes there. It ends with the
+// process.
 type DirLock struct{ f *os.File }
 
 const lockName = "LOCK"
@@ -116,7 +117,8 @@
 // ErrLocked says that another process writes to the directory.
 var ErrLocked = errors.New("another process holds the lock")
 
-// TryLock takes the lock of a directory, which it makes where it is missing. ErrLocked: another process has it.
+// TryLock takes the lock of a directory, and makes the directory if it is missing. ErrLocked: another process
+// has it.
 func TryLock(dir string) (*DirLock, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
@@ -135,8 +137,8 @@
 	return &DirLock{f}, nil
 }
 
-// Holds tells whether the lock is still the directory's: it is not once the directory was deleted, or put back from a
-// copy.
+// Holds tells whether the lock is still the directory's: it is not once the directory was deleted or restored
+// from a copy.
 func (l *DirLock) Holds(dir string) bool {
 	own, err := l.f.Stat()
 	if err != nil {
@@ -146,5 +148,5 @@
 	return err == nil && os.SameFile(own, there)
 }
 
-// Release gives the lock to whoever waits for it.
+// Release releases the lock.
 func (l *DirLock) Release() error { return l.f.Close() }
--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -296,7 +296,7 @@
 	if len(head) != 8 {
 		return nil, errLength
 	}
-	base := at + int(min(binary.LittleEndian.Uint64(head), maxTableBytes)) // what was laid down whole, before the name was
+	base := at + int(min(binary.LittleEndian.Uint64(head), maxTableBytes)) // what was written whole, before the name was
 	entries := map[string]string{}
 	for at < len(text) {
 		n, payload, size, err := readFrame(text[at:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1)
--- a/internal/durable/snapshotfile.go
+++ b/internal/durable/snapshotfile.go
@@ -7,28 +7,28 @@
 
 const temporary = ".tmp"
 
-// SnapshotFile holds one value of bounded size. A write lays it down beside the one before, which stays: what is read is the
-// newest that is whole. Not safe for concurrent use.
+// SnapshotFile holds one value of bounded size. A write goes beside the value before, which stays: what is
+// read is the newest complete value. Not safe for concurrent use.
 type SnapshotFile struct {
 	fs         FS
 	name       string
 	maxBytes   int
-	generation uint64 // generation of the newest on disk, as far as known
+	generation uint64 // of the newest value on disk, as far as known
 	read       bool
 }
 
-// NewSnapshotFile is the box of that name, for values of at most so many bytes.
+// NewSnapshotFile is the file of that name, for values of maxBytes at most.
 func NewSnapshotFile(f FS, name string, maxBytes int) *SnapshotFile {
 	return &SnapshotFile{fs: f, name: name, maxBytes: maxBytes}
 }
 
-// slot is the file of a generation: two of them take turns.
+// slot is the file of a generation: two files take turns.
 func (b *SnapshotFile) slot(generation uint64) string {
 	return fmt.Sprintf("%s.%d", b.name, generation%2)
 }
 
-// Read gives the newest value that is whole; nil: there is none. Damages name what could not be used. An error means
-// that the file system could not be asked, or that a newer version of the program has written here.
+// Read returns the newest complete value; nil: there is none. The corruptions name what could not be used. An
+// error says that the file system failed, or that a newer version of the program has written here.
 func (b *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
 	found := false
 	for i := range uint64(2) {
@@ -63,11 +63,12 @@
 	return value, corruptions, nil
 }
 
-// Write puts a value in place of the one before. Once it has returned nil the value is safe; after an error either of
-// the two may be read.
+// Write replaces the value. Once it has returned nil the value is durable; after an error either value may be
+// read.
 func (b *SnapshotFile) Write(value []byte) error { return b.write(value, true) }
 
-// WriteUnsynced is Write without waiting for the disk: what it writes outlives the process, and perhaps not the machine.
+// WriteUnsynced is Write without waiting for the disk: the value outlives the process, and perhaps not the
+// machine.
 func (b *SnapshotFile) WriteUnsynced(value []byte) error { return b.write(value, false) }
 
 func (b *SnapshotFile) write(value []byte, safe bool) error {
--- a/internal/federation/chunks.go
+++ b/internal/federation/chunks.go
@@ -1,5 +1,5 @@
-// Package federation owns the step from what another region's list tells to the pieces in which this region takes it in: which it
-// believes, and how much goes into one. It knows of no I/O and no clock.
+// Package federation turns what another region's list service sends into chunks for this region's log: it
+// decides what of it is plausible, and how much goes into one chunk. Pure: no I/O and no clock.
 package federation
 
 import (
@@ -12,26 +12,27 @@
 	"mosslead/internal/registry/list"
 )
 
-// The bounds of a piece: other commands of the own region get in between two of them.
+// Bounds of a chunk: other commands of the own region get in between two chunks.
 const (
 	MaxChunkEntries = 500
 	MaxChunkBytes   = 256 << 10
-	entryBytes      = 128 // of an entry beside its words, as it is written at the most
+	entryBytes      = 128 // of an entry beside its text, encoded, at most
 )
 
-// ChunkLimit is how much goes into one piece; one entry or document does in any case.
+// ChunkLimit bounds a chunk. One entry or document goes in at any rate.
 type ChunkLimit struct{ Entries, Bytes int }
 
-// Chunks are those of the program's bounds, see Bound.Pieces.
+// Chunks are those with the program's limit, see ChunkLimit.Chunks.
 func Chunks(region string, replicated list.Replicated, l api.WatchEvent) (chunks []list.Chunk, anomaly, rejected string) {
 	return ChunkLimit{MaxChunkEntries, MaxChunkBytes}.Chunks(region, replicated, l)
 }
 
-// Chunks are the way from what is held of a region to what its list tells; none where there is no news. refused says why the
-// listing is not taken in, and then there are no pieces; odd what of it is not, beside pieces that are.
+// Chunks are the steps from what is replicated of a region to what its list says; none if nothing has
+// changed. rejected says why the event is not applied, and then there are no chunks; anomaly says what part
+// of it is not, beside chunks that are.
 //
-// An entry that a whole list does not name is gone. A document is not: whoever deletes one keeps that it is deleted, so a list that
-// does not name it has lost it.
+// An endpoint that a snapshot does not name is removed. A document is not: whoever deletes one stores that it
+// is deleted, so a list that does not name it has lost it.
 func (b ChunkLimit) Chunks(region string, replicated list.Replicated, l api.WatchEvent) (chunks []list.Chunk, anomaly, rejected string) {
 	switch {
 	case l.Region != region:
@@ -75,12 +76,13 @@
 	return b.cut(list.Chunk{Region: region, From: replicated.Revision, To: l.Revision, Part: replicated.NextPart}, entries, documents), anomaly, ""
 }
 
-// equalDocuments tells whether two documents of one version say the same.
+// equalDocuments tells whether two documents of one revision have the same content.
 func equalDocuments(a, b api.Document) bool {
 	return a.Deleted == b.Deleted && a.Schema == b.Schema && bytes.Equal(a.Settings, b.Settings)
 }
 
-// changed are the entries that are not held as the listing tells them, in its order, and then those that it takes away.
+// changed are the endpoints that differ from what is replicated, in the event's order, and then those that it
+// removes.
 func changed(replicated list.Replicated, l api.WatchEvent) (entries []api.Endpoint) {
 	named := make(map[string]bool, len(l.Endpoints))
 	for _, e := range l.Endpoints {
@@ -100,7 +102,7 @@
 	return entries
 }
 
-// cut makes pieces of bounded size, documents first: settings are to be in force before the many entries of a heal.
+// cut makes chunks of bounded size, documents first: settings are to be in force before the many entries of a heal.
 func (b ChunkLimit) cut(p list.Chunk, entries []api.Endpoint, documents []api.Document) (chunks []list.Chunk) {
 	size := 0
 	next := func(bytes int) {
--- a/internal/federation/chunks_test.go
+++ b/internal/federation/chunks_test.go
@@ -118,7 +118,7 @@
 }
 
 // play draws what happens in two regions and between them: changes of both; listings from the other's newest replica, from one
-// that is behind, or from a copy of before that goes on by itself; pieces that are lost, come twice, or come late; and a follower's
+// that is behind, or from a copy of before that goes on by itself; chunks that are lost, come twice, or come late; and a follower's
 // list that goes through a snapshot. careless plants a follower that takes in what is older. It gives what went wrong.
 func play(t *rapid.T, careless bool) (wrong string) {
 	history := rapid.IntRange(2, 20).Draw(t, "history")
@@ -167,7 +167,7 @@
 			if careless {
 				replicated.SeenRevision, replicated.Documents = 0, nil
 			}
-			// One entry or document a piece, so that small plays have many.
+			// One entry or document a chunk, so that small plays have many.
 			chunks, _, rejected := ChunkLimit{Entries: 1, Bytes: 1}.Chunks("north", replicated, told)
 			if !careless && (rejected != "") != (told.Revision < replicated.SeenRevision) {
 				return fmt.Sprintf("seen up to %d, told version %d: %q", replicated.SeenRevision, told.Revision, rejected)
@@ -257,8 +257,8 @@
 	}
 }
 
-// Ten thousand entries to catch up: bounded pieces, documents first, the own region's writes told between any two, and a source
-// that is killed in the middle of a piece costs the rest of it alone.
+// Ten thousand entries to catch up: bounded chunks, documents first, the own region's writes told between any two, and a source
+// that is killed in the middle of a chunk costs the rest of it alone.
 func TestTenThousandEntriesToCatchUp(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	south.register("own", "127.0.0.1:1")
@@ -419,7 +419,7 @@
 	old := north.copied(t, list.CompactionWindow)
 	north.settle(list.PutDocument, "s", `1`, 0)
 	old.settle(list.PutDocument, "s", `2`, 0)
-	for range 2 { // what is the same is not odd
+	for range 2 { // what is the same is not anomalous
 		if anomaly := take(north); anomaly != "" {
 			t.Errorf("the owner: %q", anomaly)
 		}
@@ -442,7 +442,7 @@
 	}
 }
 
-// A piece that its leader gave up is carried out after the next listing was worked out, and takes in an entry that this one, since it
+// A chunk that its leader gave up is carried out after the next listing was worked out, and takes in an entry that this one, since it
 // was not held by then, does not take away: what was worked out is refused, and worked out anew.
 func TestAPieceThatComesLate(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
--- a/internal/federation/explore/explore.go
+++ b/internal/federation/explore/explore.go
@@ -5,14 +5,14 @@
 //
 // A step is one of: a change by the owner, which forgets what changed before the last few; a replica that catches up; a watch that
 // begins at either source, and one line more on it; one that is lost with all that is under way; a line that is taken in, or comes
-// twice; a piece that is carried out, is lost, or is given up by who proposed it and carried out later; another leader, beside the
+// twice; a chunk that is carried out, is lost, or is given up by who proposed it and carried out later; another leader, beside the
 // former, and the former's end; a follower that starts again from its snapshot; an owner that is put back to the copy that lagged,
 // and goes on from there; a sidecar that reads. How often each happens on a path is bounded, when is not.
 //
-// Lists, pieces and how a leader stands are the program's own; the sidecar's rule and the order of a watch's lines are worded anew
-// in a few lines. An owner that is put back is unheard for so long that a leader asks for the whole list, as the program's is after
+// Lists, chunks and how a leader stands are the program's own; the sidecar's rule and the order of a watch's lines are worded anew
+// in a few lines. An owner that is put back is silent for so long that a leader asks for the whole list, as the program's is after
 // its 10 s; one that is back beyond what was seen before that is not explored, nor is what several owners say of one service, nor a
-// takeover. Where an owner is put back, leaders begin behind a barrier: a piece of before that were carried out behind the first
+// takeover. Where an owner is put back, leaders begin behind a barrier: a chunk of before that were carried out behind the first
 // listing after it would not be undone until the whole list is told again.
 package explore
 
@@ -27,9 +27,9 @@
 	Depth     int  // steps
 	Empty     bool // the follower holds nothing at first; else all of the owner's first two changes, of which one source has one
 	Changes   int  // by the owner
-	Losses    int  // a watch or a piece is lost
-	Lates     int  // a piece is carried out after who proposed it gave it up
-	Repeats   int  // a line is taken in a second time, or a piece carried out
+	Losses    int  // a watch or a chunk is lost
+	Lates     int  // a chunk is carried out after who proposed it gave it up
+	Repeats   int  // a line is taken in a second time, or a chunk carried out
 	Elections int  // another leader begins
 	Starts    int  // the follower starts again
 	Backs     int  // the owner is put back
@@ -40,11 +40,11 @@
 // Faults are planted, to see that they are found.
 type Faults struct {
 	NoSeen    bool // neither the leader nor the log looks at the highest version that was begun
-	NoFrom    bool // the log does not look at where a piece goes on from
-	NoTurns   bool // the log does not look at how many pieces were taken in
-	GoesOn    bool // a leader goes on behind a piece that was lost
+	NoFrom    bool // the log does not look at where a chunk goes on from
+	NoTurns   bool // the log does not look at how many chunks were taken in
+	GoesOn    bool // a leader goes on behind a chunk that was lost
 	Forgets   bool // documents that a whole list does not name are gone
-	NoSilence bool // a leader asks for what changed however long the owner was unheard
+	NoSilence bool // a leader asks for what changed however long the owner was silent
 	NoHighest bool // the sidecar takes in whatever it is told
 }
 
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -15,10 +15,10 @@
 
 const (
 	history  = 1 // changed entries that the owner remembers: with the third change the first is forgotten
-	underWay = 2 // lines of a watch, and pieces that were given up
+	underWay = 2 // lines of a watch, and chunks that were given up
 )
 
-// one is the bound of pieces here: each is one entry or document.
+// one is the bound of chunks here: each is one entry or document.
 var one = federation.ChunkLimit{Entries: 1, Bytes: 1}
 
 // frozen is a list that states may share once it has a key. Each change of such a one goes through a snapshot.
@@ -230,7 +230,7 @@
 	}
 }
 
-// carryOut is a piece that is committed.
+// carryOut is a chunk that is committed.
 func (s *state) carryOut(p list.Chunk, forgets []string) (err *api.Error) {
 	s.follower.change(func(l *list.List) {
 		if s.faults.NoFrom {
@@ -255,7 +255,7 @@
 	return err
 }
 
-// propose is a leader's next piece, which is carried out and answered.
+// propose is a leader's next chunk, which is carried out and answered.
 func (s *state) propose(who int) {
 	l := &s.leaders[who]
 	p := l.chunks[0]
@@ -267,7 +267,7 @@
 	s.chunkApplied(who)
 }
 
-// unanswered is a piece of which a leader does not hear that it was carried out.
+// unanswered is a chunk of which a leader does not hear that it was carried out.
 func (s *state) unanswered(who int) {
 	l := &s.leaders[who]
 	l.sync.Record(l.snapshot, "", "unanswered")
--- a/internal/federation/explore/steps.go
+++ b/internal/federation/explore/steps.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// stepsOfChunk are what may become of the next piece that a leader proposes.
+// stepsOfChunk are what may become of the next chunk that a leader proposes.
 func (s *state) stepsOfChunk(i int, p list.Chunk, add func(string, func(*state))) {
 	name := fmt.Sprintf("%s's piece %d from %d to %d", leading(i), p.Part, p.From, p.To)
 	add(name, func(n *state) { n.propose(i) })
--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -1,4 +1,5 @@
-// Package forwarding owns the choice between local and forwarded, by pressure. Pure: no I/O and no clock.
+// Package forwarding decides, by pressure, whether a sidecar serves a request itself or forwards it to
+// another. Pure: no I/O and no clock.
 package forwarding
 
 import (
@@ -9,21 +10,21 @@
 	"mosslead/internal/gossip/message"
 )
 
-// HeaderHop marks a request that came from a peer; its value is 1. It is never forwarded again.
+// HeaderHop marks a request that a peer has forwarded; its value is 1. It is never forwarded again.
 const HeaderHop = "X-Mosslead-Hop"
 
 const (
-	knee                 = 0.7                    // pressure from which work begins to come too late
+	knee                 = 0.7                    // pressure from which requests begin to be answered too late
 	hotThreshold         = 0.85                   // from this pressure on a sidecar looks for others
-	coolThreshold        = 0.65                   // and until it has fallen to this; whose own is above takes no forwarded work
-	smoothingTime        = 500 * time.Millisecond // over which pressure is averaged: a spike of one sample does not flip the state
-	agingAfter           = time.Second            // a peer's pressure that was heard so long ago counts as it was
-	expiredAfter         = 4 * time.Second        // and from here on as full
-	minGain              = 0.1                    // of its worth that forwarding must bring to be chosen
-	maxForwardedFraction = 0.2                    // of arrivals that may be forwarded
-	burst                = 20.0                   // and so many at once
-	maxCandidates        = 6                      // at peers, for each request
-	minRoundTrips        = 4                      // ways there and back that must fit into what is left of the time
+	coolThreshold        = 0.65                   // until its pressure has fallen to this; above it a sidecar accepts no forwarded requests
+	smoothingTime        = 500 * time.Millisecond // over which pressure is averaged: one sample does not flip the state
+	agingAfter           = time.Second            // a peer's pressure counts as it was for this long
+	expiredAfter         = 4 * time.Second        // and as full from this age on
+	minGain              = 0.1                    // fraction of a request's value that forwarding must bring
+	maxForwardedFraction = 0.2                    // of the arriving requests
+	burst                = 20.0                   // forwarded requests at once
+	maxCandidates        = 6                      // peers that are looked at for each request
+	minRoundTrips        = 4                      // round trips that must fit into the time that is left
 )
 
 // Gauge follows the pressure of one sidecar.
@@ -33,8 +34,8 @@
 	hot bool
 }
 
-// Add takes a sample of the parts in, each 0 (nothing) to 1 (full), and gives the pressure: each part averaged, and in Total the
-// fullest of them, since what is short is what stops the work.
+// Add takes in a sample of the parts, each 0 (idle) to 1 (full), and returns the pressure: each part
+// averaged, and in Total the highest of them, since the scarcest resource is what stops the work.
 func (g *Gauge) Add(now time.Duration, p message.Pressure) message.Pressure {
 	w := 1 - math.Exp(-float64(now-g.at)/float64(smoothingTime))
 	g.at = now
@@ -53,23 +54,24 @@
 	return g.now
 }
 
-// Accepts tells whether a sidecar takes forwarded work: behind its own clients', so it refuses that first.
+// Accepts tells whether a sidecar accepts forwarded requests. They rank behind its own clients' and are
+// rejected first.
 func (g *Gauge) Accepts() bool { return !g.hot && g.now.Total < coolThreshold }
 
 // Choice is what becomes of a request.
 type Choice int
 
-// The choices. Refusing is what admission does at home.
+// The choices. Rejecting is up to the local admission.
 const (
-	Local   Choice = iota // this sidecar's balancer decides, as without peers: near, across, or refused
+	Local   Choice = iota // this sidecar's balancer decides, as without peers
 	Forward               // to a peer
 )
 
-// Request is what of a request the choice goes by.
+// Request is what the choice depends on.
 type Request struct {
-	TimeLeft  time.Duration // until its client goes
-	RoundTrip time.Duration // there and back between sites
-	Cost      float64       // of crossing, as a share of the request's worth
+	TimeLeft  time.Duration // until the client stops waiting
+	RoundTrip time.Duration // between sites
+	Cost      float64       // of leaving the zone, as a fraction of the request's value
 }
 
 // peer is another sidecar as it was last heard of.
@@ -77,24 +79,24 @@
 	message.Member
 	pressure float64
 	heardAt  time.Duration
-	inFlight int // requests that are with it
+	inFlight int // requests that were forwarded to it
 }
 
-// Decider chooses. Not safe for concurrent use.
+// Decider chooses where requests go. Not safe for concurrent use.
 type Decider struct {
 	site   string
 	rng    *rand.Rand
 	peers  map[string]*peer
-	order  []*peer // those present that take forwarded work
+	order  []*peer // those present that accept forwarded requests
 	tokens float64
 }
 
-// NewDecider chooses for a sidecar of that site, drawing from seed.
+// NewDecider returns the Decider of a sidecar at that site, which draws from seed.
 func NewDecider(site string, seed uint64) *Decider {
 	return &Decider{site: site, rng: rand.New(rand.NewPCG(seed, 1)), peers: map[string]*peer{}, tokens: burst}
 }
 
-// SetMembers says who is present. Who is not gets nothing; with nobody there all stays at home.
+// SetMembers sets who is present. Without anybody all requests stay local.
 func (d *Decider) SetMembers(present []message.Member) {
 	before := d.peers
 	d.peers, d.order = map[string]*peer{}, nil
@@ -118,13 +120,15 @@
 	}
 }
 
-// Choose decides on one arrival. g is this sidecar's pressure. A request that is forwarded is ended with Over.
+// Choose decides on one arriving request; g is this sidecar's pressure. A request that is forwarded is ended
+// with Done.
 func (d *Decider) Choose(now time.Duration, g *Gauge, r Request) (Choice, string) {
 	d.tokens = min(d.tokens+maxForwardedFraction, burst)
 	if !g.hot || d.tokens < 1 || len(d.order) == 0 {
 		return Local, ""
 	}
-	// Where only this process is short, its site's others have what it lacks; where the site is, another site's have.
+	// If only this process is short of something, others of its site have it; if the site is, those of another
+	// site do.
 	siteShort := g.now.Site >= max(g.now.CPU, g.now.Sockets, g.now.Heap) || g.now.InFlight >= max(g.now.CPU, g.now.Sockets, g.now.Heap)
 	var best *peer
 	seen := 0
@@ -156,13 +160,14 @@
 	return Forward, best.Name
 }
 
-// Hot tells whether g's sidecar looks for others; then it has to ask them, see Ask.
+// Hot tells whether g's sidecar looks for others. Then it has to ask them for their pressure, see
+// PeersToQuery.
 func (g *Gauge) Hot() bool { return g.hot }
 
 // Now is the pressure as of the latest sample.
 func (g *Gauge) Now() message.Pressure { return g.now }
 
-// PeersToQuery names up to n peers, by chance, whose pressure is to be asked for.
+// PeersToQuery names up to n random peers to be asked for their pressure.
 func (d *Decider) PeersToQuery(n int) (names []string) {
 	for range min(n, len(d.order)) {
 		names = append(names, d.order[d.rng.IntN(len(d.order))].Name)
@@ -170,8 +175,8 @@
 	return names
 }
 
-// Done ends a forwarded request. A peer that did not serve it, since it refused or broke off, counts as full until it is heard
-// anew: it knows better than what was heard of it before, or is not there any more.
+// Done ends a forwarded request. A peer that did not serve it counts as full until its pressure is received
+// again.
 func (d *Decider) Done(name string, served bool) {
 	p := d.peers[name]
 	if p == nil {
@@ -183,16 +188,17 @@
 	}
 }
 
-// weight is the load of the design's two choices, with pressure in latency's place.
+// weight is the cost of power of two choices, with pressure in place of latency.
 func (d *Decider) weight(now time.Duration, p *peer) float64 {
 	return d.effectivePressure(now, p) * float64(p.inFlight+1)
 }
 
-// effectivePressure is a peer's pressure now: the longer nothing was heard of it, the nearer to full.
+// effectivePressure is a peer's pressure now: it tends to full with the time since it was received.
 func (d *Decider) effectivePressure(now time.Duration, p *peer) float64 {
 	old := float64(now-p.heardAt-agingAfter) / float64(expiredAfter-agingAfter)
 	return p.pressure + (1-p.pressure)*min(max(old, 0), 1)
 }
 
-// servedFraction is the share of requests that are answered within their aim at a pressure: all up to the knee, none where it is full.
+// servedFraction is the fraction of requests that are answered within their objective at a pressure: all up
+// to the knee, none at 1.
 func servedFraction(pressure float64) float64 { return 1 - max(0, pressure-knee)/(1-knee) }
--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -10,8 +10,8 @@
 	"mosslead/internal/gossip/message"
 )
 
-// broadcast is the record of a key on its way. It is worded when it is sent, so the time that it waits is taken off, and the
-// newest goes.
+// broadcast is the record of a key in the queue. It is encoded when it is sent, so that the newest record
+// goes, less the time that it waited.
 type broadcast struct {
 	key message.Key
 	p   *Gossiper
@@ -23,7 +23,7 @@
 	return same && o.key == b.key
 }
 
-// Name makes the queue look for the one replaced by name instead of asking each.
+// Name lets the queue find the broadcast to replace by name.
 func (b *broadcast) Name() string {
 	return b.key.Owner + "\x00" + strconv.Itoa(int(b.key.Kind)) + "\x00" + b.key.Name
 }
@@ -34,10 +34,10 @@
 // Finished implements memberlist.Broadcast.
 func (b *broadcast) Finished() {}
 
-// delegate is what the library asks of a carrier, on goroutines of its own.
+// delegate is what the library asks of a Gossiper, on goroutines of its own.
 type delegate Gossiper
 
-// NodeMeta words this process. Its bounds were checked, so it fits.
+// NodeMeta encodes this process. Its bounds were checked, so it fits.
 func (d *delegate) NodeMeta(int) []byte {
 	d.mu.Lock()
 	self := d.self
@@ -58,7 +58,7 @@
 	(*Gossiper)(d).receive(r)
 }
 
-// GetBroadcasts fills a datagram as far as the budget goes.
+// GetBroadcasts fills a datagram as far as the budget allows.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	now := time.Now()
 	limit = min(limit, int(d.budget.TokensAt(now)))
@@ -80,14 +80,14 @@
 	return sendable
 }
 
-// LocalState is all that has not lapsed, for a member that push/pull meets.
+// LocalState is all records that are valid, for a push/pull.
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	all := d.records.live((*Gossiper)(d).now())
 	d.mu.Unlock()
 	text, err := message.Encode(all)
 	if err != nil || len(text) > message.MaxState {
-		slog.Warn("no state for a member", "component", "peers", "bytes", len(text), "err", err)
+		slog.Warn("gossip state not sent", "component", "peers", "bytes", len(text), "err", err)
 		return nil
 	}
 	return text
@@ -141,11 +141,11 @@
 	}
 }
 
-// conflict hears of two processes under one name at two addresses.
+// conflict is told of two processes under one name at two addresses.
 type conflict Gossiper
 
 // NotifyConflict logs two processes under one name, and lets the newer one win.
 func (c *conflict) NotifyConflict(existing, other *memberlist.Node) {
-	slog.Warn("two processes under one name", "component", "peers", "node", existing.Name, "peer", other.Address())
+	slog.Warn("two members have one name", "component", "peers", "node", existing.Name, "peer", other.Address())
 	(*events)(c).set(other)
 }
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -1,4 +1,6 @@
-// Package gossip owns who else is there, on hashicorp/memberlist, and the carrier of what sidecars share.
+// Package gossip knows which sidecars are present, and spreads small records among them. Membership and
+// failure detection are hashicorp/memberlist's (SWIM); records are broadcast with it, and merged here
+// (store.go).
 package gossip
 
 import (
@@ -23,40 +25,42 @@
 )
 
 const (
-	inboxSize      = 512                    // records of a kind that wait for their part
-	sweepInterval  = time.Second            // of what has lapsed
-	streamTimeout  = 2 * time.Second        // of a connection to another, and of what goes over it
-	leaveTimeout   = 500 * time.Millisecond // for the others to hear that this one leaves
-	rejoinInterval = 5 * time.Second        // while nobody else is there
-	// Of many that start together some miss the word of others: each is told to few while few are known. So a new process
-	// meets so many others, one at a time with growing waits from baseJoinDelay on, before it relies on the library's own pace.
+	inboxSize      = 512                    // records of a kind that wait for their reader
+	sweepInterval  = time.Second            // of removing expired records
+	streamTimeout  = 2 * time.Second        // of connecting to a member, and of what goes over the connection
+	leaveTimeout   = 500 * time.Millisecond // for the others to learn that this process leaves
+	rejoinInterval = 5 * time.Second        // while no other member is present
+	// Of many processes that start together some miss each other's messages, as each is told to few while few
+	// are known. So a new process joins initialJoins members in turn, with growing waits from baseJoinDelay on,
+	// before it relies on the library's own pace.
 	initialJoins   = 4
 	baseJoinDelay  = 500 * time.Millisecond
 	gossipInterval = 100 * time.Millisecond
-	// maxBytesPerSecond bounds the records that one process sends, in bytes a second; the library's probes and its push/pull come
-	// to about 1 KB/s more. What does not go now goes later, the newest of each key.
+	// maxBytesPerSecond bounds the records that one process sends; the library's health checks and push/pull
+	// come to about 1 KB/s more. What does not go now goes later, the newest record of each key.
 	maxBytesPerSecond = 6 << 10
 	maxBurstBytes     = 16 << 10
-	// A process that has taken part for so long and then hears of a newer one under its name stands aside. Before, what it
-	// hears is left of the process before it, whose clock was ahead, and it takes a later start for itself.
+	// establishedAfter is how long a process takes part before a newer one under its name fences it. Before
+	// that, what it receives under its name is left of its predecessor, whose clock was ahead, and it takes a
+	// later start for itself.
 	establishedAfter = 5 * time.Second
 )
 
-// Config is what a carrier begins with.
+// Config configures a Gossiper.
 type Config struct {
 	Member    message.Member       // this process
 	Address   string               // host:port, for UDP and TCP; port 0: any
-	Advertise string               // host:port at which the others reach it, where that is another; empty: Address
-	Seeds     []string             // host:port of members to join by; none need be there
-	Transport memberlist.Transport // nil: sockets at Address
+	Advertise string               // host:port at which the others reach it; default: Address
+	Seeds     []string             // host:port of members to join; none need be present
+	Transport memberlist.Transport // default: sockets at Address
 }
 
-// Gossiper is one process among the members. Safe for concurrent use.
+// Gossiper is this process among the members. Safe for concurrent use; no method but Leave blocks.
 type Gossiper struct {
 	list       *memberlist.Memberlist
-	queue      *memberlist.TransmitLimitedQueue // records on their way
+	queue      *memberlist.TransmitLimitedQueue // records to be sent
 	budget     *rate.Limiter
-	inboxes    map[message.Kind]*conflate.Queue[message.Key, message.Record] // fixed
+	inboxes    map[message.Kind]*conflate.Queue[message.Key, message.Record] // by kind; the map does not change
 	start      time.Time
 	seeds      []string
 	stop       context.CancelFunc
@@ -70,12 +74,12 @@
 	fenced   bool
 	seq      uint64
 	records  *store
-	members  map[string]message.Member // who is present, this one too
-	departed map[string]departedMember // who is not, and went without a word
+	members  map[string]message.Member // present ones, this process too
+	departed map[string]departedMember // members that failed, and did not leave
 }
 
-// Join begins to take part. It does not wait for the others: it goes on asking the seeds while nobody else is there. An error
-// says what of the configuration can't be used.
+// Join begins to take part. It does not wait for other members: it goes on joining the seeds while none is
+// present. The error names the setting that is invalid.
 func Join(c Config) (*Gossiper, error) {
 	if err := c.Member.Check(); err != nil {
 		return nil, err
@@ -131,7 +135,7 @@
 	return p
 }
 
-// run joins, and sweeps, until ctx ends.
+// run joins members and removes expired records until ctx ends.
 func (p *Gossiper) run(ctx context.Context) {
 	defer close(p.done)
 	sweep := time.NewTicker(sweepInterval)
@@ -153,7 +157,7 @@
 	}
 }
 
-// join meets the seeds, or one of the others, and tells how long to wait for the next time.
+// join joins the seeds, or a member, and returns the wait until the next time.
 func (p *Gossiper) join(joined int) time.Duration {
 	by := p.seeds
 	if others := p.list.Members(); len(others) > 1 {
@@ -164,7 +168,7 @@
 	}
 	if len(by) > 0 {
 		if _, err := p.list.Join(by); err != nil {
-			slog.Debug("nobody to join by", "component", "peers", "err", err)
+			slog.Debug("join failed", "component", "peers", "err", err)
 		}
 	}
 	wait := min(baseJoinDelay<<min(joined, 10), rejoinInterval)
@@ -176,7 +180,7 @@
 // Address is where this process takes part.
 func (p *Gossiper) Address() string { return p.list.LocalNode().Address() }
 
-// Leave tells the others that this process goes, and ends its part.
+// Leave tells the others that this process leaves, and ends its part. It blocks for leaveTimeout at most.
 func (p *Gossiper) Leave() error {
 	p.stop()
 	<-p.done
@@ -188,21 +192,22 @@
 // Self is this process's name.
 func (p *Gossiper) Self() string { return p.name }
 
-// Fenced tells that a newer process has this one's name: it says nothing more and must not act for others.
+// Fenced tells whether a newer process has this one's name: this one sends nothing more, and must not act for
+// others.
 func (p *Gossiper) Fenced() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fenced
 }
 
-// Present counts the members that are there, this one too.
+// Present counts the members that are present, this one too.
 func (p *Gossiper) Present() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.members)
 }
 
-// Members are those that are there, this one too, by name.
+// Members are those that are present, this one too, sorted by name.
 func (p *Gossiper) Members() []message.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +218,7 @@
 	return all
 }
 
-// Dropped counts records that the parts did not take in time, and those left out for an owner's bound.
+// Dropped counts records that their readers did not take in time, and those dropped for an owner's bound.
 func (p *Gossiper) Dropped() (late, over uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,13 +228,14 @@
 	return late, p.records.dropped
 }
 
-// Inbox holds what others say of a kind, as it comes. One part takes it; what no part takes is bounded like the rest.
+// Inbox holds what others send of a kind, as it comes. It has one reader; without one it stays bounded.
 func (p *Gossiper) Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record] {
 	return p.inboxes[kind]
 }
 
-// Broadcast tells the others word, of a kind and under a name of this process's own, to be believed for ttl: some may miss it, so what lasts
-// has to be said again within that time. over takes it back; it is told on for ttl, which has to be that of what it takes back.
+// Broadcast sends payload to all members, under a kind and a name of this process's own, valid for ttl. Some
+// members may miss it, so what lasts longer has to be sent again within ttl. withdrawn takes an earlier one
+// back, whose ttl it must have.
 func (p *Gossiper) Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, over bool) error {
 	r, err := p.newRecord(kind, name, payload, ttl, over)
 	if err != nil {
@@ -242,8 +248,8 @@
 	return nil
 }
 
-// SendTo tells word to one member, in one datagram, and to nobody else. An error says that it is not there, or that the budget is
-// spent.
+// SendTo sends payload to one member, in one datagram. The error says that the member is not present, or that
+// the budget is exceeded.
 func (p *Gossiper) SendTo(to string, kind message.Kind, payload any, ttl time.Duration) error {
 	r, err := p.newRecord(kind, "", payload, ttl, false)
 	if err != nil {
@@ -269,7 +275,7 @@
 	errBudgetExceeded = errors.New("the budget of bytes is spent")
 )
 
-// newRecord numbers and checks what this process says.
+// newRecord numbers and checks a record of this process.
 func (p *Gossiper) newRecord(kind message.Kind, name string, payload any, ttl time.Duration, over bool) (r message.Record, err error) {
 	r = message.Record{Key: message.Key{Owner: p.self.Name, Kind: kind, Name: name}, TTL: ttl, Withdrawn: over}
 	if payload != nil {
@@ -290,7 +296,7 @@
 	return r, nil
 }
 
-// receive takes in what came, and passes on what was news.
+// receive takes in a record, and passes it on if it is new.
 func (p *Gossiper) receive(r message.Record) {
 	if (r.Kind == message.LoadReport || r.Kind == message.PressureRequest) && r.Owner != p.Self() && r.Check() == nil {
 		p.inboxes[r.Kind].Push(r.Key, r, false)
@@ -312,7 +318,7 @@
 	}
 }
 
-// onIncarnation is told, with mu held, of a process under this one's name.
+// onIncarnation is called, with mu held, for a process under this one's name.
 func (p *Gossiper) onIncarnation(other message.Incarnation) {
 	if !other.Newer(p.self.Incarnation) || p.fenced {
 		return
@@ -323,15 +329,16 @@
 		return
 	}
 	p.fenced = true
-	slog.Warn("a newer process has this one's name: nothing is shared any more", "component", "peers", "node", p.self.Name)
+	slog.Warn("a newer process has this name, sharing stopped", "component", "peers", "node", p.self.Name)
 }
 
-// enqueue queues the record of a key for the others.
+// enqueue queues the record of a key to be sent.
 func (p *Gossiper) enqueue(key message.Key) {
 	p.queue.QueueBroadcast(&broadcast{key: key, p: p})
 }
 
-// encodeNow is the record of a key as it is to be sent now, aged by the time that it has lain here; nil: it has lapsed.
+// encodeNow is the record of a key as it is to be sent now, less the time that it was stored here; nil: it
+// has expired.
 func (p *Gossiper) encodeNow(key message.Key) []byte {
 	p.mu.Lock()
 	r, ok := p.records.get(p.now(), key)
--- a/internal/gossip/message/encoding.go
+++ b/internal/gossip/message/encoding.go
@@ -6,13 +6,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// One form for all words: deterministic, so that equal words are equal bytes, and bounded when read.
+// One encoding for all messages: deterministic, so that equal messages are equal bytes, and bounded when
+// decoded.
 var (
 	encoding, _ = cbor.CoreDetEncOptions().EncMode() // fixed options: they have no error
 	decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 )
 
-// Encode words v, one of this package's types.
+// Encode encodes v, one of this package's types.
 func Encode(v any) ([]byte, error) {
 	text, err := encoding.Marshal(v)
 	if err != nil {
@@ -21,7 +22,8 @@
 	return text, nil
 }
 
-// Decode reads one word into v, whose length the caller has bounded. Fields of a later schema are passed over; anything after the word is an error.
+// Decode decodes one message into v; the caller has bounded its length. Fields of a later schema are ignored;
+// anything after the message is an error.
 func Decode(text []byte, v any) error {
 	if err := decoding.Unmarshal(text, v); err != nil {
 		return fmt.Errorf("reading %T: %w", v, err)
--- a/internal/gossip/message/message.go
+++ b/internal/gossip/message/message.go
@@ -1,4 +1,5 @@
-// Package message owns the words that sidecars say to each other, and the bounds on them.
+// Package message defines the messages of gossip, and their bounds. Members of two versions talk in them: a
+// field keeps its number.
 package message
 
 import (
@@ -8,17 +9,17 @@
 	"time"
 )
 
-// Schema is the newest form of these words that this program speaks. Members tell each other theirs. A later one may add
-// fields, which an earlier one does not read; it may not change what a field means.
+// Schema is the newest form of the messages that this program understands; members tell each other theirs. A
+// later form may add fields, which an earlier program ignores, and may not change what a field means.
 const Schema = 1
 
-// Bounds on what is said, in bytes where nothing else stands. What is beyond them is not taken in.
+// Bounds, in bytes unless stated otherwise. What is beyond them is dropped.
 const (
-	MaxName            = 64      // a member, an upstream, a class, a duty
-	MaxBody            = 1024    // the body of a record, encoded
-	MaxRecord          = 1400    // a record with its head, encoded: one datagram holds it
-	MaxRecordsPerOwner = 256     // records of one owner
-	MaxState           = 1 << 20 // all records, encoded: what push/pull brings
+	MaxName            = 64   // a member, an upstream, a class, a leadership
+	MaxBody            = 1024 // the body of a record, encoded
+	MaxRecord          = 1400 // a record with its head, encoded: it fits into one datagram
+	MaxRecordsPerOwner = 256
+	MaxState           = 1 << 20 // all records, encoded, as push/pull sends them
 	MaxTTL             = time.Minute
 )
 
@@ -28,8 +29,9 @@
 	ID        uint64 `cbor:"2,keyasint"` // random
 }
 
-// Newer tells whether i is of a later process than other: by the start; of two that started together the higher id is.
-// A process whose clock was set back looks older than the one before it, and is told so, see peer.Carrier.
+// Newer tells whether i is of a later process than other: by the start, or the higher id of two that started
+// together. A process whose clock was set back looks older than its predecessor, and is told so, see
+// gossip.Gossiper.
 func (i Incarnation) Newer(other Incarnation) bool { return i.compare(other) > 0 }
 
 func (i Incarnation) compare(other Incarnation) int {
@@ -40,13 +42,13 @@
 type Member struct {
 	Name        string      `cbor:"1,keyasint"` // the same after a restart
 	Incarnation Incarnation `cbor:"2,keyasint"`
-	Site        string      `cbor:"3,keyasint"` // data centre
+	Site        string      `cbor:"3,keyasint"` // data center
 	Version     string      `cbor:"4,keyasint"` // of the program
 	Schema      int         `cbor:"5,keyasint"`
-	Forward     string      `cbor:"6,keyasint"` // host:port that takes forwarded requests; empty: takes none
+	Forward     string      `cbor:"6,keyasint"` // host:port that accepts forwarded requests; empty: none
 }
 
-// Check tells what of a member can't be taken in.
+// Check tells what of a member is out of bounds.
 func (m *Member) Check() error {
 	if m.Name == "" || max(len(m.Name), len(m.Site), len(m.Version), len(m.Forward)) > MaxName {
 		return fmt.Errorf("%w: a member's name, site, version and address hold 1 to %d bytes", errBounds, MaxName)
@@ -57,42 +59,43 @@
 // Kind is what a record is about.
 type Kind uint8
 
-// The kinds. One that is unknown is carried on and not read.
+// The kinds. One that is unknown is passed on and not read.
 const (
 	Breaker         Kind = 1 // body: Report; named by upstream and class
-	LoadReport      Kind = 2 // body: Pressure; told to who asked, and to nobody else
-	Digest          Kind = 3 // body: Summary; from the holder of a site's digest
+	LoadReport      Kind = 2 // body: Pressure; sent to whoever asked, and to nobody else
+	Digest          Kind = 3 // body: Summary; from the leader of a site's digest
 	Incident        Kind = 4 // body: Announcement
-	Probe           Kind = 5 // body: Tried; from the holder of an upstream's trials
-	PressureRequest Kind = 6 // no body: the owner wants the receiver's Load
+	Probe           Kind = 5 // body: ProbeResult; from the leader of an upstream's probes
+	PressureRequest Kind = 6 // no body: the owner asks the receiver for a LoadReport
 )
 
-// Key names a record. There is one of each key at a time.
+// Key names a record. There is one record of each key at a time.
 type Key struct {
-	Owner string `cbor:"1,keyasint"` // the member that says it
+	Owner string `cbor:"1,keyasint"` // the member that sends it
 	Kind  Kind   `cbor:"2,keyasint"`
 	Name  string `cbor:"3,keyasint"` // among the owner's of this kind
 }
 
-// Record is the one thing that travels. Records form a join-semilattice by key: the later one is the join, so order, loss and
-// repetition make no difference.
+// Record is what is gossiped. Records form a join-semilattice by key, in which the later one is the join:
+// order, loss and repetition make no difference.
 type Record struct {
 	Key
 	Incarnation Incarnation   `cbor:"4,keyasint"` // of the owner
 	Seq         uint64        `cbor:"5,keyasint"` // rises with each record of the owner's process
-	TTL         time.Duration `cbor:"6,keyasint"` // what is left of it when sent; each hop ages it by its own monotonic clock
-	Withdrawn   bool          `cbor:"7,keyasint"` // the owner takes back what it said; kept until its TTL ends
+	TTL         time.Duration `cbor:"6,keyasint"` // what is left of it when sent; each member ages it by its own monotonic clock
+	Withdrawn   bool          `cbor:"7,keyasint"` // the owner takes the record back; stored until its TTL ends
 	Body        []byte        `cbor:"8,keyasint"` // of the kind
 }
 
-// Supersedes tells whether r was said after other by the same owner: of two with the same key it is the one that stands.
+// Supersedes tells whether r was sent after other by the same owner: of two with one key it is the one that
+// counts.
 func (r *Record) Supersedes(other *Record) bool {
 	return cmp.Or(r.Incarnation.compare(other.Incarnation), cmp.Compare(r.Seq, other.Seq)) > 0
 }
 
 var errBounds = errors.New("out of bounds")
 
-// Check tells what of a record can't be taken in.
+// Check tells what of a record is out of bounds.
 func (r *Record) Check() error {
 	switch {
 	case r.Owner == "" || len(r.Owner) > MaxName || len(r.Name) > 2*MaxName:
@@ -111,42 +114,43 @@
 // The states.
 const (
 	Closed   BreakerState = iota // it is used
-	Open                         // it is left out
-	HalfOpen                     // a trial is out
+	Open                         // it is ejected
+	HalfOpen                     // a probe is out
 )
 
-// Evidence is why a sidecar left an upstream out.
+// Evidence is why a sidecar ejected an upstream.
 type Evidence uint8
 
-// The kinds of evidence. Errors are the server's own answers; the other two may be the path's doing.
+// The kinds of evidence. Error answers and rejections are the server's own; the other two may be a fault of
+// the path.
 const (
 	ErrorAnswers      Evidence = iota + 1 // error answers
 	BrokenConnections                     // connections refused or broken
 	Silence                               // no answer
-	Rejections                            // it turns all away
+	Rejections                            // it rejects everything
 )
 
-// Report is what a sidecar says of an upstream, from its own outcomes alone.
+// Report is a sidecar's own evidence on an upstream.
 type Report struct {
 	Upstream      string       `cbor:"1,keyasint"`
-	StartedMs     int64        `cbor:"2,keyasint"` // its start by the list: what is said holds for that life only
-	Class         string       `cbor:"3,keyasint"` // whose requests the evidence is of; empty: any
+	StartedMs     int64        `cbor:"2,keyasint"` // start of the upstream by the list: the report is of that incarnation only
+	Class         string       `cbor:"3,keyasint"` // class of the requests that the evidence is of; empty: any
 	State         BreakerState `cbor:"4,keyasint"`
 	Evidence      Evidence     `cbor:"5,keyasint"`
 	Count         int          `cbor:"6,keyasint"` // attempts that the evidence consists of
-	ListRevision  int64        `cbor:"7,keyasint"` // of the list that the reporter has
-	SelfSuspicion float64      `cbor:"8,keyasint"` // 0 to 1: how far the reporter doubts itself (stopped, starved, cut off)
-	Round         uint64       `cbor:"9,keyasint"` // the latest closing of the breaker that the reporter knew of
+	ListRevision  int64        `cbor:"7,keyasint"` // of the reporter
+	SelfSuspicion float64      `cbor:"8,keyasint"` // 0 to 1: how far the reporter distrusts itself (stopped, starved, cut off)
+	Round         uint64       `cbor:"9,keyasint"` // latest closing of the breaker that the reporter knew of
 }
 
-// Pressure is how much of a sidecar is used: 0 nothing, 1 full. Parts beside the sum, so that operators see which it is.
+// Pressure is how much of a sidecar is used, 0 to 1: the total, and the parts that operators look at.
 type Pressure struct {
 	Total    float64 `cbor:"1,keyasint"`
-	CPU      float64 `cbor:"2,keyasint"` // delay of its own loop, stolen time
+	CPU      float64 `cbor:"2,keyasint"` // delay of its own event loop, stolen time
 	Sockets  float64 `cbor:"3,keyasint"`
 	Heap     float64 `cbor:"4,keyasint"`
 	InFlight float64 `cbor:"5,keyasint"` // against what admission allows
-	Site     float64 `cbor:"6,keyasint"` // what its site's upstreams are used
+	Site     float64 `cbor:"6,keyasint"` // how far the upstreams of its site are used
 }
 
 // Parts are the parts of the sum, each 0 to 1.
@@ -154,23 +158,23 @@
 	return []*float64{&p.CPU, &p.Sockets, &p.Heap, &p.InFlight, &p.Site}
 }
 
-// ProbeResult is what a trial came to.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Upstream  string `cbor:"1,keyasint"`
 	StartedMs int64  `cbor:"2,keyasint"`
-	Epoch     uint64 `cbor:"3,keyasint"` // of the duty under which it was made: an older one is refused
+	Epoch     uint64 `cbor:"3,keyasint"` // of the leadership under which it was made: an older one is rejected
 	OK        bool   `cbor:"4,keyasint"`
-	Step      int    `cbor:"5,keyasint"` // of the closing: how many in a row went well
-	Round     uint64 `cbor:"6,keyasint"` // closings so far, this one too once it is whole: reports of earlier rounds are void
-	Count     int    `cbor:"7,keyasint"` // trials made under Epoch
+	Step      int    `cbor:"5,keyasint"` // of the closing: how many in a row succeeded
+	Round     uint64 `cbor:"6,keyasint"` // closings so far, this one too once it is complete: reports of earlier rounds are void
+	Count     int    `cbor:"7,keyasint"` // probes made under Epoch
 }
 
-// Summary is what the holder of a site's digest says for the members of its site.
+// Summary is what the leader of a site's digest reports for the members of its site.
 type Summary struct {
 	Site     string   `cbor:"1,keyasint"`
 	Epoch    uint64   `cbor:"2,keyasint"`
 	Reports  []Report `cbor:"3,keyasint"` // the site's open breakers, added up
-	Members  int      `cbor:"4,keyasint"` // who stand behind them
+	Members  int      `cbor:"4,keyasint"` // how many members it rests on
 	Pressure float64  `cbor:"5,keyasint"` // mean
 }
 
@@ -180,10 +184,10 @@
 // The troubles of a site.
 const (
 	SiteUnreachable SiteFault = iota + 1 // its members and upstreams are silent
-	SitePartitioned                      // its upstreams are silent for others while they answer at home
+	SitePartitioned                      // its upstreams are silent for others while they answer inside the site
 )
 
-// Announcement is an incident of a site, said once for the fleet.
+// Announcement is an incident of a site, announced once for the fleet.
 type Announcement struct {
 	Site  string    `cbor:"1,keyasint"`
 	Fault SiteFault `cbor:"2,keyasint"`
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -7,18 +7,20 @@
 	"mosslead/internal/gossip/message"
 )
 
-// store holds the newest record of each key, until its time to live is over, and of each owner the newest `most` of them.
-// Pure: it is given the time, of any monotonic clock.
+// store holds the newest record of each key until it expires, and of each owner the newest maxPerOwner
+// records. Pure: it is given the time, of any monotonic clock.
 //
-// Without time it is a join-semilattice. By key the later record is the join, a total order. The bound takes the largest of an
-// owner by (incarnation, sequence): what it leaves out lies below `most` keys whose records only ever rise, so no order of
-// merging brings it back. Time only takes out, and by each hop's own monotonic clock.
+// Without time it is a join-semilattice: of one key the later record wins, in a total order, and of one owner
+// the largest records by (incarnation, sequence). What the bound leaves out lies below maxPerOwner keys whose
+// records only ever rise, so no order of merging brings it back. Time only removes records, by each member's
+// own clock.
 type store struct {
 	maxPerOwner int
 	owners      map[string]map[message.Key]*storedRecord
 	dropped     uint64 // records left out for the bound
 }
 
+// storedRecord is a record and its end.
 type storedRecord struct {
 	message.Record
 	until time.Duration
@@ -28,7 +30,7 @@
 	return &store{maxPerOwner: maxPerOwner, owners: map[string]map[message.Key]*storedRecord{}}
 }
 
-// merge takes r in and tells whether it was news.
+// merge takes r in, and tells whether it was new.
 func (s *store) merge(now time.Duration, r message.Record) bool {
 	if r.Check() != nil {
 		return false
@@ -56,7 +58,7 @@
 	return oldest != r.Key
 }
 
-// get is the record of a key with what is left of its time; false: there is none.
+// get is the record of a key with its remaining time to live; false: there is none.
 func (s *store) get(now time.Duration, key message.Key) (message.Record, bool) {
 	h := s.owners[key.Owner][key]
 	if h == nil || h.until <= now {
@@ -67,7 +69,7 @@
 	return r, true
 }
 
-// live are the records that have not lapsed, with what is left of their time.
+// live are the records that have not expired, with their remaining time to live.
 func (s *store) live(now time.Duration) (all []message.Record) {
 	for _, own := range s.owners {
 		for key := range own {
@@ -79,7 +81,7 @@
 	return all
 }
 
-// sweep drops what has lapsed.
+// sweep removes expired records.
 func (s *store) sweep(now time.Duration) {
 	for owner, own := range s.owners {
 		maps.DeleteFunc(own, func(_ message.Key, h *storedRecord) bool { return h.until <= now })
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -12,8 +12,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's sockets, with streams that leave from the address of this process, as its datagrams do: what
-// stands between the members (a firewall, an address translation, the laboratory's links) then knows who sends. They end with it.
+// transport is the library's sockets, with streams that leave from the address of this process, as its
+// datagrams do. So what stands between the members (a firewall, an address translation, the laboratory's
+// links) knows the sender. Streams end with the transport.
 type transport struct {
 	*memberlist.NetTransport
 	from net.IP
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -14,7 +14,7 @@
 	"mosslead/internal/registry/api"
 )
 
-// crowd is candidates for one duty, in a time of its own.
+// crowd is candidates for one leadership, in a time of its own.
 type crowd struct {
 	t       *testing.T
 	now     time.Duration
@@ -93,7 +93,7 @@
 	c.run(d, func() bool { return c.now >= end })
 }
 
-// What 300 candidates cost the service: as many calls a second as duty.go says, held, handed on, and while nobody is answered.
+// What 300 candidates cost the service: as many calls a second as leadership.go says, held, handed on, and while nobody is answered.
 func TestThreeHundredCandidates(t *testing.T) {
 	c := newCrowd(t, 300)
 	rate := func(what string, limit float64) {
--- a/internal/lease/explore/explore.go
+++ b/internal/lease/explore/explore.go
@@ -1,11 +1,11 @@
-// Package explore owns the proof by exhaustion that the protocol of duties keeps its promises: two candidates (the state
+// Package explore owns the proof by exhaustion that the protocol of leaderships keeps its promises: two candidates (the state
 // machine that sidecars run), one service (the list and the terms that replicas run) and one who is acted upon are taken
 // through every order of what may happen, to a depth.
 //
 // A step is one of: a tick of time, in which each candidate's clock may stand still as often as the drift allows; a message
 // that arrives, of those under way, in any order; one that never arrives is lost; an entry of the log that is committed only later; a new
 // leader, with or without what was not committed; an act that is begun, and its arrival; a candidate that is stopped, or goes on;
-// one that gives the duty up and wants it again. How often each happens on a path is bounded, when is not.
+// one that gives the leadership up and wants it again. How often each happens on a path is bounded, when is not.
 package explore
 
 import (
@@ -31,7 +31,7 @@
 	Ticks     int
 	Stops     int
 	Elections int
-	Wishes    int // a candidate gives up, and wants the duty again
+	Wishes    int // a candidate gives up, and wants the leadership again
 	Delays    int // an entry of the log is not committed at once
 	Acts      int // that are begun; whether one could be is looked at in each state anyway
 }
--- a/internal/lease/memory/memory.go
+++ b/internal/lease/memory/memory.go
@@ -1,4 +1,4 @@
-// Package memory owns a service of duties in one process's memory: the list and the terms of a replica without log and network,
+// Package memory owns a service of leaderships in one process's memory: the list and the terms of a replica without log and network,
 // for whoever tries candidates out.
 package memory
 
@@ -12,7 +12,7 @@
 	"mosslead/internal/registry/list"
 )
 
-// Service implements duty.Service. Safe for concurrent use.
+// Service implements leadership.Service. Safe for concurrent use.
 type Service struct {
 	now func() time.Duration
 
@@ -50,7 +50,7 @@
 	return s.calls
 }
 
-// Leadership is a duty as it is now.
+// Leadership is a leadership as it is now.
 func (s *Service) Leadership(name string) api.LeadershipGrant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,17 +58,17 @@
 	return d.Grant()
 }
 
-// AcquireLeadership implements duty.Service.
+// AcquireLeadership implements leadership.Service.
 func (s *Service) AcquireLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return s.do(list.AcquireLeadership, c)
 }
 
-// RenewLeadership implements duty.Service.
+// RenewLeadership implements leadership.Service.
 func (s *Service) RenewLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return s.do(list.RenewLeadership, c)
 }
 
-// ReleaseLeadership implements duty.Service.
+// ReleaseLeadership implements leadership.Service.
 func (s *Service) ReleaseLeadership(_ context.Context, c api.LeadershipClaim) error {
 	_, err := s.do(list.ReleaseLeadership, c)
 	return err
--- a/internal/lease/transcript_test.go
+++ b/internal/lease/transcript_test.go
@@ -12,7 +12,7 @@
 	"mosslead/internal/lease/memory"
 )
 
-// play is candidates for the trials of s-1, their service, and one that is acted upon, 2 ms apart.
+// play is candidates for the probes of s-1, their service, and one that is acted upon, 2 ms apart.
 type play struct {
 	*testing.T
 	record  transcript.Transcript
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -1,5 +1,5 @@
-// Package modelcheck owns the search through every order of what may happen to a small model, to a depth: breadth first, so that a
-// way to where a promise breaks is one of the shortest.
+// Package modelcheck searches through every order of the steps of a small model, breadth first and to a
+// depth, so that a path to a broken invariant is one of the shortest.
 package modelcheck
 
 import (
@@ -12,24 +12,24 @@
 // Hash tells states apart.
 type Hash [16]byte
 
-// State is that of a model. S is the state's own type. What is shared with a clone must not be changed.
+// State is a state of a model, of type S. What a clone shares must not be changed.
 type State[S any] interface {
 	Clone() S
-	// Steps adds all that may happen next, each by a name and what it does to a clone.
+	// Steps adds all steps that may come next, each with a name and its effect on a clone.
 	Steps(add func(name string, do func(S)))
-	Broken(before S) string // the promise that does not hold here, or on the way from before; empty: all do
+	Broken(before S) string // the invariant that does not hold here, or on the way from before; empty: all hold
 	Hash() Hash
 }
 
-// Result is what a search came to.
+// Result is the result of a search.
 type Result struct {
 	States int      // that differ
-	Depth  int      // to which all were seen
-	Broken string   // the promise that does not hold; empty: all do
-	Path   []string // the steps to where it breaks, one of the shortest
+	Depth  int      // to which all states were seen
+	Broken string   // the invariant that does not hold; empty: all hold
+	Path   []string // the steps to where it breaks, one of the shortest paths
 }
 
-// node is a state with the way to it.
+// node is a state and the path to it.
 type node[S any] struct {
 	s    S
 	from *node[S]
@@ -51,14 +51,14 @@
 	hash   Hash
 }
 
-// expanded is what can happen in one state.
+// expanded is what can follow one state.
 type expanded[S any] struct {
 	amiss string
 	steps []step[S]
 }
 
-// Search goes through all that can follow first in so many steps. look, where it is given, is asked of each state, the last ones too,
-// and tells what is amiss with it.
+// Search goes through all states that follow first within maxDepth steps. check, if it is not nil, is called
+// with each state, the last ones too, and returns what is wrong with it.
 func Search[S State[S]](first S, maxDepth int, check func(S) string) Result {
 	seen := map[Hash]struct{}{first.Hash(): {}}
 	level := []*node[S]{{s: first}}
@@ -92,7 +92,7 @@
 	}
 }
 
-// expand looks at each node, on all processors; the order does not depend on them.
+// expand expands each node, on all processors. The order of the result does not depend on them.
 func expand[S State[S]](part []*node[S], expandStates bool, check func(S) string) []expanded[S] {
 	all := make([]expanded[S], len(part))
 	var at atomic.Int64
--- a/internal/registry/acks.go
+++ b/internal/registry/acks.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxAcks     = 20_000 // sidecars' words that are kept
+	maxAcks     = 20_000 // sidecars whose acknowledgements are stored
 	ackTimeout  = api.AckTimeoutMs * time.Millisecond
-	ackLifetime = 30 * time.Minute // after the last: such a sidecar is gone
+	ackLifetime = 30 * time.Minute // after the latest: such a sidecar is gone
 )
 
-// acks are what sidecars last said of their settings. Only the leader keeps them, in memory: a new one hears all of them again
-// within the time that a sidecar lets pass between two.
+// acks are the latest acknowledgements of sidecars. Only the leader stores them, in memory: a new leader
+// receives all of them again within the time between two.
 type acks struct {
 	last map[ackKey]ack
 }
@@ -31,7 +31,7 @@
 // lead begins with none.
 func (a *acks) lead() { a.last = map[ackKey]ack{} }
 
-// record keeps a word; false: there is no room for another sidecar.
+// record stores an acknowledgement; false: there are too many sidecars.
 func (a *acks) record(now time.Duration, reported api.Ack) bool {
 	reported.SilentMs = 0
 	of := ackKey{reported.Node, reported.Service}
@@ -52,7 +52,7 @@
 	}
 }
 
-// rollouts counts for each of the documents, which are those that sidecars are told.
+// rollouts counts for each of the documents, which are those that sidecars are sent.
 func (a *acks) rollouts(now time.Duration, published []api.Document) []api.Rollout {
 	a.forget(now)
 	of := map[string][]ack{}
@@ -87,7 +87,8 @@
 	return all
 }
 
-// inForce tells whether a document is in force at a sidecar: once it is deleted, that is with the settings of its file.
+// inForce tells whether a document is in force at a sidecar: once it is deleted, that is with the settings of
+// its file.
 func inForce(a api.Ack, d api.Document) bool {
 	return a.Region == d.Region && a.Revision == d.Revision || d.Deleted && a.Revision == 0
 }
--- a/internal/registry/api/answer.go
+++ b/internal/registry/api/answer.go
@@ -8,10 +8,10 @@
 	"net/http"
 )
 
-const maxAnswer = 64 << 20 // a backup of the most entries is below
+const maxAnswer = 64 << 20 // a backup of the largest list is below
 
-// ReadAnswer reads the answer to a call into answer, which may be nil. An error is the *Failure that was said, where one
-// was.
+// ReadAnswer decodes the response to a call into answer, which may be nil. The error is the *Error in the
+// response, if it holds one.
 func ReadAnswer(resp *http.Response, answer any) error {
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -1,4 +1,5 @@
-// Package api owns the words between replicas of the list service and those who ask them.
+// Package api defines the messages between replicas of the list service and their clients. Members of two
+// versions talk in them: encoded names stay.
 package api
 
 import (
@@ -6,50 +7,51 @@
 	"fmt"
 )
 
-// The states of an entry, as discovery words them.
+// States of an endpoint, as discovery encodes them.
 const (
 	Ready       = "Ready"
-	Terminating = "Terminating" // finishes what it has, wants nothing new
-	Removed     = "Gone"        // only among changes
+	Terminating = "Terminating" // draining: it finishes what it has, and gets nothing new
+	Removed     = "Gone"        // only in changes
 )
 
-// The words that an operator may say of an entry; they outrank the server's own.
+// Administrative states that an operator may set. They override the server's own status.
 const (
 	AdminNone  = ""
-	AdminDrain = "drain" // Terminating, whatever the server says
-	AdminBan   = "ban"   // not in the list, whatever the server says
+	AdminDrain = "drain" // Terminating, whatever the server reports
+	AdminBan   = "ban"   // not in the list, whatever the server reports
 )
 
-// Endpoint is an upstream in a list, in discovery's words.
+// Endpoint is a server in the endpoint list.
 type Endpoint struct {
 	Name      string  `json:"name"`
 	Address   string  `json:"address"`
 	Zone      string  `json:"zone"`
-	Machine   string  `json:"type"`  // kind of machine
-	Cell      int     `json:"group"` // cell
+	Machine   string  `json:"type"` // kind of machine
+	Cell      int     `json:"group"`
 	Status    string  `json:"status"`
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"since_ms"` // Unix time of the server's last start, in milliseconds; 0: long ago
+	StartedMs int64   `json:"since_ms"` // Unix time of the server's latest start, in milliseconds; 0: long ago
 }
 
-// WatchEvent is one message of discovery: the whole list, or what changed since the one before.
+// WatchEvent is one message of a watch: the full list, or what changed since the one before.
 type WatchEvent struct {
 	Revision  int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
-	// Region is whose list it is, and Documents the settings that changed; both only for those who ask for them.
+	// Region is whose list it is, and Documents the settings that changed; both only for clients that request
+	// them.
 	Region    string     `json:"region,omitempty"`
 	Documents []Document `json:"documents,omitempty"`
 }
 
-// Record is an entry with what the service knows beside the list.
+// Record is an endpoint with what the service knows beside the list.
 type Record struct {
 	Endpoint
 	Revision     int64  `json:"version"`     // of the list, when this last changed
 	Incarnation  int64  `json:"incarnation"` // of the server's process: the higher is the newer
-	LeaseMs      int64  `json:"lease_ms"`    // 0: held without a lease
-	ServerStatus string `json:"own"`         // the server's own word: Ready or Terminating
-	AdminState   string `json:"hand"`        // the operator's
+	LeaseMs      int64  `json:"lease_ms"`    // 0: it has no lease
+	ServerStatus string `json:"own"`         // as the server reports it: Ready or Terminating
+	AdminState   string `json:"hand"`
 }
 
 // Records is the list with all that is known.
@@ -58,43 +60,44 @@
 	Records  []Record `json:"records"`
 }
 
-// Registration is a server's wish to be listed. Registering again with the same incarnation changes what differs.
+// Registration asks for a server to be listed. Registering again with the same incarnation changes what
+// differs.
 type Registration struct {
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
 	Machine     string  `json:"type"`
 	Cell        int     `json:"group"`
-	Weight      float64 `json:"weight"` // absent: 1
+	Weight      float64 `json:"weight"` // default: 1
 	StartedMs   int64   `json:"since_ms"`
 	Incarnation int64   `json:"incarnation"`
 	LeaseMs     int64   `json:"lease_ms"` // 0: without a lease
 	IfRevision  *int64  `json:"if_version,omitempty"`
 }
 
-// StateChange is what a drain, a leave or an operator's word is asked with.
+// StateChange asks for draining, deregistering, or an administrative state.
 type StateChange struct {
-	Incarnation int64  `json:"incarnation,omitempty"` // 0: whichever there is
+	Incarnation int64  `json:"incarnation,omitempty"` // 0: whichever is present
 	AdminState  string `json:"hand,omitempty"`
-	IfRevision  *int64 `json:"if_version,omitempty"` // the entry's; 0: only if there is none
+	IfRevision  *int64 `json:"if_version,omitempty"` // of the entry; 0: only if there is none
 }
 
-// WriteResult is what a write is answered with.
+// WriteResult is the response to a write.
 type WriteResult struct {
 	Revision int64 `json:"version"` // of the entry
 }
 
-// Heartbeat is a server's sign of life.
+// Heartbeat renews the lease of one server.
 type Heartbeat struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"incarnation"`
 }
 
-// Heartbeats are signs of life of several.
+// Heartbeats renews several leases.
 type Heartbeats struct {
 	Heartbeats []Heartbeat `json:"leases"`
 }
 
-// HeartbeatResult names those that hold no lease (any more) and have to register.
+// HeartbeatResult names the servers that have no lease, or no longer, and have to register.
 type HeartbeatResult struct {
 	Expired []string `json:"lost"`
 }
@@ -103,20 +106,20 @@
 type Replica struct {
 	Name       string `json:"name"`
 	Raft       string `json:"raft"` // where other replicas reach it
-	API        string `json:"api"`  // where it answers
+	API        string `json:"api"`  // where it serves clients
 	DiskID     string `json:"disk"` // random, made with its directory
 	StartCount int64  `json:"starts"`
-	Schema     int    `json:"schema"` // the newest form of commands that it understands
+	Schema     int    `json:"schema"` // newest form of commands that it understands
 }
 
-// Identity is what a replica says of itself before it takes part.
+// Identity is what a replica reports of itself before it joins.
 type Identity struct {
 	Replica
 	Formed  bool               `json:"formed"` // it belongs to a quorum that was formed
 	Members map[string]Replica `json:"members"`
 }
 
-// Status is the state of a replica and of the service as it sees it.
+// Status is the state of a replica, and of the service as it sees it.
 type Status struct {
 	Replica       Replica             `json:"replica"`
 	State         string              `json:"state"` // leader, follower, candidate, starting
@@ -125,16 +128,16 @@
 	Revision      int64               `json:"version"`
 	Endpoints     int                 `json:"entries"`
 	Watchers      int                 `json:"watchers"`
-	StalenessMs   int64               `json:"stale_ms"` // the list may be so old; -1: it was never known to be the service's
+	StalenessMs   int64               `json:"stale_ms"` // the list may be this old; -1: it was never known to be the service's
 	Preserving    bool                `json:"preserving"`
-	ExpiredLeases []string            `json:"silent"` // servers whose lease has lapsed, as the leader knows
+	ExpiredLeases []string            `json:"silent"` // servers whose lease has expired, as the leader knows
 	Members       map[string]Replica  `json:"members"`
 	Voters        []string            `json:"voters"`
 	Region        string              `json:"region,omitempty"`
-	Replication   []ReplicationStatus `json:"following,omitempty"` // other regions; by the leader alone
+	Replication   []ReplicationStatus `json:"following,omitempty"` // of other regions; at the leader only
 }
 
-// The codes of failures.
+// Codes of errors.
 const (
 	CodeBadRequest       = "bad request"
 	CodeOlderIncarnation = "older incarnation"
@@ -143,11 +146,11 @@
 	CodeFull             = "full"
 	CodeNoLeader         = "no leader"
 	CodeStale            = "stale"
-	CodeOlderReplica     = "older replica"   // one that would not understand the command is in the quorum
-	CodeOutcomeUnknown   = "outcome unknown" // it may have been done, or may be yet
+	CodeOlderReplica     = "older replica"   // a replica of the quorum would not understand the command
+	CodeOutcomeUnknown   = "outcome unknown" // it may have been carried out, or may be yet
 )
 
-// Error is what an answer says that is none.
+// Error is the body of a response other than 200. errors.As finds it.
 type Error struct {
 	Code string `json:"code"`
 	Text string `json:"error"`
@@ -155,18 +158,18 @@
 
 func (f *Error) Error() string { return f.Code + ": " + f.Text }
 
-// Errorf is a failure with that code.
+// Errorf returns an Error with that code.
 func Errorf(code, format string, args ...any) *Error {
 	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// IsCode tells whether err is a failure with that code.
+// IsCode tells whether err is an Error with that code.
 func IsCode(err error, code string) bool {
 	var f *Error
 	return errors.As(err, &f) && f.Code == code
 }
 
-// The bounds on what may be registered.
+// Bounds of what may be registered.
 const (
 	MaxName      = 128
 	MaxAddress   = 256
@@ -176,7 +179,7 @@
 	MaxLeaseMs   = 600_000
 )
 
-// Check names what is wrong with a registration under a name; nil: nothing.
+// Check tells what is wrong with a registration under a name; nil: nothing.
 func (r *Registration) Check(name string) error {
 	switch {
 	case name == "" || len(name) > MaxName:
--- a/internal/registry/api/leadership.go
+++ b/internal/registry/api/leadership.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// LeadershipClaim is a candidate's wish to hold a duty.
+// LeadershipClaim is a candidate's claim to a leadership.
 type LeadershipClaim struct {
-	Name    string  `json:"name,omitempty"`    // of the duty
+	Name    string  `json:"name,omitempty"`    // of the leadership
 	Holder  string  `json:"holder"`            // the member and its incarnation: another process of the same member is another holder
-	LeaseMs int64   `json:"lease_ms"`          // wanted
-	Epoch   uint64  `json:"epoch,omitempty"`   // to renew or to give up: under which it holds the duty; to take: the last that it gave up
-	Fitness float64 `json:"fitness,omitempty"` // 0 to MaxFitness: how well placed the candidate is; the higher is the better
+	LeaseMs int64   `json:"lease_ms"`          // requested
+	Epoch   uint64  `json:"epoch,omitempty"`   // to renew or release: that of the lease; to acquire: the latest that was released
+	Fitness float64 `json:"fitness,omitempty"` // 0 to MaxFitness: how fit the candidate is
 }
 
-// LeadershipGrant is a duty as the service has it.
+// LeadershipGrant is a leadership as the service has it.
 type LeadershipGrant struct {
 	Name    string `json:"name"`
 	Holder  string `json:"holder"`   // empty: nobody
 	Epoch   uint64 `json:"epoch"`    // rises with each holder, never falls
-	LeaseMs int64  `json:"lease_ms"` // from when the call that got it was sent, by the holder's clock
-	// RetryAfterMs is when one that was refused is to ask again: the service spreads those who wait.
+	LeaseMs int64  `json:"lease_ms"` // from when the request was sent, by the holder's clock
+	// RetryAfterMs is when a rejected candidate is to ask again: the service spreads those that wait.
 	RetryAfterMs int64 `json:"after_ms,omitempty"`
-	// BetterFitness is the highest fitness of those who were refused of late, and whose wish is above the holder's own.
+	// BetterFitness is the highest fitness of those rejected of late, if it is above the holder's own.
 	BetterFitness float64 `json:"better,omitempty"`
 }
 
-// HeldBy tells whether holder has the duty, under an epoch above after.
+// HeldBy tells whether holder has the leadership, under an epoch above after.
 func (g LeadershipGrant) HeldBy(holder string, after uint64) bool {
 	return g.Holder == holder && g.Epoch > after
 }
@@ -33,7 +33,7 @@
 	Leaderships []LeadershipGrant `json:"duties"`
 }
 
-// The bounds on duties.
+// Bounds of leaderships.
 const (
 	MaxLeaderships       = 4096
 	MaxHolder            = 192
@@ -42,7 +42,7 @@
 	MaxFitness           = 1000
 )
 
-// Check names what is wrong with a claim; nil: nothing. held: it is to renew or to give up.
+// Check tells what is wrong with a claim; nil: nothing. held: it is to renew or to release.
 func (c *LeadershipClaim) Check(held bool) error {
 	switch {
 	case c.Name == "" || len(c.Name) > MaxName:
--- a/internal/registry/api/settings.go
+++ b/internal/registry/api/settings.go
@@ -5,16 +5,16 @@
 	"encoding/json"
 )
 
-// Document is the settings of one service. One region owns it: its version rises there alone, and nobody who has seen a version
-// takes in an older one of the same region.
+// Document is the settings of one service. One region owns it: its revision rises there only, and nobody who
+// has seen a revision accepts an older one of the same region.
 type Document struct {
 	Service  string          `json:"service"`
-	Region   string          `json:"region,omitempty"` // its owner; empty where there is one region
+	Region   string          `json:"region,omitempty"` // its owner; empty if there is one region
 	Revision int64           `json:"version"`          // of the owner's list, when this last changed
 	Schema   int             `json:"schema"`           // of Settings, see package settings
 	Deleted  bool            `json:"deleted,omitempty"`
 	Settings json.RawMessage `json:"settings,omitempty"` // the object that a sidecar's file has under "settings"; absent once deleted
-	// EarlierRevisions are the versions before this one that are remembered, rising; only in the answer to a call for this document.
+	// EarlierRevisions are those that are stored, rising; only in the response to a request for this document.
 	EarlierRevisions []int64 `json:"earlier,omitempty"`
 }
 
@@ -24,70 +24,73 @@
 	Documents []Document `json:"documents"`
 }
 
-// PutRequest is a wish to change the settings of a service.
+// PutRequest changes the settings of a service.
 type PutRequest struct {
 	Schema     int             `json:"schema"`
 	Settings   json.RawMessage `json:"settings,omitempty"`
 	IfRevision *int64          `json:"if_version"` // of the document that it was based on; 0: only if there is none, or it is deleted
 }
 
-// Ack is a sidecar's word on a document: it is in force there, or was rejected and the one before still is.
+// Ack is a sidecar's acknowledgement of a document: it is in force there, or was rejected and the one before
+// still is.
 type Ack struct {
 	Node             string `json:"node"`
 	Service          string `json:"service"`
 	Region           string `json:"region,omitempty"` // of the document
 	Revision         int64  `json:"version"`          // in force; 0: its file's settings are
 	RejectedRevision int64  `json:"rejected,omitempty"`
-	Reason           string `json:"why,omitempty"` // the rejected version is not in force
-	// SilentMs is how long it was not heard, where that is over AckTimeoutMs; only in a Rollout.
+	Reason           string `json:"why,omitempty"` // the rejected revision is not in force
+	// SilentMs is how long the sidecar has not acknowledged, if that is over AckTimeoutMs; only in a Rollout.
 	SilentMs int64 `json:"silent_ms,omitempty"`
 }
 
-// Acks are the words of several.
+// Acks are acknowledgements of several sidecars.
 type Acks struct {
 	Acks []Ack `json:"acks"`
 }
 
-// Rollout is how far a document has come among the sidecars that speak to this region. Counts are of those heard within AckTimeoutMs;
-// Unheard of those that were heard once, and are not any more.
+// Rollout is how far a document has come among the sidecars of this region. Counts are of those that
+// acknowledged within AckTimeoutMs; Silent of those that did once, and no longer do.
 type Rollout struct {
 	Document         // without Settings
 	InForce    int   `json:"in_force"`
 	Behind     int   `json:"behind"`
 	Rejected   int   `json:"rejected"`
 	Silent     int   `json:"unheard"`
-	NotInForce []Ack `json:"others,omitempty"` // of those in whom it is not in force, MaxNotInForce at most
+	NotInForce []Ack `json:"others,omitempty"` // of those that don't have it in force, MaxNotInForce at most
 }
 
 // Rollouts are those of all documents.
 type Rollouts struct {
-	Region   string    `json:"region,omitempty"` // that answers
+	Region   string    `json:"region,omitempty"` // that responds
 	Rollouts []Rollout `json:"rollouts"`
 }
 
-// ReplicationStatus is how far one region has followed another.
+// ReplicationStatus is how far one region has replicated another.
 type ReplicationStatus struct {
 	Region       string `json:"region"`
-	Revision     int64  `json:"version"` // all of the other's changes up to it are in
-	SeenRevision int64  `json:"seen"`    // the highest that was told; above Version: some of it is on its way in
-	AgeMs        int64  `json:"age_ms"`  // since the other was last heard, by the leader's clock; -1: not since it leads
+	Revision     int64  `json:"version"` // all changes of the other region up to it are applied
+	SeenRevision int64  `json:"seen"`    // the highest received; above Revision: some of it is being applied
+	AgeMs        int64  `json:"age_ms"`  // since the other region was last heard, by the leader's clock; -1: not since it leads
 	Endpoints    int    `json:"entries"`
-	// RejectedReason says why what the other tells is not taken in, as when its version went back; empty: it is.
+	// RejectedReason is why what the other region sends is not applied, as when its revision went back; empty:
+	// it is.
 	RejectedReason string `json:"aside,omitempty"`
 }
 
-// The bounds on documents.
+// Bounds of documents.
 const (
 	MaxSettings         = 64 << 10 // bytes of one
-	MaxAllSettings      = 8 << 20  // bytes of all of one region
+	MaxAllSettings      = 8 << 20  // bytes of all documents of one region
 	MaxDocuments        = 1024     // of one region, deleted ones too
 	MaxReason           = 256
 	MaxNotInForce       = 100
-	MaxEarlierRevisions = 4 // versions of one document that are remembered beside the present one
+	MaxEarlierRevisions = 4 // of one document that are stored beside the present one
 	AckTimeoutMs        = 60_000
 )
 
-// Check names what is wrong with a wish in form; nil: nothing. What the settings say is checked by package settings.
+// Check tells what is wrong with the form of a request; nil: nothing. The settings themselves are checked by
+// package settings.
 func (p *PutRequest) Check(service string) error {
 	switch {
 	case service == "" || len(service) > MaxName:
@@ -102,7 +105,7 @@
 	return nil
 }
 
-// Check names what is wrong with a sidecar's word; nil: nothing.
+// Check tells what is wrong with an acknowledgement; nil: nothing.
 func (a *Ack) Check() error {
 	switch {
 	case a.Node == "" || len(a.Node) > MaxName || a.Service == "" || len(a.Service) > MaxName:
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -264,14 +264,14 @@
 	}
 }
 
-// Renew gives signs of life, and gets the names of those that hold no lease.
+// Renew gives heartbeat, and gets the names of those that hold no lease.
 func (c *Client) Renew(ctx context.Context, leases []api.Heartbeat) (expired []string, err error) {
 	var done api.HeartbeatResult
 	err = c.call(ctx, true, http.MethodPost, "/v1/renew", api.Heartbeats{Heartbeats: leases}, &done)
 	return done.Expired, err
 }
 
-// Overrule ends the entries of silent servers that the service keeps since it doubts itself.
+// Overrule ends the entries of silent servers that the service keeps since it distrusts itself.
 func (c *Client) Overrule(ctx context.Context) (ended []string, err error) {
 	var done api.HeartbeatResult
 	err = c.call(ctx, true, http.MethodPost, "/v1/overrule", nil, &done)
--- a/internal/registry/client/leadership.go
+++ b/internal/registry/client/leadership.go
@@ -9,20 +9,20 @@
 	"mosslead/internal/registry/api"
 )
 
-// Calls on duties are tried once each: who holds one or waits for it has a pace of its own (internal/lease). A call whose
+// Calls on leaderships are tried once each: who holds one or waits for it has a pace of its own (internal/lease). A call whose
 // answer did not come has CodeUnknown, and the next goes to another replica.
 
-// AcquireLeadership asks for a duty; the grant tells who holds it.
+// AcquireLeadership claims a leadership; the grant names its holder. CodeOutcomeUnknown: no response came.
 func (c *Client) AcquireLeadership(ctx context.Context, claim api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return c.leadership(ctx, "take", claim)
 }
 
-// RenewLeadership lengthens a lease; the grant tells who holds the duty.
+// RenewLeadership extends a lease; the grant names the holder.
 func (c *Client) RenewLeadership(ctx context.Context, claim api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return c.leadership(ctx, "renew", claim)
 }
 
-// ReleaseLeadership gives a duty up.
+// ReleaseLeadership releases a leadership.
 func (c *Client) ReleaseLeadership(ctx context.Context, claim api.LeadershipClaim) error {
 	_, err := c.leadership(ctx, "release", claim)
 	return err
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -55,7 +55,7 @@
 	down, event time.Duration
 	bad         map[string]bool // replicas
 	begun       time.Time
-	told        atomic.Int64 // when the change was in hand
+	told        atomic.Int64 // when the change was in flight
 	running     *sync.WaitGroup
 }
 
@@ -161,7 +161,7 @@
 	})
 }
 
-// Guards against a change that is acted on too late: whatever failed before, it is in hand within watch.Told of the moment at
+// Guards against a change that is acted on too late: whatever failed before, it is in flight within watch.Told of the moment at
 // which most replicas had it and could be reached, also where the others never can.
 func TestAfterAnOutageAListIsInHandInTime(t *testing.T) {
 	const long = 8 * time.Second // all waits are at their longest by then
@@ -194,7 +194,7 @@
 	}
 }
 
-// late is how long after the return the change was in hand.
+// late is how long after the return the change was in flight.
 func (p *outageParty) late() time.Duration {
 	if p.told.Load() == 0 {
 		return time.Hour
--- a/internal/registry/client/outcome.go
+++ b/internal/registry/client/outcome.go
@@ -10,21 +10,23 @@
 	"mosslead/internal/registry/api"
 )
 
-// WriteOutcome is what became of a put or a deletion whose answer was lost.
+// WriteOutcome is what became of a write whose response was lost.
 type WriteOutcome int
 
-// The fates.
+// The outcomes.
 const (
-	OutcomeUnknown WriteOutcome = iota // it can't be told any more
-	OutcomeDone                        // its text follows the version that it was based on
+	OutcomeUnknown WriteOutcome = iota // it can't be determined any more
+	OutcomeDone                        // its text follows the revision that it was based on
 	OutcomeNotDone                     // another change does, or none yet
 )
 
-// Outcome looks up what became of a change whose answer was lost: settings, or nil for a deletion. before is the document that it was
-// based on, or its version alone, 0: there was none. now is the document as it is, and at the version under which the change was done.
-// Two writers of one text are not told apart: it is there.
+// Outcome looks up what became of a write whose response was lost: settings, or nil for a deletion. before is
+// the document that it was based on, or its revision alone, 0: there was none. It returns the outcome, the
+// revision under which the change was done, and the document as it is now. Two writers of one text are not
+// told apart: it is there.
 //
-// OutcomeNotDone with now at the version before is as of now: a call that is still on its way can be carried out as long as that is so.
+// OutcomeNotDone with the document still at the revision before is as of now: a call that is still on its way
+// can be carried out as long as that is so.
 func (c *Client) Outcome(ctx context.Context, service string, before api.Document, settings json.RawMessage) (outcome WriteOutcome, at int64, now api.Document, err error) {
 	now, err = c.Document(ctx, service, 0, true)
 	if api.IsCode(err, api.CodeNotFound) {
--- a/internal/registry/client/plausibility.go
+++ b/internal/registry/client/plausibility.go
@@ -2,8 +2,7 @@
 
 import "mosslead/internal/registry/api"
 
-// plausibility knows the list that is believed, and what of the next message to believe. What it was told draining or gone
-// binds at once, whatever else is doubted: to stop sending to one too many costs little.
+// plausibility judges lists against the one in use.
 type plausibility struct {
 	known bool // there is a list
 	index int64
--- a/internal/registry/client/registrar.go
+++ b/internal/registry/client/registrar.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Silence ends the signs of life of a server that has died or is cut off, without a word.
+// Silence ends the heartbeat of a server that has died or is cut off, without a word.
 func (r *Registrar) Silence(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// renewals gives signs of life three times in a lease's time, with jitter.
+// renewals gives heartbeat three times in a lease's time, with jitter.
 func (r *Registrar) renewals(ctx context.Context) {
 	for {
 		wait := time.NewTimer(time.Duration(float64(r.lease) / 3 * (0.8 + 0.4*rand.Float64())))
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -18,7 +18,7 @@
 	maxList = 8 << 20
 
 	// callTimeout is how long after a call of a watch the next is made at another replica at the latest, whatever comes of it. A
-	// list is in hand within watch.Told of the moment at which most replicas have it and can be reached, also where the calls
+	// list is in flight within watch.Told of the moment at which most replicas have it and can be reached, also where the calls
 	// before that meet all the others. Of five replicas, at the longest:
 	//
 	//	the watch that has fallen silent just before            2.5 s (watch.Silence; or a call: callTimeout)
@@ -30,21 +30,22 @@
 	verifyTimeout = time.Second
 )
 
-// Watcher is who follows the list. Calls come one at a time.
+// Watcher follows the list. Its functions are called one at a time.
 type Watcher struct {
-	// Apply takes a message in. An error means that it is of no use to the watcher, and is said; the watch goes on
-	// elsewhere.
+	// Apply takes in an event. An error says that the event is unusable, and is reported; the watch continues at
+	// another replica.
 	Apply func(l api.WatchEvent) error
-	// OnEstablished is called once for each watch that was taken up, and has no news.
+	// OnEstablished is called once for each watch that is established and has no change.
 	OnEstablished func()
-	// Query is what each call of the watch asks for beside the list, as Service words it; nil: nothing.
+	// Query is what each call of the watch requests beside the list, as Service encodes it; nil: nothing.
 	Query func() string
-	// OnError is told why a watch ended, or what of a list is doubted.
+	// OnError is called with why a watch ended, or what of a list is implausible.
 	OnError func(at string, why error)
 }
 
-// Watch follows the list until ctx ends. start is the list that is in use before, if any: its version is asked on from,
-// unless it is 0: that of a list from elsewhere. Where a watch is silent, the next is opened at another replica.
+// Watch follows the list until ctx ends. start is the list that is in use before, if any: changes since its
+// revision are requested, unless that is 0, of a list from elsewhere. When a watch is silent, the next is
+// opened at another replica.
 func (c *Client) Watch(ctx context.Context, start *api.WatchEvent, w Watcher) {
 	d := &plausibility{}
 	if start != nil {
@@ -77,7 +78,8 @@
 	_ = f.Follow(ctx) // ends with ctx alone
 }
 
-// Service words a wish to hear of the settings of a service: held are those that are known already, if any are.
+// Service encodes a request for the settings of a service: cached are those that are known already, if any
+// are.
 func Service(name string, cached api.Document) string {
 	q := "&service=" + url.QueryEscape(name) + "&held="
 	if cached.Revision > 0 {
@@ -89,8 +91,9 @@
 // maxRegion bounds one message of a whole region: the most settings, each byte worded by six at the worst, and entries.
 const maxRegion = 64 << 20
 
-// Region follows what a service's own region writes, until ctx ends: from tells which version is held, or -1 for all of it. w.Take
-// judges alone what of it to believe; w.Query is not asked. heard is called for each sign of life.
+// Region follows what a service's own region writes, until ctx ends: from tells which revision is replicated,
+// or -1 for the full list. w.Apply alone judges what of it to believe; w.Query is not used. onHeard is called
+// for each line.
 func (c *Client) Region(ctx context.Context, from func() int64, w Watcher, onHeard func()) {
 	var p pace
 	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxRegion, Address: c.at, OnEstablished: w.OnEstablished, Revision: from, OnLine: onHeard,
@@ -110,8 +113,8 @@
 	return min(p.next(now, chance), time.Duration((1+chance)/2*float64(callTimeout)))
 }
 
-// verify lets the list in use go on, but for what binds, and reads a second time, from another replica if there is
-// one. What is strange there in the same way is believed; else the second list is.
+// verify lets the list in use go on, but for endpoints that drain, and reads a second time, from another
+// replica if there is one. What is implausible there in the same way is believed; else the second list is.
 func (c *Client) verify(ctx context.Context, at string, d *plausibility, w Watcher, l api.WatchEvent, strange string) error {
 	w.OnError(at, fmt.Errorf("list %d is doubted: %s", l.Revision, strange))
 	if bound, any := d.drainsOnly(l); any {
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -19,17 +19,17 @@
 
 const (
 	identityRetryInterval = 300 * time.Millisecond
-	// identityTimeout is how long a replica that was part before looks for others that know better, before it goes on with what
-	// it has: all may have been down.
+	// identityTimeout is how long a replica that was part before looks for others that know better, before it
+	// continues with its own data: all may have been down.
 	identityTimeout = time.Second
 )
 
-// form decides how this replica takes part. It gives the quorum to begin with, or none.
+// form decides how this replica takes part. It returns the quorum to begin with, or none.
 //
-// A quorum is formed once, and only when all that are to be in it say that they belong to none: so one that lost its disk
-// does not form a second one. Where others know this replica with another disk, or with more starts than its own disk
-// remembers (an old copy), what it has is set aside and it is taken in anew, since a vote that was given and forgotten
-// could undo what was committed.
+// A quorum is formed once, and only when all that are to be in it report that they belong to none: so one
+// that lost its disk does not form a second one. If others know this replica with another disk, or with more
+// starts than its own disk remembers (an old copy), its data is set aside and it joins as a new replica,
+// since a vote that was given and forgotten could undo what was committed.
 func (n *Node) form(ctx context.Context) ([]raft.Server, error) {
 	if n.c.Dev {
 		return []raft.Server{{ID: raft.ServerID(n.me.Name), Address: "dev"}}, nil
@@ -46,7 +46,7 @@
 			if err = n.rejoin(ctx, *known); err == nil {
 				return nil, nil
 			}
-			n.log.Warn("not taken in", "component", "registry", "node", n.me.Name, "err", err)
+			n.log.Warn("join rejected", "component", "registry", "node", n.me.Name, "err", err)
 		case formed && (answered == len(n.others()) || time.Since(begun) > identityTimeout):
 			return nil, nil
 		case !formed && !n.c.Join && answered == len(n.others()) && err == nil:
@@ -55,7 +55,7 @@
 			if err = n.requestJoin(ctx); err == nil {
 				return nil, nil
 			}
-			n.log.Warn("not taken in yet", "component", "registry", "node", n.me.Name, "err", err)
+			n.log.Warn("join rejected, retrying", "component", "registry", "node", n.me.Name, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -86,7 +86,8 @@
 // errFormed says that others belong to a quorum that does not know this replica.
 var errFormed = errors.New("there is a quorum, and it does not know this replica")
 
-// queryIdentities asks who they are. known is what a formed quorum knows of this replica, by whoever knows most.
+// queryIdentities asks the others who they are. known is what a formed quorum knows of this replica, by
+// whoever knows most.
 func (n *Node) queryIdentities(ctx context.Context) (answered int, known *api.Replica, err error) {
 	for _, p := range n.others() {
 		var id api.Identity
@@ -106,9 +107,9 @@
 	return answered, known, err
 }
 
-// rejoin sets aside what is here, and asks to be taken out and in again.
+// rejoin sets aside the data of this replica, and asks to be removed and added again.
 func (n *Node) rejoin(ctx context.Context, known api.Replica) error {
-	n.log.Warn("its disk is not the one that the others know: taken in anew", "component", "registry", "node", n.me.Name,
+	n.log.Warn("disk unknown to the quorum, rejoining as a new replica", "component", "registry", "node", n.me.Name,
 		"starts", n.me.StartCount, "known_starts", known.StartCount)
 	aside := filepath.Join(n.c.Dir, "aside-"+time.Now().UTC().Format("20060102T150405.000"))
 	for _, name := range []string{"log.bolt", "snapshots"} {
@@ -129,7 +130,7 @@
 	return n.requestJoin(ctx)
 }
 
-// requestJoin asks any of the others to have this replica taken in.
+// requestJoin asks any of the others to add this replica.
 func (n *Node) requestJoin(ctx context.Context) error {
 	err := errors.New("nobody to ask")
 	for _, p := range n.others() {
@@ -148,7 +149,7 @@
 	return "http://" + known
 }
 
-// call asks another replica.
+// call sends a request to another replica.
 func (n *Node) call(ctx context.Context, method, url string, change, answer any) error {
 	var body io.Reader
 	if change != nil {
@@ -170,7 +171,7 @@
 	return api.ReadAnswer(resp, answer)
 }
 
-// admitReplica is the leader's part: a replica is added, or its address or disk changed.
+// admitReplica is the leader's part: a replica is added, or its address or disk has changed.
 func (n *Node) admitReplica(m api.Replica) error {
 	r := n.raft.Load()
 	if r == nil {
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -17,7 +17,7 @@
 	mu           sync.RWMutex
 	list         *list.List
 	onEntries    func(records []api.Record) // after a command, with the entries as they are now; not under mu
-	onLeadership func(r list.Result)        // after a command on duties, or one that voids them; not under mu
+	onLeadership func(r list.Result)        // after a command on leaderships, or one that voids them; not under mu
 
 	uncheckedRegions bool // see faultRollback
 }
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -12,7 +12,8 @@
 
 var schemaFeatures = map[int]string{list.LeadershipSchema: "duties", list.DocumentSchema: "settings and other regions"}
 
-// requireSchema is nil if all replicas of the quorum understand a schema: one that does not would part from the others.
+// requireSchema returns nil if all replicas of the quorum understand a schema: one that does not would
+// diverge.
 func (n *Node) requireSchema(schema int) error {
 	names := n.voterNames()
 	if schema < list.LeadershipSchema {
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// applyLeadership has a command of schema 2 carried out.
+// applyLeadership carries out a command of schema 2.
 func (n *Node) applyLeadership(c list.Command) (list.Result, error) {
 	if err := n.requireSchema(list.LeadershipSchema); err != nil {
 		return list.Result{}, err
@@ -34,7 +35,7 @@
 	return n.apply(c)
 }
 
-// onLeadership follows a command on duties.
+// onLeadership follows a committed command on leaderships.
 func (n *Node) onLeadership(r list.Result) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,7 +48,7 @@
 	}
 }
 
-// claim reads what is asked of a duty.
+// claim decodes a claim to a leadership.
 func claim(r *http.Request, body []byte, replicated bool) (c api.LeadershipClaim, err error) {
 	if err := read(body, &c); err != nil {
 		return c, err
@@ -60,8 +61,9 @@
 	return c, c.Check(replicated)
 }
 
-// acquireLeadership gives a duty that nobody holds, or whose lease is over; else it tells who holds it, and when to ask again.
-// That is decided here without the log: to be refused by a leader that is none any more does no harm.
+// acquireLeadership grants a leadership that nobody holds, or whose lease has expired; otherwise it names the
+// holder, and when to ask again. That is decided here without the log: a rejection by a deposed leader does
+// no harm.
 func (n *Node) acquireLeadership(r *http.Request, body []byte) (any, error) {
 	c, err := claim(r, body, false)
 	if err != nil {
@@ -88,7 +90,8 @@
 	return n.applyClaim(list.Command{Op: list.AcquireLeadership, Claim: &list.LeadershipClaim{LeadershipClaim: c, ExpiredTerm: over}})
 }
 
-// changeLeadership renews or gives up; a claim that does not hold (any more) changes nothing and is told who does.
+// changeLeadership renews or releases; a claim without a valid lease changes nothing, and the grant names the
+// holder.
 func (n *Node) changeLeadership(op string) work {
 	return func(r *http.Request, body []byte) (any, error) {
 		c, err := claim(r, body, true)
@@ -99,7 +102,7 @@
 	}
 }
 
-// applyClaim has a command on a duty carried out, and words the duty as it is then.
+// applyClaim carries out a claim, and returns the leadership as it is then.
 func (n *Node) applyClaim(c list.Command) (any, error) {
 	result, err := n.applyLeadership(c)
 	switch {
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,12 +7,12 @@
 	"mosslead/internal/registry/api"
 )
 
-// leaseTable are the signs of life of servers, in the memory of the leader alone: a renewal is not worth an entry of the
-// log, since a lost one only makes a lease last longer. A new leader gives each its full time again. Times are on the
-// monotonic clock. Not safe for concurrent use.
+// leaseTable holds the leases of registered servers, in the leader's memory only: a heartbeat is not worth a
+// log entry, since a lost one only makes a lease last longer. A new leader gives each its full time again.
+// Times are on the monotonic clock. Not safe for concurrent use.
 type leaseTable struct {
-	grace            time.Duration // between a lease's end and the entry's
-	preserveFraction float64       // of leases silent at once above which it is the service that is suspected
+	grace            time.Duration // between a lease's end and the removal of its entry
+	preserveFraction float64       // of leases expired at once above which the service itself is suspected
 	byName           map[string]serverLease
 	checkedAt        time.Duration
 	preserving       bool
@@ -27,13 +27,13 @@
 
 const (
 	leaseCheckInterval = 100 * time.Millisecond
-	// processStall is a time between two looks in which this process, and not the servers, stood still.
+	// a time between two checks in which this process, and not the servers, was stopped
 	processStall = 10 * leaseCheckInterval
-	// minSilent are too few to suspect the service by.
+	// fewer are too few to suspect the service
 	minSilent = 3
 )
 
-// lead begins with the leases of a list, all with their full time.
+// lead begins with the leases of a list, each with its full time.
 func (l *leaseTable) lead(now time.Duration, records []api.Record) {
 	l.byName, l.checkedAt, l.preserving, l.overruled = map[string]serverLease{}, now, false, false
 	for _, r := range records {
@@ -51,7 +51,7 @@
 	l.byName[r.Name] = serverLease{r.Incarnation, length, now + length}
 }
 
-// renew is a sign of life; false: there is no such lease.
+// renew renews a lease; false: there is no such lease.
 func (l *leaseTable) renew(now time.Duration, x api.Heartbeat) bool {
 	had, ok := l.byName[x.Name]
 	if !ok || had.incarnation != x.Incarnation {
@@ -62,7 +62,7 @@
 	return true
 }
 
-// silent are those whose lease has ended, by name.
+// silent are the servers whose lease has expired, by name.
 func (l *leaseTable) silent(now time.Duration) []string {
 	var names []string
 	for name, x := range l.byName {
@@ -74,8 +74,9 @@
 	return names
 }
 
-// expire gives those whose entries are to end. Where too many fell silent within a grace of each other, it is this service
-// that is suspected, and nobody ends until they are heard again or an operator overrules.
+// expire returns the leases whose entries are to be removed. If too many expired within a grace of each
+// other, the service itself is suspected, and nobody is removed until they are heard again or an operator
+// overrules.
 func (l *leaseTable) expire(now time.Duration) (ended []api.Heartbeat) {
 	if gap := now - l.checkedAt; gap > processStall { // nobody could have been heard meanwhile
 		for name, x := range l.byName {
--- a/internal/registry/leasetable/table_test.go
+++ b/internal/registry/leasetable/table_test.go
@@ -9,7 +9,7 @@
 	"mosslead/internal/registry/list"
 )
 
-// 300 candidates that ask when they are told to cost at most a call each Spacing while the duty is held, and it is taken
+// 300 candidates that ask when they are told to cost at most a call each Spacing while the leadership is held, and it is taken
 // soon after its lease is over.
 func TestThoseWhoWaitAreSpread(t *testing.T) {
 	const n, until = 300, 2 * time.Minute
@@ -50,7 +50,7 @@
 	}
 }
 
-// One whose fitness is well above the holder's is named to it, comes back soon, and finds the duty kept for it.
+// One whose fitness is well above the holder's is named to it, comes back soon, and finds the leadership kept for it.
 func TestTheBetterOneIsNextInTurn(t *testing.T) {
 	var x Table
 	x.Lead(0, nil)
--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -17,19 +17,19 @@
 	ReplicateRegion = "follow" // what another region's list tells, see Piece
 )
 
-// DocumentSchema is the form of commands, and of backups, from which on documents and other regions are in them.
+// DocumentSchema is the form of commands and backups from which on documents and other regions are in them.
 const DocumentSchema = 3
 
-// MaxEarlierRevisions is how many versions of a document are remembered beside the present one.
+// MaxEarlierRevisions is how many revisions of a document are stored beside the present one.
 const MaxEarlierRevisions = api.MaxEarlierRevisions
 
-// Document is an own one. Its Region is left empty: it is the list's.
+// Document is an own document. Its Region is left empty: it is the list's.
 type Document struct {
 	api.Document
 	Earlier []api.Document `json:"earlier,omitempty"` // the newest last
 }
 
-// setRegion gives the list its region's name. Which document of two regions is told depends on it.
+// setRegion gives the list its region's name. Which document of two regions is visible depends on it.
 func (l *List) setRegion(region string) {
 	if region != l.region {
 		l.region = region
@@ -42,7 +42,7 @@
 // Region is whose list this is; empty: there is one region, or nothing was written yet that tells.
 func (l *List) Region() string { return l.region }
 
-// applyDocument is a command on an own document.
+// applyDocument carries out a command on an own document.
 func (l *List) applyDocument(c Command) Result {
 	own := l.documents[c.Name]
 	live, at := own != nil && !own.Deleted, int64(0)
--- a/internal/registry/list/leadership.go
+++ b/internal/registry/list/leadership.go
@@ -13,39 +13,39 @@
 	AcquireLeadership = "take"
 	RenewLeadership   = "renew"
 	ReleaseLeadership = "release"
-	ForgetLeaderships = "lapse" // duties whose lease has been over for long, so that their names are not kept for ever
+	ForgetLeaderships = "lapse" // expired leaderships that nobody claims, so that their names are not stored for ever
 )
 
-// LeadershipSchema is the form of commands, and of backups, from which on duties are in them.
+// LeadershipSchema is the form of commands and backups from which on leaderships are in them.
 const LeadershipSchema = 2
 
-// LeaseTerm is one turn of a duty at one of its renewals. The leader's clock says of a term that it is over; the log decides
-// whether it still was the present one.
+// LeaseTerm is a lease of a leadership at one of its renewals. The leader's clock decides that a term has
+// expired; the log decides whether it still was the present one.
 type LeaseTerm struct {
 	Name     string `json:"name"`
 	Epoch    uint64 `json:"epoch"`
 	Renewals uint64 `json:"turn"`
 }
 
-// Leadership is who holds one.
+// Leadership is who holds a leadership.
 type Leadership struct {
 	LeaseTerm
 	Holder  string `json:"holder"`
 	LeaseMs int64  `json:"lease_ms"`
 }
 
-// Grant is the duty in the words of calls.
+// Grant is the leadership as a response.
 func (d Leadership) Grant() api.LeadershipGrant {
 	return api.LeadershipGrant{Name: d.Name, Holder: d.Holder, Epoch: d.Epoch, LeaseMs: d.LeaseMs}
 }
 
-// LeadershipClaim is what a command on a duty asks.
+// LeadershipClaim is a claim as a command.
 type LeadershipClaim struct {
 	api.LeadershipClaim
-	ExpiredTerm *LeaseTerm `json:"over,omitempty"` // take: the term of another holder that is over by the leader's clock
+	ExpiredTerm *LeaseTerm `json:"over,omitempty"` // to acquire: the term of another holder that has expired by the leader's clock
 }
 
-// Leadership is who holds a duty; false: nobody.
+// Leadership is who holds a leadership; false: nobody.
 func (l *List) Leadership(name string) (Leadership, bool) {
 	d, ok := l.leaderships[name]
 	if !ok {
@@ -72,11 +72,11 @@
 	return true
 }
 
-// applyLeadership carries out a command on a duty. index is the command's place in the log.
+// applyLeadership carries out a command on a leadership. index is the command's place in the log.
 //
 // The epoch is the command's place in the log and the list's version together. Both only rise, the first with each command and
-// the second beyond all that a backup knows with each restore, and programs that know of no duties keep both too. So
-// nothing has to be kept of a duty that nobody holds, and a replica that forgot all duties gives no epoch twice.
+// the second beyond all that a backup knows with each restore, and programs that know of no leaderships keep both too. So
+// nothing has to be kept of a leadership that nobody holds, and a replica that forgot all leaderships gives no epoch twice.
 func (l *List) applyLeadership(c Command, index uint64) Result {
 	if c.Op == ForgetLeaderships {
 		for _, t := range c.ExpiredTerms {
@@ -114,7 +114,7 @@
 	return Result{Leadership: d}
 }
 
-// grantLeadership begins the next turn of a duty.
+// grantLeadership begins the next turn of a leadership.
 func (l *List) grantLeadership(d Leadership, c *LeadershipClaim) Result {
 	d.Renewals++
 	d.LeaseMs = c.LeaseMs
@@ -122,7 +122,7 @@
 	return Result{Leadership: d}
 }
 
-// forget voids all duties where a replica was, or is, of a program that knows of none: what it had of them is lost, and all
+// forget voids all leaderships where a replica was, or is, of a program that knows of none: what it had of them is lost, and all
 // replicas have to agree. Epochs go on.
 func (l *List) forget(joins api.Replica) bool {
 	known, there := l.replicas[joins.Name]
--- a/internal/registry/list/leadership_test.go
+++ b/internal/registry/list/leadership_test.go
@@ -11,8 +11,8 @@
 	"mosslead/internal/registry/api"
 )
 
-// Whatever happens to a duty, each epoch has one holder, and every new one is above all before: over releases, lapses,
-// snapshots, restores of any earlier state, and a replica that ran a program that knows of no duties.
+// Whatever happens to a leadership, each epoch has one holder, and every new one is above all before: over releases, lapses,
+// snapshots, restores of any earlier state, and a replica that ran a program that knows of no leaderships.
 func TestEpochsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(CompactionWindow)
@@ -38,7 +38,7 @@
 				l = Load(s, CompactionWindow)
 				backups = append(backups, s)
 				continue
-			case "forget": // an earlier program's snapshot holds no duties; then it is of today again
+			case "forget": // an earlier program's snapshot holds no leaderships; then it is of today again
 				s := l.State()
 				s.Leaderships, s.HighestEpoch = nil, 0
 				l = Load(s, CompactionWindow)
@@ -76,7 +76,7 @@
 	})
 }
 
-// A member that does not understand commands on duties keeps them from being proposed, and what it may have lost is void
+// A member that does not understand commands on leaderships keeps them from being proposed, and what it may have lost is void
 // everywhere once it is there, and once more when it is of today again.
 func TestAReplicaOfAnEarlierProgram(t *testing.T) {
 	l := New(CompactionWindow)
--- a/internal/registry/list/list.go
+++ b/internal/registry/list/list.go
@@ -1,5 +1,5 @@
-// Package list owns the list of upstreams: what a command does to it, and what changed since a version. It is pure:
-// the same commands in the same order make the same list on every replica.
+// Package list holds the endpoint list of the list service: what a command does to it, and what has changed
+// since a revision. It is pure: the same commands in the same order make the same list on every replica.
 package list
 
 import (
@@ -10,29 +10,31 @@
 	"mosslead/internal/registry/api"
 )
 
-// What a command does.
+// Operations of commands, as they are encoded in the log.
 const (
 	Register      = "register"
 	Drain         = "drain" // by the server itself
 	Deregister    = "leave" // by the server itself
-	SetAdminState = "hand"  // an operator's word
+	SetAdminState = "hand"  // by an operator
 	Expire        = "expire"
-	AddReplica    = "join" // a replica, or what changed of it
-	RemoveReplica = "part" // a replica no longer belongs
+	AddReplica    = "join" // a replica has joined, or changed
+	RemoveReplica = "part" // a replica has left
 	Restore       = "restore"
 )
 
-// Schema is the newest form of commands and backups that this program understands. Replicas tell each other theirs; the
-// program that brings a second form must propose none of it while a member's schema is below, or lists would part.
+// Schema is the newest form of commands and backups that this program understands. Replicas tell each other
+// theirs. A program that brings a newer form must propose none of it while a member's schema is below, or
+// lists would diverge.
 //
-// 2 brought duties, 3 documents and other regions. A program of 1 that meets a command of 2 answers that it knows of none, and
-// its list stays as it is.
+// 2 brought leaderships, 3 documents and other regions. A program of schema 1 answers that it does not know a
+// command of 2, and its list stays as it is.
 const Schema = 3
 
-// CompactionWindow is how many changed entries are remembered, gone ones among them: a watch from before gets the whole list.
+// CompactionWindow is how many changed entries are stored, removed ones too. A watch from an earlier revision
+// gets the full list.
 const CompactionWindow = 8192
 
-// Command is one entry of the replicated log.
+// Command is an entry of the replicated log.
 type Command struct {
 	Op           string            `json:"op"`
 	Name         string            `json:"name,omitempty"`
@@ -52,11 +54,11 @@
 	Index uint64 `json:"-"` // its place in the log, by which all replicas know it
 }
 
-// Result is what a command came to.
+// Result is the result of a command.
 type Result struct {
 	Revision        int64      // of the entry
 	Leadership      Leadership // as it is now; no Holder: nobody's
-	LeadershipsVoid bool       // all duties are void, see forget
+	LeadershipsVoid bool       // all leaderships are void, see forget
 	Err             *api.Error
 }
 
@@ -64,11 +66,11 @@
 type State struct {
 	Revision          int64                  `json:"version"`
 	CompactedRevision int64                  `json:"floor"`
-	Records           []api.Record           `json:"records"` // gone ones too, as long as they are remembered
+	Records           []api.Record           `json:"records"` // removed ones too, as long as they are stored
 	AdminStates       map[string]string      `json:"hands"`
 	Replicas          map[string]api.Replica `json:"replicas"`
 	Leaderships       []Leadership           `json:"duties,omitempty"` // schema 2
-	HighestEpoch      uint64                 `json:"epoch,omitempty"`  // schema 2: the highest that was given
+	HighestEpoch      uint64                 `json:"epoch,omitempty"`  // schema 2: the highest that was granted
 
 	Region          string           `json:"region,omitempty"`    // schema 3, as what follows
 	Documents       []Document       `json:"documents,omitempty"` // own ones, by service
@@ -87,48 +89,48 @@
 	return 1
 }
 
-// entryChange is a change of an entry; void once the entry changed again.
+// entryChange is a change of an entry; void once the entry has changed again.
 type entryChange struct {
 	revision int64
 	name     string
 }
 
-// List is the list at a version. Not safe for concurrent use.
+// List is the list at a revision. Not safe for concurrent use.
 type List struct {
 	revision     int64
-	compacted    int64 // a watch from below it can't be told what changed
+	compacted    int64 // what has changed since a revision below it is no longer known
 	records      map[string]*api.Record
-	adminStates  map[string]string // operators' words, also on who is not there
-	changes      []entryChange     // by version, rising
-	live         int               // records that are not gone
+	adminStates  map[string]string // as operators set them, also for servers that are not present
+	changes      []entryChange     // by revision, rising
+	live         int               // records that are not removed
 	replicas     map[string]api.Replica
 	history      int
-	leaderships  map[string]Leadership // that are held, or whose lease is over and nobody has taken them since
-	highestEpoch uint64                // the highest that was given for any duty
+	leaderships  map[string]Leadership // that are held, or have expired and were not acquired since
+	highestEpoch uint64                // the highest that was granted for any leadership
 
 	region           string                 // whose list this is
 	documents        map[string]*Document   // own ones, by service; deleted ones too
-	regions          map[string]*regionCopy // regions that are followed
-	regionRevisions  map[string]int64       // when what is told of a name last changed by what another region's list says
-	uncheckedRegions bool                   // see Careless
+	regions          map[string]*regionCopy // replicated ones
+	regionRevisions  map[string]int64       // when what is visible of a name last changed by another region's list
+	uncheckedRegions bool                   // see SkipRegionChecks
 }
 
-// New is an empty list that remembers so many changed entries.
+// New returns an empty list that stores so many changed entries.
 func New(history int) *List {
 	return &List{records: map[string]*api.Record{}, adminStates: map[string]string{}, replicas: map[string]api.Replica{}, history: history,
 		leaderships: map[string]Leadership{}, documents: map[string]*Document{}, regions: map[string]*regionCopy{}, regionRevisions: map[string]int64{}}
 }
 
-// Revision is a number that rises with each change of an entry.
+// Revision rises with each change of an entry.
 func (l *List) Revision() int64 { return l.revision }
 
-// Len is how many are in the list.
+// Len counts the endpoints in the list.
 func (l *List) Len() int { return l.live }
 
 // Replicas are the members of the service.
 func (l *List) Replicas() map[string]api.Replica { return maps.Clone(l.replicas) }
 
-// Get is what is known of an entry; false: nothing, or that it is gone.
+// Get is what is known of an entry; false: nothing, or that it was removed.
 func (l *List) Get(name string) (api.Record, bool) {
 	r := l.records[name]
 	if r == nil || r.ServerStatus == api.Removed {
@@ -137,7 +139,7 @@
 	return *r, true
 }
 
-// Records are those of all that have not left, by name: banned ones too.
+// Records are those of all servers that have not left, by name: banned ones too.
 func (l *List) Records() []api.Record {
 	all := make([]api.Record, 0, len(l.records))
 	for _, r := range l.records {
@@ -159,7 +161,8 @@
 	return 0
 }
 
-// Full is the list as discovery tells it: own entries, and those of other regions that have no namesake here.
+// Full is the list as discovery sends it: own endpoints, and those of other regions that have no namesake
+// here.
 func (l *List) Full() api.WatchEvent {
 	w := l.ownEntries()
 	if len(l.regions) == 0 {
@@ -174,7 +177,7 @@
 	return w
 }
 
-// ownEntries is the whole list without what other regions tell.
+// ownEntries is the full list without other regions.
 func (l *List) ownEntries() api.WatchEvent {
 	w := api.WatchEvent{Revision: l.revision, Snapshot: true, Endpoints: []api.Endpoint{}}
 	for _, r := range l.Records() {
@@ -185,11 +188,12 @@
 	return w
 }
 
-// Remembers tells whether what changed after a version is remembered: else it is one from long ago, or from another service.
+// Remembers tells whether what has changed since a revision is known. It is not for one before the compaction
+// window, or of another service.
 func (l *List) Remembers(version int64) bool { return version >= l.compacted && version <= l.revision }
 
-// ChangesSince is what changed after a version, each entry once, in the order of their last changes; the whole list where that
-// is no longer known, or was never: a version from another service.
+// ChangesSince is what has changed after a revision, each entry once, in the order of their latest changes;
+// the full list if that is no longer known.
 func (l *List) ChangesSince(version int64) api.WatchEvent {
 	if !l.Remembers(version) {
 		return l.Full()
@@ -203,13 +207,13 @@
 	return c
 }
 
-// changesAfter are the changes after a version.
+// changesAfter are the changes after a revision.
 func (l *List) changesAfter(version int64) []entryChange {
 	from, _ := slices.BinarySearchFunc(l.changes, version+1, func(t entryChange, v int64) int { return int(t.revision - v) })
 	return l.changes[from:]
 }
 
-// ownRevision is when an own entry last changed; 0: there is none that is remembered.
+// ownRevision is when an own entry last changed; 0: none is stored.
 func (l *List) ownRevision(name string) int64 {
 	if r := l.records[name]; r != nil {
 		return r.Revision
@@ -217,12 +221,12 @@
 	return 0
 }
 
-// visibleRevision is when what is told of a name last changed.
+// visibleRevision is when what is visible of a name last changed.
 func (l *List) visibleRevision(name string) int64 {
 	return max(l.ownRevision(name), l.regionRevisions[name])
 }
 
-// Apply carries a command out.
+// Apply carries out a command.
 func (l *List) Apply(c Command) Result {
 	switch c.Op {
 	case Register, Drain, Deregister, SetAdminState:
@@ -259,7 +263,7 @@
 	return Result{Err: api.Errorf(api.CodeBadRequest, "this replica knows of no %q", c.Op)}
 }
 
-// change is a command on one entry.
+// change carries out a command on one entry.
 func (l *List) change(c Command) Result {
 	r, there := l.Get(c.Name)
 	if !there {
@@ -272,7 +276,7 @@
 	if c.Registration != nil {
 		incarnation = c.Registration.Incarnation
 	}
-	// The last incarnation holds on after its end: one that comes late is not let in.
+	// The latest incarnation is known beyond its end: an earlier one that comes late is rejected.
 	if known := l.records[c.Name]; known != nil && incarnation < known.Incarnation && (incarnation != 0 || c.Op == Register) {
 		return Result{Revision: r.Revision, Err: api.Errorf(api.CodeOlderIncarnation, "%s is known with incarnation %d", c.Name, known.Incarnation)}
 	}
@@ -320,7 +324,7 @@
 	l.adminStates[name] = hand
 }
 
-// status is what discovery tells of a record: the operator's word, then the server's.
+// status is what discovery sends of a record: the administrative state, or else the server's own.
 func status(r api.Record) string {
 	switch {
 	case r.ServerStatus == api.Removed || r.AdminState == api.AdminBan:
@@ -413,7 +417,7 @@
 // restore puts the entries of a backup in place of those here. The version goes on from the higher of both, and nobody
 // is told of what changed: all get the whole list. Replicas stay who they are.
 func (l *List) restore(s *State) {
-	version := max(l.revision, s.Revision, int64(s.HighestEpoch)) + restoreStep // above epochs too, see duty
+	version := max(l.revision, s.Revision, int64(s.HighestEpoch)) + restoreStep // above epochs too, see leadership
 	was := *l
 	next := *s
 	next.Revision, next.CompactedRevision, next.Replicas = version, version, was.replicas
--- a/internal/registry/list/regions.go
+++ b/internal/registry/list/regions.go
@@ -8,19 +8,19 @@
 	"mosslead/internal/registry/api"
 )
 
-// Chunk is a part of what another region's list tells: how what is held of it at From comes to be as it is at To. Entries that
-// are gone there are among them.
+// Chunk is a part of another region's changes: from what is replicated of it at From to its state at To.
+// Removed endpoints are among its entries.
 type Chunk struct {
 	Region    string         `json:"region"`
-	From      int64          `json:"from"` // all of the other's changes up to it are held
+	From      int64          `json:"from"` // all changes of the region up to it are applied
 	To        int64          `json:"to"`
-	Part      int            `json:"part"` // how many pieces were taken in since From was held whole
+	Part      int            `json:"part"` // how many chunks were applied since From was complete
 	Last      bool           `json:"last"`
 	Entries   []api.Endpoint `json:"entries,omitempty"`
 	Documents []api.Document `json:"documents,omitempty"`
 }
 
-// Region is what is held of another one.
+// Region is the replicated state of another region.
 type Region struct {
 	Name         string         `json:"name"`
 	Revision     int64          `json:"version"`
@@ -30,11 +30,11 @@
 	Documents    []api.Document `json:"documents"`
 }
 
-// regionCopy is what is held of another region.
+// regionCopy is the replicated state of another region.
 type regionCopy struct {
-	revision     int64 // all of its changes up to it are held
-	seenRevision int64 // the highest version of which a piece was taken in; nothing below it ever is again
-	part         int   // how many pieces were taken in since version was
+	revision     int64 // all its changes up to it are applied
+	seenRevision int64 // highest revision of which a chunk was applied; nothing below it ever is again
+	part         int   // how many chunks were applied since revision was
 	entries      map[string]api.Endpoint
 	documents    map[string]api.Document
 }
@@ -70,15 +70,16 @@
 	return all
 }
 
-// Replicated is what is held of another region, to be read only, and only while the list does not change.
+// Replicated is what is replicated of another region. To be read only, and only while the list does not
+// change.
 type Replicated struct {
 	Revision, SeenRevision int64
-	NextPart               int // of the next piece
+	NextPart               int // of the next chunk
 	Entries                map[string]api.Endpoint
 	Documents              map[string]api.Document
 }
 
-// Replicated is what is held of another region; the zero value where nothing is.
+// Replicated is what is replicated of another region; the zero value if nothing is.
 func (l *List) Replicated(region string) Replicated {
 	o := l.regions[region]
 	if o == nil {
@@ -87,16 +88,16 @@
 	return Replicated{Revision: o.revision, SeenRevision: o.seenRevision, NextPart: o.part, Entries: o.entries, Documents: o.documents}
 }
 
-// Regions are the names of the regions of which anything is held.
+// Regions are the names of the regions of which anything is replicated.
 func (l *List) Regions() []string { return slices.Sorted(maps.Keys(l.regions)) }
 
-// SkipRegionChecks has the list take in whatever it is told of other regions, also what is older: for the proof that checkers see that, and
-// never elsewhere.
+// SkipRegionChecks has the list apply whatever it is sent of other regions, older revisions too. It plants a
+// fault that checkers have to find, and is used for nothing else.
 func (l *List) SkipRegionChecks() { l.uncheckedRegions = true }
 
-// applyChunk takes in a piece. One that does not go on from what is held, that was worked out before another was taken in, or that is
-// older than what was begun changes nothing: so a leader that was followed by another, a piece that comes twice or late and a source
-// that went back do no harm.
+// applyChunk applies a chunk. One that does not follow what is replicated, that was computed before another
+// was applied, or that is older than what was begun changes nothing. So a deposed leader, a chunk that comes
+// twice or late, and a source that went back do no harm.
 func (l *List) applyChunk(p *Chunk) Result {
 	if p == nil || p.Region == "" || p.Region == l.region {
 		return Result{Err: api.Errorf(api.CodeBadRequest, "a piece of another region's list is needed")}
@@ -145,7 +146,7 @@
 	return n
 }
 
-// removedIn is how many entries of a piece do not add to those held.
+// removedIn is how many entries of a chunk do not add to those held.
 func (l *List) removedIn(p *Chunk) (n int) {
 	replicated := l.Replicated(p.Region)
 	for _, e := range p.Entries {
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -1,6 +1,6 @@
 // Package registry owns a replica of the list service: the replicated log, leases, watches and the answers to calls.
 //
-// fsm.go holds the list as the log makes it, leases.go the servers' signs of life, watches.go tells of changes, forming.go
+// fsm.go holds the list as the log makes it, leases.go the servers' heartbeat, watches.go tells of changes, forming.go
 // decides how a replica takes part, server.go answers; documents.go has the calls on services' settings, acks.go what sidecars say of
 // them, regions.go follows other regions.
 package registry
@@ -11,7 +11,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -23,9 +22,7 @@
 	"syscall"
 	"time"
 
-	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
-	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"mosslead/internal/durable"
 	"mosslead/internal/registry/api"
@@ -56,7 +53,7 @@
 
 	mu          sync.Mutex
 	leases      leaseTable
-	leaderships leasetable.Table // of duties
+	leaderships leasetable.Table // of leaderships
 	acks        acks
 	followers   map[string]*follower // of other regions, by name; while it leads
 	leading     bool                 // and all that was committed before is applied here
@@ -146,7 +143,7 @@
 			cancel(err)
 		}
 	})
-	n.log.Info("serves", "component", "registry", "node", n.me.Name, "address", ln.Addr().String(), "starts", n.me.StartCount)
+	n.log.Info("serving", "component", "registry", "node", n.me.Name, "address", ln.Addr().String(), "starts", n.me.StartCount)
 	if n.c.Metrics != "" {
 		stop, err := n.serveMetrics(&running)
 		if err != nil {
@@ -216,115 +213,6 @@
 	}
 }
 
-// startRaft starts the log, from the directory or in memory. form, if not empty, is the quorum that begins here.
-func (n *Node) startRaft(ctx context.Context, form []raft.Server) (r *raft.Raft, stop func(), err error) {
-	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(n.me.Name)
-	c.HeartbeatTimeout, c.ElectionTimeout = n.c.Heartbeat.Duration, n.c.Heartbeat.Duration
-	c.LeaderLeaseTimeout, c.CommitTimeout = n.c.Heartbeat.Duration/2, 10*time.Millisecond
-	c.Logger = hclog.New(&hclog.LoggerOptions{Output: io.Discard})
-	var logs raft.LogStore
-	var stable raft.StableStore
-	var snaps raft.SnapshotStore
-	var transport raft.Transport
-	var closers []io.Closer
-	stop = func() {
-		for _, x := range closers {
-			_ = x.Close()
-		}
-	}
-	defer func() {
-		if err != nil {
-			stop()
-		}
-	}()
-	if n.c.Dev {
-		store := raft.NewInmemStore()
-		logs, stable, snaps = store, store, raft.NewInmemSnapshotStore()
-		_, transport = raft.NewInmemTransport("dev")
-	} else {
-		store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(n.c.Dir, "log.bolt"), MsgpackUseNewTimeFormat: true})
-		if err != nil {
-			return nil, stop, fmt.Errorf("log: %w", err)
-		}
-		closers = append(closers, store)
-		logs, stable = store, retryingStore{store, ctx, n.log}
-		if snaps, err = raft.NewFileSnapshotStoreWithLogger(n.c.Dir, retainedSnapshots, c.Logger); err != nil {
-			return nil, stop, fmt.Errorf("snapshots: %w", err)
-		}
-		stream, err := listen(n.c.RaftBind, n.me.Raft)
-		if err != nil {
-			return nil, stop, fmt.Errorf("raft_bind: %w", err)
-		}
-		t := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 4, Timeout: raftTimeout,
-			Logger: c.Logger, ServerAddressProvider: dialer(n.c.Dial), MsgpackUseNewTimeFormat: true})
-		closers = append(closers, t)
-		transport = t
-	}
-	if len(form) > 0 {
-		if has, err := raft.HasExistingState(logs, stable, snaps); err != nil {
-			return nil, stop, fmt.Errorf("log: %w", err)
-		} else if !has {
-			if err := raft.BootstrapCluster(c, logs, stable, snaps, transport, raft.Configuration{Servers: form}); err != nil {
-				return nil, stop, fmt.Errorf("forming a quorum: %w", err)
-			}
-		}
-	}
-	r, err = raft.NewRaft(c, n.machine, logs, stable, snaps, transport)
-	if err != nil {
-		return nil, stop, fmt.Errorf("log: %w", err)
-	}
-	rest := stop
-	return r, func() {
-		ended := make(chan struct{})
-		go func() { _ = r.Shutdown().Error(); close(ended) }()
-		select {
-		case <-ended:
-			rest()
-		case <-time.After(raftTimeout): // it stands still for want of a disk; the process is about to end
-		}
-	}, nil
-}
-
-// stream is TCP, with the address that others know.
-type stream struct {
-	net.Listener
-	known raft.ServerAddress
-}
-
-func listen(bind, known string) (*stream, error) {
-	ln, err := net.Listen("tcp", bind)
-	if err != nil {
-		return nil, err
-	}
-	return &stream{ln, raft.ServerAddress(known)}, nil
-}
-
-// Dial implements raft.StreamLayer.
-func (s *stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", string(address), min(timeout, time.Second))
-}
-
-// Addr implements raft.StreamLayer.
-func (s *stream) Addr() net.Addr { return known(s.known) }
-
-type known string
-
-// Network implements net.Addr.
-func (known) Network() string  { return "tcp" }
-func (k known) String() string { return string(k) }
-
-// dialer knows where others are reached from here.
-type dialer map[string]Peer
-
-// ServerAddr implements raft.ServerAddressProvider.
-func (d dialer) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	if p, ok := d[string(id)]; ok && p.Raft != "" {
-		return raft.ServerAddress(p.Raft), nil
-	}
-	return "", fmt.Errorf("no address of its own for %s", id) // the one that all know is used
-}
-
 func (n *Node) leadNoMore() {
 	n.mu.Lock()
 	n.leading = false
@@ -335,11 +223,11 @@
 func (n *Node) lead(r *raft.Raft, leads bool) {
 	n.leadNoMore()
 	if !leads {
-		n.log.Info("leads no more", "component", "registry", "node", n.me.Name)
+		n.log.Info("leadership lost", "component", "registry", "node", n.me.Name)
 		return
 	}
 	if err := r.Barrier(raftTimeout).Error(); err != nil {
-		n.log.Warn("could not begin to lead", "component", "registry", "node", n.me.Name, "err", err)
+		n.log.Warn("leadership not taken up", "component", "registry", "node", n.me.Name, "err", err)
 		// Nothing else would try again while this replica leads: another one may.
 		_ = r.LeadershipTransfer().Error()
 		return
@@ -353,7 +241,7 @@
 	n.leases.lead(n.now(), records)
 	n.acks.lead()
 	n.mu.Unlock()
-	n.log.Info("leads", "component", "registry", "node", n.me.Name, "epoch", r.CurrentTerm(), "entries", len(records))
+	n.log.Info("leadership acquired", "component", "registry", "node", n.me.Name, "epoch", r.CurrentTerm(), "entries", len(records))
 }
 
 // announce has the others remember this start, so that a copy of an older disk is known as one.
@@ -366,7 +254,7 @@
 			err = n.call(ctx, http.MethodPost, at+"/v1/announce", n.me, nil)
 		}
 		if err != nil {
-			n.log.Debug("not known to the others yet", "component", "registry", "node", n.me.Name, "err", err)
+			n.log.Debug("replica not registered yet", "component", "registry", "node", n.me.Name, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -490,16 +378,16 @@
 		}
 		n.mu.Unlock()
 		if holding != was {
-			n.log.Warn("leases fell silent together: entries are kept", "component", "registry", "node", n.me.Name, "holding", holding)
+			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.me.Name, "holding", holding)
 		}
 		if len(ended) > 0 {
 			if _, err := n.apply(list.Command{Op: list.Expire, Expired: ended}); err != nil {
-				n.log.Warn("lapsed entries stay", "component", "registry", "node", n.me.Name, "err", err)
+				n.log.Warn("expired endpoints not removed", "component", "registry", "node", n.me.Name, "err", err)
 			}
 		}
 		if len(idle) > 0 {
 			if _, err := n.applyLeadership(list.Command{Op: list.ForgetLeaderships, ExpiredTerms: idle}); err != nil {
-				n.log.Warn("lapsed duties stay", "component", "registry", "node", n.me.Name, "err", err)
+				n.log.Warn("expired leaderships not removed", "component", "registry", "node", n.me.Name, "err", err)
 			}
 		}
 	}
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -384,7 +384,7 @@
 	}
 }
 
-// A duty outlives the leader that gave it, with the full lease again; who comes after its end gets it under a higher epoch,
+// A leadership outlives the leader that gave it, with the full lease again; who comes after its end gets it under a higher epoch,
 // and whoever held it is told so.
 func TestADutyOutlivesTheLeader(t *testing.T) {
 	q := newQuorum(t, 3)
--- /dev/null
+++ b/internal/registry/raft.go
@@ -0,0 +1,156 @@
+package registry
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"path/filepath"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+)
+
+// raftParts are what raft needs beside its configuration.
+type raftParts struct {
+	logs      raft.LogStore
+	stable    raft.StableStore
+	snapshots raft.SnapshotStore
+	transport raft.Transport
+	closers   []io.Closer
+}
+
+func (p *raftParts) close() {
+	for _, x := range p.closers {
+		_ = x.Close()
+	}
+}
+
+// startRaft starts raft, from the directory or in memory. form, if not empty, is the quorum that begins here.
+func (n *Node) startRaft(ctx context.Context, form []raft.Server) (r *raft.Raft, stop func(), err error) {
+	c := n.raftConfig()
+	parts, err := n.raftParts(ctx, c)
+	if err == nil && len(form) > 0 {
+		err = parts.bootstrap(c, form)
+	}
+	if err == nil {
+		r, err = raft.NewRaft(c, n.machine, parts.logs, parts.stable, parts.snapshots, parts.transport)
+		if err != nil {
+			err = fmt.Errorf("log: %w", err)
+		}
+	}
+	if err != nil {
+		parts.close()
+		return nil, parts.close, err
+	}
+	return r, func() { shutdown(r, parts) }, nil
+}
+
+func (n *Node) raftConfig() *raft.Config {
+	c := raft.DefaultConfig()
+	c.LocalID = raft.ServerID(n.me.Name)
+	c.HeartbeatTimeout, c.ElectionTimeout = n.c.Heartbeat.Duration, n.c.Heartbeat.Duration
+	c.LeaderLeaseTimeout, c.CommitTimeout = n.c.Heartbeat.Duration/2, 10*time.Millisecond
+	c.Logger = hclog.New(&hclog.LoggerOptions{Output: io.Discard})
+	return c
+}
+
+// raftParts opens the stores and the transport. What was opened before an error is in the parts, to be closed.
+func (n *Node) raftParts(ctx context.Context, c *raft.Config) (*raftParts, error) {
+	p := &raftParts{}
+	if n.c.Dev {
+		store := raft.NewInmemStore()
+		p.logs, p.stable, p.snapshots = store, store, raft.NewInmemSnapshotStore()
+		_, p.transport = raft.NewInmemTransport("dev")
+		return p, nil
+	}
+	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(n.c.Dir, "log.bolt"), MsgpackUseNewTimeFormat: true})
+	if err != nil {
+		return p, fmt.Errorf("log: %w", err)
+	}
+	p.closers = append(p.closers, store)
+	p.logs, p.stable = store, retryingStore{store, ctx, n.log}
+	if p.snapshots, err = raft.NewFileSnapshotStoreWithLogger(n.c.Dir, retainedSnapshots, c.Logger); err != nil {
+		return p, fmt.Errorf("snapshots: %w", err)
+	}
+	stream, err := listen(n.c.RaftBind, n.me.Raft)
+	if err != nil {
+		return p, fmt.Errorf("raft_bind: %w", err)
+	}
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 4, Timeout: raftTimeout,
+		Logger: c.Logger, ServerAddressProvider: dialer(n.c.Dial), MsgpackUseNewTimeFormat: true})
+	p.closers = append(p.closers, transport)
+	p.transport = transport
+	return p, nil
+}
+
+// bootstrap forms the quorum, unless the log holds one already.
+func (p *raftParts) bootstrap(c *raft.Config, form []raft.Server) error {
+	has, err := raft.HasExistingState(p.logs, p.stable, p.snapshots)
+	if err != nil {
+		return fmt.Errorf("log: %w", err)
+	}
+	if has {
+		return nil
+	}
+	if err := raft.BootstrapCluster(c, p.logs, p.stable, p.snapshots, p.transport, raft.Configuration{Servers: form}); err != nil {
+		return fmt.Errorf("forming a quorum: %w", err)
+	}
+	return nil
+}
+
+// shutdown ends raft, and then closes its parts. Raft may be stopped for want of a disk: it is left alone then, as the
+// process is about to end.
+func shutdown(r *raft.Raft, parts *raftParts) {
+	ended := make(chan struct{})
+	go func() {
+		_ = r.Shutdown().Error()
+		close(ended)
+	}()
+	select {
+	case <-ended:
+		parts.close()
+	case <-time.After(raftTimeout):
+	}
+}
+
+// stream is TCP, with the address that others know.
+type stream struct {
+	net.Listener
+	known raft.ServerAddress
+}
+
+func listen(bind, known string) (*stream, error) {
+	ln, err := net.Listen("tcp", bind)
+	if err != nil {
+		return nil, err
+	}
+	return &stream{ln, raft.ServerAddress(known)}, nil
+}
+
+// Dial implements raft.StreamLayer.
+func (s *stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	return net.DialTimeout("tcp", string(address), min(timeout, time.Second))
+}
+
+// Addr implements raft.StreamLayer.
+func (s *stream) Addr() net.Addr { return known(s.known) }
+
+type known string
+
+// Network implements net.Addr.
+func (known) Network() string  { return "tcp" }
+func (k known) String() string { return string(k) }
+
+// dialer knows where others are reached from here.
+type dialer map[string]Peer
+
+// ServerAddr implements raft.ServerAddressProvider.
+func (d dialer) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+	if p, ok := d[string(id)]; ok && p.Raft != "" {
+		return raft.ServerAddress(p.Raft), nil
+	}
+	return "", fmt.Errorf("no address of its own for %s", id) // the one that all know is used
+}
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -13,25 +13,26 @@
 	"mosslead/internal/registry/list"
 )
 
-// resyncAfter is how long another region may be unheard before all of its list is asked for again instead of what changed: for as
-// long as that it could have been put back to an old copy, and have gone on from it to a version that tells nothing of that.
+// resyncAfter is how long another region may be silent before its full list is requested again instead of the
+// changes: for so long it could have been restored from an old copy, and have gone on from it to a revision
+// that says nothing of that.
 const resyncAfter = 10 * time.Second
 
 // errNotLeader ends what only a leader does.
 var errNotLeader = errors.New("this replica leads no more")
 
-// follower follows one other region while this replica leads. run is its one owner.
+// follower replicates one other region while this replica leads. run owns it.
 type follower struct {
 	n      *Node
 	region string
 	client *client.Client
 
 	mu        sync.Mutex
-	lastHeard time.Duration // when the other last gave a sign of life; 0: not since this replica leads
+	lastHeard time.Duration // when the region last sent anything; 0: not since this replica leads
 	sync      federation.SyncState
 }
 
-// followRegions follows the other regions until stop is called, which waits for their end.
+// followRegions replicates the other regions until stop is called, which waits for their end.
 func (n *Node) followRegions(ctx context.Context) (stop func()) {
 	if len(n.c.Follow) == 0 {
 		return func() {}
@@ -56,14 +57,14 @@
 	}
 }
 
-// run follows until ctx ends. Calls go to the region's replicas in turn, at the client's pace.
+// run replicates until ctx ends. Calls go to the region's replicas in turn, at the client's pace.
 func (f *follower) run(ctx context.Context) {
 	defer f.client.Close()
 	f.client.Region(ctx, f.nextRevision, client.Watcher{
 		Apply: func(l api.WatchEvent) error { return f.apply(ctx, l) },
 		OnError: func(at string, why error) {
 			if ctx.Err() == nil {
-				f.n.log.Warn("a region is not followed for now", "component", "registry", "node", f.n.me.Name, "region", f.region, "at", at, "err", why)
+				f.n.log.Warn("region replication interrupted", "component", "registry", "node", f.n.me.Name, "region", f.region, "at", at, "err", why)
 			}
 		},
 	}, f.onHeard)
@@ -75,7 +76,7 @@
 	f.lastHeard = f.n.now()
 }
 
-// nextRevision is the version that is asked on from; -1: all is asked for.
+// nextRevision is the revision from which changes are requested; -1: the full list is.
 func (f *follower) nextRevision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,8 +88,8 @@
 	return list.Replicated{Revision: h.Revision, SeenRevision: h.SeenRevision} // the rest may change by now
 }
 
-// apply has the log take in what the other region tells. An error ends the watch, so that the next call begins from what is held
-// by then.
+// apply has the log apply what the other region sends. An error ends the watch, so that the next call begins
+// from what is replicated by then.
 func (f *follower) apply(ctx context.Context, l api.WatchEvent) error {
 	var chunks []list.Chunk
 	var anomaly, rejected string
@@ -116,14 +117,14 @@
 	return nil
 }
 
-// recordSync notes what came of a listing.
+// recordSync records what became of an event.
 func (f *follower) recordSync(snapshot bool, anomaly, rejected string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sync.Record(snapshot, anomaly, rejected)
 }
 
-// replication is how far this replica has followed others, as the leader; nil elsewhere.
+// replication is how far this replica has replicated other regions, as the leader; nil elsewhere.
 func (n *Node) replication() (all []api.ReplicationStatus) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -34,7 +34,7 @@
 	if err == nil {
 		return nil
 	}
-	p.log.Warn("stands still: it can't write its vote", "component", "registry", "err", err)
+	p.log.Warn("raft vote not written, replica waits", "component", "registry", "err", err)
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -42,7 +42,7 @@
 		case <-time.After(storeRetryInterval):
 		}
 		if write() == nil {
-			p.log.Info("goes on: its vote is written", "component", "registry")
+			p.log.Info("raft vote written, replica continues", "component", "registry")
 			return nil
 		}
 	}
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -32,7 +32,7 @@
 	catchUpTimeout = time.Second
 )
 
-// watches tell all watchers of changes: one goroutine wakes them, and each writes for itself.
+// watches notify all watchers of changes: one goroutine wakes them, and each writes for itself.
 type watches struct {
 	m      *stateMachine
 	max    int
@@ -41,21 +41,21 @@
 
 	mu           sync.Mutex
 	count        int
-	published    int64
-	changed      chan struct{}           // closed when there is news
-	lines        map[lineKey]encodedLine // up to told
-	publishTimer *time.Timer             // of the next telling, where one is due
+	published    int64                   // revision up to which watchers are notified
+	changed      chan struct{}           // closed when there is a change
+	lines        map[lineKey]encodedLine // up to published
+	publishTimer *time.Timer             // of the next publishing, if one is due
 	last         time.Time
 }
 
-// lineKey names one that several watchers may be told.
+// lineKey names a line that several watchers may be sent.
 type lineKey struct {
-	from    int64  // the version that it leads on from
-	own     bool   // with what this region writes alone
+	from    int64  // revision that it continues
+	own     bool   // only what this region writes
 	service string // with the settings of this service; empty: without any
 }
 
-// encodedLine is a line in words, and which settings are in it.
+// encodedLine is a line as it is sent, and which settings are in it.
 type encodedLine struct {
 	text     []byte
 	settings string
@@ -73,7 +73,7 @@
 	return &watches{m: m, max: limit, region: region, fresh: fresh, changed: make(chan struct{}), lines: map[lineKey]encodedLine{}}
 }
 
-// notify says that the list has changed. Watchers hear of it after a while that grows with their number.
+// notify says that the list has changed. Watchers are notified after a while that grows with their number.
 func (w *watches) notify() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,11 +94,11 @@
 	w.changed = make(chan struct{})
 }
 
-// fullList stands for every version after which the whole list is to be told, so that all who need it share one line.
+// fullList is the revision of every watcher that needs the full list, so that they share one line.
 const fullList = -1
 
-// line is what is to be said to a watcher, what it has then, and a channel that is closed on the next news. Nil: nothing. first: it
-// was told nothing yet.
+// line is what is to be sent to a watcher, what it has then, and a channel that is closed on the next change;
+// nil: nothing. first: it was sent nothing yet.
 func (w *watches) line(has watchState, first bool) (text []byte, then watchState, next <-chan struct{}, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,8 +158,8 @@
 	return text, then, next, nil
 }
 
-// serve is one watch, to its end. It takes the connection over from the server, since ten thousand idle ones should not
-// hold the buffers of a request each.
+// serve is one watch, to its end. It takes the connection over from the server, since ten thousand idle ones
+// should not hold the buffers of a request each.
 func (w *watches) serve(rw http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	if r.FormValue("from") == "" {
@@ -210,8 +210,8 @@
 	w.follow(conn, has, r.Context().Done())
 }
 
-// catchUp waits until a version is told here, or for catchUpTimeout. Without it, a watcher who comes from a replica that is ahead by a
-// moment would be told an older list as the whole one, and so go back.
+// catchUp waits until a revision is published here, or for catchUpTimeout. Without it, a watcher who comes
+// from a replica that is ahead by a moment would be sent an older list as the full one, and so go back.
 func (w *watches) catchUp(ctx context.Context, from int64) {
 	late := time.NewTimer(catchUpTimeout)
 	defer late.Stop()
@@ -240,7 +240,7 @@
 
 var errWatchOver = errors.New("this replica stops")
 
-// follow tells of changes until the watcher is gone, or this replica's list is too old to be told.
+// follow sends changes until the watcher is gone, or this replica's list is too old to be sent.
 func (w *watches) follow(conn net.Conn, has watchState, over <-chan struct{}) {
 	out := chunkWriter{conn}
 	if !out.write([]byte(watchHead), false) {
@@ -284,7 +284,7 @@
 	}
 }
 
-// chunkWriter writes the chunks of an answer.
+// chunkWriter writes the chunks of a response.
 type chunkWriter struct{ conn net.Conn }
 
 func (c chunkWriter) write(text []byte, framed bool) bool {
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -91,7 +91,7 @@
 var used = sync.OnceValue(func() Keys {
 	keys, err := DocumentKeys(wire.Keys())
 	if err != nil {
-		panic(err) // the module's own text
+		panic(err) // the balancer's own text
 	}
 	return keys
 })
--- a/internal/settings/locate.go
+++ b/internal/settings/locate.go
@@ -10,7 +10,7 @@
 )
 
 // Place is where in a text an error of Check is: line and column count from 1, the latter in bytes. A Line of 0: it can't be told.
-// Key is the path of the key, in the words of the file; empty: the error names it itself, or there is none.
+// Key is the path of the key, in the messages of the file; empty: the error names it itself, or there is none.
 type Place struct {
 	Line, Column int
 	Key          string
--- a/internal/settings/locate_test.go
+++ b/internal/settings/locate_test.go
@@ -20,7 +20,7 @@
  "Tenants": [{"Name": "a", "Fraction": 0.5}]
 }`
 
-// Guards against an error that leaves the operator to search: each setting that the check turns down is told with its line and key,
+// Guards against an error that leaves the operator to search: each setting that the check rejects is told with its line and key,
 // in the file's words. Also against the check's words and keyOf drifting apart.
 func TestWhatIsTurnedDownIsLocated(t *testing.T) {
 	if _, err := Check(1, []byte(whole)); err != nil {
--- a/internal/sidecar/acks.go
+++ b/internal/sidecar/acks.go
@@ -70,9 +70,9 @@
 			continue
 		}
 		if failing = err != nil; failing {
-			logWarning(ofSettings, "what is in force can't be told, settings go on", err)
+			logWarning(ofSettings, "settings acknowledgement failed, settings stay in force", err)
 		} else {
-			logAttrs(slog.LevelInfo, ofSettings, "what is in force is told again")
+			logAttrs(slog.LevelInfo, ofSettings, "settings acknowledged again")
 		}
 	}
 }
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -22,7 +22,7 @@
 	acceptRetryInterval = 20 * time.Millisecond  // after an accept that failed, for want of descriptors, say
 )
 
-// adminServer is the second listener, for operators: one call a connection, one line a call. Calls never wait for requests.
+// adminServer is the operators' port: one call a connection, one line a call.
 type adminServer struct {
 	listener net.Listener
 	ready    func() bool
@@ -53,7 +53,7 @@
 		}
 		select {
 		case d.slots <- struct{}{}:
-		default: // full: the caller that has been silent for longest gives way
+		default: // full: the caller that has been silent for longest is evicted
 			d.mu.Lock()
 			if len(d.waiting) > 0 {
 				_ = d.waiting[0].Close()
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -31,7 +31,7 @@
 	return string(text)
 }
 
-// withDoor is a running sidecar with a door, over upstreams of these names that answer with theirs.
+// withDoor is a running sidecar with an admin port, over upstreams of these names that answer with theirs.
 func withDoor(t *testing.T, names ...string) (*running, map[string]*fakeUpstream) {
 	t.Helper()
 	ups := map[string]*fakeUpstream{}
@@ -84,7 +84,7 @@
 
 func (c *brokenConn) Read(p []byte) (int, error) { return c.from.Read(p) }
 
-// Guards against callers that hold the door shut by sending nothing: the oldest of them gives way.
+// Guards against callers that hold the admin port shut by sending nothing: the oldest of them is evicted.
 func TestSilentCallersGiveWay(t *testing.T) {
 	r, _ := withDoor(t, "s")
 	var silent []net.Conn
@@ -179,7 +179,7 @@
 	eventually(t, "true figures", func() bool { got = r.call(t, "STATS\n"); return got == want || t.Failed() })
 }
 
-// Guards against a door where none is configured, and against one at a place that is none.
+// Guards against an admin port where none is configured, and against one at a place that is none.
 func TestDoorIsConfigured(t *testing.T) {
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:9000","discovery":"127.0.0.1:1","seed":"1",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, testSettings)
--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -20,7 +20,7 @@
 	bodyStartTimeout = 700 * time.Millisecond
 )
 
-// byteBudget bounds the bytes that are kept of all bodies and answers together.
+// byteBudget bounds the bytes that are retained of all bodies and answers together.
 type byteBudget struct {
 	mu   sync.Mutex
 	left int64
@@ -46,7 +46,7 @@
 	errBodyLarge    = errors.New("the body is too large")
 )
 
-// clientBody is a request's body: what is kept of it, and what is still to come from the client.
+// clientBody is a request's body: what is retained of it, and what is still to come from the client.
 type clientBody struct {
 	retained []byte
 	length   int64 // -1: not stated
@@ -200,15 +200,15 @@
 	return n, err
 }
 
-// rateLimitedReader reads a client's body for as long as it makes progress. What an upstream makes us wait does not count, as it
-// would with http.Server's ReadTimeout.
+// rateLimitedReader reads a client's body for as long as it makes progress. The time that an upstream makes
+// us wait does not count, as it would with http.Server's ReadTimeout.
 type rateLimitedReader struct {
 	body     io.Reader
 	conn     *http.ResponseController
-	timeLeft time.Duration // patience, before what the bytes to come add
+	timeLeft time.Duration // timeout, before what the bytes to come add
 }
 
-// newRateLimitedReader begins a body's patience. A peer that never sent a request is owed an answer or a close within 3 s of
+// newRateLimitedReader begins a body's timeout. A peer that never sent a request is owed an answer or a close within 3 s of
 // connecting: accepted is when that was, or the zero time for one that did.
 func newRateLimitedReader(body io.Reader, conn *http.ResponseController, accepted time.Time) *rateLimitedReader {
 	left := requestTimeout
@@ -256,7 +256,7 @@
 			b.retained, b.rest = buf, from
 			return b, nil
 		}
-		if len(buf) == cap(buf) { // by hand, to double exactly and not beyond the budget; small bodies of unknown length stay small
+		if len(buf) == cap(buf) { // by an operator, to double exactly and not beyond the budget; small bodies of unknown length stay small
 			buf = append(make([]byte, 0, min(b.reserved, int64(2*cap(buf)))), buf...)
 		}
 		n, err := from.Read(buf[len(buf):cap(buf)])
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards against chunks that are turned down, or passed on with what belongs to the client's connection: extensions and
+// Guards against chunks that are rejected, or passed on with what belongs to the client's connection: extensions and
 // trailers end here, and what is small goes on with its length.
 func TestChunkedRequest(t *testing.T) {
 	s := newUpstream(t, says(ok200("done")))
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	maxPendingReports  = 256                    // words of the loop that wait for the board
+	maxPendingReports  = 256                    // messages of the loop that wait for the tracker
 	maxPendingVerdicts = 256                    // verdicts that wait for the loop
 	reportTTL          = 5 * time.Second        // what was said of a breaker is believed for so long, unless said anew
 	reportInterval     = 2 * time.Second        // and it is, so often
-	probeTTL           = 3 * time.Second        // a holder of trials is believed to be one for so long
-	breakerTick        = 100 * time.Millisecond // the board looks at least so often
+	probeTTL           = 3 * time.Second        // a leader of probes is believed to be one for so long
+	breakerTick        = 100 * time.Millisecond // the tracker looks at least so often
 )
 
-// probeLeaderships is what the breakers need of the duties. Absent, each sidecar makes its own trials, as without others.
+// probeLeaderships is what the breakers need of the leaderships. Absent, each sidecar makes its own probes, as without others.
 type probeLeaderships interface {
-	// campaign tells whether this sidecar wants to hold a duty; it does not wait.
+	// campaign tells whether this sidecar wants to hold a leadership; it does not wait.
 	campaign(name string, wanted bool)
-	// holds tells whether the duty is held now, and under which epoch: asked at each act.
+	// holds tells whether the leadership is held now, and under which epoch: asked at each act.
 	holds(name string) (epoch uint64, ok bool)
 }
 
-// broadcaster is what the breakers need of the carrier.
+// broadcaster is what the breakers need of gossip.
 type broadcaster interface {
 	Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, withdrawn bool) error
 	Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record]
 	Members() []message.Member
 }
 
-// evidenceReport is what the loop says of an upstream.
+// evidenceReport is what the dispatcher reports of an upstream.
 type evidenceReport struct {
 	report message.Report
-	probe  bool // it is of a trial made for all, which went well if the report is closed
+	probe  bool // it is of a probe made for all, which went well if the report is closed
 }
 
-// ownProbe are those of one upstream that this sidecar holds or wishes to.
+// ownProbe is the probing of one upstream that this sidecar leads or campaigns for.
 type ownProbe struct {
 	startedMs   int64
 	campaigning bool
@@ -53,14 +53,15 @@
 	announcedAt time.Duration
 }
 
-// breakerTracker is the thread that owns the board: reports in, from here and from others, verdicts out.
+// breakerTracker is the goroutine that owns the verdict tracker: reports in, from here and from others,
+// verdicts out.
 type breakerTracker struct {
 	s             *sharing
 	gossip        broadcaster
 	leaderships   probeLeaderships
 	tracker       *circuitbreaker.VerdictTracker
 	suspicion     *circuitbreaker.SelfSuspicion
-	selfSuspicion float64                   // how far this process doubts itself, as of the latest look
+	selfSuspicion float64                   // how far this process distrusts itself, as of the latest look
 	own           map[string]message.Report // open breakers of this sidecar, said again until closed
 	announcedAt   map[string]time.Duration
 	probes        map[string]*ownProbe
@@ -98,7 +99,7 @@
 	}
 }
 
-// read takes what was heard, as the board wants it.
+// read takes what was heard, as the tracker wants it.
 func read(inbox *conflate.Queue[message.Key, message.Record]) (all circuitbreaker.Batch) {
 	for r, ok := inbox.Pop(); ok; r, ok = inbox.Pop() {
 		if e := event(r); e != nil {
@@ -108,7 +109,7 @@
 	return all
 }
 
-// event is what a record says to the board; nil: nothing.
+// event is what a record says to the tracker; nil: nothing.
 func event(r message.Record) circuitbreaker.Event {
 	switch r.Kind {
 	case message.Breaker:
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// tick lets time pass: who is present, what is listed, what must be said again, which trials are held.
+// tick lets time pass: who is present, what is listed, what must be said again, which probes are held.
 func (p *breakerTracker) tick() {
 	now := p.s.clock.now()
 	members := p.gossip.Members()
@@ -181,12 +182,12 @@
 	p.handle(circuitbreaker.OwnReport{Report: r})
 }
 
-// announce tells the others a report, with how far this process doubts itself by now.
+// announce tells the others a report, with how far this process distrusts itself by now.
 func (p *breakerTracker) announce(key string, r message.Report) {
 	r.SelfSuspicion = max(r.SelfSuspicion, p.selfSuspicion)
 	p.announcedAt[key] = p.s.clock.now()
 	if err := p.gossip.Broadcast(message.Breaker, key, r, reportTTL, false); err != nil {
-		logWarning(ofPeers, "a report was not said", err)
+		logWarning(ofPeers, "breaker report not sent", err)
 	}
 }
 
@@ -195,11 +196,11 @@
 	delete(p.own, key)
 	delete(p.announcedAt, key)
 	if err := p.gossip.Broadcast(message.Breaker, key, closed(r), reportTTL, true); err != nil {
-		logWarning(ofPeers, "the end of a report was not said", err)
+		logWarning(ofPeers, "withdrawal of a breaker report not sent", err)
 	}
 }
 
-// updateProbes looks which of the wished trials are held by now, and says so again.
+// updateProbes looks which of the wished probes are held by now, and says so again.
 func (p *breakerTracker) updateProbes(now time.Duration) (events circuitbreaker.Batch) {
 	for _, upstream := range slices.Sorted(maps.Keys(p.probes)) {
 		t := p.probes[upstream]
@@ -221,7 +222,7 @@
 	return events
 }
 
-// onProbeResult takes what came of a trial made for all. It counts only while the duty is still held.
+// onProbeResult takes what came of a probe made for all. It counts only while the leadership is still held.
 func (p *breakerTracker) onProbeResult(r message.Report) {
 	t := p.probes[r.Upstream]
 	if t == nil || t.startedMs != r.StartedMs {
@@ -246,12 +247,12 @@
 func (p *breakerTracker) announceProbe(t *ownProbe) circuitbreaker.Event {
 	t.announcedAt = p.s.clock.now()
 	if err := p.gossip.Broadcast(message.Probe, t.result.Upstream, t.result, probeTTL, false); err != nil {
-		logWarning(ofPeers, "a trial was not said", err)
+		logWarning(ofPeers, "probe result not sent", err)
 	}
 	return circuitbreaker.ProbeResult{From: p.s.self.Name, Result: t.result, TTL: probeTTL}
 }
 
-// deliver hands verdicts to the loop, and wishes for the trials of what is open.
+// deliver hands verdicts to the loop, and wishes for the probes of what is open.
 func (p *breakerTracker) deliver(verdicts []circuitbreaker.Verdict) {
 	for _, v := range verdicts {
 		h := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.s.clock.unixMs(float64(v.StartedMs)), Class: v.Class, Since: v.Since,
--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -11,7 +11,7 @@
 	"mosslead/internal/gossip/message"
 )
 
-// leases are duties as a test says.
+// leases are leaderships as a test says.
 type leases struct {
 	epoch  uint64
 	held   bool
@@ -41,7 +41,7 @@
 	p := newBreakerTracker(s, d)
 	p.handle(circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: s.dir.incarnations()},
 		circuitbreaker.Roster{Members: []message.Member{s.self, {Name: "n1", Site: "cebu"}, {Name: "n2", Site: "davao"}}}})
-	s.clock.start = s.clock.start.Add(-time.Minute) // the board has settled
+	s.clock.start = s.clock.start.Add(-time.Minute) // the tracker has settled
 	return p
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// Trials are wished for while a breaker is open, said under the lease's epoch, in steps, and not once the lease is over.
+// Probes are wished for while a breaker is open, said under the lease's epoch, in steps, and not once the lease is over.
 func TestTrialsAreSaidUnderALease(t *testing.T) {
 	d := &leases{epoch: 3, wished: map[string]bool{}}
 	p := breakersRig(t, d)
