--- a/internal/lab/build/build_test.go
+++ b/internal/lab/build/build_test.go
@@ -1,6 +1,7 @@
 package build
 
 import (
+	"context"
 	"os"
 	"path/filepath"
 	"testing"
@@ -21,3 +22,20 @@
 		t.Error("a tree without a sidecar has one")
 	}
 }
+
+// A patch plants a fault that an experiment has to find. One that no longer applies would fail it for no fault.
+func TestPatchesOfExperimentsApply(t *testing.T) {
+	root, err := Root(".")
+	if err != nil {
+		t.Fatal(err)
+	}
+	patches, err := filepath.Glob(filepath.Join(root, "experiments", "patches", "*.patch"))
+	if err != nil || len(patches) == 0 {
+		t.Fatalf("%d patches, %v", len(patches), err)
+	}
+	for _, patch := range patches {
+		if _, err := run(context.Background(), root, "git", "apply", "--check", "--whitespace=nowarn", patch); err != nil {
+			t.Error(err)
+		}
+	}
+}
