--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -158,16 +158,16 @@
 // tells of that endpoint, and of no congestion.
 func (a *admission) observeCongestion(at *attempt, res Result, elapsed, now time.Duration) {
 	r := at.request
-	took := min(elapsed.Seconds()/(r.objectiveAt-r.arrivedAt).Seconds(), maxCongestion)
+	usedFraction := min(elapsed.Seconds()/(r.objectiveAt-r.arrivedAt).Seconds(), maxCongestion)
 	if res == Overloaded {
-		took = maxCongestion
+		usedFraction = maxCongestion
 	}
 	repeated := res == Overloaded && at.endpoint.health.rejections > 0
-	uninformative := res == NotSent || res == ConnectFailed || res == Cancelled && took <= a.congestion
+	uninformative := res == NotSent || res == ConnectFailed || res == Cancelled && usedFraction <= a.congestion
 	if repeated || uninformative || r.stalled {
 		return
 	}
-	a.congestion += congestionWeight * (took - a.congestion)
+	a.congestion += congestionWeight * (usedFraction - a.congestion)
 	a.congestionAt = now
 }
 
--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -25,7 +25,7 @@
 }
 
 // Guards against requests that wait for what operators took out: with all out, they are refused at once.
-func TestAllBannedIsRefusedAtOnce(t *testing.T) {
+func TestAllBannedIsRejectedAtOnce(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
 	r.do(Ban{Upstream: "u0"})
@@ -35,7 +35,7 @@
 
 // Guards against an upstream that stays unused when it is called back, and against one that is pushed over: it gets its
 // first request soon, though idle ones look faster, and then no more than its slow-start budget.
-func TestLiftedBanIsColdAndGetsWork(t *testing.T) {
+func TestClearedBanBeginsSlowStartAndGetsWork(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(12)
 	for i := range 200 { // estimates, and a rate
@@ -74,7 +74,7 @@
 
 // Guards against an upstream pushed over when it is called back: each sidecar sent it a request at once, and it stood first
 // with all of them. Few sidecars still do.
-func TestLiftedBanIsNotPushedOverByAllSidecars(t *testing.T) {
+func TestClearedBanIsNotOverloadedByAllSidecars(t *testing.T) {
 	for _, c := range []struct {
 		sidecars int
 		perSec   float64 // of each
--- a/balancer/body_test.go
+++ b/balancer/body_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against a second attempt with half a body: it is refused, as it never ran.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
+func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Idempotency = NotIdempotent
 	r := newRig(t, s)
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -8,7 +8,7 @@
 
 // Guards against upstreams in slow start that stay unused when they are needed most: while work is refused, the work admitted
 // shrinks, and a budget that is a part of it would shrink too.
-func TestColdBudgetHoldsWhileWorkIsRefused(t *testing.T) {
+func TestSlowStartHoldsWhileLoadIsShed(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(6)
 	for i := range 600 {
@@ -41,7 +41,7 @@
 
 // Guards against upstreams that are congested while a part of them is out by an operator: what is in flight is set against those
 // that take some of it.
-func TestCrowdIsMeasuredOnUsableUpstreams(t *testing.T) {
+func TestCongestionIsMeasuredOnUsableEndpoints(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
 	r := newRig(t, s)
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -253,7 +253,7 @@
 // In a large fleet upstreams that answer alike get work by their stated size; a weight that is none counts as 1. In a
 // small one pending counts tell, and the draws are even.
 func TestDrawsFollowStatedSize(t *testing.T) {
-	share := func(sidecars int) float64 {
+	fraction := func(sidecars int) float64 {
 		s := testSettings()
 		s.FleetSize = sidecars
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -263,7 +263,7 @@
 		w.play(20*time.Second, 100)
 		return float64(w.sends["large"]) / 2000
 	}
-	if few, many := share(2), share(80); few > 0.29 || many < 0.32 {
+	if few, many := fraction(2), fraction(80); few > 0.29 || many < 0.32 {
 		t.Errorf("the one of size 9 beside three of size 1 got %.2f from one of 2, %.2f from one of 80", few, many)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -18,10 +18,10 @@
 		fmt.Println(err)
 		return
 	}
-	var acts []balancer.Action
+	var actions []balancer.Action
 	report := func(now time.Duration, e balancer.Event) {
-		acts = b.Handle(now, e, acts[:0])
-		for _, a := range acts {
+		actions = b.Handle(now, e, actions[:0])
+		for _, a := range actions {
 			switch a.Kind {
 			case balancer.StartAttempt:
 				fmt.Println("send", a.ID, "to", a.Upstream)
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -31,16 +31,16 @@
 	return &world{rig: newRig(t, s), reply: reply, sends: map[string]int{}, ended: map[ActionKind]int{}}
 }
 
-func (w *world) take(acts []Action, tries map[string]int) {
-	for _, a := range acts {
+func (w *world) apply(actions []Action, attempts map[string]int) {
+	for _, a := range actions {
 		switch a.Kind {
 		case StartAttempt:
 			res, d := w.reply(a.Upstream)
-			f := flying{a: a, n: tries[a.ID], sent: w.now, at: w.now + d, res: res}
+			f := flying{a: a, n: attempts[a.ID], sent: w.now, at: w.now + d, res: res}
 			if d < 0 || d > a.Timeout {
 				f.at, f.res = w.now+a.Timeout, Timeout
 			}
-			tries[a.ID]++
+			attempts[a.ID]++
 			w.sends[a.Upstream]++
 			w.out = append(w.out, f)
 		case CancelAttempt:
@@ -57,16 +57,16 @@
 
 // play runs for d with perSec requests a second, spread evenly.
 func (w *world) play(d time.Duration, perSec int) {
-	tries := map[string]int{}
+	attempts := map[string]int{}
 	tick := w.b.settings.Tick
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
-		w.take(w.do(TimerFired{}), tries)
+		w.apply(w.do(TimerFired{}), attempts)
 		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
 			w.n++
-			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.settings.Classes[0].Name,
-				ExpiresAt: w.now + w.b.settings.Classes[0].Deadline}), tries)
+			w.apply(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.settings.Classes[0].Name,
+				ExpiresAt: w.now + w.b.settings.Classes[0].Deadline}), attempts)
 		}
 		for i := 0; i < len(w.out); i++ {
 			f := w.out[i]
@@ -78,8 +78,8 @@
 			if f.res == OK {
 				w.ok++
 			}
-			w.take(w.do(AttemptEnded{ID: f.a.ID, Attempt: f.n, Result: f.res, Elapsed: w.now - f.sent,
-				Final: f.res == OK}), tries)
+			w.apply(w.do(AttemptEnded{ID: f.a.ID, Attempt: f.n, Result: f.res, Elapsed: w.now - f.sent,
+				Final: f.res == OK}), attempts)
 		}
 	}
 }
@@ -116,9 +116,9 @@
 
 // A hung upstream answers nothing: known by the age of what is out, ejected by its silence.
 func TestHungUpstreamIsLeft(t *testing.T) {
-	for _, copies := range []bool{true, false} {
+	for _, hedges := range []bool{true, false} {
 		s := testSettings()
-		s.Hedging = copies
+		s.Hedging = hedges
 		w := newWorld(t, s, func(u string) (Result, time.Duration) {
 			if u == "u0" {
 				return OK, -1
@@ -128,13 +128,13 @@
 		w.fleet(5)
 		w.play(10*time.Second, 100)
 		if w.sends["u0"] > 60 || w.ok < 950 {
-			t.Errorf("copies %v: %d attempts on the hung upstream, %d of %d served", copies, w.sends["u0"], w.ok, w.n)
+			t.Errorf("copies %v: %d attempts on the hung upstream, %d of %d served", hedges, w.sends["u0"], w.ok, w.n)
 		}
 	}
 }
 
 // A pause shorter than any health check: copies save what waits there.
-func TestPauseIsCoveredByCopies(t *testing.T) {
+func TestPauseIsCoveredByHedging(t *testing.T) {
 	var w *world
 	w = newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
 		if phase := w.now % (2 * time.Second); u == "u0" && phase < 300*ms {
@@ -298,7 +298,7 @@
 
 // Answers that never come, one in ten, after a moment in which none did, from upstreams that answer the rest
 // at once: what hangs is no crowd, and what is served meanwhile no measure of what could be.
-func TestLostAnswersAreNoOverload(t *testing.T) {
+func TestStalledRequestsAreNoOverload(t *testing.T) {
 	s := testSettings()
 	s.Hedging = false
 	n, every := 0, 0
@@ -314,15 +314,15 @@
 	w.play(300*ms, 300)
 	every = 10
 	w.play(2*time.Second, 300)
-	ok, asked := w.ok, w.n
+	ok, polls := w.ok, w.n
 	w.play(4*time.Second, 300)
-	if got, of := w.ok-ok, w.n-asked; float64(got) < 0.75*float64(of) {
+	if got, of := w.ok-ok, w.n-polls; float64(got) < 0.75*float64(of) {
 		t.Errorf("%d of %d served, where nine of ten answers come at once", got, of)
 	}
 }
 
 // A request counts as lost for as long as its attempt is: not when it is sent again, and not when it has ended.
-func TestLostIsTheAttemptNotTheRequest(t *testing.T) {
+func TestStalledIsTheAttemptNotTheRequest(t *testing.T) {
 	s := testSettings()
 	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // it is worth waiting for after its objective
 	r := newRig(t, s)
@@ -347,7 +347,7 @@
 }
 
 // A cut zone with the list lost: work stays home, the cut zone is left alone but for probes, and comes back.
-func TestZoneCutWithListLost(t *testing.T) {
+func TestZoneCutWithoutAList(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
 	cut := false
@@ -386,7 +386,7 @@
 }
 
 // A dear crossing keeps work at home while home serves, and lets it go when home cannot.
-func TestHomeFirst(t *testing.T) {
+func TestLocalZoneFirst(t *testing.T) {
 	s := testSettings()
 	s.CrossZoneCost = 0.2
 	slow := false
@@ -409,335 +409,3 @@
 		t.Errorf("%d of 250 crossed while home was slow", far)
 	}
 }
-
-// Under pressure what is worth least goes first.
-func TestLeastWorthIsRefusedFirst(t *testing.T) {
-	s := testSettings()
-	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
-		{Name: "dear", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 9}}
-	r := newRig(t, s)
-	r.fleet(4)
-	refused := map[string]int{}
-	var open []string // answered in order, each 155 ms after it came: a little more than may wait
-	for i := range 600 {
-		id, class := fmt.Sprint(i), []string{"c", "dear"}[i%2]
-		if len(kinds(r.request(id, class, time.Second), StartAttempt)) == 0 {
-			refused[class]++
-			id = ""
-		}
-		if open = append(open, id); len(open) > 31 {
-			if open[0] != "" {
-				r.result(open[0], 0, OK, 155*ms)
-			}
-			open = open[1:]
-		}
-		r.now += 5 * ms
-	}
-	if refused["c"] < 10 || refused["dear"] > refused["c"]/2 {
-		t.Errorf("refused %v", refused)
-	}
-}
-
-// Part of what a tenant sends beyond its share counts as little.
-func TestBeyondItsShareCountsLess(t *testing.T) {
-	s := testSettings()
-	s.Tenants = []Tenant{{Name: "big", Quota: 0.5}, {Name: "small", Quota: 0.5}}
-	s.OverQuotaFraction = 0.1
-	r := newRig(t, s)
-	low := map[int]int{}
-	for i := range 1000 {
-		r.b.now += ms
-		q := &request{class: r.b.classes["c"], work: 1, tenant: min(i%10/9, 1)} // nine of ten are the first's
-		if r.b.value(q) < 1 {
-			low[q.tenant]++
-		}
-	}
-	if low[1] != 0 || low[0] < 300 || low[0] > 500 { // (0.9-0.5)/0.9 of 900
-		t.Errorf("counted low: %v", low)
-	}
-}
-
-// Retries and copies have a budget relative to first attempts.
-func TestRetryBudget(t *testing.T) {
-	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) { return ServerError, 5 * ms })
-	w.fleet(8)
-	w.play(20*time.Second, 100)
-	total := w.attempts()
-	if limit := float64(w.n)*(1+retryBudgetRatio) + minRetryBudget; float64(total) > limit {
-		t.Errorf("%d attempts for %d requests", total, w.n)
-	}
-}
-
-// Refused connections are retried beside the budget, and do not eat what copies need later.
-func TestRefusedConnectionsDoNotRunUpADebt(t *testing.T) {
-	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
-	w.fleet(4)
-	w.play(5*time.Second, 100)
-	if w.b.retryBudget.tokens < 0 {
-		t.Errorf("budget %v", w.b.retryBudget.tokens)
-	}
-}
-
-// What is counted in flight is exact, also late in a long life.
-func TestInHandDoesNotDrift(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.now = 400 * 24 * time.Hour
-	r.fleet(4)
-	r.request("stays", "c", time.Second)
-	for i := range 20000 {
-		id := fmt.Sprint(i)
-		r.request(id, "c", time.Second)
-		r.result(id, 0, OK, ms)
-	}
-	if b := r.b; b.admission.inFlight != 1 || b.admission.arrivalSum != r.now || b.admission.inverseObjectives < 4.999 || b.admission.inverseObjectives > 5.001 {
-		t.Errorf("in hand %d, %v, %v", b.admission.inFlight, b.admission.arrivalSum, b.admission.inverseObjectives)
-	}
-}
-
-// An upstream that answers errors at once is no choice beside queues that last longer than the penalty (id62488).
-func TestErrorsAtOnceDrawNoPicks(t *testing.T) {
-	broken := true
-	s := testSettings()
-	s.Classes[0].LatencyObjective = 400 * ms
-	w := newWorld(t, s, func(u string) (Result, time.Duration) {
-		if u == "u0" && broken {
-			return ServerError, time.Millisecond
-		}
-		return OK, 150 * ms // ten or more out at each: a load far above the penalty
-	})
-	w.fleet(4)
-	w.play(10*time.Second, 250)
-	if w.sends["u0"] > 40 {
-		t.Errorf("%d attempts on an upstream that only answers errors", w.sends["u0"])
-	}
-	broken = false
-	w.play(10*time.Second, 250)
-	if w.sends["u0"] < 200 || !w.logged("endpoint reinstated upstream=u0") {
-		t.Errorf("not back: %d attempts, log %q", w.sends["u0"], w.logs)
-	}
-}
-
-// Late answers from upstreams that go on answering narrow the limit, down to its least and back; what waits at a hung
-// upstream does not (i4fffd9, i5c4351).
-func TestLimitNarrowsWhereUpstreamsAreCrowded(t *testing.T) {
-	n, crowded := 0, true
-	s := testSettings()
-	s.Hedging = false
-	reply := func(string) (Result, time.Duration) {
-		if n++; crowded && n%2 == 0 {
-			return OK, 230 * ms
-		}
-		return OK, 90 * ms
-	}
-	w := newWorld(t, s, reply)
-	w.fleet(4)
-	w.play(5*time.Second, 400)
-	if w.b.admission.limitFraction > minLimitFraction*1.2 {
-		t.Errorf("limit %.2f with half of all answers late", w.b.admission.limitFraction)
-	}
-	crowded = false
-	w.play(10*time.Second, 100)
-	if w.b.admission.limitFraction < maxLimitFraction {
-		t.Errorf("limit %.2f long after", w.b.admission.limitFraction)
-	}
-	w = newWorld(t, s, func(u string) (Result, time.Duration) {
-		if u < "u2" {
-			return OK, -1
-		}
-		return OK, 90 * ms
-	})
-	w.fleet(4)
-	w.play(2*time.Second, 400)
-	if w.ended[Reject] == 0 || w.b.admission.limitFraction < maxLimitFraction*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.admission.limitFraction)
-	}
-}
-
-// Pressure rises with the age of what is in flight, without a step: a burst after a lull is let in, more than can be
-// served is not admitted up to the moment it is old.
-func TestPressureRisesWithAge(t *testing.T) {
-	for _, c := range []struct {
-		n, answered int
-		age         time.Duration
-		over        bool
-	}{
-		{n: 100, answered: 400, age: 10 * ms},
-		{n: 100, answered: 400, age: 35 * ms, over: true},
-		{n: 100, answered: 400, age: 100 * ms, over: true},
-		{n: 20, answered: 400, age: 35 * ms},
-		{n: 20, answered: 1, age: 15 * ms}, // a lull
-		{n: 20, answered: 0, age: 150 * ms, over: true},
-	} {
-		r := newRig(t, testSettings())
-		r.fleet(4)
-		for i := range c.answered { // over 2 s
-			r.b.admission.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
-		}
-		r.now += 2 * time.Second
-		r.do(TimerFired{})
-		for range c.n {
-			r.b.admission.track(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
-		}
-		r.now += c.age
-		r.do(TimerFired{})
-		if p := r.b.pressure(); p > 1 != c.over {
-			t.Errorf("%d in hand for %v, %d answered: pressure %.2f", c.n, c.age, c.answered, p)
-		}
-	}
-}
-
-// What is refused earns no retries: the budget is relative to first attempts.
-func TestRefusedRequestsEarnNoRetries(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.fleet(4)
-	r.b.retryBudget.tokens = 0
-	for i := range 16 { // minInFlightPerEndpoint for each upstream of its share
-		r.wantSend(r.request(fmt.Sprint(i), "c", time.Second))
-	}
-	if r.b.retryBudget.tokens != 16*retryBudgetRatio {
-		t.Errorf("budget %.2f after sixteen first attempts", r.b.retryBudget.tokens)
-	}
-	r.now += 150 * ms // and no answer: all that comes now is refused
-	for i := range 100 {
-		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
-	}
-	if r.b.retryBudget.tokens != 16*retryBudgetRatio {
-		t.Errorf("budget %.2f after a hundred refusals", r.b.retryBudget.tokens)
-	}
-}
-
-// Copies stop before first attempts are refused: near the limit they crowd what is congested (i38832b, i4fffd9).
-func TestNoCopiesNearTheLimit(t *testing.T) {
-	for _, c := range []struct {
-		inHand int
-		copied bool
-	}{{15, true}, {24, false}} { // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
-		r := newRig(t, testSettings())
-		r.fleet(4)
-		for range 400 {
-			r.now += 5 * ms
-			r.b.admission.served.add(1, r.now)
-		}
-		r.b.latency.hedgeDelay.v, r.b.hedges.successRatio = 0.08, 1
-		r.wantSend(r.request("r", "c", time.Second))
-		for range c.inHand {
-			r.b.admission.track(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
-		}
-		copies := 0
-		for range 24 {
-			r.b.admission.served.add(1, r.now)
-			copies += len(kinds(r.pass(5*ms), StartAttempt))
-		}
-		if copies > 0 != c.copied {
-			t.Errorf("%d copies with %d in hand, pressure %.2f", copies, c.inHand, r.b.pressure())
-		}
-	}
-}
-
-// Two or three in flight at a quiet sidecar are no overload, however few answers it has had.
-func TestQuietSidecarDoesNotShedOnAFewInHand(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.fleet(10)
-	for i := range 60 { // three at once every second, each answered in half its objective
-		for j := range 3 {
-			r.wantSend(r.request(fmt.Sprint(i, "-", j), "c", time.Second))
-			r.pass(25 * ms)
-		}
-		for j := range 3 {
-			r.result(fmt.Sprint(i, "-", j), 0, OK, 100*ms)
-		}
-		r.pass(900 * ms)
-	}
-	if len(r.logs) > 0 {
-		t.Errorf("log %q", r.logs)
-	}
-}
-
-// A quiet sidecar takes its part in an overload: with attempts near their objective or beyond it sheds though it never has
-// more than one in flight, and lets work in again soon after.
-func TestQuietSidecarShedsInOverload(t *testing.T) {
-	latency := 240 * ms
-	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
-	w.fleet(10)
-	w.play(20*time.Second, 3)
-	if w.ended[Reject] < 20 {
-		t.Errorf("%d of %d refused while all took longer than their aim", w.ended[Reject], w.n)
-	}
-	latency = 20 * ms
-	w.play(10*time.Second, 3)
-	refused := w.ended[Reject]
-	w.play(10*time.Second, 3)
-	if w.ended[Reject] != refused {
-		t.Error("still shedding long after")
-	}
-}
-
-// A late request is most often a costly one, and its copy as costly: no copy of it, unless copies have won of late.
-// Where the upstream leaves a second of ours unanswered too it hangs, and the copy goes out as soon as it is late.
-func TestCopiesOnlyWhereTheUpstreamHangs(t *testing.T) {
-	for _, c := range []struct{ second, won, copied bool }{{}, {true, false, true}, {false, true, true}} {
-		r := newRig(t, testSettings()) // aim 200 ms
-		r.fleet(1)
-		for i := range 300 {
-			id := fmt.Sprint(i)
-			r.request(id, "c", time.Second)
-			r.now += 20 * ms
-			r.result(id, 0, OK, 20*ms)
-		}
-		if c.won {
-			r.b.hedges.successRatio = 0.5
-		}
-		r.now += time.Second
-		r.request("late", "c", time.Second)
-		if c.second {
-			r.request("beside", "c", time.Second)
-		}
-		r.list(Delta, Endpoint{Upstream: "other", Zone: "a"})
-		if got := len(kinds(r.pass(60*ms), StartAttempt)) > 0; got != c.copied {
-			t.Errorf("%+v: copied %v", c, got)
-		}
-	}
-}
-
-// Whether copies pay is learned from those that are sent: where upstreams pause they win.
-func TestCopiesThatWinGoOn(t *testing.T) {
-	for _, pauses := range []bool{false, true} {
-		var w *world
-		w = newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
-			if phase := (w.now + time.Duration(u[1])*170*ms) % (2 * time.Second); pauses && phase < 300*ms {
-				return OK, 300*ms - phase + 20*ms
-			}
-			if !pauses && w.now%(4*time.Second) < 400*ms {
-				return OK, 150 * ms // everywhere: the copy takes as long
-			}
-			return OK, 20 * ms
-		})
-		w.fleet(6)
-		w.play(30*time.Second, 100)
-		if copies := w.attempts() - w.n; pauses != (w.b.hedges.successRatio > minHedgeSuccess) || !pauses && copies > w.n/20 {
-			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, copies, w.n, w.b.hedges.successRatio)
-		}
-	}
-}
-
-// A refused client is to stay away for good. Where the longest advice ends before the deadline it is back while late
-// answers count, past its objective, and in the way: there it is told to be back in time.
-func TestAdviceOnRefusal(t *testing.T) {
-	for _, c := range []struct {
-		longest   time.Duration
-		lateShare float64
-		want      time.Duration
-	}{{time.Second, 0.5, time.Second}, {800 * ms, 0, 800 * ms}, {800 * ms, 0.5, 100 * ms}, {50 * ms, 0.5, 50 * ms}} {
-		s := testSettings() // aim 200 ms, deadline 1 s
-		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateShare
-		r := newRig(t, s)
-		r.fleet(4)
-		r.b.admission.congestion, r.b.admission.congestionAt = 10, r.now // all is refused
-		r.request("first", "c", time.Second)
-		acts := r.request("second", "c", time.Second)
-		r.wantFinal(acts, Reject)
-		if got := finals(acts)[0].RetryAfter; got != c.want {
-			t.Errorf("%+v: advised %v", c, got)
-		}
-	}
-}
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -56,7 +56,7 @@
 	r.wantNothing(r.pass(2 * time.Second))
 }
 
-func TestOddInputIsHarmless(t *testing.T) {
+func TestInvalidInputIsHarmless(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.list(FullState) // empty list
 	r.wantFinal(r.request("?", "no such class", time.Second), Reject)
@@ -72,10 +72,10 @@
 	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", ExpiresAt: r.now + 3*time.Second}))
 	r.wantNothing(r.do(ClientDisconnected{ID: "2"}))
 	r.wantNothing(r.result("2", 0, OK, 10*ms))
-	acts := r.request("3", "c", -time.Second) // its time is over already
-	acts = append(acts, r.pass(time.Second+20*ms)...)
-	if len(finals(acts)) != 1 || len(kinds(acts, StartAttempt)) != 0 {
-		t.Errorf("overdue request: %+v", acts)
+	actions := r.request("3", "c", -time.Second) // its time is over already
+	actions = append(actions, r.pass(time.Second+20*ms)...)
+	if len(finals(actions)) != 1 || len(kinds(actions, StartAttempt)) != 0 {
+		t.Errorf("overdue request: %+v", actions)
 	}
 }
 
--- a/balancer/peerverdict_test.go
+++ b/balancer/peerverdict_test.go
@@ -19,8 +19,8 @@
 	return r
 }
 
-func (r *rig) hear(u, class string, tries ProbeOwner, share float64) {
-	r.do(PeerVerdict{Upstream: u, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: share, Probes: tries})
+func (r *rig) verdict(u, class string, attempts ProbeOwner, fraction float64) {
+	r.do(PeerVerdict{Upstream: u, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: fraction, Probes: attempts})
 }
 
 // serve sends n requests of a class one after another, 10 ms apart and 20 to 80 ms each, and tells how many attempts each upstream got and what was
@@ -30,17 +30,17 @@
 	for i := range n {
 		r.now += 10 * ms
 		id := fmt.Sprint(class, r.now, i)
-		acts := r.request(id, class, time.Second)
+		actions := r.request(id, class, time.Second)
 		for k := 0; ; k++ {
-			reports = append(reports, kinds(acts, ReportEvidence)...)
-			s := kinds(acts, StartAttempt)
+			reports = append(reports, kinds(actions, ReportEvidence)...)
+			s := kinds(actions, StartAttempt)
 			if len(s) == 0 {
 				break
 			}
 			sends[s[0].Upstream]++
-			took := time.Duration(20+(37*len(r.b.endpoints.order)+53*i+int(r.now/ms))%60) * ms
-			r.now += took
-			acts = r.result(id, k, reply(s[0].Upstream), took)
+			usedFraction := time.Duration(20+(37*len(r.b.endpoints.order)+53*i+int(r.now/ms))%60) * ms
+			r.now += usedFraction
+			actions = r.result(id, k, reply(s[0].Upstream), usedFraction)
 		}
 	}
 	return sends, reports
@@ -48,10 +48,10 @@
 
 func good(string) Result { return OK }
 
-func TestHearsayKeepsOutForItsTime(t *testing.T) {
+func TestVerdictExcludesForItsTime(t *testing.T) {
 	r := sharingRig(t, 4)
 	before := r.b.endpoints.byID["u0"].latency
-	r.hear("u0", "", ProbeByEach, 0)
+	r.verdict("u0", "", ProbeByEach, 0)
 	if sends, _ := r.serve(200, "c", good); sends["u0"] != 0 || len(sends) != 3 {
 		t.Errorf("sent %v", sends)
 	}
@@ -61,15 +61,15 @@
 	r.do(PeerVerdict{Upstream: "u0"})
 	probe := &request{class: r.b.classes["c"]}
 	for _, back := range []time.Duration{100 * ms, 900 * ms} {
-		kept := 0
+		excluded := 0
 		for range 1000 {
 			r.b.now = r.now + back
 			if r.b.excludedByEvidence(r.b.endpoints.byID["u0"], probe) {
-				kept++
+				excluded++
 			}
 		}
-		if want := 1000 - int(back/ms); kept < want-60 || kept > want+60 {
-			t.Errorf("%d of 1000 kept out %v after the end", kept, back)
+		if want := 1000 - int(back/ms); excluded < want-60 || excluded > want+60 {
+			t.Errorf("%d of 1000 kept out %v after the end", excluded, back)
 		}
 	}
 	r.now += reinstatementTime
@@ -80,9 +80,9 @@
 
 // Hearsay of a class leaves the others; of another life it is nothing; a restart voids it; an own success since outranks it,
 // and is told.
-func TestHearsayHoldsNoFurther(t *testing.T) {
+func TestVerdictOfOneClassOrIncarnation(t *testing.T) {
 	r := sharingRig(t, 4)
-	r.hear("u0", "c", ProbeByEach, 0)
+	r.verdict("u0", "c", ProbeByEach, 0)
 	if sends, _ := r.serve(100, "c", good); sends["u0"] != 0 {
 		t.Errorf("c: sent %v", sends)
 	}
@@ -90,7 +90,7 @@
 		t.Errorf("d: sent %v", sends)
 	}
 	r.do(PeerVerdict{Upstream: "u1", StartedAt: time.Second, Until: r.now + time.Minute, Since: r.now})
-	r.hear("u2", "", ProbeByEach, 0)
+	r.verdict("u2", "", ProbeByEach, 0)
 	r.list(Delta, Endpoint{Upstream: "u2", Zone: "a", StartedAt: r.now - 50*time.Second})
 	if sends, _ := r.serve(100, "d", good); sends["u1"] == 0 || sends["u2"] == 0 {
 		t.Errorf("sent %v", sends)
@@ -109,7 +109,7 @@
 }
 
 // However verdicts, ejections, bans and the list come together: peer verdicts keeps out no more than its part of the usable ones.
-func TestHearsayIsBounded(t *testing.T) {
+func TestVerdictsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
 		s.ShareEvidence = true
@@ -139,18 +139,18 @@
 			}
 			b.now = now
 			for _, zone := range []string{"a", "b"} {
-				usable, kept := 0, 0
+				usable, excluded := 0, 0
 				for _, x := range b.endpoints.order {
 					if x.zone != zone || x.banned || now < x.health.ejectedUntil {
 						continue
 					}
 					usable++
 					if x.health.ejections == 0 && b.excludedByEvidence(x, probe) {
-						kept++
+						excluded++
 					}
 				}
-				if 3*kept > usable {
-					t.Fatalf("hearsay keeps out %d of %d usable", kept, usable)
+				if 3*excluded > usable {
+					t.Fatalf("hearsay keeps out %d of %d usable", excluded, usable)
 				}
 			}
 		}
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -71,8 +71,8 @@
 			r.b.updateHealth(&attempt{request: &request{class: r.b.classes["c"], work: 1, tenant: tenant * (i / failuresToEject)}, endpoint: u, sentAt: r.now}, res, 50*ms)
 		}
 	}
-	if said := kinds(r.b.actions, ReportEvidence); len(said) != 1 || said[0].Upstream != "u0" || said[0].Class != "c" {
-		t.Errorf("reported %+v", said)
+	if reports := kinds(r.b.actions, ReportEvidence); len(reports) != 1 || reports[0].Upstream != "u0" || reports[0].Class != "c" {
+		t.Errorf("reported %+v", reports)
 	}
 	r = sharingRig(t, 4)
 	n := 0
@@ -112,48 +112,48 @@
 	}
 	r := sharingRig(t, 4)
 	r.serve(100, "d", good)
-	r.hear("u0", "", ProbeBySelf, 0)
+	r.verdict("u0", "", ProbeBySelf, 0)
 	r.now += time.Second
 	if s, _ := r.serve(50, "unsafe", good); s["u0"] > 0 {
 		t.Error("an unsafe request was made a trial")
 	}
-	acts := r.request("trial", "c", time.Second)
-	if s := kinds(acts, StartAttempt); len(s) != 1 || s[0].Upstream != "u0" || s[0].Timeout > 180*ms {
+	actions := r.request("trial", "c", time.Second)
+	if s := kinds(actions, StartAttempt); len(s) != 1 || s[0].Upstream != "u0" || s[0].Timeout > 180*ms {
 		t.Fatalf("the trial: %+v", s)
 	}
 	r.now += 50 * ms
 	if s := kinds(r.request("another", "c", time.Second), StartAttempt); len(s) != 1 || s[0].Upstream == "u0" {
 		t.Fatalf("two trials at once: %+v", s)
 	}
-	acts = r.result("trial", 0, Timeout, 50*ms)
-	if s, rep := kinds(acts, StartAttempt), kinds(acts, ReportEvidence); len(s) != 1 || s[0].Upstream == "u0" || len(rep) != 1 || !rep[0].Probe || rep[0].Evidence != EvidenceSilence {
-		t.Fatalf("a failed trial: %+v", acts)
+	actions = r.result("trial", 0, Timeout, 50*ms)
+	if s, rep := kinds(actions, StartAttempt), kinds(actions, ReportEvidence); len(s) != 1 || s[0].Upstream == "u0" || len(rep) != 1 || !rep[0].Probe || rep[0].Evidence != EvidenceSilence {
+		t.Fatalf("a failed trial: %+v", actions)
 	}
 	if s, _ := r.serve(8, "c", silent); s["u0"] > 0 {
 		t.Error("tried again at once")
 	}
 	r.now += 2 * time.Second
-	r.hear("u0", "", ProbeBySelf, 0)
+	r.verdict("u0", "", ProbeBySelf, 0)
 	if _, rep := r.serve(50, "c", good); len(rep) < 3 || len(rep) > 14 {
 		t.Errorf("%d trials that went well in 3 s", len(rep))
 	}
-	r.hear("u0", "", ProbeBySelf, 0)
+	r.verdict("u0", "", ProbeBySelf, 0)
 	r.now += time.Second
 	r.do(Ban{Upstream: "u0"})
 	if s, _ := r.serve(50, "c", good); s["u0"] > 0 {
 		t.Error("a banned upstream was tried")
 	}
 
-	for _, tries := range []ProbeOwner{ProbeByEach, ProbeByPeer} {
+	for _, attempts := range []ProbeOwner{ProbeByEach, ProbeByPeer} {
 		r = sharingRig(t, 4)
 		r.serve(500, "c", silent)
 		if r.b.endpoints.byID["u0"].health.ejections == 0 {
 			t.Fatal("not ejected")
 		}
 		r.now += 10 * time.Second
-		r.hear("u0", "", tries, 0)
-		if s, _ := r.serve(50, "c", silent); s["u0"] > 0 != (tries == ProbeByEach) {
-			t.Errorf("trials are %d's: %d attempts", tries, s["u0"])
+		r.verdict("u0", "", attempts, 0)
+		if s, _ := r.serve(50, "c", silent); s["u0"] > 0 != (attempts == ProbeByEach) {
+			t.Errorf("trials are %d's: %d attempts", attempts, s["u0"])
 		}
 		r.b.endpoints.byID["u0"].health.ejectedUntil = r.now + 2*maxEjectionTime
 		r.do(PeerVerdict{Upstream: "u0", ProbeSucceeded: true})
@@ -165,7 +165,7 @@
 }
 
 // What comes back cold is held to its budget, whoever tries it or lets it through.
-func TestTrialsHoldColdBudgets(t *testing.T) {
+func TestProbesRespectSlowStart(t *testing.T) {
 	r := sharingRig(t, 4)
 	r.serve(300, "c", good)
 	r.list(Delta, Endpoint{Upstream: "u0", Zone: "a", StartedAt: r.now})
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -17,20 +17,20 @@
 	out, mayRun    bool
 }
 
-type owed struct {
-	class    Class
-	expires  time.Duration
-	attempts []*sent
-	answers  int
-	ended    bool // an end was reported or given
-	gone     bool
+type promisedAnswer struct {
+	class        Class
+	expires      time.Duration
+	attempts     []*sent
+	answers      int
+	ended        bool // an end was reported or given
+	disconnected bool
 }
 
 type referee struct {
 	t      *testing.T
 	s      Settings
 	now    time.Duration
-	reqs   map[string]*owed
+	reqs   map[string]*promisedAnswer
 	order  []string
 	active map[string]Endpoint
 	timers []time.Duration
@@ -66,7 +66,7 @@
 	}
 }
 
-func (f *referee) send(a Action, q *owed) {
+func (f *referee) send(a Action, q *promisedAnswer) {
 	f.t.Helper()
 	m, listed := f.active[a.Upstream]
 	switch {
@@ -115,8 +115,8 @@
 	s.Classes = nil
 	for e := Idempotent; e <= NotIdempotent; e++ {
 		for group := KeyScopeAll; group <= KeyScopeCell; group++ {
-			aim := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: aim, Deadline: aim * time.Duration(1+g.IntN(4)) / 2, Idempotency: e,
+			objective := time.Duration(50+g.IntN(400)) * ms
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: objective, Deadline: objective * time.Duration(1+g.IntN(4)) / 2, Idempotency: e,
 				KeyScope: group, DedupWindow: time.Duration(20+g.IntN(800)) * ms, LateValueFraction: float64(g.IntN(2)) / 2,
 				PriorityWeight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
 		}
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
+		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*promisedAnswer{}, active: map[string]Endpoint{}}
 		deal := func(e Event) {
 			for _, a := range b.Handle(f.now, e, nil) {
 				f.action(a)
@@ -203,12 +203,12 @@
 func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
 	c := f.s.Classes[g.IntN(len(f.s.Classes))]
 	id := fmt.Sprint(i, "-", g.Uint32())
-	q := &owed{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
+	q := &promisedAnswer{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
 	f.reqs[id], f.order = q, append(f.order, id)
 	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expires,
 		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
 	if g.IntN(50) == 0 && !q.ended {
-		q.ended, q.gone = true, true
+		q.ended, q.disconnected = true, true
 		deal(ClientDisconnected{ID: id})
 	}
 }
--- a/balancer/rejection_test.go
+++ b/balancer/rejection_test.go
@@ -8,7 +8,7 @@
 
 // Guards against an upstream that drains before the list tells: it rejects all it is sent, at once. It is left out
 // after three in a row, and what it rejects is no crowd, for which others would be refused.
-func TestOneThatTurnsAllAwayIsLeftOut(t *testing.T) {
+func TestEndpointThatRejectsEverythingIsEjected(t *testing.T) {
 	type out struct {
 		id  string
 		n   int
@@ -18,17 +18,17 @@
 	r := newRig(t, testSettings())
 	r.fleet(4)
 	var busy []out
-	sent, refused := 0, 0
+	sent, rejected := 0, 0
 	for i := range 400 {
 		for len(busy) > 0 && busy[0].due <= r.now {
 			r.result(busy[0].id, busy[0].n, OK, takes)
 			busy = busy[1:]
 		}
 		id := fmt.Sprint(i)
-		acts := r.request(id, "c", time.Second)
+		actions := r.request(id, "c", time.Second)
 		for n := 0; ; n++ {
-			refused += len(kinds(acts, Reject))
-			to := kinds(acts, StartAttempt)
+			rejected += len(kinds(actions, Reject))
+			to := kinds(actions, StartAttempt)
 			if len(to) == 0 {
 				break
 			}
@@ -37,15 +37,15 @@
 				break
 			}
 			sent++
-			acts = r.result(id, n, Overloaded, ms)
+			actions = r.result(id, n, Overloaded, ms)
 		}
 		r.pass(5 * ms)
 	}
 	if sent > 12 { // three, and a probe now and then
 		t.Errorf("%d sent to the one that turns all away", sent)
 	}
-	if refused > 3 { // for those that told of a crowd, before it was left out
-		t.Errorf("%d refused, while the others answer in time", refused)
+	if rejected > 3 { // for those that told of a crowd, before it was left out
+		t.Errorf("%d refused, while the others answer in time", rejected)
 	}
 	if u := r.b.endpoints.byID["u0"]; u.health.ejections == 0 {
 		t.Error("it is not left out")
@@ -64,7 +64,7 @@
 
 // Guards against refusals for a crowd that is none: the first request rejected may tell of one, the next at the same
 // upstream tell of that upstream.
-func TestTurnedAwayAgainTellsOfNoCrowd(t *testing.T) {
+func TestRepeatedRejectionIsNoCongestion(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(1)
 	r.wantSend(r.request("1", "c", time.Second))
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -10,11 +10,11 @@
 
 // rig drives a Balancer by an operator.
 type rig struct {
-	t    *testing.T
-	b    *Balancer
-	now  time.Duration
-	acts []Action // of the last call
-	logs []string
+	t       *testing.T
+	b       *Balancer
+	now     time.Duration
+	actions []Action // of the last call
+	logs    []string
 }
 
 // testSettings are a plain site: one safe class, copies and cancelling allowed, pushed list.
@@ -37,13 +37,13 @@
 }
 
 func (r *rig) do(e Event) []Action {
-	r.acts = r.b.Handle(r.now, e, nil)
-	for _, a := range r.acts {
+	r.actions = r.b.Handle(r.now, e, nil)
+	for _, a := range r.actions {
 		if a.Kind == Log {
 			r.logs = append(r.logs, a.LogLine())
 		}
 	}
-	return r.acts
+	return r.actions
 }
 
 // pass lets time go by, with a Wake each tick.
@@ -76,8 +76,8 @@
 }
 
 // kinds picks the actions of one kind.
-func kinds(acts []Action, k ActionKind) (out []Action) {
-	for _, a := range acts {
+func kinds(actions []Action, k ActionKind) (out []Action) {
+	for _, a := range actions {
 		if a.Kind == k {
 			out = append(out, a)
 		}
@@ -86,29 +86,31 @@
 }
 
 // finals are the final answers among acts.
-func finals(acts []Action) []Action { return append(kinds(acts, Reject), kinds(acts, Fail)...) }
+func finals(actions []Action) []Action {
+	return append(kinds(actions, Reject), kinds(actions, Fail)...)
+}
 
 // wantSend fails the test unless acts hold exactly one attempt, and returns its upstream.
-func (r *rig) wantSend(acts []Action) string {
+func (r *rig) wantSend(actions []Action) string {
 	r.t.Helper()
-	s := kinds(acts, StartAttempt)
+	s := kinds(actions, StartAttempt)
 	if len(s) != 1 {
-		r.t.Fatalf("want one attempt, got %+v", acts)
+		r.t.Fatalf("want one attempt, got %+v", actions)
 	}
 	return s[0].Upstream
 }
 
 // wantFinal fails the test unless acts hold exactly one final answer of kind k and no attempt.
-func (r *rig) wantFinal(acts []Action, k ActionKind) {
+func (r *rig) wantFinal(actions []Action, k ActionKind) {
 	r.t.Helper()
-	if f := finals(acts); len(f) != 1 || f[0].Kind != k || len(kinds(acts, StartAttempt)) > 0 {
-		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", k, acts)
+	if f := finals(actions); len(f) != 1 || f[0].Kind != k || len(kinds(actions, StartAttempt)) > 0 {
+		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", k, actions)
 	}
 }
 
-func (r *rig) wantNothing(acts []Action) {
+func (r *rig) wantNothing(actions []Action) {
 	r.t.Helper()
-	if len(finals(acts)) > 0 || len(kinds(acts, StartAttempt)) > 0 {
-		r.t.Fatalf("want no attempt and no answer, got %+v", acts)
+	if len(finals(actions)) > 0 || len(kinds(actions, StartAttempt)) > 0 {
+		r.t.Fatalf("want no attempt and no answer, got %+v", actions)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func keyed(group KeyScope) Settings {
+func keyClass(group KeyScope) Settings {
 	s := testSettings()
 	s.Hedging = false
 	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentByKey, KeyScope: group, DedupWindow: time.Second}}
@@ -38,13 +38,13 @@
 	}
 }
 
-func TestHeldRequestIsRefusedInTime(t *testing.T) {
+func TestWaitingRequestIsRejectedInTime(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: held
 	r.wantFinal(r.pass(95*ms), Reject)
 }
 
-func TestHeldRequestGoesOutWhenAnUpstreamComes(t *testing.T) {
+func TestWaitingRequestIsSentWhenAnEndpointComes(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.wantNothing(r.request("1", "c", 150*ms))
 	r.fleet(1)
@@ -67,16 +67,16 @@
 		r := newRig(t, unsafeSettings())
 		r.fleet(3)
 		r.wantSend(r.request("1", "x", time.Second))
-		acts := r.result("1", 0, res, 10*ms)
+		actions := r.result("1", 0, res, 10*ms)
 		if again {
-			r.wantSend(acts)
+			r.wantSend(actions)
 		} else {
-			r.wantFinal(acts, Fail)
+			r.wantFinal(actions, Fail)
 		}
 	}
 }
 
-func TestUnsafeHasNoSecondCopy(t *testing.T) {
+func TestNotIdempotentIsNotHedged(t *testing.T) {
 	r := newRig(t, unsafeSettings())
 	r.fleet(3)
 	r.wantSend(r.request("1", "x", time.Second))
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestUnsafeRefusedWhenNothingRan(t *testing.T) {
+func TestNotIdempotentIsRejectedWhenNothingRan(t *testing.T) {
 	s := unsafeSettings()
 	s.MaxAttempts = 1
 	r := newRig(t, s)
@@ -95,7 +95,7 @@
 }
 
 // Once it may have run, a idempotent by key request stays in its group; before that it may go anywhere.
-func TestKeyedStaysInItsGroup(t *testing.T) {
+func TestIdempotentByKeyStaysInItsScope(t *testing.T) {
 	for group, same := range map[KeyScope]func(a, b Endpoint) bool{
 		KeyScopeAll:  func(a, b Endpoint) bool { return true },
 		KeyScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
@@ -110,7 +110,7 @@
 			entries = append(entries, m)
 		}
 		for n := range 40 {
-			r := newRig(t, keyed(group))
+			r := newRig(t, keyClass(group))
 			r.b.rng.Uint64() // other chances each time
 			for range n {
 				r.b.rng.Uint64()
@@ -127,8 +127,8 @@
 }
 
 // The window counts from the sending of the attempt that may have run; afterwards no attempt.
-func TestKeyedWindow(t *testing.T) {
-	s := keyed(KeyScopeAll)
+func TestDedupWindow(t *testing.T) {
+	s := keyClass(KeyScopeAll)
 	s.Classes[0].DedupWindow = 100 * ms
 	s.Classes[0].LatencyObjective = time.Second
 	r := newRig(t, s)
@@ -138,9 +138,9 @@
 	r.wantFinal(r.result("1", 0, Reset, 95*ms), Reject)
 }
 
-func TestKeyedRefusal(t *testing.T) {
+func TestIdempotentByKeyRejection(t *testing.T) {
 	for group, want := range map[KeyScope]ActionKind{KeyScopeAll: Reject, KeyScopeZone: Fail, KeyScopeCell: Fail} {
-		s := keyed(group)
+		s := keyClass(group)
 		s.MaxAttempts = 1
 		r := newRig(t, s)
 		r.fleet(3)
@@ -149,24 +149,24 @@
 	}
 }
 
-func TestNeverTwoOutWhereCopiesAreRuledOut(t *testing.T) {
-	r := newRig(t, keyed(KeyScopeZone))
+func TestNeverTwoPendingWithoutHedging(t *testing.T) {
+	r := newRig(t, keyClass(KeyScopeZone))
 	r.fleet(4)
 	r.wantSend(r.request("1", "k", time.Second))
 	var cancelled bool
 	for range 80 {
-		acts := r.pass(5 * ms)
-		if len(kinds(acts, StartAttempt)) > 0 {
+		actions := r.pass(5 * ms)
+		if len(kinds(actions, StartAttempt)) > 0 {
 			t.Fatal("second attempt beside the first")
 		}
-		cancelled = cancelled || len(kinds(acts, CancelAttempt)) > 0
+		cancelled = cancelled || len(kinds(actions, CancelAttempt)) > 0
 	}
 	if !cancelled {
 		t.Fatal("the silent attempt was never ended")
 	}
 }
 
-func TestDrainingAndGoneGetNothing(t *testing.T) {
+func TestDrainingAndRemovedGetNothing(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(3)
 	r.list(Delta, Endpoint{Upstream: "u0", State: Draining}, Endpoint{Upstream: "u1", State: Removed})
@@ -183,7 +183,7 @@
 
 // A failed call is followed by another, later each time, by a chance that is its own, and never so late that a change is told
 // more than 6 s after it could be: a call that is never answered has 2.5 s of them, and the next 0.5 s. One answer ends that.
-func TestAsksAgainWithBackoff(t *testing.T) {
+func TestPollsWithBackoff(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
 	r := newRig(t, s)
@@ -192,14 +192,14 @@
 	}
 	var waits []time.Duration
 	for range 12 {
-		asked := r.now
+		polls := r.now
 		r.do(EndpointUpdate{Kind: WatchFailed})
 		for len(kinds(r.pass(5*ms), Subscribe)) == 0 {
-			if r.now-asked > 20*time.Second {
+			if r.now-polls > 20*time.Second {
 				t.Fatal("never asked again")
 			}
 		}
-		waits = append(waits, r.now-asked)
+		waits = append(waits, r.now-polls)
 	}
 	var later time.Duration
 	for i, wait := range waits {
@@ -238,7 +238,7 @@
 }
 
 // A upstream in slow start gets its warmth's share of the mean load at most, whatever goes on: first tries, retries, panic.
-func TestColdBudget(t *testing.T) {
+func TestSlowStartBucket(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(10)
 	n := map[string]int{}
@@ -272,7 +272,7 @@
 }
 
 // With everything cold, work is held or refused: panic does not go round the limit.
-func TestAllCold(t *testing.T) {
+func TestAllInSlowStart(t *testing.T) {
 	r := newRig(t, testSettings())
 	var list []Endpoint
 	for i := range 4 {
@@ -281,13 +281,13 @@
 	r.list(FullState, list...)
 	sent, ended := 0, 0
 	for i := range 400 {
-		acts := r.request("r"+time.Duration(i).String(), "c", 150*ms)
-		acts = append(acts, r.pass(5*ms)...)
-		for _, a := range kinds(acts, StartAttempt) {
+		actions := r.request("r"+time.Duration(i).String(), "c", 150*ms)
+		actions = append(actions, r.pass(5*ms)...)
+		for _, a := range kinds(actions, StartAttempt) {
 			sent++
 			r.result(a.ID, 0, OK, 5*ms)
 		}
-		ended += len(finals(acts))
+		ended += len(finals(actions))
 	}
 	// 200 a second over 4 upstreams in slow start at 0.2 to 0.4 of their share: about 60 a second may go.
 	if sent > 160 || sent < 40 || ended == 0 {
@@ -297,7 +297,7 @@
 
 // A repeat whose aim has passed is refused at once: its time left was cut by the end of all tries, which tells when
 // the first came. A repeat early enough is served, and first tries settle what time left is usual.
-func TestStaleRepeatIsRefused(t *testing.T) {
+func TestRepeatPastItsObjectiveIsRejected(t *testing.T) {
 	r := newRig(t, testSettings()) // aim 200 ms, deadline 1 s
 	r.fleet(3)
 	for i := range 20 { // first tries have 600 ms
@@ -340,8 +340,8 @@
 // Many quiet sidecars against a fleet most of which has just started: together they stay under what pushes a cold
 // upstream over, and still warm it. Nothing is shared between them. (i2a20be: with many cold each sidecar passed those
 // without budget, came to all of them and had a full token for each.)
-func TestManyQuietSidecarsAgainstColdUpstreams(t *testing.T) {
-	const sidecars, fleet, cold = 400, 40, 36
+func TestManyQuietSidecarsAgainstSlowStart(t *testing.T) {
+	const sidecars, fleet, warming = 400, 40, 36
 	for seed := range uint64(5) {
 		s := testSettings() // cold from 0.2, warm in 10 s; three times the capacity for 2 s pushes over
 		s.FleetSize = sidecars
@@ -381,7 +381,7 @@
 		for range 10 {
 			second()
 		}
-		for i := range cold {
+		for i := range warming {
 			entries[i].StartedAt = now
 		}
 		for _, b := range all {
@@ -391,7 +391,7 @@
 		warmed := 0
 		for sec := range 8 {
 			one, two := second(), second()
-			for i := range cold {
+			for i := range warming {
 				got := one[fmt.Sprint("u", i)] + two[fmt.Sprint("u", i)]
 				warmed += got
 				if limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*sec)/10); sec < 5 && float64(got) > limit {
@@ -399,8 +399,8 @@
 				}
 			}
 		}
-		if float64(warmed) < cold*mean*16/8 {
-			t.Errorf("seed %d: %d requests to %d upstreams in 16 s: left out while and after cold", seed, warmed, cold)
+		if float64(warmed) < warming*mean*16/8 {
+			t.Errorf("seed %d: %d requests to %d upstreams in 16 s: left out while and after cold", seed, warmed, warming)
 		}
 	}
 }
@@ -427,7 +427,7 @@
 
 // Where work stays at home, what upstreams in slow start may get is spent by those that have them in their subset at home: it
 // is not left to sidecars of other zones that hardly come.
-func TestColdBudgetFollowsTheWork(t *testing.T) {
+func TestSlowStartFollowsTheLoad(t *testing.T) {
 	s := testSettings()
 	s.FleetSize, s.CrossZoneCost = 80, 0.1
 	var list []Endpoint
@@ -435,7 +435,7 @@
 		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "abcd"[i%4 : i%4+1]})
 	}
 	const sidecars = 30
-	cold := 0
+	warming := 0
 	for seed := range uint64(sidecars) {
 		w := newWorld(t, s, fine)
 		var err error
@@ -454,12 +454,12 @@
 		clear(w.sends)
 		w.play(5*time.Second, 20)
 		for i := 0; i < len(list); i += 4 {
-			cold += w.sends[fmt.Sprint("u", i)]
+			warming += w.sends[fmt.Sprint("u", i)]
 		}
 	}
 	// All home upstreams are at 0.2 to 0.6 of their capacity, and 0.45 x 3 of that may go there.
 	all := sidecars * 5 * 20
-	if least, most := all/5, all*55/100; cold < least || cold > most {
-		t.Errorf("%d of %d requests went to the cold home zone, want %d to %d", cold, all, least, most)
+	if least, limit := all/5, all*55/100; warming < least || warming > limit {
+		t.Errorf("%d of %d requests went to the cold home zone, want %d to %d", warming, all, least, limit)
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,7 +7,7 @@
 
 // Guards against an attempt that is given up for another that may not follow: the last one that the settings allow, and one
 // whose repeats upstreams drop no longer.
-func TestLateAttemptIsKeptWhereNoneMayFollow(t *testing.T) {
+func TestLateAttemptGoesOnWhereNoneMayFollow(t *testing.T) {
 	for name, c := range map[string]struct {
 		most   int
 		window time.Duration
@@ -34,11 +34,11 @@
 		r.b.startHedgeTimer(r.b.requests["late"])
 		r.pass(400 * ms)
 		r.b.latency.median.v /= 5 // answers come sooner now
-		acts := r.pass(300 * ms)
-		if n := len(kinds(acts, CancelAttempt)); n != c.cancel {
+		actions := r.pass(300 * ms)
+		if n := len(kinds(actions, CancelAttempt)); n != c.cancel {
 			t.Errorf("%s: %d cancelled, want %d", name, n, c.cancel)
 		}
-		if n := len(finals(acts)); n > 0 {
+		if n := len(finals(actions)); n > 0 {
 			t.Errorf("%s: ended with time left", name)
 		}
 	}
@@ -53,8 +53,8 @@
 		{Name: "unsafe", LatencyObjective: 100 * ms, Deadline: 500 * ms, Idempotency: NotIdempotent, KeyScope: 9, DedupWindow: -1},
 	}
 	r := newRig(t, s)
-	if aim := r.b.classes["safe"].LatencyObjective; aim != 500*ms || r.b.meanObjective != 0.3 {
-		t.Errorf("aim %v, mean %v; want 500ms, 0.3", aim, r.b.meanObjective)
+	if objective := r.b.classes["safe"].LatencyObjective; objective != 500*ms || r.b.meanObjective != 0.3 {
+		t.Errorf("aim %v, mean %v; want 500ms, 0.3", objective, r.b.meanObjective)
 	}
 	if s.Classes[0].LatencyObjective != 750*ms {
 		t.Error("the caller's settings changed")
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -14,18 +14,18 @@
 // is: whatever a budget allows is sent at once. 300 sidecars of unequal traffic, 160 upstreams in four zones, six in ten
 // of them cold, a quarter of these small; with the rule's windows counted over all sidecars. See docs/ARCHITECTURE.md,
 // "Cold upstreams".
-func TestColdBudgetsOfAllSidecarsTogether(t *testing.T) {
+func TestSlowStartOfAllSidecarsTogether(t *testing.T) {
 	cases := map[string]demand{
-		"all told":                    {told: 1},
-		"half told":                   {told: 0.5},
-		"all restarted":               {told: 1, restarted: true},
-		"in bursts":                   {told: 1, bursts: true},
-		"twice the part":              {told: 1, plant: func(s *Settings) { s.OverloadMultiple *= 2 }},
-		"buckets too deep":            {told: 1, bursts: true, plant: func(s *Settings) { s.OverloadDuration *= 30 }},
-		"after a lull, few upstreams": {told: 1, bursts: true, again: true, moves: true, upstreams: 40},
+		"all told":                    {informed: 1},
+		"half told":                   {informed: 0.5},
+		"all restarted":               {informed: 1, restarted: true},
+		"in bursts":                   {informed: 1, bursts: true},
+		"twice the part":              {informed: 1, plant: func(s *Settings) { s.OverloadMultiple *= 2 }},
+		"buckets too deep":            {informed: 1, bursts: true, plant: func(s *Settings) { s.OverloadDuration *= 30 }},
+		"after a lull, few upstreams": {informed: 1, bursts: true, again: true, moves: true, upstreams: 40},
 	}
 	for _, size := range [][2]int{{2, 10}, {4, 12}, {20, 16}, {30, 20}, {100, 60}} {
-		d := demand{told: 1, again: true, moves: true, sidecars: size[0], upstreams: size[1]}
+		d := demand{informed: 1, again: true, moves: true, sidecars: size[0], upstreams: size[1]}
 		cases[fmt.Sprint(size[0], " sidecars")] = d
 		d.bursts, d.again, d.priced = true, false, true
 		cases[fmt.Sprint(size[0], " sidecars, in bursts")] = d
@@ -46,7 +46,7 @@
 
 // demand is for upstreams in slow start, and without end.
 type demand struct {
-	told      float64         // share of the sidecars that know of a start at once, the others later
+	informed  float64         // share of the sidecars that know of a start at once, the others later
 	restarted bool            // all processes begin within a second of the starts, and know no rate
 	again     bool            // and half of them anew at some moment later
 	moves     bool            // half of them hand their clients to others meanwhile
@@ -60,13 +60,13 @@
 }
 
 // saturate gives the most that a upstream in slow start got in a window, as a share of its limit, and which.
-func (d demand) saturate(t *testing.T, seed uint64) (most float64, where string) {
+func (d demand) saturate(t *testing.T, seed uint64) (limit float64, where string) {
 	const (
 		capacity, small     = 24.0, 15.0 // requests of mean work a second, when warm
 		tick, length, delay = 100 * ms, 10 * time.Second, 4 * time.Second
 	)
 	sidecars, upstreams, zones := cmp.Or(d.sidecars, 300), cmp.Or(d.upstreams, 160), 4
-	cold := upstreams * 6 / 10
+	warming := upstreams * 6 / 10
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
 	s.FleetSize, s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration = sidecars, 0.3, 8800*ms, 4, time.Second
@@ -90,7 +90,7 @@
 	for i := range upstreams {
 		total += can(i)
 		m := Endpoint{Upstream: fmt.Sprint(i), Zone: string(rune('a' + i%zones))}
-		if list = append(list, m); i < cold {
+		if list = append(list, m); i < warming {
 			m.StartedAt = time.Minute + time.Duration(rng.Float64()*3e9)
 			new = append(new, m)
 		}
@@ -104,9 +104,9 @@
 		begun     time.Duration
 		move      time.Duration // when its clients go to the next sidecar, 0: never
 	}
-	fresh := func(i, life int) *Balancer {
+	fresh := func(i, incarnation int) *Balancer {
 		s.Zone = string(rune('a' + i%zones))
-		b, err := New(s, seed<<32+uint64(i)+uint64(life)<<16)
+		b, err := New(s, seed<<32+uint64(i)+uint64(incarnation)<<16)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,22 +131,22 @@
 		}
 		x.Handle(time.Minute-before, EndpointUpdate{Kind: FullState, Endpoints: list}, nil)
 		x.begun = time.Minute - before
-		if float64(i) >= d.told*float64(sidecars) {
+		if float64(i) >= d.informed*float64(sidecars) {
 			x.from += delay
 		}
 		all = append(all, x)
 	}
-	whole := 0.0
+	complete := 0.0
 	for _, x := range all {
-		whole += x.rate
+		complete += x.rate
 	}
 	for _, x := range all {
-		x.rate *= 0.85 * total / whole
+		x.rate *= 0.85 * total / complete
 		for at := x.begun; at < time.Minute; at += tick {
 			x.admission.offered.add(x.rate*tick.Seconds(), at)
 		}
 	}
-	sent := make([][]float64, cold) // by tick
+	sent := make([][]float64, warming) // by tick
 	for at, n := time.Minute, 0; at < time.Minute+length; at, n = at+tick, n+1 {
 		for u := range sent {
 			sent[u] = append(sent[u], 0)
@@ -205,12 +205,12 @@
 			}
 			warmth := rule.SlowStartCapacity + (1-rule.SlowStartCapacity)*float64(age)/float64(rule.SlowStartWindow)
 			allowed := rule.OverloadMultiple * can(u) * warmth * rule.OverloadDuration.Seconds()
-			if x := sum / (allowed + 2*math.Sqrt(allowed) + 2); x > most {
-				most, where = x, fmt.Sprintf("upstream %d after %v: %.0f where %.0f are allowed", u, age, sum, allowed)
+			if x := sum / (allowed + 2*math.Sqrt(allowed) + 2); x > limit {
+				limit, where = x, fmt.Sprintf("upstream %d after %v: %.0f where %.0f are allowed", u, age, sum, allowed)
 			}
 		}
 	}
-	return most, where
+	return limit, where
 }
 
 func sum(xs []float64) (total float64) {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -10,24 +10,24 @@
 
 // Guards against a new process that goes to slow upstreams as to any other, and knows no rate, on which slow-start budgets
 // rest: it begins with what the one before has learned, but for upstreams that started anew.
-func TestLearntGoesOn(t *testing.T) {
+func TestSnapshotIsRestored(t *testing.T) {
 	old := newRig(t, testSettings())
 	list := []Endpoint{{Upstream: "slow", Zone: "a"}, {Upstream: "quick", Zone: "a"}, {Upstream: "failing", Zone: "a"},
 		{Upstream: "renewed", Zone: "a", StartedAt: 5 * time.Second}}
 	old.list(FullState, list...)
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		took, res := 10*ms, OK
+		usedFraction, res := 10*ms, OK
 		switch old.wantSend(old.request(id, "c", time.Second)) {
 		case "slow", "renewed":
-			took = 150 * ms
+			usedFraction = 150 * ms
 		case "failing":
 			res = ServerError
 		}
 		old.pass(5 * ms)
-		old.result(id, 0, res, took)
+		old.result(id, 0, res, usedFraction)
 		for n := 1; res == ServerError && n < 4 && old.b.requests[id] != nil && len(old.b.requests[id].attempts) > n; n++ {
-			old.result(id, n, OK, took)
+			old.result(id, n, OK, usedFraction)
 		}
 	}
 	text, err := json.Marshal(old.b.Snapshot(old.now))
@@ -58,7 +58,7 @@
 }
 
 // Guards against a hand-over that upsets the decisions: what makes no sense is left out whole.
-func TestUnusableLearntIsLeftOut(t *testing.T) {
+func TestInvalidSnapshotIsIgnored(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
 	before := r.b.latency.fleet
@@ -93,7 +93,7 @@
 
 // Guards against a process that begins with nothing because the one before was in debt to a upstream in slow start, by a costly
 // request; and against a debt that a crash makes good.
-func TestDebtToAColdUpstreamIsKept(t *testing.T) {
+func TestSlowStartDebtIsPersisted(t *testing.T) {
 	old := newRig(t, testSettings())
 	old.list(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: old.now - time.Second})
 	old.b.endpoints.byID["u"].slowStart.tokens = -1.5
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -64,7 +64,7 @@
 	out       []traceAttempt
 	open      []string // requests whose body is still coming
 	banned    []string
-	cameUp    map[string]time.Duration
+	startedAt map[string]time.Duration
 	kinds     map[ActionKind]int
 	sent      int
 	faulty    string // answers errors only, for a while
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	tr := &trace{t: t, endpoints: endpoints, b: b, settings: s, rng: rand.New(rand.NewPCG(uint64(endpoints), 7)), sum: sha256.New(),
-		now: time.Minute, attempts: map[string]int{}, cameUp: map[string]time.Duration{}, kinds: map[ActionKind]int{}}
+		now: time.Minute, attempts: map[string]int{}, startedAt: map[string]time.Duration{}, kinds: map[ActionKind]int{}}
 	tr.handle(EndpointUpdate{Kind: Cached, Endpoints: tr.all()})
 	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
 	return tr
@@ -101,7 +101,7 @@
 func (tr *trace) member(id string) Endpoint {
 	var i int
 	_, _ = fmt.Sscanf(id, "u%d", &i)
-	return Endpoint{Upstream: id, Zone: string(rune('a' + i%3)), Machine: fmt.Sprint("kind", i%2), Cell: i % 4, StartedAt: tr.cameUp[id],
+	return Endpoint{Upstream: id, Zone: string(rune('a' + i%3)), Machine: fmt.Sprint("kind", i%2), Cell: i % 4, StartedAt: tr.startedAt[id],
 		Weight: 1 + float64(i%5)/2}
 }
 
@@ -140,7 +140,7 @@
 	case n < 956:
 		tr.ban()
 	case n < 985:
-		tr.hearsay()
+		tr.verdict()
 	case n < 988:
 		tr.handle(EndpointUpdate{Kind: WatchFailed})
 	case n < 990:
@@ -214,7 +214,7 @@
 		m.State = EndpointState(1 + tr.rng.IntN(2))
 		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{m}})
 	case 1:
-		tr.cameUp[id] = tr.now - time.Duration(tr.rng.IntN(500))*ms
+		tr.startedAt[id] = tr.now - time.Duration(tr.rng.IntN(500))*ms
 		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.member(id)}})
 	case 2:
 		tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
@@ -234,9 +234,9 @@
 	tr.handle(Ban{Upstream: id})
 }
 
-func (tr *trace) hearsay() {
+func (tr *trace) verdict() {
 	id := tr.any()
-	e := PeerVerdict{Upstream: id, StartedAt: tr.cameUp[id], Until: tr.now + time.Duration(tr.rng.IntN(3000))*ms, Since: tr.now - 50*ms,
+	e := PeerVerdict{Upstream: id, StartedAt: tr.startedAt[id], Until: tr.now + time.Duration(tr.rng.IntN(3000))*ms, Since: tr.now - 50*ms,
 		PassFraction: float64(tr.rng.IntN(3)) / 4, Probes: ProbeOwner(tr.rng.IntN(3))}
 	if tr.rng.IntN(3) == 0 {
 		e.Class = tr.settings.Classes[tr.rng.IntN(len(tr.settings.Classes))].Name
@@ -249,8 +249,8 @@
 
 // restart goes on with another Balancer that begins with what this one has learned.
 func (tr *trace) restart() {
-	learnt := tr.b.Snapshot(tr.now)
-	learnt.Age(time.Duration(tr.rng.IntN(4000))*ms, tr.rng.IntN(2) == 0)
+	snapshot := tr.b.Snapshot(tr.now)
+	snapshot.Age(time.Duration(tr.rng.IntN(4000))*ms, tr.rng.IntN(2) == 0)
 	b, err := New(tr.settings, uint64(tr.next))
 	if err != nil {
 		tr.t.Fatal(err)
@@ -260,7 +260,7 @@
 		tr.handle(Ban{Upstream: id})
 	}
 	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
-	tr.handle(learnt)
+	tr.handle(snapshot)
 }
 
 // handle brings an event, and takes its actions into the hash.
--- a/cmd/mosslead-sidecar/descriptors_test.go
+++ b/cmd/mosslead-sidecar/descriptors_test.go
@@ -209,7 +209,7 @@
 	})
 	took := time.Since(returned)
 	t.Logf("served %v after discovery's return", took)
-	// A second is owed, which sidecar's TestIdleClientsHoldUpNobody holds to on a fake clock. Here a busy machine may be late by two:
+	// A second is owed, which sidecar's TestIdleClientsDelayNobody holds to on a fake clock. Here a busy machine may be late by two:
 	// a request that overtakes the list goes to an upstream that hangs, and to the other one a second later.
 	if took > time.Second+2*time.Second {
 		t.Errorf("served %v after discovery's return", took)
--- a/internal/gossip/message/golden_test.go
+++ b/internal/gossip/message/golden_test.go
@@ -20,6 +20,8 @@
 		fmt.Fprintf(&text, "%x\n", encoded)
 	}
 	kinds := []Kind{Breaker, LoadReport, Digest, Incident, Probe, PressureRequest}
-	fmt.Fprintln(&text, string(kinds), Schema, string([]BreakerState{Closed, Open, HalfOpen}), string([]Evidence{ErrorAnswers, BrokenConnections, Silence, Rejections}), string([]SiteFault{SiteUnreachable, SitePartitioned}))
+	states, evidence := []BreakerState{Closed, Open, HalfOpen}, []Evidence{ErrorAnswers, BrokenConnections, Silence, Rejections}
+	faults := []SiteFault{SiteUnreachable, SitePartitioned}
+	fmt.Fprintf(&text, "%d %d %d %d %d\n", kinds, Schema, states, evidence, faults)
 	golden.Equal(t, "messages", text.String())
 }
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -116,11 +116,11 @@
 
 // handle answers one line.
 func (d *adminServer) handle(line string) string {
-	words := strings.Fields(line)
-	if len(words) == 0 {
+	fields := strings.Fields(line)
+	if len(fields) == 0 {
 		return "NO the line is empty\n"
 	}
-	name, args := words[0], words[1:]
+	name, args := fields[0], fields[1:]
 	switch name {
 	case "READY", "STATS", "PEERS":
 		if len(args) > 0 {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, line); err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	if got := r.call(t, "READY\n"); got != "YES\n" {
 		t.Errorf("beside silent callers: %q", got)
 	}
-	_ = silent[0].SetReadDeadline(time.Now().Add(patience))
+	_ = silent[0].SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := silent[0].Read(make([]byte, 1)); err == nil {
 		t.Error("the oldest was answered")
 	}
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, "READY"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	in := bufio.NewReader(conn)
 	const head = "POST /confirm/%d HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000e%d\r\n"
 	for n, rest := range []string{
@@ -56,8 +56,8 @@
 		"Content-Length: 5\r\n\r\nabcde", // the connection is used again
 		"Expect: 100-continue\r\nContent-Length: 5\r\n\r\n",
 	} {
-		for _, piece := range strings.SplitAfter(fmt.Sprintf(head, n, n)+rest, "\r") { // cut anywhere
-			if _, err := io.WriteString(conn, piece); err != nil {
+		for _, part := range strings.SplitAfter(fmt.Sprintf(head, n, n)+rest, "\r") { // cut anywhere
+			if _, err := io.WriteString(conn, part); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -105,7 +105,7 @@
 
 // Guards against a second attempt with half a body, and against one that is lost: what was sent in part is refused, as
 // it never ran, though its client still sends.
-func TestNoSecondAttemptOnceTheBodyIsSpent(t *testing.T) {
+func TestNoRetryOnceTheBodyIsConsumed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -13,13 +13,13 @@
 
 // leases are leaderships as a test says.
 type leases struct {
-	epoch  uint64
-	held   bool
-	wished map[string]bool
+	epoch   uint64
+	holding bool
+	wished  map[string]bool
 }
 
 func (l *leases) campaign(name string, wanted bool)    { l.wished[name] = wanted }
-func (l *leases) holds(string) (epoch uint64, ok bool) { return l.epoch, l.held }
+func (l *leases) holds(string) (epoch uint64, ok bool) { return l.epoch, l.holding }
 
 // breakersRig is the breakers' part without its thread: n0 at makati, beside n1 at cebu and n2 at davao.
 func breakersRig(t *testing.T, d probeLeaderships) *breakerTracker {
@@ -65,7 +65,7 @@
 }
 
 // Probes are wished for while a breaker is open, said under the lease's epoch, in steps, and not once the lease is over.
-func TestTrialsAreSaidUnderALease(t *testing.T) {
+func TestProbesAreReportedUnderALease(t *testing.T) {
 	d := &leases{epoch: 3, wished: map[string]bool{}}
 	p := breakersRig(t, d)
 	result := func(state message.BreakerState) {
@@ -76,7 +76,7 @@
 		t.Fatalf("told %+v, wished %v", h, d.wished)
 	}
 	result(message.Closed) // not held: says nothing
-	d.held = true
+	d.holding = true
 	p.handle(p.updateProbes(p.s.clock.now()))
 	if h := p.told(t); h.Probes != balancer.ProbeBySelf || h.PassFraction != 0 {
 		t.Fatalf("held, and told %+v", h)
@@ -91,13 +91,13 @@
 	}
 	result(message.Closed)
 	result(message.Closed)
-	d.held = false // the lease ends in the middle of it
+	d.holding = false // the lease ends in the middle of it
 	result(message.Closed)
 	p.handle(p.updateProbes(p.s.clock.now()))
 	if h := p.told(t); h.Until == 0 || h.Probes == balancer.ProbeBySelf {
 		t.Fatalf("closed without the lease: told %+v", h)
 	}
-	d.epoch, d.held = 4, true
+	d.epoch, d.holding = 4, true
 	p.handle(p.updateProbes(p.s.clock.now()))
 	for range circuitbreaker.ProbeSteps {
 		result(message.Closed)
@@ -111,7 +111,7 @@
 }
 
 // What this sidecar says is said again until taken back, or until the upstream is another; a jammed loop is doubted.
-func TestReportsAreSaidAgain(t *testing.T) {
+func TestReportsAreRepeated(t *testing.T) {
 	p := breakersRig(t, nil)
 	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 2})
 	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c", Evidence: balancer.EvidenceErrors, Count: 4})
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -160,7 +160,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	young, stall := newConnGrace, bodyStallTimeout
-	if c.framing.atMostOneRequest() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // what it was about to send has come while it waited
+	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // what it was about to send has come while it waited
 		young, stall = minLinger, newConnGrace
 	}
 	switch {
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -78,7 +78,7 @@
 		return
 	}
 	buf := make([]byte, atLeast)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		n := 0
 		if err := raw.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), buf, syscall.MSG_PEEK) }); err != nil || n >= atLeast {
 			return
@@ -98,7 +98,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, _ := held(t)
+			s, _ := pendingUpstream(t)
 			c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 			c.Limits.Sockets = fixedSockets + 2*2
 			crossing := text("search")
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -50,8 +50,8 @@
 		if _, err := parseConfig([]byte(text)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", name, err)
 		} else if _, where, established := strings.Cut(name, ": "); established {
-			for _, words := range strings.Fields(where) {
-				if !strings.Contains(err.Error(), words) {
+			for _, fields := range strings.Fields(where) {
+				if !strings.Contains(err.Error(), fields) {
 					t.Errorf("%s: error %v", name, err)
 				}
 			}
@@ -188,8 +188,8 @@
 		for _, fault := range []string{"error", "hang"} {
 			began := time.Now()
 			resp, _ := r.do(t, command(method, class, fault))
-			refused := resp.StatusCode == 429 || resp.StatusCode == 503
-			if bytesReserved := time.Since(began); bytesReserved > 4*time.Second || resp.StatusCode < 400 || refused != (class == "slow") {
+			refusal := resp.StatusCode == 429 || resp.StatusCode == 503
+			if bytesReserved := time.Since(began); bytesReserved > 4*time.Second || resp.StatusCode < 400 || refusal != (class == "slow") {
 				t.Errorf("%s, %s: %s after %v", class, fault, resp.Status, bytesReserved)
 			}
 		}
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	select {
 	case <-event:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("waited in vain: %s", what)
 	}
 }
@@ -174,7 +174,7 @@
 		if g.body == "1" {
 			select {
 			case <-next: // the next one has been sent, on this connection or another
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 			}
 			_, err = io.WriteString(c, ok200("for 1"))
 		}
@@ -317,7 +317,7 @@
 			}()
 			begun, err, n := time.Now(), error(nil), 0
 			for ; err == nil; n++ {
-				_, err = rest.read(make([]byte, copyBufferBytes))
+				_, err = rest.read(make([]byte, transferBufferBytes))
 			}
 			if bytesReserved := time.Since(begun); !errors.Is(err, io.ErrClosedPipe) || bytesReserved > 4*time.Second || n < 6 {
 				t.Errorf("%v after %v, %d reads", err, bytesReserved, n)
@@ -327,8 +327,8 @@
 	t.Run("a flood", func(t *testing.T) {
 		s := newUpstream(t, func(c net.Conn, _ got) bool {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			for piece := "10000\r\n" + strings.Repeat("x", 1<<16) + "\r\n"; err == nil; {
-				_, err = io.WriteString(c, piece)
+			for part := "10000\r\n" + strings.Repeat("x", 1<<16) + "\r\n"; err == nil; {
+				_, err = io.WriteString(c, part)
 			}
 			return false
 		})
@@ -339,7 +339,7 @@
 		}
 		defer func() { _ = resp.Body.Close() }()
 		n, err := io.Copy(io.Discard, resp.Body)
-		if err == nil || n > maxBodyBytes+maxRetainedBytes+copyBufferBytes {
+		if err == nil || n > maxBodyBytes+maxRetainedBytes+transferBufferBytes {
 			t.Errorf("%d bytes, %v", n, err)
 		}
 	})
--- a/internal/sidecar/dispatcher_test.go
+++ b/internal/sidecar/dispatcher_test.go
@@ -22,7 +22,7 @@
 }
 
 func (l *dispatcher) newRequest(id, class string) *clientRequest {
-	return &clientRequest{id: id, class: class, expiresAt: l.clock.now() + patience, body: &clientBody{}, answer: make(chan answer, 1)}
+	return &clientRequest{id: id, class: class, expiresAt: l.clock.now() + testTimeout, body: &clientBody{}, answer: make(chan answer, 1)}
 }
 
 func member(name string, state balancer.EndpointState) balancer.Endpoint {
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// held is an upstream that answers nothing before the test releases it, but at once what asks for /search.
-func held(t *testing.T) (s *fakeUpstream, release func()) {
+// pendingUpstream is an upstream that answers nothing before the test releases it, but at once what asks for /search.
+func pendingUpstream(t *testing.T) (s *fakeUpstream, release func()) {
 	t.Helper()
 	free := make(chan struct{})
 	s = newUpstream(t, func(c net.Conn, g got) bool {
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience)) // a read shows it
+	_ = conn.SetDeadline(time.Now().Add(testTimeout)) // a read shows it
 	return &rawClient{t, conn, bufio.NewReader(conn)}
 }
 
@@ -104,7 +104,7 @@
 // Guards against a request that is cut off because its connection counts as idle until its head is whole.
 func TestTermWithHalfAHead(t *testing.T) {
 	t.Parallel()
-	s, _ := held(t)
+	s, _ := pendingUpstream(t)
 	r := rigOf(t, s)
 	used, fresh := dialRaw(t, r.address), dialRaw(t, r.address)
 	used.send(text("search"))
@@ -127,7 +127,7 @@
 // Guards against an answer that dies with its connection: what comes behind a request is not read before the end.
 func TestTermWithARequestBehind(t *testing.T) {
 	t.Parallel()
-	s, release := held(t)
+	s, release := pendingUpstream(t)
 	r := rigOf(t, s)
 	p := dialRaw(t, r.address)
 	p.send(text("confirm"))
@@ -176,7 +176,7 @@
 // Guards against connections that are reset in the accept queue: the client's request is written to them already.
 func TestTermWithAFullHouse(t *testing.T) {
 	t.Parallel()
-	s, release := held(t)
+	s, release := pendingUpstream(t)
 	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 	const bound = 3
 	c.Limits.Sockets = fixedSockets + 2*bound
@@ -206,7 +206,7 @@
 // Guards against a body that is whole only when nobody is left to see to its request: it is rejected at once.
 func TestTermWithHalfABody(t *testing.T) {
 	t.Parallel()
-	s, _ := held(t)
+	s, _ := pendingUpstream(t)
 	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].Deadline = 400 * time.Millisecond
@@ -277,7 +277,7 @@
 func TestTermBehindAFlood(t *testing.T) {
 	t.Parallel()
 	const bound, peers = 4, 110
-	s, _ := held(t)
+	s, _ := pendingUpstream(t)
 	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 	c.Limits.Sockets = fixedSockets + 2*bound
 	r := start(t, c, "127.0.0.1:0")
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -27,7 +27,7 @@
 	t.Parallel()
 	const bound, peers, limit = 16, 192, 4 * time.Second
 	post := "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Timeout: 9000m\r\n"
-	for name, says := range map[string]struct {
+	for name, wanted := range map[string]struct {
 		text  string
 		error bool // else a close is as good
 	}{
@@ -57,7 +57,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				_, _ = io.WriteString(conn, says.text) // fails where the end comes first
+				_, _ = io.WriteString(conn, wanted.text) // fails where the end comes first
 				all.Go(func() {
 					defer func() { _ = conn.Close() }()
 					_ = conn.SetReadDeadline(begun.Add(limit))
@@ -71,7 +71,7 @@
 				})
 			}
 			begun := time.Now()
-			beside := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+			beside := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 			defer beside.CloseIdleConnections()
 			resp, err := beside.Do(request(t, r.address, "search", ""))
 			if err != nil {
@@ -82,7 +82,7 @@
 				t.Errorf("the client beside them: %s after %v", resp.Status, bytesReserved)
 			}
 			all.Wait()
-			if n := errorsRead.Load(); says.error && n < peers*9/10 { // the others' words came late, and are owed an end only
+			if n := errorsRead.Load(); wanted.error && n < peers*9/10 { // the others' words came late, and are owed an end only
 				t.Errorf("%d of %d could read their error", n, peers)
 			}
 			for _, g := range s.requests() {
@@ -96,7 +96,7 @@
 
 // Guards against a flood that drives out those who were there before: what never brought a request is evicted first, a connection
 // that rests for a moment only does not.
-func TestFloodLeavesClientsAlone(t *testing.T) {
+func TestFloodDoesNotDelayClients(t *testing.T) {
 	t.Parallel()
 	const bound = 8
 	s := newUpstream(t, says(ok200("done")))
@@ -237,7 +237,7 @@
 
 // Guards against a connection that was told to make room, kept since a request came on it, and ended after that one all the same;
 // and against a peer that gains time by being told.
-func TestRoomIsTakenBack(t *testing.T) {
+func TestEvictionIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := net.Pipe()
 		defer func() { _ = client.Close() }()
@@ -284,7 +284,7 @@
 // Guards against clients that are held up by idle ones, which take all descriptors that clients may have and come again whenever
 // they are ended: each client that comes from discovery's return on is served within the second that is owed to it. The clock is
 // a fake one, so that a busy machine takes nothing of it; `mosslead-sidecar`'s TestIdleClientsTakeEveryDescriptor has the processes.
-func TestIdleClientsHoldUpNobody(t *testing.T) {
+func TestIdleClientsDelayNobody(t *testing.T) {
 	hush(t)
 	const bound, idle, lingers = 20, 120, time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -359,7 +359,7 @@
 					return
 				}
 				defer func() { _ = conn.Close() }()
-				_ = conn.SetDeadline(begun.Add(patience)) // a read shows it
+				_ = conn.SetDeadline(begun.Add(testTimeout)) // a read shows it
 				_, _ = io.WriteString(conn, text("search"))
 				line, err := bufio.NewReader(conn).ReadString('\n')
 				if !strings.HasPrefix(line, "HTTP/1.1 200") || time.Since(begun) > lingers {
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -17,14 +17,14 @@
 // upstreamExchange is one request and its answer on a connection. It may outlast its attempt, which waits until ctx ends: the answer
 // is read until life does, so that the connection can be used again, see awaitLateAnswer.
 type upstreamExchange struct {
-	pool   *upstreamPool
-	ctx    context.Context
-	life   context.Context
-	end    context.CancelFunc // of life
-	conn   *upstreamConn
-	client *clientRequest
-	before time.Duration // clock time from which on it may not begin; 0: any
-	use    connUse
+	pool    *upstreamPool
+	ctx     context.Context
+	readCtx context.Context
+	end     context.CancelFunc // of life
+	conn    *upstreamConn
+	client  *clientRequest
+	before  time.Duration // clock time from which on it may not begin; 0: any
+	use     connUse
 
 	ended     chan attemptReply
 	abandoned chan struct{} // closed when nobody waits for its end
@@ -37,7 +37,7 @@
 func (u *upstreamPool) startExchange(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration, use connUse) *upstreamExchange {
 	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, client: r, before: before, use: use,
 		ended: make(chan attemptReply), abandoned: make(chan struct{})}
-	x.life, x.end = context.WithCancel(context.WithoutCancel(ctx))
+	x.readCtx, x.end = context.WithCancel(context.WithoutCancel(ctx))
 	go x.run()
 	return x
 }
@@ -109,7 +109,7 @@
 			}
 		},
 	}
-	req = x.client.outgoing(httptrace.WithClientTrace(x.life, trace), c.address.address)
+	req = x.client.outgoing(httptrace.WithClientTrace(x.readCtx, trace), c.address.address)
 	left := x.client.timeout.Microseconds()
 	if deadline, ok := x.ctx.Deadline(); ok {
 		left = max(time.Until(deadline).Microseconds(), 1)
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -115,7 +115,7 @@
 		t.Error("begun at home")
 		return false
 	}}
-	s.classes.Store(&map[string]balancer.Class{"confirm": {Idempotency: balancer.NotIdempotent, Deadline: patience}})
+	s.classes.Store(&map[string]balancer.Class{"confirm": {Idempotency: balancer.NotIdempotent, Deadline: testTimeout}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 	}}
 	go func() { _ = srv.Serve(conns) }() // until Close
 	t.Cleanup(func() { _ = srv.Close() })
-	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: patience, Transport: &http.Transport{}}}
+	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}}
 	t.Cleanup(r.client.CloseIdleConnections)
 	same := func() *http.Request {
 		req := request(t, r.address, "confirm", "x")
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -90,8 +90,8 @@
 	return f.handedOn == 1
 }
 
-// atMostOneRequest tells whether no request was handed on but the first.
-func (f *framing) atMostOneRequest() bool {
+// firstRequestOnly tells whether no request was handed on but the first.
+func (f *framing) firstRequestOnly() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.handedOn < 2
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := io.WriteString(conn, c.text+inner); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -146,7 +146,7 @@
 	resume      func()                         // take clients again: the new process died
 	use         func() connectionUse           // of this process
 	limitBeside func(others *connectionUse)    // what is left beside the process before; nil: it is gone
-	shareMemory func(bool)                     // memory is shared, or no longer
+	halveMemory func(bool)                     // memory is shared, or no longer
 
 	yielded chan struct{} // the process before accepts no more, or there is none
 
@@ -295,8 +295,8 @@
 	}
 	h.sendState(l) // after replaceOther: a ban from now on is passed on
 	logAttrs(slog.LevelInfo, ofHandover, "successor connected")
-	h.shareMemory(true)
-	defer h.shareMemory(false)
+	h.halveMemory(true)
+	defer h.halveMemory(false)
 	ready, returned, err := h.followSuccessor(l)
 	h.mu.Lock()
 	if h.other == l {
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -133,7 +133,7 @@
 		}
 		_ = conn.Close()
 		old.awaitReady(t, "YES")
-		client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+		client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 		resp, err := client.Do(request(t, old.address, "confirm", ""))
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("ready %v, then gone: %v, %v", ready, resp, err)
@@ -144,10 +144,10 @@
 
 // Guards against clients that nobody accepts while a new process ends again, before it took over or after, with a request
 // in flight: the old one, if it stays, takes them at once.
-func TestNewProcessIsToldToEnd(t *testing.T) {
+func TestSuccessorIsTerminated(t *testing.T) {
 	for _, bytesReserved := range []bool{false, true} {
 		tmp, listeners := t.TempDir(), passed(t, 2)
-		s, release := held(t)
+		s, release := pendingUpstream(t)
 		c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 		c.Ops = "127.0.0.1:0"
 		old := startOn(t, c, listeners[0], tmp)
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -105,14 +105,14 @@
 
 // changes tells what a message changes in the entries' states as they were.
 func (h HollowObserver) changes(m balancer.EndpointUpdate, states map[string]string, index int64) {
-	words := map[balancer.EndpointState]string{balancer.Active: statusReady, balancer.Draining: statusTerminating, balancer.Removed: statusRemoved}
+	fields := map[balancer.EndpointState]string{balancer.Active: statusReady, balancer.Draining: statusTerminating, balancer.Removed: statusRemoved}
 	named := map[string]bool{}
 	for _, e := range m.Endpoints {
 		named[e.Upstream] = true
-		if states[e.Upstream] = words[e.State]; e.State == balancer.Removed {
+		if states[e.Upstream] = fields[e.State]; e.State == balancer.Removed {
 			delete(states, e.Upstream)
 		}
-		h.OnChange(e.Upstream, words[e.State], index)
+		h.OnChange(e.Upstream, fields[e.State], index)
 	}
 	if m.Kind != balancer.FullState {
 		return
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -16,8 +16,8 @@
 	"mosslead/internal/statestore"
 )
 
-// hollow runs one until its test ends, or what it gives is called.
-func hollow(t testing.TB, c *Config, h HollowObserver) (end func()) {
+// startHollow runs one until its test ends, or what it gives is called.
+func startHollow(t testing.TB, c *Config, h HollowObserver) (end func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -55,7 +55,7 @@
 			var mu sync.Mutex
 			var inbox []string
 			done := make(chan struct{})
-			end := hollow(t, c, HollowObserver{
+			end := startHollow(t, c, HollowObserver{
 				OnList: func(index int64, entries int, at time.Time) {
 					mu.Lock()
 					defer mu.Unlock()
@@ -75,7 +75,7 @@
 			})
 			select {
 			case <-done:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the list was not followed")
 			}
 			<-goes
@@ -105,10 +105,10 @@
 	c := testConfig(t, d.address)
 	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: d.address, Zone: "a"} // taken: whoever listens there fails
 	listed := make(chan struct{})
-	end := hollow(t, c, HollowObserver{OnList: func(int64, int, time.Time) { close(listed) }})
+	end := startHollow(t, c, HollowObserver{OnList: func(int64, int, time.Time) { close(listed) }})
 	select {
 	case <-listed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the list was not followed")
 	}
 	end()
@@ -129,16 +129,16 @@
 				<-done
 			})
 			costs(b, func(ready *sync.WaitGroup) {
-				hollow(b, testConfig(b, d.address+",127.0.0.2:1"), HollowObserver{OnList: func(int64, int, time.Time) { ready.Done() }})
+				startHollow(b, testConfig(b, d.address+",127.0.0.2:1"), HollowObserver{OnList: func(int64, int, time.Time) { ready.Done() }})
 			})
 		})
 		b.Run(fmt.Sprint(size, " entries and settings"), func(b *testing.B) {
 			svc := newListService(b, entries...)
-			svc.tell(document(5, probing))
+			svc.announce(document(5, probing))
 			costs(b, func(ready *sync.WaitGroup) {
 				c := ofService(b, svc.address)
 				c.Known = nil
-				hollow(b, c, HollowObserver{OnSettings: func(string, int64, error, time.Time) { ready.Done() }})
+				startHollow(b, c, HollowObserver{OnSettings: func(string, int64, error, time.Time) { ready.Done() }})
 			})
 		})
 	}
--- a/internal/sidecar/leaderships_test.go
+++ b/internal/sidecar/leaderships_test.go
@@ -11,7 +11,7 @@
 
 // The site's own sidecar gets the leaderships that are about its site; one that ends hands on at once; a suspect's probes are a leadership
 // only while somebody suspects it.
-func TestDutiesOfTwoSidecars(t *testing.T) {
+func TestLeadershipsOfTwoSidecars(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := memory.New(nil)
 		begin := func(name, site string) *leaderships {
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -139,8 +139,8 @@
 
 // upstreamCounts is what became of the attempts at one upstream.
 type upstreamCounts struct {
-	ok, bad int
-	took    time.Duration // of all ok ones together
+	ok, bad   int
+	totalTime time.Duration // of all ok ones together
 }
 
 func newAttemptCounts() attemptCounts {
@@ -160,7 +160,7 @@
 	}
 	if res == balancer.OK {
 		u.ok++
-		u.took += bytesReserved
+		u.totalTime += bytesReserved
 	} else {
 		u.bad++
 	}
@@ -173,7 +173,7 @@
 		u := c.upstreams[name]
 		fmt.Fprintf(&s, "%s@%s %d", name, zone(name), u.ok)
 		if u.ok > 0 {
-			fmt.Fprintf(&s, " in %dms", (u.took / time.Duration(u.ok)).Milliseconds())
+			fmt.Fprintf(&s, " in %dms", (u.totalTime / time.Duration(u.ok)).Milliseconds())
 		}
 		if u.bad > 0 {
 			fmt.Fprintf(&s, " bad %d", u.bad)
--- a/internal/sidecar/orders_planted_test.go
+++ b/internal/sidecar/orders_planted_test.go
@@ -46,8 +46,8 @@
 	return bytes.HasPrefix(p, []byte("GET /")) || bytes.HasPrefix(p, []byte("POST /"))
 }
 
-// plantedMost is how many seeds a planted fault may take to be found.
-const plantedMost = 3000
+// maxPlanted is how many seeds a planted fault may take to be found.
+const maxPlanted = 3000
 
 var planted = []struct {
 	name  string
@@ -160,7 +160,7 @@
 				var both sync.WaitGroup
 				for range orderWorkers {
 					both.Go(func() {
-						for seed := next.Add(1); seed <= plantedMost && !found.Load(); seed = next.Add(1) {
+						for seed := next.Add(1); seed <= maxPlanted && !found.Load(); seed = next.Add(1) {
 							broken, _ := play(t, draw(seed), x.plant, false)
 							for _, text := range broken {
 								if strings.Contains(text, x.finds) && !found.Swap(true) {
@@ -172,7 +172,7 @@
 				}
 				both.Wait()
 				if !found.Load() {
-					t.Errorf("not found in %d orders", plantedMost)
+					t.Errorf("not found in %d orders", maxPlanted)
 				}
 			})
 		}
--- a/internal/sidecar/orders_rules_test.go
+++ b/internal/sidecar/orders_rules_test.go
@@ -19,15 +19,15 @@
 // sidecar's parts.
 
 const (
-	graceLate   = 500*milli + slack      // for an answer, after the client's time
-	graceGone   = 100 * milli            // for a first byte, after the client has gone
-	graceMoved  = 4 * time.Second        // after SIGHUP discovery's news counts as told
-	graceTold   = 6 * time.Second        // and without it
-	slack       = 50 * milli             // every limit is that much longer
-	drainGrace  = 3 * time.Second        // for an upstream that drains, where what counts as told need not have arrived
-	strangers   = 3*time.Second + slack  // for an error or an end, to a peer that sends no proper request
-	rested      = 10 * milli             // for which a connection rests, at least, before it carries another request
-	takenBefore = 700 * time.Millisecond // of a request that SIGKILL may not leave unanswered, after SIGTERM
+	graceLate         = 500*milli + slack      // for an answer, after the client's time
+	graceDisconnected = 100 * milli            // for a first byte, after the client has gone
+	graceMoved        = 4 * time.Second        // after SIGHUP discovery's news counts as told
+	graceAnnounced    = 6 * time.Second        // and without it
+	slack             = 50 * milli             // every limit is that much longer
+	drainGrace        = 3 * time.Second        // for an upstream that drains, where what counts as told need not have arrived
+	strangers         = 3*time.Second + slack  // for an error or an end, to a peer that sends no proper request
+	rested            = 10 * milli             // for which a connection rests, at least, before it carries another request
+	takenBefore       = 700 * time.Millisecond // of a request that SIGKILL may not leave unanswered, after SIGTERM
 )
 
 // moment is a place in the record.
@@ -63,7 +63,7 @@
 // wireText is a request or an answer on the wire.
 type wireText struct {
 	first, last moment // of its bytes; last only if it is whole
-	whole       bool
+	complete    bool
 	body        string
 	id          string // of a request
 	method      string
@@ -94,7 +94,7 @@
 		if err != nil {
 			return all
 		}
-		m.whole, m.last = true, f.moment(len(f.bytes)-src.Len()-in.Buffered()-1)
+		m.complete, m.last = true, f.moment(len(f.bytes)-src.Len()-in.Buffered()-1)
 	}
 }
 
@@ -119,7 +119,7 @@
 		if err != nil || unstated && (f.end == nil || f.reset) {
 			return all
 		}
-		m.whole, m.last = true, f.moment(len(f.bytes)-src.Len()-in.Buffered()-1)
+		m.complete, m.last = true, f.moment(len(f.bytes)-src.Len()-in.Buffered()-1)
 	}
 }
 
@@ -177,7 +177,7 @@
 
 // mayHaveRun tells whether an attempt may have run, as far as was known to the sidecar at a moment.
 func (a *orderAttempt) mayHaveRun(by moment) bool {
-	return a.whole && (a.answer == nil || !a.answer.never || !a.answer.whole || a.answer.at+a.onTape.way > by.at)
+	return a.complete && (a.answer == nil || !a.answer.never || !a.answer.complete || a.answer.at+a.onTape.way > by.at)
 }
 
 // probe is one judgement.
@@ -211,8 +211,8 @@
 			j.clientTape(t)
 		}
 	}
-	for id, tries := range j.attempts {
-		j.effects(id, tries)
+	for id, attempts := range j.attempts {
+		j.effects(id, attempts)
 	}
 	j.drains()
 	select {
@@ -234,7 +234,7 @@
 	}
 	for _, m := range t.out.requests(t) {
 		if m.id == "" {
-			if m.whole {
+			if m.complete {
 				j.say("at %v %s was sent a request without an id", m.first.at, t.to)
 			}
 			continue
@@ -246,7 +246,7 @@
 			}
 		}
 		ends := []*moment{t.out.end, t.back.end}
-		if a.answer != nil && a.answer.whole {
+		if a.answer != nil && a.answer.complete {
 			ends = append(ends, &moment{a.answer.at, a.answer.mark})
 		}
 		for _, e := range ends {
@@ -259,7 +259,7 @@
 		switch {
 		case r == nil:
 			j.say("at %v %s was sent %s, which no client did", m.first.at, t.to, m.id)
-		case m.method != r.method || m.target != r.target || m.whole && m.body != r.body || !strings.HasPrefix(r.body, m.body):
+		case m.method != r.method || m.target != r.target || m.complete && m.body != r.body || !strings.HasPrefix(r.body, m.body):
 			j.say("at %v %s was sent %s in another form: %s %s, %d bytes", m.first.at, t.to, m.id, m.method, m.target, len(m.body))
 		}
 	}
@@ -271,17 +271,17 @@
 	if len(answers) > len(requests) {
 		j.say("%s has %d answers to %d requests on a connection", t.from, len(answers), len(requests))
 	}
-	gone := moment{never, never}
+	disconnectedAt := moment{never, never}
 	if t.out.end != nil {
-		gone = *t.out.end
+		disconnectedAt = *t.out.end
 	}
 	over := moment{never, never}
 	if t.back.end != nil {
 		over = *t.back.end
 	}
-	if !t.failed && !slices.ContainsFunc(requests, func(m *wireText) bool { return m.whole && j.sent[m.id] != nil }) {
+	if !t.failed && !slices.ContainsFunc(requests, func(m *wireText) bool { return m.complete && j.sent[m.id] != nil }) {
 		limit := t.dialled.at + 2*clientWay + strangers
-		if answered := len(answers) > 0 && answers[0].first.at <= limit; !answered && gone.at > limit && over.at > limit && j.over > limit {
+		if answered := len(answers) > 0 && answers[0].first.at <= limit; !answered && disconnectedAt.at > limit && over.at > limit && j.over > limit {
 			j.say("a peer of %s that connected at %v and sent no proper request got neither an error nor an end", t.from, t.dialled.at)
 		}
 		if len(answers) > 0 && answers[0].status < 400 {
@@ -300,26 +300,26 @@
 		if r == nil { // a part, which is owed nothing but an end
 			continue
 		}
-		if m.whole {
-			j.owed(r, m, a, before, gone, over)
+		if m.complete {
+			j.owes(r, m, a, before, disconnectedAt, over)
 		} else if a != nil && a.status == http.StatusOK {
 			j.say("%s was served before it was sent whole", r.id)
 		}
-		j.noMore(r, m, a, gone, over)
+		j.noMore(r, m, a, disconnectedAt, over)
 	}
 }
 
-// owed checks the one final answer to a request that was sent whole.
-func (j *trial) owed(r *orderRequest, m, a, before *wireText, gone, over moment) {
+// owes checks the one final answer to a request that was sent whole.
+func (j *trial) owes(r *orderRequest, m, a, before *wireText, disconnectedAt, over moment) {
 	queries := m.last.at
 	if r.pipelined && before != nil {
 		queries = max(queries, before.last.at+clientWay) // it is read no sooner
 	}
 	limit := queries + r.timeout + graceLate
-	leaves := gone.at < limit // it did not wait for it
+	departs := disconnectedAt.at < limit // it did not wait for it
 	switch {
-	case a == nil && leaves:
-	case a == nil && r.pipelined && before != nil && (before.closes || !before.whole) && len(j.attempts[r.id]) == 0:
+	case a == nil && departs:
+	case a == nil && r.pipelined && before != nil && (before.closes || !before.complete) && len(j.attempts[r.id]) == 0:
 		// the client sends it again elsewhere
 	case a == nil && over.at <= m.last.at+m.onTape.way+2*milli && len(j.attempts[r.id]) == 0:
 		// it crossed the connection's end, which had not read it
@@ -328,22 +328,22 @@
 		j.say("the connection of %s, sent at %v, was ended at %v with no answer", r.id, m.last.at, over.at)
 	case a == nil:
 		j.say("%s, sent at %v, has no answer", r.id, m.last.at)
-	case a.whole && a.status == http.StatusOK:
-		if !slices.ContainsFunc(j.answers[r.id], func(x *orderAnswer) bool { return x.status == 200 && x.whole && x.body == a.body }) && !j.crossed(r.id, a.body) {
+	case a.complete && a.status == http.StatusOK:
+		if !slices.ContainsFunc(j.answers[r.id], func(x *orderAnswer) bool { return x.status == 200 && x.complete && x.body == a.body }) && !j.crossed(r.id, a.body) {
 			j.say("%s was served %q, which no upstream has made for it", r.id, truncate(a.body))
 		}
 		if a.first.at+clientWay > limit {
 			j.say("%s, sent at %v for %v, was answered only at %v", r.id, m.last.at, r.timeout, a.first.at)
 		}
-	case a.whole:
-		if a.last.at+clientWay > limit && !leaves {
+	case a.complete:
+		if a.last.at+clientWay > limit && !departs {
 			j.say("%s, sent at %v for %v, was answered only at %v", r.id, m.last.at, r.timeout, a.last.at)
 		}
 		if (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests) && r.class != "search" &&
 			slices.ContainsFunc(j.attempts[r.id], func(x *orderAttempt) bool { return x.first.at < a.first.at && x.mayHaveRun(a.first) }) {
 			j.say("%s was refused at %v, and may have run", r.id, a.first.at)
 		}
-	case leaves:
+	case departs:
 	case a.status == http.StatusOK && slices.ContainsFunc(j.answers[r.id], func(x *orderAnswer) bool {
 		return x.status == 200 && x.begun && strings.HasPrefix(x.body, a.body)
 	}): // passed on in part, and the client can tell
@@ -375,31 +375,31 @@
 }
 
 // noMore checks that nothing is sent for a client that has gone, or that has its answer, or whose connection was ended.
-func (j *trial) noMore(r *orderRequest, m, a *wireText, gone, over moment) {
+func (j *trial) noMore(r *orderRequest, m, a *wireText, disconnectedAt, over moment) {
 	for _, x := range j.attempts[r.id] {
 		way := x.onTape.way
 		switch {
 		case x.first.mark < m.first.mark:
 			j.say("%s was sent at %v, before its client did", r.id, x.first.at)
-		case x.first.at+way > gone.at+graceGone && (a == nil || !a.whole || a.last.mark > gone.mark):
-			j.say("%s was sent to up-%d at %v, and its client had gone at %v", r.id, x.upstream+1, x.first.at, gone.at)
+		case x.first.at+way > disconnectedAt.at+graceDisconnected && (a == nil || !a.complete || a.last.mark > disconnectedAt.mark):
+			j.say("%s was sent to up-%d at %v, and its client had gone at %v", r.id, x.upstream+1, x.first.at, disconnectedAt.at)
 		case a != nil && x.first.at > a.first.at+milli:
 			j.say("%s was sent to up-%d at %v, and its answer at %v", r.id, x.upstream+1, x.first.at, a.first.at)
-		case x.first.at > over.at+milli && over.at < gone.at:
+		case x.first.at > over.at+milli && over.at < disconnectedAt.at:
 			j.say("%s was sent to up-%d at %v, and its connection had been ended at %v", r.id, x.upstream+1, x.first.at, over.at)
 		}
 	}
 }
 
 // effects checks what several attempts of one request do.
-func (j *trial) effects(id string, tries []*orderAttempt) {
+func (j *trial) effects(id string, attempts []*orderAttempt) {
 	r := j.sent[id]
 	if r == nil {
 		return
 	}
-	for i, a := range tries {
-		for _, b := range tries[i+1:] {
-			if a.whole && b.whole && a.over.mark > b.last.mark && a.last.mark < b.last.mark {
+	for i, a := range attempts {
+		for _, b := range attempts[i+1:] {
+			if a.complete && b.complete && a.over.mark > b.last.mark && a.last.mark < b.last.mark {
 				j.say("%s was with up-%d from %v on and with up-%d from %v on, both at once", id, a.upstream+1, a.last.at, b.upstream+1, b.last.at)
 			}
 			if !a.mayHaveRun(b.first) {
@@ -412,7 +412,7 @@
 				if b.upstream != a.upstream && j.scope {
 					j.say("%s was sent to up-%d at %v, and may have run at up-%d, in another zone", id, b.upstream+1, b.first.at, a.upstream+1)
 				}
-				if b.whole && b.last.at-a.last.at > j.window+slack {
+				if b.complete && b.last.at-a.last.at > j.window+slack {
 					j.say("%s was sent to up-%d at %v, and may have run at up-%d at %v, longer ago than its window", id, b.upstream+1, b.last.at, a.upstream+1, a.last.at)
 				}
 			}
@@ -435,11 +435,11 @@
 			}
 		}
 		bound := j.bound(x)
-		for id, tries := range j.attempts {
-			for _, a := range tries {
+		for id, attempts := range j.attempts {
+			for _, a := range attempts {
 				if a.upstream == x.name && a.first.at > bound && a.first.at < until {
 					j.say("%s was sent to up-%d at %v, which was %s from %v on, told at %v, and bound from %v on", id, a.upstream+1,
-						a.first.at, x.status, x.at, x.told, bound)
+						a.first.at, x.status, x.at, x.announcedAt, bound)
 				}
 			}
 		}
@@ -449,7 +449,7 @@
 // bound is when a change binds the sidecar.
 func (j *trial) bound(x *orderChange) time.Duration {
 	bound := time.Duration(never)
-	for at, grace := range map[time.Duration]time.Duration{x.told: slack, x.behind: drainGrace + slack} {
+	for at, grace := range map[time.Duration]time.Duration{x.announcedAt: slack, x.behind: drainGrace + slack} {
 		cutOff := func(o outage) bool { return o.from <= at && o.to >= at-discoveryWay } // its line came later, if ever
 		if at > 0 && !slices.ContainsFunc(j.discoveries, func(d *orderDiscovery) bool { return slices.ContainsFunc(d.outages, cutOff) }) {
 			bound = min(bound, at+grace)
@@ -458,20 +458,20 @@
 	from := x.at
 	d := j.discoveries[0]
 	if !j.moved.IsZero() {
-		if moved := j.moved.Sub(j.begun); moved < from+graceTold || x.at > moved {
+		if moved := j.moved.Sub(j.begun); moved < from+graceAnnounced || x.at > moved {
 			d = j.discoveries[1]
 			if x.at <= moved {
 				from = moved
 			}
 		}
 	}
-	last := graceTold
+	last := graceAnnounced
 	if d == j.discoveries[len(j.discoveries)-1] && !j.moved.IsZero() && from == j.moved.Sub(j.begun) {
 		last = graceMoved
 	}
 	for _, o := range d.outages {
 		if o.to > from && o.from < from+last {
-			from, last = o.to, graceTold
+			from, last = o.to, graceAnnounced
 			if from == never {
 				return bound
 			}
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -4,49 +4,46 @@
 	"flag"
 	"fmt"
 	"io"
-	"log/slog"
 	"math/rand/v2"
-	"runtime"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 )
 
 var (
-	orderSeed  = flag.Int64("orders.seed", -1, "replay the order of this seed, many times over: what comes at the same moment has no order of its own")
-	orderFrom  = flag.Int64("orders.from", 1, "the first seed")
-	orderCount = flag.Int64("orders.count", 10_000, "how many orders are played")
-	orderKeep  = flag.String("orders.keep", "", "of a replayed order, only the acts of these numbers, as in 0,3,4")
+	orderSeed       = flag.Int64("orders.seed", -1, "replay the order of this seed, many times over: what comes at the same moment has no order of its own")
+	orderFrom       = flag.Int64("orders.from", 1, "the first seed")
+	orderCount      = flag.Int64("orders.count", 10_000, "how many orders are played")
+	orderRecordFile = flag.String("orders.keep", "", "of a replayed order, only the acts of these numbers, as in 0,3,4")
 )
 
 const (
-	orderActs    = 12
+	maxActions   = 12
 	orderRepeats = 60 // of a seed that is replayed, and of one that is made shorter
 	orderWorkers = 3
 
-	restMost = 21 * time.Second // after which no connection to an upstream is of use: 10 s for late answers, and 9 s idle
+	maxPause = 21 * time.Second // after which no connection to an upstream is of use: 10 s for late answers, and 9 s idle
 )
 
 // kind is what an act does.
 type kind int
 
 const (
-	asksSafe kind = iota
-	asksUnsafe
-	asksKeyed
-	asksLarge
-	asksHalf
+	sendsIdempotent kind = iota
+	sendsNotIdempotent
+	sendsByKey
+	sendsLarge
+	sendsHalf
 	sendsJunk
 	connects
 	closesClient
 	halfCloses
 	resetsClient
 	pipelinesPart
-	pipelinesWhole
+	pipelinesComplete
 
 	answersOK
 	answersSlowly
@@ -54,7 +51,7 @@
 	answersLarge
 	answersTwice
 	answersError
-	turnsAway
+	rejects
 	cutsShort
 	endsUnstated
 	cutsUnstated
@@ -95,15 +92,15 @@
 	words  string
 	weight int
 }{
-	asksSafe: {"client asks what is safe", 16}, asksUnsafe: {"client asks what is unsafe", 16}, asksKeyed: {"client asks what is keyed", 10},
-	asksLarge: {"client asks with a large body", 2}, asksHalf: {"client asks, and never sends the rest", 2},
+	sendsIdempotent: {"client asks what is safe", 16}, sendsNotIdempotent: {"client asks what is unsafe", 16}, sendsByKey: {"client asks what is keyed", 10},
+	sendsLarge: {"client asks with a large body", 2}, sendsHalf: {"client asks, and never sends the rest", 2},
 	sendsJunk: {"client sends what is no proper request", 3}, connects: {"client connects and rests", 2}, closesClient: {"client closes", 8},
 	halfCloses: {"client ends its sending", 4}, resetsClient: {"client resets", 4}, pipelinesPart: {"client sends a part of another request behind", 3},
-	pipelinesWhole: {"client sends another request behind", 2},
+	pipelinesComplete: {"client sends another request behind", 2},
 
 	answersOK: {"upstream answers 200", 10}, answersSlowly: {"upstream answers 200 in two parts", 3}, answersChunked: {"upstream answers in chunks", 2},
 	answersLarge: {"upstream answers at length", 1}, answersTwice: {"upstream answers twice", 4}, answersError: {"upstream answers 500", 4},
-	turnsAway: {"upstream turns away", 7}, cutsShort: {"upstream answers half, then resets", 4}, endsUnstated: {"upstream answers without a length and closes", 3},
+	rejects: {"upstream turns away", 7}, cutsShort: {"upstream answers half, then resets", 4}, endsUnstated: {"upstream answers without a length and closes", 3},
 	cutsUnstated: {"upstream answers without a length, then resets", 4}, closesUnanswered: {"upstream closes unanswered", 3},
 	resetsUnanswered: {"upstream resets unanswered", 4}, spoils: {"upstream answers half a line", 2}, neverEnds: {"upstream answers without an end", 1},
 	spoilsHead: {"upstream answers what is no HTTP", 2}, neverAnswers: {"upstream holds", 4},
@@ -133,12 +130,12 @@
 func (a act) String() string {
 	s := fmt.Sprintf("%v: %s", a.at, kindly[a.kind].words)
 	switch {
-	case a.kind <= pipelinesWhole:
+	case a.kind <= pipelinesComplete:
 		s = strings.Replace(s, "client", fmt.Sprint("client-", a.who+1), 1)
 	case a.kind <= returns:
 		s = strings.Replace(s, "upstream", fmt.Sprint("up-", a.who+1), 1)
 	}
-	if a.kind <= asksLarge {
+	if a.kind <= sendsLarge {
 		s += fmt.Sprintf(", for %v", a.timeout)
 	}
 	if a.gap > 0 {
@@ -150,20 +147,20 @@
 // order is what a seed stands for.
 type order struct {
 	seed     int64
-	asks     bool // the list comes to those who ask
+	sends    bool // the list comes to those who ask
 	twoZones bool
 	window   time.Duration    // for repeats of what is idempotent by key
 	auto     [2]time.Duration // see orderUpstream
-	whole    bool             // a watch begins with the whole list
+	complete bool             // a watch begins with the whole list
 	warm     bool             // each client was answered once before
 	settle   time.Duration    // from the sidecar's start to the first act
-	acts     []act
+	actions  []act
 }
 
 func (o *order) String() string {
 	s := fmt.Sprintf("seed %d: asks %v, two zones %v, window %v, upstreams answer by themselves after %v (negative: never), warm %v, whole lists %v, settles for %v\n",
-		o.seed, o.asks, o.twoZones, o.window, o.auto, o.warm, o.whole, o.settle)
-	for _, a := range o.acts {
+		o.seed, o.sends, o.twoZones, o.window, o.auto, o.warm, o.complete, o.settle)
+	for _, a := range o.actions {
 		s += fmt.Sprintf("  %d. %v\n", a.number, a)
 	}
 	return s
@@ -174,7 +171,7 @@
 // draw makes the order of a seed. Many acts come at the same moment, or right beside it.
 func draw(seed int64) *order {
 	r := rand.New(rand.NewPCG(uint64(seed), 25))
-	o := &order{seed: seed, asks: r.IntN(2) == 0, twoZones: r.IntN(3) == 0, window: pick(r, 300*milli, 300*milli, 6*time.Second), warm: r.IntN(2) == 0, whole: r.IntN(3) == 0,
+	o := &order{seed: seed, sends: r.IntN(2) == 0, twoZones: r.IntN(3) == 0, window: pick(r, 300*milli, 300*milli, 6*time.Second), warm: r.IntN(2) == 0, complete: r.IntN(3) == 0,
 		settle: pick(r, 50*milli, 50*milli, 50*milli, 5*milli)}
 	for i := range o.auto {
 		o.auto[i] = pick(r, -1, -1, 0, 5*milli, 60*milli, 150*milli)
@@ -184,10 +181,10 @@
 		weights += k.weight
 	}
 	at := 10 * milli
-	acts := 4 + r.IntN(orderActs-3)
+	actions := 4 + r.IntN(maxActions-3)
 	ended, term := false, time.Duration(0) // SIGTERM, and when
 	established := false                   // the list has changed for the worse
-	for i := range acts {
+	for i := range actions {
 		a := act{number: i, who: r.IntN(2), fresh: r.IntN(4) == 0}
 		n := r.IntN(weights)
 		for k, x := range kindly {
@@ -196,8 +193,8 @@
 				break
 			}
 		}
-		if len(o.acts) == 0 {
-			a.kind = pick(r, asksSafe, asksUnsafe, asksKeyed, a.kind)
+		if len(o.actions) == 0 {
+			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsByKey, a.kind)
 		}
 		switch r.IntN(20) {
 		case 0, 1, 2, 3, 4, 5, 6:
@@ -210,8 +207,8 @@
 		default:
 			at += pick(r, 1000*milli, 1500*milli, 2500*milli, 3000*milli, 6000*milli)
 		}
-		if i == acts-1 && established && r.IntN(2) == 0 { // is it known by now?
-			a.kind = pick(r, asksSafe, asksUnsafe, asksKeyed)
+		if i == actions-1 && established && r.IntN(2) == 0 { // is it known by now?
+			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsByKey)
 			at += pick(r, 3*time.Second, 4100*milli, 6100*milli, 6100*milli)
 		}
 		established = established || a.kind == drains || a.kind == goes
@@ -226,7 +223,7 @@
 		}
 		a.timeout = pick(r, 100*milli, 200*milli, 400*milli, 900*milli, 900*milli, 2000*milli)
 		switch {
-		case a.kind <= asksHalf:
+		case a.kind <= sendsHalf:
 			a.gap = pick(r, 0, 0, 0, 1*milli, 50*milli, 300*milli)
 		case a.kind <= neverAnswers:
 			a.gap = pick(r, 0, 1*milli, 3*milli, 20*milli, 90*milli, 110*milli, 300*milli, 700*milli)
@@ -235,7 +232,7 @@
 		case a.kind == vanishes, a.kind == dies, a.kind >= discoveryVanishes && a.kind <= discoveryHolds:
 			a.gap = pick(r, 20*milli, 300*milli, 1200*milli, 3000*milli, 8000*milli)
 		}
-		o.acts = append(o.acts, a)
+		o.actions = append(o.actions, a)
 	}
 	return o
 }
@@ -244,14 +241,14 @@
 func (w *world) do(a act) {
 	client, up := w.clients[a.who], w.ups[a.who]
 	switch a.kind {
-	case asksSafe:
-		client.asks("search", a.timeout, 0, a.fresh)
-	case asksUnsafe:
-		client.asks("confirm", a.timeout, a.gap, a.fresh)
-	case asksKeyed:
-		client.asks("record", a.timeout, a.gap, a.fresh)
-	case asksLarge:
-		client.asks("large", a.timeout, a.gap, a.fresh)
+	case sendsIdempotent:
+		client.send("search", a.timeout, 0, a.fresh)
+	case sendsNotIdempotent:
+		client.send("confirm", a.timeout, a.gap, a.fresh)
+	case sendsByKey:
+		client.send("record", a.timeout, a.gap, a.fresh)
+	case sendsLarge:
+		client.send("large", a.timeout, a.gap, a.fresh)
 	case connects:
 		go client.connect(0)
 	case closesClient:
@@ -268,7 +265,7 @@
 		}
 	case pipelinesPart:
 		client.behind(func(*orderConn) string { return "GET /sea" })
-	case pipelinesWhole:
+	case pipelinesComplete:
 		client.behind(func(c *orderConn) string {
 			r := w.request("search", a.timeout)
 			w.mu.Lock()
@@ -311,8 +308,8 @@
 		w.change(a.who, "Gone")
 	case returns:
 		w.change(a.who, statusReady)
-	case asksHalf:
-		client.asksHalf(a.gap)
+	case sendsHalf:
+		client.sendHalf(a.gap)
 	case sendsJunk:
 		client.junk(int(a.timeout/milli) + int(a.gap/milli))
 	case halfLists:
@@ -345,7 +342,7 @@
 // lead is how long an act is on its way to the sidecar.
 func (a act) lead() time.Duration {
 	switch {
-	case a.kind <= pipelinesWhole:
+	case a.kind <= pipelinesComplete:
 		return clientWay
 	case a.kind <= dialsNever:
 		return upWays[a.who]
@@ -355,121 +352,9 @@
 	return 0
 }
 
-// play plays an order and tells what broke the rules, and what went over the wire if that is asked for.
-func play(t *testing.T, o *order, p plant, statsTick bool) (broken []string, text string) {
-	defer func() { // a bubble that can't end
-		if r := recover(); r != nil {
-			stacks := make([]byte, 1<<20)
-			stacks = stacks[:runtime.Stack(stacks, true)]
-			broken = append(broken, fmt.Sprint(r))
-			for one := range strings.SplitSeq(string(stacks), "\n\n") {
-				if strings.Contains(one, "synctest bubble") {
-					broken = append(broken, one)
-				}
-			}
-		}
-	}()
-	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, o, p)
-		time.Sleep(o.settle)
-		if o.warm {
-			auto := [2]time.Duration{w.ups[0].auto, w.ups[1].auto}
-			w.ups[0].auto, w.ups[1].auto = 0, 0
-			for _, c := range w.clients {
-				c.asks("search", time.Second, 0, false)
-			}
-			time.Sleep(50 * milli)
-			w.mu.Lock()
-			w.ups[0].auto, w.ups[1].auto = auto[0], auto[1]
-			w.mu.Unlock()
-		}
-		begun := time.Now()
-		acts := slices.Clone(o.acts)
-		slices.SortStableFunc(acts, func(a, b act) int { return int(a.at - a.lead() - b.at + b.lead()) })
-		last := time.Duration(0)
-		for _, a := range acts {
-			time.Sleep(a.at - a.lead() - time.Since(begun))
-			w.say("order", "all", "%v", a)
-			w.do(a)
-			last = max(last, a.at+a.timeout+a.gap)
-			if a.kind == pipelinesWhole {
-				last += 2 * time.Second // it is read only after the one before
-			}
-		}
-		time.Sleep(last + 700*milli - time.Since(begun))
-		if w.termed.IsZero() {
-			time.Sleep(restMost)
-		} else {
-			time.Sleep(killWait + 50*milli - time.Since(w.termed))
-		}
-		w.mu.Lock()
-		w.on = false
-		w.mu.Unlock()
-		w.record.Stop()
-		broken = judge(w)
-		if statsTick && len(broken) > 0 {
-			text = w.record.Text()
-		}
-	})
-	return broken, text
-}
-
-// without is the order without one act.
-func (o *order) without(i int) *order {
-	less := *o
-	less.acts = slices.Delete(slices.Clone(o.acts), i, i+1)
-	return &less
-}
-
-// fails plays an order until it breaks a rule, that many times at the most.
-func (o *order) fails(t *testing.T, p plant, times int) (broken []string, text string) {
-	for range times {
-		if broken, text = play(t, o, p, true); len(broken) > 0 {
-			break
-		}
-	}
-	return broken, text
-}
-
-// shorter leaves out acts for as long as the order goes on to fail.
-func (o *order) shorter(t *testing.T, p plant) *order {
-	for again := true; again; {
-		again = false
-		for i := len(o.acts) - 1; i >= 0; i-- {
-			if less := o.without(i); len(less.acts) > 0 {
-				if broken, _ := less.fails(t, p, orderRepeats); len(broken) > 0 {
-					o, again = less, true
-				}
-			}
-		}
-	}
-	return o
-}
-
-// hush keeps the sidecars' logs out of the test's.
-func hush(t *testing.T) {
-	was := slog.Default()
-	slog.SetDefault(slog.New(slog.DiscardHandler))
-	t.Cleanup(func() { slog.SetDefault(was) })
-}
-
-func report(t *testing.T, o *order, p plant, broken []string, text string) {
-	t.Helper()
-	if short := o.shorter(t, p); len(short.acts) < len(o.acts) {
-		if again, words := short.fails(t, p, 2*orderRepeats); len(again) > 0 {
-			o, broken, text = short, again, words
-		}
-	}
-	keep := ""
-	for _, a := range o.acts {
-		keep += fmt.Sprint(",", a.number)
-	}
-	t.Errorf("replay with -orders.seed=%d -orders.keep=%s\n%v\n%s\n%s", o.seed, strings.TrimPrefix(keep, ","), o, strings.Join(broken, "\n"), text)
-}
-
 // Guards against faults that come back: orders beyond those that TestOrders plays, which broke a rule once. Each was a line that
 // crossed SIGHUP and was not read.
-func TestOrdersThatBrokeARule(t *testing.T) {
+func TestOrdersThatViolatedARule(t *testing.T) {
 	hush(t)
 	for _, seed := range []int64{26599, 31997, 73999} {
 		o := draw(seed)
@@ -485,16 +370,16 @@
 	hush(t)
 	if *orderSeed >= 0 {
 		o := draw(*orderSeed)
-		if *orderKeep != "" {
+		if *orderRecordFile != "" {
 			persisted := []act(nil)
-			for text := range strings.SplitSeq(*orderKeep, ",") {
+			for text := range strings.SplitSeq(*orderRecordFile, ",") {
 				i := 0
-				if _, err := fmt.Sscan(text, &i); err != nil || i < 0 || i >= len(o.acts) {
+				if _, err := fmt.Sscan(text, &i); err != nil || i < 0 || i >= len(o.actions) {
 					t.Fatalf("-orders.keep: no act %q", text)
 				}
-				persisted = append(persisted, o.acts[i])
+				persisted = append(persisted, o.actions[i])
 			}
-			o.acts = persisted
+			o.actions = persisted
 		}
 		if broken, text := o.fails(t, plant{}, orderRepeats); len(broken) > 0 {
 			t.Errorf("%v\n%s\n%s", o, strings.Join(broken, "\n"), text)
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -28,8 +28,8 @@
 	return resp.StatusCode, body
 }
 
-// holder plays another process that writes to a directory.
-func holder(t *testing.T, dir string) *statestore.Store {
+// lockHolder plays another process that writes to a directory.
+func lockHolder(t *testing.T, dir string) *statestore.Store {
 	t.Helper()
 	s := statestore.New(dir, "n1")
 	if err := s.Lock(); err != nil {
@@ -78,10 +78,10 @@
 }
 
 // Guards against a start that waits for discovery though the list is on disk: it is ready with that, and says so.
-func TestStartsWithTheKeptListWhileDiscoveryIsSilent(t *testing.T) {
+func TestStartsWithThePersistedListWhileDiscoveryIsSilent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, says(ok200("s")))
-	s := holder(t, dir)
+	s := lockHolder(t, dir)
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	if err := errors.Join(s.WriteList("127.0.0.1:1", []byte(text), time.Now().Add(-time.Minute)), s.Release(true)); err != nil {
 		t.Fatal(err)
@@ -99,9 +99,9 @@
 }
 
 // A second process on one directory, with no upgrade between them, is refused: it would write over the first one's.
-func TestSecondProcessOnOneDirectoryIsRefused(t *testing.T) {
+func TestSecondProcessOnOneDirectoryFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s := holder(t, dir)
+	s := lockHolder(t, dir)
 	if _, _, err := openState(withState(t, dir), true); !errors.Is(err, durable.ErrLocked) || !strings.Contains(err.Error(), dir) {
 		t.Errorf("alone: %v", err)
 	}
@@ -184,7 +184,7 @@
 	up := newUpstream(t, says(ok200("s")))
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	for range 3 {
-		s := holder(t, dir)
+		s := lockHolder(t, dir)
 		k, err := s.Load(time.Now())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxBufferTime   = 100 * time.Millisecond // for an answer of unknown length to show that it is small
-	copyBufferBytes = 32 << 10               // at a time, of an answer that is passed on as it comes
-	minResponseRate = 4 << 10                // bytes a second: what comes more slowly than that, over its stall, has no end to wait for
+	maxBufferTime       = 100 * time.Millisecond // for an answer of unknown length to show that it is small
+	transferBufferBytes = 32 << 10               // at a time, of an answer that is passed on as it comes
+	minResponseRate     = 4 << 10                // bytes a second: what comes more slowly than that, over its stall, has no end to wait for
 )
 
-var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
+var transferBuffers = sync.Pool{New: func() any { return new([transferBufferBytes]byte) }}
 
 // responseRest is what is still to come of an answer whose beginning is passed on. Whoever has it drops it.
 type responseRest struct {
--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -17,11 +17,11 @@
 )
 
 // timeout bounds every wait of the tests; on a good run none comes near it.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
@@ -147,7 +147,7 @@
 	}
 	d.address = l.Addr().String()
 	stop, cancel := context.WithCancel(context.Background())
-	srv := &http.Server{ReadHeaderTimeout: patience, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	srv := &http.Server{ReadHeaderTimeout: testTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		d.froms = append(d.froms, r.URL.Query().Get("from"))
 		n := len(d.froms)
@@ -252,7 +252,7 @@
 	var err error
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
-		client: &http.Client{Timeout: patience, Transport: &http.Transport{}}, reloads: make(chan Reload), tmp: tmp}
+		client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}, reloads: make(chan Reload), tmp: tmp}
 	if c.Ops != "" {
 		if r.ops, err = net.Listen("tcp", c.Ops); err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -184,8 +184,8 @@
 	}
 	s.writeHead(w, http.StatusOK, length)
 	conn := http.NewResponseController(w)
-	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
-	defer copyBuffers.Put(buf)
+	buf := transferBuffers.Get().(*[transferBufferBytes]byte)
+	defer transferBuffers.Put(buf)
 	part, err := rep.body, error(nil)
 	for {
 		if len(part) > 0 {
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -103,7 +103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		_, _ = io.WriteString(conn, c.head+"\r\n")
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.1 "+c.want) {
@@ -140,9 +140,9 @@
 			}
 			defer func() { _ = conn.Close() }()
 			_, _ = io.WriteString(conn, text)
-			_ = conn.SetReadDeadline(time.Now().Add(patience))
+			_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("%s: still connected after %v", name, patience)
+				t.Errorf("%s: still connected after %v", name, testTimeout)
 			}
 		})
 	}
@@ -154,7 +154,7 @@
 
 // Guards against bodies that are cut off though they come at the rate that clients owe, and against peers that hold a
 // connection by trickling.
-func TestBodyPatience(t *testing.T) {
+func TestBodyTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		accepted time.Time
@@ -254,12 +254,12 @@
 }
 
 // Guards against work for clients that have left.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnected(t *testing.T) {
 	events := make(chan any, 2)
 	s := &server{stats: newStats(), budget: &byteBudget{}, clock: newClock(),
 		post: func(e any) bool { events <- e; return true }}
-	s.classes.Store(&map[string]balancer.Class{"search": {Deadline: patience}})
-	srv := &http.Server{Handler: s, ReadHeaderTimeout: patience,
+	s.classes.Store(&map[string]balancer.Class{"search": {Deadline: testTimeout}})
+	srv := &http.Server{Handler: s, ReadHeaderTimeout: testTimeout,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -297,7 +297,7 @@
 	}
 	var clients []*http.Client
 	for range 8 {
-		client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+		client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 		defer client.CloseIdleConnections()
 		resp, err := client.Do(request(t, r.address, "search", ""))
 		if err != nil {
@@ -328,7 +328,7 @@
 	taken := r.later(request(t, r.address, "confirm", ""))
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 	r.stop()
-	fresh := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	eventually(t, "answers end their connections", func() bool {
 		resp, err := fresh.Do(request(t, r.address, "search", ""))
 		if err != nil {
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -64,7 +64,7 @@
 	own := ofService(t, at, entry("s", u.address, "Ready"))
 	own.Name = "n2"
 	r := start(t, own, "127.0.0.1:0")
-	established, _ := hollowOf(t, ofService(t, at))
+	established, _ := startHollowWith(t, ofService(t, at))
 	hears(t, established, first, "")
 	of(first, inForce)
 
--- a/internal/sidecar/settingsfollower_rig_test.go
+++ b/internal/sidecar/settingsfollower_rig_test.go
@@ -21,14 +21,14 @@
 	address string
 	srv     *http.Server
 
-	mu      sync.Mutex
-	list    string // the entries of its list
-	index   int64
-	told    api.Document // Version 0: there is none
-	again   chan struct{}
-	calls   []string // of watches, as they were asked
-	acks    []api.Ack
-	refuses bool // acks
+	mu        sync.Mutex
+	list      string // the entries of its list
+	index     int64
+	announced api.Document // Version 0: there is none
+	again     chan struct{}
+	calls     []string // of watches, as they were asked
+	acks      []api.Ack
+	refuses   bool // acks
 }
 
 func newListService(t testing.TB, entries ...string) *fakeService {
@@ -69,7 +69,7 @@
 		s.acks = append(s.acks, all.Acks...)
 		_, _ = io.WriteString(w, "{}")
 	})
-	srv := &http.Server{ReadHeaderTimeout: patience, Handler: mux}
+	srv := &http.Server{ReadHeaderTimeout: testTimeout, Handler: mux}
 	go func() { _ = srv.Serve(l) }()
 	s.srv = srv
 	t.Cleanup(func() { cancel(); _ = srv.Close() })
@@ -87,7 +87,7 @@
 	leading, first := r.FormValue("held"), r.FormValue("from") != "1"
 	for {
 		s.mu.Lock()
-		d, index, again := s.told, s.index, s.again
+		d, index, again := s.announced, s.index, s.again
 		text := fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, first, s.list)
 		s.mu.Unlock()
 		var l map[string]any
@@ -118,8 +118,8 @@
 	}
 }
 
-// tell changes the settings.
-func (s *fakeService) tell(d api.Document) {
+// announce changes the settings.
+func (s *fakeService) announce(d api.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if d.Service == "" {
@@ -128,20 +128,20 @@
 	if d.Schema == 0 {
 		d.Schema = 1
 	}
-	s.told = d
+	s.announced = d
 	s.index++
 	close(s.again)
 	s.again = make(chan struct{})
 }
 
-func (s *fakeService) asked() []string {
+func (s *fakeService) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// said is the last ack; a zero one: there was none.
-func (s *fakeService) said() (last api.Ack) {
+// lastAck is the last ack; a zero one: there was none.
+func (s *fakeService) lastAck() (last api.Ack) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := len(s.acks); n > 0 {
@@ -180,11 +180,11 @@
 	rejected string
 }
 
-// hollowOf is a hollow sidecar of the service, and what it says of documents.
-func hollowOf(t testing.TB, c *Config) (established chan judged, end func()) {
+// startHollowWith is a hollow sidecar of the service, and what it says of documents.
+func startHollowWith(t testing.TB, c *Config) (established chan judged, end func()) {
 	t.Helper()
 	established = make(chan judged, 64)
-	return established, hollow(t, c, HollowObserver{OnSettings: func(region string, version int64, rejected error, _ time.Time) {
+	return established, startHollow(t, c, HollowObserver{OnSettings: func(region string, version int64, rejected error, _ time.Time) {
 		j := judged{region: region, version: version}
 		if rejected != nil {
 			j.rejected = rejected.Error()
@@ -201,7 +201,7 @@
 		if j.version != version || (j.rejected == "") != (rejected == "") || !strings.Contains(j.rejected, rejected) {
 			t.Errorf("told %+v, not version %d, rejected %q", j, version, rejected)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("nothing was said of version %d", version)
 	}
 }
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -2,19 +2,14 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
 	"path/filepath"
-	"runtime"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"mosslead/balancer"
@@ -44,7 +39,7 @@
 		})
 	}
 	defer func() { stop(); load.Wait() }()
-	probe := func(want int) func() bool {
+	checkReady := func(want int) func() bool {
 		return func() bool {
 			resp, _ := r.do(t, request(t, r.address, "probe", ""))
 			return resp.StatusCode == want
@@ -52,7 +47,7 @@
 	}
 	acked := func(a api.Ack) func() bool {
 		return func() bool {
-			last := svc.said()
+			last := svc.lastAck()
 			why := last.Reason
 			last.Reason = ""
 			return last == a && strings.Contains(why, a.Reason)
@@ -61,29 +56,29 @@
 	ack := func(version, rejected int64) api.Ack {
 		return api.Ack{Node: "n1", Service: "orders", Region: "south", Revision: version, RejectedRevision: rejected}
 	}
-	if !probe(404)() {
+	if !checkReady(404)() {
 		t.Fatal("a class that nobody has told of")
 	}
-	svc.tell(document(5, probing))
-	eventually(t, "the class of the document", probe(200))
+	svc.announce(document(5, probing))
+	eventually(t, "the class of the document", checkReady(200))
 	eventually(t, "its ack", acked(ack(5, 0)))
 
-	svc.tell(document(6, strings.Replace(testSettings, `"SecondCopies":true,`, ``, 1))) // valid in form
+	svc.announce(document(6, strings.Replace(testSettings, `"SecondCopies":true,`, ``, 1))) // valid in form
 	eventually(t, "a rejection", acked(ack(5, 6)))
-	if why := svc.said().Reason; !strings.Contains(why, "lacks settings.Limits.SecondCopies") {
+	if why := svc.lastAck().Reason; !strings.Contains(why, "lacks settings.Limits.SecondCopies") {
 		t.Errorf("rejected since %q", why)
 	}
-	svc.tell(document(7, strings.Replace(testSettings, `"SendCap":5`, `"SendCap":0`, 1)))
-	svc.tell(document(8, strings.Replace(probing, `"probe"`, `"repaired"`, 1))) // within a moment
+	svc.announce(document(7, strings.Replace(testSettings, `"SendCap":5`, `"SendCap":0`, 1)))
+	svc.announce(document(8, strings.Replace(probing, `"probe"`, `"repaired"`, 1))) // within a moment
 	eventually(t, "the repair", acked(ack(8, 0)))
-	if !probe(404)() {
+	if !checkReady(404)() {
 		t.Error("a class is left of what was repaired")
 	}
-	svc.tell(document(9, probing))
+	svc.announce(document(9, probing))
 	eventually(t, "the next", acked(ack(9, 0)))
 	next := document(10, testSettings)
 	next.Schema = 2
-	svc.tell(next)
+	svc.announce(next)
 	eventually(t, "the next schema rejected", acked(ack(9, 10)))
 
 	// A file that was read anew has the document's settings above it, and one that the document does not fit is not taken.
@@ -92,7 +87,7 @@
 	more := withService(t, svc.address, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1), entry("s", u.address, "Ready"))
 	r.reloads <- Reload{Config: more}
 	r.reloads <- Reload{Err: errors.New("not readable")} // the one before is through
-	if !probe(200)() {
+	if !checkReady(200)() {
 		t.Error("a file's settings are above the document's")
 	}
 	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.reload_success:1|c") || !strings.Contains(figures, "gw.settings_version:9|g") ||
@@ -100,13 +95,13 @@
 		t.Errorf("figures %s", figures)
 	}
 
-	svc.tell(document(4, testSettings)) // an owner's old copy
+	svc.announce(document(4, testSettings)) // an owner's old copy
 	deleted := api.Document{Region: "south", Revision: 11, Deleted: true}
-	svc.tell(deleted)
-	eventually(t, "the file's settings", probe(404))
-	eventually(t, "their ack", func() bool { return svc.said() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
-	svc.tell(document(12, probing))
-	eventually(t, "settings anew", probe(200))
+	svc.announce(deleted)
+	eventually(t, "the file's settings", checkReady(404))
+	eventually(t, "their ack", func() bool { return svc.lastAck() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
+	svc.announce(document(12, probing))
+	eventually(t, "settings anew", checkReady(200))
 	stop()
 	load.Wait()
 	if u.closed.Load() != 0 || bad.Load() > 0 || served.Load() == 0 {
@@ -118,103 +113,103 @@
 func TestSettingsFollowed(t *testing.T) {
 	for name, play := range map[string]func(t *testing.T, c *Config, svc *fakeService){
 		"stopped through five versions": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(1, testSettings))
-			established, end := hollowOf(t, c)
+			svc.announce(document(1, testSettings))
+			established, end := startHollowWith(t, c)
 			hears(t, established, 1, "")
-			endKept(t, c, end)
+			endPersisted(t, c, end)
 			for v := range int64(5) {
-				svc.tell(document(2+v, probing))
+				svc.announce(document(2+v, probing))
 			}
-			established, _ = hollowOf(t, c)
+			established, _ = startHollowWith(t, c)
 			hears(t, established, 1, "") // from the disk
 			hears(t, established, 6, "")
 			quietly(t, established)
 		},
 		"the list service is down at the start": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(3, testSettings))
-			established, end := hollowOf(t, c)
+			svc.announce(document(3, testSettings))
+			established, end := startHollowWith(t, c)
 			hears(t, established, 3, "")
-			endKept(t, c, end)
+			endPersisted(t, c, end)
 			_ = svc.srv.Close()
-			established, end = hollowOf(t, c)
+			established, end = startHollowWith(t, c)
 			hears(t, established, 3, "")
-			endKept(t, c, end)
-			svc.tell(document(4, probing))
+			endPersisted(t, c, end)
+			svc.announce(document(4, probing))
 			svc.begin(t, svc.address)
-			established, _ = hollowOf(t, c)
+			established, _ = startHollowWith(t, c)
 			hears(t, established, 3, "")
 			hears(t, established, 4, "")
 		},
 		"its owner is an old copy": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(9, testSettings))
-			established, end := hollowOf(t, c)
+			svc.announce(document(9, testSettings))
+			established, end := startHollowWith(t, c)
 			hears(t, established, 9, "")
-			svc.tell(document(20, `{}`))
+			svc.announce(document(20, `{}`))
 			hears(t, established, 20, "Classes")
-			endKept(t, c, end)
-			svc.tell(document(12, probing)) // below 20, which it has seen
-			established, _ = hollowOf(t, c)
+			endPersisted(t, c, end)
+			svc.announce(document(12, probing)) // below 20, which it has seen
+			established, _ = startHollowWith(t, c)
 			hears(t, established, 9, "")
-			eventually(t, "the watch", func() bool { return len(svc.asked()) >= 2 })
-			svc.tell(document(21, testSettings))
+			eventually(t, "the watch", func() bool { return len(svc.requests()) >= 2 })
+			svc.announce(document(21, testSettings))
 			hears(t, established, 21, "")
 		},
 		"another region's": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(9, testSettings))
-			established, _ := hollowOf(t, c)
+			svc.announce(document(9, testSettings))
+			established, _ := startHollowWith(t, c)
 			hears(t, established, 9, "")
 			other := document(2, probing)
 			other.Region = "north"
-			svc.tell(other)
+			svc.announce(other)
 			hears(t, established, 2, "")
 		},
 		"deleted, and started again": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(9, testSettings))
-			established, end := hollowOf(t, c)
+			svc.announce(document(9, testSettings))
+			established, end := startHollowWith(t, c)
 			hears(t, established, 9, "")
-			svc.tell(api.Document{Region: "south", Revision: 10, Deleted: true})
+			svc.announce(api.Document{Region: "south", Revision: 10, Deleted: true})
 			hears(t, established, 10, "")
-			endKept(t, c, end)
-			svc.tell(document(9, testSettings))
-			established, _ = hollowOf(t, c)
+			endPersisted(t, c, end)
+			svc.announce(document(9, testSettings))
+			established, _ = startHollowWith(t, c)
 			hears(t, established, 10, "")
-			svc.tell(document(11, probing))
+			svc.announce(document(11, probing))
 			hears(t, established, 11, "")
 		},
 		"a service renamed": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(9, testSettings))
-			established, end := hollowOf(t, c)
+			svc.announce(document(9, testSettings))
+			established, end := startHollowWith(t, c)
 			hears(t, established, 9, "")
-			endKept(t, c, end)
+			endPersisted(t, c, end)
 			c.Service = "billing"
-			established, _ = hollowOf(t, c)
-			svc.tell(document(10, testSettings)) // of orders still
+			established, _ = startHollowWith(t, c)
+			svc.announce(document(10, testSettings)) // of orders still
 			other := document(2, testSettings)
 			other.Service = "billing"
-			svc.tell(other)
+			svc.announce(other)
 			hears(t, established, 2, "")
 		},
 		"rejected at the start, and kept": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(3, testSettings))
-			established, end := hollowOf(t, c)
+			svc.announce(document(3, testSettings))
+			established, end := startHollowWith(t, c)
 			hears(t, established, 3, "")
-			endKept(t, c, end)
+			endPersisted(t, c, end)
 			_ = svc.srv.Close()
 			more := withService(t, c.Discovery, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1))
 			more.State = c.State
-			established, end = hollowOf(t, more)
+			established, end = startHollowWith(t, more)
 			hears(t, established, 3, "lacks settings.Limits.Probes")
-			endKept(t, c, end)
-			established, _ = hollowOf(t, c)
+			endPersisted(t, c, end)
+			established, _ = startHollowWith(t, c)
 			hears(t, established, 3, "")
 		},
 		"damaged on disk": func(t *testing.T, c *Config, svc *fakeService) {
-			svc.tell(document(3, testSettings))
-			established, end := hollowOf(t, c)
+			svc.announce(document(3, testSettings))
+			established, end := startHollowWith(t, c)
 			hears(t, established, 3, "")
-			endKept(t, c, end)
+			endPersisted(t, c, end)
 			_ = svc.srv.Close()
-			for _, file := range keptFiles(t, c.State) {
+			for _, file := range persistedFiles(t, c.State) {
 				text, err := os.ReadFile(file)
 				if err == nil {
 					text[len(text)/2] ^= 1
@@ -224,9 +219,9 @@
 					t.Fatal(err)
 				}
 			}
-			established, end = hollowOf(t, c)
-			eventually(t, "the file put aside", func() bool { return len(keptFiles(t, c.State)) == 0 })
-			endKept(t, c, end)
+			established, end = startHollowWith(t, c)
+			eventually(t, "the file put aside", func() bool { return len(persistedFiles(t, c.State)) == 0 })
+			endPersisted(t, c, end)
 			quietly(t, established)
 		},
 	} {
@@ -239,9 +234,9 @@
 	}
 }
 
-// endKept ends a sidecar that has taken up its directory: what it has in force is then on disk. The table of bans, of which there are none,
+// endPersisted ends a sidecar that has taken up its directory: what it has in force is then on disk. The table of bans, of which there are none,
 // is what tells; the next sidecar has to write it anew.
-func endKept(t *testing.T, c *Config, end func()) {
+func endPersisted(t *testing.T, c *Config, end func()) {
 	t.Helper()
 	tables := func() []string {
 		all, err := filepath.Glob(filepath.Join(c.State, "bans.*"))
@@ -259,8 +254,8 @@
 	}
 }
 
-// keptFiles are those of the settings.
-func keptFiles(t *testing.T, dir string) []string {
+// persistedFiles are those of the settings.
+func persistedFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(dir, "settings.*"))
 	if err != nil {
@@ -313,7 +308,7 @@
 }
 
 // Guards against settings that cost the snapshot.
-func TestSettingsKeepWhatWasLearnt(t *testing.T) {
+func TestSettingsUpdateRetainsEstimates(t *testing.T) {
 	stop := make(chan struct{})
 	defer close(stop)
 	p := &process{config: ofService(t, "127.0.0.1:1", entry("s", "127.0.0.2:1", "Ready")), server: &server{}, handover: &handover{}, maxConns: 8}
@@ -365,7 +360,7 @@
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	c := ofService(t, svc.address, entry("s", u.address, "Ready"))
 	old := startOn(t, c, listeners[0], tmp)
-	svc.tell(document(7, probing))
+	svc.announce(document(7, probing))
 	inForce := func(r *running) func() bool {
 		return func() bool { return strings.Contains(r.call(t, "STATS\n"), "gw.settings_version:7|g\n") }
 	}
@@ -381,192 +376,3 @@
 		t.Errorf("a class of the settings: %s", resp.Status)
 	}
 }
-
-// counting is a log that counts lines by their text.
-type counting struct {
-	mu    sync.Mutex
-	lines map[string]int
-}
-
-func (c *counting) Enabled(context.Context, slog.Level) bool { return true }
-func (c *counting) WithAttrs([]slog.Attr) slog.Handler       { return c }
-func (c *counting) WithGroup(string) slog.Handler            { return c }
-func (c *counting) Handle(_ context.Context, r slog.Record) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lines[r.Message]++
-	return nil
-}
-
-// Guards against messages that wear the list service down or fill the log: one in 20 s and one after a change, whatever fails.
-func TestAcksArePaced(t *testing.T) {
-	log := &counting{lines: map[string]int{}}
-	old := slog.Default()
-	slog.SetDefault(slog.New(log))
-	defer slog.SetDefault(old)
-	synctest.Test(t, func(t *testing.T) {
-		s := newSettingsFollower(ofService(t, "127.0.0.1:1"))
-		ctx, stop := context.WithCancel(t.Context())
-		var mu sync.Mutex
-		var all []time.Duration
-		said := func() []time.Duration {
-			synctest.Wait()
-			mu.Lock()
-			defer mu.Unlock()
-			return slices.Clone(all)
-		}
-		var down atomic.Bool
-		begun := time.Now()
-		over := make(chan struct{})
-		go func() {
-			defer close(over)
-			s.acknowledgeLoop(ctx, func(ctx context.Context, a api.Ack) error {
-				mu.Lock()
-				all = append(all, time.Since(begun))
-				mu.Unlock()
-				if down.Load() {
-					<-ctx.Done()
-					return ctx.Err()
-				}
-				return nil
-			})
-		}()
-		time.Sleep(10 * time.Minute)
-		calm := said()
-		if n := len(calm); n < 27 || n > 34 {
-			t.Errorf("%d words in 10 minutes", n)
-		}
-		for i := 1; i < len(calm); i++ {
-			if gap := calm[i] - calm[i-1]; gap > 22*time.Second {
-				t.Errorf("nothing said for %v", gap)
-			}
-		}
-		at := time.Since(begun)
-		d := document(2, probing)
-		d.Service, d.Schema = "orders", 1
-		s.judge(d, nil)
-		s.judge(document(3, ""), errors.New("bad")) // both in one word
-		time.Sleep(ackJitter)
-		changed := said()
-		if n := len(changed) - len(calm); n < 1 || n > 2 || changed[len(changed)-1]-at > ackJitter {
-			t.Errorf("said at %v after changes at %v", changed[len(calm):], at)
-		}
-		down.Store(true)
-		time.Sleep(10 * time.Minute)
-		if n := len(said()) - len(changed); n < 10 || n > 34 {
-			t.Errorf("%d tries in 10 minutes of an outage", n)
-		}
-		down.Store(false)
-		time.Sleep(time.Minute)
-		stop()
-		<-over
-	})
-	if n := log.lines["settings acknowledgement failed, settings stay in force"]; n != 1 {
-		t.Errorf("%d lines on the outage: %v", n, log.lines)
-	}
-	if n := log.lines["settings acknowledged again"]; n != 1 {
-		t.Errorf("%d lines on its end: %v", n, log.lines)
-	}
-}
-
-// Guards against a word that the list service would turn down.
-func TestAckHasBounds(t *testing.T) {
-	s := newSettingsFollower(ofService(t, "127.0.0.1:1"))
-	north := document(4, "")
-	north.Service, north.Region = "orders", "north"
-	good := document(3, probing)
-	good.Service, good.Schema = "orders", 1
-	s.onDocuments([]api.Document{good})
-	s.judge(good, nil)
-	s.onDocuments([]api.Document{north})
-	s.judge(north, errors.New(strings.Repeat("ü", 300)))
-	a := s.ack()
-	if err := a.Check(); err != nil || a.Region != "north" || a.Revision != 0 || a.RejectedRevision != 4 || !strings.HasPrefix(a.Reason, `version 3 of region "south" is in force`) {
-		t.Errorf("acknowledges %+v: %v", a, err)
-	}
-	large := document(5, `{"Comment":"`+strings.Repeat("x", api.MaxSettings)+`"}`)
-	large.Service, large.Schema = "orders", 1
-	s.onDocuments([]api.Document{large})
-	d, _ := s.nextDocument()
-	if _, err := s.file.withDocument(d); err == nil || !strings.Contains(err.Error(), "bytes") {
-		t.Errorf("too large: %v", err)
-	}
-}
-
-// Guards against what is new and not asked for: without a service the calls, the goroutines, the figures, the disk and the word to the next
-// process are those of before.
-func TestWithoutAServiceNothingIsNew(t *testing.T) {
-	u := newUpstream(t, says(ok200("done")))
-	svc := newListService(t, entry("s", u.address, "Ready"))
-	for _, addresses := range []string{svc.address, svc.address + "," + strings.Replace(svc.address, "127.0.0.1", "127.0.0.3", 1)} {
-		c := testConfig(t, addresses, entry("s", u.address, "Ready"))
-		c.Ops, c.State = "127.0.0.1:0", t.TempDir()
-		before := len(svc.asked())
-		r := start(t, c, "127.0.0.1:0")
-		eventually(t, "a watch", func() bool { return len(svc.asked()) > before })
-		svc.tell(document(9, probing))
-		if got := svc.asked()[before]; got != "/api/targets?watch=1&from=1" {
-			t.Errorf("asked %q", got)
-		}
-		if text := goroutines(); strings.Contains(text, "acknowledge") || strings.Contains(text, "(*settingsFollower)") {
-			t.Errorf("goroutines of a service: %s", text)
-		}
-		if figures := r.call(t, "STATS\n"); strings.Contains(figures, "settings_version") || strings.Contains(figures, "list_version") {
-			t.Errorf("figures %s", figures)
-		}
-		r.stop()
-		<-r.ended
-		if files := keptFiles(t, c.State); len(files) > 0 {
-			t.Errorf("on disk: %v", files)
-		}
-		if last := svc.said(); last != (api.Ack{}) {
-			t.Errorf("acknowledged %+v", last)
-		}
-	}
-	text, err := json.Marshal(handoverState{List: parsed(t, list(1, true)), Banned: []string{"a"}})
-	if want := `{"List":{"index":1,"snapshot":true,"endpoints":[]},"Banned":["a"]}`; err != nil || string(text) != want {
-		t.Errorf("tells the next process %s, not %s", text, want)
-	}
-	// The test above has to see what it looks for.
-	r := start(t, ofService(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
-	eventually(t, "goroutines of a service", func() bool { return strings.Contains(goroutines(), "(*settingsFollower).acknowledge") })
-	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.settings_version:") {
-		t.Errorf("figures %s", figures)
-	}
-	if got := svc.asked(); !strings.HasSuffix(got[len(got)-1], "&service=orders&held=") {
-		t.Errorf("asked %q", got)
-	}
-}
-
-// goroutines words the stacks of all.
-func goroutines() string {
-	text := make([]byte, 4<<20)
-	return string(text[:runtime.Stack(text, true)])
-}
-
-// Guards against a configuration that seems to follow settings and does not.
-func TestServiceInTheConfiguration(t *testing.T) {
-	good := `{"name":"n1","listen":"127.0.0.1:9000","discovery":"127.0.0.1:1","seed":"1f","service":"orders",
-		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":` + testSettings + `}`
-	c, err := ParseConfig([]byte(good))
-	if err != nil || c.Service != "orders" {
-		t.Fatalf("%+v, %v", c, err)
-	}
-	for name, bad := range map[string][2]string{
-		"no service":                        {`"orders"`, `""`},
-		"null":                              {`"orders"`, `null`},
-		"no text":                           {`"orders"`, `7`},
-		"too long":                          {`"orders"`, `"` + strings.Repeat("o", api.MaxName+1) + `"`},
-		"the same twice":                    {`"127.0.0.1:1"`, `"127.0.0.1:1,127.0.0.1:1"`},
-		"list service addresses not usable": {`"127.0.0.1:1"`, `""`},
-	} {
-		if _, err := ParseConfig([]byte(strings.Replace(good, bad[0], bad[1], 1))); err == nil || strings.Contains(err.Error(), "\n") ||
-			!strings.Contains(strings.ToLower(err.Error()), "service") && !strings.Contains(err.Error(), "discovery") {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
-	none, err := ParseConfig([]byte(strings.Replace(good, `"service":"orders",`, ``, 1)))
-	if err != nil || none.replaces(c) == nil {
-		t.Errorf("a file without the service takes the place of one with it: %v", err)
-	}
-}
--- a/internal/sidecar/settingsupdate_test.go
+++ b/internal/sidecar/settingsupdate_test.go
@@ -86,7 +86,7 @@
 }
 
 // Guards against a request that was checked by rules that the balancer has no more: it might be sent twice.
-func TestRequestCheckedByOldRulesIsRefused(t *testing.T) {
+func TestRequestCheckedByOldSettingsIsRejected(t *testing.T) {
 	l := testLoop(t, nil)
 	r := l.newRequest("1", "search")
 	r.settings.Name = "search"
--- a/internal/sidecar/sharing_test.go
+++ b/internal/sidecar/sharing_test.go
@@ -9,7 +9,7 @@
 )
 
 // Two sidecars leave an upstream out by their own evidence; the third, which never met the fault, is told.
-func TestAThirdSidecarIsToldOfABreaker(t *testing.T) {
+func TestAThirdSidecarLearnsOfABreaker(t *testing.T) {
 	var all []*sharing
 	var seeds []string
 	for i, zone := range []string{"makati", "cebu", "cebu"} {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -247,7 +247,7 @@
 		ready: p.ready, hasEndpoints: func() bool { return !up.directory.empty() }}
 	p.server.classes.Store(&classes)
 	p.conns = newClientConns(listener, p.maxConns)
-	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), shareMemory: p.limitMemory, state: p.handoverState, ban: p.banned,
+	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, ban: p.banned,
 		yield: p.yield, resume: p.resume, limitBeside: p.limitBeside,
 		use: func() connectionUse { return connectionUse{p.conns.count(), up.count()} }}
 	p.limitMemory(false)
--- a/internal/sidecar/transcript_test.go
+++ b/internal/sidecar/transcript_test.go
@@ -94,8 +94,8 @@
 	return c
 }
 
-// asks sends a request from a client on a connection of its own.
-func (x *exchange) asks(s *inBubble, text string) *transcript.Line {
+// request sends a request from a client on a connection of its own.
+func (x *exchange) request(s *inBubble, text string) *transcript.Line {
 	x.Helper()
 	c, err := transcript.Connect(x.ctx, x.client, s.address)
 	if err != nil {
@@ -120,7 +120,7 @@
 }{
 	{"ordinary", "7 sidecar > up-1 sends", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.asks(s, aSearch)
+		c := x.request(s, aSearch)
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(c, 200)
 		x.must(c.Say(aSearch)) // on the connections that there are
@@ -130,38 +130,38 @@
 	{"retry-after-connect-failure", "up-2 > sidecar refuses", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"), entry("up-2", up2, "Ready"))
 		x.up[1].Kill()
-		c := x.asks(s, strings.Replace(aConfirm, "900m", "9000m", 1)) // time for two
+		c := x.request(s, strings.Replace(aConfirm, "900m", "9000m", 1)) // time for two
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(c, 200)
 	}},
 	{"unsafe-after-reset", "> sidecar resets", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"), entry("up-2", up2, "Ready"))
-		c := x.asks(s, aConfirm)
+		c := x.request(s, aConfirm)
 		x.next(x.calls).Reset()
 		x.gets(c, 502)
 	}},
 	{"refused", "503 Service Unavailable", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.asks(s, aConfirm)
+		c := x.request(s, aConfirm)
 		x.must(x.next(x.calls).Say("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
 		x.gets(c, 503)
 	}},
 	{"given-up", "502 Bad Gateway", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.asks(s, aConfirm)
+		c := x.request(s, aConfirm)
 		x.next(x.calls)
 		x.gets(c, 502)
 		time.Sleep(time.Second)
 	}},
 	{"client-gone", "client > sidecar closes", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.asks(s, aSearch)
+		c := x.request(s, aSearch)
 		leading := x.next(x.calls)
 		x.must(c.Close())
 		time.Sleep(20 * time.Millisecond)
 		x.must(leading.Say(ok200("for nobody"))) // the next request comes on the connection that waited for it, once that has rested
 		time.Sleep(20 * time.Millisecond)
-		c = x.asks(s, aConfirm)
+		c = x.request(s, aConfirm)
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(c, 200)
 	}},
@@ -179,13 +179,13 @@
 		s.reloads <- Reload{Config: c}
 		s.follow(list(1, true, entry("up-2", up2, "Ready")) + "\n")
 		time.Sleep(20 * time.Millisecond)
-		in := x.asks(s, aSearch)
+		in := x.request(s, aSearch)
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(in, 200)
 	}},
 	{"terminated", "sidecar > client (3) ends its sending", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
-		quiet, busy := x.asks(s, aSearch), x.asks(s, aConfirm)
+		quiet, busy := x.request(s, aSearch), x.request(s, aConfirm)
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(quiet, 200)
 		leading := x.next(x.calls)
@@ -202,7 +202,7 @@
 	}},
 	{"drain-during-attempt", "sidecar > up-1 closes", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.asks(s, aSearch)
+		c := x.request(s, aSearch)
 		leading := x.next(x.calls)
 		x.must(s.watch.Chunk(list(2, false, entry("up-1", up1, "Terminating"), entry("up-2", up2, "Ready")) + "\n"))
 		time.Sleep(20 * time.Millisecond)
@@ -216,7 +216,7 @@
 		x.record.Begin()
 		s := x.run("sidecar", "10.0.0.1", entry("up-1", up1, "Ready"))
 		time.Sleep(10 * time.Millisecond)
-		c := x.asks(s, aSearch) // before discovery has said anything
+		c := x.request(s, aSearch) // before discovery has said anything
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(c, 200)
 		s.follow(list(7, true, entry("up-2", up2, "Ready")) + "\n")
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -171,7 +171,7 @@
 		rep.result = balancer.Timeout
 	}
 	mayOutlast := timeout || errors.Is(context.Cause(ctx), errAnswered)
-	if !mayOutlast || !u.awaitLateAnswer(x.life, c, x.end) {
+	if !mayOutlast || !u.awaitLateAnswer(x.readCtx, c, x.end) {
 		x.end()
 		ended := <-x.ended
 		if ended.rest == nil {
@@ -181,7 +181,7 @@
 		return rep
 	}
 	close(x.abandoned)
-	rep.abandon = func() { u.abandon(x.life, c) }
+	rep.abandon = func() { u.abandon(x.readCtx, c) }
 	return rep
 }
 
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -32,7 +32,7 @@
 
 // roundTrip sends a request on a connection, without an attempt that waits for it.
 func (u *upstreamPool) roundTrip(ctx context.Context, c *upstreamConn, r *clientRequest) (attemptReply, bool) {
-	x := &upstreamExchange{pool: u, ctx: ctx, life: ctx, conn: c, client: r}
+	x := &upstreamExchange{pool: u, ctx: ctx, readCtx: ctx, conn: c, client: r}
 	return x.roundTrip()
 }
 
@@ -86,7 +86,7 @@
 			time.Sleep(time.Millisecond)
 			c.Reset()
 		}()
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		if rep := u.attempt(ctx, "s", testRequest("POST", "b"), 0); rep.result != balancer.Reset {
 			t.Errorf("result %d, want %d: %v", rep.result, balancer.Reset, rep.err)
@@ -99,11 +99,11 @@
 // Guards against claims about attempts that the sockets do not bear out: a request that may have run must
 // never be reported as one that did not.
 func TestOutcomes(t *testing.T) {
-	refused, err := net.Listen("tcp", "127.0.0.1:0")
+	refusal, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = refused.Close()
+	_ = refusal.Close()
 	for _, c := range []struct {
 		name   string
 		answer func(net.Conn, got) bool
@@ -141,7 +141,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newUpstream(t, c.answer)
 			u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			if rep := u.attempt(ctx, "s", testRequest("POST", "b"), 0); rep.result != c.want {
 				t.Errorf("result %d, want %d", rep.result, c.want)
@@ -152,7 +152,7 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		u := testUpstreams(t, 4, entry("s", refused.Addr().String(), "Ready"))
+		u := testUpstreams(t, 4, entry("s", refusal.Addr().String(), "Ready"))
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != balancer.ConnectFailed {
 			t.Errorf("result %d", rep.result)
 		}
@@ -356,7 +356,7 @@
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	body := "\x00binary\r\n" + strings.Repeat("y", 60<<10)
 	u.attempt(ctx, "s", testRequest("POST", body), 0)
@@ -367,7 +367,7 @@
 	if g.header.Get("X-Request-ID") != "9b1f03aa5c7e2d41" || g.header.Get("Idempotency-Key") != "k" {
 		t.Errorf("headers %v", g.header)
 	}
-	if d, err := parseTimeout(g.header.Get("X-Timeout")); err != nil || d <= 0 || d > patience {
+	if d, err := parseTimeout(g.header.Get("X-Timeout")); err != nil || d <= 0 || d > testTimeout {
 		t.Errorf("X-Timeout %q: %v, %v", g.header.Get("X-Timeout"), d, err)
 	}
 }
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -44,7 +44,7 @@
 	select {
 	case m := <-established:
 		return m
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing was reported")
 		panic("unreachable")
 	}
@@ -115,7 +115,7 @@
 }
 
 // Guards against a watch that is taken for not yet answered because there is no news: an empty line answers it.
-func TestWatchWithoutNewsIsAnswered(t *testing.T) {
+func TestWatchWithoutChangesIsAnswered(t *testing.T) {
 	d := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
 		send("")
@@ -182,11 +182,11 @@
 // Guards against a list that stands still after discovery has moved: the watch goes on at the new address from the
 // version that it had, whether it was standing or waiting to be opened again, and no failure is told.
 func TestMovedDiscoveryIsFollowed(t *testing.T) {
-	for _, asks := range []bool{true, false} {
+	for _, sends := range []bool{true, false} {
 		for _, stood := range []bool{true, false} {
 			before := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 				send(list(5, false))
-				if stood || asks {
+				if stood || sends {
 					<-done
 				}
 			})
@@ -200,7 +200,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
-				w.run(ctx, asks)
+				w.run(ctx, sends)
 				close(done)
 			}()
 			w.subscribe()
@@ -229,9 +229,9 @@
 // Guards against a line that crosses SIGHUP and is never read: what the old discovery has written counts as told, also while the
 // new one does not answer, whoever asks for the list. Versions are asked on from there.
 func TestALineThatCrossesAMoveIsRead(t *testing.T) {
-	for _, asks := range []bool{true, false} {
+	for _, sends := range []bool{true, false} {
 		for _, late := range []time.Duration{0, time.Millisecond, time.Second} {
-			t.Run(fmt.Sprintf("asks %v, %v after", asks, late), func(t *testing.T) {
+			t.Run(fmt.Sprintf("asks %v, %v after", sends, late), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					established := make(chan balancer.EndpointUpdate, 64)
 					u := testUpstreams(t, 4, entry("a", "127.0.0.2:1", "Ready"))
@@ -253,7 +253,7 @@
 					ctx, cancel := context.WithCancel(t.Context())
 					done := make(chan struct{})
 					go func() {
-						w.run(ctx, asks)
+						w.run(ctx, sends)
 						close(done)
 					}()
 					w.subscribe()
