--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -137,7 +137,7 @@
 		Args:    args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
 			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
-				_, err := service.SetHand(ctx, given[0], hand)
+				_, err := service.SetAdminState(ctx, given[0], hand)
 				return err
 			})
 		},
--- a/internal/gossip/message/message.go
+++ b/internal/gossip/message/message.go
@@ -178,10 +178,10 @@
 	Pressure float64  `cbor:"5,keyasint"` // mean
 }
 
-// SiteFault is what an incident is about.
+// SiteFault is the kind of a site's incident, as sent in an Announcement.
 type SiteFault uint8
 
-// The troubles of a site.
+// The faults of a site.
 const (
 	SiteUnreachable SiteFault = iota + 1 // its members and upstreams are silent
 	SitePartitioned                      // its upstreams are silent for others while they answer inside the site
--- a/internal/lab/capacity/plays/settings.go
+++ b/internal/lab/capacity/plays/settings.go
@@ -316,7 +316,7 @@
 	steady := float64(link.bytes()-bytes) / time.Since(begun).Seconds()
 	bytes, begun = link.bytes(), time.Now()
 	for i := range settingsTurns {
-		if version, err = north.Hand(ctx, fmt.Sprint("upstream-", i%n), api.StateChange{AdminState: api.AdminDrain}); err != nil {
+		if version, err = north.PutAdminState(ctx, fmt.Sprint("upstream-", i%n), api.StateChange{AdminState: api.AdminDrain}); err != nil {
 			return nil, err
 		}
 		if err := followed(ctx, south, version); err != nil {
@@ -331,7 +331,7 @@
 		if i < settingsTurns {
 			hand = api.AdminNone // it was drained before the cut
 		}
-		if _, err = north.Hand(ctx, fmt.Sprint("upstream-", i), api.StateChange{AdminState: hand}); err != nil {
+		if _, err = north.PutAdminState(ctx, fmt.Sprint("upstream-", i), api.StateChange{AdminState: hand}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -208,7 +208,7 @@
 	}
 	wasRan, wasRead, begun = ran, read, began
 	for i := range sidecarTurns {
-		if _, err := b.c.Hand(ctx, fmt.Sprint("upstream-", i%len(upstreams)), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/len(upstreams)%2]}); err != nil {
+		if _, err := b.c.PutAdminState(ctx, fmt.Sprint("upstream-", i%len(upstreams)), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/len(upstreams)%2]}); err != nil {
 			return nil, err
 		}
 		if !pause.For(ctx, p.span(turnEvery)) {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -149,7 +149,7 @@
 	case kind == "leave":
 		err = c.Leave(ctx, o.name, api.StateChange{IfRevision: &o.ifVersion})
 	case kind == "hand":
-		x.version, err = c.Hand(ctx, o.name, api.StateChange{AdminState: o.hand, IfRevision: &o.ifVersion})
+		x.version, err = c.PutAdminState(ctx, o.name, api.StateChange{AdminState: o.hand, IfRevision: &o.ifVersion})
 	}
 	switch {
 	case err == nil:
--- a/internal/lab/loadtest/burden.go
+++ b/internal/lab/loadtest/burden.go
@@ -83,7 +83,7 @@
 	var lags []time.Duration
 	for i := range changes {
 		begun := time.Now()
-		if _, err := b.Client.Hand(ctx, fmt.Sprint("u", i%entries), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/entries%2]}); err != nil {
+		if _, err := b.Client.PutAdminState(ctx, fmt.Sprint("u", i%entries), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/entries%2]}); err != nil {
 			return w, err
 		}
 		late := time.After(hearWithin)
--- a/internal/lab/loadtest/rush.go
+++ b/internal/lab/loadtest/rush.go
@@ -85,7 +85,7 @@
 			for i := k; i < changes && ctx.Err() == nil; i += side {
 				due := begun.Add(within * time.Duration(i) / time.Duration(changes))
 				pause.For(ctx, time.Until(due))
-				v, err := b.Client.Hand(ctx, fmt.Sprint("u", i), api.StateChange{AdminState: api.AdminDrain})
+				v, err := b.Client.PutAdminState(ctx, fmt.Sprint("u", i), api.StateChange{AdminState: api.AdminDrain})
 				if err == nil {
 					done[v-first].Store(int64(time.Since(begun)))
 				}
--- a/internal/lab/loadtest/writes.go
+++ b/internal/lab/loadtest/writes.go
@@ -55,7 +55,7 @@
 		if due.Sub(begun) >= length || !pause.For(ctx, time.Until(due)) {
 			break
 		}
-		if _, err := c.Hand(ctx, fmt.Sprint("u", i%entries), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/entries%2]}); err != nil {
+		if _, err := c.PutAdminState(ctx, fmt.Sprint("u", i%entries), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/entries%2]}); err != nil {
 			m.Failed++
 			continue
 		}
--- a/internal/lab/scale/days.go
+++ b/internal/lab/scale/days.go
@@ -478,7 +478,7 @@
 	c := w.change(w.number(name), status, cause)
 	ctx, cancel := context.WithTimeout(ctx, acceptMost)
 	defer cancel()
-	v, err := r.client.SetHand(ctx, name, hand)
+	v, err := r.client.SetAdminState(ctx, name, hand)
 	if err != nil {
 		return fmt.Errorf("%s of %s (%s): not accepted within %v: %w", hand, name, cause, acceptMost, err)
 	}
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -71,25 +71,25 @@
 }
 
 // A thousand clients that fail together do not come back together, and none wears a service down that always fails.
-func TestPaceSpreadsAndIsBounded(t *testing.T) {
+func TestBackoffSpreadsAndIsBounded(t *testing.T) {
 	const clients = 1000
 	at := func(i int) time.Time { return time.Unix(0, 0) }
 	buckets := map[time.Duration]int{}
 	for i := range clients {
-		var p pace
-		buckets[p.next(at(i), float64(i)/clients).Truncate(20*time.Millisecond)]++
+		var retry backoff
+		buckets[retry.next(at(i), float64(i)/clients).Truncate(20*time.Millisecond)]++
 	}
 	for bucket, n := range buckets {
 		if n > clients/5 {
 			t.Errorf("%d of %d come back within 20 ms after %v", n, clients, bucket)
 		}
 	}
-	var p pace
+	var retry backoff
 	now, attempts := time.Unix(0, 0), 0
 	for end := now.Add(time.Minute); now.Before(end); attempts++ {
-		now = now.Add(p.next(now, 0)) // the least that chance allows
+		now = now.Add(retry.next(now, 0)) // the least that chance allows
 	}
-	if limit := paceBurst + int(time.Minute/paceRefill) + int(2*time.Minute/paceRefill); attempts > limit {
+	if limit := retryBurst + int(time.Minute/retryRefill) + int(2*time.Minute/retryRefill); attempts > limit {
 		t.Errorf("%d tries in a minute", attempts)
 	}
 }
@@ -312,7 +312,7 @@
 			defer s.Close()
 			c := New([]string{s.Listener.Addr().String()})
 			defer c.Close()
-			version, err := c.SetHand(t.Context(), "u", "drain")
+			version, err := c.SetAdminState(t.Context(), "u", "drain")
 			if err != nil || version != x.version || !slices.Equal(based, x.based) || reads != len(x.hands) {
 				t.Errorf("version %d, %v; tries based on %v, %d reads", version, err, based, reads)
 			}
--- a/internal/registry/client/leadership.go
+++ b/internal/registry/client/leadership.go
@@ -9,10 +9,10 @@
 	"mosslead/internal/registry/api"
 )
 
-// Calls on leaderships are tried once each: who holds one or waits for it has a pace of its own (internal/lease). A call whose
-// answer did not come has CodeUnknown, and the next goes to another replica.
+// Calls on leaderships are not retried here: electors have their own intervals (internal/lease). A call whose answer was
+// lost fails with CodeOutcomeUnknown, and the next one goes to another replica.
 
-// AcquireLeadership claims a leadership; the grant names its holder. CodeOutcomeUnknown: no response came.
+// AcquireLeadership claims a leadership; the grant names its holder.
 func (c *Client) AcquireLeadership(ctx context.Context, claim api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return c.leadership(ctx, "take", claim)
 }
@@ -28,9 +28,9 @@
 	return err
 }
 
-// Leaderships are all that are held. sure asks for what is certain to be the newest.
-func (c *Client) Leaderships(ctx context.Context, sure bool) (all api.Leaderships, err error) {
-	return all, c.call(ctx, true, http.MethodGet, "/v1/duties"+consistent(sure), nil, &all)
+// Leaderships returns all that are held; linearizable asks for a read that is certain to be the newest.
+func (c *Client) Leaderships(ctx context.Context, linearizable bool) (all api.Leaderships, err error) {
+	return all, c.call(ctx, true, http.MethodGet, "/v1/duties"+consistent(linearizable), nil, &all)
 }
 
 func (c *Client) leadership(ctx context.Context, op string, claim api.LeadershipClaim) (g api.LeadershipGrant, err error) {
--- a/internal/registry/client/outcome.go
+++ b/internal/registry/client/outcome.go
@@ -17,7 +17,7 @@
 const (
 	OutcomeUnknown WriteOutcome = iota // it can't be determined any more
 	OutcomeDone                        // its text follows the revision that it was based on
-	OutcomeNotDone                     // another change does, or none yet
+	OutcomeNotDone                     // another change follows it, or none yet
 )
 
 // Outcome looks up what became of a write whose response was lost: settings, or nil for a deletion. before is
@@ -33,7 +33,7 @@
 		now, err = api.Document{}, nil
 	}
 	switch {
-	case err != nil || now.Revision < before.Revision: // lower: the service was put back
+	case err != nil || now.Revision < before.Revision: // lower: the service was restored from a backup
 		return OutcomeUnknown, 0, now, err
 	case now.Revision == before.Revision:
 		return OutcomeNotDone, 0, now, nil
@@ -42,33 +42,33 @@
 	then := now
 	if at != now.Revision {
 		if then, err = c.Document(ctx, service, at, true); err != nil {
-			return OutcomeUnknown, 0, now, fmt.Errorf("version %d: %w", at, err)
+			return OutcomeUnknown, 0, now, fmt.Errorf("revision %d: %w", at, err)
 		}
 	}
 	switch {
 	case settings == nil && then.Deleted, settings != nil && !then.Deleted && sameText(then.Settings, settings):
 		return OutcomeDone, at, now, nil
-	case settings == nil || then.Deleted || !sure: // it may have been done, and be forgotten
+	case settings == nil || then.Deleted || !sure: // it may have been done in a revision that is no longer kept
 		return OutcomeUnknown, 0, now, nil
 	}
 	return OutcomeNotDone, 0, now, nil
 }
 
-// after is the first version that is known after another; sure: none came in between that is forgotten, or was a deletion.
-func after(now api.Document, version int64) (first int64, sure bool) {
-	i := slices.IndexFunc(now.EarlierRevisions, func(v int64) bool { return v > version })
+// after returns the first kept revision after another; sure is false if one between them may have been dropped or deleted.
+func after(now api.Document, revision int64) (first int64, sure bool) {
+	i := slices.IndexFunc(now.EarlierRevisions, func(v int64) bool { return v > revision })
 	if i < 0 {
 		i, first = len(now.EarlierRevisions), now.Revision
 	} else {
 		first = now.EarlierRevisions[i]
 	}
 	if i == 0 {
-		return first, version == 0 && len(now.EarlierRevisions) < api.MaxEarlierRevisions
+		return first, revision == 0 && len(now.EarlierRevisions) < api.MaxEarlierRevisions
 	}
-	return first, now.EarlierRevisions[i-1] == version
+	return first, now.EarlierRevisions[i-1] == revision
 }
 
-// sameText tells whether two texts are the same but for spaces between words.
+// sameText reports whether two JSON texts are equal but for white space.
 func sameText(a, b []byte) bool {
 	var x, y bytes.Buffer
 	return json.Compact(&x, a) == nil && json.Compact(&y, b) == nil && bytes.Equal(x.Bytes(), y.Bytes())
--- a/internal/registry/client/plausibility.go
+++ b/internal/registry/client/plausibility.go
@@ -2,22 +2,22 @@
 
 import "mosslead/internal/registry/api"
 
-// plausibility judges lists against the one in use.
+// plausibility checks list messages against the list in use.
 type plausibility struct {
-	known bool // there is a list
-	index int64
-	ready map[string]bool // entries, and whether they are ready
+	known    bool // there is a list
+	revision int64
+	ready    map[string]bool // whether an entry is ready, by name
 }
 
-// start is the list that is in use before the first message.
+// start sets the list that is in use before the first message.
 func (d *plausibility) start(l api.WatchEvent) {
 	d.known = true
 	d.accept(l)
 }
 
-// accept believes a message.
+// accept takes a message over into the list in use.
 func (d *plausibility) accept(l api.WatchEvent) {
-	d.index, d.known = l.Revision, true
+	d.revision, d.known = l.Revision, true
 	if l.Snapshot || d.ready == nil {
 		d.ready = map[string]bool{}
 	}
@@ -48,12 +48,12 @@
 	return n
 }
 
-// anomaly says what is strange about a message; "": nothing.
+// anomaly returns what makes a message implausible, and "" if nothing does.
 func (d *plausibility) anomaly(l api.WatchEvent) string {
 	switch {
 	case !d.known:
 		return ""
-	case l.Revision < d.index:
+	case l.Revision < d.revision:
 		return "its version goes back"
 	case l.Snapshot && usable(l) == 0 && d.usable() > 0:
 		return "it empties at once"
@@ -61,9 +61,10 @@
 	return ""
 }
 
-// drainsOnly is what of a doubted message holds all the same; false: nothing.
+// drainsOnly returns the part of an implausible message that is applied all the same: servers that stop being ready. It
+// returns false if there are none.
 func (d *plausibility) drainsOnly(l api.WatchEvent) (api.WatchEvent, bool) {
-	c := api.WatchEvent{Revision: d.index, Endpoints: []api.Endpoint{}}
+	c := api.WatchEvent{Revision: d.revision, Endpoints: []api.Endpoint{}}
 	for _, e := range l.Endpoints {
 		if ready, listed := d.ready[e.Name]; listed && ready && e.Status != api.Ready {
 			c.Endpoints = append(c.Endpoints, e)
--- a/internal/registry/client/registrar.go
+++ b/internal/registry/client/registrar.go
@@ -10,58 +10,66 @@
 	"mosslead/internal/registry/api"
 )
 
-// Registrar keeps servers registered: it renews the leases of all of them with one call, and registers anew whom the
-// service does not know (any more). One goroutine, Run, does all of it.
+// Registrar keeps servers registered: it renews the leases of all of them with one call, and registers again those that
+// the service does not (or no longer) list. Set and Silence are safe for concurrent use and don't block; Run does all
+// calls.
 type Registrar struct {
-	c       *Client
+	client  *Client
 	lease   time.Duration
 	onError func(name string, err error)
 	wake    chan struct{}
 
-	mu       sync.Mutex
-	want     map[string]*wish
-	versions map[string]int64 // of the entries, as they were last known; absent: there is none
+	mu        sync.Mutex
+	desired   map[string]*desiredState
+	revisions map[string]int64 // of the entries, as last known; absent: there is no entry
 }
 
-// wish is what a server wants to be.
-type wish struct {
-	g       api.Registration
-	status  string // Ready, Terminating or Gone
-	settled bool   // the service knows
-	silent  bool
+// desiredState is how a server is to be listed.
+type desiredState struct {
+	registration api.Registration
+	status       string // Ready, Terminating or Removed
+	settled      bool   // the service has confirmed it
+	silent       bool   // its lease is no longer renewed
 }
 
-// NewRegistrar keeps servers registered with c, with leases of that length. says is told of failures.
+// NewRegistrar returns a registrar that uses c and leases of that length. onError is called by Run's goroutines with each
+// failure; name is empty for a failed renewal.
 func NewRegistrar(c *Client, lease time.Duration, onError func(name string, err error)) *Registrar {
-	return &Registrar{c: c, lease: lease, onError: onError, wake: make(chan struct{}, 1), want: map[string]*wish{}, versions: map[string]int64{}}
+	return &Registrar{client: c, lease: lease, onError: onError, wake: make(chan struct{}, 1),
+		desired: map[string]*desiredState{}, revisions: map[string]int64{}}
 }
 
-// Set wants a server listed as status says; Gone ends its entry. It returns at once.
+// Set has a server listed with that status; Removed ends its entry.
 func (r *Registrar) Set(name string, g api.Registration, status string) {
 	g.LeaseMs = r.lease.Milliseconds()
 	r.mu.Lock()
-	r.want[name] = &wish{g: g, status: status}
+	r.desired[name] = &desiredState{registration: g, status: status}
 	r.mu.Unlock()
+	r.wakeUp()
+}
+
+// wakeUp has Run look for unsettled servers.
+func (r *Registrar) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
-	default:
+	default: // it is woken already
 	}
 }
 
-// Silence ends the heartbeat of a server that has died or is cut off, without a word.
+// Silence stops renewing the lease of a server that has died or is cut off; its entry expires.
 func (r *Registrar) Silence(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w := r.want[name]; w != nil {
-		w.silent = true
+	if want := r.desired[name]; want != nil {
+		want.silent = true
 	}
 }
 
-// Run keeps at it until ctx ends. Leases then lapse, unless servers have left.
+// Run keeps the servers registered until ctx ends. The leases of those still listed then expire.
 func (r *Registrar) Run(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	calls.Go(func() { r.renewals(ctx) })
+	calls.Go(func() { r.heartbeatLoop(ctx) })
 	for {
 		for _, name := range r.unsettled() {
 			r.settle(ctx, name)
@@ -74,11 +82,12 @@
 	}
 }
 
+// unsettled returns the servers whose desired state is not confirmed, in order.
 func (r *Registrar) unsettled() (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, w := range r.want {
-		if !w.settled && !w.silent {
+	for name, want := range r.desired {
+		if !want.settled && !want.silent {
 			names = append(names, name)
 		}
 	}
@@ -86,18 +95,18 @@
 	return names
 }
 
-// settle has the service know what a server wants. What it says is based on the version that was last known, so that a try whose
-// answer did not come is not carried out over what the server, another process of it or an operator has said since.
+// settle brings one entry to its desired state. The write is conditional on the revision last known, so that an attempt
+// whose answer was lost is not carried out over a later change by the server, another process of it or an operator.
 func (r *Registrar) settle(ctx context.Context, name string) {
 	r.mu.Lock()
-	w := *r.want[name]
+	want := *r.desired[name]
 	var known *int64
-	if v, ok := r.versions[name]; ok || w.status == api.Ready { // most that are registered have no entry
+	if v, ok := r.revisions[name]; ok || want.status == api.Ready { // most servers that register have no entry yet
 		known = &v
 	}
 	r.mu.Unlock()
-	version, err := r.c.SetStatus(ctx, name, w.g, w.status, known)
-	if api.IsCode(err, api.CodeNotFound) && w.status != api.Ready { // gone already
+	revision, err := r.client.SetStatus(ctx, name, want.registration, want.status, known)
+	if api.IsCode(err, api.CodeNotFound) && want.status != api.Ready { // its entry has ended already
 		err = nil
 	}
 	if err != nil {
@@ -111,23 +120,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case version > 0:
-		r.versions[name] = version
-	case err == nil: // gone, or another's
-		delete(r.versions, name)
+	case revision > 0:
+		r.revisions[name] = revision
+	case err == nil: // the entry has ended, or belongs to another process
+		delete(r.revisions, name)
 	}
-	now := r.want[name]
-	if now == nil || now.g.Incarnation != w.g.Incarnation || now.status != w.status {
-		return // wants something else by now
+	now := r.desired[name]
+	if now == nil || now.registration.Incarnation != want.registration.Incarnation || now.status != want.status {
+		return // Set has been called meanwhile
 	}
 	now.settled = err == nil
-	if w.status == api.Removed && now.settled {
-		delete(r.want, name)
+	if want.status == api.Removed && now.settled {
+		delete(r.desired, name)
 	}
 }
 
-// renewals gives heartbeat three times in a lease's time, with jitter.
-func (r *Registrar) renewals(ctx context.Context) {
+// heartbeatLoop renews the leases three times in a lease's length, with jitter, until ctx ends.
+func (r *Registrar) heartbeatLoop(ctx context.Context) {
 	for {
 		wait := time.NewTimer(time.Duration(float64(r.lease) / 3 * (0.8 + 0.4*rand.Float64())))
 		select {
@@ -136,36 +145,42 @@
 			return
 		case <-wait.C:
 		}
-		var leases []api.Heartbeat
-		r.mu.Lock()
-		for name, w := range r.want {
-			if w.settled && !w.silent && w.status != api.Removed {
-				leases = append(leases, api.Heartbeat{Name: name, Incarnation: w.g.Incarnation})
-			}
-		}
-		r.mu.Unlock()
-		if len(leases) == 0 {
-			continue
-		}
-		one, cancel := context.WithTimeout(ctx, r.lease)
-		expired, err := r.c.Renew(one, leases)
-		cancel()
-		if err != nil && ctx.Err() == nil {
-			r.onError("", err)
+		if leases := r.heartbeats(); len(leases) > 0 {
+			r.renew(ctx, leases)
 		}
-		r.mu.Lock()
-		for _, name := range expired {
-			delete(r.versions, name) // there is no entry: where that is wrong, a try is void, and the entry is read
-			if w := r.want[name]; w != nil && w.status == api.Ready {
-				w.settled = false
-			}
+	}
+}
+
+// heartbeats returns the leases to be renewed.
+func (r *Registrar) heartbeats() (leases []api.Heartbeat) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for name, want := range r.desired {
+		if want.settled && !want.silent && want.status != api.Removed {
+			leases = append(leases, api.Heartbeat{Name: name, Incarnation: want.registration.Incarnation})
 		}
-		r.mu.Unlock()
-		if len(expired) > 0 {
-			select {
-			case r.wake <- struct{}{}:
-			default:
-			}
+	}
+	return leases
+}
+
+// renew renews leases with one call. Servers whose leases have expired are registered again.
+func (r *Registrar) renew(ctx context.Context, leases []api.Heartbeat) {
+	renewCtx, cancel := context.WithTimeout(ctx, r.lease)
+	expired, err := r.client.Renew(renewCtx, leases)
+	cancel()
+	if err != nil && ctx.Err() == nil {
+		r.onError("", err)
+	}
+	if len(expired) == 0 {
+		return
+	}
+	r.mu.Lock()
+	for _, name := range expired {
+		delete(r.revisions, name) // where there is an entry again, the write fails and the entry is read
+		if want := r.desired[name]; want != nil && want.status == api.Ready {
+			want.settled = false
 		}
 	}
+	r.mu.Unlock()
+	r.wakeUp()
 }
--- a/internal/registry/client/registrar_test.go
+++ b/internal/registry/client/registrar_test.go
@@ -146,7 +146,7 @@
 	s.t.Helper()
 	for end := time.After(10 * time.Second); ; {
 		r.mu.Lock()
-		w := r.want["u"]
+		w := r.desired["u"]
 		done := w == nil || w.settled
 		r.mu.Unlock()
 		if done {
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -17,20 +17,20 @@
 	// maxList bounds one message: twice the most entries that the service holds.
 	maxList = 8 << 20
 
-	// callTimeout is how long after a call of a watch the next is made at another replica at the latest, whatever comes of it. A
-	// list is in flight within watch.Told of the moment at which most replicas have it and can be reached, also where the calls
-	// before that meet all the others. Of five replicas, at the longest:
+	// callTimeout is the longest time from one call of a watch to the next, at another replica, whatever the first comes
+	// to. It keeps the bound of watch.Told: a list arrives within that time once a majority of replicas has it and can be
+	// reached, even if the calls before go to all the others. The longest case with five replicas:
 	//
-	//	the watch that has fallen silent just before            2.5 s (watch.Silence; or a call: callTimeout)
-	//	two replicas that can't be reached, fail or say nothing 3.0 s (2 * callTimeout, with the wait after an end in it)
-	//	connecting, and one list                                0.5 s are left
+	//	a watch that has just fallen silent                        2.5 s (watch.Silence; or a call: callTimeout)
+	//	two replicas that are unreachable, fail or don't answer    3.0 s (2 * callTimeout, including the wait between)
+	//	left for connecting and one list                           0.5 s
 	//
-	// A list that is doubted binds at once in what drains; reading it a second time lasts verifyTimeout at the most.
+	// Of an implausible list, what drains applies at once; the second read lasts verifyTimeout at most.
 	callTimeout   = 1500 * time.Millisecond
 	verifyTimeout = time.Second
 )
 
-// Watcher follows the list. Its functions are called one at a time.
+// Watcher receives the events of a watch. Its functions are called one at a time, by the goroutine of the watch.
 type Watcher struct {
 	// Apply takes in an event. An error says that the event is unusable, and is reported; the watch continues at
 	// another replica.
@@ -47,33 +47,33 @@
 // revision are requested, unless that is 0, of a list from elsewhere. When a watch is silent, the next is
 // opened at another replica.
 func (c *Client) Watch(ctx context.Context, start *api.WatchEvent, w Watcher) {
-	d := &plausibility{}
+	inUse := &plausibility{}
 	if start != nil {
-		d.start(*start)
+		inUse.start(*start)
 	}
-	var p pace
+	var retry backoff
 	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxList, Address: c.at, OnEstablished: w.OnEstablished, Query: w.Query,
 		Revision: func() int64 {
-			if d.index > 0 {
-				return d.index
+			if inUse.revision > 0 {
+				return inUse.revision
 			}
 			return -1
 		},
 		Apply: func(from string, l *api.WatchEvent) error {
-			if strange := d.anomaly(*l); strange != "" {
-				return c.verify(ctx, from, d, w, *l, strange)
+			if anomaly := inUse.anomaly(*l); anomaly != "" {
+				return c.verify(ctx, from, inUse, w, *l, anomaly)
 			}
 			if err := w.Apply(*l); err != nil {
 				return err
 			}
-			d.accept(*l)
+			inUse.accept(*l)
 			return nil
 		},
 		OnError: func(at string, why error) {
 			w.OnError(at, why)
 			c.next(at)
 		},
-		Wait: func() time.Duration { return watchWait(&p, time.Now(), rand.Float64()) },
+		Wait: func() time.Duration { return watchWait(&retry, time.Now(), rand.Float64()) },
 	}
 	_ = f.Follow(ctx) // ends with ctx alone
 }
@@ -88,14 +88,15 @@
 	return q
 }
 
-// maxRegion bounds one message of a whole region: the most settings, each byte worded by six at the worst, and entries.
+// maxRegion bounds one message of a whole region in bytes: all settings, at worst six bytes for each byte of them in JSON,
+// and all entries.
 const maxRegion = 64 << 20
 
 // Region follows what a service's own region writes, until ctx ends: from tells which revision is replicated,
 // or -1 for the full list. w.Apply alone judges what of it to believe; w.Query is not used. onHeard is called
 // for each line.
 func (c *Client) Region(ctx context.Context, from func() int64, w Watcher, onHeard func()) {
-	var p pace
+	var retry backoff
 	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxRegion, Address: c.at, OnEstablished: w.OnEstablished, Revision: from, OnLine: onHeard,
 		Query: func() string { return "&own=1" },
 		Apply: func(_ string, l *api.WatchEvent) error { return w.Apply(*l) },
@@ -103,43 +104,45 @@
 			w.OnError(at, why)
 			c.next(at)
 		},
-		Wait: func() time.Duration { return watchWait(&p, time.Now(), rand.Float64()) },
+		Wait: func() time.Duration { return watchWait(&retry, time.Now(), rand.Float64()) },
 	}
 	_ = f.Follow(ctx) // ends with ctx alone
 }
 
-// watchWait is the wait after a watch that ended: a pace's, cut short by chance, so that a fleet stays spread over it.
-func watchWait(p *pace, now time.Time, chance float64) time.Duration {
-	return min(p.next(now, chance), time.Duration((1+chance)/2*float64(callTimeout)))
+// watchWait returns the wait after a watch that ended: the back-off's, cut to callTimeout with jitter, so that the calls of
+// a fleet stay spread over time.
+func watchWait(b *backoff, now time.Time, chance float64) time.Duration {
+	return min(b.next(now, chance), time.Duration((1+chance)/2*float64(callTimeout)))
 }
 
-// verify lets the list in use go on, but for endpoints that drain, and reads a second time, from another
-// replica if there is one. What is implausible there in the same way is believed; else the second list is.
-func (c *Client) verify(ctx context.Context, at string, d *plausibility, w Watcher, l api.WatchEvent, strange string) error {
-	w.OnError(at, fmt.Errorf("list %d is doubted: %s", l.Revision, strange))
-	if bound, any := d.drainsOnly(l); any {
-		if err := w.Apply(bound); err != nil {
+// verify keeps the list in use, but for endpoints that drain, and reads the list a second time, from another replica if
+// there is one. The second list is applied if it is plausible or shows the same anomaly; any other anomaly rejects both.
+func (c *Client) verify(ctx context.Context, at string, inUse *plausibility, w Watcher, l api.WatchEvent, anomaly string) error {
+	w.OnError(at, fmt.Errorf("list %d is doubted: %s", l.Revision, anomaly))
+	if drains, any := inUse.drainsOnly(l); any {
+		if err := w.Apply(drains); err != nil {
 			return err
 		}
 	}
-	again := c.other(at)
+	other := c.other(at)
 	ctx, cancel := context.WithTimeout(ctx, verifyTimeout)
 	defer cancel()
 	var second api.WatchEvent
-	if err := c.attempt(ctx, again, http.MethodGet, "/api/targets", nil, &second); err != nil {
-		return fmt.Errorf("reading a second time, at %s: %w", again, err)
+	if err := c.attempt(ctx, other, http.MethodGet, "/api/targets", nil, &second); err != nil {
+		return fmt.Errorf("reading a second time, at %s: %w", other, err)
 	}
 	second.Snapshot = true
-	if still := d.anomaly(second); still != "" && still != strange {
-		return fmt.Errorf("list %d of %s is strange in another way: %s", second.Revision, again, still)
-	} else if still == "" {
-		strange = "another replica knows better"
-	} else {
-		strange = "confirmed by a second read"
+	reason := "another replica knows better"
+	switch found := inUse.anomaly(second); found {
+	case "":
+	case anomaly:
+		reason = "confirmed by a second read"
+	default:
+		return fmt.Errorf("list %d of %s is strange in another way: %s", second.Revision, other, found)
 	}
 	if err := w.Apply(second); err != nil {
 		return err
 	}
-	d.accept(second)
-	return fmt.Errorf("list %d is believed: %s", second.Revision, strange)
+	inUse.accept(second)
+	return fmt.Errorf("list %d is believed: %s", second.Revision, reason)
 }
--- a/internal/sidecar/acks.go
+++ b/internal/sidecar/acks.go
@@ -13,12 +13,13 @@
 
 const (
 	ackInterval = 20 * time.Second // well within api.HeardMs, also where one is lost
-	ackJitter   = time.Second      // after a change: a region's sidecars all hear of it at once
-	ackTimeout  = 10 * time.Second // of one word, with the client's own tries; then the next turn comes
-	ackSockets  = 2                // descriptors: its connection, and another replica's in its place
+	ackJitter   = time.Second      // after a change, which reaches all sidecars of a region at once
+	ackTimeout  = 10 * time.Second // of one acknowledgement, with the client's retries
+	ackSockets  = 2                // file descriptors: of one connection, and of the one that replaces it
 )
 
-// acknowledge tells the list service which settings are in force here, until ctx ends. source is where it is.
+// acknowledge reports to the list service which settings are in force here, until ctx ends. source returns the present
+// addresses of the service. A nil receiver has nothing to report.
 func (s *settingsFollower) acknowledge(ctx context.Context, source func() string) {
 	if s == nil {
 		return
@@ -45,10 +46,11 @@
 	})
 }
 
-// acknowledgeLoop says it after each change and now and then. One word is on its way at the most; what changes meanwhile is in the next.
-func (s *settingsFollower) acknowledgeLoop(ctx context.Context, say func(context.Context, api.Ack) error) {
+// acknowledgeLoop sends an acknowledgement after each change and every ackInterval. One is in flight at most; a change
+// meanwhile is in the next.
+func (s *settingsFollower) acknowledgeLoop(ctx context.Context, send func(context.Context, api.Ack) error) {
 	failing := false
-	t := time.NewTimer(rand.N(ackInterval)) // a fleet that starts at once does not speak at once
+	t := time.NewTimer(rand.N(ackInterval)) // spreads the calls of a fleet that starts at once
 	defer t.Stop()
 	for {
 		select {
@@ -64,7 +66,7 @@
 			continue
 		}
 		ackCtx, cancel := context.WithTimeout(ctx, ackTimeout)
-		err := say(ackCtx, s.ack())
+		err := send(ackCtx, s.ack())
 		cancel()
 		if ctx.Err() != nil || (err != nil) == failing {
 			continue
@@ -77,7 +79,7 @@
 	}
 }
 
-// cutText bounds a text to so many bytes of whole characters.
+// cutText cuts a text to at most bound bytes of whole characters.
 func cutText(text string, bound int) string {
 	text = strings.ToValidUTF8(text, "?")
 	if len(text) > bound {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -144,7 +144,7 @@
 func TestBanHoldsAtTheWrite(t *testing.T) {
 	d := newEndpointDirectory(newClock(), func(string) {})
 	d.apply(parsed(t, list(1, true, entry("s", "127.0.0.1:1", "Ready"))))
-	at, _ := d.place("s")
+	at, _ := d.address("s")
 	if !d.ban("s", false) || d.ready("s", at) {
 		t.Fatal("banned, and still ready")
 	}
--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	maxRetainedBytes = 64 << 10 // of a body or an answer: kept, so that another attempt can be made
-	minRetainedBytes = 4 << 10  // where the budget is spent
-	maxBodyBytes     = 32 << 20 // what a request or an answer may hold
-	budgetFraction   = 0.25     // of the memory limit, for what is kept of all bodies and answers
-	minBodyRate      = 48 << 10 // bytes a second; clients that send slowly owe 64 kB, and a machine may be late by a quarter
-	// A body's first bytes are owed this long after its head, and at most this much of a peer's 3 s is used up.
+	maxRetainedBytes = 64 << 10 // of one body or answer, retained so that it can be sent again
+	minRetainedBytes = 4 << 10  // retained even if the budget is used up
+	maxBodyBytes     = 32 << 20 // of a request or an answer
+	budgetFraction   = 0.25     // of the memory limit, for all retained bodies and answers
+	minBodyRate      = 48 << 10 // bytes per second: clients are to send 64 kB/s, less a quarter for a busy machine
+	// bodyStartTimeout is the least time that the first bytes of a body have after its head.
 	bodyStartTimeout = 700 * time.Millisecond
 )
 
-// byteBudget bounds the bytes that are retained of all bodies and answers together.
+// byteBudget bounds the retained bytes of all bodies and answers together. Safe for concurrent use.
 type byteBudget struct {
 	mu   sync.Mutex
 	left int64
 }
 
-// reserve allows as many bytes as are left, up to most, and minRetainedBytes at the least: connections are bounded, too.
+// reserve reserves as many bytes as are left, up to bound, and minRetainedBytes at least: connections are bounded, too.
 func (b *byteBudget) reserve(bound int64) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,6 +35,7 @@
 	return n
 }
 
+// release returns reserved bytes.
 func (b *byteBudget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,95 +47,99 @@
 	errBodyLarge    = errors.New("the body is too large")
 )
 
-// clientBody is a request's body: what is retained of it, and what is still to come from the client.
+// clientBody is the body of a request: its retained start, and the rest that is still to be read from the client. Attempts
+// read it one after the other, each through its own bodyReader; its methods are safe for concurrent use.
 type clientBody struct {
 	retained []byte
 	length   int64 // -1: not stated
 	reserved int64 // of the budget
 	budget   *byteBudget
 
-	rest       io.Reader // of the rest; nil: all is kept
-	onComplete func()    // the last byte has come
+	rest       io.Reader // nil: the whole body is retained
+	onComplete func()    // called after the last byte
 	onError    func(error)
 
 	reading  sync.Mutex // held while the rest is read
 	mu       sync.Mutex
-	consumed bool  // an attempt has taken some of the rest
-	ended    bool  // the rest has come to its end
-	err      error // or was broken off by the client
-	seen     int64
-	turn     int // which attempt may read
+	consumed bool  // an attempt has read some of the rest
+	ended    bool  // the rest has been read to its end
+	err      error // with which reading from the client failed
+	seen     int64 // bytes of the rest
+	turn     int   // number of the attempt that may read
 }
 
-// receiving tells whether some of the body is still to come.
+// receiving reports whether some of the body is still to be read from the client.
 func (b *clientBody) receiving() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rest != nil && !b.ended
 }
 
-// endAttempt ends the reading for an attempt that has ended, and tells whether no other can be made.
+// endAttempt stops the reading of an attempt that has ended, and reports whether the body can't be sent again.
 func (b *clientBody) endAttempt() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++ // else it could still take some of the rest, which the next attempt would lack
+	b.turn++ // a late read would take bytes that the next attempt lacks
 	return b.consumed
 }
 
-// failed is what broke the body off on the client's side, or nil.
+// failed returns the error with which reading from the client failed, or nil.
 func (b *clientBody) failed() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.err
 }
 
-// reader is the body for another attempt; the one before reads no more. One that is spent is not to be had again.
+// reader returns the body for another attempt, and ends the reading of the one before. A consumed body fails at the first
+// read.
 func (b *clientBody) reader() io.ReadCloser {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.turn++
 	if b.consumed {
-		return &bodyReader{body: b} // of no turn
+		return &bodyReader{body: b} // turn 0 is never the current one
 	}
 	return &bodyReader{body: b, turn: b.turn, retained: b.retained}
 }
 
-// endReading ends reading for attempts: the request has its answer.
+// endReading ends the reading of attempts: the request has its answer.
 func (b *clientBody) endReading() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.turn++
 }
 
-// drain reads away what the client still sends: it may not look for its answer before. Patience is up to the source.
+// drain discards the rest of the body, since a client may not read its answer before it has sent the body. The source
+// bounds the time.
 func (b *clientBody) drain() {
 	b.endReading()
 	b.reading.Lock()
 	defer b.reading.Unlock()
-	_, _ = io.CopyN(io.Discard, b.rest, maxBodyBytes) // an end of any kind is as good
+	_, _ = io.CopyN(io.Discard, b.rest, maxBodyBytes) // any end will do
 }
 
-// release gives back the budget.
+// release returns the reserved bytes to the budget.
 func (b *clientBody) release() {
 	b.budget.release(b.reserved)
 	b.reserved = 0
 }
 
-// bodyReader is one attempt's view of a body.
+// bodyReader reads a body for one attempt.
 type bodyReader struct {
 	body      *clientBody
 	turn      int
 	retained  []byte
 	delivered atomic.Int64 // bytes
-	ended     atomic.Bool  // no more are to come
+	ended     atomic.Bool  // the body has been read to its end, or failed
 }
 
 // Close implements io.Closer. The body belongs to its request, and stays open.
 func (r *bodyReader) Close() error { return nil }
 
-// incomplete tells whether some of the body has not gone to the writer yet, so that no upstream can have it whole.
+// incomplete reports whether some of the body has not been handed to the writer, so that no upstream can have all of it.
 func (r *bodyReader) incomplete() bool { return !r.ended.Load() && r.delivered.Load() != r.body.length }
 
+// Read implements io.Reader.
 func (r *bodyReader) Read(p []byte) (int, error) {
 	n, err := r.next(p)
 	r.delivered.Add(int64(n))
@@ -144,6 +149,7 @@
 	return n, err
 }
 
+// next reads from the retained bytes, then from the client.
 func (r *bodyReader) next(p []byte) (int, error) {
 	if r.turn == 0 {
 		return 0, errAttemptEnded
@@ -200,38 +206,39 @@
 	return n, err
 }
 
-// rateLimitedReader reads a client's body for as long as it makes progress. The time that an upstream makes
-// us wait does not count, as it would with http.Server's ReadTimeout.
-type rateLimitedReader struct {
+// rateCheckedReader reads a client's body as long as it arrives at minBodyRate at least. Time during which nobody reads,
+// because an upstream is slow, does not count, as it would with http.Server's ReadTimeout.
+type rateCheckedReader struct {
 	body     io.Reader
 	conn     *http.ResponseController
-	timeLeft time.Duration // timeout, before what the bytes to come add
+	timeLeft time.Duration // grows with each byte read
 }
 
-// newRateLimitedReader begins a body's timeout. A peer that never sent a request is owed an answer or a close within 3 s of
-// connecting: accepted is when that was, or the zero time for one that did.
-func newRateLimitedReader(body io.Reader, conn *http.ResponseController, accepted time.Time) *rateLimitedReader {
+// newRateCheckedReader starts the timeout of a body. accepted is when a connection without an earlier request was accepted,
+// which must get an answer or a close within requestTimeout of that; the zero time for any other connection.
+func newRateCheckedReader(body io.Reader, conn *http.ResponseController, accepted time.Time) *rateCheckedReader {
 	left := requestTimeout
 	if !accepted.IsZero() {
 		left = max(bodyStartTimeout, requestTimeout-time.Since(accepted))
 	}
-	return &rateLimitedReader{body: body, conn: conn, timeLeft: left}
+	return &rateCheckedReader{body: body, conn: conn, timeLeft: left}
 }
 
-func (r *rateLimitedReader) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (r *rateCheckedReader) Read(p []byte) (int, error) {
 	begun := time.Now()
-	_ = r.conn.SetReadDeadline(begun.Add(r.timeLeft)) // can't fail on the server's own connection; a read would show it
+	_ = r.conn.SetReadDeadline(begun.Add(r.timeLeft)) // fails only on a broken connection, as the read then does
 	n, err := r.body.Read(p)
 	r.timeLeft += time.Duration(n)*time.Second/minBodyRate - time.Since(begun)
 	if errors.Is(err, io.EOF) {
-		_ = r.conn.SetReadDeadline(time.Time{}) // from now on it is read to see whether the client leaves
+		_ = r.conn.SetReadDeadline(time.Time{}) // the server now reads to notice that the client leaves
 	}
 	return n, err
 }
 
-// readBody reads a body up to what is kept. A rest, if there is one, is to be read by attempts.
-func readBody(r *http.Request, conn *http.ResponseController, accepted time.Time, all *byteBudget) (*clientBody, error) {
-	b := &clientBody{length: r.ContentLength, budget: all}
+// readBody reads the part of a body that is retained; attempts read the rest, if there is any.
+func readBody(r *http.Request, conn *http.ResponseController, accepted time.Time, budget *byteBudget) (*clientBody, error) {
+	b := &clientBody{length: r.ContentLength, budget: budget}
 	if r.ContentLength == 0 {
 		return b, nil
 	}
@@ -239,13 +246,13 @@
 	if b.length > 0 {
 		bound = min(bound, b.length)
 	}
-	b.reserved = all.reserve(bound)
-	from := newRateLimitedReader(r.Body, conn, accepted)
+	b.reserved = budget.reserve(bound)
+	source := newRateCheckedReader(r.Body, conn, accepted)
 	buf := make([]byte, 0, min(b.reserved, minRetainedBytes))
 	for {
-		if int64(len(buf)) == b.length { // the library has seen the end with its last byte, or does now
+		if int64(len(buf)) == b.length { // net/http reports the end with the last byte, or now
 			b.retained = buf
-			_, err := from.Read(make([]byte, 1))
+			_, err := source.Read(make([]byte, 1))
 			if !errors.Is(err, io.EOF) {
 				b.release()
 				return nil, errors.Join(errors.New("the body does not end with its length"), err)
@@ -253,13 +260,13 @@
 			return b, nil
 		}
 		if int64(len(buf)) == b.reserved {
-			b.retained, b.rest = buf, from
+			b.retained, b.rest = buf, source
 			return b, nil
 		}
-		if len(buf) == cap(buf) { // by an operator, to double exactly and not beyond the budget; small bodies of unknown length stay small
+		if len(buf) == cap(buf) { // append alone would grow it beyond the reservation
 			buf = append(make([]byte, 0, min(b.reserved, int64(2*cap(buf)))), buf...)
 		}
-		n, err := from.Read(buf[len(buf):cap(buf)])
+		n, err := source.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
 		switch {
 		case errors.Is(err, io.EOF):
@@ -272,4 +279,5 @@
 	}
 }
 
+// isTimeout reports whether an error is an exceeded deadline of a connection.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -17,31 +17,31 @@
 const (
 	maxPendingReports  = 256                    // messages of the loop that wait for the tracker
 	maxPendingVerdicts = 256                    // verdicts that wait for the loop
-	reportTTL          = 5 * time.Second        // what was said of a breaker is believed for so long, unless said anew
-	reportInterval     = 2 * time.Second        // and it is, so often
-	probeTTL           = 3 * time.Second        // a leader of probes is believed to be one for so long
-	breakerTick        = 100 * time.Millisecond // the tracker looks at least so often
+	reportTTL          = 5 * time.Second        // after which a report that is not sent again no longer counts
+	reportInterval     = 2 * time.Second        // between the sends of an open breaker's report
+	probeTTL           = 3 * time.Second        // after which a probe leader that says nothing no longer counts as one
+	breakerTick        = 100 * time.Millisecond // between updates of the tracker
 )
 
-// probeLeaderships is what the breakers need of the leaderships. Absent, each sidecar makes its own probes, as without others.
+// probeLeaderships is the part of leaderships that the breaker tracker uses. Without it each sidecar makes its own probes.
 type probeLeaderships interface {
-	// campaign tells whether this sidecar wants to hold a leadership; it does not wait.
+	// campaign starts or stops campaigning for a leadership; it does not block.
 	campaign(name string, wanted bool)
-	// holds tells whether the leadership is held now, and under which epoch: asked at each act.
+	// holds reports whether this sidecar is the leader now, and in which epoch. It is checked before each act of a leader.
 	holds(name string) (epoch uint64, ok bool)
 }
 
-// broadcaster is what the breakers need of gossip.
+// broadcaster is the part of gossip that the breaker tracker uses.
 type broadcaster interface {
 	Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, withdrawn bool) error
 	Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record]
 	Members() []message.Member
 }
 
-// evidenceReport is what the dispatcher reports of an upstream.
+// evidenceReport is what the dispatcher reports about an upstream.
 type evidenceReport struct {
 	report message.Report
-	probe  bool // it is of a probe made for all, which went well if the report is closed
+	probe  bool // the outcome of a probe made for all sidecars; it succeeded if the report is closed
 }
 
 // ownProbe is the probing of one upstream that this sidecar leads or campaigns for.
@@ -49,23 +49,23 @@
 	startedMs   int64
 	campaigning bool
 	leading     bool
-	result      message.ProbeResult // as said last
+	result      message.ProbeResult // as sent last
 	announcedAt time.Duration
 }
 
-// breakerTracker is the goroutine that owns the verdict tracker: reports in, from here and from others,
-// verdicts out.
+// breakerTracker owns the verdict tracker: it takes in the reports of this sidecar and of others, and hands verdicts to
+// the dispatcher. Its fields belong to the goroutine of run.
 type breakerTracker struct {
 	s             *sharing
 	gossip        broadcaster
 	leaderships   probeLeaderships
 	tracker       *circuitbreaker.VerdictTracker
 	suspicion     *circuitbreaker.SelfSuspicion
-	selfSuspicion float64                   // how far this process distrusts itself, as of the latest look
-	own           map[string]message.Report // open breakers of this sidecar, said again until closed
+	selfSuspicion float64                   // how far this process distrusts its own evidence, as of the latest tick
+	own           map[string]message.Report // open breakers of this sidecar, sent again until closed
 	announcedAt   map[string]time.Duration
 	probes        map[string]*ownProbe
-	present       int // members, as told to the log
+	present       int // number of members last logged
 }
 
 func newBreakerTracker(s *sharing, duties probeLeaderships) *breakerTracker {
@@ -73,7 +73,7 @@
 		suspicion: circuitbreaker.NewSelfSuspicion(s.clock.now(), breakerTick), own: map[string]message.Report{}, announcedAt: map[string]time.Duration{}, probes: map[string]*ownProbe{}}
 }
 
-// run is the thread.
+// run handles reports, records of others and ticks until ctx ends.
 func (p *breakerTracker) run(ctx context.Context) {
 	tick := time.NewTicker(breakerTick)
 	defer tick.Stop()
@@ -86,7 +86,7 @@
 		case <-tick.C:
 			p.tick()
 		case answer := <-p.s.openVerdicts:
-			answer <- p.tracker.Open() // holds one
+			answer <- p.tracker.Open() // has a buffer of one: does not block
 		case <-p.s.reports.Ready():
 			for w, ok := p.s.reports.Pop(); ok; w, ok = p.s.reports.Pop() {
 				p.onOwnEvidence(w)
@@ -99,7 +99,7 @@
 	}
 }
 
-// read takes what was heard, as the tracker wants it.
+// read drains an inbox into events of the tracker.
 func read(inbox *conflate.Queue[message.Key, message.Record]) (all circuitbreaker.Batch) {
 	for r, ok := inbox.Pop(); ok; r, ok = inbox.Pop() {
 		if e := event(r); e != nil {
@@ -109,7 +109,7 @@
 	return all
 }
 
-// event is what a record says to the tracker; nil: nothing.
+// event decodes a record for the tracker; it returns nil for a record that can't be decoded.
 func event(r message.Record) circuitbreaker.Event {
 	switch r.Kind {
 	case message.Breaker:
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// tick lets time pass: who is present, what is listed, what must be said again, which probes are held.
+// tick updates the members, the listed upstreams and the probe leaderships, and sends reports again that are due.
 func (p *breakerTracker) tick() {
 	now := p.s.clock.now()
 	members := p.gossip.Members()
@@ -135,7 +135,7 @@
 		logAttrs(slog.LevelInfo, ofPeers, "present", slog.Int("members", p.present))
 	}
 	p.selfSuspicion = p.suspicion.Check(now, len(members), p.s.echo.delay(now))
-	p.s.verdicts.Push("", balancer.PeerVerdict{}, false) // its taker is heard to be alive, see echo
+	p.s.verdicts.Push("", balancer.PeerVerdict{}, false) // the loop's taking it shows that it is not stalled: see loopEcho
 	batch := circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: p.s.dir.incarnations()}, circuitbreaker.Roster{Members: members}}
 	for key, r := range p.own {
 		if since, _, listed := p.s.dir.incarnation(r.Upstream); !listed || since != r.StartedMs {
@@ -158,7 +158,7 @@
 	p.deliver(p.tracker.Handle(p.s.clock.now(), e))
 }
 
-// onOwnEvidence takes a word of the loop.
+// onOwnEvidence handles a report of the dispatcher.
 func (p *breakerTracker) onOwnEvidence(w evidenceReport) {
 	r := w.report
 	if w.probe {
@@ -173,7 +173,7 @@
 	case r.State != message.Closed && r.SelfSuspicion == 0:
 		p.own[key] = r
 		p.announce(key, r)
-	case r.Count > 0: // a first failure, or that it serves us whatever is said: said once
+	case r.Count > 0: // a first failure, or successes against the verdict: sent once
 		p.announce(key, r)
 	default:
 		p.withdraw(key, r)
@@ -182,7 +182,7 @@
 	p.handle(circuitbreaker.OwnReport{Report: r})
 }
 
-// announce tells the others a report, with how far this process distrusts itself by now.
+// announce broadcasts a report, with the present self-suspicion of this process.
 func (p *breakerTracker) announce(key string, r message.Report) {
 	r.SelfSuspicion = max(r.SelfSuspicion, p.selfSuspicion)
 	p.announcedAt[key] = p.s.clock.now()
@@ -191,7 +191,7 @@
 	}
 }
 
-// withdraw takes a report back.
+// withdraw broadcasts that a report no longer holds.
 func (p *breakerTracker) withdraw(key string, r message.Report) {
 	delete(p.own, key)
 	delete(p.announcedAt, key)
@@ -200,7 +200,7 @@
 	}
 }
 
-// updateProbes looks which of the wished probes are held by now, and says so again.
+// updateProbes checks which probe leaderships are held by now, and announces those again that are due.
 func (p *breakerTracker) updateProbes(now time.Duration) (events circuitbreaker.Batch) {
 	for _, upstream := range slices.Sorted(maps.Keys(p.probes)) {
 		t := p.probes[upstream]
@@ -222,7 +222,7 @@
 	return events
 }
 
-// onProbeResult takes what came of a probe made for all. It counts only while the leadership is still held.
+// onProbeResult counts the outcome of a probe made for all sidecars, if the leadership is still held.
 func (p *breakerTracker) onProbeResult(r message.Report) {
 	t := p.probes[r.Upstream]
 	if t == nil || t.startedMs != r.StartedMs {
@@ -239,7 +239,7 @@
 		t.result.Round++
 	}
 	p.handle(p.announceProbe(t))
-	if t.result.Step >= circuitbreaker.ProbeSteps { // told; a breaker that opens again begins at the first
+	if t.result.Step >= circuitbreaker.ProbeSteps { // announced; a breaker that opens again starts at the first step
 		t.result.Step, t.result.OK = 0, false
 	}
 }
@@ -252,19 +252,19 @@
 	return circuitbreaker.ProbeResult{From: p.s.self.Name, Result: t.result, TTL: probeTTL}
 }
 
-// deliver hands verdicts to the loop, and wishes for the probes of what is open.
+// deliver hands verdicts to the dispatcher, and campaigns for the probes of open breakers.
 func (p *breakerTracker) deliver(verdicts []circuitbreaker.Verdict) {
 	for _, v := range verdicts {
-		h := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.s.clock.unixMs(float64(v.StartedMs)), Class: v.Class, Since: v.Since,
+		verdict := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.s.clock.unixMs(float64(v.StartedMs)), Class: v.Class, Since: v.Since,
 			PassFraction: v.PassFraction, Probes: probeOwners[v.Probes], ProbeSucceeded: v.Step == 0 && v.ProbesSucceeded}
 		if v.Open {
-			h.Until = p.s.clock.now() + v.For
+			verdict.Until = p.s.clock.now() + v.For
 		}
 		if v.Changed {
 			logAttrs(slog.LevelInfo, ofPeers, "verdict", slog.String("upstream", v.Upstream), slog.String("class", v.Class),
 				slog.Bool("open", v.Open), slog.Float64("share", v.PassFraction), slog.Int("trials", int(v.Probes)), slog.String("why", v.Reason))
 		}
-		p.s.verdicts.Push(v.Upstream+" "+v.Class, h, !v.Open)
+		p.s.verdicts.Push(v.Upstream+" "+v.Class, verdict, !v.Open)
 		if v.Class == "" && p.leaderships != nil {
 			p.campaign(v)
 		}
@@ -273,6 +273,7 @@
 
 var probeOwners = map[circuitbreaker.ProbeOwner]balancer.ProbeOwner{circuitbreaker.ProbeByEach: balancer.ProbeByEach, circuitbreaker.ProbeByPeer: balancer.ProbeByPeer, circuitbreaker.ProbeBySelf: balancer.ProbeBySelf}
 
+// campaign starts or stops campaigning for the probes of an upstream, by its verdict.
 func (p *breakerTracker) campaign(v circuitbreaker.Verdict) {
 	t := p.probes[v.Upstream]
 	if t == nil {
@@ -291,7 +292,7 @@
 	}
 }
 
-// report takes an action of the loop; it never waits.
+// report queues a report of the dispatcher for the breaker tracker. It does not block.
 func (s *sharing) report(a *balancer.Action) {
 	since, _, listed := s.dir.incarnation(a.Upstream)
 	if !listed {
@@ -314,17 +315,17 @@
 var evidenceKinds = map[balancer.Evidence]message.Evidence{balancer.EvidenceErrors: message.ErrorAnswers, balancer.EvidenceConnections: message.BrokenConnections,
 	balancer.EvidenceSilence: message.Silence, balancer.EvidenceRejections: message.Rejections}
 
-// loopEcho tells for how long the loop has left a word untaken: one that is jammed must not be believed. Set by the loop, read by
-// the breakers' thread.
+// loopEcho measures for how long the dispatcher's loop has left a message in its queue: evidence of a process whose loop is
+// stalled must not count. The loop calls onTaken, the breaker tracker calls delay.
 type loopEcho struct {
 	taken  atomic.Int64 // clock time
 	sentAt time.Duration
 }
 
-// onTaken is the loop's: it takes words.
+// onTaken records that the loop has taken its messages.
 func (e *loopEcho) onTaken(now time.Duration) { e.taken.Store(int64(now)) }
 
-// delay is how long the word asked at the look before has waited; what was taken since has not.
+// delay returns how long the message queued by an earlier call has waited, 0 if it has been taken since.
 func (e *loopEcho) delay(now time.Duration) (waited time.Duration) {
 	if taken := time.Duration(e.taken.Load()); e.sentAt > 0 && taken < e.sentAt && taken > 0 {
 		return now - e.sentAt
--- a/internal/sidecar/endpointdirectory.go
+++ b/internal/sidecar/endpointdirectory.go
@@ -13,13 +13,14 @@
 	"mosslead/internal/circuitbreaker"
 )
 
-// listing is one message of discovery: the whole list, or what changed.
+// listing is one message of discovery: the whole list, or the changes since the message before.
 type listing struct {
 	Revision  *int64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
 
+// endpoint is one entry of a listing, in the field names of the protocol.
 type endpoint struct {
 	Name      string  `json:"name"`
 	Address   string  `json:"address"`
@@ -37,7 +38,7 @@
 	statusRemoved     = "Gone"
 )
 
-// parseListing rejects what is not whole, so that half a message never replaces a good list.
+// parseListing decodes a message. It rejects incomplete ones, so that part of a message never replaces a good list.
 func parseListing(text []byte) (*listing, error) {
 	l := &listing{}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -49,6 +50,7 @@
 	return l, nil
 }
 
+// check returns an error for a message that must not be applied.
 func (l *listing) check() error {
 	if l.Revision == nil {
 		return errors.New("no index")
@@ -66,8 +68,8 @@
 	return nil
 }
 
-// clock is the sidecar's one clock. It is monotonic, and starts late enough that the times at which upstreams
-// started just before this process are above 0, which means long ago.
+// clock is the sidecar's one clock. It is monotonic, and starts at clockStart, so that upstreams which started shortly
+// before this process have times above 0; 0 stands for long ago.
 type clock struct{ start time.Time }
 
 const clockStart = time.Hour
@@ -84,24 +86,24 @@
 	return max(0, clockStart+time.UnixMilli(int64(min(ms, 1e15))).Sub(c.start))
 }
 
-// maxRemoved is how many upstreams that left the list stay known: operators may call one out that is just restarting.
+// maxRemoved is how many upstreams that left the list stay known, so that operators can ban one that is restarting.
 const maxRemoved = 256
 
-// endpointDirectory holds where upstreams are and whether they accept requests, and which are banned. The
-// watcher updates it as soon as a message is received, ahead of the dispatcher, so that a request decided on
-// before is still stopped at its write.
+// endpointDirectory holds the addresses of upstreams, whether they accept requests, and which are banned. The watcher
+// updates it as soon as a message is received, ahead of the dispatcher, so that a request to a server that has been
+// removed, drained or banned since the decision is still stopped at its write. Safe for concurrent use.
 type endpointDirectory struct {
 	clock  clock
 	onDrop func(name string) // an upstream's connections are no longer wanted
 
 	mu      sync.RWMutex
-	index   int64
-	entries map[string]endpoint // the list, draining ones too
+	index   int64               // revision of the list
+	entries map[string]endpoint // the list, including draining upstreams
 	banned  map[string]bool     // by an operator, whatever the list says
-	removed []string            // from the list; the latest last, bounded
+	removed []string            // from the list; the latest last, at most maxRemoved
 }
 
-// endpointAddress tells the processes of an upstream apart: connections to an earlier one are worth nothing.
+// endpointAddress identifies one process of an upstream: connections to an earlier process can't be used.
 type endpointAddress struct {
 	address string
 	sinceMs float64
@@ -111,15 +113,16 @@
 	return &endpointDirectory{clock: c, onDrop: onDrop, entries: map[string]endpoint{}, banned: map[string]bool{}}
 }
 
-// where is the place of an entry that wants requests; none is the zero place.
-func (e endpoint) where() endpointAddress {
+// readyAddress returns the address of a ready entry, and the zero address of any other.
+func (e endpoint) readyAddress() endpointAddress {
 	if e.Status != statusReady {
 		return endpointAddress{}
 	}
 	return endpointAddress{e.Address, e.StartedMs}
 }
 
-// apply takes in a message and translates it for the balancer.
+// apply applies a message, calls onDrop for each upstream whose address has changed, and returns the update for the
+// balancer.
 func (d *endpointDirectory) apply(l *listing) balancer.EndpointUpdate {
 	m := balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
 	d.mu.Lock()
@@ -143,7 +146,7 @@
 	var dropped []string
 	for name, old := range before {
 		now, listed := d.entries[name]
-		if now.where() != old.where() {
+		if now.readyAddress() != old.readyAddress() {
 			dropped = append(dropped, name)
 		}
 		if !listed {
@@ -158,7 +161,7 @@
 	return m
 }
 
-// balancerEndpoint is what the balancer is told of an entry.
+// balancerEndpoint translates an entry for the balancer.
 func (d *endpointDirectory) balancerEndpoint(e endpoint) balancer.Endpoint {
 	m := balancer.Endpoint{Upstream: e.Name, Zone: e.Zone, Machine: e.Machine, Cell: e.Cell, State: balancer.Removed,
 		StartedAt: d.clock.unixMs(e.StartedMs), Weight: e.Weight}
@@ -171,7 +174,7 @@
 	return m
 }
 
-// cachedUpdate is the list as it stands, for the balancer.
+// cachedUpdate returns the present list as an update for the balancer.
 func (d *endpointDirectory) cachedUpdate() balancer.EndpointUpdate {
 	m := balancer.EndpointUpdate{Kind: balancer.Cached}
 	for _, e := range d.full().Endpoints {
@@ -180,7 +183,7 @@
 	return m
 }
 
-// full is the list as it stands.
+// full returns the present list.
 func (d *endpointDirectory) full() *listing {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -192,15 +195,15 @@
 	return l
 }
 
-// revision is the list's version, and how many entries it has.
+// revision returns the list's revision and its number of entries.
 func (d *endpointDirectory) revision() (index int64, entries int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.index, len(d.entries)
 }
 
-// ban takes an upstream out of use by an operator, or with lifted back; false where nobody has that id. It holds at once for
-// what was decided before: the write looks, see upstreamConn.
+// ban bans an upstream on behalf of an operator, or with cleared lifts the ban; it returns false for an unknown name. A ban
+// also stops requests that were decided on before: upstreamConn checks it at the write.
 func (d *endpointDirectory) ban(name string, cleared bool) bool {
 	d.mu.Lock()
 	_, known := d.entries[name]
@@ -212,7 +215,7 @@
 	return known
 }
 
-// setBan is ban for a call that was checked, by another process of this sidecar perhaps.
+// setBan is ban without the check of the name, which another process of this sidecar may have made.
 func (d *endpointDirectory) setBan(name string, cleared bool) {
 	d.mu.Lock()
 	if cleared {
@@ -226,14 +229,14 @@
 	}
 }
 
-// bans are the ids that are banned.
+// bans returns the names of the banned upstreams, in order.
 func (d *endpointDirectory) bans() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return slices.Sorted(maps.Keys(d.banned))
 }
 
-// countUnavailable counts the listed upstreams, and those of them that are banned or among the ejected.
+// countUnavailable returns the number of listed upstreams, and of those that are banned or among the ejected.
 func (d *endpointDirectory) countUnavailable(ejected []string) (listed, avoided int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -245,15 +248,15 @@
 	return len(d.entries), avoided
 }
 
-// place is where an upstream takes requests now; nowhere while it drains, is gone or is banned.
-func (d *endpointDirectory) place(name string) (endpointAddress, bool) {
+// address returns where an upstream takes requests now; false while it drains, is removed or is banned.
+func (d *endpointDirectory) address(name string) (endpointAddress, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	at := d.entries[name].where()
+	at := d.entries[name].readyAddress()
 	return at, at != endpointAddress{} && !d.banned[name]
 }
 
-// zone is where an upstream stands, or "gone".
+// zone returns the zone of a ready upstream, or "gone".
 func (d *endpointDirectory) zone(name string) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -263,7 +266,7 @@
 	return "gone"
 }
 
-// incarnation is when a listed upstream started, by the list, and where it stands.
+// incarnation returns when a listed upstream started, as listed, and its zone.
 func (d *endpointDirectory) incarnation(name string) (sinceMs int64, zone string, listed bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -271,7 +274,7 @@
 	return int64(e.StartedMs), e.Zone, listed
 }
 
-// incarnations are the ready upstreams, as breakers know them.
+// incarnations returns the ready upstreams, as the breaker tracker identifies them.
 func (d *endpointDirectory) incarnations() []circuitbreaker.Upstream {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -284,7 +287,7 @@
 	return all
 }
 
-// sites are the data centres of the listed upstreams, by name.
+// sites returns the sites of the listed upstreams, in order.
 func (d *endpointDirectory) sites() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -297,12 +300,13 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// ready tells whether an upstream takes requests, and still does so at that place.
+// ready reports whether an upstream takes requests at that address.
 func (d *endpointDirectory) ready(name string, at endpointAddress) bool {
-	now, ok := d.place(name)
+	now, ok := d.address(name)
 	return ok && now == at
 }
 
+// empty reports whether no upstream is ready.
 func (d *endpointDirectory) empty() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	forwardOut    = 16                    // connections to peers, and
-	forwardIn     = 32                    // from them; their descriptors are set aside
-	forwardMargin = 5 * time.Millisecond  // before the client's time is up, for the answer to reach it
-	crossTime     = 20 * time.Millisecond // there and back between sites
+	forwardOut    = 16                    // connections to peers; their file descriptors are reserved
+	forwardIn     = 32                    // connections from peers, likewise
+	forwardMargin = 5 * time.Millisecond  // of the client's deadline, for the answer to reach it
+	crossTime     = 20 * time.Millisecond // round-trip time between sites
 )
 
-// forwarder forwards requests to peers and accepts theirs. Once a peer has an attempt of a request, nothing
-// else is done with it; only the peer's answer that it never began returns it.
+// forwarder forwards requests to peers and accepts theirs. A request that a peer may have begun is not attempted anywhere
+// else; only a peer's answer that it was not processed returns it to this sidecar. Safe for concurrent use.
 type forwarder struct {
-	pool      *upstreamPool // peers in the place of upstreams: a pool that sends nothing twice
+	pool      *upstreamPool // of connections to peers; it sends nothing twice
 	listener  net.Listener
 	srv       *http.Server
 	conns     *clientConns
 	accepted  atomic.Int64 // forwarded to this sidecar and admitted
-	rejected  atomic.Int64 // and rejected under pressure
+	rejected  atomic.Int64 // from a peer and rejected, mostly under pressure
 	forwarded atomic.Int64 // forwarded by this sidecar
-	returned  atomic.Int64 // of them, those that came home unbegun
+	returned  atomic.Int64 // of those, returned unprocessed
 	abort     context.CancelFunc
-	ctx       context.Context // of what is out
+	ctx       context.Context // of the forwarded requests in flight
 
 	mu            sync.Mutex
 	decider       *forwarding.Decider
 	gauge         forwarding.Gauge
-	inFlight      map[string]bool // ids, here or with a peer
-	crossZoneCost float64         // of a crossing, as a share of a request's worth
+	inFlight      map[string]bool // request ids, here or at a peer
+	crossZoneCost float64         // as a share of a request's importance
 }
 
-// newForwarder listens for peers, where they are to send.
+// newForwarder listens on the address for forwarded requests.
 func newForwarder(c *Config, clk clock) (*forwarder, error) {
 	in, err := net.Listen("tcp", c.Peers.Forward)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return f, nil
 }
 
-// serve takes what peers forward, with the server that clients have; it ends with close.
+// serve serves the requests that peers forward, with the server of the clients, in the background until close.
 func (f *forwarder) serve(s *server) {
 	f.conns = newClientConns(f.listener, forwardIn)
 	f.srv = &http.Server{Handler: f.handler(s), ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeader,
@@ -72,7 +72,7 @@
 	}()
 }
 
-// handler admits what comes from peers: not what has come two hops, and nothing under pressure. What it refuses has not begun.
+// handler admits requests of peers: of one hop only, and none under pressure. A rejected request has not been processed.
 func (f *forwarder) handler(s *server) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if hops := r.Header[forwarding.HeaderHop]; len(hops) != 1 || hops[0] != "1" {
@@ -96,10 +96,10 @@
 // hopKey is the context key of a request that came from a peer.
 type hopKey struct{}
 
-// forward forwards a request if that is worth more than to keep it. done says that the answer is final; else the request has not
-// begun anywhere and goes on at home.
+// forward forwards a request to a peer if the decider prefers that. If done, the answer is final; if not, the request has
+// not been processed anywhere, and the caller handles it.
 func (f *forwarder) forward(ctx context.Context, now time.Duration, r *clientRequest) (a answer, done bool) {
-	if f == nil || r.bodyPending || r.forwarded { // a body that is still coming could not come home
+	if f == nil || r.bodyPending || r.forwarded { // a body that is still arriving could not be sent again
 		return a, false
 	}
 	f.mu.Lock()
@@ -111,7 +111,7 @@
 	client := ctx
 	defer func() {
 		f.mu.Lock()
-		f.decider.Done(to, done && a.kind == served || client.Err() != nil) // a client that left says nothing of the peer
+		f.decider.Done(to, done && a.kind == served || client.Err() != nil) // a client's leaving is not the peer's failure
 		f.mu.Unlock()
 	}()
 	f.forwarded.Add(1)
@@ -129,12 +129,12 @@
 		f.returned.Add(1)
 		return a, false
 	}
-	// It may have run. A second attempt here could stand beside the peer's, which a cut link keeps out of sight.
+	// It may have been processed, so that a second attempt here could run beside the one at the peer.
 	return answer{kind: failed, reply: attemptReply{use: rep.use, err: rep.err, result: rep.result}}, true
 }
 
-// reserve takes a request in flight, by its id; false: one of that id is in flight, here or with a peer. The loop tells only of those
-// that it has.
+// reserve marks a request id as in flight; it returns false if it already is, here or at a peer. (The dispatcher knows only
+// those here.)
 func (f *forwarder) reserve(id string) bool {
 	if f == nil {
 		return true
@@ -148,7 +148,7 @@
 	return true
 }
 
-// release ends what claim began.
+// release ends what reserve began.
 func (f *forwarder) release(id string) {
 	if f != nil {
 		f.mu.Lock()
@@ -157,7 +157,7 @@
 	}
 }
 
-// setMembers says which peers there are.
+// setMembers sets the peers to forward to.
 func (f *forwarder) setMembers(members []message.Member, self string) {
 	list := &listing{Revision: new(int64), Snapshot: true}
 	var others []message.Member
@@ -173,7 +173,7 @@
 	f.mu.Unlock()
 }
 
-// close ends what comes from peers, then what is out.
+// close cancels the requests at peers, and closes the connections from peers.
 func (f *forwarder) close() {
 	if f == nil {
 		return
@@ -186,7 +186,7 @@
 	_ = f.listener.Close()
 }
 
-// figures words the pressure and what was forwarded, for operators.
+// figures returns the pressure and the counts of forwarded requests, for operators.
 func (f *forwarder) figures() []slog.Attr {
 	f.mu.Lock()
 	at, hot := f.gauge.Now(), f.gauge.Hot()
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -17,55 +17,56 @@
 	"mosslead/internal/watch"
 )
 
-// An upgrade: a new process takes over from the one that serves, see docs/ONCALL.md. Both hold one end of a link, a
-// Unix socket in TMPDIR, and each lives on without the other when the link ends.
+// Handover between processes: during an upgrade a new process takes over the clients of the one that serves, see
+// docs/ONCALL.md. The two are connected by a Unix socket in TMPDIR, and each continues alone when that connection ends.
 
 const (
 	linkName          = "handover.sock"
 	bansName          = "bans.json"
-	linkTimeout       = time.Second            // for the other process's first answer: a start has 6 s in all
-	banRelayTimeout   = 350 * time.Millisecond // for a ban to be taken over there; with adminTimeout, less than the 1 s that is owed
-	useReportInterval = 20 * time.Millisecond  // the old process tells what it still holds: connections move as requests end
+	linkTimeout       = time.Second            // for the first answer of the other process: a start may take 6 s in all
+	banRelayTimeout   = 350 * time.Millisecond // for the other process to confirm a ban; with adminTimeout, below the 1 s for a call
+	useReportInterval = 20 * time.Millisecond  // between reports of the connections in use, which move as requests end
 )
 
-// connectionUse is how many connections a process holds of the limits that both share.
+// connectionUse is how many connections a process uses of the limits that both processes share.
 type connectionUse struct {
 	Clients   int `json:"Clients"`
 	Upstreams int `json:"Upstreams"`
 }
 
-// handoverMessage is a line on the link; one field is set.
+// handoverMessage is one line on the link, in JSON; one field is set, or Ack and Persisted.
 type handoverMessage struct {
-	State     *handoverState `json:"State,omitempty"` // old to new: what it begins with
-	Ready     bool           `json:"Ready,omitempty"` // new to old: it can take clients
-	Uses      *connectionUse `json:"Uses,omitempty"`  // old to new, once it accepts no more; new to old after Back
-	Returning bool           `json:"Back,omitempty"`  // new to old: it was told to end
+	State     *handoverState `json:"State,omitempty"` // old to new: the state to start with
+	Ready     bool           `json:"Ready,omitempty"` // new to old: it can accept clients
+	Uses      *connectionUse `json:"Uses,omitempty"`  // old to new, once it accepts no more; new to old after Returning
+	Returning bool           `json:"Back,omitempty"`  // new to old: it is ending, and returns the clients
 	Ban       *banMessage    `json:"Ban,omitempty"`
-	Ack       int            `json:"Ack,omitempty"`  // the call of this number is taken over
-	Persisted bool           `json:"Kept,omitempty"` // and it is on disk
+	Ack       int            `json:"Ack,omitempty"`  // the ban of this number has been applied
+	Persisted bool           `json:"Kept,omitempty"` // with Ack: the ban is on disk as well
 }
 
-// handoverState is what a process sends its successor.
+// handoverState is the state that a process sends its successor.
 type handoverState struct {
 	List     *listing           `json:"List"`
 	Banned   []string           `json:"Banned"`
 	Snapshot *balancer.Snapshot `json:"Learnt,omitempty"`
-	// Settings are those of the service; nil: none are followed, or none were told.
+	// Settings are those followed from the list service; nil: none are followed, or none have been received.
 	Settings *statestore.Settings `json:"Settings,omitempty"`
 }
 
+// banMessage is a ban, or the lifting of one, as relayed to the other process.
 type banMessage struct {
 	Number  int    `json:"Number"`
 	ID      string `json:"ID"`
 	Cleared bool   `json:"Lifted"`
-	Writes  bool   `json:"Writes,omitempty"` // whoever passes it on puts it on disk
+	Writes  bool   `json:"Writes,omitempty"` // the sender writes it to disk itself
 }
 
 // handoverLink is one end of the link between the two processes.
 type handoverLink struct {
 	conn net.Conn
 	in   *watch.Messages
-	ban  func(banMessage) (persisted bool, err error) // takes over a ban that came to the other process
+	ban  func(banMessage) (persisted bool, err error) // applies a ban that the other process relays
 
 	mu    sync.Mutex
 	calls int
@@ -76,17 +77,18 @@
 	return &handoverLink{conn: conn, in: watch.NewMessages(conn, maxList), acks: map[int]chan bool{}}
 }
 
+// send sends one message; it is safe for concurrent use.
 func (l *handoverLink) send(m handoverMessage) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.conn.SetWriteDeadline(time.Now().Add(linkTimeout)); err != nil {
 		return err
 	}
-	return json.NewEncoder(l.conn).Encode(m) // in one write
+	return json.NewEncoder(l.conn).Encode(m) // Encode writes once
 }
 
-// follow handles what comes until the link ends; more handles what is not about bans.
-func (l *handoverLink) follow(more func(handoverMessage)) error {
+// follow handles incoming messages until the link ends; handle is called with those that are not about bans.
+func (l *handoverLink) follow(handle func(handoverMessage)) error {
 	for {
 		var m handoverMessage
 		if err := l.in.Next(&m); err != nil {
@@ -95,7 +97,7 @@
 		switch {
 		case m.Ban != nil:
 			persisted, err := l.ban(*m.Ban)
-			if err != nil { // not confirmed there either
+			if err != nil { // without an Ack the other process does not confirm it either
 				logWarning(ofHandover, "ban from the other process not applied", err)
 				continue
 			}
@@ -105,18 +107,19 @@
 		case m.Ack > 0:
 			l.mu.Lock()
 			if done := l.acks[m.Ack]; done != nil {
-				done <- m.Persisted // holds one
+				done <- m.Persisted // has a buffer of one: does not block
 				delete(l.acks, m.Ack)
 			}
 			l.mu.Unlock()
 		default:
-			more(m)
+			handle(m)
 		}
 	}
 }
 
-// pass hands a ban on, and waits until the other process has it; kept: on disk too. A link that has ended needs none.
-func (l *handoverLink) pass(c banMessage) (persisted bool, err error) {
+// relayBan sends a ban to the other process and waits until that has applied it; persisted: it is on disk there as well. A
+// link that has ended has no process that would need it.
+func (l *handoverLink) relayBan(c banMessage) (persisted bool, err error) {
 	done := make(chan bool, 1)
 	l.mu.Lock()
 	l.calls++
@@ -137,28 +140,28 @@
 	}
 }
 
-// handover is a process's part in upgrades: as the successor first, as the predecessor later.
+// handover is a process's side of upgrades: first as the successor, later as the predecessor.
 type handover struct {
 	dir         string // TMPDIR
 	state       func() handoverState
-	ban         func(banMessage) (bool, error) // takes a ban in, for good
-	yield       func()                         // accept no more clients, and hold no more than now
-	resume      func()                         // take clients again: the new process died
-	use         func() connectionUse           // of this process
-	limitBeside func(others *connectionUse)    // what is left beside the process before; nil: it is gone
-	halveMemory func(bool)                     // memory is shared, or no longer
+	ban         func(banMessage) (bool, error) // applies a ban
+	yield       func()                         // stops accepting clients
+	resume      func()                         // accepts clients again
+	use         func() connectionUse           // returns the connections that this process uses
+	limitBeside func(others *connectionUse)    // limits this process beside the other one; nil: that has ended
+	halveMemory func(bool)                     // whether the memory limit is shared with another process
 
-	yielded chan struct{} // the process before accepts no more, or there is none
+	yielded chan struct{} // closed once the predecessor accepts no more, or there is none
 
 	mu          sync.Mutex
 	other       *handoverLink // nil: no other process
-	predecessor *handoverLink // the process before, as long as it is there
+	predecessor *handoverLink // nil: none, or it has ended
 	closedCh    chan struct{}
 	listen      net.Listener
 	closed      bool
 }
 
-// passedListener is the clients' socket that the platform holds, or nil where it passes none.
+// passedListener returns the clients' socket that the platform passes, or nil if it passes none.
 func passedListener() (net.Listener, error) {
 	text, passed := os.LookupEnv("GW_PASSED_SOCKET")
 	if !passed || text == "" {
@@ -177,8 +180,8 @@
 	return l, nil
 }
 
-// receiveState asks the process that serves for what it holds. Without one, or where it says nothing usable, the bans come
-// from their file; a start never fails for it.
+// receiveState connects to the process that serves and returns its state. If there is none, or it sends nothing usable, the
+// bans are read from their file; a start never fails here.
 func (h *handover) receiveState() (s handoverState) {
 	conn, err := net.DialTimeout("unix", filepath.Join(h.dir, linkName), linkTimeout)
 	if err == nil {
@@ -209,9 +212,9 @@
 	return s
 }
 
-// join follows the link to the process before, if there is one, until it ends.
+// join follows the link to the predecessor, if there is one, in the background until the link ends.
 func (h *handover) join() {
-	l := h.other // nobody else has h yet
+	l := h.other // h is not shared yet: no lock
 	if l == nil {
 		close(h.yielded)
 		return
@@ -232,7 +235,7 @@
 	}()
 }
 
-// awaitYield waits until the process before accepts no more.
+// awaitYield tells the predecessor that this process is ready, and blocks until that accepts no more, at most linkTimeout.
 func (h *handover) awaitYield() {
 	h.mu.Lock()
 	l := h.other
@@ -248,15 +251,15 @@
 	}
 }
 
-// serve waits for the process that comes next, until close.
+// serve listens for a successor, in the background until close.
 func (h *handover) serve() error {
 	own := filepath.Join(h.dir, fmt.Sprintf("handover-%d.sock", os.Getpid()))
-	_ = os.Remove(own) // of an earlier process of this number
+	_ = os.Remove(own) // of an earlier process with this process's id
 	l, err := net.Listen("unix", own)
 	if err != nil {
 		return err
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false) // by then the name may be the next process's
+	l.(*net.UnixListener).SetUnlinkOnClose(false) // by then the name may belong to the successor
 	if err := os.Rename(own, filepath.Join(h.dir, linkName)); err != nil {
 		_ = l.Close()
 		return err
@@ -284,7 +287,7 @@
 	return nil
 }
 
-// serveSuccessor stands beside the next process until it ends, or this one does. One at a time; the others wait.
+// serveSuccessor serves one successor until it or this process ends. Others wait for their turn.
 func (h *handover) serveSuccessor(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	l := newLink(conn)
@@ -293,7 +296,7 @@
 	if closed {
 		return
 	}
-	h.sendState(l) // after replaceOther: a ban from now on is passed on
+	h.sendState(l) // after replaceOther, so that a ban from now on is relayed
 	logAttrs(slog.LevelInfo, ofHandover, "successor connected")
 	h.halveMemory(true)
 	defer h.halveMemory(false)
@@ -316,7 +319,7 @@
 	}
 }
 
-// replaceOther makes l the link to the other process, and gives the one before.
+// replaceOther makes l the link to the other process, and returns the one before.
 func (h *handover) replaceOther(l *handoverLink) (before *handoverLink, closed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -324,8 +327,8 @@
 	return before, h.closed
 }
 
-// sendState tells the new process what it begins with. A snapshot may hold a number that JSON does not have: the bans go
-// without it then.
+// sendState sends the successor its state. A snapshot may hold a number that JSON can't encode; the state is then sent
+// without the snapshot.
 func (h *handover) sendState(l *handoverLink) {
 	s := h.state()
 	err := l.send(handoverMessage{State: &s})
@@ -338,8 +341,8 @@
 	}
 }
 
-// followSuccessor handles what the new process says until the link ends: whether it was ready, and whether it has returned
-// the clients since.
+// followSuccessor handles the successor's messages until the link ends. It returns whether the successor became ready, and
+// whether it has returned the clients since.
 func (h *handover) followSuccessor(l *handoverLink) (ready, returned bool, err error) {
 	yielded, end, reported := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
@@ -369,7 +372,7 @@
 	return ready, returned, err
 }
 
-// reportUse keeps the other process told what this one holds of the limits, until end or the link's.
+// reportUse reports the connections that this process uses to the other one, until end is closed or the link ends.
 func (h *handover) reportUse(l *handoverLink, end <-chan struct{}) {
 	last := connectionUse{-1, -1}
 	for {
@@ -387,8 +390,8 @@
 	}
 }
 
-// returnClients has the process before, where it is still there, take clients again: this one was told to end, and may need
-// seconds for what it has in flight.
+// returnClients has the predecessor, if it is still there, accept clients again: this process was told to end, and may need
+// seconds for its requests in flight.
 func (h *handover) returnClients() {
 	h.mu.Lock()
 	l := h.predecessor
@@ -403,6 +406,7 @@
 	go h.reportUse(l, h.closedCh)
 }
 
+// forget drops the link to a predecessor that has ended.
 func (h *handover) forget(l *handoverLink) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -412,8 +416,8 @@
 	h.predecessor = nil
 }
 
-// relayBan makes a ban outlive this process: it goes to the other one, if there is one, and to the file in TMPDIR. kept:
-// the other one has put it on disk.
+// relayBan makes a ban outlive this process: it writes all bans to the file in TMPDIR, and relays c to the other process,
+// if there is one; persisted: that has written it to disk.
 func (h *handover) relayBan(c banMessage, all []string) (persisted bool, err error) {
 	text, err := json.Marshal(all)
 	if err == nil {
@@ -431,10 +435,10 @@
 	if l == nil {
 		return false, nil
 	}
-	return l.pass(c)
+	return l.relayBan(c)
 }
 
-// close ends the link and the wait for another process. The new one learns so that this one is gone.
+// close closes the link, by which the successor learns that this process ends, and stops listening.
 func (h *handover) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -174,7 +174,7 @@
 		if m.Kind == balancer.WatchFailed {
 			p.failed.Add(1)
 		}
-		if _, ok := p.dir.place("a"); !ok && p.announced.Load() == 0 {
+		if _, ok := p.dir.address("a"); !ok && p.announced.Load() == 0 {
 			p.announced.Store(int64(p.now()))
 			cancel()
 		}
--- a/internal/sidecar/replicas_test.go
+++ b/internal/sidecar/replicas_test.go
@@ -22,10 +22,10 @@
 	if m.Kind != balancer.Delta || len(m.Endpoints) != 1 || m.Endpoints[0].Upstream != "b" || m.Endpoints[0].State != balancer.Draining {
 		t.Errorf("of a list that is doubted, told %+v", m)
 	}
-	if _, ok := dir.place("a"); !ok {
+	if _, ok := dir.address("a"); !ok {
 		t.Error("a list without anybody ready was believed unread")
 	}
-	if _, ok := dir.place("b"); ok {
+	if _, ok := dir.address("b"); ok {
 		t.Error("who drains is still used")
 	}
 }
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -164,7 +164,7 @@
 		{"a slow head", time.Now().Add(-2 * time.Second), bodyStartTimeout},
 		{"a further request on a connection", time.Time{}, requestTimeout},
 	} {
-		got := newRateLimitedReader(nil, nil, c.accepted).timeLeft
+		got := newRateCheckedReader(nil, nil, c.accepted).timeLeft
 		if got > c.want || got < c.want-bodyStartTimeout {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
@@ -172,7 +172,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for rate, complete := range map[int]bool{64 << 10: true, 4 << 10: false} {
 			w := &deadlines{}
-			r := &rateLimitedReader{body: &slowBody{w: w, rate: rate, left: 1 << 20}, conn: http.NewResponseController(w), timeLeft: bodyStartTimeout}
+			r := &rateCheckedReader{body: &slowBody{w: w, rate: rate, left: 1 << 20}, conn: http.NewResponseController(w), timeLeft: bodyStartTimeout}
 			_, err := io.Copy(io.Discard, r)
 			if complete != (err == nil) || !complete && !isTimeout(err) {
 				t.Errorf("%d bytes a second: %v", rate, err)
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -187,7 +187,7 @@
 
 // connFor is a connection on which the attempt may begin, an idle or a new one; nil: failure says why there is none.
 func (u *upstreamPool) connFor(ctx context.Context, name string, r *clientRequest, before time.Duration) (c *upstreamConn, failure attemptReply) {
-	at, ok := u.directory.place(name)
+	at, ok := u.directory.address(name)
 	if !ok {
 		return nil, attemptReply{result: balancer.NotSent}
 	}
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("snapshot told as %+v", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
-		if _, ok := dir.place(name); ok != want {
+		if _, ok := dir.address(name); ok != want {
 			t.Errorf("%s wants requests: %v", name, ok)
 		}
 	}
@@ -107,7 +107,7 @@
 			if froms := d.watches(); froms[1] != "7" {
 				t.Errorf("asked again from %s", froms[1])
 			}
-			if _, ok := dir.place("a"); !ok {
+			if _, ok := dir.address("a"); !ok {
 				t.Error("the good list is lost")
 			}
 		})
@@ -131,7 +131,7 @@
 	if len(established) != 0 {
 		t.Errorf("told %+v too", <-established)
 	}
-	if _, ok := dir.place("a"); !ok {
+	if _, ok := dir.address("a"); !ok {
 		t.Error("the known list is lost")
 	}
 }
@@ -262,7 +262,7 @@
 					w.move("127.0.0.2:1")
 					time.Sleep(late + time.Millisecond)
 					synctest.Wait()
-					if _, ok := u.directory.place("a"); ok || *u.directory.full().Revision != 6 {
+					if _, ok := u.directory.address("a"); ok || *u.directory.full().Revision != 6 {
 						t.Errorf("version %d is in use, and takes work: %v", *u.directory.full().Revision, ok)
 					}
 					cancel()
