--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	// bodyStallTimeout is how long bodies may keep us waiting while others wait for the descriptor, beside what minBodyRate allows.
+	// bodyStallTimeout is how long a body may stall, beyond what minBodyRate allows, while other clients wait for a descriptor.
 	bodyStallTimeout   = 150 * time.Millisecond
-	finalReadTimeout   = time.Millisecond       // for a request that is here already when its connection is to end
-	acceptQueueTimeout = 10 * time.Millisecond  // for a connection in the kernel's queue; twice, as a goroutine may be late
-	maxLinger          = 100 * time.Millisecond // for the client to close its side
-	minLinger          = 10 * time.Millisecond  // the same where others wait for its descriptor: its answer and its end are with it by then
-	maxLingerBytes     = 1 << 20                // bytes read away meanwhile: what was on its way when the client could see the end
+	finalReadTimeout   = time.Millisecond       // for a request that has arrived already when its connection is to end
+	acceptQueueTimeout = 10 * time.Millisecond  // for a connection in the kernel's queue; waited twice, as a goroutine may be late
+	maxLinger          = 100 * time.Millisecond // for the client to close its side of a closed connection
+	minLinger          = 10 * time.Millisecond  // the same while others wait for its descriptor; enough for the answer to arrive
+	maxLingerBytes     = 1 << 20                // bytes discarded meanwhile, that were in flight when the connection was closed
 )
 
 // connStage is how far the next request of a connection has been read.
 type connStage int
 
 const (
-	betweenRequests connStage = iota // nothing of it was read
+	betweenRequests connStage = iota // nothing of it
 	partialHead
-	headComplete // or more of it
+	headComplete // or more
 )
 
-// framedConn is a client's connection. It ends in order: never while some of a request was read that has no
-// answer yet, and with its sending side first, so that what crosses the end does not make the kernel reset
-// it, and lose an answer.
+// framedConn is a client's connection. It closes gracefully: never while part of a request has been read that has no answer
+// yet, and its sending side first, so that bytes in flight don't make the kernel reset it and lose an answer. The HTTP
+// server owns it; the other methods are safe for concurrent use.
 type framedConn struct {
 	net.Conn
-	arrivedAt    time.Time // when it can have come at the earliest: it may have waited to be accepted
-	acceptedAt   time.Time // when it was accepted
+	arrivedAt    time.Time // the earliest time at which it can have reached the kernel's queue
+	acceptedAt   time.Time
 	listener     *clientConns
 	framing      framing
-	clientClosed atomic.Bool   // nothing more can come
-	pipelined    chan struct{} // holds one: something was read behind the request in flight, and the library reads no further
+	clientClosed atomic.Bool   // the client has closed it, or reading failed
+	pipelined    chan struct{} // has a buffer of one: bytes of another request were read behind the one in flight, after which the library stops reading
 
 	mu           sync.Mutex
-	ending       bool // it is to end between requests
-	evicted      bool // only to make room
+	ending       bool // it is to be closed between requests
+	evicted      bool // it is ending only to free its descriptor
 	active       bool // the library has a request in flight
-	waiting      bool // a read is under way that can only bring the next request
+	waiting      bool // a read is in progress that can only return the next request
 	stage        connStage
-	readSince    time.Time     // since when a read is under way; zero: none is
-	headSince    time.Time     // when the first bytes of a head came, of which more is owed
-	bodyWait     time.Duration // for the body in flight, in reads
-	bodyBytes    int           // of it, meanwhile
-	readDeadline time.Time     // the library's bound on reads
-	readCut      bool          // the rest of a request is waited for no longer
-	closingSince time.Time     // since when nothing more is sent; zero: not yet
+	readSince    time.Time     // since when a read is in progress; zero: none is
+	headSince    time.Time     // when the first bytes of an incomplete head arrived
+	bodyWait     time.Duration // time spent reading the body in flight
+	bodyBytes    int           // read of the body in flight
+	readDeadline time.Time     // as set by the library
+	readCut      bool          // the read of the rest of a request was cut short
+	closingSince time.Time     // since when its sending side is closed; zero: it is open
 	wrote        bool
 }
 
+// Read implements net.Conn. It follows the framing of requests, and lets a read that was cut short return what has arrived
+// meanwhile.
 func (c *framedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.waiting = !c.active && c.framing.stage() == betweenRequests
@@ -78,11 +80,11 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			n, err = c.readAvailable(p)
 		}
-		if n > 0 { // more has come after all
+		if n > 0 { // more has arrived meanwhile
 			stays = true
 			c.ending = c.ending && !c.evicted
 			c.evicted, c.readCut = false, false
-			_ = c.Conn.SetReadDeadline(c.readDeadline) // as the library had it; else the next read shows it
+			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by the library; fails on a closed connection only
 		}
 	}
 	if body {
@@ -110,7 +112,7 @@
 	return n, err
 }
 
-// disconnected tells whether the client has closed the connection, or its sending side.
+// disconnected reports whether the client has closed the connection, or its sending side.
 func (c *framedConn) disconnected() bool {
 	if c.clientClosed.Load() {
 		return true
@@ -119,9 +121,8 @@
 	return end
 }
 
-// SetReadDeadline implements net.Conn for the HTTP library. A deadline set beside it is reset to it: a peer
-// that was nearly evicted has no more time than before. A first head's time counts from the connecting, as
-// far as that is known.
+// SetReadDeadline implements net.Conn for the HTTP library. The deadline is kept, to be restored after an eviction that was
+// cancelled. That of a first request counts from the connection's arrival, as far as that is known.
 func (c *framedConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,6 +136,7 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
+// Write implements net.Conn.
 func (c *framedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
@@ -143,24 +145,25 @@
 	return n, err
 }
 
-// evictionClass is how good a connection's claim on its descriptor is, the lowest first.
+// evictionClass orders connections for eviction, the lowest first.
 type evictionClass int
 
 const (
-	classAnswered evictionClass = iota // its last answer has gone, and only the client's close is waited for
-	classUnused                        // it has never brought a request
+	classAnswered evictionClass = iota // its last answer has been sent, and only the client's close is awaited
+	classUnused                        // it has never carried a request
 	classSlowHead
 	classIdle     // since its last answer
-	classSlowBody // of a request that is in flight, and of which the client owes more
-	classBusy     // a complete request is in flight, or the end is near
+	classSlowBody // of a request in flight, of whose body more is to come
+	classBusy     // a complete request is in flight, or the connection is being closed: not evicted
 )
 
-// evictionClass is the class of the connection, since when, and how long it may stay so at least.
-func (c *framedConn) evictionClass() (how evictionClass, since time.Time, atLeast time.Duration) {
+// evictionClass returns the class of the connection, since when it has been in it, and how long it may stay in it before it
+// can be evicted.
+func (c *framedConn) evictionClass() (class evictionClass, since time.Time, atLeast time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	young, stall := newConnGrace, bodyStallTimeout
-	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // what it was about to send has come while it waited
+	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has had its time while it waited to be accepted
 		young, stall = minLinger, newConnGrace
 	}
 	switch {
@@ -182,7 +185,7 @@
 	return classIdle, since, 0
 }
 
-// end closes the connection once it is between requests, and tells whether it is. What has come until then is
+// end closes the connection once it is between requests, and reports whether it is. Requests that have arrived until then are
 // answered.
 func (c *framedConn) end() bool {
 	c.mu.Lock()
@@ -194,10 +197,10 @@
 	return !c.active && c.stage == betweenRequests
 }
 
-// evict is end for a connection whose place another is to take. If a request comes after all, it stays.
+// evict is end for a connection whose descriptor is needed. If a request arrives after all, the connection stays open.
 func (c *framedConn) evict() bool {
 	c.mu.Lock()
-	c.evicted = !c.ending // else it is to end in any case
+	c.evicted = !c.ending // else it is closed in any case
 	c.mu.Unlock()
 	if c.end() {
 		return true
@@ -208,8 +211,8 @@
 	return false
 }
 
-// cutRead ends the read that waits for the rest of a request: the library closes the connection, or answers
-// that the request did not come in time. False: something has come just now.
+// cutRead cuts short the read of the rest of a request, after which the library closes the connection or answers that the
+// request timed out. It returns false if no read is in progress, as bytes have just arrived.
 func (c *framedConn) cutRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,19 +224,18 @@
 	return true
 }
 
-// boundRead bounds the read that waits for the next request: the library closes the connection if none comes.
-// A new connection has its time for the first request; to make capacity only those are ended that have had
-// it.
+// boundRead sets a short deadline for the read of the next request, after which the library closes the connection. A new
+// connection that is not evicted keeps newConnGrace for its first request. mu is held.
 func (c *framedConn) boundRead() {
-	until := time.Now().Add(finalReadTimeout)
-	if young := c.acceptedAt.Add(newConnGrace); !c.evicted && c.framing.noRequest() && young.After(until) {
-		until = young
+	deadline := time.Now().Add(finalReadTimeout)
+	if young := c.acceptedAt.Add(newConnGrace); !c.evicted && c.framing.noRequest() && young.After(deadline) {
+		deadline = young
 	}
-	_ = c.Conn.SetReadDeadline(until) // fails on a closed connection only
+	_ = c.Conn.SetReadDeadline(deadline) // fails on a closed connection only
 }
 
-// readAvailable reads what is there. A read whose time is up does not look, and its goroutine may have been
-// late.
+// readAvailable reads what has arrived, without blocking: a read past its deadline returns nothing even if bytes have
+// arrived.
 func (c *framedConn) readAvailable(p []byte) (n int, err error) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -245,14 +247,14 @@
 	}
 	_ = c.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection only
 	failed := fd.Read(func(fd uintptr) bool {
-		n, err = syscall.Read(int(fd), p) // it does not block: the library's sockets never do
+		n, err = syscall.Read(int(fd), p) // package net's sockets don't block
 		return true
 	})
 	switch {
 	case failed != nil:
 		return 0, failed
 	case errors.Is(err, syscall.EAGAIN):
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // what reads on, ends
+		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // later reads fail at once
 		return 0, os.ErrDeadlineExceeded
 	case err != nil:
 		return 0, err
@@ -262,25 +264,25 @@
 	return n, nil
 }
 
+// setActive records whether the library has a request in flight.
 func (c *framedConn) setActive(on bool) {
 	c.mu.Lock()
 	c.active = on
 	c.mu.Unlock()
 }
 
-// CloseWrite is called by the library before it closes a connection on which more may come. It would then
-// wait for half a second, with the descriptor and all buffers held: under a flood of rejected peers nobody
-// else would get in. So the connection is closed here, and its goroutine ends; only its deferred calls are
-// left.
+// CloseWrite is called by the library before it closes a connection on which more may arrive. The library would then hold
+// the descriptor and all buffers for half a second, so that a flood of rejected connections would lock other clients out.
+// So the connection is closed here and its goroutine ended; only its deferred calls still run.
 func (c *framedConn) CloseWrite() error {
-	_ = c.Close() // whatever it says, the connection is gone
+	_ = c.Close() // it is closed whatever the error
 	runtime.Goexit()
 	return nil
 }
 
-// Close closes in order: a socket that is closed with bytes unread is reset, and an answer that is still on
-// its way is lost. So the sending side is closed first, and what comes is read and discarded until the client
-// closes. If no answer was ever sent a reset loses nothing, but for the time after SIGTERM.
+// Close implements net.Conn. A socket closed with bytes unread is reset, which loses an answer in flight; so the sending side
+// is closed first, and bytes are discarded until the client closes, for at most maxLinger. A connection on which no answer
+// was sent is closed at once, except after SIGTERM.
 func (c *framedConn) Close() error {
 	c.mu.Lock()
 	lingers := !c.clientClosed.Load() && c.closingSince.IsZero() && !c.listener.stopped.Load() && (c.listener.lingering.Load() || c.wrote)
@@ -295,8 +297,8 @@
 			_ = c.Conn.SetReadDeadline(c.closingSince.Add(maxLinger)) // fails on a closed connection only
 		}
 		c.mu.Unlock()
-		c.listener.changed.Broadcast()                      // where room is needed, it is cut short
-		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // an end of any kind is as good
+		c.listener.changed.Broadcast()                      // Accept may need the descriptor
+		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // any end will do
 	}
 	return c.Conn.Close()
 }
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// clientConns is the listener for clients. It bounds their connections: at the limit it evicts some, see
-// eviction.go, and accepts no more until there is capacity. A netutil.LimitListener would only wait.
+// clientConns is the listener for clients. It limits their connections: at the limit it evicts some (see eviction.go), and
+// accepts no more until one has been closed. Safe for concurrent use.
 type clientConns struct {
 	net.Listener
 	maxConns int
@@ -20,16 +20,17 @@
 	changed       *sync.Cond // signals a change of anything below
 	closed        bool
 	paused        bool                      // another process accepts clients
-	finishing     bool                      // each connection is to end, and no others are accepted once none waits
-	idleSince     map[*framedConn]time.Time // since when connections carry no request; zero: they do
+	finishing     bool                      // every connection is to be closed, and the listener once its queue is empty
+	idleSince     map[*framedConn]time.Time // since when each connection carries no request; zero: it carries one
 	evicting      map[*framedConn]bool      // connections that are being evicted
-	evictionTimer *time.Timer               // tries again to evict; nil: never needed
-	fullSince     time.Time                 // since when others may wait to be accepted; zero: none do
+	evictionTimer *time.Timer               // wakes Accept to try again; nil: not needed yet
+	fullSince     time.Time                 // since when connections may be waiting to be accepted; zero: none are
 
-	lingering atomic.Bool // ends of connections wait for clients that may be about to send
-	stopped   atomic.Bool // nothing is waited for any more
+	lingering atomic.Bool // after SIGTERM: every close lingers
+	stopped   atomic.Bool // no close lingers any more
 }
 
+// newClientConns returns a listener that limits the connections of l to bound.
 func newClientConns(l net.Listener, bound int) *clientConns {
 	c := &clientConns{Listener: l, maxConns: bound, idleSince: map[*framedConn]time.Time{}, evicting: map[*framedConn]bool{}}
 	c.changed = sync.NewCond(&c.mu)
@@ -52,7 +53,7 @@
 		}
 		last, paused := c.finishing, c.paused
 		c.mu.Unlock()
-		if last && paused { // what waits is another process's
+		if last && paused { // another process accepts from the queue
 			return nil, net.ErrClosed
 		}
 		if last {
@@ -65,49 +66,49 @@
 			return &framedConn{Conn: conn, arrivedAt: c.earliestArrival(begun), acceptedAt: time.Now(), listener: c, ending: last, pipelined: make(chan struct{}, 1)}, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
-		case !errors.Is(err, os.ErrDeadlineExceeded): // see pause
+		case !errors.Is(err, os.ErrDeadlineExceeded): // pause and finish set deadlines
 			if !failing {
 				logWarning(ofClients, "accepting a connection failed", err)
 			}
 			failing = true
 			c.onAcceptError(begun)
 		case last:
-			if empty++; empty == 2 { // none waits
+			if empty++; empty == 2 { // the queue is empty
 				return nil, net.ErrClosed
 			}
 		}
 	}
 }
 
-// setAcceptDeadline bounds accepting, also a wait that is under way.
+// setAcceptDeadline sets the deadline of accepting, also for a call in progress.
 func (c *clientConns) setAcceptDeadline(at time.Time) {
 	if l, ok := c.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		_ = l.SetDeadline(at) // fails on a closed listener only, which accepts nothing
 	}
 }
 
-// pause stops accepting until pause(false), and leaves the listener open: another process may share it.
+// pause stops or resumes accepting. The listener stays open, as another process may share its socket.
 func (c *clientConns) pause(on bool) {
 	c.mu.Lock()
 	c.paused = on
 	c.mu.Unlock()
 	var at time.Time
 	if on {
-		at = time.Unix(1, 0) // long ago: it wakes an Accept that waits
+		at = time.Unix(1, 0) // in the past: wakes a waiting Accept
 	}
 	c.setAcceptDeadline(at)
 	c.changed.Broadcast()
 }
 
-// isPaused tells whether another process accepts clients.
+// isPaused reports whether accepting is paused.
 func (c *clientConns) isPaused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.paused
 }
 
-// finish accepts what waits in the kernel's queue, which would be reset with the listener, and then closes
-// the listener. Each connection ends once it is between requests.
+// finish has Accept accept the connections in the kernel's queue, which a closed listener would reset, and then fail with
+// net.ErrClosed. Each connection is closed once it is between requests.
 func (c *clientConns) finish() {
 	c.mu.Lock()
 	c.finishing = true
@@ -119,7 +120,7 @@
 	c.changed.Broadcast()
 }
 
-// limit bounds the connections anew.
+// limit sets the limit of connections.
 func (c *clientConns) limit(bound int) {
 	c.mu.Lock()
 	c.maxConns = max(bound, 1)
@@ -127,13 +128,14 @@
 	c.changed.Broadcast()
 }
 
+// count returns the number of open connections.
 func (c *clientConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idleSince)
 }
 
-// awaitNone waits until no connection is left, or after finish can come, but not longer than that.
+// awaitNone blocks until no connection is left, and after finish none can be accepted, or until the bound is over.
 func (c *clientConns) awaitNone(bound time.Duration) {
 	late := false
 	timer := time.AfterFunc(bound, func() {
@@ -159,7 +161,7 @@
 	return c.Listener.Close()
 }
 
-// cancelEviction notes that a request has come on a connection that was to be evicted.
+// cancelEviction records that a request has arrived on a connection that was to be evicted.
 func (c *clientConns) cancelEviction(conn *framedConn) {
 	c.mu.Lock()
 	delete(c.evicting, conn)
@@ -167,7 +169,7 @@
 	c.changed.Broadcast()
 }
 
-// endIdle ends all connections that have carried no request for atLeast.
+// endIdle closes all connections that have carried no request for atLeast.
 func (c *clientConns) endIdle(atLeast time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +180,7 @@
 	}
 }
 
-// state follows the HTTP server's connections.
+// state is the ConnState callback of the HTTP server.
 func (c *clientConns) state(of net.Conn, s http.ConnState) {
 	conn, ok := of.(*framedConn)
 	if !ok {
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -11,44 +11,43 @@
 	"mosslead/internal/conflate"
 )
 
-// dispatcher owns the Balancer: one goroutine that turns what happens into events and carries out the
-// actions, without blocking on anything.
+// dispatcher owns the Balancer: the goroutine of run turns what happens into events, and carries out the actions without
+// blocking. The enqueue methods and snapshot are safe for concurrent use; all other methods belong to that goroutine.
 type dispatcher struct {
 	clock     clock
 	balancer  *balancer.Balancer
 	attempt   func(ctx context.Context, upstream string, r *clientRequest, before time.Duration) attemptReply
 	subscribe func()
 	sharing   *sharing    // nil: nothing is shared
-	heartbeat loopPulse   // of the loop, where somebody wants it
-	ready     atomic.Bool // the known list is applied
+	heartbeat loopPulse   // answers to heartbeat events
+	ready     atomic.Bool // the initial list has been applied
 
 	failures        *limitedLog               // log of requests that failed
 	lateAnswers     *limitedLog               // log of requests answered late
-	classes         map[string]balancer.Class // as the balancer has them
+	classes         map[string]balancer.Class // as in the settings of the balancer
 	counts          attemptCounts             // of attempts
 	stats           *stats
 	lastLogged      statsSnapshot          // as of the last line of statistics
-	onEjected       func(ejected []string) // receives the ejected endpoints for the statistics; nil: nobody reads them
+	onEjected       func(ejected []string) // receives the ejected endpoints for the statistics; may be nil
 	connectionStats func() slog.Attr       // for the line of statistics
 	zone            func(upstream string) string
 
-	urgent chan any // what comes before requests: endpoint updates, bans, settings, snapshots
-	events chan any // of requests
+	urgent chan any // events handled before requests: endpoint updates, bans, settings, snapshots
+	events chan any // events of requests
 	stop   <-chan struct{}
 
 	inFlight map[string]*inFlightRequest
-	stopped  bool // see abort
+	stopped  bool // after abort: requests are rejected
 	actions  []balancer.Action
 	timer    *time.Timer
 }
 
 const (
 	statsInterval   = 5 * time.Second
-	ejectedInterval = 200 * time.Millisecond // statistics may lag by 0.5 s
+	ejectedInterval = 200 * time.Millisecond // between updates of the ejected endpoints; statistics may lag by 0.5 s
 )
 
-// inFlightRequest is a request that the balancer knows, until it has its answer and the results of all its
-// attempts.
+// inFlightRequest is a request from its arrival until it has its answer and the results of all its attempts.
 type inFlightRequest struct {
 	request         *clientRequest
 	acceptedAt      time.Duration
@@ -58,13 +57,14 @@
 	done            bool
 }
 
+// inFlightAttempt is one attempt of an inFlightRequest.
 type inFlightAttempt struct {
 	upstream     string
 	sentAt       time.Duration
 	endedAt      time.Duration           // 0: it is pending
 	reply        attemptReply            // result, connection and error
-	cancel       context.CancelCauseFunc // ends it; nil ends nothing but frees what it holds
-	endWithCause context.CancelCauseFunc // the same with a cause, when its time is over
+	cancel       context.CancelCauseFunc // ends it with a cause; with nil it frees the context of an attempt that has ended
+	endWithCause context.CancelCauseFunc // the same, when its time is over
 	ctx          context.Context
 }
 
@@ -76,6 +76,7 @@
 	attempted  bool          // an attempt was made
 }
 
+// answerKind is how a request was answered.
 type answerKind int
 
 const (
@@ -83,20 +84,22 @@
 	rejected
 	failed
 	duplicate  // another request of this id is in flight
-	clientGone // none: the client has gone
+	clientGone // no answer: the client has disconnected
 )
 
+// requestArrived is the event of a new request.
 type requestArrived struct{ request *clientRequest }
 
-// bodyComplete says that the body of a request was received, and when its client stops waiting.
+// bodyComplete is the event that the body of a request has been received; expires is the request's deadline.
 type bodyComplete struct {
 	request *clientRequest
 	expires time.Duration
 }
 
-// clientDisconnected says that the client of a request has gone.
+// clientDisconnected is the event that the client of a request has disconnected.
 type clientDisconnected struct{ request *clientRequest }
 
+// attemptEnded is the event that an attempt has ended.
 type attemptEnded struct {
 	flight  *inFlightRequest
 	attempt int
@@ -104,22 +107,22 @@
 	reply   attemptReply
 }
 
-// banCommand brings an operator's call; done is closed once the balancer has it.
+// banCommand is an operator's call; done is closed once it has been applied.
 type banCommand struct {
 	balancer.Ban
 	done chan struct{}
 }
 
-// settingsCommand brings other settings; done is closed once the balancer has them.
+// settingsCommand changes the settings; done is closed once they are in force.
 type settingsCommand struct {
 	settings balancer.Settings
 	done     chan struct{}
 }
 
-// snapshotCommand asks for the balancer's snapshot; the channel holds one.
+// snapshotCommand requests the balancer's snapshot; the channel must have a buffer of one.
 type snapshotCommand struct{ snapshot chan balancer.Snapshot }
 
-// abort fails all requests in flight, and rejects later ones: the process is about to be killed.
+// abort is the event before the process is killed: all requests in flight fail, and later ones are rejected.
 type abort struct{}
 
 func newDispatcher(b *balancer.Balancer, clk clock, stop <-chan struct{}) *dispatcher {
@@ -130,10 +133,10 @@
 	return l
 }
 
-// enqueue reports an event; false once the dispatcher has stopped.
+// enqueue queues an event of a request, and blocks while the queue is full. It returns false once the dispatcher has stopped.
 func (l *dispatcher) enqueue(e any) bool {
 	select {
-	case <-l.stop: // it has ended for certain, and what holds its events is no end for them
+	case <-l.stop: // checked first, since the queue may still have room
 		return false
 	default:
 	}
@@ -145,7 +148,7 @@
 	}
 }
 
-// snapshot asks for the balancer's snapshot; false: the dispatcher is too busy, or stops.
+// snapshot returns the balancer's snapshot; false if the dispatcher does not answer within adminTimeout, or stops.
 func (l *dispatcher) snapshot() (balancer.Snapshot, bool) {
 	command := snapshotCommand{make(chan balancer.Snapshot, 1)}
 	l.enqueueUrgent(command)
@@ -158,9 +161,11 @@
 	return balancer.Snapshot{}, false
 }
 
+// enqueueUpdate queues an endpoint update.
 func (l *dispatcher) enqueueUpdate(m balancer.EndpointUpdate) { l.enqueueUrgent(m) }
 
-// enqueueUrgent reports what comes before requests that wait: it may forbid what they would be sent to.
+// enqueueUrgent queues an event that is handled before queued requests, as it may remove the upstreams they would be sent to.
+// It blocks while the queue is full.
 func (l *dispatcher) enqueueUrgent(e any) {
 	select {
 	case l.urgent <- e:
@@ -168,7 +173,7 @@
 	}
 }
 
-// run handles events until stop, beginning with the list as it was last known.
+// run handles events until stop, starting with the known list.
 func (l *dispatcher) run(known balancer.EndpointUpdate) {
 	l.handle(known)
 	l.ready.Store(true)
@@ -201,19 +206,11 @@
 			l.handle(balancer.TimerFired{})
 		case <-verdicts.Ready():
 			l.sharing.echo.onTaken(l.clock.now())
-			for h, ok := verdicts.Pop(); ok; h, ok = verdicts.Pop() {
-				l.handle(h)
+			for verdict, ok := verdicts.Pop(); ok; verdict, ok = verdicts.Pop() {
+				l.handle(verdict)
 			}
 		case <-statsTick.C:
-			now := l.stats.snapshot()
-			logAttrs(slog.LevelInfo, ofCounts, "counts", append(now.since(&l.lastLogged), l.counts.attempts(),
-				slog.Int("in_flight", len(l.inFlight)), l.connectionStats())...)
-			l.lastLogged = now
-			if len(l.counts.upstreams) > 0 {
-				logAttrs(slog.LevelInfo, ofCounts, "by upstream", slog.String("upstreams", l.counts.byUpstream(l.zone)))
-			}
-			l.counts = newAttemptCounts()
-			l.sharing.logStats()
+			l.logStats()
 		case <-ejectedTick:
 			l.onEjected(l.balancer.Ejected(l.clock.now()))
 		case <-l.stop:
@@ -223,7 +220,20 @@
 	}
 }
 
-// dropPending frees what came too late to be handled: unread answers hold a connection and its goroutines.
+// logStats logs the counts since the call before.
+func (l *dispatcher) logStats() {
+	now := l.stats.snapshot()
+	logAttrs(slog.LevelInfo, ofCounts, "counts", append(now.since(&l.lastLogged), l.counts.attempts(),
+		slog.Int("in_flight", len(l.inFlight)), l.connectionStats())...)
+	l.lastLogged = now
+	if len(l.counts.upstreams) > 0 {
+		logAttrs(slog.LevelInfo, ofCounts, "by upstream", slog.String("upstreams", l.counts.byUpstream(l.zone)))
+	}
+	l.counts = newAttemptCounts()
+	l.sharing.logStats()
+}
+
+// dropPending drops answers that arrived too late to be handled, since each holds a connection and its goroutines.
 func (l *dispatcher) dropPending() {
 	for {
 		select {
@@ -237,6 +247,7 @@
 	}
 }
 
+// onUrgent handles an event of the urgent queue.
 func (l *dispatcher) onUrgent(e any) {
 	switch e := e.(type) {
 	case balancer.EndpointUpdate:
@@ -255,25 +266,11 @@
 	}
 }
 
+// onEvent handles an event of a request.
 func (l *dispatcher) onEvent(e any) {
 	switch e := e.(type) {
 	case requestArrived:
-		r := e.request
-		if l.inFlight[r.id] != nil {
-			r.answer <- answer{kind: duplicate}
-			return
-		}
-		if l.stopped || l.classes[r.class] != r.settings { // checked by rules that have changed meanwhile: nothing has run
-			r.answer <- answer{kind: rejected}
-			return
-		}
-		f := &inFlightRequest{request: r, acceptedAt: l.clock.now()}
-		if !r.bodyPending {
-			f.expiresAt = r.expiresAt
-		}
-		l.inFlight[r.id] = f
-		l.handle(balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, ExpiresAt: r.expiresAt, CostHint: r.costHint, BodyPending: r.bodyPending})
-		l.forgetRequest(r.id)
+		l.onRequestArrived(e.request)
 	case bodyComplete:
 		l.onBodyComplete(e)
 	case clientDisconnected:
@@ -288,21 +285,45 @@
 	case attemptEnded:
 		l.onAttemptEnded(e)
 	case heartbeat:
-		inHand, zone := l.balancer.Pressure(l.clock.now())
-		l.heartbeat.answer(e, inHand, zone)
+		inFlight, site := l.balancer.Pressure(l.clock.now())
+		l.heartbeat.answer(e, inFlight, site)
 	case abort:
-		l.stopped = true
-		for id, f := range l.inFlight {
-			if !f.done {
-				l.answer(id, answer{kind: failed})
-				l.handle(balancer.ClientDisconnected{ID: id})
-				l.forgetRequest(id)
-			}
+		l.onAbort()
+	}
+}
+
+// onRequestArrived hands a new request to the balancer.
+func (l *dispatcher) onRequestArrived(r *clientRequest) {
+	if l.inFlight[r.id] != nil {
+		r.answer <- answer{kind: duplicate}
+		return
+	}
+	if l.stopped || l.classes[r.class] != r.settings { // parsed by settings that have changed since
+		r.answer <- answer{kind: rejected}
+		return
+	}
+	f := &inFlightRequest{request: r, acceptedAt: l.clock.now()}
+	if !r.bodyPending {
+		f.expiresAt = r.expiresAt
+	}
+	l.inFlight[r.id] = f
+	l.handle(balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, ExpiresAt: r.expiresAt, CostHint: r.costHint, BodyPending: r.bodyPending})
+	l.forgetRequest(r.id)
+}
+
+// onAbort fails all requests in flight.
+func (l *dispatcher) onAbort() {
+	l.stopped = true
+	for id, f := range l.inFlight {
+		if !f.done {
+			l.answer(id, answer{kind: failed})
+			l.handle(balancer.ClientDisconnected{ID: id})
+			l.forgetRequest(id)
 		}
 	}
 }
 
-// onClientDisconnected ends a request whose client has gone.
+// onClientDisconnected ends a request whose client has disconnected.
 func (l *dispatcher) onClientDisconnected(f *inFlightRequest) {
 	f.done = true
 	l.failures.log("client disconnected", func() []slog.Attr { return f.attrs(l.clock.now()) })
@@ -310,7 +331,7 @@
 	l.forgetRequest(f.request.id)
 }
 
-// onAttemptEnded reports an attempt's one result; the first that was served is the final answer.
+// onAttemptEnded reports the result of an attempt to the balancer. The first that was served is the final answer.
 func (l *dispatcher) onAttemptEnded(e attemptEnded) {
 	f, id := e.flight, e.flight.request.id
 	f.pendingAttempts--
@@ -322,7 +343,7 @@
 	if e.reply.result == balancer.OK && !l.answer(id, answer{kind: served, reply: e.reply}) {
 		e.reply.drop()
 	}
-	if errors.Is(e.reply.err, errClientGone) && !f.done { // seen before the client's own reader told of it
+	if errors.Is(e.reply.err, errClientGone) && !f.done { // noticed before the handler reported it
 		l.onClientDisconnected(f)
 		f.request.answer <- answer{kind: clientGone}
 	}
@@ -331,7 +352,7 @@
 	l.forgetRequest(id)
 }
 
-// onBodyComplete starts a request's time, and that of a pending attempt, whose upstream begins only now.
+// onBodyComplete starts the deadline of a request, and the time of a pending attempt, whose upstream begins only now.
 func (l *dispatcher) onBodyComplete(e bodyComplete) {
 	f := l.inFlight[e.request.id]
 	if f == nil || f.request != e.request || f.done {
@@ -350,7 +371,7 @@
 	l.forgetRequest(f.request.id)
 }
 
-// handle runs one decision.
+// handle hands an event to the balancer, and performs the actions.
 func (l *dispatcher) handle(e balancer.Event) {
 	l.actions = l.balancer.Handle(l.clock.now(), e, l.actions[:0])
 	for i := range l.actions {
@@ -358,6 +379,7 @@
 	}
 }
 
+// perform performs one action of the balancer.
 func (l *dispatcher) perform(a *balancer.Action) {
 	switch a.Kind {
 	case balancer.StartAttempt:
@@ -385,21 +407,21 @@
 	}
 }
 
-// startAttempt starts an attempt, which reports its end as an event.
+// startAttempt starts an attempt in a goroutine, which reports its end as an attemptEnded event.
 func (l *dispatcher) startAttempt(a *balancer.Action) {
 	f := l.inFlight[a.ID]
 	if f == nil {
 		return
 	}
 	now := l.clock.now()
-	for i := range f.attempts { // never two at once: the upstream must not see an earlier one wait
+	for i := range f.attempts { // an earlier attempt must not keep waiting for a late answer beside this one
 		if abandon := f.attempts[i].reply.abandon; abandon != nil {
 			abandon()
 		}
 	}
 	ctx, end := context.WithCancelCause(context.Background())
 	stop := func() {}
-	if f.expiresAt > 0 { // else the attempt's time begins with the body's end, see whole
+	if f.expiresAt > 0 { // else the time begins with the end of the body, see onBodyComplete
 		limit := f.expiresAt - now
 		if a.Timeout > 0 {
 			limit = min(limit, a.Timeout)
@@ -421,7 +443,7 @@
 	}()
 }
 
-// answer gives a request its final answer; false: it has one, or its client has gone.
+// answer gives a request its final answer; it returns false if the request has one already, or its client has gone.
 func (l *dispatcher) answer(id string, a answer) bool {
 	f := l.inFlight[id]
 	if f == nil || f.done {
@@ -442,6 +464,7 @@
 	return true
 }
 
+// forgetRequest removes a request that has its answer and no pending attempts.
 func (l *dispatcher) forgetRequest(id string) {
 	if f := l.inFlight[id]; f != nil && f.done && f.pendingAttempts == 0 {
 		delete(l.inFlight, id)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -253,7 +253,7 @@
 				conn := &framedConn{Conn: server, acceptedAt: time.Now(), listener: newClientConns(nil, 1), active: c.active}
 				defer func() { _ = conn.Close() }()
 				if c.used {
-					conn.framing.handedOn = 1
+					conn.framing.delivered = 1
 				}
 				got := make(chan error, 1)
 				go func() {
--- a/internal/sidecar/eviction.go
+++ b/internal/sidecar/eviction.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// Which connections are evicted when descriptors run short, see evictionClass. What costs no proper client
-// anything goes first, and several at a time: a flood must delay neither other clients nor the error or the
-// close that each of its own connections is owed. Of connections that are idle for less than closableAfter
-// one is evicted at a time, the one idle for longest: its client may be about to use it.
+// Eviction of client connections when file descriptors run short, by evictionClass. Connections that no well-behaved client
+// needs go first, up to maxEvicting at once, so that a flood delays neither other clients nor the answers to its own
+// connections. Connections idle for less than closableAfter, which their clients may be about to use, are evicted one at a
+// time, the one idle for longest first.
 
-// maxEvicting is how many connections are evicted at once. Each takes a check of a millisecond and some
-// processor time.
+// maxEvicting is how many connections are evicted at once. Each takes finalReadTimeout and some processor time.
 const maxEvicting = 16
 
-// evict evicts connections, with mu held. If some can be evicted soon only, it tries again then.
+// evict evicts connections, with mu held. If there is none to evict yet, it schedules another try.
 func (c *clientConns) evict() {
 	now := time.Now()
 	for {
 		conn, how, wait := c.evictionCandidate(now)
 		switch {
-		case conn == nil && wait == 0: // all are busy; whose client stalls shows with time
+		case conn == nil && wait == 0: // all are busy; a client that stalls shows later
 			c.evictLater(newConnGrace)
 			return
 		case conn == nil:
@@ -35,7 +34,7 @@
 		} else {
 			going = conn.cutRead()
 		}
-		if !going { // something has just come on it
+		if !going { // a request has just arrived on it
 			c.evictLater(finalReadTimeout)
 			return
 		}
@@ -43,14 +42,14 @@
 	}
 }
 
-// evictionCandidate is the connection of the lowest eviction class, the longest of them; wait: it comes so
-// soon that none of a higher class should be evicted before. A connection that is idle for closableAfter need
-// not wait for that.
+// evictionCandidate returns the connection of the lowest eviction class, of those the one that has been in it for longest. If
+// it can't be evicted yet, conn is nil and wait the time until then, for which none of a higher class is evicted either,
+// except one that has been idle for closableAfter.
 func (c *clientConns) evictionCandidate(now time.Time) (conn *framedConn, how evictionClass, wait time.Duration) {
 	type candidate struct {
 		conn  *framedConn
 		since time.Time
-		left  time.Duration // until it may are evicted
+		left  time.Duration // until it may be evicted
 	}
 	var of [classBusy]candidate
 	for conn, quiet := range c.idleSince {
@@ -80,7 +79,7 @@
 	return nil, classBusy, wait
 }
 
-// evictLater has Accept try again after that time.
+// evictLater has Accept call evict again after that time.
 func (c *clientConns) evictLater(wait time.Duration) {
 	if c.evictionTimer == nil {
 		c.evictionTimer = time.AfterFunc(wait, c.changed.Broadcast)
@@ -89,13 +88,13 @@
 	c.evictionTimer.Reset(wait)
 }
 
-// earliestArrival is when a connection that was accepted at once, or after a wait, can have come at the
-// earliest.
+// earliestArrival returns the earliest time at which the connection that was just accepted can have arrived, given when
+// the call of accept began.
 func (c *clientConns) earliestArrival(begun time.Time) time.Time {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(begun) >= acceptQueueTimeout { // nobody was there before
+	if now.Sub(begun) >= acceptQueueTimeout { // the queue was empty
 		c.fullSince = time.Time{}
 	}
 	if c.fullSince.IsZero() {
@@ -104,8 +103,8 @@
 	return c.fullSince
 }
 
-// onAcceptError evicts connections when accepting fails: for want of descriptors, say, whoever took them. The
-// listener is intact, so it is no reason to end, and accepting pauses before the next attempt.
+// onAcceptError evicts connections when accepting fails, most likely for lack of file descriptors, and waits
+// acceptRetryInterval. The listener is intact and accepts again.
 func (c *clientConns) onAcceptError(begun time.Time) {
 	c.mu.Lock()
 	c.evict()
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -130,7 +130,7 @@
 			client, server := net.Pipe()
 			defer func() { _ = client.Close() }()
 			resting := &framedConn{Conn: server, listener: c}
-			resting.framing.handedOn = 1
+			resting.framing.delivered = 1
 			c.state(resting, http.StateIdle)
 			ended := make(chan error, 1)
 			go func() {
@@ -210,15 +210,15 @@
 				for _, one := range c.all {
 					at := now.Add(-one.since)
 					conn := &framedConn{listener: all, arrivedAt: at, acceptedAt: at}
-					conn.framing.handedOn = 1
+					conn.framing.delivered = 1
 					all.idleSince[conn] = at
 					switch one.how {
 					case classAnswered:
 						conn.closingSince = at
 					case classUnused:
-						conn.framing.handedOn = 0
+						conn.framing.delivered = 0
 					case classSlowHead:
-						conn.framing.handedOn, conn.stage, conn.headSince, conn.readSince = 0, partialHead, at, at
+						conn.framing.delivered, conn.stage, conn.headSince, conn.readSince = 0, partialHead, at, at
 					case classSlowBody:
 						conn.active, conn.readSince, conn.framing.state = true, at, inBody
 					case classBusy:
@@ -244,7 +244,7 @@
 		all := newClientConns(nil, 1)
 		conn := &framedConn{Conn: server, listener: all}
 		defer func() { _ = conn.Close() }()
-		conn.framing.handedOn = 1
+		conn.framing.delivered = 1
 		all.state(conn, http.StateIdle)
 		until := time.Now().Add(time.Second)
 		_ = conn.SetReadDeadline(until) // a read shows it
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -7,47 +7,49 @@
 	"sync"
 )
 
-// The HTTP library drops a Content-Length that stands beside Transfer-Encoding, and one of two that are equal. Another
-// reader of the same bytes may go by the one dropped, and see a request where we see a body. So a client's connection
-// follows the framing of what is read from it, and says of each request whether its head leaves its end in doubt.
+// Detection of ambiguous message framing (RFC 9112, section 6.3). The HTTP library drops a Content-Length beside a
+// Transfer-Encoding, and one of two equal ones, while an upstream may go by the one dropped and see a request where we see
+// a body (request smuggling). So a client's connection follows the framing of its requests, and reports which are ambiguous.
 
+// framingState is the part of a request that the next bytes belong to.
 type framingState int
 
 const (
-	atStart framingState = iota // of a request's first line
+	atStart framingState = iota // the request line
 	inHead
-	inBody      // left bytes of it to come
-	inChunkSize // a line
-	inChunk     // left bytes of it, with its line end, to come
+	inBody      // of which left bytes are to come
+	inChunkSize // the line before a chunk
+	inChunk     // of which left bytes are to come, with its line end
 	inTrailer
-	unknownFraming // what comes can't be told: the library turns it down, or the connection ends with its answer
+	unknownFraming // the end can't be determined: the library rejects it, or the connection is closed after its answer
 )
 
-// headLine is how much of a line is looked at; a length or an encoding that takes more is in doubt.
+// headLine is how many bytes of a line are examined; a longer length or encoding is ambiguous.
 const headLine = 256
 
-// framing follows the requests on one connection. The library reads, handlers ask.
+// framing follows the requests on one connection. scan is called by the goroutine that reads; the other methods are
+// safe for concurrent use but for what they say.
 type framing struct {
 	state framingState
 	line  []byte
 	left  int64
 
-	lengths, codings int // in this head
+	lengths, codings int // number of length and encoding headers in this head
 	length           int64
 	ambiguous        bool
-	lastHeader       byte // which of the two the header line before was: l, t or another
+	lastHeader       byte // 'l' or 't' if the line before was a length or an encoding, else 0
 
 	mu          sync.Mutex
-	ambiguities []bool // of requests that the library has not handed on yet
-	handedOn    int    // requests that it has
+	ambiguities []bool // whether each request read is ambiguous that the library has not delivered yet
+	delivered   int    // number of requests that the library has delivered
 }
 
-// nextAmbiguous tells whether the request that the library hands on now has an end in doubt. It is asked once for each.
+// nextAmbiguous reports whether the request that the library delivers now is ambiguous. It is called once for each request.
 func (f *framing) nextAmbiguous() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.handedOn++
-	if len(f.ambiguities) == 0 { // never followed: it can't be vouched for
+	f.delivered++
+	if len(f.ambiguities) == 0 { // its framing was not followed
 		return true
 	}
 	d := f.ambiguities[0]
@@ -55,7 +57,7 @@
 	return d
 }
 
-// stage tells what was read of requests that the library has not handed on. The reader asks.
+// stage returns how far the requests have been read that the library has not delivered. Called by the reader.
 func (f *framing) stage() connStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,42 +70,43 @@
 	return betweenRequests
 }
 
-// pipelined tells whether something was read behind the request that the library has handed on. The reader asks.
+// pipelined reports whether bytes were read beyond the request delivered last. Called by the reader.
 func (f *framing) pipelined() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.ambiguities) > 0 || f.state == inHead || f.state == atStart && len(f.line) > 0
 }
 
-// bodyIncomplete tells whether the request that the library handed on last has not come to its end, so that what is read can only be more
-// of it. The reader asks, or who holds it off.
+// bodyIncomplete reports whether the request delivered last has not been read to its end. Called by the reader, or while it
+// does not read.
 func (f *framing) bodyIncomplete() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.ambiguities) == 0 && f.state > inHead
 }
 
-// firstRequest tells whether the request that was asked about last was the connection's first.
+// firstRequest reports whether the request delivered last is the connection's first.
 func (f *framing) firstRequest() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.handedOn == 1
+	return f.delivered == 1
 }
 
-// firstRequestOnly tells whether no request was handed on but the first.
+// firstRequestOnly reports whether at most one request has been delivered.
 func (f *framing) firstRequestOnly() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.handedOn < 2
+	return f.delivered < 2
 }
 
-// noRequest tells whether no request was handed on yet.
+// noRequest reports whether no request has been delivered.
 func (f *framing) noRequest() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.handedOn == 0
+	return f.delivered == 0
 }
 
+// scan follows bytes that were read.
 func (f *framing) scan(p []byte) {
 	for len(p) > 0 && f.state != unknownFraming {
 		if f.state == inBody || f.state == inChunk {
@@ -134,7 +137,7 @@
 	}
 }
 
-// handle takes in a line without its end.
+// handle handles a complete line, without its line end.
 func (f *framing) handle(line []byte) {
 	switch f.state {
 	case atStart:
@@ -157,7 +160,7 @@
 			f.state = unknownFraming
 		case n == 0:
 			f.state = inTrailer
-		default: // the line end of the chunk is checked by the library, and may be LF alone nowhere
+		default: // the library checks the chunk's line end, which must be CR LF
 			f.state, f.left = inChunk, int64(n)+2
 		}
 	case inTrailer:
@@ -167,8 +170,9 @@
 	}
 }
 
+// header handles a header line.
 func (f *framing) header(line []byte) {
-	if line[0] == ' ' || line[0] == '\t' { // goes on with the line before
+	if line[0] == ' ' || line[0] == '\t' { // continues the line before
 		f.ambiguous = f.ambiguous || f.lastHeader != 0
 		return
 	}
@@ -188,7 +192,7 @@
 	}
 }
 
-// head ends a request's head.
+// head handles the end of a head.
 func (f *framing) head() {
 	f.ambiguous = f.ambiguous || f.lengths > 1 || f.codings > 1 || f.lengths > 0 && f.codings > 0
 	f.mu.Lock()
--- a/internal/sidecar/leaderships.go
+++ b/internal/sidecar/leaderships.go
@@ -15,28 +15,28 @@
 	"mosslead/internal/registry/client"
 )
 
-// The leaderships in use.
+// Names of the leaderships in use.
 func probesOf(upstream string) string { return "trials/" + upstream }
 func digestOf(site string) string     { return "digest/" + site }
 func incidentOf(site string) string   { return "incident/" + site }
 
 const (
-	maxLeaderships    = 128              // this sidecar is a candidate for so many at most; of others it holds none
-	leadershipTick    = time.Second      // sites come and go, and fitness changes, no faster
-	candidacyLifetime = 10 * time.Minute // one that was not wanted for so long is forgotten, with how it failed
-	ownSiteFitness    = 500              // fitness of one at the site that the leadership is about
-	idleFitness       = 400              // and of one under no pressure
-	fitnessStep       = 50               // smaller differences are not told
+	maxLeaderships    = 128              // for which this sidecar is a candidate at most
+	leadershipTick    = time.Second      // between updates of the sites and of the fitness
+	candidacyLifetime = 10 * time.Minute // after which an unwanted candidacy is dropped, with its back-off
+	ownSiteFitness    = 500              // fitness of a candidate at the site that the leadership is about
+	idleFitness       = 400              // fitness of a candidate without pressure
+	fitnessStep       = 50               // to which fitness is rounded down
 )
 
-// leaderships are those that this sidecar holds or campaigns for. A nil one holds none: whatever depends on a
-// leadership is then done by each sidecar alone. Safe for concurrent use; nothing of it blocks.
+// leaderships holds and campaigns for leaderships. A nil one holds none: what depends on a leadership is then done by each
+// sidecar alone. Safe for concurrent use; of its methods only run and close block.
 type leaderships struct {
 	service       lease.Service
 	closeClient   func() // of the service's client
 	candidateName string
 	site          string
-	config        lease.Config // times; the names are each leadership's own
+	config        lease.Config // of each leadership, but for its name and holder
 	sites         func() []string
 	siteOf        func(upstream string) string
 	pressed       atomic.Uint64 // pressure in thousandths
@@ -47,7 +47,7 @@
 
 	mu       sync.Mutex
 	byName   map[string]*candidacy
-	rejected int64 // wishes beyond maxLeaderships
+	rejected int64 // candidacies beyond maxLeaderships
 }
 
 // candidacy is this sidecar's part in one election.
@@ -56,10 +56,10 @@
 	stop          context.CancelFunc
 	wanted        bool
 	fitness       float64
-	unwantedSince time.Time // that it is not wanted
+	unwantedSince time.Time
 }
 
-// newLeaderships begins to ask the list service for leaderships. sites are those there are.
+// newLeaderships returns the leaderships of a sidecar at the list service; sites returns the present sites.
 func newLeaderships(addresses string, self message.Member, sites func() []string) (*leaderships, error) {
 	all, err := client.Addresses(addresses)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return d, nil
 }
 
-// run keeps this sidecar a candidate for what every sidecar is one for, until ctx ends: the digest of its own site, and the
-// incidents of each.
+// run keeps this sidecar a candidate for the leaderships that all sidecars campaign for, until ctx ends: the digest of its
+// own site, and the incidents of each site.
 func (d *leaderships) run(ctx context.Context) {
 	tick := time.NewTicker(leadershipTick)
 	defer tick.Stop()
@@ -100,8 +100,8 @@
 	}
 }
 
-// holds is asked at each act under a leadership, directly before it: whether this sidecar holds it, and the epoch that the act has to
-// carry. Whoever is acted upon refuses an epoch below the highest it has seen.
+// holds reports whether this sidecar is the leader, and the epoch that an act of the leader must carry. It is called directly
+// before each act; receivers reject an epoch below the highest they have seen.
 func (d *leaderships) holds(name string) (epoch uint64, ok bool) {
 	if d == nil {
 		return 0, false
@@ -115,13 +115,14 @@
 	return h.Holds(time.Now())
 }
 
-// campaign is want for the probes of an upstream.
+// campaign is setWanted for the probes of an upstream.
 func (d *leaderships) campaign(name string, wanted bool) {
 	d.setWanted(name, wanted, d.siteOf(strings.TrimPrefix(name, probesOf(""))))
 }
 
-// setWanted makes this sidecar a candidate for a leadership that is about a site, or not one any more: what it holds it then gives up.
-func (d *leaderships) setWanted(name string, on bool, site string) {
+// setWanted starts or stops campaigning for a leadership that is about a site. A leadership that is held and no longer
+// wanted is released.
+func (d *leaderships) setWanted(name string, wanted bool, site string) {
 	if d == nil {
 		return
 	}
@@ -134,24 +135,24 @@
 	defer d.mu.Unlock()
 	h := d.byName[name]
 	switch {
-	case h == nil && !on:
+	case h == nil && !wanted:
 		return
 	case h == nil && len(d.byName) >= maxLeaderships:
 		d.rejected++
 		return
 	case h == nil:
 		h = d.begin(name)
-	case h.wanted == on && h.fitness == fitness:
+	case h.wanted == wanted && h.fitness == fitness:
 		return
 	}
-	if h.wanted && !on {
+	if h.wanted && !wanted {
 		h.unwantedSince = time.Now()
 	}
-	h.wanted, h.fitness = on, fitness
-	h.Campaign(on, fitness)
+	h.wanted, h.fitness = wanted, fitness
+	h.Campaign(wanted, fitness)
 }
 
-// begin starts the candidate for a leadership. d.mu is held.
+// begin starts a candidacy, with d.mu held.
 func (d *leaderships) begin(name string) *candidacy {
 	c := d.config
 	c.Name, c.Holder = name, d.candidateName
@@ -162,6 +163,7 @@
 	return h
 }
 
+// logLeadership logs that a leadership was acquired or lost.
 func logLeadership(name string, a lease.Action) {
 	switch a := a.(type) {
 	case lease.Acquired:
@@ -173,14 +175,14 @@
 	}
 }
 
-// setPressure tells of this sidecar's pressure, 0 to 1: one under less is fitter.
+// setPressure sets this sidecar's pressure, 0 to 1; less pressure is more fitness.
 func (d *leaderships) setPressure(pressure float64) {
 	if d != nil {
 		d.pressed.Store(uint64(1000 * min(max(pressure, 0), 1)))
 	}
 }
 
-// forget ends candidates that were not wanted for long.
+// forget drops candidacies that have been unwanted for candidacyLifetime.
 func (d *leaderships) forget(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,14 +194,14 @@
 	}
 }
 
-// yield gives all up and takes no more; it does not wait.
+// yield releases all leaderships and ends all candidacies. It does not wait for that.
 func (d *leaderships) yield() {
 	if d != nil {
 		d.stop()
 	}
 }
 
-// close yields, and returns once the service was told or the leases are over.
+// close is yield, and returns once the service has been told or the leases have expired.
 func (d *leaderships) close() {
 	if d == nil {
 		return
@@ -209,7 +211,7 @@
 	d.closeClient()
 }
 
-// lines are the leaderships for operators: those held, with their epochs, and those that are waited for.
+// lines returns the leaderships for operators: those held, with their epochs, and those campaigned for.
 func (d *leaderships) lines() string {
 	if d == nil {
 		return ""
@@ -229,8 +231,8 @@
 	return strings.Join(all, "") + fmt.Sprintf("duties_beyond %d\n", d.rejected)
 }
 
-// count is how many leaderships are held here, are waited for, and were wished for beyond the bound.
-func (d *leaderships) count() (leading, waits, beyond int64) {
+// count returns how many leaderships are held, how many are campaigned for, and how many candidacies were rejected.
+func (d *leaderships) count() (leading, campaigning, rejected int64) {
 	if d == nil {
 		return 0, 0, 0
 	}
@@ -241,8 +243,8 @@
 		if _, ok := h.Holds(now); ok {
 			leading++
 		} else if h.wanted {
-			waits++
+			campaigning++
 		}
 	}
-	return leading, waits, d.rejected
+	return leading, campaigning, d.rejected
 }
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -9,13 +9,10 @@
 	"mosslead/internal/statestore"
 )
 
-// suspectListDelay is how long a process waits for discovery before it takes a list that was set aside.
+// suspectListDelay is how long a process waits for discovery before it uses a quarantined list.
 const suspectListDelay = 2 * time.Second
 
-// What a process takes from the disk that the one before it left there, and what it leaves.
-
-// chooseList chooses between the list of the configuration and the one that was kept, and gives the snapshot as it is
-// worth now.
+// chooseList chooses between the list of the configuration and the persisted one.
 func (p *process) chooseList(configured *listing) (first *listing, source string) {
 	first, source = configured, p.config.Discovery
 	attrs := []slog.Attr{slog.Bool("crashed", p.loaded.Crashed), slog.Int("bans", len(p.loaded.Bans))}
@@ -34,10 +31,10 @@
 	return first, source
 }
 
-// restoreSnapshot brings the balancer the snapshot, as it is worth now. It runs beside the start: reading it takes some
-// milliseconds, and what counts there, the budgets of upstreams in slow start, is closed until it comes.
+// restoreSnapshot reads the balancer's snapshot, ages it and hands it to the dispatcher. It runs beside the start, since it
+// takes milliseconds; until then upstreams in slow start get no requests beyond their budgets.
 func (p *process) restoreSnapshot() {
-	k := p.loaded // the notes on reading it are apart from the others
+	k := p.loaded // a copy: the notes on this read are logged on their own
 	k.Notes, k.Corruptions = nil, nil
 	if err := p.persister.store.LoadSnapshot(&k, time.Now()); err != nil {
 		p.persister.recordError(err)
@@ -53,7 +50,7 @@
 	p.loop.enqueueUrgent(k.Snapshot.Balancer)
 }
 
-// logLoaded logs what of the state was not used.
+// logLoaded logs which parts of the state were not used.
 func logLoaded(k statestore.Loaded) {
 	for _, d := range k.Corruptions {
 		logAttrs(slog.LevelWarn, ofState, "damaged", slog.String("file", d.File), slog.Int64("byte", d.At), slog.Bool("torn", d.Torn), slog.Any("err", d.Err))
@@ -66,7 +63,7 @@
 // since is the time since a moment of the machine's clock, at least 0.
 func since(unixMs int64) time.Duration { return max(0, time.Since(time.UnixMilli(unixMs))) }
 
-// usesCachedList tells whether the list in use is the one from the disk, and how old it is.
+// usesCachedList reports whether the list in use is the persisted one, and its age.
 func (p *process) usesCachedList() (bool, time.Duration) {
 	old := p.cachedList.Load()
 	if old == nil || p.listReceived.Load() {
@@ -75,8 +72,8 @@
 	return true, since(old.SavedMs)
 }
 
-// useSuspectList takes a list that was set aside after a crash loop, if nobody has told another one in time: it was perhaps
-// not the list that ended those processes, and without one nothing can be served.
+// useSuspectList uses a list that was quarantined after a crash loop, if no other list has been received within
+// suspectListDelay: the crashes may have had another cause, and without a list nothing can be served.
 func (p *process) useSuspectList(running context.Context) {
 	if p.loaded.SuspectList == nil {
 		return
@@ -97,7 +94,7 @@
 	p.loop.enqueueUpdate(known)
 }
 
-// connectPersister tells the state persister where what it writes comes from.
+// connectPersister connects the state persister with the sources of what it writes.
 func (p *process) connectPersister() {
 	if p.persister == nil {
 		return
@@ -105,11 +102,11 @@
 	p.persister.bans = p.upstreams.directory.bans
 	p.persister.adoptBan = func(id string) {
 		p.upstreams.directory.setBan(id, false)
-		go p.loop.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // ends with the loop
+		go p.loop.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // returns once the dispatcher has stopped at the latest
 	}
-	p.persister.list = func() (string, *listing) { // nil: there is none to write
+	p.persister.list = func() (string, *listing) { // a nil list: there is none to write
 		if !p.listReceived.Load() && p.cachedList.Load() != nil {
-			return "", nil // from the disk itself
+			return "", nil // it was read from the disk
 		}
 		l := p.upstreams.directory.full()
 		if len(l.Endpoints) == 0 {
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -13,31 +13,32 @@
 	"mosslead/internal/statestore"
 )
 
-const maxRegions = 64 // whose versions are remembered; a fleet has four
+// maxRegions is the number of regions whose revisions are remembered; fleets have fewer.
+const maxRegions = 64
 
-// settingsFollower follows the settings of the sidecar's service, which the list service sends with the list.
-// The watch receives documents; the process applies the newest, completely or not at all, on top of its file.
-// A nil one follows none.
+// settingsFollower follows the settings of the sidecar's service, which the list service sends with the list. The watch
+// receives documents; the process applies the newest, completely or not at all, on top of its configuration file. A nil
+// one follows none. Safe for concurrent use; its methods don't block.
 type settingsFollower struct {
 	name, node string
-	received   chan struct{}             // holds one: a document was received
-	changed    chan struct{}             // holds one: there is something new to acknowledge
+	received   chan struct{}             // has a buffer of one: a document was received
+	changed    chan struct{}             // has a buffer of one: there is something new to acknowledge
 	onJudged   func(api.Document, error) // called with each document that was applied or rejected; may be nil
 	muted      func() bool               // another process of this sidecar acknowledges for it
-	file       *Config                   // as it was last read; the process's own
+	file       *Config                   // as last read; belongs to the process
 
 	mu            sync.Mutex
 	seenRevisions map[string]int64 // the highest received, by region
 	latest        api.Document     // the newest received; Revision 0: none
-	judged        bool             // that one was applied or rejected
-	inForce       api.Document     // Revision 0: none yet; the file's settings are, as they are once it is deleted
-	lastGood      api.Document     // the same, or what the predecessor had: it stays on disk until another is in force
+	judged        bool             // whether latest was applied or rejected
+	inForce       api.Document     // Revision 0: none yet; then, as after a deletion, the file's settings are in force
+	lastGood      api.Document     // inForce, or that of the predecessor, which stays on disk until another is in force
 	rejected      error            // why latest is not in force
-	changes       int64            // of what is to be persisted
-	ignored       api.Document     // received below the highest revision, last
+	changes       int64            // number of changes of what is persisted
+	ignored       api.Document     // the last one received below the highest revision
 }
 
-// newSettingsFollower is nil where the configuration names no service.
+// newSettingsFollower returns nil if the configuration names no service.
 func newSettingsFollower(c *Config) *settingsFollower {
 	if c.Service == "" {
 		return nil
@@ -46,7 +47,7 @@
 		muted: func() bool { return false }, seenRevisions: map[string]int64{}}
 }
 
-// pending wakes the process once there is a document to judge.
+// pending returns the channel that wakes the process once there is a document to apply.
 func (s *settingsFollower) pending() <-chan struct{} {
 	if s == nil {
 		return nil
@@ -54,15 +55,15 @@
 	return s.received
 }
 
-// query is what a watch asks for beside the list: whatever changes from the document that was told last, rejected or not.
+// query returns what a watch requests beside the list: changes since the document received last, applied or not.
 func (s *settingsFollower) query() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return client.Service(s.name, s.latest)
 }
 
-// onDocuments takes documents from the watch and never waits: of several the newest is judged, and one that is below what its region was
-// heard to have is none.
+// onDocuments receives documents of the watch. Of several only the newest is applied; one below the highest known revision
+// of its region is ignored.
 func (s *settingsFollower) onDocuments(documents []api.Document) {
 	if s == nil {
 		return
@@ -71,14 +72,14 @@
 		if d.Service != s.name || d.Revision < 1 {
 			continue
 		}
-		if why, seen := s.accept(d); why != "" {
-			logAttrs(slog.LevelWarn, ofSettings, why, attrsOf(d, slog.Int64("seen", seen))...)
+		if ignored, seen := s.accept(d); ignored != "" {
+			logAttrs(slog.LevelWarn, ofSettings, ignored, attrsOf(d, slog.Int64("seen", seen))...)
 		}
 	}
 }
 
-// accept is hear for one document; why it is not taken in is said once, as each watch may tell it again.
-func (s *settingsFollower) accept(d api.Document) (why string, seen int64) {
+// accept receives one document. It returns why the document is ignored, only once for each, as every watch may send it again.
+func (s *settingsFollower) accept(d api.Document) (ignored string, seen int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen, known := s.seenRevisions[d.Region]
@@ -93,7 +94,7 @@
 		return "settings document ignored, too many regions", seen
 	}
 	if len(d.Settings) > api.MaxSettings {
-		d.Settings = nil // judged as what it is, and not kept
+		d.Settings = nil // rejected by withDocument, and not kept in memory
 	}
 	s.seenRevisions[d.Region] = d.Revision
 	s.latest, s.judged = d, false
@@ -101,7 +102,7 @@
 	return "", seen
 }
 
-// wake leaves a word for whoever waits on c, which holds one.
+// wake wakes the reader of c, which has a buffer of one. It does not block.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -109,22 +110,23 @@
 	}
 }
 
-// same tells whether two are one version of one document.
+// same reports whether two documents have the same region and revision.
 func same(a, b api.Document) bool { return a.Region == b.Region && a.Revision == b.Revision }
 
+// attrsOf returns log attributes that identify a document, and more.
 func attrsOf(d api.Document, more ...slog.Attr) []slog.Attr {
 	return append([]slog.Attr{slog.String("service", d.Service), slog.String("region", d.Region), slog.Int64("version", d.Revision)}, more...)
 }
 
-// nextDocument is the document to judge, if there is any. One that was rejected stays so in this process: a file that is read anew lacks
-// nothing that the one before had, and asks no less of it.
+// nextDocument returns the document to apply, if there is any. One that was rejected is not applied later in this process: a
+// configuration file that is read again can't ask less of it than the one before.
 func (s *settingsFollower) nextDocument() (d api.Document, any bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latest, s.latest.Revision > 0 && !s.judged
 }
 
-// overlay lays the document in force over a file that was read anew.
+// overlay applies the document in force to a configuration file that was read again.
 func (s *settingsFollower) overlay(file *Config) (*Config, error) {
 	if s == nil {
 		return file, nil
@@ -139,9 +141,9 @@
 	return c, nil
 }
 
-// withDocument is the configuration with a document's settings in place of its own. Where the sidecar stands and how its list comes is the
-// file's to say: a document is for all of a service. It must name what the file names: a key that is absent reads like a limit that
-// was never set.
+// withDocument returns the configuration with the settings of a document in place of its own, but for the sidecar's zone and
+// the way its list arrives, since a document is for all sidecars of a service. A document must have every key that the file
+// has: an absent key would be read as a limit that was never set.
 func (c *Config) withDocument(d api.Document) (*Config, error) {
 	if d.Revision == 0 || d.Deleted {
 		return c, nil
@@ -157,43 +159,43 @@
 	if err != nil {
 		return nil, err
 	}
-	ours := maps.Clone(c.keys)
-	maps.DeleteFunc(ours, func(key string, _ bool) bool { return !strings.HasPrefix(key, settings.Under) })
-	if key := keys.Lacks(ours, settings.Under+"Zone", settings.Under+"Discovery"); key != "" {
+	required := maps.Clone(c.keys)
+	maps.DeleteFunc(required, func(key string, _ bool) bool { return !strings.HasPrefix(key, settings.Under) })
+	if key := keys.Lacks(required, settings.Under+"Zone", settings.Under+"Discovery"); key != "" {
 		return nil, fmt.Errorf("lacks %s, which this sidecar's file has", key)
 	}
 	read.Zone, read.MustSubscribe = c.Settings.Zone, c.Settings.MustSubscribe
-	own := *c
-	own.Settings = c.withDefaults(read)
-	return &own, nil
+	merged := *c
+	merged.Settings = c.withDefaults(read)
+	return &merged, nil
 }
 
-// judge notes what became of a document.
-func (s *settingsFollower) judge(d api.Document, why error) {
+// judge records that a document was applied, or with an error that it was rejected.
+func (s *settingsFollower) judge(d api.Document, rejected error) {
 	s.mu.Lock()
 	if same(d, s.latest) {
-		s.judged, s.rejected = true, why
+		s.judged, s.rejected = true, rejected
 	}
-	if why == nil {
+	if rejected == nil {
 		s.inForce, s.lastGood = d, d
 	}
 	s.changes++
 	s.mu.Unlock()
 	wake(s.changed)
 	switch {
-	case why != nil:
-		logAttrs(slog.LevelWarn, ofSettings, "settings rejected, earlier ones stay in force", attrsOf(d, slog.Any("err", why))...)
+	case rejected != nil:
+		logAttrs(slog.LevelWarn, ofSettings, "settings rejected, earlier ones stay in force", attrsOf(d, slog.Any("err", rejected))...)
 	case d.Deleted:
 		logAttrs(slog.LevelInfo, ofSettings, "settings deleted, those of the file are in force", attrsOf(d)...)
 	default:
 		logAttrs(slog.LevelInfo, ofSettings, "in force", attrsOf(d)...)
 	}
 	if s.onJudged != nil {
-		s.onJudged(d, why)
+		s.onJudged(d, rejected)
 	}
 }
 
-// persisted is what is to outlive the process, and the count of its changes; nil: nothing was told yet.
+// persisted returns what is to outlive the process, and the number of its changes; nil: nothing has been received.
 func (s *settingsFollower) persisted() (*statestore.Settings, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +205,7 @@
 	return &statestore.Settings{Service: s.name, Document: s.lastGood, Seen: maps.Clone(s.seenRevisions)}, s.changes
 }
 
-// restore begins with what the process before had in force.
+// restore starts with the settings that the previous process had in force.
 func (s *settingsFollower) restore(k *statestore.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +220,7 @@
 	}
 }
 
-// ack is this sidecar's word on the document that it heard of last.
+// ack returns the acknowledgement of the document received last.
 func (s *settingsFollower) ack() api.Ack {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +239,7 @@
 	return a
 }
 
-// lines words the figures for operators.
+// lines returns the figures for operators.
 func (s *settingsFollower) lines(d *endpointDirectory) string {
 	if s == nil {
 		return ""
@@ -246,7 +248,7 @@
 	return fmt.Sprintf("gw.settings_version:%d|g\ngw.list_version:%d|g\n", s.ack().Revision, index)
 }
 
-// applyDocument takes the newest document in, whole or not at all; post hands the balancer its settings.
+// applyDocument applies the newest document, completely or not at all; post hands the settings to the balancer.
 func (p *process) applyDocument(post func(any)) {
 	d, any := p.service.nextDocument()
 	if !any {
@@ -260,8 +262,8 @@
 	p.service.judge(d, err)
 }
 
-// restoreDocument begins with the settings that the process before had in force, before anything runs; from the process itself, or from the
-// disk.
+// restoreDocument starts with the settings that the previous process had in force, from that process or from the disk. It is
+// called before anything runs.
 func (p *process) restoreDocument(before *statestore.Settings) {
 	if p.service == nil {
 		return
--- /dev/null
+++ b/internal/sidecar/upstreamconn.go
@@ -0,0 +1,61 @@
+package sidecar
+
+import (
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+)
+
+// upstreamConn is one connection to an upstream. It observes its own reads and writes, since the HTTP library reports a
+// request as written while it is still in a buffer. One exchange at a time owns it; the flags are safe for concurrent use.
+type upstreamConn struct {
+	net.Conn
+	http       *http.ClientConn
+	name       string
+	address    endpointAddress
+	retire     *time.Timer
+	uses       int       // requests that it was acquired for
+	releasedAt time.Time // when it was last released
+	closed     bool      // guarded by the pool's lock
+
+	writeTimeout   time.Duration // of one write
+	allowed        func() error  // returns why the next request may no longer be written; nil: it may
+	firstByteSent  atomic.Bool   // of the next request
+	disallowed     atomic.Bool   // the request was stopped before its first byte
+	requestEncoded atomic.Bool   // the library has written the request completely, perhaps into a buffer
+	writeFailed    atomic.Bool   // a write failed, so that the last byte was not sent
+	idleReading    atomic.Bool   // the library waits for bytes, and has none buffered
+}
+
+// Write implements net.Conn. Before the first byte of a request it checks whether the request may still be sent: since the
+// decision the upstream may have begun to drain, the client may have left, or the time for a retry may be over.
+func (c *upstreamConn) Write(p []byte) (int, error) {
+	if !c.firstByteSent.Swap(true) {
+		if err := c.allowed(); err != nil {
+			c.disallowed.Store(true)
+			return 0, err
+		}
+	}
+	_ = c.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // fails only on a closed connection, as the write then does
+	n, err := c.Conn.Write(p)
+	if err != nil {
+		c.writeFailed.Store(true)
+	}
+	return n, err
+}
+
+// Read implements net.Conn, and records when the library waits for bytes.
+func (c *upstreamConn) Read(p []byte) (int, error) {
+	c.idleReading.Store(true)
+	n, err := c.Conn.Read(p)
+	c.idleReading.Store(false)
+	return n, err
+}
+
+// unusable reports whether an idle connection can't be used again: the upstream has closed it, or has sent more than the
+// answers to its requests, which the library would take for the next answer.
+func (c *upstreamConn) unusable() bool {
+	bytes, end := pending(c.Conn)
+	return bytes || end || !c.idleReading.Load()
+}
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -10,7 +10,6 @@
 	"net/url"
 	"slices"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"mosslead/balancer"
@@ -19,12 +18,12 @@
 
 const (
 	maxHeader           = 16 << 10
-	replacedIdleTimeout = 500 * time.Millisecond // for the last requests that clients bring to a process that is replaced
-	idleFraction        = 0.6                    // idle connections are retired after this part of the time after which upstreams close them
-	minIdleBeforeReuse  = 10 * time.Millisecond  // before a connection is used again: a second answer may follow the first by some milliseconds
+	replacedIdleTimeout = 500 * time.Millisecond // of idle connections while this process is replaced, for the last requests
+	idleFraction        = 0.6                    // of the upstreams' idle time-out, after which idle connections are closed
+	minIdleBeforeReuse  = 10 * time.Millisecond  // of a connection: a second answer may follow the first by milliseconds
 )
 
-// upstreamPool carries out attempts, over connections that carry one request at a time.
+// upstreamPool makes attempts, over connections that carry one request at a time. Safe for concurrent use.
 type upstreamPool struct {
 	directory  *endpointDirectory
 	dial       dialer
@@ -33,12 +32,12 @@
 
 	mu           sync.Mutex
 	times        connTimeouts
-	maxConns     int  // connections
-	retainsIdle  bool // not once another process accepts the clients
-	open         int
+	maxConns     int
+	retainsIdle  bool            // false once another process accepts the clients
+	open         int             // connections
 	opened       int             // since the last line of statistics
 	idle         []*upstreamConn // the one idle for longest first
-	awaitingLate []*upstreamConn // connections with an answer that nobody waits for; the oldest first
+	awaitingLate []*upstreamConn // with an answer outstanding that no request waits for; the oldest first
 }
 
 func newUpstreamPool(c *Config, clk clock, bound int) *upstreamPool {
@@ -49,14 +48,14 @@
 	return u
 }
 
-// connTimeouts are the settings' times of connections.
+// connTimeouts are the time-outs of connections, from the settings.
 type connTimeouts struct {
 	connect time.Duration
 	idle    time.Duration // after which a connection is closed
-	late    time.Duration // for how long a connection waits for a late answer, or for a stalled one
+	late    time.Duration // for a late answer, and for one write
 }
 
-// updateSettings applies other settings, for what begins from now on.
+// updateSettings applies other settings to connections and attempts that start from now on.
 func (u *upstreamPool) updateSettings(s wire.Settings) {
 	t := connTimeouts{connect: s.ConnectTimeout, idle: time.Duration(float64(s.ConnIdle) * idleFraction)}
 	for _, class := range s.Classes {
@@ -67,27 +66,6 @@
 	u.times = t
 }
 
-// upstreamConn is one connection. It watches its own writes: the HTTP library reports a request as written
-// while it is still in a buffer.
-type upstreamConn struct {
-	net.Conn
-	http       *http.ClientConn
-	name       string
-	address    endpointAddress
-	retire     *time.Timer
-	uses       int       // requests that it was acquired for
-	releasedAt time.Time // when it was last released
-	closed     bool      // under the pool's lock
-
-	writeTimeout   time.Duration // for a write
-	allowed        func() error  // why the next request may not be written any more; nil: it may
-	firstByteSent  atomic.Bool   // its first byte was
-	disallowed     atomic.Bool   // the request was not written
-	requestEncoded atomic.Bool   // completely, as far as the library knows
-	writeFailed    atomic.Bool   // so the last byte was not written
-	idleReading    atomic.Bool   // the library waits for bytes, and has none left over from what it read before
-}
-
 // errAnswered ends an attempt whose request has its final answer: no other attempt will follow.
 var errAnswered = errors.New("the request has its final answer")
 
@@ -99,40 +77,6 @@
 	errSaturated           = errors.New("all upstream connections that the limits allow are busy")
 )
 
-// Write checks once more whether the request may still go. It guards against attempts that begin although,
-// since the decision, the upstream began to drain, the client left, the time for a retry ran out or the
-// connection ended: while the connection was made, say.
-func (c *upstreamConn) Write(p []byte) (int, error) {
-	if !c.firstByteSent.Swap(true) {
-		if err := c.allowed(); err != nil {
-			c.disallowed.Store(true)
-			return 0, err
-		}
-	}
-	_ = c.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // can't fail on an open connection
-	n, err := c.Conn.Write(p)
-	if err != nil {
-		c.writeFailed.Store(true)
-	}
-	return n, err
-}
-
-// Read notes when the library has read all that came, and waits for more.
-func (c *upstreamConn) Read(p []byte) (int, error) {
-	c.idleReading.Store(true)
-	n, err := c.Conn.Read(p)
-	c.idleReading.Store(false)
-	return n, err
-}
-
-// unusable tells whether a connection can't be used again: its other side has closed it, or sent more than
-// the answers to its requests, which the library would take for the next answer. Called with no request on
-// it.
-func (c *upstreamConn) unusable() bool {
-	bytes, end := pending(c.Conn)
-	return bytes || end || !c.idleReading.Load()
-}
-
 // attemptReply is how an attempt ended; the rest belongs to an answer.
 type attemptReply struct {
 	result        balancer.Result
@@ -147,8 +91,8 @@
 	abandon func() // closes the connection, which still waits for the answer; nil: it does not
 }
 
-// attempt sends a request to an upstream once, and waits for its end or that of ctx. From the clock time before on, where that
-// is above 0, it does not begin.
+// attempt sends a request to an upstream once, and blocks until the attempt or ctx ends. It does not begin at or after the
+// clock time before, if that is above 0.
 func (u *upstreamPool) attempt(ctx context.Context, name string, r *clientRequest, before time.Duration) attemptReply {
 	c, failure := u.connFor(ctx, name, r, before)
 	if c == nil {
@@ -177,7 +121,7 @@
 		if ended.rest == nil {
 			return ended
 		}
-		ended.drop() // it began just too late
+		ended.drop() // the answer began just after ctx ended
 		return rep
 	}
 	close(x.abandoned)
@@ -185,7 +129,7 @@
 	return rep
 }
 
-// connFor is a connection on which the attempt may begin, an idle or a new one; nil: failure says why there is none.
+// connFor returns an idle or a new connection on which the attempt may begin; nil: failure says why there is none.
 func (u *upstreamPool) connFor(ctx context.Context, name string, r *clientRequest, before time.Duration) (c *upstreamConn, failure attemptReply) {
 	at, ok := u.directory.address(name)
 	if !ok {
@@ -196,21 +140,21 @@
 	}
 	c, err := u.connect(ctx, name, at)
 	switch {
-	case errors.Is(err, errSaturated): // says nothing of the upstream
+	case errors.Is(err, errSaturated): // not a failure of the upstream
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
 		return nil, attemptReply{result: balancer.Cancelled, err: err}
 	case err != nil:
 		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
 	}
-	if err := u.canBegin(ctx, c, r, before); err != nil { // connecting took its time; others can use the connection
+	if err := u.canBegin(ctx, c, r, before); err != nil { // no longer, after the connecting; another request can use c
 		u.release(c)
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	}
 	return c, failure
 }
 
-// canBegin tells why an attempt may not begin, or no longer; nil: it may.
+// canBegin returns why an attempt may not, or no longer, begin; nil: it may.
 func (u *upstreamPool) canBegin(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
@@ -227,15 +171,15 @@
 	return nil
 }
 
-// timedOut tells whether ctx ended because its time is over; that of a request whose body comes slowly is set
-// late, see dispatcher.onBodyComplete.
+// timedOut reports whether ctx ended by its deadline. (That of a request whose body arrives slowly is a cause set by
+// dispatcher.onBodyComplete.)
 func timedOut(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-// awaitLateAnswer lets a connection wait for an answer that nobody else waits for, so that it can be used
-// again: the upstream works on it all the same, and the first request on a new connection would pay for a
-// handshake with time that it may not have. Only for a request that was sent completely.
+// awaitLateAnswer keeps a connection open for an answer that its request no longer waits for, so that it can be used again:
+// the first request on a new connection would have to wait for the handshake. It returns false if the connection can't be
+// kept, for instance because the request was not sent completely.
 func (u *upstreamPool) awaitLateAnswer(exchangeCtx context.Context, c *upstreamConn, end context.CancelFunc) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -248,7 +192,7 @@
 	return true
 }
 
-// abandon closes c unless its exchange is over: it may carry another by now.
+// abandon closes c unless its exchange has ended: c may carry another by now.
 func (u *upstreamPool) abandon(exchangeCtx context.Context, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -257,8 +201,8 @@
 	}
 }
 
-// connect opens a connection. At the limit it closes the oldest that waits for a late answer, or the one idle
-// for longest, instead of failing.
+// connect opens a connection. At the limit it first closes the oldest that waits for a late answer, or the one idle for
+// longest; it fails with errSaturated if there is none.
 func (u *upstreamPool) connect(ctx context.Context, name string, at endpointAddress) (*upstreamConn, error) {
 	u.mu.Lock()
 	for u.open >= u.maxConns {
@@ -284,11 +228,11 @@
 		protocols.SetHTTP1(true)
 		transport := &http.Transport{
 			DialContext:            func(context.Context, string, string) (net.Conn, error) { return c, nil },
-			DisableCompression:     true, // bodies go through as they are
+			DisableCompression:     true, // bodies are passed on unchanged
 			MaxResponseHeaderBytes: maxHeader,
 			Protocols:              &protocols,
 		}
-		// A ClientConn never sends a request twice, as a Transport does on connections that it reuses.
+		// A ClientConn never sends a request twice; a Transport retries on connections that it reuses.
 		if c.http, err = transport.NewClientConn(ctx, "http", at.address); err == nil {
 			return c, nil
 		}
@@ -300,8 +244,8 @@
 	return nil, fmt.Errorf("connecting to %s: %w", name, err)
 }
 
-// acquire returns the upstream's connection that was used last, or nil. One that is unusable is closed; one
-// that was released a moment ago is left, as a second answer may still come on it.
+// acquire returns the idle connection to the upstream that was used last, or nil. It closes unusable ones, and leaves those
+// released less than minIdleBeforeReuse ago.
 func (u *upstreamPool) acquire(name string, at endpointAddress) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -319,6 +263,7 @@
 	return nil
 }
 
+// release makes c idle, or closes it if it can't be used again.
 func (u *upstreamPool) release(c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -342,21 +287,22 @@
 	}
 }
 
+// discard closes c.
 func (u *upstreamPool) discard(c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.closeLocked(c)
 }
 
-// limit bounds the connections anew.
+// limit sets the limit of connections.
 func (u *upstreamPool) limit(bound int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.maxConns = max(bound, 1)
 }
 
-// setRetention says whether idle connections are kept. Where not, none is opened beyond those that there are, each ends with
-// its next request, and those that get none within replacedIdleTimeout end then.
+// setRetention sets whether idle connections are kept, and the limit of connections. If they are not kept, none is opened
+// beyond the present number, and each is closed after its next request or after replacedIdleTimeout.
 func (u *upstreamPool) setRetention(on bool, bound int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -370,13 +316,14 @@
 	}
 }
 
+// count returns the number of open connections.
 func (u *upstreamPool) count() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.open
 }
 
-// drop closes an upstream's idle connections; those in use end with what they carry, see put.
+// drop closes an upstream's idle connections; release closes those in use.
 func (u *upstreamPool) drop(name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -388,12 +335,12 @@
 	})
 }
 
+// endLateWait takes c off awaitingLate, with mu held.
 func (u *upstreamPool) endLateWait(c *upstreamConn) {
 	u.awaitingLate = slices.DeleteFunc(u.awaitingLate, func(x *upstreamConn) bool { return x == c })
 }
 
-// closeLocked is called with mu held. A connection that is closed while it waits for a late answer is closed
-// again when the wait ends, to no effect.
+// closeLocked closes c, with mu held. A second call, as at the end of a wait for a late answer, has no effect.
 func (u *upstreamPool) closeLocked(c *upstreamConn) {
 	if c.closed {
 		return
@@ -407,12 +354,12 @@
 	u.open--
 }
 
-// clientGone tells whether r's client has left, as far as can be seen now.
+// clientGone reports whether r's client is known to have disconnected.
 func (r *clientRequest) clientGone() bool { return r.disconnected != nil && r.disconnected() }
 
-// outgoing is the request as an upstream gets it.
+// outgoing returns the request as it is sent to an upstream.
 func (r *clientRequest) outgoing(ctx context.Context, address string) *http.Request {
-	// Opaque keeps path and query byte for byte.
+	// Opaque passes path and query on byte for byte.
 	req := &http.Request{Method: r.method, URL: &url.URL{Scheme: "http", Host: address, Opaque: r.target},
 		Host: r.host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.header.Clone()}
 	if r.body.length != 0 {
@@ -421,7 +368,7 @@
 	return req.WithContext(ctx)
 }
 
-// connectionStats is the pool's state, for the line of counts.
+// connectionStats returns the pool's state for the line of counts, and restarts the count of opened connections.
 func (u *upstreamPool) connectionStats() slog.Attr {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -15,40 +15,41 @@
 
 const (
 	maxList          = 4 << 20                // bytes of one message
-	baseRewatchDelay = 250 * time.Millisecond // where lists are pushed: the wait before an agent that ended a watch is asked again
-	maxRewatchDelay  = 2 * time.Second        // what it has binds, whether or not it is asked
-	// Where the list comes only to those who ask, a call is work, and discovery works through calls in turn: it gets twice
-	// as long to answer, and after two the balancer decides when to ask again. Of watch.Told, at the longest:
+	baseRewatchDelay = 250 * time.Millisecond // between watches, where lists are pushed
+	maxRewatchDelay  = 2 * time.Second        // to which that grows
+	// subscribeStep and subscribeCalls are for discovery on demand, which answers calls in turn: a call gets longer to be
+	// answered, and after subscribeCalls the balancer decides when to subscribe again. They keep the bound of watch.Told;
+	// the longest case:
 	//
-	//	the last call before the return is never answered     2.5 s (a connection that never comes up: as long at the most)
-	//	the balancer waits                                      3.0 s (balancer's askMax, and half as much by chance)
-	//	connecting, and one list from an agent that has it    0.5 s are left
+	//	the last call before discovery returns is unanswered    2.5 s (also a connection that is never established)
+	//	the back-off of the balancer                            3.0 s (balancer's maxPollBackoff, with jitter)
+	//	left for connecting and one list                        0.5 s
 	//
-	// Refused, reset, ended, an error or a spoilt list are over at once, so that the balancer's wait is all. A move does not wait
-	// for the balancer: see turned.
+	// A call that is refused, reset or answered by an error or a malformed list ends at once, so that only the back-off
+	// counts. A change of the address does not wait for the back-off: see awaitSubscribe.
 	subscribeStep  = watch.Silence
 	subscribeCalls = 2
 )
 
-// watcher follows discovery. Each watch has a connection of its own, so that no library repeats a call by
-// itself.
+// watcher follows the list of discovery. Each watch has a connection of its own, so that the HTTP library never retries a call.
+// subscribe, move and source are safe for concurrent use; the rest belongs to the goroutine of run.
 type watcher struct {
 	dir               *endpointDirectory
 	service           *settingsFollower // nil: only the list is requested
 	client            *http.Client
-	index             int64
+	index             int64 // revision of the list
 	report            func(balancer.EndpointUpdate)
-	subscribeRequests chan struct{} // holds one: the balancer asked for a watch
-	addressChanges    chan struct{} // holds one: discovery has moved
+	subscribeRequests chan struct{} // has a buffer of one: the balancer subscribes
+	addressChanges    chan struct{} // has a buffer of one: the address has changed
 
 	mu                 sync.Mutex
 	address            string
-	endWatch           context.CancelCauseFunc // ends the watch of the address in use; nil: none is open
-	continuesElsewhere bool                    // that watch continues at another address by itself, unless that is of several replicas
+	endWatch           context.CancelCauseFunc // ends the watch at the present address; nil: none is open
+	continuesElsewhere bool                    // that watch moves to another address by itself, unless that is one of several replicas
 }
 
-// errMoved ends a watch that can't go on from an address that is discovery's no longer. It is no failure: the list stands, and
-// another watch begins at the new address.
+// errMoved is the cause that ends a watch because the address has changed. It is not a failure: the list stays in use, and
+// another watch starts at the new address.
 var errMoved = errors.New("discovery has moved")
 
 func newWatcher(c *Config, dir *endpointDirectory, report func(balancer.EndpointUpdate)) *watcher {
@@ -68,7 +69,7 @@
 	return w
 }
 
-// subscribe starts a watch. It does not block: the balancer asks again only once it has been told of a failure.
+// subscribe starts a watch. It does not block; the balancer calls it again only after a failure has been reported.
 func (w *watcher) subscribe() {
 	select {
 	case w.subscribeRequests <- struct{}{}:
@@ -76,7 +77,7 @@
 	}
 }
 
-// move goes on with the watch at another address.
+// move continues the watch at another address.
 func (w *watcher) move(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,35 +94,37 @@
 	}
 }
 
-// source is the address of discovery.
+// source returns the address of discovery.
 func (w *watcher) source() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.address
 }
 
-// currentAddress is the address of discovery, and a context that ends when the watch there can't go on at the next one.
+// currentAddress returns the address of discovery, and a context that ends when the watch there has to end for another
+// address.
 func (w *watcher) currentAddress(ctx context.Context) (address string, at context.Context, end context.CancelCauseFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at, w.endWatch = context.WithCancelCause(ctx)
 	select {
-	case <-w.addressChanges: // it is known here
+	case <-w.addressChanges: // the present address is returned
 	default:
 	}
 	return w.address, at, w.endWatch
 }
 
-// setContinues says whether the watch that is open goes on at another address by itself, see Follower.Moved.
+// setContinues sets whether the open watch moves to another address by itself, see watch.Follower.AddressChanged.
 func (w *watcher) setContinues(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.continuesElsewhere = on
 }
 
-// run watches until ctx ends. Where the balancer asks for the list, it also decides when to ask again once that has failed.
+// run watches until ctx ends. With onDemand, each watch starts when the balancer subscribes, which also decides when to try
+// again after a failure.
 func (w *watcher) run(ctx context.Context, onDemand bool) {
-	standing := false // a watch that the balancer asked for goes on elsewhere
+	standing := false // the watch continues at another address, without a call of subscribe
 	for ctx.Err() == nil {
 		if onDemand && !standing && !w.awaitSubscribe(ctx) {
 			return
@@ -140,8 +143,9 @@
 	}
 }
 
-// awaitSubscribe waits until the balancer asks for a watch; false: ctx ended before. The module waits after a failure, which says
-// nothing of another address: once discovery has moved it is given the list that it has, at which it asks at once.
+// awaitSubscribe blocks until the balancer subscribes; it returns false if ctx ended first. The back-off of the balancer after
+// a failure does not hold for another address: after a change it is handed the cached list, upon which it subscribes at
+// once.
 func (w *watcher) awaitSubscribe(ctx context.Context) bool {
 	for {
 		select {
@@ -155,7 +159,7 @@
 	}
 }
 
-// watch follows the list, at one address at a time, until ctx ends or, where the balancer asks, until it can't.
+// watch follows the list, at one address at a time, until ctx ends or, on demand, until subscribeCalls have failed.
 func (w *watcher) watch(ctx context.Context, onDemand bool) {
 	w.setContinues(true)
 	defer w.setContinues(false)
@@ -172,7 +176,7 @@
 		},
 		Revision: func() int64 { return w.index },
 		Apply: func(_ string, l *listing) error {
-			if err := l.check(); err != nil { // the last good list stays, and is asked for again from its version on
+			if err := l.check(); err != nil { // the last good list stays in use, and changes are requested from its revision on
 				return fmt.Errorf("malformed list: %w", err)
 			}
 			wait = baseRewatchDelay
