--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -5,7 +5,7 @@
 const (
 	meanWeight    = 0.02 // weight of a new sample in means of many: about the last 50
 	sparseWeight  = 0.05 // the same where samples are few: one kind of machine, hedged requests
-	hedgeQuantile = 0.8  // an attempt that is out for longer than this quantile is hedged
+	hedgeQuantile = 0.8  // an attempt pending for longer than this quantile is hedged
 
 	minWork, maxWork = 0.25, 8.0 // bounds on expected work
 
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -50,8 +50,8 @@
 	anyHealth
 )
 
-// candidates are the endpoints of the subset that meet the requirement, local and remote ones. They are valid
-// until the next call.
+// candidates are the endpoints of the subset that meet the requirement, local and remote ones. They are
+// valid until the next call.
 func (b *Balancer) candidates(r *request, required requirement) (local, remote []*endpoint) {
 	local, remote = b.localCandidates[:0], b.remoteCandidates[:0]
 	size := b.subsetSize()
@@ -81,10 +81,10 @@
 	return true
 }
 
-// powerOfTwoChoices returns the one of lower cost of two distinct random candidates; nil: there is none. In a
-// large fleet they are drawn in proportion to their stated weight. There each of many sidecars has next to
-// nothing pending anywhere, and small endpoints would get as much as large ones until they are congested. A
-// few sidecars see that in their pending counts.
+// powerOfTwoChoices returns the one of lower cost of two distinct random candidates; nil: there is none. In
+// a large fleet they are drawn in proportion to their stated weight. There each of many sidecars has next
+// to nothing pending anywhere, and small endpoints would get as much as large ones until they are
+// congested. A few sidecars see that in their pending counts.
 func (b *Balancer) powerOfTwoChoices(from []*endpoint) *endpoint {
 	switch len(from) {
 	case 0:
@@ -130,9 +130,9 @@
 	return drawn
 }
 
-// cost is peak EWMA latency x (pending attempts + 1). An estimate that gets old tends to the mean of its kind
-// of machine, not to nothing: an idle endpoint is not a fast one. An attempt that is out counts as long as it
-// has been out at least, which guards against endpoints that stopped answering.
+// cost is peak EWMA latency x (pending attempts + 1). An estimate that gets old tends to the mean of its
+// kind of machine, not to nothing: an idle endpoint is not a fast one. A pending attempt counts with the
+// time that it has taken so far, which guards against endpoints that stopped answering.
 func (b *Balancer) cost(ep *endpoint) float64 {
 	w := ep.latency.weight(b.now, b.decayTime())
 	latency := ep.latency.value*w + *ep.machineLatency*(1-w)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -10,8 +10,8 @@
 	minRetryBudget   = 10.0 // so many at once in any case, so that a quiet sidecar can retry at all
 )
 
-// retryBudget bounds retries and hedged requests in proportion to first attempts, so that they don't multiply
-// an overload. Retries of refused connections cost nothing, and are not held to it.
+// retryBudget bounds retries and hedged requests in proportion to first attempts, so that they don't
+// multiply an overload. Retries of refused connections cost nothing, and are not held to it.
 type retryBudget struct{ tokens float64 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: minRetryBudget} }
@@ -42,8 +42,8 @@
 	return b.slowStartAllows(ep)
 }
 
-// attemptsExhausted tells whether r has had all the attempts that the settings allow, those that it came
-// under and those of now.
+// attemptsExhausted tells whether r has had all the attempts that the settings allow, both those in force
+// when it arrived and the present ones.
 func (b *Balancer) attemptsExhausted(r *request) bool {
 	return len(r.attempts) >= min(r.maxAttempts, b.settings.MaxAttempts)
 }
@@ -54,9 +54,9 @@
 	return until != 0 && (r.class.Idempotency == NotIdempotent || b.now >= until)
 }
 
-// retryAllowedUntil is the clock time at which the first byte of another attempt of r has to be out, as an
-// attempt may have run whose repeats are dropped until then only; 0: there is none. Connecting takes time:
-// what was decided in time may begin too late.
+// retryAllowedUntil is the clock time by which the first byte of another attempt of r has to be sent, since
+// an attempt may have run whose repeats are dropped only until then; 0: no attempt may have run. Connecting
+// takes time, so that an attempt decided on in time may begin too late.
 func (b *Balancer) retryAllowedUntil(r *request) time.Duration {
 	for _, a := range r.attempts { // the earliest comes first
 		if a.mayHaveRun && r.class.Idempotency != Idempotent {
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -8,7 +9,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -17,7 +17,7 @@
 	"mosslead/internal/lab/capacity/plays"
 )
 
-// capacityFleet is where the fleet ahead is, relative to the repository's root, as its measures are.
+// Default paths of the fleet's figures and of the measures, relative to the root of the repository.
 const (
 	capacityFleet    = "experiments/capacity.toml"
 	capacityMeasures = "docs/capacity"
@@ -67,7 +67,7 @@
 	return c
 }
 
-// writeCapacity is the table for people.
+// writeCapacity writes the table for people.
 func writeCapacity(w io.Writer, t *capacity.Table) {
 	_, _ = fmt.Fprintln(w, "load\tvalue\tunit")
 	for _, q := range t.Load {
@@ -160,39 +160,17 @@
 	c.RunE = func(c *cobra.Command, given []string) error {
 		var m *capacity.Measure
 		var err error
-		if !check && !slices.Contains(plays.Names(), given[0]) { // before programs are built for it
-			return usageError{fmt.Errorf("%w %q: there are %s", plays.ErrUnknown, given[0], strings.Join(plays.Names(), ", "))}
-		}
 		if check {
-			if m, err = capacity.ReadMeasure(filepath.Join(measures, given[0]+".json")); err != nil {
+			if m, err = readPrediction(measures, given[0]); err != nil {
 				return usageError{err}
 			}
-			if m.Prediction == nil {
-				return usageError{fmt.Errorf("%s: nothing was predicted", given[0])}
-			}
-		}
-		if out == "" {
-			out = filepath.Join("logs", "lab", "capacity-"+time.Now().Format("20060102-150405"))
-		}
-		if out, err = filepath.Abs(out); err != nil {
-			return err
-		}
-		if err := os.MkdirAll(out, 0o755); err != nil {
-			return fmt.Errorf("directory of the result: %w", err)
-		}
-		self, err := os.Executable()
-		if err != nil {
-			return fmt.Errorf("finding this program: %w", err)
-		}
-		root, err := build.Root(".")
-		if err != nil {
-			return usageError{err}
+		} else if !slices.Contains(plays.Names(), given[0]) { // checked before programs are built for it
+			return usageError{fmt.Errorf("%w %q: there are %s", plays.ErrUnknown, given[0], strings.Join(plays.Names(), ", "))}
 		}
-		program, from, err := build.Sidecar(c.Context(), root, out, build.Source{})
+		p, err := a.newPlayer(c.Context(), out)
 		if err != nil {
 			return err
 		}
-		p := &plays.Player{Service: []string{self, "registry", "serve"}, Sidecar: []string{program}, Dir: out, Revision: from, Progress: a.progress}
 		if check {
 			err = p.Check(c.Context(), m)
 		} else {
@@ -207,24 +185,61 @@
 		if err := m.Write(measures); err != nil {
 			return err
 		}
-		return a.print(*format, m, func(w io.Writer) {
-			_, _ = fmt.Fprintln(w, "series\tunit\tstraight in\tslope\t95%\tpredicted\tcame")
-			for _, s := range m.Series {
-				_, l, err := m.Line(s.Name)
-				if err != nil {
-					continue // Write has checked it
-				}
-				says, came := m.Prediction.Says[s.Name], "-"
-				if len(m.Checks) > 0 {
-					sum := 0.0
-					for _, x := range m.Checks {
-						sum += x.Got[s.Name]
-					}
-					came = fmt.Sprintf("%.4g", sum/float64(len(m.Checks)))
-				}
-				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g to %.4g\t%.4g (%.4g to %.4g)\t%s\n", s.Name, s.Unit, s.Form, l.Slope.Value, l.Slope.Low, l.Slope.High, says.Value, says.Low, says.High, came)
-			}
-		})
+		return a.print(*format, m, func(w io.Writer) { measureTable(w, m) })
 	}
 	return c
 }
+
+// readPrediction reads a measure that has a prediction.
+func readPrediction(measures, name string) (*capacity.Measure, error) {
+	m, err := capacity.ReadMeasure(filepath.Join(measures, name+".json"))
+	if err != nil {
+		return nil, err
+	}
+	if m.Prediction == nil {
+		return nil, fmt.Errorf("%s: nothing was predicted", name)
+	}
+	return m, nil
+}
+
+// newPlayer creates the directory of the result, builds the sidecar, and returns the player of measures.
+func (a *app) newPlayer(ctx context.Context, out string) (*plays.Player, error) {
+	dir, err := createResultDir(out, "capacity")
+	if err != nil {
+		return nil, err
+	}
+	self, err := executable()
+	if err != nil {
+		return nil, err
+	}
+	root, err := build.Root(".")
+	if err != nil {
+		return nil, usageError{err}
+	}
+	program, from, err := build.Sidecar(ctx, root, dir, build.Source{})
+	if err != nil {
+		return nil, err
+	}
+	return &plays.Player{Service: []string{self, "registry", "serve"}, Sidecar: []string{program}, Dir: dir, Revision: from, Progress: a.progress}, nil
+}
+
+// measureTable writes a measure for people.
+func measureTable(w io.Writer, m *capacity.Measure) {
+	_, _ = fmt.Fprintln(w, "series\tunit\tstraight in\tslope\t95%\tpredicted\tcame")
+	for _, s := range m.Series {
+		_, l, err := m.Line(s.Name)
+		if err != nil {
+			continue // Write has checked it
+		}
+		predicted, measured := m.Prediction.Says[s.Name], "-"
+		if len(m.Checks) > 0 {
+			sum := 0.0
+			for _, x := range m.Checks {
+				sum += x.Got[s.Name]
+			}
+			measured = fmt.Sprintf("%.4g", sum/float64(len(m.Checks)))
+		}
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g to %.4g\t%.4g (%.4g to %.4g)\t%s\n", s.Name, s.Unit, s.Form, l.Slope.Value, l.Slope.Low, l.Slope.High,
+			predicted.Value, predicted.Low, predicted.High, measured)
+	}
+}
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -10,7 +10,6 @@
 	"slices"
 	"strings"
 	"text/tabwriter"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -21,7 +20,8 @@
 	"mosslead/internal/lab/report"
 )
 
-const threadsEach = 4 // threads of the laboratory that run at once, for each processor
+// threadsEach is the laboratory's GOMAXPROCS for each processor.
+const threadsEach = 4
 
 func (a *app) lab() *cobra.Command {
 	c := group(&cobra.Command{
@@ -36,12 +36,11 @@
 }
 
 func (a *app) labRun() *cobra.Command {
-	var out string
+	var out, format string
 	var seeds []uint
 	var repeats int
 	var variants []string
 	var keep bool
-	var format string
 	c := &cobra.Command{
 		Use:   "run EXPERIMENT.toml",
 		Short: "Play an experiment and report on it",
@@ -60,28 +59,19 @@
 			if format != "table" && format != "json" {
 				return usageError{fmt.Errorf("-o: %q is neither table nor json", format)}
 			}
-			if out == "" {
-				out = filepath.Join("logs", "lab", e.Name+"-"+time.Now().Format("20060102-150405"))
-			}
-			// With more threads than processors, one that the kernel has set aside holds up fewer of the clients.
+			dir := resultDir(out, e.Name)
+			// With more threads than processors, one that the kernel has descheduled delays fewer of the clients.
 			runtime.GOMAXPROCS(threadsEach * runtime.NumCPU())
-			self, err := os.Executable()
+			self, err := executable()
 			if err != nil {
-				return fmt.Errorf("finding this program: %w", err)
+				return err
 			}
-			r, err := campaign.Run(c.Context(), e, campaign.Options{Dir: out, Self: []string{self, "lab", "naive"},
+			r, err := campaign.Run(c.Context(), e, campaign.Options{Dir: dir, Self: []string{self, "lab", "naive"},
 				Replica: []string{self, "registry", "serve", "--config"}, KeepLogs: keep, Log: a.log, Progress: a.progress})
 			if r != nil {
-				if format == "json" {
-					enc := json.NewEncoder(a.out)
-					enc.SetIndent("", " ")
-					if err := enc.Encode(map[string]any{"medians": r.Medians, "expects": r.Expects, "partial": r.Partial, "dir": out}); err != nil {
-						return err
-					}
-				} else {
-					a.table(r)
+				if err := a.writeResult(r, format, dir); err != nil {
+					return err
 				}
-				_, _ = fmt.Fprintf(a.err, "report: %s\n", filepath.Join(out, "index.html"))
 			}
 			if err != nil {
 				return err
@@ -101,7 +91,22 @@
 	return c
 }
 
-// narrow changes what is played as the flags want it.
+// writeResult writes the result of an experiment in the format, and says where its report is.
+func (a *app) writeResult(r *report.Result, format, dir string) error {
+	if format == "json" {
+		enc := json.NewEncoder(a.out)
+		enc.SetIndent("", " ")
+		if err := enc.Encode(map[string]any{"medians": r.Medians, "expects": r.Expects, "partial": r.Partial, "dir": dir}); err != nil {
+			return err
+		}
+	} else {
+		a.table(r)
+	}
+	_, _ = fmt.Fprintf(a.err, "report: %s\n", filepath.Join(dir, "index.html"))
+	return nil
+}
+
+// narrow applies the flags to what is played.
 func narrow(e *experiment.Experiment, seeds []uint, repeats int, variants []string) error {
 	if len(seeds) > 0 {
 		e.Seeds = nil
@@ -140,7 +145,7 @@
 	}
 }
 
-// table prints a result for people.
+// table writes a result for people.
 func (a *app) table(r *report.Result) {
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintf(w, "%s\t%s\n", "figure", strings.Join(r.Variants, "\t"))
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -1,11 +1,10 @@
 package cli
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"log/slog"
-	"os"
-	"path/filepath"
 	"runtime"
 	"strings"
 	"time"
@@ -37,15 +36,7 @@
 		Args: args(cobra.NoArgs),
 	}
 	format := outputFlag(c)
-	c.Flags().IntVar(&spec.Hollow, "hollow", 1800, "hollow sidecars")
-	c.Flags().IntVar(&spec.Real, "real", 12, "real sidecars, one in six of them without clients")
-	c.Flags().IntVar(&spec.Replicas, "replicas", 3, "replicas of the list service, of each region")
-	c.Flags().StringSliceVar(&spec.Days, "days", []string{"steady", "wave", "restarts", "rack", "zone", "leader", "return", "cut", "slow"}, "days, in this order but for cut and slow, which come last: they need two regions")
-	c.Flags().UintSliceVar(&seeds, "seeds", []uint{1}, "each plays all days")
-	c.Flags().DurationVar(&spec.Length, "length", time.Minute, "of the steady day and of the wave")
-	c.Flags().DurationVar(&spec.Lease, "lease", 10*time.Second, "of upstreams")
-	c.Flags().DurationVar(&spec.Cut, "cut", 3*time.Minute, "how long regions are apart on that day")
-	c.Flags().BoolVar(&spec.Compare, "compare", true, "hold hollow ones against real ones, for eight leases after the steady day")
+	scaleFlags(c, &spec, &seeds)
 	c.Flags().StringVar(&out, "out", "", "directory of result.json, delays.svg and logs (logs/lab/scale-TIME)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		for _, s := range seeds {
@@ -54,34 +45,18 @@
 		if err := spec.Check(); err != nil {
 			return usageError{err}
 		}
-		if *format != "table" && *format != "json" { // now, and not after minutes
+		if *format != "table" && *format != "json" { // checked now, and not after minutes
 			return usageError{fmt.Errorf("--output: table or json, not %q", *format)}
 		}
-		self, err := os.Executable()
-		if err != nil {
-			return fmt.Errorf("finding this program: %w", err)
-		}
-		if out == "" {
-			out = filepath.Join("logs", "lab", "scale-"+time.Now().Format("20060102-150405"))
-		}
-		if spec.Dir, err = filepath.Abs(out); err != nil {
+		var err error
+		if spec.Dir, err = createResultDir(out, "scale"); err != nil {
 			return err
 		}
-		if err := os.MkdirAll(spec.Dir, 0o755); err != nil {
-			return fmt.Errorf("directory of the result: %w", err)
-		}
-		root, err := build.Root(".")
-		if err != nil {
-			return usageError{err}
-		}
-		program, from, err := build.Sidecar(c.Context(), root, spec.Dir, build.Source{})
-		if err != nil {
+		if err := a.preparePrograms(c.Context(), &spec); err != nil {
 			return err
 		}
-		spec.Service, spec.Host, spec.Sidecar = []string{self, "registry", "serve"}, []string{self, "lab", "hollow"}, []string{program}
-		spec.Revision = from
 		spec.Progress = a.progress
-		// With more threads than processors, one that the kernel has set aside holds up fewer of the rest.
+		// With more threads than processors, one that the kernel has descheduled delays fewer of the rest.
 		runtime.GOMAXPROCS(threadsEach * runtime.NumCPU())
 		r, err := scale.Run(c.Context(), spec)
 		if r != nil && len(r.Plays) > 0 {
@@ -101,10 +76,53 @@
 	return c
 }
 
+// scaleFlags adds the flags for what is played.
+func scaleFlags(c *cobra.Command, spec *scale.Spec, seeds *[]uint) {
+	c.Flags().IntVar(&spec.Hollow, "hollow", 1800, "hollow sidecars")
+	c.Flags().IntVar(&spec.Real, "real", 12, "real sidecars, one in six of them without clients")
+	c.Flags().IntVar(&spec.Replicas, "replicas", 3, "replicas of the list service, of each region")
+	c.Flags().StringSliceVar(&spec.Days, "days", []string{"steady", "wave", "restarts", "rack", "zone", "leader", "return", "cut", "slow"}, "days, in this order but for cut and slow, which come last: they need two regions")
+	c.Flags().UintSliceVar(seeds, "seeds", []uint{1}, "each plays all days")
+	c.Flags().DurationVar(&spec.Length, "length", time.Minute, "of the steady day and of the wave")
+	c.Flags().DurationVar(&spec.Lease, "lease", 10*time.Second, "of upstreams")
+	c.Flags().DurationVar(&spec.Cut, "cut", 3*time.Minute, "how long regions are apart on that day")
+	c.Flags().BoolVar(&spec.Compare, "compare", true, "hold hollow ones against real ones, for eight leases after the steady day")
+}
+
+// preparePrograms builds the sidecar, and sets the commands of a scale run.
+func (a *app) preparePrograms(ctx context.Context, spec *scale.Spec) error {
+	self, err := executable()
+	if err != nil {
+		return err
+	}
+	root, err := build.Root(".")
+	if err != nil {
+		return usageError{err}
+	}
+	program, from, err := build.Sidecar(ctx, root, spec.Dir, build.Source{})
+	if err != nil {
+		return err
+	}
+	spec.Service, spec.Host, spec.Sidecar = []string{self, "registry", "serve"}, []string{self, "lab", "hollow"}, []string{program}
+	spec.Revision = from
+	return nil
+}
+
+// scaleTable writes the result of a scale run for people.
 func scaleTable(w io.Writer, r *scale.Result) {
 	_, _ = fmt.Fprintf(w, "%d hollow in %d processes, %d real, %d replicas in a region; leases of %.3g s; %d processes, %d descriptors at most in one\n",
 		r.Hollow, r.Hosts, r.Real, r.Replicas, r.LeaseS, r.Processes, r.Descriptors)
 	_, _ = fmt.Fprintf(w, "not played: %s\n", r.Gossip)
+	writeDelays(w, r)
+	writeRoles(w, r)
+	writeLoad(w, r)
+	writeComparisons(w, r)
+	writeFindings(w, r)
+	_, _ = fmt.Fprintln(w)
+}
+
+// writeDelays writes the verdict of each day, and how late changes were in force.
+func writeDelays(w io.Writer, r *scale.Result) {
 	_, _ = fmt.Fprintln(w, "\nday\tseed\tverdicts\tcause\tchanges\tcounted\tp50 ms\tp99 ms\tlongest ms")
 	for _, p := range r.Plays {
 		word := "held"
@@ -119,6 +137,10 @@
 			word = ""
 		}
 	}
+}
+
+// writeRoles writes what the processes of each role used.
+func writeRoles(w io.Writer, r *scale.Result) {
 	_, _ = fmt.Fprintln(w, "\nWhat a process spends is judged where it ran for the whole day; one that was restarted began with a whole list, and is in the means")
 	_, _ = fmt.Fprintln(w, "and mosts below. Hollow ones have an even part of their host, with the gates that count; processor time and memory are judged on")
 	_, _ = fmt.Fprintln(w, "real ones without load. Real ones are seen at their door, late by 200 ms at the most.")
@@ -129,6 +151,10 @@
 				x.UpS, x.DownS, x.UpMsgsS, x.DownMsgsS, x.KB, x.MostKB, 100*x.CPU, 100*x.MostCPU)
 		}
 	}
+}
+
+// writeLoad writes the requests that were served, also inside regions.
+func writeLoad(w io.Writer, r *scale.Result) {
 	_, _ = fmt.Fprintln(w, "\nday\tseed\tin s\tMB of all\trequests beside\tserved")
 	for _, p := range r.Plays {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%d\t%d\n", p.Day, p.Seed, p.Seconds, p.MemoryMB, p.Load.Sent, p.Load.Served)
@@ -139,12 +165,20 @@
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Day, x.Region, p.Seed, x.Before.Sent, x.Before.Served, x.During.Sent, x.During.Served, x.Outside)
 		}
 	}
+}
+
+// writeComparisons writes the comparison of hollow with real sidecars.
+func writeComparisons(w io.Writer, r *scale.Result) {
 	_, _ = fmt.Fprintln(w, "\nhollow beside real\ta second\thollow\treal\tratio")
 	for _, p := range r.Plays {
 		for _, x := range p.Comparisons {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.3f\n", x.Phase, x.What, x.Hollow, x.Real, x.Ratio)
 		}
 	}
+}
+
+// writeFindings writes the failed verdicts and the errors.
+func writeFindings(w io.Writer, r *scale.Result) {
 	for _, p := range r.Plays {
 		for _, f := range p.Findings {
 			_, _ = fmt.Fprintf(w, "\nFAILED %s, seed %d, %s, %s: %s", p.Day, p.Seed, f.Verdict, f.Process, f.Text)
@@ -153,10 +187,9 @@
 			_, _ = fmt.Fprintf(w, "\nBROKEN OFF %s, seed %d: %s", p.Day, p.Seed, p.Error)
 		}
 	}
-	_, _ = fmt.Fprintln(w)
 }
 
-// labHollow is what the scale run starts: a host of hollow sidecars, which takes its orders from the standard input.
+// labHollow is the command that a scale run starts: a host of hollow sidecars, controlled through its standard input.
 func (a *app) labHollow() *cobra.Command {
 	return &cobra.Command{
 		Use:     "hollow",
@@ -165,7 +198,7 @@
 		Hidden:  true,
 		Args:    args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			slog.SetDefault(a.log) // what goes wrong with a sidecar, and not its counts
+			slog.SetDefault(a.log) // warnings of sidecars, without their statistics
 			return scale.Host(c.Context(), c.InOrStdin(), a.out)
 		},
 	}
--- a/internal/durable/crashfs/crashes.go
+++ b/internal/durable/crashfs/crashes.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	subsetsOf = 8   // unsynced calls of which every subset is tried; of more, as many subsets are drawn
-	everyByte = 128 // a write of up to so many bytes is torn at each of them, a longer one at its ends and
-	tears     = 12  // at so many more
+	subsetsOf = 8   // unsynced calls of which every subset is enumerated; of more calls, random subsets
+	everyByte = 128 // bytes of a write that is torn at every byte; a longer one is torn at its ends and
+	tears     = 12  // at this many random bytes
 )
 
-// Crashes calls found with each state that the disk may be in if the power went after ops[:n], for every n from 0 to
-// the number of calls. The map is found's to keep. It returns how many states there were; found returning false ends it.
+// Crashes calls found with each state in which the disk may be after a power loss behind ops[:n], for every n from 0 to the
+// number of calls, until found returns false. found owns the map. Crashes returns the number of states.
 func (f *FS) Crashes(seed uint64, found func(n int, disk map[string][]byte) bool) (states int) {
 	f.mu.Lock()
 	ops := slices.Clone(f.ops)
@@ -32,7 +32,7 @@
 	return states
 }
 
-// unsafe are the calls of which nothing says that the disk has them.
+// unsafe returns the calls that are not known to be on disk.
 func unsafe(ops []op) (at []int) {
 	for i, o := range ops {
 		switch o.kind {
@@ -49,7 +49,7 @@
 	return at
 }
 
-// subsets gives all subsets of a few calls, and of many none, all, and some that are drawn.
+// subsets returns all subsets of a few calls; of many, the empty one, the full one, and random ones.
 func subsets(of []int, rng *rand.Rand) (all [][]int) {
 	pick := func(mask uint64) (s []int) {
 		for i, at := range of {
@@ -72,7 +72,7 @@
 	return all
 }
 
-// cuts gives the lengths at which the last write of a subset is torn; -1: it is whole.
+// cuts returns the lengths to which the last write of a subset is torn; -1: it is complete.
 func cuts(ops []op, chosen []int, rng *rand.Rand) []int {
 	last := lastWrite(ops, chosen)
 	if last < 0 {
@@ -103,7 +103,8 @@
 	return last
 }
 
-// disk is what is found: all that is safe, and of what is not (open) what was chosen, its last write cut to tear bytes.
+// disk returns the files after a crash: all durable calls and the chosen ones of the others (open), the last write cut to
+// tear bytes.
 func disk(ops []op, open, chosen []int, tear int) map[string][]byte {
 	last := lastWrite(ops, chosen)
 	content := map[int][]byte{}
--- a/internal/durable/crashfs/crashfs.go
+++ b/internal/durable/crashfs/crashfs.go
@@ -1,9 +1,9 @@
-// Package crashfs owns a file system in memory on which the power can go at any moment: it keeps what every call did,
-// and gives every state that a disk may be found in afterwards. It can also fail calls, fill up and turn read-only.
+// Package crashfs implements durable.FS in memory, with simulated power loss: it records every call, and enumerates the
+// states in which a disk may be found after a crash. It can also fail calls, run out of space and turn read-only.
 //
-// What a disk keeps: the content of a file as of its last sync, and of what was written since any part, in any order,
-// the last chunk torn at any byte; the names as of the directory's last sync, and of the changes since any part. That
-// is more than a journalling file system loses.
+// After a crash a file has the content of its last sync and any subset of the writes since, in any order, the last one torn
+// at any byte; the directory has the names of its last sync and any subset of the changes since. That is more loss than a
+// journalling file system allows.
 package crashfs
 
 import (
@@ -16,14 +16,14 @@
 	"mosslead/internal/durable"
 )
 
-// FS is the file system; it implements durable.FS.
+// FS implements durable.FS. Safe for concurrent use.
 type FS struct {
 	mu       sync.Mutex
 	ops      []op
 	files    map[string]*inode // as the process sees it
 	inodes   int
 	fail     func(call string, name string) error
-	room     int // bytes that may still be written; below 0: any number
+	space    int // bytes that may still be written; below 0: any number
 	readOnly bool
 }
 
@@ -43,7 +43,7 @@
 	syncDir
 )
 
-// op is a call that changed something.
+// op is a recorded call that changed something.
 type op struct {
 	kind     kind
 	name, to string
@@ -52,10 +52,10 @@
 	data     []byte
 }
 
-// New is an empty file system.
-func New() *FS { return &FS{files: map[string]*inode{}, room: -1} }
+// New returns an empty file system.
+func New() *FS { return &FS{files: map[string]*inode{}, space: -1} }
 
-// From is a file system that holds these files, all of them safe.
+// From returns a file system that holds these files, all of them durable.
 func From(state map[string][]byte) *FS {
 	f := New()
 	for name, data := range state {
@@ -65,20 +65,20 @@
 	return f
 }
 
-// Fail lets calls fail: before each one fail is asked with its name (create, write, sync, close, rename, remove,
-// syncdir, list, open) and the file's. A write that fails has written a part.
+// Fail sets a function that is called before each call, with the call's name (create, write, sync, close, rename, remove,
+// syncdir, list, open) and the file's; if it returns an error, the call fails. A write that fails has written a part.
 func (f *FS) Fail(fail func(call, name string) error) { f.mu.Lock(); f.fail = fail; f.mu.Unlock() }
 
-// Room bounds what may still be written, in bytes; below 0 lifts the bound.
-func (f *FS) Room(bytes int) { f.mu.Lock(); f.room = bytes; f.mu.Unlock() }
+// LimitSpace sets how many more bytes can be written; a negative number lifts the limit.
+func (f *FS) LimitSpace(bytes int) { f.mu.Lock(); f.space = bytes; f.mu.Unlock() }
 
-// ReadOnly lets every call that changes something fail, or no longer.
+// ReadOnly sets whether every call that changes something fails.
 func (f *FS) ReadOnly(on bool) { f.mu.Lock(); f.readOnly = on; f.mu.Unlock() }
 
-// Ops is how many calls have changed something.
+// Ops returns the number of calls that have changed something.
 func (f *FS) Ops() int { f.mu.Lock(); defer f.mu.Unlock(); return len(f.ops) }
 
-// Files is what the process sees.
+// Files returns the files as the process sees them.
 func (f *FS) Files() map[string][]byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,8 +89,8 @@
 	return all
 }
 
-// asked tells whether a call fails; the caller holds mu.
-func (f *FS) asked(call, name string, changes bool) error {
+// failure returns the error with which a call has to fail; mu is held.
+func (f *FS) failure(call, name string, changes bool) error {
 	if f.fail != nil {
 		if err := f.fail(call, name); err != nil {
 			return &fs.PathError{Op: call, Path: name, Err: err}
@@ -106,7 +106,7 @@
 func (f *FS) Open(name string) (durable.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.asked("open", name, false); err != nil {
+	if err := f.failure("open", name, false); err != nil {
 		return nil, err
 	}
 	i := f.files[name]
@@ -120,13 +120,13 @@
 func (f *FS) Create(name string) (durable.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.asked("create", name, true); err != nil {
+	if err := f.failure("create", name, true); err != nil {
 		return nil, err
 	}
 	if f.files[name] != nil {
 		return nil, &fs.PathError{Op: "create", Path: name, Err: fs.ErrExist}
 	}
-	if f.room == 0 {
+	if f.space == 0 {
 		return nil, &fs.PathError{Op: "create", Path: name, Err: syscall.ENOSPC}
 	}
 	f.inodes++
@@ -140,7 +140,7 @@
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.asked("rename", from, true); err != nil {
+	if err := f.failure("rename", from, true); err != nil {
 		return err
 	}
 	i := f.files[from]
@@ -157,7 +157,7 @@
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.asked("remove", name, true); err != nil {
+	if err := f.failure("remove", name, true); err != nil {
 		return err
 	}
 	if f.files[name] != nil {
@@ -171,7 +171,7 @@
 func (f *FS) List() (names []string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.asked("list", "", false); err != nil {
+	if err := f.failure("list", "", false); err != nil {
 		return nil, err
 	}
 	for name := range f.files {
@@ -185,14 +185,14 @@
 func (f *FS) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.asked("syncdir", "", false); err != nil {
+	if err := f.failure("syncdir", "", false); err != nil {
 		return err
 	}
 	f.ops = append(f.ops, op{kind: syncDir})
 	return nil
 }
 
-// file is an open file.
+// file implements durable.File.
 type file struct {
 	f     *FS
 	inode *inode
@@ -203,7 +203,7 @@
 func (o *file) Read(p []byte) (int, error) {
 	o.f.mu.Lock()
 	defer o.f.mu.Unlock()
-	if err := o.f.asked("read", o.name, false); err != nil {
+	if err := o.f.failure("read", o.name, false); err != nil {
 		return 0, err
 	}
 	if o.at >= len(o.inode.data) {
@@ -217,16 +217,16 @@
 func (o *file) Write(p []byte) (int, error) {
 	o.f.mu.Lock()
 	defer o.f.mu.Unlock()
-	err := o.f.asked("write", o.name, true)
+	err := o.f.failure("write", o.name, true)
 	n := len(p)
 	switch {
 	case err != nil:
 		n /= 2
-	case o.f.room >= 0 && n > o.f.room:
-		n, err = o.f.room, &fs.PathError{Op: "write", Path: o.name, Err: syscall.ENOSPC}
+	case o.f.space >= 0 && n > o.f.space:
+		n, err = o.f.space, &fs.PathError{Op: "write", Path: o.name, Err: syscall.ENOSPC}
 	}
-	if o.f.room >= 0 {
-		o.f.room -= n
+	if o.f.space >= 0 {
+		o.f.space -= n
 	}
 	if n > 0 && !o.f.readOnly {
 		o.f.ops = append(o.f.ops, op{kind: write, inode: o.inode.id, offset: len(o.inode.data), data: slices.Clone(p[:n])})
@@ -235,13 +235,13 @@
 	return n, err
 }
 
-// Sync makes the content safe. One that fails has made nothing safe, and what was written is as good as forgotten: a
-// second one that succeeds does not bring it back, as on real kernels.
+// Sync implements durable.File. After a failed sync nothing is durable, and a later one that succeeds does not make the
+// earlier writes durable, as on real kernels.
 func (o *file) Sync() error {
 	o.f.mu.Lock()
 	defer o.f.mu.Unlock()
-	if err := o.f.asked("sync", o.name, false); err != nil {
-		for i := range o.f.ops { // never written: neither now nor with a later sync
+	if err := o.f.failure("sync", o.name, false); err != nil {
+		for i := range o.f.ops { // lost, also for a later sync
 			if x := &o.f.ops[i]; x.kind == write && x.inode == o.inode.id && !o.f.synced(i) {
 				x.data, x.offset = nil, -1
 			}
@@ -252,14 +252,14 @@
 	return nil
 }
 
-// synced tells whether the write at ops[i] was followed by a sync of its file.
+// synced reports whether the write at ops[i] was followed by a sync of its file.
 func (f *FS) synced(i int) bool {
 	return slices.ContainsFunc(f.ops[i:], func(x op) bool { return x.kind == syncFile && x.inode == f.ops[i].inode })
 }
 
-// Close closes the file. What was not synced stays at risk.
+// Close implements durable.File. It does not sync.
 func (o *file) Close() error {
 	o.f.mu.Lock()
 	defer o.f.mu.Unlock()
-	return o.f.asked("close", o.name, false)
+	return o.f.failure("close", o.name, false)
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -182,7 +182,7 @@
 // A full or read-only disk costs confirmations and nothing else; writing goes on by itself once it can.
 func TestFullAndReadOnlyDisksPass(t *testing.T) {
 	for name, c := range map[string]struct{ begin, end func(*crashfs.FS) }{
-		"full":      {func(f *crashfs.FS) { f.Room(10) }, func(f *crashfs.FS) { f.Room(-1) }},
+		"full":      {func(f *crashfs.FS) { f.LimitSpace(10) }, func(f *crashfs.FS) { f.LimitSpace(-1) }},
 		"read-only": {func(f *crashfs.FS) { f.ReadOnly(true) }, func(f *crashfs.FS) { f.ReadOnly(false) }},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -10,24 +10,24 @@
 	"io/fs"
 )
 
-// A frame is how anything is written: magic, the length of the payload, a number that rises, the checksum of all of
-// these and the payload (CRC32C), and the payload. Numbers are little-endian.
+// Everything is written in frames: magic, the length of the payload, a rising sequence number, the CRC32C of all of these
+// and the payload, and the payload. Integers are little-endian.
 //
 //	4 bytes magic | 4 bytes length | 8 bytes number | 4 bytes CRC32C | payload
 const (
 	frameHead = 20
-	// Version is the form's; a file of another one is left as it is, and not read.
+	// Version is that of the format. A file of another version is neither read nor changed.
 	Version = 1
 )
 
 var (
 	boxMagic    = [4]byte{'M', 'B', 'X', '0' + Version}
-	headMagic   = [4]byte{'M', 'T', 'H', '0' + Version} // of a table's segment
+	headMagic   = [4]byte{'M', 'T', 'H', '0' + Version} // of the head of a log segment
 	recordMagic = [4]byte{'M', 'T', 'R', '0' + Version}
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// What is wrong with a frame.
+// Errors of frames.
 var (
 	errShort    = errors.New("cut short")
 	errMagic    = errors.New("not of this form")
@@ -36,7 +36,7 @@
 	errLength   = errors.New("longer than anything that is written")
 )
 
-// appendFrame adds a frame to b.
+// appendFrame appends a frame to b.
 func appendFrame(b []byte, magic [4]byte, number uint64, payload []byte) []byte {
 	at := len(b)
 	b = append(b, magic[:]...)
@@ -50,7 +50,7 @@
 	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, payload)
 }
 
-// readFrame reads the frame at the beginning of b. The payload is part of b.
+// readFrame decodes the frame at the start of b. The payload is a part of b.
 func readFrame(b []byte, magic [4]byte, maxBytes int) (number uint64, payload []byte, size int, err error) {
 	if len(b) >= 4 && !bytes.Equal(b[:4], magic[:]) {
 		if bytes.Equal(b[:3], magic[:3]) && b[3] > magic[3] && b[3] <= '9' {
@@ -76,12 +76,12 @@
 	return binary.LittleEndian.Uint64(b[8:]), payload, size, nil
 }
 
-// Corruption is a part of a file that is not as it was written.
+// Corruption describes a part of a file that is not as it was written.
 type Corruption struct {
 	File string
-	At   int64 // the byte at which it begins
+	At   int64 // offset of its first byte
 	Err  error
-	Torn bool // a crash left it of a write that was never confirmed: nothing is lost
+	Torn bool // the rest of a write that a crash cut short before it was confirmed: no data is lost
 }
 
 func (d Corruption) String() string {
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%s: byte %d: %v", d.File, d.At, d.Err)
 }
 
-// readFile reads a file of at most so many bytes; more is an error.
+// readFile reads a file; a file larger than the bound is an error.
 func readFile(f FS, name string, maxBytes int) ([]byte, error) {
 	file, err := f.Open(name)
 	if err != nil {
@@ -108,10 +108,10 @@
 	return text, nil
 }
 
-// writeNew makes a file with this content, and makes the content safe where that is wanted. Its name is not safe yet,
-// see FS.Sync.
+// writeNew creates a file with this content, and with sync makes the content durable. Its name becomes durable with
+// FS.Sync.
 func writeNew(f FS, name string, text []byte, safe bool) (err error) {
-	if err := f.Remove(name); err != nil { // what a crash left
+	if err := f.Remove(name); err != nil { // left by a crash
 		return err
 	}
 	file, err := f.Create(name)
@@ -129,10 +129,10 @@
 		err = closed
 	}
 	if err != nil {
-		_ = f.Remove(name) // it is unusable; where that fails too, the next write sees to it
+		_ = f.Remove(name) // if that fails too, the next write removes it
 	}
 	return err
 }
 
-// missing tells whether a file is not there.
+// missing reports whether an error says that a file does not exist.
 func missing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -16,24 +16,24 @@
 	"syscall"
 )
 
-// FS is the part of a file system that is used, for one directory. Names have no separators.
+// FS is the part of a file system that this package uses, for one directory. Names have no separators.
 type FS interface {
 	// Open opens a file for reading.
 	Open(name string) (File, error)
-	// Create makes a new file for writing; it is an error if the name is there.
+	// Create creates a file for writing; it fails if the file exists.
 	Create(name string) (File, error)
-	// Rename puts a file in the place of another, at once.
+	// Rename renames a file, and atomically replaces another.
 	Rename(from, to string) error
-	// Remove takes a name away; it is no error if it is not there.
+	// Remove removes a file; it is no error if there is none.
 	Remove(name string) error
-	// List gives the names of the regular files.
+	// List returns the names of the regular files.
 	List() ([]string, error)
-	// Sync makes the names safe: what was created, renamed and removed before.
+	// Sync makes all earlier calls of Create, Rename and Remove durable.
 	Sync() error
 }
 
-// File is an open file. What was written is durable once Sync has returned nil. After an error of any call it
-// is not known how much is: the file must not be used again.
+// File is an open file. What was written is durable once Sync has returned nil. After an error of any call it is unknown
+// how much is durable, and the file must not be used again.
 type File interface {
 	io.Reader
 	io.Writer
@@ -41,7 +41,7 @@
 	Close() error
 }
 
-// osFS is a directory of the operating system.
+// osFS implements FS for a directory of the operating system.
 type osFS struct{ dir string }
 
 func (o osFS) path(name string) string { return filepath.Join(o.dir, name) }
@@ -50,16 +50,16 @@
 func (o osFS) Open(name string) (File, error) {
 	f, err := os.Open(o.path(name))
 	if err != nil {
-		return nil, err // never a nil file inside an interface
+		return nil, err // not an interface that holds a nil *os.File
 	}
 	return f, nil
 }
 
-// Create implements FS. It makes the directory anew if that was deleted while the process ran.
+// Create implements FS. It creates the directory again if that was deleted while the process ran.
 func (o osFS) Create(name string) (File, error) {
 	const flags = os.O_WRONLY | os.O_CREATE | os.O_EXCL
 	f, err := os.OpenFile(o.path(name), flags, 0o600)
-	if errors.Is(err, fs.ErrNotExist) { // the directory was deleted under the process
+	if errors.Is(err, fs.ErrNotExist) { // the directory was deleted while the process ran
 		if err = os.MkdirAll(o.dir, 0o700); err == nil {
 			f, err = os.OpenFile(o.path(name), flags, 0o600)
 		}
@@ -114,11 +114,11 @@
 
 const lockName = "LOCK"
 
-// ErrLocked says that another process writes to the directory.
+// ErrLocked is returned if another process holds the lock of the directory.
 var ErrLocked = errors.New("another process holds the lock")
 
-// TryLock takes the lock of a directory, and makes the directory if it is missing. ErrLocked: another process
-// has it.
+// TryLock acquires the lock of a directory, which it creates if it is missing. It fails with ErrLocked if another process
+// holds the lock.
 func TryLock(dir string) (*DirLock, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
@@ -137,8 +137,8 @@
 	return &DirLock{f}, nil
 }
 
-// Holds tells whether the lock is still the directory's: it is not once the directory was deleted or restored
-// from a copy.
+// Holds reports whether the lock is still that of the directory: it is not once the directory has been deleted, or replaced
+// by a copy.
 func (l *DirLock) Holds(dir string) bool {
 	own, err := l.f.Stat()
 	if err != nil {
--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -13,15 +13,14 @@
 
 const (
 	maxEntryBytes = 1 << 10 // bytes of a key with its value
-	maxTableBytes = 4 << 20 // bytes of a segment that is read
+	maxTableBytes = 4 << 20 // bytes of a segment
 	compactOver   = 32 << 10
-	queued        = 64 // changes that wait for the disk; more wait for their turn
+	queued        = 64 // changes that may wait for the disk; further calls block
 )
 
-// KeyValueLog holds small entries by key. It is a log: a change is a record at its end, and all changes that wait together
-// are made safe by one sync. The log is bounded: it is written anew, with only what holds, when it has grown, and
-// whenever a write has failed, since nothing may be added to a file of which it is not known what is on the disk.
-// Safe for concurrent use.
+// KeyValueLog stores small entries by key, as a log with group commit: each change is a record at its end, and all changes
+// that wait together become durable with one sync. The log is compacted into a new segment when it has grown, and after
+// a failed write, since nothing may be appended to a file whose content on disk is unknown. Safe for concurrent use.
 type KeyValueLog struct {
 	fs   FS
 	name string
@@ -30,15 +29,15 @@
 	ended   chan struct{}
 	closing sync.Once
 
-	mu      sync.Mutex // guards what is read from outside the committer
+	mu      sync.Mutex // guards what other goroutines read
 	entries map[string]string
 
-	// The committer's own.
-	log     File // nil: the next commit writes a segment anew
+	// Owned by the committing goroutine.
+	log     File // nil: the next commit writes a new segment
 	segment uint64
 	number  uint64
 	size    int
-	used    int // bytes of size that the entries need
+	used    int // bytes that a compacted segment would have
 }
 
 type tableChange struct {
@@ -47,8 +46,8 @@
 	done       chan error
 }
 
-// OpenKeyValueLog reads the table of that name, and is ready to write. What could not be read is among the damages; what is
-// whole is kept. An error means that the file system could not be asked, or that a newer version has written here.
+// OpenKeyValueLog opens the log of that name for reading and writing. Damaged records are returned as corruptions, all
+// others are kept. It fails if the file system does, or if a newer version of the program has written the log.
 func OpenKeyValueLog(f FS, name string) (*KeyValueLog, []Corruption, error) {
 	t := &KeyValueLog{fs: f, name: name, changes: make(chan tableChange, queued), ended: make(chan struct{}), entries: map[string]string{}}
 	corruptions, err := t.load()
@@ -59,29 +58,29 @@
 	return t, corruptions, nil
 }
 
-// ReadKeyValueLog reads the table of that name and writes nothing.
+// ReadKeyValueLog reads the log of that name, and writes nothing.
 func ReadKeyValueLog(f FS, name string) (map[string]string, []Corruption, error) {
 	t := &KeyValueLog{fs: f, name: name, entries: map[string]string{}}
 	corruptions, err := t.load()
 	return t.entries, corruptions, err
 }
 
-// Entries is all that holds now.
+// Entries returns all entries.
 func (t *KeyValueLog) Entries() map[string]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.entries)
 }
 
-// ErrClosed says that the table was closed.
+// ErrClosed is returned after Close.
 var ErrClosed = errors.New("the table is closed")
 
-// Set gives a key its value. Once it has returned nil, that is safe; after an error it may or may not be.
+// Set sets the value of a key. It blocks until that is durable; after an error it may or may not be.
 func (t *KeyValueLog) Set(key, value string) error {
 	return t.change(tableChange{key: key, value: value})
 }
 
-// Delete takes a key away, as Set.
+// Delete removes a key, as durably as Set.
 func (t *KeyValueLog) Delete(key string) error { return t.change(tableChange{key: key, remove: true}) }
 
 func (t *KeyValueLog) change(c tableChange) error {
@@ -99,7 +98,7 @@
 		return err
 	case <-t.ended:
 		select {
-		case err := <-c.done: // it was in the last commit
+		case err := <-c.done: // it was part of the last commit
 			return err
 		default:
 			return ErrClosed
@@ -107,19 +106,19 @@
 	}
 }
 
-// Close ends the table after the changes that wait. It is safe to call again.
+// Close commits the waiting changes and closes the log. It may be called again.
 func (t *KeyValueLog) Close() error {
 	t.closing.Do(func() { t.changes <- tableChange{} })
 	<-t.ended
 	return nil
 }
 
-// commit takes changes, as many as wait, and makes them safe together.
+// commit takes all waiting changes and commits them together, until Close.
 func (t *KeyValueLog) commit() {
 	defer close(t.ended)
 	defer func() {
 		if t.log != nil {
-			_ = t.log.Close() // everything in it is safe
+			_ = t.log.Close() // all of it is durable
 		}
 	}()
 	for {
@@ -148,7 +147,7 @@
 	}
 }
 
-// write makes a batch safe: at the end of the log, or in a new one.
+// write makes a batch durable, at the end of the segment or in a new one.
 func (t *KeyValueLog) write(batch []tableChange) error {
 	next := maps.Clone(t.entries)
 	var records []byte
@@ -183,10 +182,10 @@
 	return nil
 }
 
-// rewrite begins a new segment that holds these entries. The one before stays until the next time.
+// rewrite starts a new segment that holds these entries. The previous one stays until the next rewrite.
 func (t *KeyValueLog) rewrite(entries map[string]string, number uint64) error {
 	if t.log != nil {
-		_ = t.log.Close() // of no more use, whatever it says
+		_ = t.log.Close() // no longer used, whatever the error
 		t.log = nil
 	}
 	var text []byte
@@ -210,13 +209,13 @@
 	if err == nil {
 		err = t.fs.Rename(fresh, t.file(next))
 	}
-	t.segment = next // used up, whether or not it got there: the next attempt must not share its name
+	t.segment = next // also after an error: the next attempt must not use the same name
 	if err == nil {
 		err = t.fs.Sync()
 	}
 	if err != nil {
 		_ = log.Close()
-		_ = t.fs.Remove(fresh) // where it fails too, the next attempt sees to it
+		_ = t.fs.Remove(fresh) // if that fails too, the next attempt removes it
 		return err
 	}
 	t.log, t.size, t.used = log, len(text), len(text)
@@ -224,7 +223,7 @@
 	return nil
 }
 
-// clean removes segments older than the one before the present one. What fails is tried again the next time.
+// clean removes all segments but the latest two. What fails is tried again the next time.
 func (t *KeyValueLog) clean() {
 	segments, err := t.segments()
 	if err != nil {
@@ -239,7 +238,7 @@
 
 func (t *KeyValueLog) file(segment uint64) string { return fmt.Sprintf("%s.%016x", t.name, segment) }
 
-// segments are the numbers of those that are there, the newest first.
+// segments returns the numbers of the segments, the newest first.
 func (t *KeyValueLog) segments() (all []uint64, err error) {
 	names, err := t.fs.List()
 	if err != nil && !missing(err) {
@@ -257,8 +256,8 @@
 	return all, nil
 }
 
-// load reads the newest segment whose beginning is whole. The log is not gone on with: the first change writes it anew,
-// so that nothing is ever added behind what a crash left.
+// load reads the newest segment whose head is intact. The first change then starts a new segment, so that nothing is ever
+// appended behind the rest of a write that a crash cut short.
 func (t *KeyValueLog) load() (corruptions []Corruption, err error) {
 	segments, err := t.segments()
 	if err != nil {
@@ -287,7 +286,7 @@
 	return corruptions, nil
 }
 
-// replay takes in a segment; an error: its beginning is not whole, and nothing was taken.
+// replay applies the records of a segment. It fails, and applies none, if its head is damaged.
 func (t *KeyValueLog) replay(name string, text []byte) (corruptions []Corruption, err error) {
 	number, head, at, err := readFrame(text, headMagic, maxEntryBytes)
 	if err != nil {
@@ -296,7 +295,7 @@
 	if len(head) != 8 {
 		return nil, errLength
 	}
-	base := at + int(min(binary.LittleEndian.Uint64(head), maxTableBytes)) // what was written whole, before the name was
+	base := at + int(min(binary.LittleEndian.Uint64(head), maxTableBytes)) // written completely before the segment was renamed into place
 	entries := map[string]string{}
 	for at < len(text) {
 		n, payload, size, err := readFrame(text[at:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1)
@@ -337,7 +336,7 @@
 	return corruptions, nil
 }
 
-// resync finds the next whole record after damage; below 0: there is none.
+// resync returns the offset of the next intact record after a damaged one, or a negative number if there is none.
 func resync(text []byte, from int, after uint64) int {
 	for at := from; at+frameHead <= len(text); at++ {
 		if text[at] != recordMagic[0] {
@@ -350,7 +349,7 @@
 	return -1
 }
 
-// A change is worded as: 0 or 1 (removed), the key's length, key, value.
+// A change is encoded as 0 (set) or 1 (removed), the length of the key, the key, and the value.
 func encodeChange(c tableChange) []byte {
 	b := []byte{0}
 	if c.remove {
--- a/internal/durable/lossy.go
+++ b/internal/durable/lossy.go
@@ -11,9 +11,9 @@
 	"sync"
 )
 
-// OS is the directory dir as a disk that loses, with the process, whatever was not synced: content is written at a
-// file's sync and names change at the directory's. For experiments with real processes, which can't take a machine's power
-// away; never in a program for service.
+// OS returns the directory dir as an FS that loses unsynced data when the process ends: content is written when a file is
+// synced, and names change when the directory is. It simulates power loss in experiments with real processes, and must
+// not be built into a program for production.
 func OS(dir string) FS {
 	lossyMu.Lock()
 	defer lossyMu.Unlock()
@@ -25,7 +25,7 @@
 
 var (
 	lossyMu sync.Mutex
-	lossy   = map[string]*lossyFS{} // by directory: all who open one see the same
+	lossy   = map[string]*lossyFS{} // by directory, shared by all users in the process
 )
 
 type lossyFS struct {
@@ -37,8 +37,8 @@
 type lossyFile struct {
 	f      *lossyFS
 	data   []byte // as the process sees it
-	safe   []byte // as of the last sync
-	named  string // on disk; empty: nowhere
+	safe   []byte // the content as of the last sync
+	named  string // its name on disk; empty: none
 	reader *bytes.Reader
 }
 
@@ -97,7 +97,7 @@
 	return slices.Sorted(maps.Keys(all)), err
 }
 
-// Sync makes the names safe, each with the content that is.
+// Sync implements FS: it makes the names durable, each with its synced content.
 func (l *lossyFS) Sync() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +109,7 @@
 			continue
 		}
 		file.named = name
-		if err := file.lay(); err != nil {
+		if err := file.writeNamed(); err != nil {
 			return err
 		}
 	}
@@ -117,8 +117,8 @@
 	return l.under.Sync()
 }
 
-// lay writes what is safe under the name that is.
-func (f *lossyFile) lay() error {
+// writeNamed writes the synced content under its durable name.
+func (f *lossyFile) writeNamed() error {
 	if f.named == "" {
 		return nil
 	}
@@ -147,7 +147,7 @@
 	f.f.mu.Lock()
 	defer f.f.mu.Unlock()
 	f.safe = slices.Clone(f.data)
-	return f.lay()
+	return f.writeNamed()
 }
 
 func (f *lossyFile) Close() error { return nil }
--- a/internal/durable/os.go
+++ b/internal/durable/os.go
@@ -2,5 +2,5 @@
 
 package durable
 
-// OS is the directory dir, which it makes where it is missing, also later on.
+// OS returns the directory dir as an FS, which creates the directory whenever it is missing.
 func OS(dir string) FS { return osFS{dir} }
--- a/internal/durable/quarantine.go
+++ b/internal/durable/quarantine.go
@@ -12,9 +12,9 @@
 
 const quarantineDir = "quarantine"
 
-// Quarantine puts files of a directory aside, where nothing reads them and a person can, and keeps at most so many of
-// all that were put there. One that is gone already is no error.
-func Quarantine(dir string, names []string, maxBytes int, now time.Time) error {
+// Quarantine moves files of a directory into a subdirectory, for people to inspect, and keeps the latest of all that were
+// moved there, up to maxFiles. A file that is missing is no error.
+func Quarantine(dir string, names []string, maxFiles int, now time.Time) error {
 	aside := filepath.Join(dir, quarantineDir)
 	if len(names) == 0 {
 		return nil
@@ -29,11 +29,11 @@
 			all = errors.Join(all, fmt.Errorf("quarantine: %w", err))
 		}
 	}
-	entries, err := os.ReadDir(aside) // by name, and so by time
+	entries, err := os.ReadDir(aside) // sorted by name, and so by time
 	if err != nil {
 		return errors.Join(all, fmt.Errorf("quarantine: %w", err))
 	}
-	for _, e := range entries[:max(0, len(entries)-maxBytes)] {
+	for _, e := range entries[:max(0, len(entries)-maxFiles)] {
 		if err := os.Remove(filepath.Join(aside, e.Name())); err != nil {
 			all = errors.Join(all, fmt.Errorf("quarantine: %w", err))
 		}
@@ -41,7 +41,7 @@
 	return all
 }
 
-// Quarantined are the names of the files that were put aside.
+// Quarantined returns the names of the quarantined files.
 func Quarantined(dir string) ([]string, error) {
 	entries, err := os.ReadDir(filepath.Join(dir, quarantineDir))
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/durable/snapshotfile.go
+++ b/internal/durable/snapshotfile.go
@@ -7,28 +7,28 @@
 
 const temporary = ".tmp"
 
-// SnapshotFile holds one value of bounded size. A write goes beside the value before, which stays: what is
-// read is the newest complete value. Not safe for concurrent use.
+// SnapshotFile stores one value of bounded size, in two generations: a write replaces the older one, and a read returns the
+// newest that is complete. Not safe for concurrent use.
 type SnapshotFile struct {
 	fs         FS
 	name       string
 	maxBytes   int
-	generation uint64 // of the newest value on disk, as far as known
+	generation uint64 // of the newest value on disk
 	read       bool
 }
 
-// NewSnapshotFile is the file of that name, for values of maxBytes at most.
+// NewSnapshotFile returns the file of that name, for values of maxBytes at most. It does not access the disk.
 func NewSnapshotFile(f FS, name string, maxBytes int) *SnapshotFile {
 	return &SnapshotFile{fs: f, name: name, maxBytes: maxBytes}
 }
 
-// slot is the file of a generation: two files take turns.
+// slot returns the name of the file of a generation: generations alternate between two files.
 func (b *SnapshotFile) slot(generation uint64) string {
 	return fmt.Sprintf("%s.%d", b.name, generation%2)
 }
 
-// Read returns the newest complete value; nil: there is none. The corruptions name what could not be used. An
-// error says that the file system failed, or that a newer version of the program has written here.
+// Read returns the newest complete value, or nil if there is none, and the corruptions of what could not be used. It fails
+// if the file system does, or if a newer version of the program has written the file.
 func (b *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
 	found := false
 	for i := range uint64(2) {
@@ -67,15 +67,14 @@
 // read.
 func (b *SnapshotFile) Write(value []byte) error { return b.write(value, true) }
 
-// WriteUnsynced is Write without waiting for the disk: the value outlives the process, and perhaps not the
-// machine.
+// WriteUnsynced is Write without a sync: the value outlives the process, but perhaps not a crash of the machine.
 func (b *SnapshotFile) WriteUnsynced(value []byte) error { return b.write(value, false) }
 
 func (b *SnapshotFile) write(value []byte, safe bool) error {
 	if len(value) > b.maxBytes {
 		return fmt.Errorf("writing %s: %d bytes of %d at most", b.name, len(value), b.maxBytes)
 	}
-	if !b.read { // the generation must rise
+	if !b.read { // the next generation must be above those on disk
 		if _, _, err := b.Read(); err != nil {
 			return err
 		}
@@ -88,7 +87,7 @@
 			err = b.fs.Sync()
 		}
 	}
-	if err != nil { // the next write takes the same slot: the other one is the last that is known to be whole
+	if err != nil { // the next write uses the same slot: the other holds the last value known to be complete
 		return fmt.Errorf("writing %s: %w", b.name, err)
 	}
 	b.generation = next
--- a/internal/registry/acks.go
+++ b/internal/registry/acks.go
@@ -12,7 +12,7 @@
 const (
 	maxAcks     = 20_000 // sidecars whose acknowledgements are stored
 	ackTimeout  = api.AckTimeoutMs * time.Millisecond
-	ackLifetime = 30 * time.Minute // after the latest: such a sidecar is gone
+	ackLifetime = 30 * time.Minute // since the latest acknowledgement, after which a sidecar is forgotten
 )
 
 // acks are the latest acknowledgements of sidecars. Only the leader stores them, in memory: a new leader
@@ -28,10 +28,10 @@
 	at time.Duration
 }
 
-// lead begins with none.
+// lead starts without acknowledgements.
 func (a *acks) lead() { a.last = map[ackKey]ack{} }
 
-// record stores an acknowledgement; false: there are too many sidecars.
+// record stores an acknowledgement; it returns false if there are too many sidecars.
 func (a *acks) record(now time.Duration, reported api.Ack) bool {
 	reported.SilentMs = 0
 	of := ackKey{reported.Node, reported.Service}
@@ -52,7 +52,7 @@
 	}
 }
 
-// rollouts counts for each of the documents, which are those that sidecars are sent.
+// rollouts returns the rollout of each of these documents, which are those sent to sidecars.
 func (a *acks) rollouts(now time.Duration, published []api.Document) []api.Rollout {
 	a.forget(now)
 	of := map[string][]ack{}
@@ -87,8 +87,7 @@
 	return all
 }
 
-// inForce tells whether a document is in force at a sidecar: once it is deleted, that is with the settings of
-// its file.
+// inForce reports whether a document is in force at a sidecar; a deleted one is if the settings of the sidecar's file are.
 func inForce(a api.Ack, d api.Document) bool {
 	return a.Region == d.Region && a.Revision == d.Revision || d.Deleted && a.Revision == 0
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -11,63 +11,63 @@
 	"mosslead/internal/tomlconfig"
 )
 
-// Duration is one that a file words as time.ParseDuration reads it.
+// Duration is a duration in a configuration file, in the format of time.ParseDuration.
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads "1500ms".
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) (err error) {
 	d.Duration, err = time.ParseDuration(string(text))
 	return err
 }
 
-// Peer is a replica of the quorum that is to be formed.
+// Peer is a replica of the first quorum.
 type Peer struct {
 	Name string `toml:"name"`
 	Raft string `toml:"raft"` // host:port for other replicas
-	API  string `toml:"api"`  // host:port for everybody else
+	API  string `toml:"api"`  // host:port for clients
 }
 
-// FollowedRegion is where another region answers.
+// FollowedRegion is another region to follow.
 type FollowedRegion struct {
 	Region string   `toml:"region"`
-	API    []string `toml:"api"` // host:port of its replicas, or of some
+	API    []string `toml:"api"` // host:port of some of its replicas
 }
 
-// Config is a replica's configuration. Absent times and bounds have the defaults that are noted.
+// Config is the configuration of a replica. Absent durations and limits have the defaults in the comments.
 type Config struct {
 	Name         string   `toml:"name"`
 	Dir          string   `toml:"dir"`       // log, snapshots and identity; absent with Dev
-	Listen       string   `toml:"listen"`    // of the API; absent: the peer's
-	RaftBind     string   `toml:"raft_bind"` // absent: the peer's
-	Metrics      string   `toml:"metrics"`   // absent: no figures
-	Join         bool     `toml:"join"`      // it is to be added to a quorum that is there: it forms none
-	Peers        []Peer   `toml:"replica"`   // of the first quorum, this one among them; or, with Join, whom to ask
-	Grace        Duration `toml:"grace"`     // from a lease's end to the entry's; absent: 2s
-	Preserve     float64  `toml:"preserve"`  // share of leases silent at once that puts the service in doubt; absent: 0.2
-	MaxStaleness Duration `toml:"stale"`     // a list may be so old; absent: 3s
-	Watchers     int      `toml:"watchers"`  // at most; absent: 20000
-	Heartbeat    Duration `toml:"heartbeat"` // a leader that is silent for so long is followed by another; absent: 300ms
-
-	// Region names the quorum that this replica belongs to among several; absent: there is one. All its replicas have the same here.
+	Listen       string   `toml:"listen"`    // of the API; absent: that of Peers
+	RaftBind     string   `toml:"raft_bind"` // absent: that of Peers
+	Metrics      string   `toml:"metrics"`   // host:port of the metrics; absent: none are served
+	Join         bool     `toml:"join"`      // to be added to an existing quorum, instead of forming one
+	Peers        []Peer   `toml:"replica"`   // the first quorum, including this replica; with Join, some replicas of the existing one
+	Grace        Duration `toml:"grace"`     // from the end of a lease to the removal of the entry; absent: 2s
+	Preserve     float64  `toml:"preserve"`  // fraction of leases expired at once above which entries are preserved; absent: 0.2
+	MaxStaleness Duration `toml:"stale"`     // age of a list that may still be served; absent: 3s
+	Watchers     int      `toml:"watchers"`  // number of watchers at most; absent: 20000
+	Heartbeat    Duration `toml:"heartbeat"` // election time-out of raft; absent: 300ms
+
+	// Region is the name of this quorum among several; absent: there is one. It is the same at all replicas.
 	Region string `toml:"region"`
-	// Follow are the other regions. Whoever leads takes in what they list, and their services' settings.
+	// Follow are the other regions, whose endpoints and settings the leader replicates.
 	Follow []FollowedRegion `toml:"follow"`
 
-	// Dial replaces the addresses at which this replica reaches others, by name: for networks in which not everybody has
-	// the same address everywhere.
+	// Dial overrides the addresses at which this replica reaches others, by their names, for networks in which a replica's
+	// address depends on where it is reached from.
 	Dial map[string]Peer `toml:"dial"`
 
 	Dev    bool   `toml:"-"`      // one replica, in memory
-	Breaks string `toml:"breaks"` // makes the service lie, for the proof that its checkers see that; never elsewhere
+	Breaks string `toml:"breaks"` // plants a fault, to prove that checkers detect it; never in production
 }
 
-// faultStaleRead lets a replica serve what it has as if it were fresh.
+// faultStaleRead has a replica serve a stale list as if it were fresh.
 const faultStaleRead = "stale-read"
 
-// faultRollback lets a replica take in what another region told before, also where it is older than what it has.
+// faultRollback has a replica apply an older state of another region over a newer one.
 const faultRollback = "follow-back"
 
-// LoadConfig reads a file. An error names file, line and key.
+// LoadConfig reads a configuration file. An error names the file, the line and the key.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -90,10 +90,10 @@
 	return c, nil
 }
 
-// Dev is the configuration of one replica that keeps nothing.
+// Dev returns the configuration of a single replica without storage.
 func Dev(listen string) *Config {
 	c := &Config{Name: "dev", Listen: listen, Dev: true}
-	_ = c.complete() // nothing in it can be wrong
+	_ = c.complete() // can't fail for these values
 	return c
 }
 
@@ -148,7 +148,7 @@
 	return c.completeFollow()
 }
 
-// MaxFollow is how many other regions may be followed.
+// MaxFollow is the largest number of regions to follow.
 const MaxFollow = 15
 
 func (c *Config) completeFollow() error {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// self is this replica as others are to know it.
+// self returns this replica as it is announced to others.
 func (c *Config) self() Peer {
 	for _, p := range c.Peers {
 		if p.Name == c.Name {
--- a/internal/registry/documents.go
+++ b/internal/registry/documents.go
@@ -10,7 +10,7 @@
 	"mosslead/internal/settings"
 )
 
-// documentCommand has a command of schema 3 carried out.
+// documentCommand applies a command of schema 3 through the log.
 func (n *Node) documentCommand(c list.Command) (list.Result, error) {
 	if err := n.requireSchema(list.DocumentSchema); err != nil {
 		return list.Result{}, err
@@ -19,7 +19,7 @@
 	return n.apply(c)
 }
 
-// putSettings changes the settings of a service, once they are such as a sidecar would take in.
+// putSettings changes the settings of a service, if a sidecar would accept them.
 func (n *Node) putSettings(r *http.Request, body []byte) (any, error) {
 	var p api.PutRequest
 	service := r.PathValue("service")
@@ -55,7 +55,7 @@
 	return api.WriteResult{Revision: result.Revision}, err
 }
 
-// documents are all, without what they say.
+// documents serves all documents, without their settings.
 func (n *Node) documents(*http.Request, []byte) (any, error) {
 	var all api.Documents
 	n.machine.read(func(l *list.List) { all = api.Documents{Revision: l.Revision(), Documents: l.Documents()} })
@@ -65,7 +65,7 @@
 	return all, nil
 }
 
-// document is the one that sidecars are told, or one of before.
+// document serves the document that sidecars are sent, or an earlier revision.
 func (n *Node) document(r *http.Request, _ []byte) (any, error) {
 	service, version := r.PathValue("service"), int64(0)
 	if text := r.PathValue("version"); text != "" {
@@ -92,7 +92,7 @@
 	return nil, api.Errorf(api.CodeNotFound, "settings of %s", service)
 }
 
-// acknowledged takes in what sidecars say of their settings.
+// acknowledged handles the acknowledgements of sidecars.
 func (n *Node) acknowledged(_ *http.Request, body []byte) (any, error) {
 	var reported api.Acks
 	if err := read(body, &reported); err != nil {
@@ -117,7 +117,7 @@
 	return struct{}{}, nil
 }
 
-// rollouts tells how far each document that is told has come.
+// rollouts serves the rollout of each document that sidecars are sent.
 func (n *Node) rollouts(*http.Request, []byte) (any, error) {
 	var published []api.Document
 	n.machine.read(func(l *list.List) {
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -19,17 +19,17 @@
 
 const (
 	identityRetryInterval = 300 * time.Millisecond
-	// identityTimeout is how long a replica that was part before looks for others that know better, before it
-	// continues with its own data: all may have been down.
+	// identityTimeout is how long a replica that belonged to the quorum looks for others that know of a newer disk or start
+	// of it, before it continues with its own data: all may have been down.
 	identityTimeout = time.Second
 )
 
-// form decides how this replica takes part. It returns the quorum to begin with, or none.
+// form decides how this replica joins. It returns the quorum to form, or none.
 //
-// A quorum is formed once, and only when all that are to be in it report that they belong to none: so one
-// that lost its disk does not form a second one. If others know this replica with another disk, or with more
-// starts than its own disk remembers (an old copy), its data is set aside and it joins as a new replica,
-// since a vote that was given and forgotten could undo what was committed.
+// A quorum is formed once, and only when all of its replicas report that they belong to none, so that one that lost its
+// disk does not form a second quorum. If others know this replica with another disk, or with more starts than its own disk
+// has recorded (a restored copy), its data is quarantined and it joins as a new replica: a forgotten vote could undo
+// committed entries.
 func (n *Node) form(ctx context.Context) ([]raft.Server, error) {
 	if n.c.Dev {
 		return []raft.Server{{ID: raft.ServerID(n.me.Name), Address: "dev"}}, nil
@@ -38,10 +38,10 @@
 	for begun := time.Now(); ctx.Err() == nil; {
 		answered, known, err := n.queryIdentities(ctx)
 		switch {
-		case known != nil && known.DiskID == "" && !formed: // the others have formed it a moment ago
+		case known != nil && known.DiskID == "" && !formed: // the others have just formed it
 			return n.first(), nil
 		case known != nil && (known.DiskID == "" || known.DiskID == n.me.DiskID && n.me.StartCount > known.StartCount):
-			return nil, nil // the others remember us, and nothing newer
+			return nil, nil // the others know this disk, and no newer start
 		case known != nil:
 			if err = n.rejoin(ctx, *known); err == nil {
 				return nil, nil
@@ -71,7 +71,7 @@
 	return err == nil && json.Unmarshal(text, &known) == nil && known.Formed
 }
 
-// others are the configured replicas but this one.
+// others returns the other configured replicas.
 func (n *Node) others() []Peer {
 	return slices.DeleteFunc(slices.Clone(n.c.Peers), func(p Peer) bool { return p.Name == n.c.Name })
 }
@@ -83,11 +83,11 @@
 	return servers
 }
 
-// errFormed says that others belong to a quorum that does not know this replica.
+// errFormed is returned if others belong to a quorum without this replica.
 var errFormed = errors.New("there is a quorum, and it does not know this replica")
 
-// queryIdentities asks the others who they are. known is what a formed quorum knows of this replica, by
-// whoever knows most.
+// queryIdentities requests the identities of the others. known is what a formed quorum knows of this replica, as reported
+// with the highest number of starts.
 func (n *Node) queryIdentities(ctx context.Context) (answered int, known *api.Replica, err error) {
 	for _, p := range n.others() {
 		var id api.Identity
@@ -107,7 +107,7 @@
 	return answered, known, err
 }
 
-// rejoin sets aside the data of this replica, and asks to be removed and added again.
+// rejoin quarantines the data of this replica, and requests to be removed and added again.
 func (n *Node) rejoin(ctx context.Context, known api.Replica) error {
 	n.log.Warn("disk unknown to the quorum, rejoining as a new replica", "component", "registry", "node", n.me.Name,
 		"starts", n.me.StartCount, "known_starts", known.StartCount)
@@ -130,7 +130,7 @@
 	return n.requestJoin(ctx)
 }
 
-// requestJoin asks any of the others to add this replica.
+// requestJoin requests any of the others to add this replica.
 func (n *Node) requestJoin(ctx context.Context) error {
 	err := errors.New("nobody to ask")
 	for _, p := range n.others() {
@@ -141,7 +141,7 @@
 	return err
 }
 
-// apiOf is where a replica answers, as seen from here.
+// apiOf returns the URL of a replica's API, as reached from here.
 func (n *Node) apiOf(name, known string) string {
 	if p, ok := n.c.Dial[name]; ok && p.API != "" {
 		known = p.API
@@ -171,7 +171,7 @@
 	return api.ReadAnswer(resp, answer)
 }
 
-// admitReplica is the leader's part: a replica is added, or its address or disk has changed.
+// admitReplica adds a replica as the leader, or changes its address or disk.
 func (n *Node) admitReplica(m api.Replica) error {
 	r := n.raft.Load()
 	if r == nil {
@@ -183,7 +183,7 @@
 			return api.Errorf(api.CodeConflict, "%s is the only replica", m.Name)
 		}
 	}
-	// Out first, so that the quorum never counts on what a lost disk had.
+	// Removed first, so that the quorum never counts votes of a lost disk.
 	if there {
 		if err := r.RemoveServer(raft.ServerID(m.Name), 0, raftTimeout).Error(); err != nil {
 			return api.Errorf(api.CodeNoLeader, "%v", err)
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -12,20 +12,20 @@
 	"mosslead/internal/registry/list"
 )
 
-// stateMachine is the list as the log makes it, for many readers. It implements raft.FSM.
+// stateMachine holds the list that the log produces. It implements raft.FSM, and is safe for concurrent readers.
 type stateMachine struct {
 	mu           sync.RWMutex
 	list         *list.List
-	onEntries    func(records []api.Record) // after a command, with the entries as they are now; not under mu
-	onLeadership func(r list.Result)        // after a command on leaderships, or one that voids them; not under mu
+	onEntries    func(records []api.Record) // called after a command with the present entries, without mu
+	onLeadership func(r list.Result)        // called after a command on leaderships, or one that voids them, without mu
 
 	uncheckedRegions bool // see faultRollback
 }
 
-// Apply implements raft.FSM: it carries out a committed command.
+// Apply implements raft.FSM: it applies a committed command.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	var c list.Command
-	if err := json.Unmarshal(l.Data, &c); err != nil { // by a newer program: none that this one knows of
+	if err := json.Unmarshal(l.Data, &c); err != nil { // of a newer version of the program
 		return list.Result{Err: api.Errorf(api.CodeBadRequest, "log entry %d: %v", l.Index, err)}
 	}
 	c.Index = l.Index
@@ -36,7 +36,7 @@
 	result := m.list.Apply(c)
 	var now []api.Record
 	switch c.Op {
-	case list.AcquireLeadership, list.RenewLeadership, list.ReleaseLeadership, list.ForgetLeaderships, list.PutDocument, list.DeleteDocument, list.ReplicateRegion: // no own entry is touched
+	case list.AcquireLeadership, list.RenewLeadership, list.ReleaseLeadership, list.ForgetLeaderships, list.PutDocument, list.DeleteDocument, list.ReplicateRegion: // no own entry changes
 	case list.Restore:
 		now = m.list.Records()
 	case list.Expire:
@@ -61,7 +61,7 @@
 	return result
 }
 
-// read runs f on the list, which f must not keep.
+// read calls f with the list, which f must not retain.
 func (m *stateMachine) read(f func(*list.List)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -12,8 +12,7 @@
 
 var schemaFeatures = map[int]string{list.LeadershipSchema: "duties", list.DocumentSchema: "settings and other regions"}
 
-// requireSchema returns nil if all replicas of the quorum understand a schema: one that does not would
-// diverge.
+// requireSchema returns an error unless all replicas of the quorum understand a schema: one that does not would diverge.
 func (n *Node) requireSchema(schema int) error {
 	names := n.voterNames()
 	if schema < list.LeadershipSchema {
@@ -27,7 +26,7 @@
 	return nil
 }
 
-// applyLeadership carries out a command of schema 2.
+// applyLeadership applies a command of schema 2 through the log.
 func (n *Node) applyLeadership(c list.Command) (list.Result, error) {
 	if err := n.requireSchema(list.LeadershipSchema); err != nil {
 		return list.Result{}, err
@@ -35,7 +34,7 @@
 	return n.apply(c)
 }
 
-// onLeadership follows a committed command on leaderships.
+// onLeadership updates the leases after a committed command on leaderships.
 func (n *Node) onLeadership(r list.Result) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,9 +60,8 @@
 	return c, c.Check(replicated)
 }
 
-// acquireLeadership grants a leadership that nobody holds, or whose lease has expired; otherwise it names the
-// holder, and when to ask again. That is decided here without the log: a rejection by a deposed leader does
-// no harm.
+// acquireLeadership grants a leadership that nobody holds, or whose lease has expired; otherwise the grant names the holder
+// and when to retry. Rejections bypass the log: one by a deposed leader does no harm.
 func (n *Node) acquireLeadership(r *http.Request, body []byte) (any, error) {
 	c, err := claim(r, body, false)
 	if err != nil {
@@ -102,14 +100,14 @@
 	}
 }
 
-// applyClaim carries out a claim, and returns the leadership as it is then.
+// applyClaim applies a claim through the log, and returns the resulting leadership.
 func (n *Node) applyClaim(c list.Command) (any, error) {
 	result, err := n.applyLeadership(c)
 	switch {
 	case api.IsCode(err, api.CodeConflict):
 		g := result.Leadership.Grant()
 		g.Name = c.Claim.Name
-		if c.Op == list.AcquireLeadership { // another was first
+		if c.Op == list.AcquireLeadership { // another candidate was first
 			g.RetryAfterMs = (500 * time.Millisecond).Milliseconds()
 		}
 		return g, nil
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,9 +7,9 @@
 	"mosslead/internal/registry/api"
 )
 
-// leaseTable holds the leases of registered servers, in the leader's memory only: a heartbeat is not worth a
-// log entry, since a lost one only makes a lease last longer. A new leader gives each its full time again.
-// Times are on the monotonic clock. Not safe for concurrent use.
+// leaseTable holds the leases of registered servers, in the leader's memory only: heartbeats bypass the log, and a new leader
+// renews all leases, so that a lost one only makes a lease last longer. Times are on the monotonic clock. Not safe for
+// concurrent use.
 type leaseTable struct {
 	grace            time.Duration // between a lease's end and the removal of its entry
 	preserveFraction float64       // of leases expired at once above which the service itself is suspected
@@ -27,13 +27,13 @@
 
 const (
 	leaseCheckInterval = 100 * time.Millisecond
-	// a time between two checks in which this process, and not the servers, was stopped
+	// time between two checks above which this process was stopped, not the servers
 	processStall = 10 * leaseCheckInterval
-	// fewer are too few to suspect the service
+	// number of leases below which the service is never suspected
 	minSilent = 3
 )
 
-// lead begins with the leases of a list, each with its full time.
+// lead starts with the leases of a list, all of them renewed.
 func (l *leaseTable) lead(now time.Duration, records []api.Record) {
 	l.byName, l.checkedAt, l.preserving, l.overruled = map[string]serverLease{}, now, false, false
 	for _, r := range records {
@@ -41,7 +41,7 @@
 	}
 }
 
-// registered gives the lease of a record its full time, or ends it.
+// registered renews the lease of a record, or ends it.
 func (l *leaseTable) registered(now time.Duration, r api.Record) {
 	if r.ServerStatus == api.Removed || r.LeaseMs == 0 {
 		delete(l.byName, r.Name)
@@ -51,7 +51,7 @@
 	l.byName[r.Name] = serverLease{r.Incarnation, length, now + length}
 }
 
-// renew renews a lease; false: there is no such lease.
+// renew renews a lease; it returns false if there is none.
 func (l *leaseTable) renew(now time.Duration, x api.Heartbeat) bool {
 	had, ok := l.byName[x.Name]
 	if !ok || had.incarnation != x.Incarnation {
@@ -62,7 +62,7 @@
 	return true
 }
 
-// silent are the servers whose lease has expired, by name.
+// silent returns the servers whose leases have expired, in order.
 func (l *leaseTable) silent(now time.Duration) []string {
 	var names []string
 	for name, x := range l.byName {
@@ -74,11 +74,10 @@
 	return names
 }
 
-// expire returns the leases whose entries are to be removed. If too many expired within a grace of each
-// other, the service itself is suspected, and nobody is removed until they are heard again or an operator
-// overrules.
+// expire returns the leases whose entries are to be removed. If too many expired within grace of each other, the fault is
+// assumed to be the service's, and no entry is removed until heartbeats return or an operator overrules.
 func (l *leaseTable) expire(now time.Duration) (ended []api.Heartbeat) {
-	if gap := now - l.checkedAt; gap > processStall { // nobody could have been heard meanwhile
+	if gap := now - l.checkedAt; gap > processStall { // heartbeats could not be received meanwhile
 		for name, x := range l.byName {
 			x.expiresAt += gap
 			l.byName[name] = x
--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -10,26 +10,26 @@
 	"mosslead/internal/registry/api"
 )
 
-// What a command of schema 3 does.
+// Operations of commands of schema 3, as they are encoded in the log.
 const (
-	PutDocument     = "put"    // the settings of a service
-	DeleteDocument  = "delete" // the same
-	ReplicateRegion = "follow" // what another region's list tells, see Piece
+	PutDocument     = "put"    // settings of a service
+	DeleteDocument  = "delete" // settings of a service
+	ReplicateRegion = "follow" // a Chunk of another region's changes
 )
 
-// DocumentSchema is the form of commands and backups from which on documents and other regions are in them.
+// DocumentSchema is the schema of commands and backups that introduced documents and other regions.
 const DocumentSchema = 3
 
 // MaxEarlierRevisions is how many revisions of a document are stored beside the present one.
 const MaxEarlierRevisions = api.MaxEarlierRevisions
 
-// Document is an own document. Its Region is left empty: it is the list's.
+// Document is a document that this region owns. Its Region is empty, as it is the list's.
 type Document struct {
 	api.Document
 	Earlier []api.Document `json:"earlier,omitempty"` // the newest last
 }
 
-// setRegion gives the list its region's name. Which document of two regions is visible depends on it.
+// setRegion sets the name of the list's region, on which depends which of two regions' documents is visible.
 func (l *List) setRegion(region string) {
 	if region != l.region {
 		l.region = region
@@ -39,10 +39,10 @@
 	}
 }
 
-// Region is whose list this is; empty: there is one region, or nothing was written yet that tells.
+// Region returns the name of the list's region; empty if there is one region, or if no command has set it yet.
 func (l *List) Region() string { return l.region }
 
-// applyDocument carries out a command on an own document.
+// applyDocument applies a command on an own document.
 func (l *List) applyDocument(c Command) Result {
 	own := l.documents[c.Name]
 	live, at := own != nil && !own.Deleted, int64(0)
@@ -54,7 +54,7 @@
 	switch {
 	case c.IfRevision == nil || put && c.Document == nil:
 		return Result{Revision: at, Err: api.Errorf(api.CodeBadRequest, "%s: a version that it is based on, and a document, are needed", c.Name)}
-	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (put || !live): // an own one beside it can be deleted
+	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (put || !live): // an own document beside it can still be deleted
 		return Result{Revision: at, Err: api.Errorf(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, visible.Region, visible.Revision)}
 	case own == nil && !put:
 		return Result{Err: api.Errorf(api.CodeNotFound, "settings of %s", c.Name)}
@@ -91,8 +91,8 @@
 	return Result{Revision: l.revision}
 }
 
-// Document is the settings of a service as its sidecars are told them: of those that several regions have the one of the region
-// with the smaller name, and one that is not deleted before any that is. False: nobody has any.
+// Document returns the document of a service that its sidecars are sent: of several regions' that of the region with the
+// smaller name, and one that is not deleted before any that is. It returns false if there is none.
 func (l *List) Document(service string) (best api.Document, found bool) {
 	for d := range l.allOf(service) {
 		if !found || before(d, best) {
@@ -102,7 +102,7 @@
 	return best, found
 }
 
-// before tells which of two documents of one service is told.
+// before reports whether a is sent rather than b, of two documents of one service.
 func before(a, b api.Document) bool {
 	if a.Deleted != b.Deleted {
 		return b.Deleted
@@ -110,7 +110,7 @@
 	return a.Region < b.Region
 }
 
-// allOf are the documents of one service, one of each region that has any.
+// allOf returns the documents of one service, at most one of each region.
 func (l *List) allOf(service string) iter.Seq[api.Document] {
 	return func(yield func(api.Document) bool) {
 		if d := l.documents[service]; d != nil && !yield(l.named(d.Document)) {
@@ -124,13 +124,13 @@
 	}
 }
 
-// named is an own document with its region.
+// named returns an own document with its region.
 func (l *List) named(d api.Document) api.Document {
 	d.Region = l.region
 	return d
 }
 
-// DocumentAt is the settings of a service at a version, where they are remembered: this region's, or the last of another.
+// DocumentAt returns a stored revision of a service's document: of this region's, or the latest of another region's.
 func (l *List) DocumentAt(service string, version int64) (api.Document, bool) {
 	if own := l.documents[service]; own != nil {
 		for _, d := range own.Earlier {
@@ -147,7 +147,7 @@
 	return api.Document{}, false
 }
 
-// EarlierRevisions are the versions of an own document that are remembered, rising, the present one left out.
+// EarlierRevisions returns the stored revisions of an own document before the present one, rising.
 func (l *List) EarlierRevisions(service string) (versions []int64) {
 	if own := l.documents[service]; own != nil {
 		for _, d := range own.Earlier {
@@ -157,7 +157,7 @@
 	return versions
 }
 
-// Documents are all that are known, by service and region: also those of which sidecars are not told, and deleted ones.
+// Documents returns all documents, by service and region, including those not sent to sidecars and deleted ones.
 func (l *List) Documents() []api.Document {
 	all := []api.Document{}
 	for _, d := range l.documents {
@@ -172,8 +172,8 @@
 	return all
 }
 
-// OwnChangesSince is what another region that has the version is to be told: entries and documents that are written here, and changed
-// after it. All of them where that is no longer known.
+// OwnChangesSince returns the changes after a revision for another region: the entries and documents that this region owns and
+// that have changed since, or all of them if those are no longer known.
 func (l *List) OwnChangesSince(version int64) (c api.WatchEvent) {
 	if !l.Remembers(version) {
 		c = l.ownEntries()
@@ -194,7 +194,7 @@
 	return c
 }
 
-// ownDocuments are those that are written here, by service.
+// ownDocuments returns the documents that this region owns, by service.
 func (l *List) ownDocuments() (all []Document) {
 	for _, service := range slices.Sorted(maps.Keys(l.documents)) {
 		all = append(all, *l.documents[service])
@@ -202,7 +202,7 @@
 	return all
 }
 
-// loadDocuments is Load's part of schema 3.
+// loadDocuments is the part of Load for schema 3.
 func (l *List) loadDocuments(s State) {
 	l.region = s.Region
 	for _, d := range s.Documents {
@@ -219,8 +219,8 @@
 	}
 }
 
-// restoreDocuments puts the backup's documents in force as new versions, since none that was told may come back under its old
-// one, and ends those that it knows nothing of. What other regions said after the backup stays.
+// restoreDocuments restores the documents of a backup as new revisions, since a revision that has been sent must not return
+// with other content, and deletes those that the backup lacks. Documents of other regions stay.
 func (l *List) restoreDocuments(was *List) {
 	for service := range was.documents {
 		if l.documents[service] == nil {
--- a/internal/registry/list/leadership.go
+++ b/internal/registry/list/leadership.go
@@ -8,44 +8,44 @@
 	"mosslead/internal/registry/api"
 )
 
-// What a command of schema 2 does.
+// Operations of commands of schema 2, as they are encoded in the log.
 const (
 	AcquireLeadership = "take"
 	RenewLeadership   = "renew"
 	ReleaseLeadership = "release"
-	ForgetLeaderships = "lapse" // expired leaderships that nobody claims, so that their names are not stored for ever
+	ForgetLeaderships = "lapse" // removes expired leaderships that nobody claims
 )
 
-// LeadershipSchema is the form of commands and backups from which on leaderships are in them.
+// LeadershipSchema is the schema of commands and backups that introduced leaderships.
 const LeadershipSchema = 2
 
-// LeaseTerm is a lease of a leadership at one of its renewals. The leader's clock decides that a term has
-// expired; the log decides whether it still was the present one.
+// LeaseTerm identifies a lease at one of its renewals. The leader's clock decides that a term has expired; the log decides
+// whether it was still the present one.
 type LeaseTerm struct {
 	Name     string `json:"name"`
 	Epoch    uint64 `json:"epoch"`
 	Renewals uint64 `json:"turn"`
 }
 
-// Leadership is who holds a leadership.
+// Leadership is a leadership with its holder.
 type Leadership struct {
 	LeaseTerm
 	Holder  string `json:"holder"`
 	LeaseMs int64  `json:"lease_ms"`
 }
 
-// Grant is the leadership as a response.
+// Grant returns the leadership as a response.
 func (d Leadership) Grant() api.LeadershipGrant {
 	return api.LeadershipGrant{Name: d.Name, Holder: d.Holder, Epoch: d.Epoch, LeaseMs: d.LeaseMs}
 }
 
-// LeadershipClaim is a claim as a command.
+// LeadershipClaim is a claim as part of a command.
 type LeadershipClaim struct {
 	api.LeadershipClaim
 	ExpiredTerm *LeaseTerm `json:"over,omitempty"` // to acquire: the term of another holder that has expired by the leader's clock
 }
 
-// Leadership is who holds a leadership; false: nobody.
+// Leadership returns a leadership; false if nobody holds it.
 func (l *List) Leadership(name string) (Leadership, bool) {
 	d, ok := l.leaderships[name]
 	if !ok {
@@ -54,15 +54,15 @@
 	return d, ok
 }
 
-// Leaderships are all that are held, by name.
+// Leaderships returns all that are held, in order.
 func (l *List) Leaderships() []Leadership {
 	return slices.SortedFunc(maps.Values(l.leaderships), func(a, b Leadership) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Epoch is the highest that was given.
+// Epoch returns the highest epoch granted.
 func (l *List) Epoch() uint64 { return l.highestEpoch }
 
-// Understands tells whether all of the replicas, which are those with these names, understand a schema.
+// Understands reports whether the replicas with these names all understand a schema.
 func (l *List) Understands(schema int, names []string) bool {
 	for _, name := range names {
 		if l.replicas[name].Schema < schema {
@@ -72,11 +72,12 @@
 	return true
 }
 
-// applyLeadership carries out a command on a leadership. index is the command's place in the log.
+// applyLeadership applies a command on a leadership; index is the command's index in the log.
 //
-// The epoch is the command's place in the log and the list's version together. Both only rise, the first with each command and
-// the second beyond all that a backup knows with each restore, and programs that know of no leaderships keep both too. So
-// nothing has to be kept of a leadership that nobody holds, and a replica that forgot all leaderships gives no epoch twice.
+// An epoch is the sum of the log index and the list's revision, or one above the highest epoch if that is more. Index and
+// revision only rise, the first with each command, the second beyond that of a backup with each restore, also in programs
+// without leaderships. So nothing has to be stored of a leadership that nobody holds, and a replica that has forgotten all
+// leaderships grants no epoch twice.
 func (l *List) applyLeadership(c Command, index uint64) Result {
 	if c.Op == ForgetLeaderships {
 		for _, t := range c.ExpiredTerms {
@@ -92,7 +93,7 @@
 	switch c.Op {
 	case AcquireLeadership:
 		switch {
-		case own && d.Epoch > claim.Epoch: // an answer was lost, or a call came twice: it holds it already
+		case own && d.Epoch > claim.Epoch: // a retry: the candidate is the holder already
 			return l.grantLeadership(d, claim)
 		case replicated && !own && (claim.ExpiredTerm == nil || *claim.ExpiredTerm != d.LeaseTerm):
 			return Result{Leadership: d, Err: api.Errorf(api.CodeConflict, "%s is held by %s under epoch %d", d.Name, d.Holder, d.Epoch)}
@@ -107,14 +108,14 @@
 		}
 		return Result{Leadership: d, Err: api.Errorf(api.CodeConflict, "%s is not held under epoch %d by %s", d.Name, claim.Epoch, claim.Holder)}
 	}
-	if own && d.Epoch == claim.Epoch { // Release; to give up what is not held is done already
+	if own && d.Epoch == claim.Epoch { // a release; releasing what is not held succeeds
 		delete(l.leaderships, d.Name)
 		d.Holder = ""
 	}
 	return Result{Leadership: d}
 }
 
-// grantLeadership begins the next turn of a leadership.
+// grantLeadership starts the next term of a lease.
 func (l *List) grantLeadership(d Leadership, c *LeadershipClaim) Result {
 	d.Renewals++
 	d.LeaseMs = c.LeaseMs
@@ -122,8 +123,8 @@
 	return Result{Leadership: d}
 }
 
-// forget voids all leaderships where a replica was, or is, of a program that knows of none: what it had of them is lost, and all
-// replicas have to agree. Epochs go on.
+// forget voids all leaderships if a replica runs, or has run, a program without them: it has lost its copy, and all replicas
+// have to agree. Epochs keep rising.
 func (l *List) forget(joins api.Replica) bool {
 	known, there := l.replicas[joins.Name]
 	if joins.Schema >= LeadershipSchema && (!there || known.Schema >= LeadershipSchema) {
@@ -133,8 +134,8 @@
 	return true
 }
 
-// restoreLeaderships keeps who holds what here, and adds what only the backup knows: those leases are given their time again.
+// restoreLeaderships keeps the present leaderships, and adds those that only the backup has, with renewed leases.
 func (l *List) restoreLeaderships(was *List) {
 	l.highestEpoch = max(l.highestEpoch, was.highestEpoch)
-	maps.Copy(l.leaderships, was.leaderships) // over those of the backup, which Load has put there
+	maps.Copy(l.leaderships, was.leaderships) // overrides those of the backup, which Load has set
 }
--- a/internal/registry/list/list.go
+++ b/internal/registry/list/list.go
@@ -22,12 +22,11 @@
 	Restore       = "restore"
 )
 
-// Schema is the newest form of commands and backups that this program understands. Replicas tell each other
-// theirs. A program that brings a newer form must propose none of it while a member's schema is below, or
-// lists would diverge.
+// Schema is the newest schema of commands and backups that this program understands. Replicas announce theirs to each
+// other, and no command of a newer schema may be proposed while a replica does not understand it, or lists would diverge.
 //
-// 2 brought leaderships, 3 documents and other regions. A program of schema 1 answers that it does not know a
-// command of 2, and its list stays as it is.
+// Schema 2 introduced leaderships, 3 documents and other regions. A program of schema 1 rejects a command of schema 2, and
+// leaves its list unchanged.
 const Schema = 3
 
 // CompactionWindow is how many changed entries are stored, removed ones too. A watch from an earlier revision
@@ -45,13 +44,13 @@
 	Expired      []api.Heartbeat   `json:"lapsed,omitempty"`
 	Replica      *api.Replica      `json:"replica,omitempty"`
 	State        *State            `json:"state,omitempty"`
-	Claim        *LeadershipClaim  `json:"claim,omitempty"` // schema 2, as what follows
+	Claim        *LeadershipClaim  `json:"claim,omitempty"` // schema 2, like the fields below
 	ExpiredTerms []LeaseTerm       `json:"terms,omitempty"`
-	Region       string            `json:"region,omitempty"` // schema 3, as what follows: the region that writes
+	Region       string            `json:"region,omitempty"` // schema 3, like the fields below: the region of the writer
 	Document     *api.Document     `json:"document,omitempty"`
 	Chunk        *Chunk            `json:"piece,omitempty"`
 
-	Index uint64 `json:"-"` // its place in the log, by which all replicas know it
+	Index uint64 `json:"-"` // its index in the log, the same at all replicas
 }
 
 // Result is the result of a command.
@@ -62,7 +61,7 @@
 	Err             *api.Error
 }
 
-// State is all of a list, as snapshots and backups hold it.
+// State is the whole state of a list, as stored in snapshots and backups.
 type State struct {
 	Revision          int64                  `json:"version"`
 	CompactedRevision int64                  `json:"floor"`
@@ -72,13 +71,13 @@
 	Leaderships       []Leadership           `json:"duties,omitempty"` // schema 2
 	HighestEpoch      uint64                 `json:"epoch,omitempty"`  // schema 2: the highest that was granted
 
-	Region          string           `json:"region,omitempty"`    // schema 3, as what follows
+	Region          string           `json:"region,omitempty"`    // schema 3, like the fields below
 	Documents       []Document       `json:"documents,omitempty"` // own ones, by service
 	Regions         []Region         `json:"others,omitempty"`    // by name
 	RegionRevisions map[string]int64 `json:"moved,omitempty"`     // see List
 }
 
-// Schema is the form that the state needs.
+// Schema returns the lowest schema that the state needs.
 func (s *State) Schema() int {
 	if s.Region != "" || len(s.Documents) > 0 || len(s.Regions) > 0 {
 		return DocumentSchema
@@ -89,7 +88,7 @@
 	return 1
 }
 
-// entryChange is a change of an entry; void once the entry has changed again.
+// entryChange is a change of an entry; obsolete once the entry has changed again.
 type entryChange struct {
 	revision int64
 	name     string
@@ -98,39 +97,39 @@
 // List is the list at a revision. Not safe for concurrent use.
 type List struct {
 	revision     int64
-	compacted    int64 // what has changed since a revision below it is no longer known
+	compacted    int64 // revision below which changes are no longer known
 	records      map[string]*api.Record
 	adminStates  map[string]string // as operators set them, also for servers that are not present
 	changes      []entryChange     // by revision, rising
 	live         int               // records that are not removed
 	replicas     map[string]api.Replica
 	history      int
-	leaderships  map[string]Leadership // that are held, or have expired and were not acquired since
+	leaderships  map[string]Leadership // held, or expired and not acquired since
 	highestEpoch uint64                // the highest that was granted for any leadership
 
-	region           string                 // whose list this is
+	region           string                 // the name of the list's region
 	documents        map[string]*Document   // own ones, by service; deleted ones too
 	regions          map[string]*regionCopy // replicated ones
-	regionRevisions  map[string]int64       // when what is visible of a name last changed by another region's list
+	regionRevisions  map[string]int64       // revision at which the visible entry of a name last changed because of another region
 	uncheckedRegions bool                   // see SkipRegionChecks
 }
 
-// New returns an empty list that stores so many changed entries.
+// New returns an empty list that stores that many changed entries.
 func New(history int) *List {
 	return &List{records: map[string]*api.Record{}, adminStates: map[string]string{}, replicas: map[string]api.Replica{}, history: history,
 		leaderships: map[string]Leadership{}, documents: map[string]*Document{}, regions: map[string]*regionCopy{}, regionRevisions: map[string]int64{}}
 }
 
-// Revision rises with each change of an entry.
+// Revision returns the revision of the list, which rises with each change of an entry.
 func (l *List) Revision() int64 { return l.revision }
 
-// Len counts the endpoints in the list.
+// Len returns the number of endpoints in the list.
 func (l *List) Len() int { return l.live }
 
-// Replicas are the members of the service.
+// Replicas returns the replicas of the service.
 func (l *List) Replicas() map[string]api.Replica { return maps.Clone(l.replicas) }
 
-// Get is what is known of an entry; false: nothing, or that it was removed.
+// Get returns an entry; false if there is none, or if it was removed.
 func (l *List) Get(name string) (api.Record, bool) {
 	r := l.records[name]
 	if r == nil || r.ServerStatus == api.Removed {
@@ -139,7 +138,7 @@
 	return *r, true
 }
 
-// Records are those of all servers that have not left, by name: banned ones too.
+// Records returns the records of all servers that have not left, in order, including banned ones.
 func (l *List) Records() []api.Record {
 	all := make([]api.Record, 0, len(l.records))
 	for _, r := range l.records {
@@ -161,8 +160,7 @@
 	return 0
 }
 
-// Full is the list as discovery sends it: own endpoints, and those of other regions that have no namesake
-// here.
+// Full returns the full list as sent to watchers: own endpoints, and those of other regions whose names are not used here.
 func (l *List) Full() api.WatchEvent {
 	w := l.ownEntries()
 	if len(l.regions) == 0 {
@@ -177,7 +175,7 @@
 	return w
 }
 
-// ownEntries is the full list without other regions.
+// ownEntries returns the full list without other regions.
 func (l *List) ownEntries() api.WatchEvent {
 	w := api.WatchEvent{Revision: l.revision, Snapshot: true, Endpoints: []api.Endpoint{}}
 	for _, r := range l.Records() {
@@ -188,12 +186,12 @@
 	return w
 }
 
-// Remembers tells whether what has changed since a revision is known. It is not for one before the compaction
-// window, or of another service.
+// Remembers reports whether the changes since a revision are known. They are not for one before the compaction window, or
+// of another service.
 func (l *List) Remembers(version int64) bool { return version >= l.compacted && version <= l.revision }
 
-// ChangesSince is what has changed after a revision, each entry once, in the order of their latest changes;
-// the full list if that is no longer known.
+// ChangesSince returns the changes after a revision, each entry once, in the order of their latest changes; or the full list
+// if those are no longer known.
 func (l *List) ChangesSince(version int64) api.WatchEvent {
 	if !l.Remembers(version) {
 		return l.Full()
@@ -207,13 +205,13 @@
 	return c
 }
 
-// changesAfter are the changes after a revision.
+// changesAfter returns the changes after a revision.
 func (l *List) changesAfter(version int64) []entryChange {
 	from, _ := slices.BinarySearchFunc(l.changes, version+1, func(t entryChange, v int64) int { return int(t.revision - v) })
 	return l.changes[from:]
 }
 
-// ownRevision is when an own entry last changed; 0: none is stored.
+// ownRevision returns the revision at which an own entry last changed; 0 if none is stored.
 func (l *List) ownRevision(name string) int64 {
 	if r := l.records[name]; r != nil {
 		return r.Revision
@@ -221,12 +219,12 @@
 	return 0
 }
 
-// visibleRevision is when what is visible of a name last changed.
+// visibleRevision returns the revision at which the visible entry of a name last changed.
 func (l *List) visibleRevision(name string) int64 {
 	return max(l.ownRevision(name), l.regionRevisions[name])
 }
 
-// Apply carries out a command.
+// Apply applies a command.
 func (l *List) Apply(c Command) Result {
 	switch c.Op {
 	case Register, Drain, Deregister, SetAdminState:
@@ -254,7 +252,7 @@
 		delete(l.replicas, c.Name)
 		return Result{Revision: l.revision}
 	case Restore:
-		if c.Region != "" { // a new quorum does not know its name yet, and its documents are told under it at once
+		if c.Region != "" { // a new quorum does not know its name yet, under which its documents are sent at once
 			l.setRegion(c.Region)
 		}
 		l.restore(c.State)
@@ -263,7 +261,7 @@
 	return Result{Err: api.Errorf(api.CodeBadRequest, "this replica knows of no %q", c.Op)}
 }
 
-// change carries out a command on one entry.
+// change applies a command on one entry.
 func (l *List) change(c Command) Result {
 	r, there := l.Get(c.Name)
 	if !there {
@@ -276,7 +274,7 @@
 	if c.Registration != nil {
 		incarnation = c.Registration.Incarnation
 	}
-	// The latest incarnation is known beyond its end: an earlier one that comes late is rejected.
+	// The latest incarnation stays known after its entry has ended, so that a late command of an earlier one is rejected.
 	if known := l.records[c.Name]; known != nil && incarnation < known.Incarnation && (incarnation != 0 || c.Op == Register) {
 		return Result{Revision: r.Revision, Err: api.Errorf(api.CodeOlderIncarnation, "%s is known with incarnation %d", c.Name, known.Incarnation)}
 	}
@@ -324,7 +322,7 @@
 	l.adminStates[name] = hand
 }
 
-// status is what discovery sends of a record: the administrative state, or else the server's own.
+// status returns the status of a record as sent to watchers: by the administrative state, or else the server's own.
 func status(r api.Record) string {
 	switch {
 	case r.ServerStatus == api.Removed || r.AdminState == api.AdminBan:
@@ -342,7 +340,7 @@
 	l.put(removed)
 }
 
-// put changes an entry at the next version.
+// put changes an entry at the next revision.
 func (l *List) put(r api.Record) {
 	l.revision++
 	r.Revision = l.revision
@@ -350,7 +348,7 @@
 	l.touch(r.Name)
 }
 
-// touch notes that what is told of a name changed at the present version.
+// touch records that the visible entry of a name changed at the present revision.
 func (l *List) touch(name string) {
 	l.changes = append(l.changes, entryChange{l.revision, name})
 	if len(l.changes) > 2*l.history {
@@ -358,7 +356,7 @@
 	}
 }
 
-// compact forgets changes that were followed by others, and then the oldest beyond the bound, with who is gone by them.
+// compact drops obsolete changes, and then the oldest beyond the window with the removed entries among them.
 func (l *List) compact() {
 	l.changes = slices.DeleteFunc(l.changes, func(t entryChange) bool {
 		return l.ownRevision(t.name) != t.revision && l.regionRevisions[t.name] != t.revision
@@ -375,7 +373,7 @@
 	l.changes = slices.Clone(l.changes[max(0, len(l.changes)-l.history):])
 }
 
-// State is all of the list.
+// State returns the whole state of the list.
 func (l *List) State() State {
 	s := State{Revision: l.revision, CompactedRevision: l.compacted, AdminStates: maps.Clone(l.adminStates), Replicas: maps.Clone(l.replicas), Records: []api.Record{},
 		Leaderships: l.Leaderships(), HighestEpoch: l.highestEpoch, Region: l.region, Documents: l.ownDocuments(), Regions: l.regionsState(), RegionRevisions: maps.Clone(l.regionRevisions)}
@@ -386,7 +384,7 @@
 	return s
 }
 
-// Load is the list that a snapshot holds.
+// Load returns the list of a snapshot.
 func Load(s State, history int) *List {
 	l := New(history)
 	l.revision, l.compacted = s.Revision, s.CompactedRevision
@@ -410,14 +408,14 @@
 	return l
 }
 
-// restoreStep is how far a restored list's version is put ahead of both it and the present one: a backup can't tell
-// how many versions were told after it by a service that is lost.
+// restoreStep is how far the revision of a restored list is put ahead of the backup's and the present one: it is unknown how
+// many revisions a lost service has sent after the backup.
 const restoreStep = 1 << 20
 
-// restore puts the entries of a backup in place of those here. The version goes on from the higher of both, and nobody
-// is told of what changed: all get the whole list. Replicas stay who they are.
+// restore replaces the entries by those of a backup. The revision continues from the higher of both, and all watchers are
+// sent the full list. Replicas are not changed.
 func (l *List) restore(s *State) {
-	version := max(l.revision, s.Revision, int64(s.HighestEpoch)) + restoreStep // above epochs too, see leadership
+	version := max(l.revision, s.Revision, int64(s.HighestEpoch)) + restoreStep // also above epochs, see applyLeadership
 	was := *l
 	next := *s
 	next.Revision, next.CompactedRevision, next.Replicas = version, version, was.replicas
--- a/internal/registry/list/regions.go
+++ b/internal/registry/list/regions.go
@@ -32,8 +32,8 @@
 
 // regionCopy is the replicated state of another region.
 type regionCopy struct {
-	revision     int64 // all its changes up to it are applied
-	seenRevision int64 // highest revision of which a chunk was applied; nothing below it ever is again
+	revision     int64 // its changes up to this one are applied
+	seenRevision int64 // highest revision of which a chunk was applied; nothing below it is ever applied again
 	part         int   // how many chunks were applied since revision was
 	entries      map[string]api.Endpoint
 	documents    map[string]api.Document
@@ -70,8 +70,7 @@
 	return all
 }
 
-// Replicated is what is replicated of another region. To be read only, and only while the list does not
-// change.
+// Replicated is what is replicated of another region. It must not be modified, nor read after the list has changed.
 type Replicated struct {
 	Revision, SeenRevision int64
 	NextPart               int // of the next chunk
@@ -79,7 +78,7 @@
 	Documents              map[string]api.Document
 }
 
-// Replicated is what is replicated of another region; the zero value if nothing is.
+// Replicated returns what is replicated of another region; the zero value if nothing is.
 func (l *List) Replicated(region string) Replicated {
 	o := l.regions[region]
 	if o == nil {
@@ -88,16 +87,16 @@
 	return Replicated{Revision: o.revision, SeenRevision: o.seenRevision, NextPart: o.part, Entries: o.entries, Documents: o.documents}
 }
 
-// Regions are the names of the regions of which anything is replicated.
+// Regions returns the names of the regions of which anything is replicated.
 func (l *List) Regions() []string { return slices.Sorted(maps.Keys(l.regions)) }
 
-// SkipRegionChecks has the list apply whatever it is sent of other regions, older revisions too. It plants a
-// fault that checkers have to find, and is used for nothing else.
+// SkipRegionChecks has the list apply everything it is sent of other regions, including older revisions. It plants a fault
+// that checkers have to detect, and has no other use.
 func (l *List) SkipRegionChecks() { l.uncheckedRegions = true }
 
-// applyChunk applies a chunk. One that does not follow what is replicated, that was computed before another
-// was applied, or that is older than what was begun changes nothing. So a deposed leader, a chunk that comes
-// twice or late, and a source that went back do no harm.
+// applyChunk applies a chunk. A chunk that does not follow what is replicated, was computed before another was applied, or
+// is older than one applied in part is ignored, so that a deposed leader, a duplicated or late chunk, and a source that was
+// rolled back do no harm.
 func (l *List) applyChunk(p *Chunk) Result {
 	if p == nil || p.Region == "" || p.Region == l.region {
 		return Result{Err: api.Errorf(api.CodeBadRequest, "a piece of another region's list is needed")}
@@ -127,7 +126,7 @@
 		changed = changed || was.Region != now.Region || was.Revision != now.Revision
 	}
 	if changed {
-		l.revision++ // watchers are told
+		l.revision++ // notifies watchers
 	}
 	for _, e := range p.Entries {
 		l.followEntry(o, e)
@@ -138,7 +137,7 @@
 	return Result{Revision: l.revision}
 }
 
-// followed is how many entries of other regions are held.
+// followed returns the number of entries of other regions.
 func (l *List) followed() (n int) {
 	for _, o := range l.regions {
 		n += len(o.entries)
@@ -146,7 +145,7 @@
 	return n
 }
 
-// removedIn is how many entries of a chunk do not add to those held.
+// removedIn returns the number of entries of a chunk that don't add to those stored.
 func (l *List) removedIn(p *Chunk) (n int) {
 	replicated := l.Replicated(p.Region)
 	for _, e := range p.Entries {
@@ -171,7 +170,8 @@
 	}
 }
 
-// visibleEntry is what is told of a name: an own entry before others', and of those the one of the region with the smaller name.
+// visibleEntry returns the entry of a name that watchers are sent: an own one before any other, and of those the one of the
+// region with the smaller name.
 func (l *List) visibleEntry(name string) api.Endpoint {
 	r := l.records[name]
 	if r != nil && r.ServerStatus != api.Removed {
@@ -192,7 +192,7 @@
 	return api.Endpoint{Name: name, Status: api.Removed}
 }
 
-// regionEntryNames are the names of other regions' entries, each once.
+// regionEntryNames returns the names of other regions' entries, each once.
 func (l *List) regionEntryNames() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		seen := map[string]bool{}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -13,7 +13,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// serveMetrics serves figures at an address of their own, until stop is called.
+// serveMetrics serves the metrics at their own address, until stop is called.
 func (n *Node) serveMetrics(running *sync.WaitGroup) (stop func(), err error) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -1,8 +1,9 @@
-// Package registry owns a replica of the list service: the replicated log, leases, watches and the answers to calls.
+// Package registry implements a replica of the list service.
 //
-// fsm.go holds the list as the log makes it, leases.go the servers' heartbeat, watches.go tells of changes, forming.go
-// decides how a replica takes part, server.go answers; documents.go has the calls on services' settings, acks.go what sidecars say of
-// them, regions.go follows other regions.
+// node.go runs the replica, raft.go its replicated log, and forming.go how it joins the quorum. fsm.go applies the log to
+// the list, leases.go holds the leases of servers, watches.go sends changes to watchers, and server.go serves calls; those
+// on leaderships are in leadership.go, on settings in documents.go, and the sidecars' acknowledgements of settings in
+// acks.go. regions.go replicates other regions.
 package registry
 
 import (
@@ -31,13 +32,13 @@
 )
 
 const (
-	raftWriteTimeout  = 2 * time.Second // to have a command in the log of a quorum
+	raftWriteTimeout  = 2 * time.Second // for a command to be committed
 	freshEvery        = 200 * time.Millisecond
 	retainedSnapshots = 2
 	raftTimeout       = 2 * time.Second
 )
 
-// Node is one replica. Run is its one owner; everything else may be called from anywhere while it runs.
+// Node is one replica. Run must be called once; all other methods are safe for concurrent use while it runs.
 type Node struct {
 	c       *Config
 	log     *slog.Logger
@@ -49,26 +50,26 @@
 	client  *http.Client // to other replicas
 	start   time.Time
 
-	raft atomic.Pointer[raft.Raft] // nil until it takes part
+	raft atomic.Pointer[raft.Raft] // nil until the replica has joined the quorum
 
 	mu          sync.Mutex
 	leases      leaseTable
 	leaderships leasetable.Table // of leaderships
 	acks        acks
-	followers   map[string]*follower // of other regions, by name; while it leads
-	leading     bool                 // and all that was committed before is applied here
+	followers   map[string]*follower // of other regions, by name; while this replica leads
+	leading     bool                 // it is the leader, and all earlier commits are applied here
 
-	freshAt atomic.Int64 // time since start at which the list was known to be the service's
+	freshAt atomic.Int64 // time since the start at which the list was last known to be fresh
 }
 
-// identity is what a replica keeps of itself.
+// identity is what a replica stores about itself.
 type identity struct {
 	Disk   string `json:"disk"`
 	Starts int64  `json:"starts"`
 	Formed bool   `json:"formed"`
 }
 
-// Open prepares a replica. An error means that its directory can't be used, or is in use.
+// Open opens a replica. It fails if its directory can't be used, or is locked by another process.
 func Open(c *Config, log *slog.Logger) (*Node, error) {
 	n := &Node{c: c, log: log, start: time.Now(), machine: &stateMachine{list: list.New(list.CompactionWindow), uncheckedRegions: c.Breaks == faultRollback}}
 	n.leases = leaseTable{grace: c.Grace.Duration, preserveFraction: c.Preserve}
@@ -84,7 +85,7 @@
 	return n, n.identify()
 }
 
-// identify reads who this replica is, and counts the start.
+// identify reads the identity of this replica, and counts the start.
 func (n *Node) identify() error {
 	dir := filepath.Join(n.c.Dir, "identity")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx ends, and then returns.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -135,7 +136,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	signal.Ignore(syscall.SIGXFSZ) // a bound on files is an error of the write, and no reason to end
+	signal.Ignore(syscall.SIGXFSZ) // a write beyond a limit of file size fails, and must not end the process
 	server := n.server(ctx)
 	var running sync.WaitGroup
 	running.Go(func() {
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// participate joins the quorum, starts raft, and follows leadership until ctx ends.
+// participate joins the quorum, runs raft, and follows changes of the leader until ctx ends.
 func (n *Node) participate(ctx context.Context) error {
 	form, err := n.form(ctx)
 	if err != nil {
@@ -197,7 +198,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			if r.State() == raft.Leader && !n.c.Dev { // others need not wait for a silence
+			if r.State() == raft.Leader && !n.c.Dev { // so that the others need not wait for the election time-out
 				_ = r.LeadershipTransfer().Error()
 			}
 			return nil
@@ -219,7 +220,7 @@
 	n.mu.Unlock()
 }
 
-// lead begins or ends what only a leader does.
+// lead starts or stops the leader's work.
 func (n *Node) lead(r *raft.Raft, leads bool) {
 	n.leadNoMore()
 	if !leads {
@@ -228,7 +229,7 @@
 	}
 	if err := r.Barrier(raftTimeout).Error(); err != nil {
 		n.log.Warn("leadership not taken up", "component", "registry", "node", n.me.Name, "err", err)
-		// Nothing else would try again while this replica leads: another one may.
+		// Nothing would retry while this replica leads; another leader can.
 		_ = r.LeadershipTransfer().Error()
 		return
 	}
@@ -244,7 +245,7 @@
 	n.log.Info("leadership acquired", "component", "registry", "node", n.me.Name, "epoch", r.CurrentTerm(), "entries", len(records))
 }
 
-// announce has the others remember this start, so that a copy of an older disk is known as one.
+// announce records this start in the list, so that a restored copy of the disk is recognised.
 func (n *Node) announce(ctx context.Context) {
 	for n.members()[n.me.Name] != n.me {
 		err := error(errStarting)
@@ -274,7 +275,7 @@
 	return err
 }
 
-// leaderAPI is where the leader answers; false: there is none, as far as is known here.
+// leaderAPI returns the URL of the leader's API; false if no leader is known.
 func (n *Node) leaderAPI() (string, bool) {
 	r := n.raft.Load()
 	if r == nil {
@@ -302,7 +303,7 @@
 	return m
 }
 
-// touched follows a command that was carried out.
+// touched updates leases and watches after a committed command.
 func (n *Node) touched(now []api.Record) {
 	n.mu.Lock()
 	if n.leading {
@@ -314,13 +315,13 @@
 	n.watches.notify()
 }
 
-// trackFreshness finds out how old the list here may be. What this replica's log holds at its start is the list of before, and the engine
-// hears of a leader before it hears how much is committed: so nothing is fresh until this start itself is in the list, which the
-// quorum has committed behind all else that it had; or, for one that leads, until all of that is in.
+// trackFreshness records how old the list here may be. At the start the log holds an old list, and raft learns of a leader
+// before it learns the commit index. So nothing is fresh until this start itself (see announce), which the quorum commits
+// after everything earlier, is in the list, or until a leader has applied all earlier commits.
 func (n *Node) trackFreshness(ctx context.Context, r *raft.Raft) {
 	tick := time.NewTicker(freshEvery)
 	defer tick.Stop()
-	known := false // this start
+	known := false // this start is in the list
 	for {
 		began := n.now()
 		switch r.State() {
@@ -345,7 +346,7 @@
 	}
 }
 
-// freshEnough is nil while the list is not older than it may be.
+// freshEnough returns an error if the list may be older than MaxStaleness.
 func (n *Node) freshEnough() error {
 	if n.c.Breaks == faultStaleRead {
 		return nil
@@ -357,7 +358,7 @@
 	return nil
 }
 
-// expireLeases ends entries whose lease has lapsed, on the leader.
+// expireLeases removes entries whose leases have expired, on the leader.
 func (n *Node) expireLeases(ctx context.Context, r *raft.Raft) {
 	tick := time.NewTicker(leaseCheckInterval)
 	defer tick.Stop()
@@ -395,7 +396,7 @@
 
 var errStarting = api.Errorf(api.CodeNoLeader, "this replica does not take part yet")
 
-// apply has a command carried out, by this replica as the leader.
+// apply commits a command, as the leader, and returns its result.
 func (n *Node) apply(c list.Command) (list.Result, error) {
 	r := n.raft.Load()
 	if r == nil {
@@ -409,7 +410,7 @@
 	switch err := f.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-		return list.Result{}, api.Errorf(api.CodeNoLeader, "%v", err) // not in the log
+		return list.Result{}, api.Errorf(api.CodeNoLeader, "%v", err) // not appended to the log
 	default:
 		return list.Result{}, api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
@@ -420,7 +421,7 @@
 	return result, nil
 }
 
-// consistent returns once all that was committed before is in the list here, and this replica is sure to lead.
+// consistent blocks until all earlier commits are applied here and a quorum has confirmed that this replica leads.
 func (n *Node) consistent() error {
 	r := n.raft.Load()
 	if r == nil {
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -13,7 +13,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// raftParts are what raft needs beside its configuration.
+// raftParts are the stores and the transport of raft.
 type raftParts struct {
 	logs      raft.LogStore
 	stable    raft.StableStore
@@ -28,7 +28,7 @@
 	}
 }
 
-// startRaft starts raft, from the directory or in memory. form, if not empty, is the quorum that begins here.
+// startRaft starts raft, from the directory or in memory. form, if not empty, is the quorum to form.
 func (n *Node) startRaft(ctx context.Context, form []raft.Server) (r *raft.Raft, stop func(), err error) {
 	c := n.raftConfig()
 	parts, err := n.raftParts(ctx, c)
@@ -57,7 +57,7 @@
 	return c
 }
 
-// raftParts opens the stores and the transport. What was opened before an error is in the parts, to be closed.
+// raftParts opens the stores and the transport. After an error the returned parts hold those to be closed.
 func (n *Node) raftParts(ctx context.Context, c *raft.Config) (*raftParts, error) {
 	p := &raftParts{}
 	if n.c.Dev {
@@ -86,7 +86,7 @@
 	return p, nil
 }
 
-// bootstrap forms the quorum, unless the log holds one already.
+// bootstrap forms the quorum, unless the log holds one.
 func (p *raftParts) bootstrap(c *raft.Config, form []raft.Server) error {
 	has, err := raft.HasExistingState(p.logs, p.stable, p.snapshots)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// shutdown ends raft, and then closes its parts. Raft may be stopped for want of a disk: it is left alone then, as the
-// process is about to end.
+// shutdown stops raft, and then closes its parts. If raft waits for a failing disk, it is left as it is, since the process
+// is about to end.
 func shutdown(r *raft.Raft, parts *raftParts) {
 	ended := make(chan struct{})
 	go func() {
@@ -116,7 +116,7 @@
 	}
 }
 
-// stream is TCP, with the address that others know.
+// stream implements raft.StreamLayer over TCP, with the address announced to others.
 type stream struct {
 	net.Listener
 	known raft.ServerAddress
@@ -144,7 +144,7 @@
 func (known) Network() string  { return "tcp" }
 func (k known) String() string { return string(k) }
 
-// dialer knows where others are reached from here.
+// dialer resolves the addresses of other replicas.
 type dialer map[string]Peer
 
 // ServerAddr implements raft.ServerAddressProvider.
@@ -152,5 +152,5 @@
 	if p, ok := d[string(id)]; ok && p.Raft != "" {
 		return raft.ServerAddress(p.Raft), nil
 	}
-	return "", fmt.Errorf("no address of its own for %s", id) // the one that all know is used
+	return "", fmt.Errorf("no address of its own for %s", id) // the announced address is used
 }
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -13,26 +13,25 @@
 	"mosslead/internal/registry/list"
 )
 
-// resyncAfter is how long another region may be silent before its full list is requested again instead of the
-// changes: for so long it could have been restored from an old copy, and have gone on from it to a revision
-// that says nothing of that.
+// resyncAfter is how long another region may be silent before its full list is requested instead of the changes: meanwhile
+// it may have been restored from an old copy and have reached a revision that hides it.
 const resyncAfter = 10 * time.Second
 
-// errNotLeader ends what only a leader does.
+// errNotLeader is returned once this replica no longer leads.
 var errNotLeader = errors.New("this replica leads no more")
 
-// follower replicates one other region while this replica leads. run owns it.
+// follower replicates one other region while this replica leads. The goroutine of run owns it.
 type follower struct {
 	n      *Node
 	region string
 	client *client.Client
 
 	mu        sync.Mutex
-	lastHeard time.Duration // when the region last sent anything; 0: not since this replica leads
+	lastHeard time.Duration // when the region last sent anything; 0: never since this replica leads
 	sync      federation.SyncState
 }
 
-// followRegions replicates the other regions until stop is called, which waits for their end.
+// followRegions starts replicating the other regions. stop ends that, and blocks until it has ended.
 func (n *Node) followRegions(ctx context.Context) (stop func()) {
 	if len(n.c.Follow) == 0 {
 		return func() {}
@@ -57,7 +56,7 @@
 	}
 }
 
-// run replicates until ctx ends. Calls go to the region's replicas in turn, at the client's pace.
+// run replicates until ctx ends, from the region's replicas in turn, with the client's back-off.
 func (f *follower) run(ctx context.Context) {
 	defer f.client.Close()
 	f.client.Region(ctx, f.nextRevision, client.Watcher{
@@ -76,7 +75,7 @@
 	f.lastHeard = f.n.now()
 }
 
-// nextRevision is the revision from which changes are requested; -1: the full list is.
+// nextRevision returns the revision from which changes are requested; -1 for the full list.
 func (f *follower) nextRevision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,11 +84,11 @@
 
 func (n *Node) replicated(region string) (h list.Replicated) {
 	n.machine.read(func(l *list.List) { h = l.Replicated(region) })
-	return list.Replicated{Revision: h.Revision, SeenRevision: h.SeenRevision} // the rest may change by now
+	return list.Replicated{Revision: h.Revision, SeenRevision: h.SeenRevision} // the rest may change once the lock is released
 }
 
-// apply has the log apply what the other region sends. An error ends the watch, so that the next call begins
-// from what is replicated by then.
+// apply replicates an event of the other region through the log. An error ends the watch, and the next one starts from
+// what is replicated by then.
 func (f *follower) apply(ctx context.Context, l api.WatchEvent) error {
 	var chunks []list.Chunk
 	var anomaly, rejected string
@@ -117,14 +116,14 @@
 	return nil
 }
 
-// recordSync records what became of an event.
+// recordSync records the result of applying an event.
 func (f *follower) recordSync(snapshot bool, anomaly, rejected string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sync.Record(snapshot, anomaly, rejected)
 }
 
-// replication is how far this replica has replicated other regions, as the leader; nil elsewhere.
+// replication returns how far other regions are replicated; nil unless this replica leads.
 func (n *Node) replication() (all []api.ReplicationStatus) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -10,9 +10,9 @@
 
 const storeRetryInterval = 200 * time.Millisecond
 
-// retryingStore stores raft's terms and votes, and retries while the disk fails. A replica that can't
-// remember its vote must not go on, and raft itself would end the process. Other replicas go on without this
-// one meanwhile; it takes part again once the disk has space.
+// retryingStore stores raft's terms and votes, and blocks while the disk fails. A replica that can't persist its vote must not
+// continue, and raft itself would end the process. The other replicas continue without this one, which takes part again
+// once the disk works.
 type retryingStore struct {
 	raft.StableStore
 	ctx context.Context
@@ -38,7 +38,7 @@
 	for {
 		select {
 		case <-p.ctx.Done():
-			select {} // the process ends, and must not go on without having written
+			select {} // the process is ending, and must not continue without the write
 		case <-time.After(storeRetryInterval):
 		}
 		if write() == nil {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	maxBody    = 1 << 20  // of a call; a renewal of 10,000 leases is below
-	maxRestore = 64 << 20 // and of an answer that is passed on
+	maxBody    = 1 << 20  // bytes of a call; enough to renew 10,000 leases
+	maxRestore = 64 << 20 // bytes of a backup, and of a forwarded answer
 	forwarded  = "X-Registry-Forwarded"
 )
 
-// server answers calls. Reads of the list are answered by any replica that is fresh enough; all else by the leader, to
-// whom other replicas pass a call on, once.
+// server serves calls. Any replica whose list is fresh enough serves reads of it; all other calls are served by the leader,
+// to which other replicas forward them, once.
 func (n *Node) server(ctx context.Context) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", n.targets)
@@ -62,10 +62,10 @@
 		MaxHeaderBytes: 16 << 10, BaseContext: func(net.Listener) context.Context { return ctx }}
 }
 
-// work is a call with its body read: the answer, or why there is none.
+// work serves a call whose body has been read: it returns the answer, or an error.
 type work func(r *http.Request, body []byte) (any, error)
 
-// onLeader has a call answered here if this replica leads, and else by the leader.
+// onLeader serves a call here if this replica leads, and otherwise forwards it to the leader.
 func (n *Node) onLeader(limit int64, do work) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, limit))
@@ -86,7 +86,7 @@
 	}
 }
 
-// either answers here, or on the leader where the caller wants what is sure to be the newest.
+// either serves a read here, or on the leader if the caller requires a linearizable read.
 func (n *Node) either(do work) http.HandlerFunc {
 	sure := n.onLeader(maxBody, func(r *http.Request, body []byte) (any, error) {
 		if err := n.consistent(); err != nil {
@@ -160,14 +160,13 @@
 	if !errors.As(err, &f) {
 		f = api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
-	text, _ := json.Marshal(f) // two strings
+	text, _ := json.Marshal(f) // can't fail for two strings
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(statusOf[f.Code])
 	_, _ = rw.Write(append(text, '\n'))
 }
 
-// read takes a body apart. What is not known in it is an error: a wish that is not carried out must not look like one
-// that was.
+// read decodes a body. Unknown fields are errors, so that a request that is not fully understood does not seem to succeed.
 func read(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -263,7 +262,7 @@
 	return api.HeartbeatResult{Expired: expired}, nil
 }
 
-// overrule ends those who are silent although the service is in doubt of itself.
+// overrule removes the entries with expired leases that are preserved because too many expired at once.
 func (n *Node) overrule(*http.Request, []byte) (any, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -280,7 +279,7 @@
 		id := api.Identity{Replica: n.me, Formed: n.raft.Load() != nil, Members: n.members()}
 		for _, name := range n.voterNames() {
 			if _, ok := id.Members[name]; !ok {
-				id.Members[name] = api.Replica{Name: name} // was never heard of
+				id.Members[name] = api.Replica{Name: name} // it has never been announced
 			}
 		}
 		return id, nil
@@ -291,7 +290,7 @@
 	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) { return n.Status(), nil })
 }
 
-// Status is what this replica knows of itself and of the service.
+// Status returns the state of this replica, and of the service as far as known here.
 func (n *Node) Status() api.Status {
 	s := api.Status{Replica: n.me, State: "starting", Members: n.members(), Voters: n.voterNames(), Watchers: n.watches.watching(), StalenessMs: -1,
 		Region: n.c.Region}
@@ -322,7 +321,7 @@
 	return s
 }
 
-// readyz says whether lists are served here.
+// readyz reports whether this replica serves lists.
 func (n *Node) readyz(rw http.ResponseWriter, _ *http.Request) {
 	if err := n.freshEnough(); err != nil {
 		writeError(rw, err)
@@ -355,7 +354,7 @@
 	return struct{}{}, n.evictReplica(r.PathValue("name"))
 }
 
-// Backup is a list as a file holds it.
+// Backup is the format of a backup file.
 type Backup struct {
 	Schema int             `json:"schema"`
 	CRC32C uint32          `json:"crc32c"` // of state
@@ -364,7 +363,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// CheckBackup reads a backup; an error says what is wrong with it.
+// CheckBackup decodes a backup, and checks its format and checksum.
 func CheckBackup(text []byte) (*list.State, error) {
 	var b Backup
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -403,7 +402,7 @@
 	return s, nil
 }
 
-// WriteBackup puts a backup that is whole in a file, whole or not at all.
+// WriteBackup checks a backup, and writes it to a file completely or not at all.
 func WriteBackup(path string, text []byte) error {
 	if _, err := CheckBackup(text); err != nil {
 		return err
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -18,54 +18,54 @@
 
 const (
 	keepaliveInterval = 2 * time.Second
-	// writeTimeout is how long a watcher may take no line before its watch ends. It comes back with its version, and is
-	// told what changed since, or the whole list: so nothing is queued for it, and nothing skipped.
+	// writeTimeout is how long a watcher may read nothing before its watch is ended. It returns with its revision and is sent
+	// the changes since, or the full list, so that nothing is queued for it and nothing skipped.
 	writeTimeout = 5 * time.Second
-	// pacePerWatcher is about what it costs to tell one watcher; changes within the time that telling all of them takes
-	// are told together.
+	// pacePerWatcher is about the processor time to notify one watcher; changes within the time that notifying all of them
+	// takes are sent together.
 	pacePerWatcher = 8 * time.Microsecond
 	maxPace        = 100 * time.Millisecond
 	maxCachedLines = 64
-	// catchUpTimeout is how long a watcher who knows of a version that this replica lacks waits for it. A replica that hears its leader
-	// lacks it for milliseconds; whoever has another service's version, or was told what is lost, gets the whole list after it. It is
-	// under client.callMost, within which a watch has to stand.
+	// catchUpTimeout is how long a watcher with a revision that this replica lacks waits for it. A replica in contact with its
+	// leader lacks it for milliseconds; after the time-out a watcher with the revision of another service, or of lost data,
+	// is sent the full list. It is below the client's callTimeout, within which a watch has to be established.
 	catchUpTimeout = time.Second
 )
 
-// watches notify all watchers of changes: one goroutine wakes them, and each writes for itself.
+// watches notifies all watchers of changes: one goroutine wakes them, and each writes for itself. Safe for concurrent use.
 type watches struct {
 	m      *stateMachine
 	max    int
-	region string       // as it is told to those who ask for own entries
-	fresh  func() error // nil: the list is as fresh as it must be
+	region string       // as sent to watchers that request own entries only
+	fresh  func() error // returns an error if the list is too old to be served
 
 	mu           sync.Mutex
 	count        int
 	published    int64                   // revision up to which watchers are notified
 	changed      chan struct{}           // closed when there is a change
 	lines        map[lineKey]encodedLine // up to published
-	publishTimer *time.Timer             // of the next publishing, if one is due
+	publishTimer *time.Timer             // of the next publication, if one is due
 	last         time.Time
 }
 
 // lineKey names a line that several watchers may be sent.
 type lineKey struct {
-	from    int64  // revision that it continues
+	from    int64  // the revision before the line
 	own     bool   // only what this region writes
 	service string // with the settings of this service; empty: without any
 }
 
-// encodedLine is a line as it is sent, and which settings are in it.
+// encodedLine is an encoded line, with the identifier of the settings in it.
 type encodedLine struct {
 	text     []byte
 	settings string
 }
 
-// watchState is what a watcher asks for, and has.
+// watchState is what a watcher requests, and what it has been sent.
 type watchState struct {
 	from     int64
 	own      bool
-	service  string // whose settings it is to hear of; empty: of none
+	service  string // whose settings are requested; empty: none
 	settings string // which settings it has, as REGION@VERSION; empty: none
 }
 
@@ -73,7 +73,7 @@
 	return &watches{m: m, max: limit, region: region, fresh: fresh, changed: make(chan struct{}), lines: map[lineKey]encodedLine{}}
 }
 
-// notify says that the list has changed. Watchers are notified after a while that grows with their number.
+// notify records that the list has changed. Watchers are notified after a delay that grows with their number.
 func (w *watches) notify() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,8 +97,8 @@
 // fullList is the revision of every watcher that needs the full list, so that they share one line.
 const fullList = -1
 
-// line is what is to be sent to a watcher, what it has then, and a channel that is closed on the next change;
-// nil: nothing. first: it was sent nothing yet.
+// line returns what is to be sent to a watcher, nil for nothing, the state of the watcher after that, and a channel that is
+// closed on the next change. first tells that the watcher has been sent nothing yet.
 func (w *watches) line(has watchState, first bool) (text []byte, then watchState, next <-chan struct{}, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +122,7 @@
 				}
 			}
 		}
-		if known := w.lines[of]; known.text != nil { // the list may be ahead of it by now
+		if known := w.lines[of]; known.text != nil { // the list may already be newer
 			if text = known.text; of.service != "" {
 				then.settings = known.settings
 			}
@@ -144,7 +144,7 @@
 		return text, then, next, nil
 	}
 	then.from = l.Revision
-	if !l.Snapshot && len(l.Endpoints) == 0 && len(l.Documents) == 0 { // nothing, or only what did not outlast the moment
+	if !l.Snapshot && len(l.Endpoints) == 0 && len(l.Documents) == 0 { // nothing, or only changes that have been reverted
 		then.from = max(has.from, l.Revision)
 		return nil, then, next, nil
 	}
@@ -158,12 +158,12 @@
 	return text, then, next, nil
 }
 
-// serve is one watch, to its end. It takes the connection over from the server, since ten thousand idle ones
-// should not hold the buffers of a request each.
+// serve serves one watch until it ends. It hijacks the connection, so that ten thousand idle watches don't hold the buffers of
+// a request each.
 func (w *watches) serve(rw http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	if r.FormValue("from") == "" {
-		from, err = -1, nil // the whole list
+		from, err = -1, nil // the full list
 	}
 	if err != nil {
 		writeError(rw, api.Errorf(api.CodeBadRequest, "from: a whole number, not %.40q", r.FormValue("from")))
@@ -174,7 +174,7 @@
 		writeError(rw, api.Errorf(api.CodeBadRequest, "service: at most %d bytes, and not with own", api.MaxName))
 		return
 	}
-	if !has.own { // another region judges by itself what an older version means
+	if !has.own { // another region handles an older revision itself
 		w.catchUp(r.Context(), from)
 	}
 	if err := w.fresh(); err != nil {
@@ -203,15 +203,15 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	if buffers.Reader.Buffered() > 0 { // a second request, behind one that never ends
+	if buffers.Reader.Buffered() > 0 { // a second request, behind one without an end
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
 	w.follow(conn, has, r.Context().Done())
 }
 
-// catchUp waits until a revision is published here, or for catchUpTimeout. Without it, a watcher who comes
-// from a replica that is ahead by a moment would be sent an older list as the full one, and so go back.
+// catchUp blocks until a revision is published here, or for catchUpTimeout. Without it, a watcher that comes from a replica
+// that is slightly ahead would be sent an older full list, and go back.
 func (w *watches) catchUp(ctx context.Context, from int64) {
 	late := time.NewTimer(catchUpTimeout)
 	defer late.Stop()
@@ -235,12 +235,12 @@
 const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\nTrailer: " +
 	endTrailer + "\r\nConnection: close\r\n\r\n"
 
-// endTrailer is the trailer that says why a watch was ended.
+// endTrailer is the trailer with the reason for which a watch was ended.
 const endTrailer = "X-Registry-End"
 
 var errWatchOver = errors.New("this replica stops")
 
-// follow sends changes until the watcher is gone, or this replica's list is too old to be sent.
+// follow sends changes until the watcher disconnects, or the list here is too old to be served.
 func (w *watches) follow(conn net.Conn, has watchState, over <-chan struct{}) {
 	out := chunkWriter{conn}
 	if !out.write([]byte(watchHead), false) {
@@ -266,7 +266,7 @@
 			}
 			idle.Reset(keepaliveInterval)
 		case first:
-			if !out.write([]byte("\n"), true) { // the watch stands
+			if !out.write([]byte("\n"), true) { // shows that the watch is established
 				return
 			}
 		}
@@ -284,7 +284,7 @@
 	}
 }
 
-// chunkWriter writes the chunks of a response.
+// chunkWriter writes a response in chunked encoding.
 type chunkWriter struct{ conn net.Conn }
 
 func (c chunkWriter) write(text []byte, framed bool) bool {
@@ -298,7 +298,7 @@
 	return err == nil
 }
 
-// end says why, in the trailer, and ends the answer.
+// end ends the response, with the reason in the trailer.
 func (c chunkWriter) end(why error) {
 	w := bufio.NewWriter(c.conn)
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -11,15 +11,15 @@
 	"mosslead/internal/wire"
 )
 
-// Under is what the keys of settings begin with in a sidecar's file.
+// Under is the prefix of the keys of settings in a sidecar's file.
 const Under = "settings."
 
-// Keys are those that a JSON object holds, those inside objects by their path. Of a list's objects they are what all of them hold;
-// of a list without any its path and a dot, for they lack nothing. The JSON library can't tell a key that is absent from one that is 0, but
-// for pointers in each field.
+// Keys is the set of keys in a JSON object, with the path of keys in inner objects. Of the objects in a list it has the keys
+// common to all; of an empty list it has the list's path and a dot. (Decoding into a struct can't tell an absent key from
+// one that is 0.)
 type Keys map[string]bool
 
-// KeysOf names the keys of an object; what is inside one of the sealed ones is left out.
+// KeysOf returns the keys of an object, without those inside the sealed ones.
 func KeysOf(text []byte, sealed ...string) (Keys, error) {
 	var file map[string]any
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -59,13 +59,13 @@
 	return keys, nil
 }
 
-// DocumentKeys are those of a document's settings, named as in a file.
+// DocumentKeys returns the keys of a document's settings, with the paths that they have in a file.
 func DocumentKeys(text []byte) (Keys, error) {
 	return KeysOf(fmt.Appendf(nil, `{"settings":%s}`, text))
 }
 
-// Lacks names the first of the old keys that is gone; empty: none is. A key that is gone reads like a limit or a price that was never
-// set. One that nothing reads, that may be absent, or that the caller frees, can go.
+// Lacks returns the first of the old keys that is missing, or "" if none is: a missing key would be read as a limit or a cost
+// that was never set. Keys that are not read, that are optional, or that the caller exempts may be missing.
 func (k Keys) Lacks(old Keys, free ...string) string {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
 		may := slices.Contains(free, key) || key == Under+"Classes.AimStretch" || strings.HasSuffix(key, ".") ||
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// holds tells whether a key is there, or an empty list in whose objects it would be.
+// holds reports whether a key is present, or an empty list in whose objects it would be.
 func (k Keys) holds(key string) bool {
 	for i, x := range key {
 		if x == '.' && k[key[:i+1]] {
@@ -87,11 +87,11 @@
 	return k[key]
 }
 
-// used are the settings' keys that are read.
+// used are the keys of settings that are read.
 var used = sync.OnceValue(func() Keys {
 	keys, err := DocumentKeys(wire.Keys())
 	if err != nil {
-		panic(err) // the balancer's own text
+		panic(err) // can't fail for the program's own text
 	}
 	return keys
 })
--- a/internal/settings/locate.go
+++ b/internal/settings/locate.go
@@ -9,15 +9,15 @@
 	"mosslead/balancer"
 )
 
-// Place is where in a text an error of Check is: line and column count from 1, the latter in bytes. A Line of 0: it can't be told.
-// Key is the path of the key, in the messages of the file; empty: the error names it itself, or there is none.
+// Place is the position of an error of Check in a text: line and column count from 1, the column in bytes; a Line of 0 is
+// unknown. Key is the path of the key; empty if the error names the key itself, or there is none.
 type Place struct {
 	Line, Column int
 	Key          string
 }
 
-// keyOf maps the settings that a balancer.SettingError names to the keys of the file. A field of a list's elements has the list's name
-// before it.
+// keyOf maps the settings that a balancer.SettingError names to keys of the file. A field of a list's elements has the list's
+// name as its prefix.
 var keyOf = map[string]string{
 	"Classes":           "Classes",
 	"ConnectTimeout":    "Limits.ConnectTimeoutMs",
@@ -45,12 +45,12 @@
 	"Tenants.Quota":             "Fraction",
 }
 
-// KeyError says what is wrong with a key that this package checks itself.
+// KeyError is the error of a key that this package checks itself.
 type KeyError struct{ Key, Reason string }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-// Locate says where in text an error of Check is.
+// Locate returns the position of an error of Check in text.
 func Locate(text []byte, err error) Place {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
@@ -85,11 +85,11 @@
 		return best
 	}
 	best.Key = top + "." + field
-	for i, p := range f.found { // the last of that name: one that is repeated is the later
+	for i, p := range f.found { // the last of that name, which overrides earlier ones
 		if !strings.EqualFold(p.path, top+".Name") || p.value != object {
 			continue
 		}
-		best = at(text, p.offset, best.Key) // the object's name stands for a field that it lacks
+		best = at(text, p.offset, best.Key) // the object's position, for a field that it lacks
 		for _, q := range f.found {
 			if q.object == f.found[i].object && strings.EqualFold(q.path, top+"."+field) {
 				best = at(text, q.offset, best.Key)
@@ -104,7 +104,7 @@
 	return Place{1 + bytes.Count(before, []byte("\n")), len(before) - bytes.LastIndexByte(before, '\n'), key}
 }
 
-// finder lists the keys of a text that is proper JSON, with their paths. Objects in lists have the path of the list.
+// finder lists the keys of a valid JSON text, with their paths. Objects in lists have the path of the list.
 type finder struct {
 	text    []byte
 	d       *json.Decoder
@@ -116,10 +116,10 @@
 	path   string
 	offset int // of the key's first byte
 	object int // the same number for keys of one object
-	value  any // a word's, or nil
+	value  any // a string or number, or nil
 }
 
-// walk takes one value in, and gives it back where it is a word or number.
+// walk reads one value, and returns it if it is a string or number.
 func (f *finder) walk(path string) any {
 	token, err := f.d.Token()
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings owns what a document with a service's settings has to be: its schema, and the check that a sidecar's own file
-// gets too. It knows of no I/O and no clock.
+// Package settings defines the documents with the settings of a service: their schema, and the checks that a sidecar's own
+// file gets too. It does no I/O.
 package settings
 
 import (
@@ -12,12 +12,12 @@
 	"mosslead/internal/wire"
 )
 
-// Schema is the newest form of settings that this program understands. One that needs a newer is rejected, and what is in force
-// stays.
+// Schema is the newest schema of settings that this program understands. A document of a newer one is rejected, and the
+// settings in force stay.
 const Schema = 1
 
-// Check reads the object that a sidecar's file has under "settings", as a document of that schema holds it. An error names the key,
-// or line and column.
+// Check decodes and checks the settings of a document of that schema, the object that a sidecar's file has under "settings". An
+// error names the key, or line and column.
 func Check(schema int, text []byte) (wire.Settings, error) {
 	if schema < 1 || schema > Schema {
 		return wire.Settings{}, fmt.Errorf("schema %d, and this program understands 1 to %d", schema, Schema)
@@ -25,8 +25,8 @@
 	return Read(text, text)
 }
 
-// Read is the one reader of settings: part is the object, and text what it is a part of, a sidecar's file or itself. An error names the
-// key, or line and column of text.
+// Read decodes and checks settings: part is the object, and text that which it is a part of, a sidecar's file or itself. An
+// error names the key, or line and column in text.
 func Read(text, part []byte) (wire.Settings, error) {
 	s, err := wire.DecodeSettings(part)
 	if err != nil {
@@ -45,8 +45,7 @@
 	return s, nil
 }
 
-// Located says where in the text an error of the JSON library is, which counts from the beginning of the part it was given
-// and names the key itself.
+// Located adds the position in text to an error of encoding/json, which counts from the start of the part it was given.
 func Located(text, part []byte, err error) error {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
--- a/internal/watch/messages.go
+++ b/internal/watch/messages.go
@@ -16,8 +16,8 @@
 	rest      []byte           // read behind the latest message
 	begun     bool             // within a message
 	maxBytes  int              // bytes of one message
-	bytesLeft int              // that the message may still have
-	onData    func(blank bool) // something came: a part of a message or, if blank, an empty line between messages
+	bytesLeft int              // left for the present message
+	onData    func(blank bool) // called for each part of a message and, with blank, each empty line between messages
 }
 
 // NewMessages reads from body, maxBytes of one message at most.
@@ -54,7 +54,7 @@
 			text = bytes.TrimLeft(text, space)
 		}
 		blank := len(bytes.TrimLeft(text, space)) == 0
-		if n > 0 && !again && (!blank || !s.begun) { // empty lines within a message do not bring it nearer
+		if n > 0 && !again && (!blank || !s.begun) { // empty lines within a message are no progress
 			s.onData(blank)
 		}
 		if len(text) == 0 && err == nil {
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,5 @@
-// Package watch follows a list over HTTP: it decides when a watch counts as broken, what is opened beside it,
-// and which of the two is believed. It makes the calls and decodes messages; what they mean is up to its
-// caller.
+// Package watch follows a list over HTTP: it decides when a watch counts as broken, when another is opened beside it, and
+// which of the two is used. It makes the calls and decodes the messages, and leaves their meaning to the caller.
 package watch
 
 import (
@@ -43,9 +42,9 @@
 )
 
 var (
-	// ErrSilent says that a watch was silent for too long.
+	// ErrSilent is reported for a watch that was silent for too long.
 	ErrSilent = errors.New("nothing was heard in time")
-	// errEnded says that the other side has ended a watch in order.
+	// errEnded is returned if the server has ended a watch gracefully.
 	errEnded = errors.New("the other side ended it")
 )
 
@@ -59,7 +58,7 @@
 	AddressChanged  <-chan struct{}             // Address has changed, and is called at once; nil: it never does
 	Revision        func() int64                // the revision that is known; -1: the full list is requested
 	Query           func() string               // additional query of the next call, as "&own=1"; nil: none
-	Apply           func(at string, m *M) error // takes in a message. After an error its watch is ended
+	Apply           func(at string, m *M) error // applies a message; after an error its watch is ended
 	OnEstablished   func()                      // called once for each watch that is established and has no change
 	OnLine          func()                      // called for each line, before it is applied; may be nil
 	OnError         func(at string, why error)  // called with why a watch ended, or is silent
@@ -73,20 +72,20 @@
 	query          string
 	cancel         context.CancelFunc
 	done           chan struct{}
-	established    bool // it has brought a line
-	partial        bool // something came since its last line: a head, or a part of a message
+	established    bool // it has received a line
+	partial        bool // something was received since its last line: a head, or part of a message
 	reportedSilent bool
-	// it goes to the address of before, and is read on until a call to the new one has brought a line
+	// it goes to the former address, and is read until a call to the new one has received a line
 	former bool
 }
 
-// end waits for the call's end, so that there is never a third connection.
+// end ends the call and waits for it, so that there is never a third connection.
 func (c *call) end() {
 	c.cancel()
 	<-c.done
 }
 
-// event is what a call reports: one of message, blank, err, or else that something came.
+// event is what a call reports: one of message, blank or err, or else that something was received.
 type event[M any] struct {
 	from    *call
 	message *M
@@ -94,8 +93,8 @@
 	err     error
 }
 
-// Follow watches until ctx ends, or until it gives up. Whichever of its calls brings a line first is
-// believed, and the other is ended unread, so that revisions can't go back. Only a call to the address of
+// Follow watches until ctx ends, or until it gives up. Whichever of its calls receives a line first is
+// used, and the other is ended unread, so that revisions can't go back. Only a call to the address of
 // before ends no other: what was sent on it counts, and the new address may not answer yet.
 func (f *Follower[M]) Follow(ctx context.Context) error {
 	w := &following[M]{Follower: f, ctx: ctx, events: make(chan event[M]), next: time.NewTimer(0), due: time.Now()}
@@ -137,13 +136,13 @@
 	}
 }
 
-// callIn makes the next call after wait, unless something comes before.
+// callIn schedules the next call after wait, unless something is received before.
 func (w *following[M]) callIn(wait time.Duration) {
 	w.due = time.Now().Add(wait)
 	w.next.Reset(wait)
 }
 
-// endOldest makes place for another call.
+// endOldest ends the older call, if there are two.
 func (w *following[M]) endOldest() {
 	if len(w.open) == 2 {
 		w.open[0].end()
@@ -151,11 +150,11 @@
 	}
 }
 
-// onAddressChanged calls the new address at once. What is open is read on until that call has brought a line.
+// onAddressChanged calls the new address at once. The open call is read until the new one has received a line.
 func (w *following[M]) onAddressChanged() {
 	at := w.Address()
 	if len(w.open) > 0 && w.open[len(w.open)-1].at == at {
-		return // it was begun there already
+		return // the call went there already
 	}
 	w.endOldest()
 	for _, c := range w.open {
@@ -180,10 +179,10 @@
 	return nil
 }
 
-// onEvent takes in what a call reports. An error ends Follow.
+// onEvent handles the event of a call. An error ends Follow.
 func (w *following[M]) onEvent(e event[M]) error {
 	i := slices.Index(w.open, e.from)
-	if i < 0 || w.ctx.Err() != nil { // another is believed, or took its place
+	if i < 0 || w.ctx.Err() != nil { // the call has been ended
 		return nil
 	}
 	if e.from.former {
@@ -193,7 +192,7 @@
 	newest := i == len(w.open)-1
 	isLine := e.message != nil || e.blank
 	if isLine {
-		w.believe(e.from, i)
+		w.use(e.from, i)
 		newest = true
 		e.err = w.line(e)
 	}
@@ -203,14 +202,14 @@
 	case isLine:
 		e.from.partial = false
 		w.callIn(Silence)
-	case newest && !e.from.partial: // once: a message that never becomes complete keeps no watch alive
+	case newest && !e.from.partial: // once only: a message that never becomes complete must not keep a watch alive
 		e.from.partial = true
 		w.callIn(w.quiet(e.from))
 	}
 	return nil
 }
 
-// onFormerEvent takes in what the call to the address of before reports. The call to the new one has its own clock.
+// onFormerEvent handles the event of a call to the former address. It does not affect the timer of the call to the new one.
 func (w *following[M]) onFormerEvent(e event[M], i int) {
 	if e.message != nil {
 		e.err = w.Apply(e.from.at, e.message)
@@ -221,8 +220,8 @@
 	}
 }
 
-// believe ends the other call: the i-th has brought a line.
-func (w *following[M]) believe(c *call, i int) {
+// use ends the other call, as the i-th has received a line.
+func (w *following[M]) use(c *call, i int) {
 	for k, other := range w.open {
 		if k != i {
 			other.end()
@@ -231,7 +230,7 @@
 	w.open, w.calls = []*call{c}, 0
 }
 
-// onEnd takes in that a call has ended. An error ends Follow.
+// onEnd handles the end of a call. An error ends Follow.
 func (w *following[M]) onEnd(e event[M], newest bool) error {
 	e.from.end()
 	w.open = slices.DeleteFunc(w.open, func(c *call) bool { return c == e.from })
@@ -242,7 +241,7 @@
 	case w.MaxCalls > 0 && (len(w.open) == 0 || w.open[0].former):
 		return e.err
 	case w.MaxCalls == 0 && newest:
-		if wait := w.Wait(); time.Until(w.due) > wait { // an end never puts the next call off
+		if wait := w.Wait(); time.Until(w.due) > wait { // an end never delays the next call
 			w.callIn(wait)
 		}
 	}
@@ -259,8 +258,8 @@
 	return Step
 }
 
-// quiet is how long a call may go on without a line after something came. If the caller sets the step, a
-// first line comes with the head.
+// quiet returns how long a call may continue without a line after something was received. If the caller sets Step, the
+// first line must arrive with the head.
 func (f *Follower[M]) quiet(c *call) time.Duration {
 	if f.Step > 0 && !c.established {
 		return f.Step
@@ -276,7 +275,7 @@
 	}
 }
 
-// line takes in what a call brought, which is believed.
+// line handles a line of the call in use.
 func (f *Follower[M]) line(e event[M]) error {
 	first := !e.from.established
 	e.from.established, e.from.reportedSilent = true, false
@@ -306,7 +305,7 @@
 	return c
 }
 
-// read carries a call out, and reports what it brings until it ends.
+// read makes a call, and reports its events until it ends.
 func (f *Follower[M]) read(ctx context.Context, c *call, events chan<- event[M]) {
 	report := func(e event[M]) {
 		e.from = c
@@ -331,7 +330,7 @@
 		report(event[M]{err: fmt.Errorf("answered %s", resp.Status)})
 		return
 	}
-	report(event[M]{}) // its head is a heartbeat too
+	report(event[M]{}) // a head counts as a heartbeat
 	in := NewMessages(resp.Body, f.MaxMessageBytes)
 	in.onData = func(blank bool) { report(event[M]{blank: blank}) }
 	for err == nil {
@@ -344,7 +343,7 @@
 		err = fmt.Errorf("reading a list: %w", err)
 	} else {
 		err = errEnded
-		for _, why := range resp.Trailer { // where the other side says why
+		for _, why := range resp.Trailer { // the reason, if the server gives one
 			err = fmt.Errorf("%w: %s", errEnded, why)
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,13 +9,13 @@
 	"mosslead/balancer"
 )
 
-// Settings is what the start-up parameters tell: the balancer's part, and what only a real sidecar needs.
+// Settings are the start-up parameters: those of the balancer, and those that only a real sidecar needs.
 type Settings struct {
 	balancer.Settings
 	ConnIdle time.Duration // upstreams close connections that are idle for this long
 }
 
-// DecodeSettings reads start-up parameters, the object that is Env on the wire.
+// DecodeSettings decodes start-up parameters, the object Env on the wire.
 func DecodeSettings(raw []byte) (Settings, error) {
 	var e settingsFile
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -24,14 +24,14 @@
 	return Settings{Settings: e.settings(), ConnIdle: duration(e.Limits.ConnIdleMs)}, nil
 }
 
-// settingsFile is the part of the start-up parameters that is used, under the platform's names.
+// settingsFile holds the start-up parameters that are used, under the platform's names.
 type settingsFile struct {
 	FleetSize float64     `json:"Balancers"`
 	Classes   []classFile `json:"Classes"`
 	Discovery string      `json:"Discovery"`
 	Limits    struct {
 		Cancelling       bool    `json:"Cancelling"`
-		Probes           bool    `json:"Probes"` // a known key that nothing here depends on
+		Probes           bool    `json:"Probes"` // a known key without effect
 		RetryAfter       bool    `json:"RetryAfter"`
 		SecondCopies     bool    `json:"SecondCopies"`
 		ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
@@ -73,18 +73,18 @@
 	Quota float64 `json:"Fraction"`
 }
 
-// Keys are those of the start-up parameters that are used, as an object that holds them all.
+// Keys returns an object with all start-up parameters that are used.
 func Keys() []byte {
 	var e settingsFile
 	e.Classes, e.Tenants = append(e.Classes, classFile{}), append(e.Tenants, tenantFile{})
 	text, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // plain fields alone
+		panic(err) // can't fail for plain fields
 	}
 	return text
 }
 
-// unknownName is an effect or group that the balancer will turn down, naming the field.
+// unknownName is an effect or group that the balancer rejects by an error that names the field.
 const unknownName = -1
 
 func (e *settingsFile) settings() balancer.Settings {
@@ -118,7 +118,7 @@
 	return s
 }
 
-// count takes a whole number that may be written with a fraction of 0. One too large for its type stands for many.
+// count decodes an integer that may be written with a fraction of 0. It saturates.
 func count(x float64) int { return int(min(max(x, -1), math.MaxInt32)) }
 
 func idempotency(name string) balancer.Idempotency {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,7 +14,7 @@
 	"mosslead/balancer"
 )
 
-// timerCookie marks the one timer that an instance keeps.
+// timerCookie identifies the only timer of an instance.
 const timerCookie = "w"
 
 type batch struct {
@@ -22,7 +22,7 @@
 	Events []json.RawMessage `json:"in"`
 }
 
-// event holds the fields of every verb that is read here.
+// event holds the fields of all verbs that are decoded.
 type event struct {
 	Verb       string        `json:"verb"`
 	Instance   int           `json:"I"`
@@ -72,7 +72,7 @@
 // flagHintValid is the bit of Bits that says CostHintMs may be used.
 const flagHintValid = 1
 
-// adapter is the table of instances in this process, and the numbered lists they share as messages.
+// adapter holds the instances in this process, and the numbered lists that they share as messages.
 type adapter struct {
 	balancers map[int]*balancer.Balancer
 	lists     map[int][]balancer.Endpoint
@@ -104,7 +104,7 @@
 	}
 }
 
-// readLine returns the next line; io.EOF only where nothing is left.
+// readLine returns the next line, and io.EOF after the last one.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	text, err := r.ReadBytes('\n')
 	if err == io.EOF && len(text) > 0 {
@@ -164,7 +164,7 @@
 	return h.decide(b, now, e.Instance, translated, reply), nil
 }
 
-// decide runs one decision; a panic in it becomes a BailOut with its text.
+// decide makes one decision; a panic becomes a BailOut with its text.
 func (h *adapter) decide(b *balancer.Balancer, now time.Duration, inst int, e balancer.Event, reply []action) (out []action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -178,7 +178,7 @@
 	return reply
 }
 
-// translate gives nil for verbs that it does not know.
+// translate returns the balancer's event; nil for an unknown verb.
 func (h *adapter) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case "Topology":
@@ -233,7 +233,8 @@
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
 
-// attemptResult maps completion codes; one that is unknown may have run, so it counts as an error answer.
+// attemptResult maps completion codes. An attempt with an unknown one may have been processed, and counts as an error
+// answer.
 func attemptResult(code int) balancer.Result {
 	switch code {
 	case 200:
@@ -260,7 +261,7 @@
 	for i, e := range entries {
 		state, known := states[e.State]
 		if !known {
-			state = balancer.Removed // gone, or in a state that promises nothing
+			state = balancer.Removed // removed, or in an unknown state
 		}
 		list[i] = balancer.Endpoint{Upstream: e.Upstream, Zone: e.Zone, Cell: e.Cell, Machine: e.Machine,
 			State: state, StartedAt: duration(e.StartedMs), Weight: e.Weight}
@@ -268,7 +269,7 @@
 	return list
 }
 
-// seed folds whatever integer the wire brings, signed or not, into the balancer's seed.
+// seed converts any integer on the wire, signed or not, to the balancer's seed.
 func seed(n json.Number) uint64 {
 	var u uint64
 	if _, err := fmt.Sscan(n.String(), &u); err == nil {
@@ -278,7 +279,7 @@
 	return uint64(i)
 }
 
-// duration is what the simulator counts in microseconds. It ends at some 142 years: what is further away is never, and a sum with a clock time still fits its type.
+// duration converts microseconds. It saturates at about 142 years, so that a sum with a clock time does not overflow.
 func duration(ms float64) time.Duration {
 	const limit = 1 << 52
 	return time.Duration(math.Round(min(max(ms*1000, -limit), limit))) * time.Microsecond
