--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -73,7 +73,7 @@
 
 // readAnswer reads a small answer completely, and the start of a large one. An answer without a length ends with the
 // connection, if that is closed and not reset. The reply holds a part of the budget until release.
-func (u *upstreamPool) readAnswer(resp *http.Response) (body []byte, leading int64, complete bool, err error) {
+func (u *upstreamPool) readAnswer(resp *http.Response) (body []byte, retained int64, complete bool, err error) {
 	bound := int64(maxRetainedBytes)
 	if resp.ContentLength >= 0 {
 		bound = min(bound, resp.ContentLength)
@@ -81,9 +81,9 @@
 	bytesReserved := u.budget.reserve(bound)
 	defer func() {
 		if err == nil {
-			leading = min(bytesReserved, int64(cap(body)))
+			retained = min(bytesReserved, int64(cap(body)))
 		}
-		u.budget.release(bytesReserved - leading)
+		u.budget.release(bytesReserved - retained)
 	}()
 	large := resp.ContentLength > bytesReserved
 	begun := time.Now()
