--- a/internal/sidecar/orders_discovery_test.go
+++ b/internal/sidecar/orders_discovery_test.go
@@ -47,8 +47,11 @@
 
 const never = 1 << 62
 
+// orderWatch is one watch of the list. Whoever writes on it holds turn, so that a change never overtakes the first list: a
+// channel, as a goroutine of the bubble that waits for a mutex stops its clock.
 type orderWatch struct {
 	net.Conn
+	turn    chan struct{}
 	from    int
 	opened  bool // its head was answered
 	spoilt  bool // it has brought what is unusable
@@ -95,7 +98,7 @@
 		return
 	}
 	w := d.w
-	watch := &orderWatch{Conn: c, from: from}
+	watch := &orderWatch{Conn: c, turn: make(chan struct{}, 1), from: from}
 	w.mu.Lock()
 	if d.frozen {
 		w.mu.Unlock()
@@ -135,13 +138,21 @@
 }
 
 func (d *orderDiscovery) chunk(c *orderWatch, text string) bool {
-	_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
-	return err == nil
+	return c.write(fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) == nil
+}
+
+// write writes on a watch when it is its turn.
+func (c *orderWatch) write(text string) error {
+	c.turn <- struct{}{}
+	defer func() { <-c.turn }()
+	_, err := io.WriteString(c, text)
+	return err
 }
 
 // open answers a watch, with what it has missed.
 func (d *orderDiscovery) open(c *orderWatch) {
 	w := d.w
+	c.turn <- struct{}{}
 	w.mu.Lock()
 	c.opened = true
 	text, missed := "\n", []*orderChange(nil)
@@ -171,8 +182,9 @@
 		text = list(w.index, true, lines...) + "\n"
 	}
 	w.mu.Unlock()
-	_, err := io.WriteString(c, opens)
-	if d.chunk(c, text) && err == nil {
+	_, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n", opens, len(text), text)
+	<-c.turn
+	if err == nil {
 		d.announce(c, missed)
 	}
 }
@@ -268,7 +280,7 @@
 		d.mute()
 	}
 	for _, c := range all {
-		_, _ = io.WriteString(c, text) // where it fails it has ended
+		_ = c.write(text) // where it fails it has ended
 	}
 }
 
@@ -283,7 +295,7 @@
 		if r, ok := c.Conn.(interface{ Reset() }); ok && reset {
 			r.Reset()
 		} else if c.opened {
-			_, _ = io.WriteString(c, "0\r\n\r\n") // where it fails it has ended
+			_ = c.write("0\r\n\r\n") // where it fails it has ended
 		}
 		_ = c.Close()
 	}
