--- a/internal/sidecar/acks_test.go
+++ b/internal/sidecar/acks_test.go
@@ -44,7 +44,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		var all []time.Duration
-		reported := func() []time.Duration {
+		ackTimes := func() []time.Duration {
 			synctest.Wait()
 			mu.Lock()
 			defer mu.Unlock()
@@ -67,7 +67,7 @@
 			})
 		}()
 		time.Sleep(10 * time.Minute)
-		calm := reported()
+		calm := ackTimes()
 		if n := len(calm); n < 27 || n > 34 {
 			t.Errorf("%d words in 10 minutes", n)
 		}
@@ -82,13 +82,13 @@
 		s.judge(d, nil)
 		s.judge(document(3, ""), errors.New("bad")) // both in one word
 		time.Sleep(ackJitter)
-		changed := reported()
+		changed := ackTimes()
 		if n := len(changed) - len(calm); n < 1 || n > 2 || changed[len(changed)-1]-at > ackJitter {
 			t.Errorf("said at %v after changes at %v", changed[len(calm):], at)
 		}
 		down.Store(true)
 		time.Sleep(10 * time.Minute)
-		if n := len(reported()) - len(changed); n < 10 || n > 34 {
+		if n := len(ackTimes()) - len(changed); n < 10 || n > 34 {
 			t.Errorf("%d tries in 10 minutes of an outage", n)
 		}
 		down.Store(false)
@@ -163,12 +163,14 @@
 		t.Errorf("tells the next process %s, not %s", text, want)
 	}
 	// The test above has to see what it looks for.
+	before := len(svc.requests())
 	r := start(t, ofService(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
 	eventually(t, "goroutines of a service", func() bool { return strings.Contains(goroutines(), "(*settingsFollower).acknowledge") })
 	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.settings_version:") {
 		t.Errorf("figures %s", figures)
 	}
-	if got := svc.requests(); !strings.HasSuffix(got[len(got)-1], "&service=orders&held=") {
+	eventually(t, "a watch of the service", func() bool { return len(svc.requests()) > before })
+	if got := svc.requests()[before]; !strings.HasSuffix(got, "&service=orders&held=") {
 		t.Errorf("asked %q", got)
 	}
 }
