--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -12,7 +12,6 @@
 
 	"github.com/spf13/cobra"
 
-	"mosslead/internal/lab/build"
 	"mosslead/internal/lab/capacity"
 	"mosslead/internal/lab/capacity/plays"
 )
@@ -208,19 +207,11 @@
 	if err != nil {
 		return nil, err
 	}
-	self, err := executable()
+	built, err := buildPrograms(ctx, dir)
 	if err != nil {
 		return nil, err
 	}
-	root, err := build.Root(".")
-	if err != nil {
-		return nil, usageError{err}
-	}
-	program, from, err := build.Sidecar(ctx, root, dir, build.Source{})
-	if err != nil {
-		return nil, err
-	}
-	return &plays.Player{Service: []string{self, "registry", "serve"}, Sidecar: []string{program}, Dir: dir, Revision: from, Progress: a.progress}, nil
+	return &plays.Player{Service: built.service, Sidecar: built.sidecar, Dir: dir, Revision: built.revision, Progress: a.progress}, nil
 }
 
 // measureTable writes a measure for people.
--- a/internal/cli/resultdir.go
+++ b/internal/cli/resultdir.go
@@ -7,15 +7,6 @@
 	"time"
 )
 
-// executable returns the path of this program, which the laboratory starts again for its replicas and hosts.
-func executable() (string, error) {
-	path, err := os.Executable()
-	if err != nil {
-		return "", fmt.Errorf("finding this program: %w", err)
-	}
-	return path, nil
-}
-
 // resultDir returns the directory given by a flag, or else the default one of a command, which has the present time in its
 // name. It does not create the directory.
 func resultDir(given, command string) string {
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"log/slog"
@@ -11,7 +10,6 @@
 
 	"github.com/spf13/cobra"
 
-	"mosslead/internal/lab/build"
 	"mosslead/internal/lab/scale"
 )
 
@@ -52,10 +50,12 @@
 		if spec.Dir, err = createResultDir(out, "scale"); err != nil {
 			return err
 		}
-		if err := a.preparePrograms(c.Context(), &spec); err != nil {
+		built, err := buildPrograms(c.Context(), spec.Dir)
+		if err != nil {
 			return err
 		}
-		spec.Progress = a.progress
+		spec.Service, spec.Host, spec.Sidecar = built.service, []string{built.self, "lab", "hollow"}, built.sidecar
+		spec.Revision, spec.Progress = built.revision, a.progress
 		// With more threads than processors, one that the kernel has descheduled delays fewer of the rest.
 		runtime.GOMAXPROCS(threadsEach * runtime.NumCPU())
 		r, err := scale.Run(c.Context(), spec)
@@ -89,25 +89,6 @@
 	c.Flags().BoolVar(&spec.Compare, "compare", true, "hold hollow ones against real ones, for eight leases after the steady day")
 }
 
-// preparePrograms builds the sidecar, and sets the commands of a scale run.
-func (a *app) preparePrograms(ctx context.Context, spec *scale.Spec) error {
-	self, err := executable()
-	if err != nil {
-		return err
-	}
-	root, err := build.Root(".")
-	if err != nil {
-		return usageError{err}
-	}
-	program, from, err := build.Sidecar(ctx, root, spec.Dir, build.Source{})
-	if err != nil {
-		return err
-	}
-	spec.Service, spec.Host, spec.Sidecar = []string{self, "registry", "serve"}, []string{self, "lab", "hollow"}, []string{program}
-	spec.Revision = from
-	return nil
-}
-
 // scaleTable writes the result of a scale run for people.
 func scaleTable(w io.Writer, r *scale.Result) {
 	_, _ = fmt.Fprintf(w, "%d hollow in %d processes, %d real, %d replicas in a region; leases of %.3g s; %d processes, %d descriptors at most in one\n",
--- a/internal/cli/transcript_test.go
+++ b/internal/cli/transcript_test.go
@@ -6,7 +6,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -24,6 +23,7 @@
 	"mosslead/internal/registry"
 	"mosslead/internal/registry/api"
 	"mosslead/internal/registry/client"
+	"mosslead/internal/registry/registrytest"
 	"mosslead/internal/sidecar"
 )
 
@@ -98,17 +98,8 @@
 	r.x.Helper()
 	c := registry.Dev(r.address)
 	c.Region, c.Follow, c.Heartbeat.Duration = r.name, r.follow, 100*time.Millisecond
-	node, err := registry.Open(c, slog.New(slog.DiscardHandler))
-	r.x.must(err)
-	ctx, cancel := context.WithCancel(r.x.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- node.Run(ctx) }()
-	r.node, r.end = node, sync.OnceFunc(func() {
-		cancel()
-		if err := <-ended; err != nil {
-			r.x.Error(err)
-		}
-	})
+	node, stop := registrytest.Start(r.x, c)
+	r.node, r.end = node, stop
 	r.x.must(transcript.Eventually(r.x.Context(), r.named()+" leads", func() bool {
 		return node.Status().State == "leader" && len(node.Status().Members) == 1 && node.Status().StalenessMs >= 0
 	}))
--- a/internal/lab/scale/plot.go
+++ b/internal/lab/scale/plot.go
@@ -8,6 +8,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
+
+	"mosslead/internal/lab/chart"
 )
 
 // Plot draws how late changes were in force: for each day and cause the median, 99 of 100 and the latest.
@@ -41,8 +43,5 @@
 	if err := plotutil.AddScatters(p, lines...); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	if err := p.Save(24*vg.Centimeter, 14*vg.Centimeter, path); err != nil {
-		return fmt.Errorf("plot: %w", err)
-	}
-	return nil
+	return chart.Save(p, 24*vg.Centimeter, 14*vg.Centimeter, path)
 }
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -51,7 +51,7 @@
 		{"a change that goes back", change(list(3, "b=Gone")), true, "b"},
 	} {
 		d := &plausibility{}
-		d.start(list(5, "a", "b"))
+		d.accept(list(5, "a", "b"))
 		if got := d.anomaly(x.next) != ""; got != x.doubts {
 			t.Errorf("%s: doubted is %v", x.name, got)
 			continue
--- a/internal/registry/client/plausibility.go
+++ b/internal/registry/client/plausibility.go
@@ -9,13 +9,7 @@
 	ready    map[string]bool // whether an entry is ready, by name
 }
 
-// start sets the list that is in use before the first message.
-func (d *plausibility) start(l api.WatchEvent) {
-	d.known = true
-	d.accept(l)
-}
-
-// accept takes a message over into the list in use.
+// accept applies a message to the list in use, or makes it the first one.
 func (d *plausibility) accept(l api.WatchEvent) {
 	d.revision, d.known = l.Revision, true
 	if l.Snapshot || d.ready == nil {
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -49,7 +49,7 @@
 func (c *Client) Watch(ctx context.Context, start *api.WatchEvent, w Watcher) {
 	inUse := &plausibility{}
 	if start != nil {
-		inUse.start(*start)
+		inUse.accept(*start)
 	}
 	var retry backoff
 	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxList, Address: c.at, OnEstablished: w.OnEstablished, Query: w.Query,
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -23,6 +23,7 @@
 	"mosslead/internal/registry"
 	"mosslead/internal/registry/api"
 	"mosslead/internal/registry/client"
+	"mosslead/internal/registry/registrytest"
 )
 
 const asReplica = "TEST_REPLICA"
@@ -310,19 +311,7 @@
 func dev(t *testing.T) string {
 	t.Helper()
 	at := address(t)
-	n, err := registry.Open(registry.Dev(at), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx) }()
-	t.Cleanup(func() {
-		stop()
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
+	registrytest.Start(t, registry.Dev(at))
 	c := client.New([]string{at})
 	defer c.Close()
 	q := &quorum{t: t, all: c}
--- a/internal/registry/regions_test.go
+++ b/internal/registry/regions_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"log/slog"
 	"strings"
 	"testing"
 	"time"
@@ -12,6 +11,7 @@
 	"mosslead/internal/registry"
 	"mosslead/internal/registry/api"
 	"mosslead/internal/registry/client"
+	"mosslead/internal/registry/registrytest"
 )
 
 // twoRegions are north and south, one replica in memory each, that follow each other over links.
@@ -33,19 +33,7 @@
 		t.Cleanup(l.Close)
 		c := registry.Dev(r.at[name])
 		c.Region, c.Follow = name, []registry.FollowedRegion{{Region: other, API: []string{l.Address()}}}
-		n, err := registry.Open(c, slog.New(slog.DiscardHandler))
-		if err != nil {
-			t.Fatal(err)
-		}
-		ctx, stop := context.WithCancel(context.Background())
-		ended := make(chan error, 1)
-		go func() { ended <- n.Run(ctx) }()
-		t.Cleanup(func() {
-			stop()
-			if err := <-ended; err != nil {
-				t.Error(err)
-			}
-		})
+		registrytest.Start(t, c)
 		r.link[name], r.all[name] = l, client.New([]string{r.at[name]})
 		t.Cleanup(r.all[name].Close)
 	}
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -76,7 +76,7 @@
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	stays := false
-	if established := c.waiting && c.ending; established || c.readCut {
+	if bounded := c.waiting && c.ending; bounded || c.readCut {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			n, err = c.readAvailable(p)
 		}
@@ -92,10 +92,7 @@
 	}
 	c.framing.scan(p[:n])
 	if n > 0 && c.active && c.framing.pipelined() {
-		select {
-		case c.pipelined <- struct{}{}:
-		default:
-		}
+		wake(c.pipelined)
 	}
 	now := c.framing.stage()
 	if now == partialHead && c.stage != partialHead {
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -102,14 +102,6 @@
 	return "", seen
 }
 
-// wake wakes the reader of c, which has a buffer of one. It does not block.
-func wake(c chan struct{}) {
-	select {
-	case c <- struct{}{}:
-	default:
-	}
-}
-
 // same reports whether two documents have the same region and revision.
 func same(a, b api.Document) bool { return a.Region == b.Region && a.Revision == b.Revision }
 
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -1,9 +1,7 @@
 package sidecar
 
 import (
-	"context"
 	"encoding/json"
-	"log/slog"
 	"net"
 	"strings"
 	"testing"
@@ -11,6 +9,7 @@
 	"mosslead/internal/registry"
 	"mosslead/internal/registry/api"
 	"mosslead/internal/registry/client"
+	"mosslead/internal/registry/registrytest"
 )
 
 // Guards against two sides that each work with what stands in for the other: a real list service, and a sidecar of each kind.
@@ -21,19 +20,7 @@
 	}
 	at := l.Addr().String()
 	_ = l.Close()
-	n, err := registry.Open(registry.Dev(at), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx) }()
-	t.Cleanup(func() {
-		stop()
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
+	registrytest.Start(t, registry.Dev(at))
 	c := client.New([]string{at})
 	t.Cleanup(c.Close)
 	put := func(text string, on int64) int64 {
@@ -64,18 +51,18 @@
 	own := ofService(t, at, entry("s", u.address, "Ready"))
 	own.Name = "n2"
 	r := start(t, own, "127.0.0.1:0")
-	established, _ := startHollowWith(t, ofService(t, at))
-	hears(t, established, first, "")
+	outcomes, _ := startHollowWith(t, ofService(t, at))
+	hears(t, outcomes, first, "")
 	of(first, inForce)
 
 	second := put(probing, first)
-	hears(t, established, second, "")
+	hears(t, outcomes, second, "")
 	of(second, inForce)
 	if resp, _ := r.do(t, request(t, r.address, "probe", "")); resp.StatusCode == 404 {
 		t.Error("a class of the settings is unknown")
 	}
 	third := put(strings.Replace(probing, `"SecondCopies":true,`, ``, 1), second) // valid, and less than the files have
-	hears(t, established, third, "lacks settings.Limits.SecondCopies")
+	hears(t, outcomes, third, "lacks settings.Limits.SecondCopies")
 	of(third, func(r api.Rollout) bool {
 		return r.Rejected == 2 && len(r.NotInForce) == 2 && r.NotInForce[0].Revision == second && strings.Contains(r.NotInForce[0].Reason, "SecondCopies")
 	})
@@ -86,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hears(t, established, last, "")
+	hears(t, outcomes, last, "")
 	of(last, inForce)
 	if resp, _ := r.do(t, request(t, r.address, "probe", "")); resp.StatusCode != 404 {
 		t.Errorf("a class of deleted settings: %s", resp.Status)
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -71,10 +71,7 @@
 
 // subscribe starts a watch. It does not block; the balancer calls it again only after a failure has been reported.
 func (w *watcher) subscribe() {
-	select {
-	case w.subscribeRequests <- struct{}{}:
-	default:
-	}
+	wake(w.subscribeRequests)
 }
 
 // move continues the watch at another address.
@@ -88,10 +85,7 @@
 	if w.endWatch != nil && (!w.continuesElsewhere || isReplicated(address)) {
 		w.endWatch(errMoved)
 	}
-	select {
-	case w.addressChanges <- struct{}{}:
-	default:
-	}
+	wake(w.addressChanges)
 }
 
 // source returns the address of discovery.
