--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -48,7 +48,7 @@
 }
 
 // claim decodes a claim to a leadership.
-func claim(r *http.Request, body []byte, replicated bool) (c api.LeadershipClaim, err error) {
+func claim(r *http.Request, body []byte, held bool) (c api.LeadershipClaim, err error) {
 	if err := read(body, &c); err != nil {
 		return c, err
 	}
@@ -57,7 +57,7 @@
 	} else if c.Name != name {
 		return c, api.Errorf(api.CodeBadRequest, "name: %.40q in the claim, %.40q in the path", c.Name, name)
 	}
-	return c, c.Check(replicated)
+	return c, c.Check(held)
 }
 
 // acquireLeadership grants a leadership that nobody holds, or whose lease has expired; otherwise the grant names the holder
@@ -71,14 +71,14 @@
 		return nil, err
 	}
 	var d list.Leadership
-	var replicated bool
-	n.machine.read(func(l *list.List) { d, replicated = l.Leadership(c.Name) })
+	var held bool
+	n.machine.read(func(l *list.List) { d, held = l.Leadership(c.Name) })
 	n.mu.Lock()
 	if !n.leading {
 		n.mu.Unlock()
 		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
 	}
-	over, after, change := n.leaderships.Decide(n.now(), d, replicated, c)
+	over, after, change := n.leaderships.Decide(n.now(), d, held, c)
 	n.mu.Unlock()
 	if !change {
 		g := d.Grant()
--- a/internal/registry/list/leadership.go
+++ b/internal/registry/list/leadership.go
@@ -87,17 +87,17 @@
 		}
 		return Result{Revision: l.revision}
 	}
-	d, replicated := l.Leadership(c.Claim.Name)
+	d, held := l.Leadership(c.Claim.Name)
 	claim := c.Claim
-	own := replicated && d.Holder == claim.Holder
+	own := held && d.Holder == claim.Holder
 	switch c.Op {
 	case AcquireLeadership:
 		switch {
 		case own && d.Epoch > claim.Epoch: // a retry: the candidate is the holder already
 			return l.grantLeadership(d, claim)
-		case replicated && !own && (claim.ExpiredTerm == nil || *claim.ExpiredTerm != d.LeaseTerm):
+		case held && !own && (claim.ExpiredTerm == nil || *claim.ExpiredTerm != d.LeaseTerm):
 			return Result{Leadership: d, Err: api.Errorf(api.CodeConflict, "%s is held by %s under epoch %d", d.Name, d.Holder, d.Epoch)}
-		case !replicated && len(l.leaderships) >= api.MaxLeaderships:
+		case !held && len(l.leaderships) >= api.MaxLeaderships:
 			return Result{Err: api.Errorf(api.CodeFull, "%d duties", len(l.leaderships))}
 		}
 		l.highestEpoch = max(l.highestEpoch+1, index+uint64(l.revision))
--- a/internal/registry/list/leadership_test.go
+++ b/internal/registry/list/leadership_test.go
@@ -19,7 +19,7 @@
 		highest, holder := uint64(0), map[uint64]string{}
 		backups := []State{l.State(), {Revision: 3, HighestEpoch: 5 * restoreStep}} // the second of another service
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			d, replicated := l.Leadership(fmt.Sprint("d", rapid.IntRange(0, 1).Draw(t, "duty")))
+			d, held := l.Leadership(fmt.Sprint("d", rapid.IntRange(0, 1).Draw(t, "duty")))
 			c := Command{Index: uint64(i + 1), Op: rapid.SampledFrom([]string{AcquireLeadership, AcquireLeadership, AcquireLeadership, RenewLeadership, ReleaseLeadership, ForgetLeaderships, Restore, "snapshot", "forget"}).Draw(t, "op"),
 				Claim: &LeadershipClaim{LeadershipClaim: api.LeadershipClaim{Name: d.Name, Holder: fmt.Sprint("h", rapid.IntRange(0, 2).Draw(t, "holder")), LeaseMs: 1000,
 					Epoch: uint64(rapid.IntRange(0, int(highest%64)).Draw(t, "epoch"))}}}
@@ -50,18 +50,18 @@
 			now, heldNow := l.Leadership(d.Name)
 			switch {
 			case c.Op == Restore:
-				if replicated && (!heldNow || now.LeaseTerm != d.LeaseTerm) {
+				if held && (!heldNow || now.LeaseTerm != d.LeaseTerm) {
 					t.Fatalf("a restore changed who holds %s: %+v, %+v", d.Name, d, now)
 				}
 				highest = max(highest, c.State.HighestEpoch)
-			case c.Op == AcquireLeadership && r.Err == nil && (!replicated || r.Leadership.Epoch != d.Epoch):
+			case c.Op == AcquireLeadership && r.Err == nil && (!held || r.Leadership.Epoch != d.Epoch):
 				if r.Leadership.Epoch <= highest {
 					t.Fatalf("epoch %d after %d", r.Leadership.Epoch, highest)
 				}
-				if replicated && d.Holder != c.Claim.Holder && (c.Claim.ExpiredTerm == nil || *c.Claim.ExpiredTerm != d.LeaseTerm) {
+				if held && d.Holder != c.Claim.Holder && (c.Claim.ExpiredTerm == nil || *c.Claim.ExpiredTerm != d.LeaseTerm) {
 					t.Fatalf("taken from %+v by %+v", d, c.Claim)
 				}
-				if replicated && d.Holder == c.Claim.Holder && d.Epoch > c.Claim.Epoch {
+				if held && d.Holder == c.Claim.Holder && d.Epoch > c.Claim.Epoch {
 					t.Fatalf("a second epoch for %+v by %+v", d, c.Claim)
 				}
 				highest, holder[r.Leadership.Epoch] = r.Leadership.Epoch, r.Leadership.Holder
@@ -69,7 +69,7 @@
 				t.Fatalf("epoch %d is of %s and of %s", r.Leadership.Epoch, holder[r.Leadership.Epoch], r.Leadership.Holder)
 			case c.Op == RenewLeadership && r.Err == nil && (now.Renewals != d.Renewals+1 || now.Epoch != c.Claim.Epoch || d.Holder != c.Claim.Holder):
 				t.Fatalf("renewed %+v by %+v: %+v", d, c.Claim, now)
-			case (c.Op == ReleaseLeadership || c.Op == ForgetLeaderships) && replicated && !heldNow && c.Op == ReleaseLeadership && (d.Holder != c.Claim.Holder || d.Epoch != c.Claim.Epoch):
+			case (c.Op == ReleaseLeadership || c.Op == ForgetLeaderships) && held && !heldNow && c.Op == ReleaseLeadership && (d.Holder != c.Claim.Holder || d.Epoch != c.Claim.Epoch):
 				t.Fatalf("%+v was given up by %+v", d, c.Claim)
 			}
 		}
@@ -93,8 +93,8 @@
 	first := take(7).Leadership.Epoch
 	for _, schema := range []int{1, 2} {
 		r := join("b", schema)
-		if _, replicated := l.Leadership("d"); replicated || !r.LeadershipsVoid || l.Understands(2, []string{"a", "b"}) != (schema == 2) {
-			t.Errorf("schema %d: held %v, %+v", schema, replicated, r)
+		if _, held := l.Leadership("d"); held || !r.LeadershipsVoid || l.Understands(2, []string{"a", "b"}) != (schema == 2) {
+			t.Errorf("schema %d: held %v, %+v", schema, held, r)
 		}
 	}
 	if again := take(9).Leadership.Epoch; again <= first {
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -114,10 +114,10 @@
 			of.from = fullList
 		}
 		var settings api.Document
-		replicated := has.settings
+		sent := has.settings
 		if has.service != "" {
 			if d, found := x.Document(has.service); found {
-				if replicated = fmt.Sprintf("%s@%d", d.Region, d.Revision); replicated != has.settings {
+				if sent = fmt.Sprintf("%s@%d", d.Region, d.Revision); sent != has.settings {
 					of.service, settings = has.service, d
 				}
 			}
@@ -128,7 +128,7 @@
 			}
 			return
 		}
-		then.settings = replicated
+		then.settings = sent
 		if of.own {
 			l = x.OwnChangesSince(of.from)
 			l.Region = w.region
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -126,8 +126,8 @@
 	if resp, _ := r.do(t, request(t, r.address, "confirm", "")); resp.StatusCode != 503 {
 		t.Errorf("with all out: %s", resp.Status)
 	}
-	if bytesReserved := time.Since(begun); bytesReserved > 2*time.Second { // its client would wait for 9
-		t.Errorf("with all out: answered after %v", bytesReserved)
+	if elapsed := time.Since(begun); elapsed > 2*time.Second { // its client would wait for 9
+		t.Errorf("with all out: answered after %v", elapsed)
 	}
 	if got := r.call(t, "ENABLE a\n"); got != "YES\n" {
 		t.Fatal(got)
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -237,8 +237,8 @@
 		}
 		before := left()
 		rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0)
-		if leading := before - left(); leading < int64(min(size, 1)) || leading > maxRetainedBytes {
-			t.Errorf("an answer of %d: %d held", size, leading)
+		if retained := before - left(); retained < int64(min(size, 1)) || retained > maxRetainedBytes {
+			t.Errorf("an answer of %d: %d held", size, retained)
 		}
 		rep.drop()
 		if left() != before {
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -49,7 +49,7 @@
 		}
 		if _, err := parseConfig([]byte(text)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", name, err)
-		} else if _, where, established := strings.Cut(name, ": "); established {
+		} else if _, where, found := strings.Cut(name, ": "); found {
 			for _, fields := range strings.Fields(where) {
 				if !strings.Contains(err.Error(), fields) {
 					t.Errorf("%s: error %v", name, err)
@@ -189,8 +189,8 @@
 			began := time.Now()
 			resp, _ := r.do(t, command(method, class, fault))
 			refusal := resp.StatusCode == 429 || resp.StatusCode == 503
-			if bytesReserved := time.Since(began); bytesReserved > 4*time.Second || resp.StatusCode < 400 || refusal != (class == "slow") {
-				t.Errorf("%s, %s: %s after %v", class, fault, resp.Status, bytesReserved)
+			if elapsed := time.Since(began); elapsed > 4*time.Second || resp.StatusCode < 400 || refusal != (class == "slow") {
+				t.Errorf("%s, %s: %s after %v", class, fault, resp.Status, elapsed)
 			}
 		}
 	}
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -319,8 +319,8 @@
 			for ; err == nil; n++ {
 				_, err = rest.read(make([]byte, transferBufferBytes))
 			}
-			if bytesReserved := time.Since(begun); !errors.Is(err, io.ErrClosedPipe) || bytesReserved > 4*time.Second || n < 6 {
-				t.Errorf("%v after %v, %d reads", err, bytesReserved, n)
+			if elapsed := time.Since(begun); !errors.Is(err, io.ErrClosedPipe) || elapsed > 4*time.Second || n < 6 {
+				t.Errorf("%v after %v, %d reads", err, elapsed, n)
 			}
 		})
 	})
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -290,7 +290,7 @@
 	p.send(text("search"))
 	p.answered(200)
 	p.over()
-	if bytesReserved := time.Since(begun); bytesReserved > maxDrainTime {
-		t.Errorf("answered %v after SIGTERM", bytesReserved)
+	if elapsed := time.Since(begun); elapsed > maxDrainTime {
+		t.Errorf("answered %v after SIGTERM", elapsed)
 	}
 }
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -78,8 +78,8 @@
 				t.Fatal(err)
 			}
 			_ = resp.Body.Close()
-			if bytesReserved := time.Since(begun); resp.StatusCode != 200 || bytesReserved > limit {
-				t.Errorf("the client beside them: %s after %v", resp.Status, bytesReserved)
+			if elapsed := time.Since(begun); resp.StatusCode != 200 || elapsed > limit {
+				t.Errorf("the client beside them: %s after %v", resp.Status, elapsed)
 			}
 			all.Wait()
 			if n := errorsRead.Load(); wanted.error && n < peers*9/10 { // the others' words came late, and are owed an end only
@@ -260,9 +260,9 @@
 		end := read()
 		all.mu.Lock()
 		all.evict()
-		established := len(all.evicting)
+		evicting := len(all.evicting)
 		all.mu.Unlock()
-		if established != 1 {
+		if evicting != 1 {
 			t.Fatal("not told")
 		}
 		if _, err := client.Write([]byte("G")); err != nil {
@@ -349,8 +349,8 @@
 		returns()
 		returned := time.Now()
 		var queries sync.WaitGroup
-		bytesReserved := make(chan time.Duration, 30)
-		for range cap(bytesReserved) { // as many moments of what the others do
+		elapsed := make(chan time.Duration, 30)
+		for range cap(elapsed) { // as many moments of what the others do
 			queries.Go(func() {
 				begun := time.Now()
 				conn, err := clients.Dial(ctx, "tcp", "10.0.0.1:9000")
@@ -365,14 +365,14 @@
 				if !strings.HasPrefix(line, "HTTP/1.1 200") || time.Since(begun) > lingers {
 					t.Errorf("asked %v after the return: %q, %v, after %v", begun.Sub(returned), line, err, time.Since(begun))
 				}
-				bytesReserved <- time.Since(begun)
+				elapsed <- time.Since(begun)
 			})
 			time.Sleep(7 * time.Millisecond)
 		}
 		queries.Wait()
-		close(bytesReserved)
+		close(elapsed)
 		longest := time.Duration(0)
-		for one := range bytesReserved {
+		for one := range elapsed {
 			longest = max(longest, one)
 		}
 		t.Logf("the longest was served after %v", longest)
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -108,8 +108,8 @@
 
 // A second request of an id that is with a peer is told so, and begins nowhere; one that comes after its end is another.
 func TestAnIDThatIsWithAPeerIsInHand(t *testing.T) {
-	leading := make(chan struct{})
-	peer := newUpstream(t, func(c net.Conn, g got) bool { <-leading; return says(ok200("peer"))(c, g) })
+	release := make(chan struct{})
+	peer := newUpstream(t, func(c net.Conn, g got) bool { <-release; return says(ok200("peer"))(c, g) })
 	f, clk := pressedBeside(t, peer.address)
 	s := &server{clock: clk, failures: newLimitedLog(maxFailureLines), stats: newStats(), budget: f.pool.budget, forwards: f, post: func(any) bool {
 		t.Error("begun at home")
@@ -138,7 +138,7 @@
 	if resp, body := r.do(t, same()); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the second: %d %s", resp.StatusCode, body)
 	}
-	close(leading)
+	close(release)
 	if got := <-first; got != "200 peer" {
 		t.Errorf("the first: %s", got)
 	}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -145,7 +145,7 @@
 // Guards against clients that nobody accepts while a new process ends again, before it took over or after, with a request
 // in flight: the old one, if it stays, takes them at once.
 func TestSuccessorIsTerminated(t *testing.T) {
-	for _, bytesReserved := range []bool{false, true} {
+	for _, tookOver := range []bool{false, true} {
 		tmp, listeners := t.TempDir(), passed(t, 2)
 		s, release := pendingUpstream(t)
 		c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
@@ -154,7 +154,7 @@
 		old.awaitReady(t, "YES")
 		eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
 		fresh := startOn(t, c, listeners[1], tmp)
-		if bytesReserved {
+		if tookOver {
 			fresh.awaitReady(t, "YES")
 			old.awaitReady(t, "NO")
 			p := dialRaw(t, fresh.address)
@@ -166,7 +166,7 @@
 		begun := term(fresh)
 		old.awaitReady(t, "YES")
 		time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond)))
-		if !bytesReserved {
+		if !tookOver {
 			<-fresh.ended
 		}
 		for range 10 {
@@ -176,7 +176,7 @@
 		}
 		select {
 		case <-fresh.ended:
-			if bytesReserved {
+			if tookOver {
 				t.Error("it ended before its request was answered")
 			}
 		default:
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -148,7 +148,7 @@
 }
 
 // ended counts an attempt; for its upstream only if it was sent.
-func (c *attemptCounts) ended(upstream string, res balancer.Result, bytesReserved time.Duration) {
+func (c *attemptCounts) ended(upstream string, res balancer.Result, elapsed time.Duration) {
 	c.results[res]++
 	if res == balancer.NotSent {
 		return
@@ -160,7 +160,7 @@
 	}
 	if res == balancer.OK {
 		u.ok++
-		u.totalTime += bytesReserved
+		u.totalTime += elapsed
 	} else {
 		u.bad++
 	}
--- a/internal/sidecar/orders_planted_test.go
+++ b/internal/sidecar/orders_planted_test.go
@@ -68,11 +68,11 @@
 		}}
 	}}},
 	{"what a reset broke off never ran", "where it may have run", plant{toUpstream: func(_ *world, c net.Conn) net.Conn {
-		established := false
+		planted := false
 		return &plantedConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
 			n, err := c.Read(p)
-			if errors.Is(err, syscall.ECONNRESET) && !established {
-				established = true
+			if errors.Is(err, syscall.ECONNRESET) && !planted {
+				planted = true
 				return copy(p, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), nil
 			}
 			return n, err
--- a/internal/sidecar/orders_play_test.go
+++ b/internal/sidecar/orders_play_test.go
@@ -116,9 +116,9 @@
 			o, broken, text = short, again, fields
 		}
 	}
-	recordFile := ""
+	kept := ""
 	for _, a := range o.actions {
-		recordFile += fmt.Sprint(",", a.number)
+		kept += fmt.Sprint(",", a.number)
 	}
-	t.Errorf("replay with -orders.seed=%d -orders.keep=%s\n%v\n%s\n%s", o.seed, strings.TrimPrefix(recordFile, ","), o, strings.Join(broken, "\n"), text)
+	t.Errorf("replay with -orders.seed=%d -orders.keep=%s\n%v\n%s\n%s", o.seed, strings.TrimPrefix(kept, ","), o, strings.Join(broken, "\n"), text)
 }
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -147,7 +147,7 @@
 // order is what a seed stands for.
 type order struct {
 	seed     int64
-	sends    bool // the list comes to those who ask
+	onDemand bool // the list comes to those who ask
 	twoZones bool
 	window   time.Duration    // for repeats of what is idempotent by key
 	auto     [2]time.Duration // see orderUpstream
@@ -159,7 +159,7 @@
 
 func (o *order) String() string {
 	s := fmt.Sprintf("seed %d: asks %v, two zones %v, window %v, upstreams answer by themselves after %v (negative: never), warm %v, whole lists %v, settles for %v\n",
-		o.seed, o.sends, o.twoZones, o.window, o.auto, o.warm, o.complete, o.settle)
+		o.seed, o.onDemand, o.twoZones, o.window, o.auto, o.warm, o.complete, o.settle)
 	for _, a := range o.actions {
 		s += fmt.Sprintf("  %d. %v\n", a.number, a)
 	}
@@ -171,7 +171,7 @@
 // draw makes the order of a seed. Many acts come at the same moment, or right beside it.
 func draw(seed int64) *order {
 	r := rand.New(rand.NewPCG(uint64(seed), 25))
-	o := &order{seed: seed, sends: r.IntN(2) == 0, twoZones: r.IntN(3) == 0, window: pick(r, 300*milli, 300*milli, 6*time.Second), warm: r.IntN(2) == 0, complete: r.IntN(3) == 0,
+	o := &order{seed: seed, onDemand: r.IntN(2) == 0, twoZones: r.IntN(3) == 0, window: pick(r, 300*milli, 300*milli, 6*time.Second), warm: r.IntN(2) == 0, complete: r.IntN(3) == 0,
 		settle: pick(r, 50*milli, 50*milli, 50*milli, 5*milli)}
 	for i := range o.auto {
 		o.auto[i] = pick(r, -1, -1, 0, 5*milli, 60*milli, 150*milli)
@@ -183,7 +183,7 @@
 	at := 10 * milli
 	actions := 4 + r.IntN(maxActions-3)
 	ended, term := false, time.Duration(0) // SIGTERM, and when
-	established := false                   // the list has changed for the worse
+	worsened := false                      // the list has changed for the worse
 	for i := range actions {
 		a := act{number: i, who: r.IntN(2), fresh: r.IntN(4) == 0}
 		n := r.IntN(weights)
@@ -207,11 +207,11 @@
 		default:
 			at += pick(r, 1000*milli, 1500*milli, 2500*milli, 3000*milli, 6000*milli)
 		}
-		if i == actions-1 && established && r.IntN(2) == 0 { // is it known by now?
+		if i == actions-1 && worsened && r.IntN(2) == 0 { // is it known by now?
 			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsByKey)
 			at += pick(r, 3*time.Second, 4100*milli, 6100*milli, 6100*milli)
 		}
-		established = established || a.kind == drains || a.kind == goes
+		worsened = worsened || a.kind == drains || a.kind == goes
 		a.at = at
 		if ended && r.IntN(2) == 0 { // beside what the sidecar does while it ends
 			a.at = term + pick(r, 50*milli, 449*milli, 450*milli, 451*milli, 452*milli, 599*milli, 600*milli, 601*milli, 610*milli, 611*milli, 620*milli,
@@ -371,15 +371,15 @@
 	if *orderSeed >= 0 {
 		o := draw(*orderSeed)
 		if *orderRecordFile != "" {
-			persisted := []act(nil)
+			kept := []act(nil)
 			for text := range strings.SplitSeq(*orderRecordFile, ",") {
 				i := 0
 				if _, err := fmt.Sscan(text, &i); err != nil || i < 0 || i >= len(o.actions) {
 					t.Fatalf("-orders.keep: no act %q", text)
 				}
-				persisted = append(persisted, o.actions[i])
+				kept = append(kept, o.actions[i])
 			}
-			o.actions = persisted
+			o.actions = kept
 		}
 		if broken, text := o.fails(t, plant{}, orderRepeats); len(broken) > 0 {
 			t.Errorf("%v\n%s\n%s", o, strings.Join(broken, "\n"), text)
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -113,7 +113,7 @@
 	w.config = func(address string) *Config {
 		c := testConfig(t, address, known...)
 		s := &c.Settings
-		s.Hedging, s.MustSubscribe = false, o.sends
+		s.Hedging, s.MustSubscribe = false, o.onDemand
 		s.Classes[1].DedupWindow = o.window
 		c.dial = w.dial
 		if p.settings != nil {
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -169,7 +169,7 @@
 	p.begun, p.dir = time.Now(), newEndpointDirectory(clk, func(string) {})
 	p.dir.apply(c.Known)
 	l := newDispatcher(b, clk, ctx.Done())
-	sends := c.Settings.MustSubscribe
+	onDemand := c.Settings.MustSubscribe
 	p.w = newWatcher(&c, p.dir, func(m balancer.EndpointUpdate) {
 		if m.Kind == balancer.WatchFailed {
 			p.failed.Add(1)
@@ -178,12 +178,12 @@
 			p.announced.Store(int64(p.now()))
 			cancel()
 		}
-		if sends {
+		if onDemand {
 			l.enqueueUpdate(m)
 		}
 	})
-	p.running.Go(func() { p.w.run(ctx, sends) })
-	if sends {
+	p.running.Go(func() { p.w.run(ctx, onDemand) })
+	if onDemand {
 		l.subscribe = p.w.subscribe
 		p.running.Go(func() { l.run(p.dir.cachedUpdate()) })
 	}
@@ -194,9 +194,9 @@
 
 // outageMoments are at the start, after a while without an outage, and once all waits are at their longest, over one round of
 // all that is tried: two calls and the balancer's wait where that asks, one silence where not.
-func outageMoments(sends bool) []moments {
+func outageMoments(onDemand bool) []moments {
 	const sec = time.Second
-	if sends {
+	if onDemand {
 		return []moments{{0, 0, 4 * sec}, {1017 * time.Millisecond, 0, 4 * sec}, {0, 20 * sec, 8 * sec}}
 	}
 	return []moments{{0, 0, 4 * sec}, {1017 * time.Millisecond, 0, 4 * sec}, {0, 10 * sec, 2500 * time.Millisecond}}
@@ -204,10 +204,10 @@
 
 // outagePlay plays moments of an outage in one bubble: at each the agent is back for one party or, where moves is set,
 // discovery moves for good. It returns how long after that the latest of them had the drain.
-func outagePlay(t *testing.T, sends, moves bool, way int, connect time.Duration, at []moments) (latest time.Duration) {
+func outagePlay(t *testing.T, onDemand, moves bool, way int, connect time.Duration, at []moments) (latest time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		c := testConfig(t, outageFrom, entry("a", "127.0.0.2:1", "Ready"))
-		c.Settings.ConnectTimeout, c.Settings.MustSubscribe = connect, sends
+		c.Settings.ConnectTimeout, c.Settings.MustSubscribe = connect, onDemand
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		var all []*outageParty
@@ -230,16 +230,16 @@
 		cancel()
 		running.Wait()
 		for _, p := range all {
-			established := time.Duration(p.announced.Load())
-			if established < p.event {
-				t.Fatalf("down at %v, event at %v: told at %v, %d failures", p.down, p.event, established, p.failed.Load())
+			announced := time.Duration(p.announced.Load())
+			if announced < p.event {
+				t.Fatalf("down at %v, event at %v: told at %v, %d failures", p.down, p.event, announced, p.failed.Load())
 			}
-			if !sends && p.failed.Load() > 0 {
+			if !onDemand && p.failed.Load() > 0 {
 				t.Error("a failure was told to a module that did not ask")
 			}
-			latest = max(latest, established-p.event)
+			latest = max(latest, announced-p.event)
 			if moves && !p.swallowed.Load() {
-				first = max(first, established-p.event)
+				first = max(first, announced-p.event)
 			}
 		}
 		if first > 0 {
@@ -252,19 +252,19 @@
 // Guards against a drain that is acted on too late: whatever failed before, a change is in flight within watch.Told of the
 // moment at which discovery had it and could be reached, and where it is pushed within 3 s, since it binds at once there.
 func TestAfterAnOutageAListIsInHandInTime(t *testing.T) {
-	for _, sends := range []bool{false, true} {
+	for _, onDemand := range []bool{false, true} {
 		for way := range outages {
 			for _, connect := range []time.Duration{200 * time.Millisecond, 2200 * time.Millisecond, 5 * time.Second} {
 				if connect > 200*time.Millisecond && outages[way].dial != "hangs" {
 					continue
 				}
-				t.Run(fmt.Sprintf("asks %v, %s, connect %v", sends, outages[way].name, connect), func(t *testing.T) {
+				t.Run(fmt.Sprintf("asks %v, %s, connect %v", onDemand, outages[way].name, connect), func(t *testing.T) {
 					t.Parallel()
 					bound := 3 * time.Second
-					if sends {
+					if onDemand {
 						bound = watch.NotifyDeadline
 					}
-					if got := outagePlay(t, sends, false, way, connect, outageMoments(sends)); got > bound {
+					if got := outagePlay(t, onDemand, false, way, connect, outageMoments(onDemand)); got > bound {
 						t.Errorf("in hand %v after the return, at the latest", got)
 					} else {
 						t.Logf("in hand %v after the return, at the latest", got)
@@ -279,12 +279,12 @@
 // however long the balancer would still wait; where that first call is never answered, the list is in flight all the same
 // before it binds, 4 s after the signal.
 func TestAMovedListIsInHandInTime(t *testing.T) {
-	for _, sends := range []bool{false, true} {
+	for _, onDemand := range []bool{false, true} {
 		for way := range outages {
-			t.Run(fmt.Sprintf("asks %v, %s", sends, outages[way].name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("asks %v, %s", onDemand, outages[way].name), func(t *testing.T) {
 				t.Parallel()
 				at := []moments{{1017 * time.Millisecond, 0, 1500 * time.Millisecond}, {0, 15 * time.Second, 2 * time.Second}}
-				if got := outagePlay(t, sends, true, way, 2200*time.Millisecond, at); got > 4*time.Second {
+				if got := outagePlay(t, onDemand, true, way, 2200*time.Millisecond, at); got > 4*time.Second {
 					t.Errorf("in hand %v after the signal, at the latest", got)
 				}
 			})
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -204,8 +204,8 @@
 	begun := time.Now()
 	r := startOn(t, c, l, "")
 	r.awaitReady(t, "YES")
-	if bytesReserved := time.Since(begun); bytesReserved < suspectListDelay {
-		t.Errorf("ready after %v, with a list that was set aside", bytesReserved)
+	if elapsed := time.Since(begun); elapsed < suspectListDelay {
+		t.Errorf("ready after %v, with a list that was set aside", elapsed)
 	}
 	if status, body := r.get(t); status != 200 || body != "s" {
 		t.Errorf("served %d %q", status, body)
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -49,8 +49,8 @@
 				t.Errorf("ready at once: %d", got) // a list may come any moment
 			}
 			eventually(t, "ready", func() bool { return status() == http.StatusOK })
-			if bytesReserved := time.Since(begun); bytesReserved < readyWithoutListAfter-100*time.Millisecond || bytesReserved > 8*time.Second {
-				t.Errorf("ready after %v", bytesReserved)
+			if elapsed := time.Since(begun); elapsed < readyWithoutListAfter-100*time.Millisecond || elapsed > 8*time.Second {
+				t.Errorf("ready after %v", elapsed)
 			}
 			req := request(t, r.address, "search", "")
 			req.Header.Set("X-Timeout", "400m")
@@ -58,15 +58,15 @@
 			if resp, _ := r.do(t, req); resp.StatusCode != http.StatusServiceUnavailable {
 				t.Errorf("without a list: %s", resp.Status)
 			}
-			if bytesReserved := time.Since(queries); bytesReserved > 2*time.Second { // 400 ms and what a busy machine takes
-				t.Errorf("refused after %v", bytesReserved)
+			if elapsed := time.Since(queries); elapsed > 2*time.Second { // 400 ms and what a busy machine takes
+				t.Errorf("refused after %v", elapsed)
 			}
 			if !c.returns {
 				return
 			}
-			leading := r.later(request(t, r.address, "search", ""))
+			pending := r.later(request(t, r.address, "search", ""))
 			close(back)
-			if got := <-leading; got != "200 done" {
+			if got := <-pending; got != "200 done" {
 				t.Errorf("what was held as discovery came back: %s", got)
 			}
 		})
@@ -81,8 +81,8 @@
 		func(_ int, _ func(string), done <-chan struct{}) { <-done }).address} {
 		begun := time.Now()
 		r := start(t, testConfig(t, discovery, entry("s", s.address, "Ready")), "127.0.0.1:0")
-		if bytesReserved := time.Since(begun); bytesReserved > readyWithoutListAfter {
-			t.Errorf("%s: ready after %v", name, bytesReserved)
+		if elapsed := time.Since(begun); elapsed > readyWithoutListAfter {
+			t.Errorf("%s: ready after %v", name, elapsed)
 		}
 		if resp, _ := r.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 {
 			t.Errorf("%s: %s", name, resp.Status)
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -78,18 +78,18 @@
 	if resp.ContentLength >= 0 {
 		bound = min(bound, resp.ContentLength)
 	}
-	bytesReserved := u.budget.reserve(bound)
+	reserved := u.budget.reserve(bound)
 	defer func() {
 		if err == nil {
-			retained = min(bytesReserved, int64(cap(body)))
+			retained = min(reserved, int64(cap(body)))
 		}
-		u.budget.release(bytesReserved - retained)
+		u.budget.release(reserved - retained)
 	}()
-	large := resp.ContentLength > bytesReserved
+	large := resp.ContentLength > reserved
 	begun := time.Now()
-	body = make([]byte, 0, min(bytesReserved, minRetainedBytes))
+	body = make([]byte, 0, min(reserved, minRetainedBytes))
 	for {
-		if int64(len(body)) == bytesReserved {
+		if int64(len(body)) == reserved {
 			if resp.ContentLength >= 0 {
 				if !large { // the next read reports the end
 					_, err = io.ReadFull(resp.Body, make([]byte, 1))
@@ -99,7 +99,7 @@
 			return body, 0, false, nil
 		}
 		if len(body) == cap(body) {
-			body = append(make([]byte, 0, min(bytesReserved, int64(2*cap(body)))), body...)
+			body = append(make([]byte, 0, min(reserved, int64(2*cap(body)))), body...)
 		}
 		var n int
 		n, err = resp.Body.Read(body[len(body):cap(body)])
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -45,8 +45,8 @@
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
 		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
-	if bytesReserved := time.Since(begun); bytesReserved > 4*time.Second { // it might have been held for 9
-		t.Errorf("told after %v", bytesReserved)
+	if elapsed := time.Since(begun); elapsed > 4*time.Second { // it might have been held for 9
+		t.Errorf("told after %v", elapsed)
 	}
 	if n := len(s.requests()); n != 1 {
 		t.Errorf("sent %d times", n)
@@ -307,8 +307,8 @@
 		_ = resp.Body.Close()
 		clients = append(clients, client)
 	}
-	if bytesReserved := time.Since(begun); len(s.requests()) != len(clients) || bytesReserved > requestTimeout {
-		t.Errorf("%d of %d were served in %v", len(s.requests()), len(clients), bytesReserved)
+	if elapsed := time.Since(begun); len(s.requests()) != len(clients) || elapsed > requestTimeout {
+		t.Errorf("%d of %d were served in %v", len(s.requests()), len(clients), elapsed)
 	}
 }
 
--- a/internal/sidecar/settingsfollower_rig_test.go
+++ b/internal/sidecar/settingsfollower_rig_test.go
@@ -84,7 +84,7 @@
 		_, _ = w.Write(append(text, '\n'))
 		_ = http.NewResponseController(w).Flush()
 	}
-	leading, first := r.FormValue("held"), r.FormValue("from") != "1"
+	held, first := r.FormValue("held"), r.FormValue("from") != "1"
 	for {
 		s.mu.Lock()
 		d, index, again := s.announced, s.index, s.again
@@ -98,9 +98,9 @@
 			l["endpoints"] = []any{}
 		}
 		now := fmt.Sprintf("%s@%d", d.Region, d.Revision)
-		news := d.Revision > 0 && d.Service == r.FormValue("service") && now != leading
+		news := d.Revision > 0 && d.Service == r.FormValue("service") && now != held
 		if news {
-			l["documents"], leading = []api.Document{d}, now
+			l["documents"], held = []api.Document{d}, now
 		}
 		if first || news {
 			line(l)
@@ -181,23 +181,23 @@
 }
 
 // startHollowWith is a hollow sidecar of the service, and what it says of documents.
-func startHollowWith(t testing.TB, c *Config) (established chan judged, end func()) {
+func startHollowWith(t testing.TB, c *Config) (outcomes chan judged, end func()) {
 	t.Helper()
-	established = make(chan judged, 64)
-	return established, startHollow(t, c, HollowObserver{OnSettings: func(region string, version int64, rejected error, _ time.Time) {
+	outcomes = make(chan judged, 64)
+	return outcomes, startHollow(t, c, HollowObserver{OnSettings: func(region string, version int64, rejected error, _ time.Time) {
 		j := judged{region: region, version: version}
 		if rejected != nil {
 			j.rejected = rejected.Error()
 		}
-		established <- j
+		outcomes <- j
 	}})
 }
 
 // hears waits for what a hollow sidecar says next, and compares; a rejection has to hold the words.
-func hears(t testing.TB, established chan judged, version int64, rejected string) {
+func hears(t testing.TB, outcomes chan judged, version int64, rejected string) {
 	t.Helper()
 	select {
-	case j := <-established:
+	case j := <-outcomes:
 		if j.version != version || (j.rejected == "") != (rejected == "") || !strings.Contains(j.rejected, rejected) {
 			t.Errorf("told %+v, not version %d, rejected %q", j, version, rejected)
 		}
@@ -207,10 +207,10 @@
 }
 
 // quietly fails where anything more was said.
-func quietly(t testing.TB, established chan judged) {
+func quietly(t testing.TB, outcomes chan judged) {
 	t.Helper()
 	select {
-	case j := <-established:
+	case j := <-outcomes:
 		t.Errorf("told %+v, too", j)
 	default:
 	}
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -114,99 +114,99 @@
 	for name, play := range map[string]func(t *testing.T, c *Config, svc *fakeService){
 		"stopped through five versions": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(1, testSettings))
-			established, end := startHollowWith(t, c)
-			hears(t, established, 1, "")
+			outcomes, end := startHollowWith(t, c)
+			hears(t, outcomes, 1, "")
 			endPersisted(t, c, end)
 			for v := range int64(5) {
 				svc.announce(document(2+v, probing))
 			}
-			established, _ = startHollowWith(t, c)
-			hears(t, established, 1, "") // from the disk
-			hears(t, established, 6, "")
-			quietly(t, established)
+			outcomes, _ = startHollowWith(t, c)
+			hears(t, outcomes, 1, "") // from the disk
+			hears(t, outcomes, 6, "")
+			quietly(t, outcomes)
 		},
 		"the list service is down at the start": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(3, testSettings))
-			established, end := startHollowWith(t, c)
-			hears(t, established, 3, "")
+			outcomes, end := startHollowWith(t, c)
+			hears(t, outcomes, 3, "")
 			endPersisted(t, c, end)
 			_ = svc.srv.Close()
-			established, end = startHollowWith(t, c)
-			hears(t, established, 3, "")
+			outcomes, end = startHollowWith(t, c)
+			hears(t, outcomes, 3, "")
 			endPersisted(t, c, end)
 			svc.announce(document(4, probing))
 			svc.begin(t, svc.address)
-			established, _ = startHollowWith(t, c)
-			hears(t, established, 3, "")
-			hears(t, established, 4, "")
+			outcomes, _ = startHollowWith(t, c)
+			hears(t, outcomes, 3, "")
+			hears(t, outcomes, 4, "")
 		},
 		"its owner is an old copy": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			established, end := startHollowWith(t, c)
-			hears(t, established, 9, "")
+			outcomes, end := startHollowWith(t, c)
+			hears(t, outcomes, 9, "")
 			svc.announce(document(20, `{}`))
-			hears(t, established, 20, "Classes")
+			hears(t, outcomes, 20, "Classes")
 			endPersisted(t, c, end)
 			svc.announce(document(12, probing)) // below 20, which it has seen
-			established, _ = startHollowWith(t, c)
-			hears(t, established, 9, "")
+			outcomes, _ = startHollowWith(t, c)
+			hears(t, outcomes, 9, "")
 			eventually(t, "the watch", func() bool { return len(svc.requests()) >= 2 })
 			svc.announce(document(21, testSettings))
-			hears(t, established, 21, "")
+			hears(t, outcomes, 21, "")
 		},
 		"another region's": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			established, _ := startHollowWith(t, c)
-			hears(t, established, 9, "")
+			outcomes, _ := startHollowWith(t, c)
+			hears(t, outcomes, 9, "")
 			other := document(2, probing)
 			other.Region = "north"
 			svc.announce(other)
-			hears(t, established, 2, "")
+			hears(t, outcomes, 2, "")
 		},
 		"deleted, and started again": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			established, end := startHollowWith(t, c)
-			hears(t, established, 9, "")
+			outcomes, end := startHollowWith(t, c)
+			hears(t, outcomes, 9, "")
 			svc.announce(api.Document{Region: "south", Revision: 10, Deleted: true})
-			hears(t, established, 10, "")
+			hears(t, outcomes, 10, "")
 			endPersisted(t, c, end)
 			svc.announce(document(9, testSettings))
-			established, _ = startHollowWith(t, c)
-			hears(t, established, 10, "")
+			outcomes, _ = startHollowWith(t, c)
+			hears(t, outcomes, 10, "")
 			svc.announce(document(11, probing))
-			hears(t, established, 11, "")
+			hears(t, outcomes, 11, "")
 		},
 		"a service renamed": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			established, end := startHollowWith(t, c)
-			hears(t, established, 9, "")
+			outcomes, end := startHollowWith(t, c)
+			hears(t, outcomes, 9, "")
 			endPersisted(t, c, end)
 			c.Service = "billing"
-			established, _ = startHollowWith(t, c)
+			outcomes, _ = startHollowWith(t, c)
 			svc.announce(document(10, testSettings)) // of orders still
 			other := document(2, testSettings)
 			other.Service = "billing"
 			svc.announce(other)
-			hears(t, established, 2, "")
+			hears(t, outcomes, 2, "")
 		},
 		"rejected at the start, and kept": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(3, testSettings))
-			established, end := startHollowWith(t, c)
-			hears(t, established, 3, "")
+			outcomes, end := startHollowWith(t, c)
+			hears(t, outcomes, 3, "")
 			endPersisted(t, c, end)
 			_ = svc.srv.Close()
 			more := withService(t, c.Discovery, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1))
 			more.State = c.State
-			established, end = startHollowWith(t, more)
-			hears(t, established, 3, "lacks settings.Limits.Probes")
+			outcomes, end = startHollowWith(t, more)
+			hears(t, outcomes, 3, "lacks settings.Limits.Probes")
 			endPersisted(t, c, end)
-			established, _ = startHollowWith(t, c)
-			hears(t, established, 3, "")
+			outcomes, _ = startHollowWith(t, c)
+			hears(t, outcomes, 3, "")
 		},
 		"damaged on disk": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(3, testSettings))
-			established, end := startHollowWith(t, c)
-			hears(t, established, 3, "")
+			outcomes, end := startHollowWith(t, c)
+			hears(t, outcomes, 3, "")
 			endPersisted(t, c, end)
 			_ = svc.srv.Close()
 			for _, file := range persistedFiles(t, c.State) {
@@ -219,10 +219,10 @@
 					t.Fatal(err)
 				}
 			}
-			established, end = startHollowWith(t, c)
+			outcomes, end = startHollowWith(t, c)
 			eventually(t, "the file put aside", func() bool { return len(persistedFiles(t, c.State)) == 0 })
 			endPersisted(t, c, end)
-			quietly(t, established)
+			quietly(t, outcomes)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sidecar/sharing.go
+++ b/internal/sidecar/sharing.go
@@ -77,11 +77,11 @@
 	if s.leaderships != nil {
 		s.parts.Go(func() { s.leaderships.run(s.ctx) })
 	}
-	var leading probeLeaderships // not an interface that holds a nil *leaderships
+	var probes probeLeaderships // not an interface that holds a nil *leaderships
 	if s.leaderships != nil {
-		leading = s.leaderships
+		probes = s.leaderships
 	}
-	s.parts.Go(func() { newBreakerTracker(s, leading).run(s.ctx) })
+	s.parts.Go(func() { newBreakerTracker(s, probes).run(s.ctx) })
 	return s, nil
 }
 
--- a/internal/sidecar/sharing_test.go
+++ b/internal/sidecar/sharing_test.go
@@ -36,11 +36,11 @@
 	all[0].report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceErrors, Count: 3})
 	all[1].report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 3})
 	var h balancer.PeerVerdict
-	established := func() (ok bool) {
+	received := func() (ok bool) {
 		h, ok = all[2].verdicts.Pop()
 		return ok && h.Upstream != "" // else it only asks whether the loop is alive
 	}
-	eventually(t, "a verdict", established)
+	eventually(t, "a verdict", received)
 	if h.Upstream != "s-1" || h.Until <= all[2].clock.now() {
 		t.Errorf("told %+v", h)
 	}
@@ -51,7 +51,7 @@
 		t.Errorf("figures:\n%s", figures)
 	}
 	all[0].report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1"})
-	eventually(t, "its end", func() bool { return established() && h.Until == 0 })
+	eventually(t, "its end", func() bool { return received() && h.Until == 0 })
 	if h.Upstream != "s-1" || h.Until != 0 {
 		t.Errorf("told %+v of the end", h)
 	}
--- a/internal/sidecar/sharingview.go
+++ b/internal/sidecar/sharingview.go
@@ -55,11 +55,11 @@
 	if s.gossip.Fenced() {
 		text.WriteString("fenced: a newer process has this one's name\n")
 	}
-	standing, established := s.openBreakers()
-	if !established {
+	open, ok := s.openBreakers()
+	if !ok {
 		text.WriteString("breakers: their thread is too busy to tell\n")
 	}
-	for _, v := range standing {
+	for _, v := range open {
 		fmt.Fprintf(&text, "breaker %s %s for %v, %s\n", v.Upstream, v.Class, v.For.Round(time.Millisecond), v.Reason)
 	}
 	text.WriteString(s.leaderships.lines())
@@ -76,7 +76,7 @@
 }
 
 // openBreakers returns the open verdicts; false if the breaker tracker does not answer in time.
-func (s *sharing) openBreakers() (open []circuitbreaker.Verdict, established bool) {
+func (s *sharing) openBreakers() (open []circuitbreaker.Verdict, ok bool) {
 	answer := make(chan []circuitbreaker.Verdict, 1)
 	late := time.NewTimer(adminTimeout)
 	defer late.Stop()
--- a/internal/sidecar/transcript_test.go
+++ b/internal/sidecar/transcript_test.go
@@ -156,10 +156,10 @@
 	{"client-gone", "client > sidecar closes", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
 		c := x.request(s, aSearch)
-		leading := x.next(x.calls)
+		pending := x.next(x.calls)
 		x.must(c.Close())
 		time.Sleep(20 * time.Millisecond)
-		x.must(leading.Say(ok200("for nobody"))) // the next request comes on the connection that waited for it, once that has rested
+		x.must(pending.Say(ok200("for nobody"))) // the next request comes on the connection that waited for it, once that has rested
 		time.Sleep(20 * time.Millisecond)
 		c = x.request(s, aConfirm)
 		x.must(x.next(x.calls).Say(ok200("ok")))
@@ -188,7 +188,7 @@
 		quiet, busy := x.request(s, aSearch), x.request(s, aConfirm)
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(quiet, 200)
-		leading := x.next(x.calls)
+		pending := x.next(x.calls)
 		_, err := transcript.Connect(x.ctx, x.client, s.address)
 		x.must(err)
 		s.stop()
@@ -196,17 +196,17 @@
 		x.must(quiet.Say(aSearch)) // it stayed open
 		x.must(x.next(x.calls).Say(ok200("ok")))
 		x.gets(quiet, 200)
-		x.must(leading.Say(ok200("ok")))
+		x.must(pending.Say(ok200("ok")))
 		x.gets(busy, 200)
 		time.Sleep(400 * time.Millisecond)
 	}},
 	{"drain-during-attempt", "sidecar > up-1 closes", func(x *exchange) {
 		s := x.start(entry("up-1", up1, "Ready"))
 		c := x.request(s, aSearch)
-		leading := x.next(x.calls)
+		pending := x.next(x.calls)
 		x.must(s.watch.Chunk(list(2, false, entry("up-1", up1, "Terminating"), entry("up-2", up2, "Ready")) + "\n"))
 		time.Sleep(20 * time.Millisecond)
-		x.must(leading.Say(ok200("ok")))
+		x.must(pending.Say(ok200("ok")))
 		x.gets(c, 200)
 		x.must(c.Say(aSearch))
 		x.must(x.next(x.calls).Say(ok200("ok")))
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -20,11 +20,11 @@
 // follow runs a watcher as a module would that asks again at once.
 func follow(t *testing.T, d *fakeDiscovery, known ...string) (*endpointDirectory, chan balancer.EndpointUpdate) {
 	t.Helper()
-	established := make(chan balancer.EndpointUpdate, 64)
+	updates := make(chan balancer.EndpointUpdate, 64)
 	u := testUpstreams(t, 4, known...)
 	var w *watcher
 	w = newWatcher(testConfig(t, d.address, known...), u.directory, func(m balancer.EndpointUpdate) {
-		established <- m
+		updates <- m
 		if m.Kind == balancer.WatchFailed {
 			w.subscribe()
 		}
@@ -36,13 +36,13 @@
 	}()
 	t.Cleanup(func() { <-done })
 	w.subscribe()
-	return u.directory, established
+	return u.directory, updates
 }
 
-func next(t *testing.T, established chan balancer.EndpointUpdate) balancer.EndpointUpdate {
+func next(t *testing.T, updates chan balancer.EndpointUpdate) balancer.EndpointUpdate {
 	t.Helper()
 	select {
-	case m := <-established:
+	case m := <-updates:
 		return m
 	case <-time.After(testTimeout):
 		t.Fatal("nothing was reported")
@@ -58,14 +58,14 @@
 		send(`{"index":6,"snapshot":true,"new_field":[1],"endpoints":[` + entry("c", "127.0.0.2:3", "Ready") + `]}`)
 		<-done
 	})
-	dir, established := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
-	m := next(t, established)
+	dir, updates := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
+	m := next(t, updates)
 	if m.Kind != balancer.Delta || len(m.Endpoints) != 2 || m.Endpoints[0].State != balancer.Active ||
 		m.Endpoints[1].State != balancer.Draining || m.Endpoints[0].Machine != "m" || m.Endpoints[0].Zone != "a" ||
 		m.Endpoints[0].Weight != 3 {
 		t.Errorf("changes told as %+v", m)
 	}
-	if m = next(t, established); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
+	if m = next(t, updates); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
 		t.Errorf("snapshot told as %+v", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
@@ -96,11 +96,11 @@
 				}
 				<-done
 			})
-			dir, established := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
-			if m := next(t, established); m.Kind != balancer.Delta {
+			dir, updates := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
+			if m := next(t, updates); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
-			if m := next(t, established); m.Kind != balancer.WatchFailed {
+			if m := next(t, updates); m.Kind != balancer.WatchFailed {
 				t.Errorf("told %+v", m)
 			}
 			eventually(t, "asked again", func() bool { return len(d.watches()) == 2 })
@@ -122,14 +122,14 @@
 		send(list(9, false))
 		<-done
 	})
-	dir, established := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
+	dir, updates := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the answer and the news, nothing for the second empty line
-		if m := next(t, established); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
+		if m := next(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
 			t.Errorf("told %+v", m)
 		}
 	}
-	if len(established) != 0 {
-		t.Errorf("told %+v too", <-established)
+	if len(updates) != 0 {
+		t.Errorf("told %+v too", <-updates)
 	}
 	if _, ok := dir.address("a"); !ok {
 		t.Error("the known list is lost")
@@ -145,8 +145,8 @@
 			<-done
 		}
 	})
-	established := make(chan balancer.EndpointUpdate, 4)
-	w := newWatcher(testConfig(t, d.address), testUpstreams(t, 4).directory, func(m balancer.EndpointUpdate) { established <- m })
+	updates := make(chan balancer.EndpointUpdate, 4)
+	w := newWatcher(testConfig(t, d.address), testUpstreams(t, 4).directory, func(m balancer.EndpointUpdate) { updates <- m })
 	done := make(chan struct{})
 	go func() {
 		w.run(t.Context(), false)
@@ -154,7 +154,7 @@
 	}()
 	t.Cleanup(func() { <-done })
 	for range 2 {
-		if m := next(t, established); m.Kind != balancer.Delta {
+		if m := next(t, updates); m.Kind != balancer.Delta {
 			t.Errorf("told %+v", m)
 		}
 	}
@@ -182,11 +182,11 @@
 // Guards against a list that stands still after discovery has moved: the watch goes on at the new address from the
 // version that it had, whether it was standing or waiting to be opened again, and no failure is told.
 func TestMovedDiscoveryIsFollowed(t *testing.T) {
-	for _, sends := range []bool{true, false} {
+	for _, onDemand := range []bool{true, false} {
 		for _, stood := range []bool{true, false} {
 			before := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 				send(list(5, false))
-				if stood || sends {
+				if stood || onDemand {
 					<-done
 				}
 			})
@@ -194,22 +194,22 @@
 				send(list(6, false, entry("b", "127.0.0.2:2", "Ready")))
 				<-done
 			})
-			established := make(chan balancer.EndpointUpdate, 64)
+			updates := make(chan balancer.EndpointUpdate, 64)
 			u := testUpstreams(t, 4)
-			w := newWatcher(testConfig(t, before.address), u.directory, func(m balancer.EndpointUpdate) { established <- m })
+			w := newWatcher(testConfig(t, before.address), u.directory, func(m balancer.EndpointUpdate) { updates <- m })
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
-				w.run(ctx, sends)
+				w.run(ctx, onDemand)
 				close(done)
 			}()
 			w.subscribe()
-			if m := next(t, established); m.Kind != balancer.Delta {
+			if m := next(t, updates); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
 			w.move(after.address)
 			for {
-				m := next(t, established)
+				m := next(t, updates)
 				if m.Kind == balancer.WatchFailed {
 					t.Error("a move was told as a failure")
 				}
@@ -229,13 +229,13 @@
 // Guards against a line that crosses SIGHUP and is never read: what the old discovery has written counts as told, also while the
 // new one does not answer, whoever asks for the list. Versions are asked on from there.
 func TestALineThatCrossesAMoveIsRead(t *testing.T) {
-	for _, sends := range []bool{true, false} {
+	for _, onDemand := range []bool{true, false} {
 		for _, late := range []time.Duration{0, time.Millisecond, time.Second} {
-			t.Run(fmt.Sprintf("asks %v, %v after", sends, late), func(t *testing.T) {
+			t.Run(fmt.Sprintf("asks %v, %v after", onDemand, late), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					established := make(chan balancer.EndpointUpdate, 64)
+					updates := make(chan balancer.EndpointUpdate, 64)
 					u := testUpstreams(t, 4, entry("a", "127.0.0.2:1", "Ready"))
-					w := newWatcher(testConfig(t, "127.0.0.1:1"), u.directory, func(m balancer.EndpointUpdate) { established <- m })
+					w := newWatcher(testConfig(t, "127.0.0.1:1"), u.directory, func(m balancer.EndpointUpdate) { updates <- m })
 					move := make(chan struct{})
 					w.client.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
 						ours, theirs := net.Pipe()
@@ -253,7 +253,7 @@
 					ctx, cancel := context.WithCancel(t.Context())
 					done := make(chan struct{})
 					go func() {
-						w.run(ctx, sends)
+						w.run(ctx, onDemand)
 						close(done)
 					}()
 					w.subscribe()
