--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -25,16 +25,16 @@
 	minInFlightPerEndpoint = 8.0 // the same for each endpoint: below, none is congested
 	minServedPerSecond     = 1e-3
 
-	offeredMemory = 20 * time.Second // the offered load is averaged over this
-	servedMemory  = 2 * time.Second  // the rate of answers is averaged over this
-	rankWindow    = 64               // requests among which the value of a new one is ranked
+	offeredTimeConstant = 20 * time.Second // the offered load is averaged over this
+	servedTimeConstant  = 2 * time.Second  // the rate of answers is averaged over this
+	rankWindow          = 64               // requests among which the value of a new one is ranked
 
 	congestionWeight    = 0.12 // weight of an attempt in the congestion: about the last eight
 	congestionThreshold = 0.62 // load is shed from this congestion on
 	maxCongestion       = 1.5  // of one attempt: an endpoint that hangs is not congested
-	// congestionMemory is the time constant with which congestion fades while no attempt ends: load must not be
-	// shed for ever because everything is rejected.
-	congestionMemory = 10 * time.Second
+	// congestionTimeConstant is the time constant with which congestion fades while no attempt ends: load must
+	// not be shed for ever because everything is rejected.
+	congestionTimeConstant = 10 * time.Second
 )
 
 // admission decides which requests are taken. It compares the requests in flight with what is served while
@@ -64,8 +64,8 @@
 func newAdmission() admission {
 	return admission{
 		limitFraction: maxLimitFraction,
-		offered:       rate{memory: offeredMemory},
-		served:        rate{memory: servedMemory},
+		offered:       rate{timeConstant: offeredTimeConstant},
+		served:        rate{timeConstant: servedTimeConstant},
 	}
 }
 
@@ -73,7 +73,7 @@
 func (a *admission) setTenants(before, now []Tenant) {
 	rates := make([]rate, len(now))
 	for i, t := range now {
-		rates[i].memory = offeredMemory
+		rates[i].timeConstant = offeredTimeConstant
 		if j := slices.IndexFunc(before, func(x Tenant) bool { return x.Name == t.Name }); j >= 0 {
 			rates[i] = a.tenants[j]
 		}
@@ -81,8 +81,8 @@
 	a.tenants = rates
 }
 
-// track counts a request as in flight, or with -1 as no longer so.
-func (a *admission) track(r *request, n int) {
+// addInFlight counts a request as in flight, or with -1 as no longer so.
+func (a *admission) addInFlight(r *request, n int) {
 	a.inFlight += n
 	a.arrivalSum += time.Duration(n) * r.arrivedAt
 	a.inverseObjectives += float64(n) / (r.objectiveAt - r.arrivedAt).Seconds()
@@ -105,7 +105,7 @@
 		return 0
 	}
 	if n < minInFlight || perEndpoint < minInFlightPerEndpoint {
-		fading := math.Exp(-float64(now-a.congestionAt) / float64(congestionMemory))
+		fading := math.Exp(-float64(now-a.congestionAt) / float64(congestionTimeConstant))
 		return a.congestion * fading / congestionThreshold
 	}
 	age := (time.Duration(a.inFlight)*now - a.arrivalSum).Seconds() / n
@@ -209,7 +209,7 @@
 		b.log("load shedding started", slog.Int("in_flight", a.inFlight),
 			slog.Float64("served_per_second", math.Round(a.served.perSecond(b.now))))
 		a.offeredAtShedding = a.offered.perSecond(b.now)
-	} else if admitted && a.lastShedAt != 0 && b.now-a.lastShedAt > servedMemory {
+	} else if admitted && a.lastShedAt != 0 && b.now-a.lastShedAt > servedTimeConstant {
 		b.log("load shedding ended")
 		a.lastShedAt = 0
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -172,7 +172,7 @@
 		r.now += 2 * time.Second
 		r.do(TimerFired{})
 		for range c.n {
-			r.b.admission.track(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
+			r.b.admission.addInFlight(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		r.now += c.age
 		r.do(TimerFired{})
@@ -214,10 +214,10 @@
 			r.now += 5 * ms
 			r.b.admission.served.add(1, r.now)
 		}
-		r.b.latency.hedgeDelay.v, r.b.hedges.successRatio = 0.08, 1
+		r.b.latency.hedgeDelay.value, r.b.hedges.successRatio = 0.08, 1
 		r.wantSend(r.request("r", "c", time.Second))
 		for range c.inHand {
-			r.b.admission.track(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
+			r.b.admission.addInFlight(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		hedges := 0
 		for range 24 {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -37,14 +37,14 @@
 	classes  map[string]*class
 	requests map[string]*request
 
-	endpoints   endpointTable
-	discovery   discovery
-	latency     latencyModel
-	locality    locality
-	admission   admission
-	retryBudget retryBudget
-	hedges      hedgeStats
-	ownProbes   []*endpoint // endpoints that this sidecar probes for all, see probe.go
+	endpoints       endpointTable
+	discovery       discovery
+	latency         latencyModel
+	locality        locality
+	admission       admission
+	retryBudget     retryBudget
+	hedges          hedgeStats
+	probedEndpoints []*endpoint // endpoints that this sidecar probes for all, see probe.go
 
 	localCandidates, remoteCandidates []*endpoint // scratch space of pick
 }
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -12,18 +12,18 @@
 // firstAttemptTime learns how much time clients of a class leave for their first attempt. Most requests are
 // first attempts, and have the same time left.
 type firstAttemptTime struct {
-	left  time.Duration
-	votes int // requests that agreed, less those that did not; maxVotes at most
+	remaining time.Duration
+	votes     int // requests that agreed, less those that did not; maxVotes at most
 }
 
-// agrees counts a request that leaves so much time, and tells whether it is like most.
-func (f *firstAttemptTime) agrees(left, tolerance time.Duration) bool {
-	if (left - f.left).Abs() <= tolerance {
+// vote counts a request that leaves so much time, and tells whether it is like most.
+func (f *firstAttemptTime) vote(left, tolerance time.Duration) bool {
+	if (left - f.remaining).Abs() <= tolerance {
 		f.votes = min(f.votes+1, maxVotes)
 		return true
 	}
 	if f.votes--; f.votes < 0 {
-		f.left, f.votes = left, 0
+		f.remaining, f.votes = left, 0
 	}
 	return false
 }
@@ -34,7 +34,7 @@
 // firstAttemptAt is when the client first sent this request, as far as its expiry tells: a repeat has less
 // time than a first attempt, since all of a client's attempts end with the deadline of the first.
 func (c *class) firstAttemptAt(now, expiresAt, tick time.Duration) time.Duration {
-	if c.firstAttempt.agrees(expiresAt-now, 2*tick) {
+	if c.firstAttempt.vote(expiresAt-now, 2*tick) {
 		return now
 	}
 	if first := expiresAt - c.Deadline; c.firstAttempt.settled() && first < now {
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -17,8 +17,8 @@
 	failures   int  // in a row
 }
 
-// idle tells whether a Subscribe is due.
-func (d *discovery) idle() bool { return !d.pending && !d.subscribed }
+// needsSubscribe tells whether a Subscribe is due.
+func (d *discovery) needsSubscribe() bool { return !d.pending && !d.subscribed }
 
 func (b *Balancer) subscribe() {
 	b.discovery.pending = true
@@ -50,7 +50,7 @@
 }
 
 func (b *Balancer) onPollTimer() {
-	if b.discovery.idle() {
+	if b.discovery.needsSubscribe() {
 		b.subscribe()
 	}
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -32,32 +32,32 @@
 	// order is drawn at random by each sidecar. The subset is taken from its beginning.
 	order []*endpoint
 
-	local int // endpoints in the local zone
-	zones int // zones of all endpoints, the local one counted
+	localCount int // endpoints in the local zone
+	zoneCount  int // zones of all endpoints, the local one counted
 	// recentSize is the largest size of late. It decays as the offered load does, see slowstart.go.
 	recentSize   float64
 	recentSizeAt time.Duration
 
-	banned        map[string]bool
-	reinstatedAt  map[string]time.Duration // when bans were cleared, for as long as the endpoint may warm up
-	awaitingFirst map[string]bool          // of those, the endpoints that got nothing since
+	banned               map[string]bool
+	banClearedAt         map[string]time.Duration // when bans were cleared; kept while the endpoint may warm up
+	awaitingFirstRequest map[string]bool          // of those, the endpoints that got nothing since
 }
 
 func newEndpointTable() endpointTable {
 	return endpointTable{
-		byID:          map[string]*endpoint{},
-		banned:        map[string]bool{},
-		reinstatedAt:  map[string]time.Duration{},
-		awaitingFirst: map[string]bool{},
+		byID:                 map[string]*endpoint{},
+		banned:               map[string]bool{},
+		banClearedAt:         map[string]time.Duration{},
+		awaitingFirstRequest: map[string]bool{},
 	}
 }
 
-// sideSize is how many endpoints are local, or remote.
-func (t *endpointTable) sideSize(local bool) int {
+// localityCount is how many endpoints are local, or remote.
+func (t *endpointTable) localityCount(local bool) int {
 	if local {
-		return t.local
+		return t.localCount
 	}
-	return len(t.order) - t.local
+	return len(t.order) - t.localCount
 }
 
 // removeUnlisted forgets the endpoints that are not active in the list.
@@ -70,18 +70,18 @@
 	})
 }
 
-// count counts the endpoints by zone.
-func (t *endpointTable) count(localZone string, now time.Duration) {
+// updateCounts counts the endpoints by zone.
+func (t *endpointTable) updateCounts(localZone string, now time.Duration) {
 	zones := map[string]bool{localZone: true}
-	t.local = 0
+	t.localCount = 0
 	for _, ep := range t.order {
 		zones[ep.zone] = true
 		if ep.zone == localZone {
-			t.local++
+			t.localCount++
 		}
 	}
-	t.zones = len(zones)
-	decayed := t.recentSize * math.Exp(-float64(now-t.recentSizeAt)/float64(offeredMemory))
+	t.zoneCount = len(zones)
+	decayed := t.recentSize * math.Exp(-float64(now-t.recentSizeAt)/float64(offeredTimeConstant))
 	t.recentSize, t.recentSizeAt = max(float64(len(t.order)), decayed), now
 }
 
@@ -90,10 +90,10 @@
 	return len(t.order) > 0 && !slices.ContainsFunc(t.order, func(ep *endpoint) bool { return !ep.banned })
 }
 
-// forgetReinstated forgets cleared bans of endpoints that have warmed up since.
-func (t *endpointTable) forgetReinstated(now, slowStartWindow time.Duration) {
-	maps.DeleteFunc(t.reinstatedAt, func(_ string, at time.Duration) bool { return now-at > slowStartWindow })
-	maps.DeleteFunc(t.awaitingFirst, func(id string, _ bool) bool { return t.reinstatedAt[id] == 0 })
+// forgetClearedBans forgets cleared bans of endpoints that have warmed up since.
+func (t *endpointTable) forgetClearedBans(now, slowStartWindow time.Duration) {
+	maps.DeleteFunc(t.banClearedAt, func(_ string, at time.Duration) bool { return now-at > slowStartWindow })
+	maps.DeleteFunc(t.awaitingFirstRequest, func(id string, _ bool) bool { return t.banClearedAt[id] == 0 })
 }
 
 // onEndpointUpdate follows the endpoint list.
@@ -112,8 +112,8 @@
 		b.applyEndpoint(entry)
 	}
 	b.endpoints.removeUnlisted()
-	b.endpoints.count(b.settings.Zone, b.now)
-	if e.Kind == Cached && b.settings.MustSubscribe && b.discovery.idle() {
+	b.endpoints.updateCounts(b.settings.Zone, b.now)
+	if e.Kind == Cached && b.settings.MustSubscribe && b.discovery.needsSubscribe() {
 		b.subscribe()
 	}
 }
@@ -141,11 +141,11 @@
 func (b *Balancer) replaceEndpoint(old *endpoint, entry Endpoint) *endpoint {
 	t := &b.endpoints
 	ep := &endpoint{id: entry.Upstream, zone: entry.Zone, machine: entry.Machine, startedAt: entry.StartedAt}
-	ep.machineLatency = b.latency.ofMachine(entry.Machine)
+	ep.machineLatency = b.latency.machineMean(entry.Machine)
 	ep.latency = peakEWMA{*ep.machineLatency, b.now}
 	ep.banned = t.banned[ep.id]
 	at := slices.Index(t.order, old)
-	clearedAt, reinstated := t.reinstatedAt[ep.id]
+	clearedAt, reinstated := t.banClearedAt[ep.id]
 	if from := max(entry.StartedAt, clearedAt); from > 0 && b.now-from < b.settings.SlowStartWindow {
 		b.beginSlowStart(ep, from)
 	}
@@ -159,7 +159,7 @@
 	}
 	t.order = slices.Insert(t.order, at, ep)
 	t.byID[ep.id] = ep
-	if t.awaitingFirst[ep.id] {
+	if t.awaitingFirstRequest[ep.id] {
 		b.grantFirstRequest(ep)
 	} else if reinstated && old != nil {
 		ep.slowStart.inherit(&old.slowStart)
@@ -170,12 +170,12 @@
 // onBan takes an endpoint out of use, or back into use. What was learned of it is void then.
 func (b *Balancer) onBan(e Ban) {
 	t := &b.endpoints
-	t.forgetReinstated(b.now, b.settings.SlowStartWindow)
+	t.forgetClearedBans(b.now, b.settings.SlowStartWindow)
 	ep := t.byID[e.Upstream]
 	if !e.Cleared {
 		t.banned[e.Upstream] = true
-		delete(t.reinstatedAt, e.Upstream)
-		delete(t.awaitingFirst, e.Upstream)
+		delete(t.banClearedAt, e.Upstream)
+		delete(t.awaitingFirstRequest, e.Upstream)
 		if ep != nil {
 			ep.banned = true
 		}
@@ -185,7 +185,7 @@
 		return
 	}
 	delete(t.banned, e.Upstream)
-	t.reinstatedAt[e.Upstream], t.awaitingFirst[e.Upstream] = b.now, true
+	t.banClearedAt[e.Upstream], t.awaitingFirstRequest[e.Upstream] = b.now, true
 	if ep != nil {
 		entry := Endpoint{Upstream: ep.id, Zone: ep.zone, Machine: ep.machine, StartedAt: ep.startedAt}
 		fresh := b.replaceEndpoint(ep, entry)
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -70,7 +70,7 @@
 // The seed is the mean latency known when the upstream is first seen.
 func TestSeed(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.b.latency.fleet = 0.033
+	r.b.latency.fleetMean = 0.033
 	r.fleet(1)
 	if got := r.b.endpoints.order[0].latency; got.value != 0.033 || got.at != r.now {
 		t.Errorf("seed %+v", got)
@@ -104,8 +104,8 @@
 	r.fleet(2)
 	r.b.endpoints.order[0].latency = peakEWMA{0.5, r.now}
 	r.b.now = r.now + time.Hour
-	if got := r.b.cost(r.b.endpoints.order[0]); !near(got, r.b.latency.fleet) {
-		t.Errorf("idle for long: %v, want the mean %v", got, r.b.latency.fleet)
+	if got := r.b.cost(r.b.endpoints.order[0]); !near(got, r.b.latency.fleetMean) {
+		t.Errorf("idle for long: %v, want the mean %v", got, r.b.latency.fleetMean)
 	}
 }
 
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -46,11 +46,11 @@
 
 // evidence is what this sidecar's attempts tell of an endpoint, beyond health.
 type evidence struct {
-	windows        map[string]*errorWindow // by class
-	ejectedClasses int
-	suspected      bool   // a first failure was reported
-	errorRunClass  string // class of the errors in a row; empty: of several
-	reportedClass  string // class that the ejection was reported for; empty: all
+	windows           map[string]*errorWindow // by class
+	ejectedClassCount int
+	suspected         bool   // a first failure was reported
+	errorRunClass     string // class of the errors in a row; empty: of several
+	reportedClass     string // class that the ejection was reported for; empty: all
 }
 
 func (b *Balancer) gossipOf(ep *endpoint) *gossipState {
@@ -66,7 +66,7 @@
 // errorWindow holds the latest answers by one endpoint to requests of one class, and the class's ejection.
 type errorWindow struct {
 	errorBits    uint32               // the latest in the lowest bit; set: an error
-	known        int                  // answers
+	answers      int                  // answers
 	tenants      [errorWindowSize]int // of the requests, a ring
 	latest       int                  // index in tenants
 	lastAt       time.Duration
@@ -80,11 +80,11 @@
 
 func (w *errorWindow) add(isError bool, tenant int, now time.Duration) {
 	if now-w.lastAt > errorWindowAge {
-		w.errorBits, w.known = 0, 0
+		w.errorBits, w.answers = 0, 0
 	}
 	w.latest = (w.latest + 1) % errorWindowSize
 	w.tenants[w.latest] = tenant
-	w.lastAt, w.errorBits, w.known = now, w.errorBits<<1, min(w.known+1, errorWindowSize)
+	w.lastAt, w.errorBits, w.answers = now, w.errorBits<<1, min(w.answers+1, errorWindowSize)
 	if w.errorRun++; isError {
 		w.errorBits |= 1
 	} else {
@@ -93,7 +93,7 @@
 }
 
 func (w *errorWindow) errorCount() int {
-	return bits.OnesCount32(w.errorBits << (errorWindowSize - w.known))
+	return bits.OnesCount32(w.errorBits << (errorWindowSize - w.answers))
 }
 
 // answer is the i-th latest answer.
@@ -101,11 +101,11 @@
 	return w.errorBits>>i&1 == 1, w.tenants[(w.latest-i+errorWindowSize)%errorWindowSize]
 }
 
-// singleTenant tells whether all errors are of one tenant's requests while others' are served: that says
-// something of the tenant, and not of the endpoint.
-func (w *errorWindow) singleTenant() bool {
+// failsOneTenantOnly tells whether all errors are of one tenant's requests while others' are served: that
+// says something of the tenant, and not of the endpoint.
+func (w *errorWindow) failsOneTenantOnly() bool {
 	culprit, servedOthers := unknownTenant, 0
-	for i := range w.known {
+	for i := range w.answers {
 		isError, tenant := w.answer(i)
 		if !isError {
 			continue
@@ -115,7 +115,7 @@
 		}
 		culprit = tenant
 	}
-	for i := range w.known {
+	for i := range w.answers {
 		isError, tenant := w.answer(i)
 		if culprit != unknownTenant && !isError && tenant != culprit {
 			servedOthers++
@@ -140,7 +140,7 @@
 		return // the class stays ejected, see recordEvidence
 	case cause == EvidenceErrors:
 		own.reportedClass = own.errorRunClass
-		if own.errorRunClass != "" && own.windows[own.errorRunClass].singleTenant() {
+		if own.errorRunClass != "" && own.windows[own.errorRunClass].failsOneTenantOnly() {
 			return
 		}
 	case cause != EvidenceNone:
@@ -220,16 +220,16 @@
 	b.log("endpoint reinstated for class", slog.String("upstream", ep.id), slog.String("class", class))
 	b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: class, At: ep.startedAt})
 	*w = errorWindow{lastAt: b.now, lastServedAt: b.now}
-	ep.gossip.evidence.ejectedClasses--
+	ep.gossip.evidence.ejectedClassCount--
 }
 
 func (b *Balancer) ejectClass(ep *endpoint, class string, w *errorWindow) {
 	d := b.jitter(min(baseEjectionTime<<min(w.ejections, maxDoublings), maxEjectionTime))
 	w.ejectedUntil, w.probesSucceeded = b.now+d, 0
 	if w.ejections++; w.ejections == 1 {
-		ep.gossip.evidence.ejectedClasses++
+		ep.gossip.evidence.ejectedClassCount++
 		b.log("endpoint ejected for class", slog.String("upstream", ep.id), slog.String("class", class),
-			slog.Int("errors", w.errorCount()), slog.Int("answers", w.known))
+			slog.Int("errors", w.errorCount()), slog.Int("answers", w.answers))
 	}
 	b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: class, Evidence: EvidenceErrors,
 		Count: max(w.errorCount(), w.ejections), At: ep.startedAt})
@@ -240,8 +240,8 @@
 // theirs just if theirs would bring as many errors with a probability below outlierSignificance. So a class
 // that fails everywhere is ejected nowhere.
 func (b *Balancer) isOutlier(ep *endpoint, class string, w *errorWindow) bool {
-	errors, answers := w.errorCount(), w.known
-	if float64(errors) < minErrorFraction*float64(answers) || w.singleTenant() {
+	errors, answers := w.errorCount(), w.answers
+	if float64(errors) < minErrorFraction*float64(answers) || w.failsOneTenantOnly() {
 		return false
 	}
 	otherErrors, otherAnswers := 0.0, 0.0
@@ -251,7 +251,7 @@
 		}
 		if other := x.gossip.evidence.windows[class]; other != nil && other.ejections == 0 {
 			otherErrors += float64(other.errorCount())
-			otherAnswers += float64(other.known)
+			otherAnswers += float64(other.answers)
 		}
 	}
 	usual := max((otherErrors+1)/(otherAnswers+2), minErrorRate)
@@ -281,16 +281,16 @@
 	return ep.gossip != nil && ep.gossip.evidence.windows[class].ejected(now)
 }
 
-// singleClass tells whether the errors in a row are of a's class alone while its endpoint serves another.
-// Then the endpoint is ejected for that class only.
-func (b *Balancer) singleClass(a *attempt) bool {
+// failsOneClassOnly tells whether the errors in a row are of a's class alone while its endpoint serves
+// another. Then the endpoint is ejected for that class only.
+func (b *Balancer) failsOneClassOnly(a *attempt) bool {
 	if !b.settings.ShareEvidence {
 		return false
 	}
 	own := &a.endpoint.gossip.evidence
 	class := a.request.class.Name
 	for name, w := range own.windows {
-		if name != class && w.known > 0 && w.errorRun == 0 && b.now-w.lastServedAt < errorWindowAge/3 {
+		if name != class && w.answers > 0 && w.errorRun == 0 && b.now-w.lastServedAt < errorWindowAge/3 {
 			return own.windows[class].ejections > 0 && own.errorRunClass != ""
 		}
 	}
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -35,7 +35,7 @@
 // for another attempt.
 func (b *Balancer) hedgeDelay(r *request) time.Duration {
 	doublings := float64(int(1) << max(r.pendingAttempts-1, 0))
-	delay := seconds(b.latency.hedgeDelay.v * r.work * doublings)
+	delay := seconds(b.latency.hedgeDelay.value * r.work * doublings)
 	if !b.settings.Hedging {
 		delay = max(delay, r.abandonAt-b.now-b.latency.expected(r.work))
 	}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -10,13 +10,13 @@
 	minWork, maxWork = 0.25, 8.0 // bounds on expected work
 
 	// A request is taken to cost a quarter of its objective, and the slow ones half, until something is known.
-	initialLatency    = 4
-	initialHedgeDelay = 2
+	initialLatencyDivisor    = 4
+	initialHedgeDelayDivisor = 2
 )
 
 // latencyModel holds what the successful attempts of this sidecar took, over all endpoints.
 type latencyModel struct {
-	fleet      float64             // mean normalized latency, seconds
+	fleetMean  float64             // mean normalized latency, seconds
 	byMachine  map[string]*float64 // the same by kind of machine; endpoints point to theirs
 	mean       float64             // mean latency, seconds
 	meanHint   float64             // mean cost hint, seconds; 0: there was none
@@ -26,18 +26,18 @@
 
 func newLatencyModel(meanObjective float64) latencyModel {
 	return latencyModel{
-		fleet:      meanObjective / initialLatency,
+		fleetMean:  meanObjective / initialLatencyDivisor,
 		byMachine:  map[string]*float64{},
-		mean:       meanObjective / initialLatency,
-		median:     quantile{0.5, meanObjective / initialLatency},
-		hedgeDelay: quantile{hedgeQuantile, meanObjective / initialHedgeDelay},
+		mean:       meanObjective / initialLatencyDivisor,
+		median:     quantile{0.5, meanObjective / initialLatencyDivisor},
+		hedgeDelay: quantile{hedgeQuantile, meanObjective / initialHedgeDelayDivisor},
 	}
 }
 
-// ofMachine is the mean of a kind of machine. One that is new begins with the fleet's.
-func (m *latencyModel) ofMachine(kind string) *float64 {
+// machineMean is the mean of a kind of machine. One that is new begins with the fleet's.
+func (m *latencyModel) machineMean(kind string) *float64 {
 	if m.byMachine[kind] == nil {
-		m.byMachine[kind] = new(m.fleet)
+		m.byMachine[kind] = new(m.fleetMean)
 	}
 	return m.byMachine[kind]
 }
@@ -57,13 +57,13 @@
 }
 
 // expected is the median latency of a request of that work.
-func (m *latencyModel) expected(work float64) time.Duration { return seconds(m.median.v * work) }
+func (m *latencyModel) expected(work float64) time.Duration { return seconds(m.median.value * work) }
 
 // observeSuccess takes in an attempt that took so many seconds, normalized and not.
 func (m *latencyModel) observeSuccess(c *class, machine *float64, latency, normalized float64) {
 	c.meanLatency += meanWeight * (latency - c.meanLatency)
 	m.mean += meanWeight * (latency - m.mean)
-	m.fleet += meanWeight * (normalized - m.fleet)
+	m.fleetMean += meanWeight * (normalized - m.fleetMean)
 	*machine += sparseWeight * (normalized - *machine)
 	m.median.add(normalized)
 	m.hedgeDelay.add(normalized)
@@ -71,7 +71,7 @@
 
 // observeLowerBound takes in an attempt that was ended: it would have taken longer.
 func (m *latencyModel) observeLowerBound(normalized float64) {
-	if normalized > m.hedgeDelay.v {
+	if normalized > m.hedgeDelay.value {
 		m.hedgeDelay.add(normalized)
 		m.median.add(normalized)
 	}
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -3,8 +3,8 @@
 const (
 	// crossZoneObjectives is how many mean latency objectives of latency a cross-zone cost of 1 weighs as.
 	crossZoneObjectives = 3.5
-	// negligibleCrossing is the part of the mean latency below which a crossing is not worth avoiding.
-	negligibleCrossing = 4
+	// negligibleCrossingDivisor is the part of the mean latency below which a crossing is not worth avoiding.
+	negligibleCrossingDivisor = 4
 )
 
 // locality follows the fraction of the work that stays in the local zone while it could as well leave it.
@@ -27,7 +27,7 @@
 func (b *Balancer) pickByZone(local, remote []*endpoint) *endpoint {
 	crossing := b.settings.CrossZoneCost * crossZoneObjectives * b.meanObjective
 	both := len(local) > 0 && len(remote) > 0
-	if !both || crossing < b.latency.fleet/negligibleCrossing {
+	if !both || crossing < b.latency.fleetMean/negligibleCrossingDivisor {
 		ep := b.powerOfTwoChoices(append(local, remote...))
 		if both {
 			b.locality.record(ep.zone == b.settings.Zone)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -64,7 +64,7 @@
 	h := &a.endpoint.health
 	h.lastAnswerAt, h.failures = b.now, 0
 	h.errors++
-	if h.errors >= failuresToEject && b.now >= h.ejectedUntil && !b.singleClass(a) {
+	if h.errors >= failuresToEject && b.now >= h.ejectedUntil && !b.failsOneClassOnly(a) {
 		b.eject(a.endpoint)
 	}
 }
@@ -85,7 +85,8 @@
 		}
 		return
 	}
-	if h.slowAnswers++; res == OK && elapsed.Seconds() <= slowMedianMultiple*b.latency.median.v*a.request.work {
+	if h.slowAnswers++; res == OK &&
+		elapsed.Seconds() <= slowMedianMultiple*b.latency.median.value*a.request.work {
 		h.slowAnswers = 0
 	}
 	if h.slowAnswers >= failuresToEject {
@@ -126,7 +127,7 @@
 // a long queue.
 func (b *Balancer) isSlowNotSilent(a *attempt, res Result, elapsed time.Duration) bool {
 	answered := a.sentAt < a.endpoint.health.lastAnswerAt
-	late := b.settings.Hedging && elapsed.Seconds() >= b.latency.hedgeDelay.v*a.request.work
+	late := b.settings.Hedging && elapsed.Seconds() >= b.latency.hedgeDelay.value*a.request.work
 	return res == Timeout && answered || res == Cancelled && (answered || !late)
 }
 
--- a/balancer/peerverdict.go
+++ b/balancer/peerverdict.go
@@ -82,7 +82,7 @@
 		v.since, v.successes = b.now, 0
 	}
 	v.until, v.passFraction, v.probes = e.Until, min(max(e.PassFraction, 0), 1), e.Probes
-	if e.Probes == ProbeBySelf && !slices.Contains(b.ownProbes, ep) {
+	if e.Probes == ProbeBySelf && !slices.Contains(b.probedEndpoints, ep) {
 		b.beginProbing(ep)
 	}
 }
@@ -102,7 +102,7 @@
 // excludedByEvidence tells whether r is kept from an endpoint by a verdict, or by own evidence on its class.
 func (b *Balancer) excludedByEvidence(ep *endpoint, r *request) bool {
 	g := ep.gossip
-	if g == nil || len(g.verdicts) == 0 && g.evidence.ejectedClasses == 0 {
+	if g == nil || len(g.verdicts) == 0 && g.evidence.ejectedClassCount == 0 {
 		return false // the ordinary case, in every pick
 	}
 	if ep.health.ejections > 0 { // by own evidence: a verdict only says who probes
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -13,7 +13,7 @@
 	if ep := b.pickProbe(r); ep != nil {
 		return ep
 	}
-	if ep := b.pickReinstated(r); ep != nil {
+	if ep := b.pickUnbanned(r); ep != nil {
 		return ep
 	}
 	local, remote := b.candidates(r, readyAndNew)
@@ -27,14 +27,14 @@
 	return b.pickByZone(local, remote)
 }
 
-// pickReinstated chooses an endpoint that has got nothing since its ban was cleared. It warms up, and would
+// pickUnbanned chooses an endpoint that has got nothing since its ban was cleared. It warms up, and would
 // lose every comparison while there is little to do.
-func (b *Balancer) pickReinstated(r *request) *endpoint {
-	if len(b.endpoints.awaitingFirst) == 0 {
+func (b *Balancer) pickUnbanned(r *request) *endpoint {
+	if len(b.endpoints.awaitingFirstRequest) == 0 {
 		return nil
 	}
 	for _, ep := range b.endpoints.order {
-		if b.endpoints.awaitingFirst[ep.id] && b.isReady(ep, r) && b.canAttempt(r, ep) {
+		if b.endpoints.awaitingFirstRequest[ep.id] && b.isReady(ep, r) && b.canAttempt(r, ep) {
 			return ep
 		}
 	}
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -29,18 +29,18 @@
 func (b *Balancer) beginProbing(ep *endpoint) {
 	ep.gossip.probe.failures = 0
 	ep.gossip.probe.nextAt = b.now + time.Duration(b.rng.Float64()*float64(probeInterval))
-	b.ownProbes = append(b.ownProbes, ep)
+	b.probedEndpoints = append(b.probedEndpoints, ep)
 }
 
 // pickProbe returns the endpoint that r's first attempt probes, or nil.
 func (b *Balancer) pickProbe(r *request) *endpoint {
-	if len(b.ownProbes) == 0 || !b.canProbe(r) {
+	if len(b.probedEndpoints) == 0 || !b.canProbe(r) {
 		return nil
 	}
-	b.ownProbes = slices.DeleteFunc(b.ownProbes, func(ep *endpoint) bool {
-		return b.endpoints.byID[ep.id] != ep || !ep.probedHere(b.now)
+	b.probedEndpoints = slices.DeleteFunc(b.probedEndpoints, func(ep *endpoint) bool {
+		return b.endpoints.byID[ep.id] != ep || !ep.probedBySelf(b.now)
 	})
-	for _, ep := range b.ownProbes {
+	for _, ep := range b.probedEndpoints {
 		probe := &ep.gossip.probe
 		if b.now < probe.nextAt || len(ep.inFlight) > 0 || b.classExcluded(ep, r) || !b.canAttempt(r, ep) {
 			continue
@@ -57,19 +57,19 @@
 		return false
 	}
 	canRetry := min(r.maxAttempts, b.settings.MaxAttempts) >= 2
-	return canRetry && b.probeTimeout(r) >= seconds(b.latency.hedgeDelay.v*r.work)
+	return canRetry && b.probeTimeout(r) >= seconds(b.latency.hedgeDelay.value*r.work)
 }
 
-// probedHere tells whether the endpoint's probes are this sidecar's.
-func (ep *endpoint) probedHere(now time.Duration) bool {
+// probedBySelf tells whether the endpoint's probes are this sidecar's.
+func (ep *endpoint) probedBySelf(now time.Duration) bool {
 	v := ep.gossip.verdicts[""]
 	return v != nil && now < v.until && v.probes == ProbeBySelf
 }
 
 // probeTimeout is how long a probe waits for its answer: so long that another attempt can follow.
 func (b *Balancer) probeTimeout(r *request) time.Duration {
-	reserved := seconds(reservedRetryMedians * b.latency.median.v * r.work)
-	return min(seconds(maxProbeDelays*b.latency.hedgeDelay.v*r.work), r.abandonAt-b.now-reserved)
+	reserved := seconds(reservedRetryMedians * b.latency.median.value * r.work)
+	return min(seconds(maxProbeDelays*b.latency.hedgeDelay.value*r.work), r.abandonAt-b.now-reserved)
 }
 
 // onProbeEnded reports a probe's result. One that was ended before its time tells nothing.
@@ -77,7 +77,7 @@
 	ep := a.endpoint
 	probe := &ep.gossip.probe
 	probe.request = nil
-	if res == Cancelled || res == NotSent || !ep.probedHere(b.now) {
+	if res == Cancelled || res == NotSent || !ep.probedBySelf(b.now) {
 		return
 	}
 	interval, cause := probeInterval, EvidenceNone
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -14,7 +14,7 @@
 
 // newClass begins with what was learned of the class of that name; nil: nothing was.
 func newClass(settings Class, before *class) *class {
-	c := &class{Class: settings, meanLatency: settings.LatencyObjective.Seconds() / initialLatency}
+	c := &class{Class: settings, meanLatency: settings.LatencyObjective.Seconds() / initialLatencyDivisor}
 	if before != nil {
 		c.meanLatency = before.meanLatency
 	}
@@ -77,7 +77,7 @@
 	b.requests[r.id] = r
 	b.startTimer(r.abandonAt, timerAbandon, r)
 	if !r.bodyPending {
-		b.admission.track(r, 1)
+		b.admission.addInFlight(r, 1)
 		b.startStallTimer(r)
 	}
 	if b.now >= r.abandonAt || !b.admit(r) {
@@ -98,7 +98,7 @@
 	}
 	r.bodyPending = false
 	b.setDeadlines(r, e.ExpiresAt)
-	b.admission.track(r, 1)
+	b.admission.addInFlight(r, 1)
 	b.startTimer(r.abandonAt, timerAbandon, r)
 	b.startStallTimer(r)
 	for _, a := range r.attempts {
@@ -146,7 +146,7 @@
 	r.pendingAttempts++
 	ep.inFlight = append(ep.inFlight, a)
 	ep.slowStart.tokens -= r.work
-	delete(b.endpoints.awaitingFirst, ep.id)
+	delete(b.endpoints.awaitingFirstRequest, ep.id)
 	b.emit(Action{Kind: StartAttempt, ID: r.id, Upstream: ep.id, Timeout: b.attemptTimeout(r, ep), At: notAfter})
 	if !r.bodyPending {
 		b.startHedgeTimer(r)
@@ -225,7 +225,7 @@
 	}
 	r.done = true
 	if !r.bodyPending {
-		b.admission.track(r, -1)
+		b.admission.addInFlight(r, -1)
 	}
 	if r.stalled {
 		b.admission.stalled--
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -90,13 +90,13 @@
 	switch e.Field {
 	case "":
 		return fmt.Sprintf("setting %s: %s", e.Setting, e.Reason)
-	case fieldName:
+	case nameField:
 		return fmt.Sprintf("setting %s: %s %q %s", e.Setting, e.Field, e.Element, e.Reason)
 	}
 	return fmt.Sprintf("setting %s: %s: %s %s", e.Setting, e.Element, e.Field, e.Reason)
 }
 
-const fieldName = "Name"
+const nameField = "Name"
 
 // validate fills in defaults, and names the first setting that is invalid.
 func (s *Settings) validate() error {
@@ -116,7 +116,7 @@
 		c.LatencyObjective = cmp.Or(c.LatencyObjective, c.Deadline)
 		c.PriorityWeight = cmp.Or(c.PriorityWeight, 1)
 		if c.Name == "" || names[c.Name] {
-			return &SettingError{Setting: "Classes", Element: c.Name, Field: fieldName, Reason: "empty or repeated"}
+			return &SettingError{Setting: "Classes", Element: c.Name, Field: nameField, Reason: "empty or repeated"}
 		}
 		names[c.Name] = true
 		if field := c.invalidField(); field != "" {
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -30,10 +30,10 @@
 		r.now += 10 * ms
 		r.request("late", "c", time.Second)
 		r.b.retryBudget.tokens = 1
-		r.b.latency.hedgeDelay.v, r.b.latency.median.v = 0, 0.5/r.b.requests["late"].work // late once half a second is left
+		r.b.latency.hedgeDelay.value, r.b.latency.median.value = 0, 0.5/r.b.requests["late"].work // late once half a second is left
 		r.b.startHedgeTimer(r.b.requests["late"])
 		r.pass(400 * ms)
-		r.b.latency.median.v /= 5 // answers come sooner now
+		r.b.latency.median.value /= 5 // answers come sooner now
 		actions := r.pass(300 * ms)
 		if n := len(kinds(actions, CancelAttempt)); n != c.cancel {
 			t.Errorf("%s: %d cancelled, want %d", name, n, c.cancel)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -14,10 +14,11 @@
 	// slowStartSafety is the fraction used of the load that makes an endpoint fail: its capacity may be smaller
 	// than stated.
 	slowStartSafety = 0.45
-	// slowStartHeld is how much of what comes within OverloadDuration all sidecars together may hold in tokens.
-	slowStartHeld = 1.0
-	// bucketWindows is the part of OverloadDuration whose tokens a bucket may hold.
-	bucketWindows = 10
+	// heldTokenFraction is how much of what comes within OverloadDuration all sidecars together may hold in
+	// tokens.
+	heldTokenFraction = 1.0
+	// bucketDivisor is the part of OverloadDuration whose tokens a bucket may hold.
+	bucketDivisor = 10
 )
 
 // slowStart is the token bucket of an endpoint that warms up. A token is a request of mean work.
@@ -74,7 +75,7 @@
 func (b *Balancer) slowStartRate(ep *endpoint, capacity float64) float64 {
 	t := &b.endpoints
 	local := ep.zone == b.settings.Zone
-	fraction, size, usual := b.locality.localFraction, t.local, t.recentSize/float64(t.zones)
+	fraction, size, usual := b.locality.localFraction, t.localCount, t.recentSize/float64(t.zoneCount)
 	if !local {
 		fraction, size, usual = 1-fraction, len(t.order)-size, t.recentSize-usual
 	}
@@ -82,10 +83,10 @@
 		fraction, usual = 1, t.recentSize
 	}
 	capacity *= min(1, float64(size)/usual)
-	if t.reinstatedAt[ep.id] == 0 { // else it comes first with every sidecar, not just with some by chance
+	if t.banClearedAt[ep.id] == 0 { // else it comes first with every sidecar, not just with some by chance
 		size = min(size, b.subsetSize())
 	}
-	if !t.withinFirst(ep, size, b.settings.Zone) {
+	if !t.isAmongFirst(ep, size, b.settings.Zone) {
 		return 0
 	}
 	if b.settings.OverloadMultiple > 0 {
@@ -94,8 +95,8 @@
 	return capacity * fraction * b.admission.carriedLoad(b.now) / float64(max(size, 1))
 }
 
-// withinFirst tells whether fewer than size endpoints of ep's side come before it in the order.
-func (t *endpointTable) withinFirst(ep *endpoint, size int, zone string) bool {
+// isAmongFirst tells whether fewer than size endpoints of ep's side come before it in the order.
+func (t *endpointTable) isAmongFirst(ep *endpoint, size int, zone string) bool {
 	local, ahead := ep.zone == zone, 0
 	for _, x := range t.order {
 		if x == ep {
@@ -112,7 +113,7 @@
 
 // refillSlowStart adds the tokens that are due. It guards against many sidecars that each hold a token for
 // the same endpoint after a lull, and spend them together: where each gets few, a whole token lapses by
-// chance, so that the fleet holds slowStartHeld of what comes within OverloadDuration on average.
+// chance, so that the fleet holds heldTokenFraction of what comes within OverloadDuration on average.
 func (b *Balancer) refillSlowStart(s *slowStart, perSecond float64) {
 	elapsed := (b.now - s.refilledAt).Seconds()
 	if elapsed <= 0 {
@@ -121,10 +122,10 @@
 	window := perSecond * b.settings.OverloadDuration.Seconds()
 	s.refilledAt = b.now
 	before := s.tokens
-	s.tokens = min(max(1, window/bucketWindows), before+perSecond*elapsed)
-	if held := slowStartHeld * window; s.tokens >= 1 && held > 0 && held < 1 {
+	s.tokens = min(max(1, window/bucketDivisor), before+perSecond*elapsed)
+	if held := heldTokenFraction * window; s.tokens >= 1 && held > 0 && held < 1 {
 		heldFor := elapsed - max(0, 1-before)/perSecond
-		meanHeld := slowStartHeld * b.settings.OverloadDuration.Seconds() / (1 - held)
+		meanHeld := heldTokenFraction * b.settings.OverloadDuration.Seconds() / (1 - held)
 		if b.rng.Float64() > math.Exp(-heldFor/meanHeld) {
 			s.tokens = 0
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -157,7 +157,7 @@
 		}
 		for i, x := range all { // as much stays at home as at most brings no upstream there more than any other's work
 			if at != x.restart && !x.restarted {
-				x.locality.localFraction = float64(x.endpoints.local) / float64(upstreams)
+				x.locality.localFraction = float64(x.endpoints.localCount) / float64(upstreams)
 				if d.priced {
 					x.locality.localFraction = min(1, x.locality.localFraction*sum(zone)/zone[i%zones])
 				}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -79,7 +79,7 @@
 		s.Endpoints[ep.id] = ep.snapshot(now)
 	}
 	for name, c := range b.classes {
-		s.Classes[name] = ClassSnapshot{c.meanLatency, c.firstAttempt.left, c.firstAttempt.votes}
+		s.Classes[name] = ClassSnapshot{c.meanLatency, c.firstAttempt.remaining, c.firstAttempt.votes}
 	}
 	for i, t := range b.settings.Tenants {
 		s.Tenants[t.Name] = b.admission.tenants[i].snapshot(now)
@@ -88,8 +88,8 @@
 }
 
 func (m *latencyModel) snapshot(s *Snapshot) {
-	s.FleetLatency, s.MeanLatency, s.MeanHint = m.fleet, m.mean, m.meanHint
-	s.MedianLatency, s.HedgeDelay = m.median.v, m.hedgeDelay.v
+	s.FleetLatency, s.MeanLatency, s.MeanHint = m.fleetMean, m.mean, m.meanHint
+	s.MedianLatency, s.HedgeDelay = m.median.value, m.hedgeDelay.value
 	s.MachineLatency = map[string]float64{}
 	for kind, mean := range m.byMachine {
 		s.MachineLatency[kind] = *mean
@@ -155,8 +155,8 @@
 		}
 		*m.byMachine[kind] = mean
 	}
-	m.fleet, m.mean, m.meanHint = s.FleetLatency, s.MeanLatency, s.MeanHint
-	m.median.v, m.hedgeDelay.v = s.MedianLatency, s.HedgeDelay
+	m.fleetMean, m.mean, m.meanHint = s.FleetLatency, s.MeanLatency, s.MeanHint
+	m.median.value, m.hedgeDelay.value = s.MedianLatency, s.HedgeDelay
 }
 
 func (a *admission) restore(s *Snapshot, now time.Duration) {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -61,10 +61,10 @@
 func TestInvalidSnapshotIsIgnored(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	before := r.b.latency.fleet
+	before := r.b.latency.fleetMean
 	r.do(Snapshot{})
 	r.do(Snapshot{FleetLatency: 1, MeanLatency: 1, MedianLatency: 1, HedgeDelay: 1, LimitFraction: 0.5, Endpoints: map[string]EndpointSnapshot{"u0": {PeakEWMA: -1}}})
-	if r.b.latency.fleet != before {
+	if r.b.latency.fleetMean != before {
 		t.Error("taken")
 	}
 	r.wantSend(r.request("1", "c", time.Second))
@@ -104,8 +104,8 @@
 		r := newRig(t, testSettings())
 		r.list(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: r.now - 2*time.Second})
 		r.do(l)
-		if u := r.b.endpoints.byID["u"]; r.b.latency.fleet != 0.123 || u.slowStart.tokens != -1.5 {
-			t.Errorf("crashed %v: %v of the budget is left, mean latency %v", crashed, u.slowStart.tokens, r.b.latency.fleet)
+		if u := r.b.endpoints.byID["u"]; r.b.latency.fleetMean != 0.123 || u.slowStart.tokens != -1.5 {
+			t.Errorf("crashed %v: %v of the budget is left, mean latency %v", crashed, u.slowStart.tokens, r.b.latency.fleetMean)
 		}
 	}
 }
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -6,53 +6,53 @@
 )
 
 // quantile follows a quantile p of the samples added.
-type quantile struct{ p, v float64 }
+type quantile struct{ p, value float64 }
 
 // quantileStep is how far a sample moves the estimate, in logarithm.
 const quantileStep = 0.1
 
 func (q *quantile) add(x float64) {
-	if x > q.v {
-		q.v *= math.Exp(quantileStep * q.p)
+	if x > q.value {
+		q.value *= math.Exp(quantileStep * q.p)
 	} else {
-		q.v *= math.Exp(-quantileStep * (1 - q.p))
+		q.value *= math.Exp(-quantileStep * (1 - q.p))
 	}
 }
 
 // rate is an exponentially weighted rate of events.
 type rate struct {
-	memory time.Duration // time constant
-	sum    float64
-	at     time.Duration // of the latest event
-	since  time.Duration // of the first event
-	begun  bool
+	timeConstant time.Duration // time constant
+	sum          float64
+	lastAt       time.Duration // of the latest event
+	firstAt      time.Duration // of the first event
+	started      bool
 }
 
 func (r *rate) add(x float64, now time.Duration) {
-	if !r.begun {
-		r.begun, r.since, r.at = true, now, now
+	if !r.started {
+		r.started, r.firstAt, r.lastAt = true, now, now
 	}
-	r.sum = r.sum*math.Exp(-float64(now-r.at)/float64(r.memory)) + x
-	r.at = now
+	r.sum = r.sum*math.Exp(-float64(now-r.lastAt)/float64(r.timeConstant)) + x
+	r.lastAt = now
 }
 
 // perSecond is the rate now. It is not biased low while the rate is young.
 func (r *rate) perSecond(now time.Duration) float64 {
-	age := max(now-r.since, r.memory/20)
-	sum := r.sum * math.Exp(-float64(now-r.at)/float64(r.memory))
-	return sum / (r.memory.Seconds() * (1 - math.Exp(-float64(age)/float64(r.memory))))
+	age := max(now-r.firstAt, r.timeConstant/20)
+	sum := r.sum * math.Exp(-float64(now-r.lastAt)/float64(r.timeConstant))
+	return sum / (r.timeConstant.Seconds() * (1 - math.Exp(-float64(age)/float64(r.timeConstant))))
 }
 
 func (r *rate) snapshot(now time.Duration) RateSnapshot {
-	if !r.begun {
+	if !r.started {
 		return RateSnapshot{}
 	}
-	return RateSnapshot{r.sum * math.Exp(-float64(now-r.at)/float64(r.memory)), now - r.since}
+	return RateSnapshot{r.sum * math.Exp(-float64(now-r.lastAt)/float64(r.timeConstant)), now - r.firstAt}
 }
 
 func (r *rate) restore(s RateSnapshot, now time.Duration) {
 	if s.Age > 0 {
-		r.begun, r.sum, r.at, r.since = true, s.Sum, now, now-s.Age
+		r.started, r.sum, r.lastAt, r.firstAt = true, s.Sum, now, now-s.Age
 	}
 }
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -48,7 +48,7 @@
 			ahead++
 		}
 	}
-	if at < 0 || ahead >= size || t.sideSize(local) <= size {
+	if at < 0 || ahead >= size || t.localityCount(local) <= size {
 		return
 	}
 	t.order = slices.Delete(t.order, at, at+1)
