--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// ActionKind tells what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The kinds of actions. Each names the fields of Action that it uses.
+// The kinds of actions. The comment on each names the fields of Action that it uses.
 const (
-	// StartAttempt starts the next attempt of request ID at Upstream, which ends after Timeout. Its first byte
-	// may not be sent at clock time At or later, unless At is 0.
+	// StartAttempt starts the next attempt of request ID at Upstream, with Timeout as its timeout. Its first
+	// byte must be sent before clock time At, unless At is 0.
 	StartAttempt ActionKind = iota
 	// CancelAttempt ends attempt number Attempt of request ID.
 	CancelAttempt
-	// Reject is the final answer to request ID: it did not run, or may run again. RetryAfter is advice.
+	// Reject is the final answer to request ID: it did not run, or may run again. RetryAfter is how long
+	// the client should wait before it sends the request again.
 	Reject
-	// Fail is the final answer to request ID: whether it ran is not known.
+	// Fail is the final answer to request ID: it is unknown whether the request ran.
 	Fail
-	// SetTimer asks for TimerFired at clock time At. It replaces an earlier SetTimer.
+	// SetTimer requests a TimerFired event at clock time At. It replaces an earlier SetTimer.
 	SetTimer
-	// Subscribe asks for the endpoint list and its changes.
+	// Subscribe requests the endpoint list and its changes.
 	Subscribe
-	// Log is a line for operators: Text and Attrs.
+	// Log is a log line for operators: Text and Attrs.
 	Log
-	// ReportEvidence is own evidence on the process of Upstream that started At, for other sidecars: Class,
-	// Evidence, Count, Suspicion and Probe. It comes only with Settings.ShareEvidence.
+	// ReportEvidence reports this sidecar's evidence on the process of Upstream that started at At to other
+	// sidecars: Class, Evidence, Count, Suspicion and Probe. It is emitted only with Settings.ShareEvidence.
 	ReportEvidence
 )
 
-// Action is one thing to do.
+// Action is an instruction to the sidecar.
 type Action struct {
 	Kind       ActionKind
 	ID         string
@@ -44,16 +45,16 @@
 	Text       string
 	Attrs      []slog.Attr
 
-	// Evidence is why the endpoint is ejected. EvidenceNone: it is used again, or, with a Count above 0, it
-	// serves this sidecar in spite of a verdict of others.
+	// Evidence is the cause of the endpoint's ejection. EvidenceNone means that the endpoint is in use again
+	// or, with a Count above 0, that it serves this sidecar in spite of a verdict of other sidecars.
 	Evidence  Evidence
-	Count     int    // attempts that the evidence rests on
-	Class     string // class of the requests that it rests on; empty: all
-	Suspicion bool   // a first failure: the endpoint is not ejected
-	Probe     bool   // result of a probe made for all sidecars: a success with EvidenceNone
+	Count     int    // number of attempts that the evidence is based on
+	Class     string // class of these attempts' requests; empty: all classes
+	Suspicion bool   // a first failure; the endpoint is not ejected
+	Probe     bool   // result of a probe made for all sidecars; EvidenceNone is a success
 }
 
-// LogLine is the line of a Log action as plain text: the text, and its attributes as key=value.
+// LogLine returns the line of a Log action as plain text: Text, then the attributes as key=value.
 func (a *Action) LogLine() string {
 	var line strings.Builder
 	line.WriteString(a.Text)
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -9,56 +9,58 @@
 )
 
 const (
-	// Requests in flight may wait maxLimitFraction of their objective on average, or down to minLimitFraction
-	// where endpoints are congested.
+	// maxLimitFraction and minLimitFraction bound the fraction of their objective that requests in flight may
+	// wait on average. The minimum is reached while endpoints are congested.
 	maxLimitFraction = 0.65
 	minLimitFraction = 0.33
-	limitStep        = 0.06 // relative step down, for a request that a congested endpoint made late
-	// allowedLateFraction is the part of a step up for a request in time: so many may be late.
+	limitStep        = 0.06 // relative decrease after a request that a congested endpoint made late
+	// allowedLateFraction is the increase after a request in time, as a fraction of limitStep. It
+	// determines the fraction of requests that may be late.
 	allowedLateFraction = 0.05
 	// limitAgeFraction is the mean age of requests in flight, as a fraction of their objective, below which the
-	// limit is wider, so that a burst passes.
+	// pressure is reduced, so that a short burst is admitted.
 	limitAgeFraction = 0.25
 
-	maxPressure            = 2.0 // after a lull the rate of answers is low for no fault
-	minInFlight            = 5.0 // requests in flight below which the rate of answers is noise
-	minInFlightPerEndpoint = 8.0 // the same for each endpoint: below, none is congested
-	minServedPerSecond     = 1e-3
+	maxPressure            = 2.0  // bounds the effect of a low rate of answers after a lull, which is no fault
+	minInFlight            = 5.0  // requests in flight below which the rate of answers is too noisy to use
+	minInFlightPerEndpoint = 8.0  // the same per endpoint; with fewer, no endpoint is congested
+	minServedPerSecond     = 1e-3 // avoids a division by 0
 
-	offeredTimeConstant = 20 * time.Second // the offered load is averaged over this
-	servedTimeConstant  = 2 * time.Second  // the rate of answers is averaged over this
-	rankWindow          = 64               // requests among which the value of a new one is ranked
+	offeredTimeConstant = 20 * time.Second // of the averaged offered load
+	servedTimeConstant  = 2 * time.Second  // of the averaged rate of answers
+	rankWindow          = 64               // number of recent requests with which a new one is compared
 
-	congestionWeight    = 0.12 // weight of an attempt in the congestion: about the last eight
-	congestionThreshold = 0.62 // load is shed from this congestion on
-	maxCongestion       = 1.5  // of one attempt: an endpoint that hangs is not congested
-	// congestionTimeConstant is the time constant with which congestion fades while no attempt ends: load must
-	// not be shed for ever because everything is rejected.
+	congestionWeight    = 0.12 // weight of an attempt in the congestion: averages about the last eight
+	congestionThreshold = 0.62 // load is shed above this congestion
+	maxCongestion       = 1.5  // upper bound for one attempt: an endpoint that hangs is not congested
+	// congestionTimeConstant is the time constant with which congestion decays while no attempt ends. Without
+	// the decay, a sidecar that rejects every request would continue to do so.
 	congestionTimeConstant = 10 * time.Second
 )
 
-// admission decides which requests are taken. It compares the requests in flight with what is served while
-// one of them may wait (Little's law), and sheds those of least value while that is too much.
+// admission decides which requests are admitted. It compares the number of requests in flight with the number
+// that is served while one of them may wait (Little's law), and sheds the least valuable requests while too
+// many are in flight.
 type admission struct {
 	limitFraction float64 // fraction of their objective that requests in flight may wait, on average
 
 	inFlight          int
-	stalled           int           // of them, those that nothing will come of
-	inverseObjectives float64       // sum over them of 1/objective, 1/s
-	arrivalSum        time.Duration // sum of their arrival times; may wrap around
+	stalled           int           // number of them that will probably get no answer, see checkStalled
+	inverseObjectives float64       // sum of 1/objective over the requests in flight, 1/s
+	arrivalSum        time.Duration // sum of their arrival times; may overflow and wrap around
 
-	served  rate   // answers
-	offered rate   // admitted work, in mean requests
-	tenants []rate // arriving requests, by tenant
+	served  rate   // successful answers
+	offered rate   // admitted work, in requests of mean work
+	tenants []rate // arriving requests of each tenant
 
-	recentValues [rankWindow]float64 // of arriving requests
+	recentValues [rankWindow]float64 // ring buffer of the values of arriving requests
 	valueCount   int
 
-	lastShedAt        time.Duration // 0: no load was shed of late
-	offeredAtShedding float64       // offered load when that began, mean requests a second
+	lastShedAt        time.Duration // when a request was last shed; 0 while no load is shed
+	offeredAtShedding float64       // offered load when load shedding started, per second
 
-	congestion   float64 // mean time that recent attempts took, as a fraction of their objective
-	congestionAt time.Duration
+	congestion   float64       // mean duration of recent attempts, as a fraction of the objective
+	congestionAt time.Duration // when congestion was last updated
 }
 
 func newAdmission() admission {
@@ -69,35 +71,36 @@
 	}
 }
 
-// setTenants changes the tenants. One that stays keeps its rate.
-func (a *admission) setTenants(before, now []Tenant) {
-	rates := make([]rate, len(now))
-	for i, t := range now {
+// setTenants replaces the tenants. A tenant in both lists keeps its measured rate.
+func (a *admission) setTenants(old, current []Tenant) {
+	rates := make([]rate, len(current))
+	for i, t := range current {
 		rates[i].timeConstant = offeredTimeConstant
-		if j := slices.IndexFunc(before, func(x Tenant) bool { return x.Name == t.Name }); j >= 0 {
+		if j := slices.IndexFunc(old, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 {
 			rates[i] = a.tenants[j]
 		}
 	}
 	a.tenants = rates
 }
 
-// addInFlight counts a request as in flight, or with -1 as no longer so.
-func (a *admission) addInFlight(r *request, n int) {
-	a.inFlight += n
-	a.arrivalSum += time.Duration(n) * r.arrivedAt
-	a.inverseObjectives += float64(n) / (r.objectiveAt - r.arrivedAt).Seconds()
+// addInFlight adds r to the requests in flight, or removes it if delta is -1.
+func (a *admission) addInFlight(r *request, delta int) {
+	a.inFlight += delta
+	a.arrivalSum += time.Duration(delta) * r.arrivedAt
+	a.inverseObjectives += float64(delta) / (r.objectiveAt - r.arrivedAt).Seconds()
 	if a.inFlight == 0 {
-		a.inverseObjectives = 0 // a sum of fractions drifts
+		a.inverseObjectives = 0 // discards accumulated rounding errors
 	}
 }
 
-// pressure is the load in flight relative to what can be served in time: above 1, requests in flight would
-// take more than the limit of their objective. It guards against queues that grow faster than late answers
-// tell of. usableEndpoints is how many endpoints the work spreads over, those that warm up by their capacity.
+// pressure returns the load in flight relative to the load that can be served in time. Above 1, requests in
+// flight would wait for more than limitFraction of their objective. It guards against queues that grow faster
+// than late answers show. usableEndpoints is the number of endpoints that share the work; an endpoint that
+// warms up counts as its capacity.
 //
-// With few requests in flight the rate of answers is noise. There, and while no endpoint can be congested,
-// the time that recent attempts took counts instead: the rate of answers falls with what is shed, and would
-// keep load shedding going after a shock.
+// With few requests in flight the rate of answers is too noisy. Then, and while no endpoint can be congested,
+// the duration of recent attempts is used instead: the rate of answers also falls because load is shed, and
+// would keep load shedding active after an overload has ended.
 func (a *admission) pressure(now time.Duration, fleetSize int, usableEndpoints float64) float64 {
 	n := float64(a.inFlight)
 	perEndpoint := (n - float64(a.stalled)) * float64(fleetSize) / usableEndpoints
@@ -105,16 +108,17 @@
 		return 0
 	}
 	if n < minInFlight || perEndpoint < minInFlightPerEndpoint {
-		fading := math.Exp(-float64(now-a.congestionAt) / float64(congestionTimeConstant))
-		return a.congestion * fading / congestionThreshold
+		decay := math.Exp(-float64(now-a.congestionAt) / float64(congestionTimeConstant))
+		return a.congestion * decay / congestionThreshold
 	}
 	age := (time.Duration(a.inFlight)*now - a.arrivalSum).Seconds() / n
 	limit := a.limitFraction * max(a.served.perSecond(now), minServedPerSecond)
 	return min(1, age*a.inverseObjectives/n/limitAgeFraction) * min(maxPressure, a.inverseObjectives/limit)
 }
 
-// rank is the percentile of a request's value among recent ones, 0 to 1; false: it is the first.
-func (a *admission) rank(value float64, rng *rand.Rand) (percentile float64, known bool) {
+// rank returns the percentile of a request's value among recent ones, 0 to 1. ok is false for the first
+// request.
+func (a *admission) rank(value float64, rng *rand.Rand) (percentile float64, ok bool) {
 	lower, equal := 0.0, 0.0
 	n := min(a.valueCount, rankWindow)
 	for _, x := range a.recentValues[:n] {
@@ -132,7 +136,8 @@
 	return (lower + equal*rng.Float64()) / float64(n), true
 }
 
-// overQuota counts a tenant's request, and draws whether it is one of those over its quota.
+// overQuota counts a tenant's request, and reports whether it is over the tenant's quota. Of a tenant above
+// its quota, a random part of the requests is over quota, in proportion to the excess.
 func (a *admission) overQuota(tenant int, quota float64, now time.Duration, rng *rand.Rand) bool {
 	t := &a.tenants[tenant]
 	t.add(1, now)
@@ -143,9 +148,9 @@
 	return rng.Float64()*(t.perSecond(now)/total) > quota
 }
 
-// carriedLoad is the load that the endpoints carry, mean requests a second. While load is shed, it is the
-// load from before: what is shed is missing in the offered load, and endpoints that warm up are needed most
-// then.
+// carriedLoad returns the load on the endpoints, in requests of mean work per second. While load is shed,
+// it is at least the load from before: shed requests are missing from the offered load, and endpoints that
+// warm up are needed most at that time.
 func (a *admission) carriedLoad(now time.Duration) float64 {
 	load := a.offered.perSecond(now)
 	if a.lastShedAt != 0 {
@@ -154,15 +159,15 @@
 	return load
 }
 
-// observeCongestion takes in how much of its objective an attempt took. A repeated rejection by one endpoint
-// tells of that endpoint, and of no congestion.
-func (a *admission) observeCongestion(at *attempt, res Result, elapsed, now time.Duration) {
-	r := at.request
+// observeCongestion records how much of its request's objective an attempt took. A repeated rejection by one
+// endpoint is a sign of a problem of that endpoint, and not of congestion.
+func (a *admission) observeCongestion(att *attempt, res Result, elapsed, now time.Duration) {
+	r := att.request
 	usedFraction := min(elapsed.Seconds()/(r.objectiveAt-r.arrivedAt).Seconds(), maxCongestion)
 	if res == Overloaded {
 		usedFraction = maxCongestion
 	}
-	repeated := res == Overloaded && at.endpoint.health.rejections > 0
+	repeated := res == Overloaded && att.endpoint.health.rejections > 0
 	uninformative := res == NotSent || res == ConnectFailed || res == Cancelled && usedFraction <= a.congestion
 	if repeated || uninformative || r.stalled {
 		return
@@ -171,7 +176,7 @@
 	a.congestionAt = now
 }
 
-// adjustLimit widens the limit for a request that ended in time, and narrows it for one that a congested
+// adjustLimit raises the limit after a request that ended in time, and lowers it after one that a congested
 // endpoint made late.
 func (a *admission) adjustLimit(inTime, congested bool) {
 	if inTime {
@@ -181,12 +186,13 @@
 	}
 }
 
-// pressure is the admission's, over the endpoints that take work now.
+// pressure returns the pressure of admission over the endpoints that take work now.
 func (b *Balancer) pressure() float64 {
 	return b.admission.pressure(b.now, b.settings.FleetSize, b.usableCapacity())
 }
 
-// usableCapacity is how many endpoints take work now. One that warms up counts by its capacity.
+// usableCapacity returns the number of endpoints that take work now. One that warms up counts as its
+// capacity.
 func (b *Balancer) usableCapacity() float64 {
 	sum := 0.0
 	for _, ep := range b.endpoints.order {
@@ -197,11 +203,12 @@
 	return max(sum, 1)
 }
 
-// admit decides whether a request is taken: up to a pressure of 1 all are, and up to 1.5 the more valuable.
+// admit reports whether a request is admitted: up to a pressure of 1 all requests are, and up to 1.5 only the
+// more valuable ones.
 func (b *Balancer) admit(r *request) bool {
 	a := &b.admission
-	percentile, known := a.rank(b.value(r), b.rng)
-	if !known {
+	percentile, ok := a.rank(b.value(r), b.rng)
+	if !ok {
 		return true
 	}
 	admitted := b.pressure() <= 1+percentile/2
@@ -219,7 +226,8 @@
 	return admitted
 }
 
-// value is a request's priority weight, for each unit of work unless WeightByWork already says so.
+// value returns a request's priority weight per unit of work; with WeightByWork, the weight is already per
+// unit. A request that is past its objective or over its tenant's quota is worth less.
 func (b *Balancer) value(r *request) float64 {
 	v := r.class.PriorityWeight
 	if !b.settings.WeightByWork {
@@ -234,8 +242,9 @@
 	return v
 }
 
-// adjustLimit learns from a request that has ended. One that ended without an attempt tells nothing; one
-// whose endpoint has not answered since hangs, and is not congested.
+// adjustLimit adjusts the limit of admission by a request that has ended. A request without attempts says
+// nothing about the endpoints. An endpoint that has not answered since the last attempt was sent hangs, and
+// is not congested.
 func (b *Balancer) adjustLimit(r *request) {
 	if len(r.attempts) == 0 {
 		return
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -3,15 +3,16 @@
 // are ejected. A sidecar calls New once and Handle for each event, and carries out the returned actions in
 // order. The package does no I/O and reads no clock, so a simulator and a real sidecar share it.
 //
-// A request enters in requests.go and passes admission.go. picker.go chooses an endpoint among the candidates
-// of subset.go and locality.go; retry.go is the gate that every attempt passes. When an attempt ends, ewma.go
-// and latency.go learn from it, outlier.go judges its endpoint, and requests.go answers the request or sends
-// it again. slowstart.go bounds what goes to an endpoint that has just started. evidence.go, peerverdict.go
-// and probe.go share what was learned of endpoints with other sidecars.
+// requests.go receives a request, and admission.go decides whether it is admitted. picker.go chooses an
+// endpoint among the candidates of subset.go and locality.go; retry.go checks whether an attempt is
+// allowed. When an attempt ends, ewma.go and latency.go update their estimates, outlier.go evaluates the
+// health of its endpoint, and requests.go answers the request or sends it again. slowstart.go limits the
+// load on an endpoint that has just started. evidence.go, peerverdict.go and probe.go exchange
+// evidence on endpoints with other sidecars.
 //
-// Three rules hold whatever else is decided: a request gets one final answer, and in time (deadline.go); none
-// is sent twice that must not run twice (canAttempt); none goes to an endpoint that is draining, removed or
-// banned (canAttempt).
+// Three rules always hold: a request gets one final answer, in time (deadline.go); a request that must not
+// run twice is not sent again once it may have run (canAttempt); no request is sent to an endpoint that is
+// draining, removed or banned (canAttempt).
 //
 // Unless stated otherwise, a time is a time.Duration on the caller's monotonic clock, a latency is in
 // seconds, and a normalized latency is one divided by the work expected of its request
@@ -30,8 +31,8 @@
 	settings      Settings
 	meanObjective float64 // mean latency objective of the classes, seconds
 	rng           *rand.Rand
-	now           time.Duration
-	actions       []Action // of the call in progress
+	now           time.Duration // latest time of an event
+	actions       []Action      // result of the call of Handle in progress
 	timers        timerQueue
 
 	classes  map[string]*class
@@ -44,16 +45,16 @@
 	admission       admission
 	retryBudget     retryBudget
 	hedges          hedgeStats
-	probedEndpoints []*endpoint // endpoints that this sidecar probes for all, see probe.go
+	probedEndpoints []*endpoint // endpoints that this sidecar probes for all sidecars, see probe.go
 
-	localCandidates, remoteCandidates []*endpoint // scratch space of pick
+	localCandidates, remoteCandidates []*endpoint // buffers reused by candidates
 }
 
-// seedStream is the second half of the generator's seed; the first is the caller's.
+// seedStream is the second half of the random generator's seed; the caller of New gives the first.
 const seedStream = 0x9e3779b97f4a7c15
 
 // New returns the Balancer of one sidecar. Equal settings, seeds and events give equal actions. The error
-// names the setting that is invalid.
+// names the invalid setting.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -71,8 +72,8 @@
 	return b, nil
 }
 
-// applySettings puts validated settings into force. What was learned of a class or a tenant stays with its
-// name; requests in flight keep the class that they came under.
+// applySettings applies validated settings. The mean latency of a class and the request rate of a tenant are
+// kept under its name; requests in flight keep the class with which they arrived.
 func (b *Balancer) applySettings(s Settings) {
 	classes := map[string]*class{}
 	b.meanObjective = 0
@@ -84,8 +85,8 @@
 	b.settings, b.classes = s, classes
 }
 
-// updateSettings changes the settings of a running sidecar. Its zone and the way in which it gets the
-// endpoint list stay: they change with the next start.
+// updateSettings changes the settings of a running sidecar, except for Zone and MustSubscribe, which change
+// with the next start.
 func (b *Balancer) updateSettings(s Settings) {
 	if err := s.validate(); err != nil {
 		b.log("settings rejected", slog.Any("err", err))
@@ -95,8 +96,8 @@
 	b.applySettings(s)
 }
 
-// Handle decides on an event that happened at now, and appends the actions that follow from it to actions,
-// in the order in which they are to be carried out. A now that is before an earlier one counts as that one.
+// Handle processes an event that happened at now, and appends the resulting actions to actions, in the
+// order in which they must be carried out. If now is before the time of an earlier call, that time is used.
 func (b *Balancer) Handle(now time.Duration, e Event, actions []Action) []Action {
 	b.now, b.actions = max(now, b.now), actions
 	switch e := e.(type) {
@@ -134,12 +135,12 @@
 	b.emit(Action{Kind: Log, Text: text, Attrs: attrs})
 }
 
-// jitter spreads d evenly over 3/4 to 5/4 of itself, so that sidecars do not act together.
+// jitter returns a random duration between 3/4 and 5/4 of d, so that sidecars do not act at the same time.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*b.rng.Float64()))
 }
 
-// tenantIndex is the index of a tenant in the settings; -1: it has no quota.
+// tenantIndex returns the index of a tenant in the settings, or -1 if it is not in them.
 func (b *Balancer) tenantIndex(name string) int {
 	return slices.IndexFunc(b.settings.Tenants, func(t Tenant) bool { return t.Name == name })
 }
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	maxVotes = 20 // requests that settle a class's firstAttemptTime
-	// stallObjectives is how many mean latency objectives later an endpoint must have been sent what it has
-	// served for an earlier attempt to count as stalled.
+	maxVotes = 20 // upper bound of firstAttemptTime.votes
+	// An attempt is stalled if its endpoint has served another attempt that was sent more than stallObjectives
+	// mean latency objectives later.
 	stallObjectives = 1.5
 )
 
-// firstAttemptTime learns how much time clients of a class leave for their first attempt. Most requests are
-// first attempts, and have the same time left.
+// firstAttemptTime estimates, by majority vote, how much time clients of a class leave for their first
+// attempt. Most requests are first attempts, and have the same time remaining.
 type firstAttemptTime struct {
-	remaining time.Duration
-	votes     int // requests that agreed, less those that did not; maxVotes at most
+	remaining time.Duration // from arrival to expiry
+	votes     int           // requests that agreed minus those that did not; maxVotes at most
 }
 
-// vote counts a request that leaves so much time, and tells whether it is like most.
-func (f *firstAttemptTime) vote(left, tolerance time.Duration) bool {
-	if (left - f.remaining).Abs() <= tolerance {
+// vote counts a request with the given time remaining, and reports whether it agrees with the estimate.
+func (f *firstAttemptTime) vote(remaining, tolerance time.Duration) bool {
+	if (remaining - f.remaining).Abs() <= tolerance {
 		f.votes = min(f.votes+1, maxVotes)
 		return true
 	}
 	if f.votes--; f.votes < 0 {
-		f.remaining, f.votes = left, 0
+		f.remaining, f.votes = remaining, 0
 	}
 	return false
 }
 
-// settled tells whether most requests agreed.
+// settled reports whether enough requests agreed for the estimate to be used.
 func (f *firstAttemptTime) settled() bool { return f.votes > maxVotes/2 }
 
-// firstAttemptAt is when the client first sent this request, as far as its expiry tells: a repeat has less
-// time than a first attempt, since all of a client's attempts end with the deadline of the first.
+// firstAttemptAt returns when the client first sent this request, as estimated from its expiry: a repeat has
+// less time remaining than a first attempt, since all of a client's attempts share the deadline of the first.
 func (c *class) firstAttemptAt(now, expiresAt, tick time.Duration) time.Duration {
 	if c.firstAttempt.vote(expiresAt-now, 2*tick) {
 		return now
@@ -44,8 +44,9 @@
 }
 
 // setDeadlines sets when a request that arrives now is late, and when it is abandoned: two ticks before it
-// expires, so that its answer arrives in time even if the next events come a tick late. Without late value it
-// is abandoned at its objective, counted from the client's first attempt: work on it would earn nothing.
+// expires, so that its answer arrives in time even if the next events come a tick late. If a late answer
+// has no value, the request is abandoned a tick before its objective ends, counted from the client's first
+// attempt: later work would be useless.
 func (b *Balancer) setDeadlines(r *request, expiresAt time.Duration) {
 	c := r.class
 	r.arrivedAt, r.expiresAt = b.now, expiresAt
@@ -59,7 +60,8 @@
 	}
 }
 
-// abandon ends a request without an answer from an endpoint: it is rejected, or fails if it may have run.
+// abandon ends a request without an answer from an endpoint: it is rejected if repeating it is harmless, and
+// fails otherwise.
 func (b *Balancer) abandon(r *request) {
 	if r.done {
 		return
@@ -74,23 +76,23 @@
 	b.closeRequest(r)
 }
 
-// retryAfter is the advice to a rejected client: the longest wait that is allowed or, where the client comes
-// back while a late answer still has value, half of what is left of its objective. It guards against repeats
-// that come past the objective.
+// retryAfter returns how long a rejected client should wait: MaxRetryAfter or, if the client
+// returns while a late answer still has value, at most half of the time until its objective ends. It guards
+// against repeats that arrive after the objective.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if !b.settings.RetryAfter {
 		return 0
 	}
 	advice := b.settings.MaxRetryAfter
-	left := (r.objectiveAt - b.now) / 2
-	if left > 0 && r.class.LateValueFraction > 0 && advice < r.class.Deadline {
-		advice = min(advice, left)
+	remaining := (r.objectiveAt - b.now) / 2
+	if remaining > 0 && r.class.LateValueFraction > 0 && advice < r.class.Deadline {
+		advice = min(advice, remaining)
 	}
 	return advice
 }
 
-// onAbandonTimer ends a request whose time is over, but for one whose body is being received and is passed on
-// meanwhile.
+// onAbandonTimer ends a request whose time is over, except one that is already being forwarded while its
+// body is received.
 func (b *Balancer) onAbandonTimer(r *request) {
 	if b.now >= r.abandonAt && (!r.bodyPending || r.pendingAttempts == 0) {
 		b.abandon(r)
@@ -101,9 +103,10 @@
 	b.startTimer(b.now+seconds(stallObjectives*b.meanObjective), timerStall, r)
 }
 
-// checkStalled looks whether the latest attempt is stalled: its endpoint has served what it was sent long
-// after it, which no queue does. It guards against answers that never come, on a path that went silent, say:
-// a few such requests would count as load, and others be rejected for them.
+// checkStalled marks r as stalled if the endpoint of its latest attempt has served another attempt that was
+// sent much later, which a queue would not do. It guards against answers that never arrive, for example
+// because a network path fails silently: a few such requests would count as load, and cause others to be
+// rejected.
 func (b *Balancer) checkStalled(r *request) {
 	if n := len(r.attempts); n > 0 {
 		last := r.attempts[n-1]
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// The wait before the list is asked for again doubles from basePollBackoff to maxPollBackoff, and is jittered
-// to between half and one and a half of itself. A call that gets no answer takes 2.5 s more, and a change is
-// to be known within 6 s.
+// The wait before the list is requested again doubles from basePollBackoff to maxPollBackoff, and is
+// multiplied by a random factor of 0.5 to 1.5. The maximum is low because a call without an answer takes
+// another 2.5 s, and a change must be known within 6 s.
 const (
 	basePollBackoff = time.Second
 	maxPollBackoff  = 2 * time.Second
@@ -13,11 +13,11 @@
 // discovery is the state of the subscription to the endpoint list.
 type discovery struct {
 	subscribed bool
-	pending    bool // a Subscribe has no answer yet
-	failures   int  // in a row
+	pending    bool // a Subscribe has not been answered yet
+	failures   int  // consecutive
 }
 
-// needsSubscribe tells whether a Subscribe is due.
+// needsSubscribe reports whether a Subscribe is due.
 func (d *discovery) needsSubscribe() bool { return !d.pending && !d.subscribed }
 
 func (b *Balancer) subscribe() {
@@ -37,7 +37,7 @@
 	b.startTimer(b.now+wait, timerPoll, nil)
 }
 
-// onWatchUpdate notes that an update came.
+// onWatchUpdate records that an update of the list has arrived.
 func (b *Balancer) onWatchUpdate() {
 	d := &b.discovery
 	if !d.pending {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// endpoint is what is known of one process of an upstream. A restart makes a new one.
+// endpoint is the state of one process of an upstream. A restart creates a new endpoint.
 type endpoint struct {
 	id, zone string
 	machine  string // kind of machine
 	cell     int
 	weight   float64 // stated capacity, relative to the others'
-	listed   bool    // active in the list
+	listed   bool    // active in the endpoint list
 	banned   bool
-	// startedAt is the clock time of its start by the list; 0: long ago.
+	// startedAt is the clock time of its start, as stated in the list; 0: long ago.
 	startedAt time.Duration
 
 	inFlight       []*attempt   // attempts without a result, the oldest first
@@ -23,24 +23,26 @@
 	machineLatency *float64     // mean of its kind of machine, see latency.go
 	health         health       // see outlier.go
 	slowStart      slowStart    // see slowstart.go
-	gossip         *gossipState // shared with other sidecars, see evidence.go; nil: nothing is
+	gossip         *gossipState // shared with other sidecars, see evidence.go; nil if there is none
 }
 
-// endpointTable holds the endpoints of the list, and what operators said of them.
+// endpointTable holds the endpoints of the list and the operators' bans.
 type endpointTable struct {
 	byID map[string]*endpoint
-	// order is drawn at random by each sidecar. The subset is taken from its beginning.
+	// order holds the endpoints in a random order, which differs between sidecars. The subset is taken from its
+	// beginning.
 	order []*endpoint
 
 	localCount int // endpoints in the local zone
-	zoneCount  int // zones of all endpoints, the local one counted
-	// recentSize is the largest size of late. It decays as the offered load does, see slowstart.go.
+	zoneCount  int // zones of all endpoints, including the local zone
+	// recentSize is the recent maximum of the number of endpoints. It decays with the time constant of the
+	// offered load, see slowStartRate.
 	recentSize   float64
 	recentSizeAt time.Duration
 
-	banned               map[string]bool
-	banClearedAt         map[string]time.Duration // when bans were cleared; kept while the endpoint may warm up
-	awaitingFirstRequest map[string]bool          // of those, the endpoints that got nothing since
+	banned               map[string]bool          // by endpoint ID
+	banClearedAt         map[string]time.Duration // time of clearing, kept while the endpoint may warm up
+	awaitingFirstRequest map[string]bool          // of these, the endpoints that were sent nothing since
 }
 
 func newEndpointTable() endpointTable {
@@ -52,7 +54,7 @@
 	}
 }
 
-// localityCount is how many endpoints are local, or remote.
+// localityCount returns the number of local or of remote endpoints.
 func (t *endpointTable) localityCount(local bool) int {
 	if local {
 		return t.localCount
@@ -60,7 +62,7 @@
 	return len(t.order) - t.localCount
 }
 
-// removeUnlisted forgets the endpoints that are not active in the list.
+// removeUnlisted removes the endpoints that are not active in the list.
 func (t *endpointTable) removeUnlisted() {
 	t.order = slices.DeleteFunc(t.order, func(ep *endpoint) bool {
 		if !ep.listed {
@@ -70,7 +72,7 @@
 	})
 }
 
-// updateCounts counts the endpoints by zone.
+// updateCounts updates the numbers of endpoints and zones.
 func (t *endpointTable) updateCounts(localZone string, now time.Duration) {
 	zones := map[string]bool{localZone: true}
 	t.localCount = 0
@@ -85,18 +87,18 @@
 	t.recentSize, t.recentSizeAt = max(float64(len(t.order)), decayed), now
 }
 
-// allBanned is false while no endpoint is listed.
+// allBanned reports whether there are endpoints and all of them are banned.
 func (t *endpointTable) allBanned() bool {
 	return len(t.order) > 0 && !slices.ContainsFunc(t.order, func(ep *endpoint) bool { return !ep.banned })
 }
 
-// forgetClearedBans forgets cleared bans of endpoints that have warmed up since.
+// forgetClearedBans removes the cleared bans of endpoints that have warmed up since.
 func (t *endpointTable) forgetClearedBans(now, slowStartWindow time.Duration) {
 	maps.DeleteFunc(t.banClearedAt, func(_ string, at time.Duration) bool { return now-at > slowStartWindow })
 	maps.DeleteFunc(t.awaitingFirstRequest, func(id string, _ bool) bool { return t.banClearedAt[id] == 0 })
 }
 
-// onEndpointUpdate follows the endpoint list.
+// onEndpointUpdate applies an update of the endpoint list.
 func (b *Balancer) onEndpointUpdate(e EndpointUpdate) {
 	if e.Kind == WatchFailed {
 		b.onWatchFailed()
@@ -135,39 +137,40 @@
 	}
 }
 
-// replaceEndpoint puts a process that has started in the place of the one before, or, if there is none, in a
-// random place. What was learned of the one before is void. One whose ban was cleared of late warms up from
-// then at the earliest, and comes first in the order, so that the subset holds it.
+// replaceEndpoint inserts an endpoint for a newly started process, in the place of the old endpoint or, if
+// that is nil, in a random place. What was learned about the old one is discarded. An endpoint whose ban
+// was cleared recently warms up from that time at the earliest, and comes first in the order, so that it is
+// in the subset.
 func (b *Balancer) replaceEndpoint(old *endpoint, entry Endpoint) *endpoint {
 	t := &b.endpoints
 	ep := &endpoint{id: entry.Upstream, zone: entry.Zone, machine: entry.Machine, startedAt: entry.StartedAt}
 	ep.machineLatency = b.latency.machineMean(entry.Machine)
 	ep.latency = peakEWMA{*ep.machineLatency, b.now}
 	ep.banned = t.banned[ep.id]
-	at := slices.Index(t.order, old)
-	clearedAt, reinstated := t.banClearedAt[ep.id]
-	if from := max(entry.StartedAt, clearedAt); from > 0 && b.now-from < b.settings.SlowStartWindow {
-		b.beginSlowStart(ep, from)
+	index := slices.Index(t.order, old)
+	clearedAt, banCleared := t.banClearedAt[ep.id]
+	if start := max(entry.StartedAt, clearedAt); start > 0 && b.now-start < b.settings.SlowStartWindow {
+		b.beginSlowStart(ep, start)
 	}
-	if at >= 0 {
-		t.order = slices.Delete(t.order, at, at+1)
+	if index >= 0 {
+		t.order = slices.Delete(t.order, index, index+1)
 	} else {
-		at = b.rng.IntN(len(t.order) + 1)
+		index = b.rng.IntN(len(t.order) + 1)
 	}
-	if reinstated {
-		at = 0
+	if banCleared {
+		index = 0
 	}
-	t.order = slices.Insert(t.order, at, ep)
+	t.order = slices.Insert(t.order, index, ep)
 	t.byID[ep.id] = ep
 	if t.awaitingFirstRequest[ep.id] {
 		b.grantFirstRequest(ep)
-	} else if reinstated && old != nil {
+	} else if banCleared && old != nil {
 		ep.slowStart.inherit(&old.slowStart)
 	}
 	return ep
 }
 
-// onBan takes an endpoint out of use, or back into use. What was learned of it is void then.
+// onBan bans an endpoint or clears its ban. Clearing a ban discards what was learned about the endpoint.
 func (b *Balancer) onBan(e Ban) {
 	t := &b.endpoints
 	t.forgetClearedBans(b.now, b.settings.SlowStartWindow)
@@ -188,7 +191,7 @@
 	t.banClearedAt[e.Upstream], t.awaitingFirstRequest[e.Upstream] = b.now, true
 	if ep != nil {
 		entry := Endpoint{Upstream: ep.id, Zone: ep.zone, Machine: ep.machine, StartedAt: ep.startedAt}
-		fresh := b.replaceEndpoint(ep, entry)
-		fresh.listed, fresh.cell, fresh.weight = true, ep.cell, ep.weight
+		replacement := b.replaceEndpoint(ep, entry)
+		replacement.listed, replacement.cell, replacement.weight = true, ep.cell, ep.weight
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that happened to a sidecar. The types of this file, and no others, implement it.
+// Event is something that happened to a sidecar. Only types of this package implement it.
 type Event interface{ event() }
 
 // EndpointState is an endpoint's state in the list.
@@ -11,7 +11,7 @@
 // The states of an endpoint.
 const (
 	Active   EndpointState = iota
-	Draining               // finishes what it has, and gets nothing new
+	Draining               // finishes its requests in flight, and gets no new ones
 	Removed
 )
 
@@ -25,7 +25,7 @@
 	Weight         float64       // capacity, relative to the other endpoints; default: 1
 }
 
-// UpdateKind tells what an EndpointUpdate holds.
+// UpdateKind is the kind of an EndpointUpdate.
 type UpdateKind int
 
 // The kinds of EndpointUpdate.
@@ -33,41 +33,41 @@
 	FullState   UpdateKind = iota // the complete list
 	Delta                         // changed entries only
 	Cached                        // the complete list as last known; it may be out of date
-	WatchFailed                   // nothing: a Subscribe failed, or the watch broke
+	WatchFailed                   // no list: a Subscribe failed, or the watch broke
 )
 
-// EndpointUpdate brings the endpoint list, or a change of it.
+// EndpointUpdate carries the endpoint list, or changes to it.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
 }
 
-// Ban takes an endpoint out of use, whatever the list says, until a Ban with Cleared. The endpoint counts as
-// just started when that comes: operators restart endpoints meanwhile.
+// Ban takes an endpoint out of use, whatever the list says, until a Ban with Cleared. The endpoint then
+// counts as just started, because operators restart banned endpoints.
 type Ban struct {
 	Upstream string
 	Cleared  bool
 }
 
-// SettingsUpdate brings other settings. Requests that are in flight keep their class.
+// SettingsUpdate carries new settings. Requests in flight keep their class.
 type SettingsUpdate struct{ Settings Settings }
 
-// Request is a client's request. It gets one final answer, Reject, Fail or a successful attempt's, before
-// ExpiresAt.
+// Request is a client's request. It gets one final answer before ExpiresAt: Reject, Fail or the answer of a
+// successful attempt.
 type Request struct {
 	ID, Class, Tenant string
 	ExpiresAt         time.Duration // clock time at which the client stops waiting
 	CostHint          time.Duration // expected work; 0: unknown
-	BodyPending       bool          // the body is still being received; ExpiresAt counts from BodyComplete on
+	BodyPending       bool          // the body is still being received; BodyComplete replaces ExpiresAt
 }
 
-// BodyComplete says that the body of a request with BodyPending has been received.
+// BodyComplete reports that the body of a request with BodyPending has been received.
 type BodyComplete struct {
 	ID        string
 	ExpiresAt time.Duration // clock time at which the client stops waiting
 }
 
-// FirstByte says that a streamed answer has begun.
+// FirstByte reports that a streamed answer has begun.
 type FirstByte struct {
 	ID      string
 	Attempt int // number of the attempt, from 0
@@ -88,7 +88,7 @@
 	NotSent              // ended before its first byte was sent
 )
 
-// AttemptEnded ends an attempt. Each StartAttempt is followed by exactly one.
+// AttemptEnded reports the end of an attempt. Each StartAttempt is followed by exactly one.
 type AttemptEnded struct {
 	ID           string
 	Attempt      int // number of the attempt, from 0
@@ -98,7 +98,7 @@
 	BodyConsumed bool          // the body can't be sent again
 }
 
-// ClientDisconnected says that the client is gone: no answer is due any more.
+// ClientDisconnected reports that the client has disconnected and needs no answer.
 type ClientDisconnected struct{ ID string }
 
 // TimerFired reports the timer of the last SetTimer.
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -6,53 +6,56 @@
 	"time"
 )
 
-// What this sidecar's own attempts tell of endpoints is reported to other sidecars, if Settings.ShareEvidence
-// is on. It is kept by class, too: an endpoint may fail requests of one class and serve those of another.
+// With Settings.ShareEvidence, the results of this sidecar's own attempts are reported to other sidecars as
+// evidence on endpoints. Evidence is also kept by class: an endpoint may fail requests of one class and serve
+// those of another.
 
-// Evidence is why an endpoint is ejected.
+// Evidence is the cause of an endpoint's ejection.
 type Evidence int
 
 // The kinds of evidence.
 const (
-	EvidenceNone        Evidence = iota // it is not ejected, or no longer
+	EvidenceNone        Evidence = iota // the endpoint is not ejected, or no longer
 	EvidenceErrors                      // error answers
 	EvidenceConnections                 // connections refused or broken
 	EvidenceSilence                     // no answers
-	EvidenceRejections                  // it rejects everything
+	EvidenceRejections                  // every request rejected
 )
 
 const (
-	errorWindowSize = 32               // answers of a class that are looked back on
-	errorWindowAge  = 30 * time.Second // and for no longer than this
-	minErrorRate    = 0.02             // errors pass as chance up to this rate
-	// minErrorFraction is the fraction of errors from which on a class is ejected. Fewer cost less than the
-	// capacity that an ejection takes.
+	errorWindowSize = 32               // latest answers of a class that are evaluated
+	errorWindowAge  = 30 * time.Second // the window is emptied after a longer pause in the answers
+	minErrorRate    = 0.02             // error rates up to this one are considered normal
+	// minErrorFraction is the minimum fraction of errors that ejects a class. A smaller fraction costs less than
+	// the capacity that an ejection removes.
 	minErrorFraction = 0.25
-	// outlierSignificance is the probability with which chance may eject a class. It is tested at each error, on
-	// tens of endpoints and classes.
+	// outlierSignificance is the probability that a test ejects a class by chance. It is small because each
+	// error, on tens of endpoints and classes, causes a test.
 	outlierSignificance = 2e-4
-	// probesToReinstate is how many probes in a row have to succeed: one that fails half of them has 1 in 32.
+	// probesToReinstate is the number of consecutive successful probes that reinstate a class. An endpoint that
+	// fails half of its requests reaches it with a probability of 1 in 32.
 	probesToReinstate = 5
 
-	unknownTenant = -2 // -1 is a request without one
+	unknownTenant = -2 // differs from -1, the index for a request without a tenant
 )
 
 // gossipState is what is shared with other sidecars about one process of an endpoint.
 type gossipState struct {
-	evidence evidence            // this file
-	verdicts map[string]*verdict // by class, "" for all: peerverdict.go
-	probe    sharedProbe         // probe.go
+	evidence evidence            // see below
+	verdicts map[string]*verdict // by class, "" for all classes; see peerverdict.go
+	probe    sharedProbe         // see probe.go
 }
 
-// evidence is what this sidecar's attempts tell of an endpoint, beyond health.
+// evidence is what this sidecar's attempts show about an endpoint, in addition to health.
 type evidence struct {
 	windows           map[string]*errorWindow // by class
 	ejectedClassCount int
-	suspected         bool   // a first failure was reported
-	errorRunClass     string // class of the errors in a row; empty: of several
-	reportedClass     string // class that the ejection was reported for; empty: all
+	suspected         bool   // a first failure was reported, and no answer has come since
+	errorRunClass     string // class of the consecutive errors; empty if they are of several
+	reportedClass     string // class for which the ejection was reported; empty: all
 }
 
+// gossipOf returns an endpoint's gossip state, which it creates if there is none.
 func (b *Balancer) gossipOf(ep *endpoint) *gossipState {
 	if ep.gossip == nil {
 		ep.gossip = &gossipState{
@@ -63,21 +66,23 @@
 	return ep.gossip
 }
 
-// errorWindow holds the latest answers by one endpoint to requests of one class, and the class's ejection.
+// errorWindow holds the latest answers of one endpoint to requests of one class, and the state of the class's
+// ejection.
 type errorWindow struct {
-	errorBits    uint32               // the latest in the lowest bit; set: an error
-	answers      int                  // answers
-	tenants      [errorWindowSize]int // of the requests, a ring
-	latest       int                  // index in tenants
-	lastAt       time.Duration
-	lastServedAt time.Duration
-	errorRun     int // errors in a row
+	errorBits    uint32               // one bit for each answer, the latest lowest; set for an error
+	answers      int                  // number of answers in the window
+	tenants      [errorWindowSize]int // ring buffer of the tenants of the answered requests
+	latest       int                  // index of the latest answer in tenants
+	lastAt       time.Duration        // time of the latest answer
+	lastServedAt time.Duration        // time of the latest answer that is no error
+	errorRun     int                  // consecutive errors
 
 	ejectedUntil    time.Duration
-	ejections       int // in a row
-	probesSucceeded int // in a row, since then
+	ejections       int // consecutive
+	probesSucceeded int // consecutive, since the ejection
 }
 
+// add records an answer.
 func (w *errorWindow) add(isError bool, tenant int, now time.Duration) {
 	if now-w.lastAt > errorWindowAge {
 		w.errorBits, w.answers = 0, 0
@@ -96,67 +101,68 @@
 	return bits.OnesCount32(w.errorBits << (errorWindowSize - w.answers))
 }
 
-// answer is the i-th latest answer.
+// answer returns the i-th latest answer, from 0.
 func (w *errorWindow) answer(i int) (isError bool, tenant int) {
 	return w.errorBits>>i&1 == 1, w.tenants[(w.latest-i+errorWindowSize)%errorWindowSize]
 }
 
-// failsOneTenantOnly tells whether all errors are of one tenant's requests while others' are served: that
-// says something of the tenant, and not of the endpoint.
+// failsOneTenantOnly reports whether all errors are answers to one tenant's requests while requests of other
+// tenants are served. The cause is then the tenant, and not the endpoint.
 func (w *errorWindow) failsOneTenantOnly() bool {
-	culprit, servedOthers := unknownTenant, 0
+	failingTenant, servedOthers := unknownTenant, 0
 	for i := range w.answers {
 		isError, tenant := w.answer(i)
 		if !isError {
 			continue
 		}
-		if culprit != unknownTenant && culprit != tenant {
+		if failingTenant != unknownTenant && failingTenant != tenant {
 			return false
 		}
-		culprit = tenant
+		failingTenant = tenant
 	}
 	for i := range w.answers {
 		isError, tenant := w.answer(i)
-		if culprit != unknownTenant && !isError && tenant != culprit {
+		if failingTenant != unknownTenant && !isError && tenant != failingTenant {
 			servedOthers++
 		}
 	}
 	return servedOthers >= failuresToEject
 }
 
-// ejected is false for a nil window.
+// ejected reports whether the class is ejected. It returns false for a nil window.
 func (w *errorWindow) ejected(now time.Duration) bool { return w != nil && now < w.ejectedUntil }
 
-// reportEvidence reports an ejection or, with EvidenceNone, its end. It is of the one class that the errors
-// in a row are of, if they are, and is not reported if they are of one tenant's requests.
+// reportEvidence reports an ejection or, with EvidenceNone, its end. An ejection for errors is reported for
+// one class if all consecutive errors are of that class, and not at all if only one tenant's requests fail.
 func (b *Balancer) reportEvidence(ep *endpoint, cause Evidence, count int) {
 	if !b.settings.ShareEvidence {
 		return
 	}
-	own := &b.gossipOf(ep).evidence
-	window := own.windows[own.reportedClass]
+	ev := &b.gossipOf(ep).evidence
+	window := ev.windows[ev.reportedClass]
 	switch {
 	case cause == EvidenceNone && window != nil && window.ejections > 0:
-		return // the class stays ejected, see recordEvidence
+		return // the class stays ejected, see recordAnswer
 	case cause == EvidenceErrors:
-		own.reportedClass = own.errorRunClass
-		if own.errorRunClass != "" && own.windows[own.errorRunClass].failsOneTenantOnly() {
+		ev.reportedClass = ev.errorRunClass
+		if ev.errorRunClass != "" && ev.windows[ev.errorRunClass].failsOneTenantOnly() {
 			return
 		}
 	case cause != EvidenceNone:
-		own.reportedClass = ""
+		ev.reportedClass = ""
 	}
-	b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: own.reportedClass, Evidence: cause, Count: count,
+	b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: ev.reportedClass, Evidence: cause, Count: count,
 		At: ep.startedAt})
 }
 
-// reportSuspicion reports a first failure since the endpoint last answered. It is no evidence by itself, but
-// may be all that a sidecar sees of an endpoint for seconds; several together confirm another's verdict.
+// reportSuspicion reports the first failure since an endpoint last answered. It is no evidence by itself,
+// but may be all that a sidecar learns about an endpoint for seconds. Suspicions of several sidecars
+// confirm a verdict of another.
 func (b *Balancer) reportSuspicion(ep *endpoint) {
 	if !b.settings.ShareEvidence || ep.health.ejections > 0 {
 		return
 	}
-	if _, known := ep.underVerdict(b.now, ""); known {
+	if _, ok := ep.underVerdict(b.now, ""); ok {
 		return
 	}
 	b.gossipOf(ep).evidence.suspected = true
@@ -164,9 +170,9 @@
 		Count: 1, At: ep.startedAt})
 }
 
-// recordEvidence takes in an attempt's result before updateHealth does. An endpoint that fails half of the
-// requests of one class, and serves the others, hardly ever fails three in a row; it must not be ejected for
-// the others.
+// recordEvidence records an attempt's result before updateHealth evaluates it. Results are also recorded by
+// class because an endpoint that fails half of the requests of one class, and serves the other classes,
+// hardly ever fails three in a row, and must not be ejected for the other classes.
 func (b *Balancer) recordEvidence(a *attempt, res Result) {
 	if !b.settings.ShareEvidence {
 		return
@@ -190,20 +196,20 @@
 	b.recordAnswer(a, res == ServerError)
 }
 
-// recordAnswer takes an answer into its class's window, and ejects or reinstates the class.
+// recordAnswer adds an answer to the window of its class, and ejects or reinstates the class if necessary.
 func (b *Balancer) recordAnswer(a *attempt, isError bool) {
 	ep, class := a.endpoint, a.request.class.Name
-	own := &ep.gossip.evidence
-	w := own.windows[class]
+	ev := &ep.gossip.evidence
+	w := ev.windows[class]
 	if w == nil {
 		w = &errorWindow{}
-		own.windows[class] = w
+		ev.windows[class] = w
 	}
 	w.add(isError, a.request.tenant, b.now)
 	if isError && ep.health.errors == 0 {
-		own.errorRunClass = class
-	} else if isError && own.errorRunClass != class {
-		own.errorRunClass = ""
+		ev.errorRunClass = class
+	} else if isError && ev.errorRunClass != class {
+		ev.errorRunClass = ""
 	}
 	switch {
 	case !isError && w.ejections > 0 && a.sentAt >= w.ejectedUntil:
@@ -235,31 +241,32 @@
 		Count: max(w.errorCount(), w.ejections), At: ep.startedAt})
 }
 
-// isOutlier tells whether an endpoint fails a class significantly more often than the other endpoints do, by
-// the exact bound of Clopper and Pearson (Biometrika 26, 1934): the lower limit of its error rate is above
-// theirs just if theirs would bring as many errors with a probability below outlierSignificance. So a class
-// that fails everywhere is ejected nowhere.
+// isOutlier reports whether an endpoint fails a class significantly more often than the other endpoints do,
+// by the exact bound of Clopper and Pearson (Biometrika 26, 1934): the lower limit of its error rate is
+// above the error rate of the others if and only if that rate causes as many errors with a probability
+// below outlierSignificance. A class that fails everywhere is therefore ejected nowhere.
 func (b *Balancer) isOutlier(ep *endpoint, class string, w *errorWindow) bool {
 	errors, answers := w.errorCount(), w.answers
 	if float64(errors) < minErrorFraction*float64(answers) || w.failsOneTenantOnly() {
 		return false
 	}
 	otherErrors, otherAnswers := 0.0, 0.0
-	for _, x := range b.endpoints.order {
-		if x == ep || x.gossip == nil {
+	for _, other := range b.endpoints.order {
+		if other == ep || other.gossip == nil {
 			continue
 		}
-		if other := x.gossip.evidence.windows[class]; other != nil && other.ejections == 0 {
-			otherErrors += float64(other.errorCount())
-			otherAnswers += float64(other.answers)
+		if ow := other.gossip.evidence.windows[class]; ow != nil && ow.ejections == 0 {
+			otherErrors += float64(ow.errorCount())
+			otherAnswers += float64(ow.answers)
 		}
 	}
-	usual := max((otherErrors+1)/(otherAnswers+2), minErrorRate)
-	return binomialTail(errors, answers, usual) < outlierSignificance
+	usualRate := max((otherErrors+1)/(otherAnswers+2), minErrorRate)
+	return binomialTail(errors, answers, usualRate) < outlierSignificance
 }
 
-// classExcluded tells whether own evidence on r's class keeps r from an endpoint. After the ejection the
-// class is half-open: one attempt at a time, and none that must not run twice.
+// classExcluded reports whether this sidecar's evidence on r's class excludes an endpoint for r. After the
+// ejection time the class is half-open: the endpoint gets one attempt of it at a time, and no request that
+// must not run twice.
 func (b *Balancer) classExcluded(ep *endpoint, r *request) bool {
 	w := ep.gossip.evidence.windows[r.class.Name]
 	if w == nil || w.ejections == 0 {
@@ -276,22 +283,22 @@
 	return false
 }
 
-// classEjected tells whether own evidence has ejected a class, and no attempt of it is let through yet.
+// classEjected reports whether this sidecar has ejected a class and the ejection time is not over.
 func (ep *endpoint) classEjected(class string, now time.Duration) bool {
 	return ep.gossip != nil && ep.gossip.evidence.windows[class].ejected(now)
 }
 
-// failsOneClassOnly tells whether the errors in a row are of a's class alone while its endpoint serves
-// another. Then the endpoint is ejected for that class only.
+// failsOneClassOnly reports whether the consecutive errors are all of a's class while its endpoint serves
+// another class. The endpoint is then ejected for that class only.
 func (b *Balancer) failsOneClassOnly(a *attempt) bool {
 	if !b.settings.ShareEvidence {
 		return false
 	}
-	own := &a.endpoint.gossip.evidence
+	ev := &a.endpoint.gossip.evidence
 	class := a.request.class.Name
-	for name, w := range own.windows {
+	for name, w := range ev.windows {
 		if name != class && w.answers > 0 && w.errorRun == 0 && b.now-w.lastServedAt < errorWindowAge/3 {
-			return own.windows[class].ejections > 0 && own.errorRunClass != ""
+			return ev.windows[class].ejections > 0 && ev.errorRunClass != ""
 		}
 	}
 	return false
--- a/balancer/ewma.go
+++ b/balancer/ewma.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// decayObjectives is the time constant of an endpoint's estimate, in mean latency objectives: long enough
-	// to hear from every endpoint of the subset.
+	// decayObjectives is the time constant of an endpoint's estimate, in mean latency objectives. It is long
+	// enough for each endpoint of the subset to answer within it.
 	decayObjectives = 4.0
-	// penaltyObjectives is the least latency that an error answer or a rejection counts as, in mean latency
-	// objectives. An endpoint that fails at once would look fast without it.
+	// penaltyObjectives is the minimum latency that an error answer or a rejection counts as, in mean latency
+	// objectives. Without it, an endpoint that fails immediately would look fast.
 	penaltyObjectives = 1.0
 )
 
 // peakEWMA estimates the normalized latency of one endpoint. A sample above the decayed estimate replaces it;
-// any other is averaged in. So it rises at once and falls slowly.
+// any other is averaged in. The estimate therefore rises at once and falls slowly.
 type peakEWMA struct {
 	value float64
 	at    time.Duration // of the latest sample
 }
 
-// weight is what is left of the estimate now: 1 when it is new, towards 0 with age.
+// weight returns the weight of the estimate now: 1 when it is new, decaying to 0 with age.
 func (e *peakEWMA) weight(now, decay time.Duration) float64 {
 	return math.Exp(-float64(now-e.at) / float64(decay))
 }
@@ -39,12 +39,12 @@
 	e.at = now
 }
 
-// decayTime is the time constant of estimates.
+// decayTime returns the time constant of the endpoints' estimates.
 func (b *Balancer) decayTime() time.Duration { return seconds(decayObjectives * b.meanObjective) }
 
-// observeAttempt updates the estimates from an attempt's result. Time-outs, failed connects and resets count
-// for the time that they took, and no more. Samples are normalized, so that one costly request does not make
-// its endpoint look slow.
+// observeAttempt updates the estimates with an attempt's result. Timeouts, failed connects and resets count
+// as the time that they took, without a penalty. Samples are normalized, so that one costly request does
+// not make its endpoint look slow.
 func (b *Balancer) observeAttempt(a *attempt, res Result, elapsed time.Duration) {
 	b.admission.observeCongestion(a, res, elapsed, b.now)
 	sample := elapsed.Seconds() / a.request.work
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -3,26 +3,28 @@
 import "time"
 
 const (
-	// maxHedgePressure is the pressure above which nothing is hedged: first attempts come first.
+	// maxHedgePressure is the pressure above which no request is hedged: first attempts have priority.
 	maxHedgePressure = 0.7
-	// minHedgeSuccess is the fraction of hedged requests that has to answer first, and in time.
+	// minHedgeSuccess is the fraction of hedged requests whose second attempt must have answered first, and in
+	// time, for hedging to be worthwhile.
 	minHedgeSuccess = 0.3
-	// hedgeExploration is the fraction of late attempts that are hedged all the same, to learn whether it helps.
+	// hedgeExploration is the fraction of late attempts that are hedged even below minHedgeSuccess, to learn
+	// whether hedging helps.
 	hedgeExploration = 0.02
 )
 
-// hedgeStats follows the fraction of hedged requests whose second attempt answered first, and in time.
+// hedgeStats tracks the fraction of hedged requests whose second attempt answered first, and in time.
 type hedgeStats struct{ successRatio float64 }
 
 func (h *hedgeStats) record(success bool) {
-	x := 0.0
+	sample := 0.0
 	if success {
-		x = 1
+		sample = 1
 	}
-	h.successRatio += sparseWeight * (x - h.successRatio)
+	h.successRatio += sparseWeight * (sample - h.successRatio)
 }
 
-// startHedgeTimer sets when r's latest attempt is late, if another may follow it.
+// startHedgeTimer starts the timer for when r's latest attempt is late, unless r must not run twice.
 func (b *Balancer) startHedgeTimer(r *request) {
 	if r.class.Idempotency != NotIdempotent {
 		r.hedgeAt = b.now + b.hedgeDelay(r)
@@ -30,22 +32,23 @@
 	}
 }
 
-// hedgeDelay is how long an attempt may be pending before it is late. It doubles with each pending attempt.
-// Without hedging a late attempt is ended, and loses its place in a queue: it then has as long as leaves time
-// for another attempt.
+// hedgeDelay returns how long an attempt may be pending before it is late. The delay doubles with each
+// pending attempt. Without hedging, a late attempt is cancelled and loses its place in a queue. It is
+// therefore given more time, as long as there remains enough for another attempt.
 func (b *Balancer) hedgeDelay(r *request) time.Duration {
-	doublings := float64(int(1) << max(r.pendingAttempts-1, 0))
-	delay := seconds(b.latency.hedgeDelay.value * r.work * doublings)
+	factor := float64(int(1) << max(r.pendingAttempts-1, 0))
+	delay := seconds(b.latency.hedgeDelay.value * r.work * factor)
 	if !b.settings.Hedging {
 		delay = max(delay, r.abandonAt-b.now-b.latency.expected(r.work))
 	}
 	return delay
 }
 
-// onHedgeTimer sends a second attempt beside one that is late or, without hedging, another in its place. It
-// guards against endpoints that pause or hang. A late request is mostly a costly one, and so is its second
-// attempt. So it takes an endpoint that leaves two of our attempts unanswered, or hedging that has helped of
-// late; the retry budget and the pressure stop it in an overload.
+// onHedgeTimer sends a second attempt in addition to one that is late or, without hedging, replaces the
+// late one. It guards against endpoints that pause or hang. Most late requests are costly, and so are their
+// second attempts. A request is therefore hedged only if the endpoint leaves two of this sidecar's attempts
+// unanswered, or if hedging has helped recently. The retry budget and the pressure prevent hedging in an
+// overload.
 func (b *Balancer) onHedgeTimer(r *request) {
 	if r.pendingAttempts == 0 || b.now < r.hedgeAt || b.retryBudget.empty() || b.pressure() > maxHedgePressure {
 		return
@@ -55,9 +58,9 @@
 		b.hedge(r, last)
 		return
 	}
-	another := b.settings.Cancellation && !b.attemptsExhausted(r) && !b.retryForbidden(r)
+	mayRetry := b.settings.Cancellation && !b.attemptsExhausted(r) && !b.retryForbidden(r)
 	silent := last.endpoint.health.lastAnswerAt < last.sentAt
-	if another && silent && b.now+b.latency.expected(r.work) < r.abandonAt {
+	if mayRetry && silent && b.now+b.latency.expected(r.work) < r.abandonAt {
 		b.cancelOthers(r, -1)
 	}
 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	meanWeight    = 0.02 // weight of a new sample in means of many: about the last 50
-	sparseWeight  = 0.05 // the same where samples are few: one kind of machine, hedged requests
+	meanWeight    = 0.02 // weight of a new sample in a mean: averages about the last 50
+	sparseWeight  = 0.05 // the same for rare samples: one kind of machine, hedged requests
 	hedgeQuantile = 0.8  // an attempt pending for longer than this quantile is hedged
 
 	minWork, maxWork = 0.25, 8.0 // bounds on expected work
 
-	// A request is taken to cost a quarter of its objective, and the slow ones half, until something is known.
+	// Until there are samples, the mean latency is assumed to be a quarter of the objective, and the hedge delay
+	// half of it.
 	initialLatencyDivisor    = 4
 	initialHedgeDelayDivisor = 2
 )
 
-// latencyModel holds what the successful attempts of this sidecar took, over all endpoints.
+// latencyModel estimates the latency of this sidecar's successful attempts, over all endpoints.
 type latencyModel struct {
 	fleetMean  float64             // mean normalized latency, seconds
-	byMachine  map[string]*float64 // the same by kind of machine; endpoints point to theirs
+	byMachine  map[string]*float64 // the same by kind of machine; endpoints point to these values
 	mean       float64             // mean latency, seconds
-	meanHint   float64             // mean cost hint, seconds; 0: there was none
+	meanHint   float64             // mean cost hint, seconds; 0 if there was none
 	median     quantile            // of normalized latency
 	hedgeDelay quantile            // hedgeQuantile of normalized latency
 }
@@ -34,7 +35,8 @@
 	}
 }
 
-// machineMean is the mean of a kind of machine. One that is new begins with the fleet's.
+// machineMean returns the mean normalized latency of a kind of machine. A new kind starts with the fleet's
+// mean.
 func (m *latencyModel) machineMean(kind string) *float64 {
 	if m.byMachine[kind] == nil {
 		m.byMachine[kind] = new(m.fleetMean)
@@ -42,8 +44,8 @@
 	return m.byMachine[kind]
 }
 
-// expectedWork is the work expected of a request, relative to the mean request: by its hint, or else by its
-// class.
+// expectedWork returns the work expected of a request, relative to the mean request. It is derived from the
+// cost hint or, without one, from the class.
 func (m *latencyModel) expectedWork(c *class, hint time.Duration) float64 {
 	work := c.meanLatency / m.mean
 	if hint > 0 {
@@ -56,10 +58,10 @@
 	return min(max(work, minWork), maxWork)
 }
 
-// expected is the median latency of a request of that work.
+// expected returns the median latency of a request with the given work.
 func (m *latencyModel) expected(work float64) time.Duration { return seconds(m.median.value * work) }
 
-// observeSuccess takes in an attempt that took so many seconds, normalized and not.
+// observeSuccess records the latency of a successful attempt, as measured and normalized, in seconds.
 func (m *latencyModel) observeSuccess(c *class, machine *float64, latency, normalized float64) {
 	c.meanLatency += meanWeight * (latency - c.meanLatency)
 	m.mean += meanWeight * (latency - m.mean)
@@ -69,7 +71,7 @@
 	m.hedgeDelay.add(normalized)
 }
 
-// observeLowerBound takes in an attempt that was ended: it would have taken longer.
+// observeLowerBound records an attempt that was ended early: its latency would have been longer.
 func (m *latencyModel) observeLowerBound(normalized float64) {
 	if normalized > m.hedgeDelay.value {
 		m.hedgeDelay.add(normalized)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -1,13 +1,15 @@
 package balancer
 
 const (
-	// crossZoneObjectives is how many mean latency objectives of latency a cross-zone cost of 1 weighs as.
+	// crossZoneObjectives is the latency that a cross-zone cost of 1 is equivalent to, in mean latency
+	// objectives.
 	crossZoneObjectives = 3.5
-	// negligibleCrossingDivisor is the part of the mean latency below which a crossing is not worth avoiding.
+	// A zone crossing that costs less than the mean latency divided by negligibleCrossingDivisor is not worth
+	// avoiding.
 	negligibleCrossingDivisor = 4
 )
 
-// locality follows the fraction of the work that stays in the local zone while it could as well leave it.
+// locality tracks the fraction of the work that stays in the local zone while it could also leave it.
 type locality struct {
 	localFraction float64 // 0 to 1
 }
@@ -15,31 +17,31 @@
 func newLocality() locality { return locality{localFraction: 0.5} }
 
 func (l *locality) record(local bool) {
-	x := 0.0
+	sample := 0.0
 	if local {
-		x = 1
+		sample = 1
 	}
-	l.localFraction += meanWeight * (x - l.localFraction)
+	l.localFraction += meanWeight * (sample - l.localFraction)
 }
 
-// pickByZone chooses among local and remote candidates. It stays in the local zone unless the remote choice's
-// cost is lower by more than the price of a crossing, expressed as latency.
+// pickByZone chooses among local and remote candidates. It chooses a local one unless the cost of the remote
+// choice is lower by more than the cost of a zone crossing, expressed as latency.
 func (b *Balancer) pickByZone(local, remote []*endpoint) *endpoint {
-	crossing := b.settings.CrossZoneCost * crossZoneObjectives * b.meanObjective
-	both := len(local) > 0 && len(remote) > 0
-	if !both || crossing < b.latency.fleetMean/negligibleCrossingDivisor {
+	crossingCost := b.settings.CrossZoneCost * crossZoneObjectives * b.meanObjective
+	hasBoth := len(local) > 0 && len(remote) > 0
+	if !hasBoth || crossingCost < b.latency.fleetMean/negligibleCrossingDivisor {
 		ep := b.powerOfTwoChoices(append(local, remote...))
-		if both {
+		if hasBoth {
 			b.locality.record(ep.zone == b.settings.Zone)
 		}
 		return ep
 	}
-	near := b.powerOfTwoChoices(local)
-	far := b.powerOfTwoChoices(remote)
-	if b.cost(far)+crossing < b.cost(near) {
+	bestLocal := b.powerOfTwoChoices(local)
+	bestRemote := b.powerOfTwoChoices(remote)
+	if b.cost(bestRemote)+crossingCost < b.cost(bestLocal) {
 		b.locality.record(false)
-		return far
+		return bestRemote
 	}
 	b.locality.record(true)
-	return near
+	return bestLocal
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// baseEjectionTime is the time of a first ejection. It doubles with each failed half-open probe.
+	// baseEjectionTime is the duration of a first ejection. It doubles with each failed half-open probe.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
-	maxDoublings     = 10 // of any backoff; the maxima are reached before
-	// failuresToEject is how many failures in a row eject an endpoint: two happen by chance.
+	maxDoublings     = 10 // of any backoff, against overflow; the maximum times are reached earlier
+	// failuresToEject is the number of consecutive failures that eject an endpoint: two happen by chance.
 	failuresToEject = 3
-	// slowMedianMultiple is how many medians a slow answer takes.
+	// slowMedianMultiple is the multiple of the median latency above which an answer is slow.
 	slowMedianMultiple = 4.0
-	// silenceObjectives is how many mean latency objectives an endpoint may fail to answer for.
+	// silenceObjectives is how long an endpoint may fail to answer, in mean latency objectives.
 	silenceObjectives = 3.0
 )
 
-// health is what this sidecar's own attempts tell of whether an endpoint works. Counts are in a row.
+// health is what this sidecar's own attempts show about whether an endpoint works. Counts are of consecutive
+// results.
 type health struct {
-	lastAnswerAt     time.Duration // error answers and rejections count
-	lastServedSentAt time.Duration // when the latest attempt that it served was sent
-	failures         int           // attempts without an answer, sent since the last one
+	lastAnswerAt     time.Duration // time of the last answer, which may be an error or a rejection
+	lastServedSentAt time.Duration // latest time at which an attempt that it served was sent
+	failures         int           // attempts without an answer since the last answer
 	failingSince     time.Duration // when the first of them was sent
 	errors           int           // error answers
 	rejections       int
 	slowAnswers      int
-	connectionFailed bool // the latest failure was a connection refused or broken
-	ejections        int  // in a row, without a success in between
+	connectionFailed bool // the latest failure was a refused or broken connection
+	ejections        int  // consecutive, without a success in between
 	ejectedUntil     time.Duration
 }
 
-// served notes that an attempt was served.
+// served records that an attempt was served.
 func (h *health) served(a *attempt) { h.lastServedSentAt = max(h.lastServedSentAt, a.sentAt) }
 
-// isReady tells whether an endpoint may be picked for r. After an ejection it is half-open: one attempt at a
-// time, and none that must not run twice.
+// isReady reports whether an endpoint may be picked for r. After the ejection time it is half-open: it gets
+// one attempt at a time, and no request that must not run twice.
 func (b *Balancer) isReady(ep *endpoint, r *request) bool {
 	if b.now < ep.health.ejectedUntil || b.excludedByEvidence(ep, r) {
 		return false
@@ -44,8 +45,8 @@
 	return ep.health.ejections == 0 || len(ep.inFlight) == 0 && r.class.Idempotency != NotIdempotent
 }
 
-// updateHealth judges an attempt's endpoint by its result. It ejects endpoints that refuse or break
-// connections, answer with errors only, reject everything or stay silent.
+// updateHealth updates the health of an attempt's endpoint with the result. It ejects endpoints that refuse
+// or break connections, answer only with errors, reject every request or do not answer.
 func (b *Balancer) updateHealth(a *attempt, res Result, elapsed time.Duration) {
 	b.recordEvidence(a, res)
 	switch res {
@@ -58,8 +59,8 @@
 	}
 }
 
-// onErrorAnswer guards against an endpoint whose errors come at once: beside queues longer than the penalty
-// it looks fast.
+// onErrorAnswer ejects an endpoint after several consecutive errors. It guards against one that fails
+// immediately: compared with endpoints whose queues take longer than the penalty, it looks fast.
 func (b *Balancer) onErrorAnswer(a *attempt) {
 	h := &a.endpoint.health
 	h.lastAnswerAt, h.failures = b.now, 0
@@ -69,8 +70,8 @@
 	}
 }
 
-// onAnswer takes in a success or a rejection. An endpoint that rejects everything may be draining before the
-// list says so.
+// onAnswer processes a success or a rejection. An endpoint that rejects every request may be draining
+// before the endpoint list says so.
 func (b *Balancer) onAnswer(a *attempt, res Result, elapsed time.Duration) {
 	ep := a.endpoint
 	h := &ep.health
@@ -100,8 +101,8 @@
 	h.failures, h.errors, h.ejections, h.ejectedUntil = 0, 0, 0, 0
 }
 
-// onNoAnswer guards against endpoints that crashed (their refusals come at once, and look fast) and against
-// those that hang.
+// onNoAnswer processes an attempt without an answer. It guards against endpoints that crashed, whose
+// immediate refusals look fast, and against those that hang.
 func (b *Balancer) onNoAnswer(a *attempt, res Result, elapsed time.Duration) {
 	ep := a.endpoint
 	h := &ep.health
@@ -121,10 +122,11 @@
 	}
 }
 
-// isSlowNotSilent tells whether an attempt without an answer says nothing against its endpoint. That is so if
-// the endpoint has answered since, and of a cancelled attempt unless it was late: with hedging the winner
-// ends the others, and late ones among them count. Without hedging a cancelled attempt was moved, perhaps off
-// a long queue.
+// isSlowNotSilent reports whether a timed out or cancelled attempt is no sign of a fault of its endpoint.
+// That is the case if the endpoint has answered since the attempt was sent. It is also the case for a
+// cancelled attempt, unless it was late with hedging: the first answer then cancels the other attempts, and
+// those of them that were late count against their endpoints. Without hedging, a cancelled attempt was
+// replaced by one to another endpoint, perhaps because of a long queue.
 func (b *Balancer) isSlowNotSilent(a *attempt, res Result, elapsed time.Duration) bool {
 	answered := a.sentAt < a.endpoint.health.lastAnswerAt
 	late := b.settings.Hedging && elapsed.Seconds() >= b.latency.hedgeDelay.value*a.request.work
@@ -144,6 +146,7 @@
 	}
 }
 
+// ejectionCause returns the kind of failure for which the endpoint is ejected.
 func (h *health) ejectionCause() Evidence {
 	switch {
 	case h.rejections >= failuresToEject:
--- a/balancer/peerverdict.go
+++ b/balancer/peerverdict.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// A verdict of other sidecars on an endpoint never enters an estimate: those come from this sidecar's own
-// attempts. It only keeps the endpoint out of ordinary picks for a while, and says who probes it. Bans,
-// draining and slow start rank above: what a verdict lets through still has to pass canAttempt.
+// A verdict of other sidecars on an endpoint never changes a latency estimate; estimates come only from
+// this sidecar's own attempts. A verdict only excludes the endpoint from ordinary picks for some time, and
+// determines which sidecar probes it. Bans, draining and slow start take precedence: a request that a
+// verdict permits must still pass canAttempt.
 
 const (
-	// maxPeerEjectedFraction bounds how many of a zone's usable endpoints verdicts may keep out at once. With
-	// more of them the reporters are the likelier fault, and the others would be congested.
+	// maxPeerEjectedFraction is the maximum fraction of a zone's usable endpoints that verdicts may exclude at
+	// once. With more verdicts, the reporting sidecars are more likely to be at fault than the endpoints, and
+	// the remaining endpoints would be congested.
 	maxPeerEjectedFraction = 1.0 / 3
-	// reinstatementTime is the time over which an endpoint comes back: all sidecars learn at once that a verdict
-	// has ended.
+	// reinstatementTime is the time over which the load on an endpoint increases again after a verdict. It is
+	// needed because all sidecars learn at the same time that the verdict has ended.
 	reinstatementTime = time.Second
-	// contradictionInterval is how often others are told that an endpoint serves in spite of a verdict.
+	// contradictionInterval is the minimum time between reports that an endpoint serves in spite of a verdict.
 	contradictionInterval = 2 * time.Second
-	// minClassSuccesses is how many successes in a row contradict a verdict on a class: an endpoint that fails
-	// half of its requests has 1 in 32.
+	// minClassSuccesses is the number of consecutive successes that contradict a verdict on a class. An endpoint
+	// that fails half of its requests reaches it with a probability of 1 in 32.
 	minClassSuccesses = 5
 )
 
-// ProbeOwner tells who sends the probes of an endpoint that a verdict keeps out.
+// ProbeOwner says which sidecar probes an endpoint that a verdict excludes.
 type ProbeOwner int
 
 // The owners of probes.
 const (
-	ProbeByEach ProbeOwner = iota // each sidecar its own, as without gossip
-	ProbeByPeer                   // another sidecar: this one sends none
-	ProbeBySelf                   // this sidecar, for all
+	ProbeByEach ProbeOwner = iota // each sidecar probes for itself, as without gossip
+	ProbeByPeer                   // another sidecar probes, and this one does not
+	ProbeBySelf                   // this sidecar probes for all sidecars
 )
 
-// PeerVerdict brings a verdict that rests on reports of other sidecars or, with Until 0, its end. It is
+// PeerVerdict carries a verdict that is based on reports of other sidecars or, with Until 0, ends one. It is
 // ignored without Settings.ShareEvidence.
 type PeerVerdict struct {
 	Upstream       string
-	StartedAt      time.Duration // start of the process that is meant, as in Endpoint
-	Class          string        // empty: all
-	Until          time.Duration // clock time
-	Since          time.Duration // clock time of the first report: successes sent later contradict it
-	PassFraction   float64       // of picks that is let through all the same, while it ends in steps
+	StartedAt      time.Duration // start of the process that the verdict is about, as in Endpoint
+	Class          string        // empty: all classes
+	Until          time.Duration // clock time of the verdict's end
+	Since          time.Duration // clock time of the first report; successes sent later contradict it
+	PassFraction   float64       // fraction of picks that is permitted, while the verdict is lifted in steps
 	Probes         ProbeOwner
-	ProbeSucceeded bool // with Until 0: a probe made for all has succeeded, own ones need not wait
+	ProbeSucceeded bool // with Until 0: a probe made for all sidecars has succeeded
 }
 
 func (PeerVerdict) event() {}
@@ -53,12 +55,12 @@
 	until, since   time.Duration
 	passFraction   float64
 	probes         ProbeOwner
-	successes      int           // in a row, of attempts sent since
-	contradictedAt time.Duration // when others were last told that the endpoint serves; 0: never
-	enforced       bool          // it keeps requests out, or did until it ended
+	successes      int           // consecutive, of attempts sent after since
+	contradictedAt time.Duration // when a success was last reported to other sidecars; 0: never
+	enforced       bool          // it excludes the endpoint, or did until it ended
 }
 
-// onPeerVerdict takes in a verdict of other sidecars.
+// onPeerVerdict applies a verdict of other sidecars.
 func (b *Balancer) onPeerVerdict(e PeerVerdict) {
 	ep := b.endpoints.byID[e.Upstream]
 	unknownClass := e.Class != "" && b.classes[e.Class] == nil
@@ -78,7 +80,7 @@
 		v = &verdict{since: e.Since}
 		g.verdicts[e.Class] = v
 	}
-	if e.PassFraction != v.passFraction { // successes of the step before say nothing of this one
+	if e.PassFraction != v.passFraction { // successes in the previous step do not count in this one
 		v.since, v.successes = b.now, 0
 	}
 	v.until, v.passFraction, v.probes = e.Until, min(max(e.PassFraction, 0), 1), e.Probes
@@ -87,8 +89,8 @@
 	}
 }
 
-// endVerdict ends a verdict, which may be nil. An own ejection ends with it soon if a probe has succeeded, at
-// a time that each sidecar draws.
+// endVerdict ends a verdict, which may be nil. If a probe has succeeded, this sidecar's own ejection of the
+// endpoint also ends, after a random part of reinstatementTime.
 func (b *Balancer) endVerdict(ep *endpoint, v *verdict, probeSucceeded bool) {
 	if v != nil {
 		v.until, v.probes = min(v.until, b.now), ProbeByEach
@@ -99,43 +101,44 @@
 	}
 }
 
-// excludedByEvidence tells whether r is kept from an endpoint by a verdict, or by own evidence on its class.
+// excludedByEvidence reports whether a verdict, or this sidecar's evidence on r's class, excludes an endpoint
+// for r.
 func (b *Balancer) excludedByEvidence(ep *endpoint, r *request) bool {
 	g := ep.gossip
 	if g == nil || len(g.verdicts) == 0 && g.evidence.ejectedClassCount == 0 {
-		return false // the ordinary case, in every pick
+		return false // the usual case, which has to be fast
 	}
-	if ep.health.ejections > 0 { // by own evidence: a verdict only says who probes
+	if ep.health.ejections > 0 { // ejected by this sidecar: a verdict only determines who probes
 		v := g.verdicts[""]
-		others := v != nil && b.now < v.until && v.probes != ProbeByEach
-		return others && b.rng.Float64() >= v.passFraction || b.classExcluded(ep, r)
+		sharedProbing := v != nil && b.now < v.until && v.probes != ProbeByEach
+		return sharedProbing && b.rng.Float64() >= v.passFraction || b.classExcluded(ep, r)
 	}
 	return b.classExcluded(ep, r) || b.excludedByVerdict(ep, "", r) || b.excludedByVerdict(ep, r.class.Name, r)
 }
 
-// excludedByVerdict tells whether the verdict on a class keeps r from an endpoint. One that has ended lets
-// more and more through over reinstatementTime.
+// excludedByVerdict reports whether the verdict on a class excludes an endpoint for r. After the end of the
+// verdict, an increasing fraction of requests is permitted, up to all after reinstatementTime.
 func (b *Balancer) excludedByVerdict(ep *endpoint, class string, r *request) bool {
 	v := ep.gossip.verdicts[class]
 	if v == nil {
 		return false
 	}
-	through, endedFor := v.passFraction, b.now-v.until
+	passing, sinceEnd := v.passFraction, b.now-v.until
 	switch {
-	case endedFor < 0:
+	case sinceEnd < 0:
 		v.enforced = !v.contradicted(ep, class)
-	case endedFor >= reinstatementTime:
+	case sinceEnd >= reinstatementTime:
 		delete(ep.gossip.verdicts, class)
 		return false
 	default:
-		through = max(through, float64(endedFor)/float64(reinstatementTime))
+		passing = max(passing, float64(sinceEnd)/float64(reinstatementTime))
 	}
-	return v.enforced && b.withinEjectionBound(ep, r.class.Name) && (through == 0 || b.rng.Float64() >= through)
+	return v.enforced && b.withinEjectionBound(ep, r.class.Name) && (passing == 0 || b.rng.Float64() >= passing)
 }
 
-// contradicted tells whether own successes outweigh the verdict: one is enough, but on a class it takes
-// several. Attempts that are let through in steps, or are probes for all, don't count: by them the verdict
-// ends for all sidecars or for none.
+// contradicted reports whether this sidecar's successes outweigh the verdict. One success is enough, except
+// for a verdict on a class, which takes several. Attempts that are permitted while the verdict is lifted in
+// steps, and probes for all sidecars, don't count: they end the verdict for all sidecars or for none.
 func (v *verdict) contradicted(ep *endpoint, class string) bool {
 	switch {
 	case v.passFraction > 0 || v.probes == ProbeBySelf:
@@ -146,9 +149,10 @@
 	return v.successes >= minClassSuccesses
 }
 
-// withinEjectionBound tells whether a verdict may keep an endpoint out: only those longest under a verdict in
-// their zone are, up to maxPeerEjectedFraction of the endpoints that could be used otherwise. It is looked at
-// in each pick, so that it holds when endpoints are removed or ejected.
+// withinEjectionBound reports whether a verdict may exclude an endpoint. In each zone, only the endpoints
+// that have been under a verdict the longest are excluded, up to maxPeerEjectedFraction of the endpoints
+// that could be used otherwise. This is checked in each pick, so that the bound also holds after endpoints
+// are removed or ejected.
 func (b *Balancer) withinEjectionBound(ep *endpoint, class string) bool {
 	usable, ahead := 0, 0
 	since, _ := ep.underVerdict(b.now, class)
@@ -157,8 +161,8 @@
 			continue
 		}
 		usable++
-		other, known := x.underVerdict(b.now, class)
-		if x != ep && known && (other < since || other == since && x.id < ep.id) {
+		otherSince, ok := x.underVerdict(b.now, class)
+		if x != ep && ok && (otherSince < since || otherSince == since && x.id < ep.id) {
 			ahead++
 		}
 	}
@@ -166,7 +170,7 @@
 }
 
 // underVerdict tells whether a verdict would keep a class from an endpoint, and since when.
-func (ep *endpoint) underVerdict(now time.Duration, class string) (since time.Duration, known bool) {
+func (ep *endpoint) underVerdict(now time.Duration, class string) (since time.Duration, ok bool) {
 	if ep.gossip == nil {
 		return 0, false
 	}
@@ -175,13 +179,14 @@
 		if v == nil || !v.inForce(now, ep, c) {
 			continue
 		}
-		if !known || v.since < since {
-			since, known = v.since, true
+		if !ok || v.since < since {
+			since, ok = v.since, true
 		}
 	}
-	return since, known
+	return since, ok
 }
 
+// inForce reports whether a verdict on a class still excludes the endpoint, at least from some picks.
 func (v *verdict) inForce(now time.Duration, ep *endpoint, class string) bool {
 	if now < v.until {
 		return !v.contradicted(ep, class)
@@ -189,8 +194,8 @@
 	return now < v.until+reinstatementTime && v.enforced
 }
 
-// recordAgainstVerdicts counts own successes against the verdicts on an endpoint, and tells others of them:
-// the verdict may be wrong.
+// recordAgainstVerdicts counts this sidecar's successes against the verdicts on an endpoint, and reports
+// them to other sidecars, since the verdict may be wrong.
 func (b *Balancer) recordAgainstVerdicts(a *attempt, success bool) {
 	ep := a.endpoint
 	for _, class := range [...]string{"", a.request.class.Name} {
@@ -201,8 +206,8 @@
 		if v.successes++; !success {
 			v.successes = 0
 		}
-		due := v.contradictedAt == 0 || b.now-v.contradictedAt >= contradictionInterval
-		if success && v.contradicted(ep, class) && due {
+		reportDue := v.contradictedAt == 0 || b.now-v.contradictedAt >= contradictionInterval
+		if success && v.contradicted(ep, class) && reportDue {
 			v.contradictedAt = b.now
 			b.emit(Action{Kind: ReportEvidence, Upstream: ep.id, Class: class, Count: v.successes, At: ep.startedAt})
 		}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// minEndpointsPerSidecar is the number of endpoints for each sidecar from which on a sidecar's own pending
-// counts tell how large the endpoints are.
+// minEndpointsPerSidecar is the minimum number of endpoints per sidecar with which a sidecar's own pending
+// counts reflect the capacity of the endpoints.
 const minEndpointsPerSidecar = 2
 
-// pick chooses the endpoint of r's next attempt, or nil if there is none. In the ordinary case that is the
-// one of lower cost of two random ready endpoints. Endpoints that r was sent to already are left out while
+// pick returns the endpoint for r's next attempt, or nil if there is none. Usually it is the one with the
+// lower cost of two random ready endpoints. Endpoints to which r was already sent are excluded while
 // another is ready.
 func (b *Balancer) pick(r *request) *endpoint {
 	if ep := b.pickProbe(r); ep != nil {
@@ -27,8 +27,8 @@
 	return b.pickByZone(local, remote)
 }
 
-// pickUnbanned chooses an endpoint that has got nothing since its ban was cleared. It warms up, and would
-// lose every comparison while there is little to do.
+// pickUnbanned returns an endpoint that was sent nothing since its ban was cleared, or nil if there is
+// none. Such an endpoint warms up, and would never be chosen by its cost while the load is low.
 func (b *Balancer) pickUnbanned(r *request) *endpoint {
 	if len(b.endpoints.awaitingFirstRequest) == 0 {
 		return nil
@@ -41,17 +41,17 @@
 	return nil
 }
 
-// requirement is what a candidate has to meet beside canAttempt.
+// requirement is what a candidate must meet in addition to canAttempt.
 type requirement int
 
 const (
-	readyAndNew requirement = iota // it is ready, and r was not sent to it before
-	ready
-	anyHealth
+	readyAndNew requirement = iota // the endpoint is ready, and r was not sent to it before
+	ready                          // the endpoint is ready
+	anyHealth                      // the endpoint may be ejected
 )
 
-// candidates are the endpoints of the subset that meet the requirement, local and remote ones. They are
-// valid until the next call.
+// candidates returns the local and the remote endpoints of the subset that meet the requirement. The slices
+// are valid until the next call.
 func (b *Balancer) candidates(r *request, required requirement) (local, remote []*endpoint) {
 	local, remote = b.localCandidates[:0], b.remoteCandidates[:0]
 	size := b.subsetSize()
@@ -81,45 +81,46 @@
 	return true
 }
 
-// powerOfTwoChoices returns the one of lower cost of two distinct random candidates; nil: there is none. In
-// a large fleet they are drawn in proportion to their stated weight. There each of many sidecars has next
-// to nothing pending anywhere, and small endpoints would get as much as large ones until they are
-// congested. A few sidecars see that in their pending counts.
-func (b *Balancer) powerOfTwoChoices(from []*endpoint) *endpoint {
-	switch len(from) {
+// powerOfTwoChoices returns the one with the lower cost of two distinct random candidates, or nil if there
+// is none. In a large fleet the two are drawn in proportion to their stated weight. There each sidecar has
+// almost no requests pending at any endpoint, and small endpoints would get as much as large ones until
+// they are congested. In a small fleet the pending counts prevent that.
+func (b *Balancer) powerOfTwoChoices(candidates []*endpoint) *endpoint {
+	switch len(candidates) {
 	case 0:
 		return nil
 	case 1:
-		return from[0]
+		return candidates[0]
 	}
 	if minEndpointsPerSidecar*b.settings.FleetSize > len(b.endpoints.order) {
-		first := b.drawByWeight(from, nil)
-		if second := b.drawByWeight(from, first); b.cost(second) < b.cost(first) {
+		first := b.drawByWeight(candidates, nil)
+		if second := b.drawByWeight(candidates, first); b.cost(second) < b.cost(first) {
 			return second
 		}
 		return first
 	}
-	i := b.rng.IntN(len(from))
-	j := b.rng.IntN(len(from) - 1)
+	i := b.rng.IntN(len(candidates))
+	j := b.rng.IntN(len(candidates) - 1)
 	if j >= i {
 		j++
 	}
-	if b.cost(from[j]) < b.cost(from[i]) {
+	if b.cost(candidates[j]) < b.cost(candidates[i]) {
 		i = j
 	}
-	return from[i]
+	return candidates[i]
 }
 
-// drawByWeight draws a candidate other than excluded in proportion to its weight; nil: there is none.
-func (b *Balancer) drawByWeight(from []*endpoint, excluded *endpoint) (drawn *endpoint) {
+// drawByWeight returns a random candidate other than excluded, drawn in proportion to weight, or nil if
+// there is none.
+func (b *Balancer) drawByWeight(candidates []*endpoint, excluded *endpoint) (drawn *endpoint) {
 	total := 0.0
-	for _, ep := range from {
+	for _, ep := range candidates {
 		if ep != excluded {
 			total += ep.weight
 		}
 	}
 	x := b.rng.Float64() * total
-	for _, ep := range from {
+	for _, ep := range candidates {
 		if ep != excluded {
 			if drawn = ep; x < ep.weight {
 				break
@@ -130,9 +131,9 @@
 	return drawn
 }
 
-// cost is peak EWMA latency x (pending attempts + 1). An estimate that gets old tends to the mean of its
-// kind of machine, not to nothing: an idle endpoint is not a fast one. A pending attempt counts with the
-// time that it has taken so far, which guards against endpoints that stopped answering.
+// cost returns peak EWMA latency x (pending attempts + 1). An estimate that gets old approaches the mean of
+// its kind of machine, and not 0: an idle endpoint is not a fast one. The oldest pending attempt counts
+// with the time that it has taken so far, which guards against endpoints that have stopped answering.
 func (b *Balancer) cost(ep *endpoint) float64 {
 	w := ep.latency.weight(b.now, b.decayTime())
 	latency := ep.latency.value*w + *ep.machineLatency*(1-w)
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Probes made for all sidecars, of an endpoint that a verdict keeps out, by the sidecar that owns them. They
-// are ordinary idempotent requests of clients, one at a time for each endpoint, and early enough to be sent
-// elsewhere in time.
+// An endpoint that a verdict excludes is probed by one sidecar for all sidecars. Its probes are ordinary
+// idempotent requests of clients, one at a time for each endpoint, and early enough that they can still be
+// sent to another endpoint in time.
 
 const (
-	probeInterval    = 300 * time.Millisecond // between probes that succeed
-	maxProbeInterval = 5 * time.Second        // between probes that fail: doubles up to this
-	// A probe waits for maxProbeDelays times the hedge delay at most, and once that at least, and leaves
-	// reservedRetryMedians medians for the attempt after it.
+	probeInterval    = 300 * time.Millisecond // between probes while they succeed
+	maxProbeInterval = 5 * time.Second        // between probes while they fail: the interval doubles up to this
+	// A probe waits for an answer for 1 to maxProbeDelays hedge delays, and leaves reservedRetryMedians median
+	// latencies for the attempt after it.
 	maxProbeDelays       = 2.0
 	reservedRetryMedians = 1.5
 )
 
-// sharedProbe is the probing of one endpoint by this sidecar.
+// sharedProbe is the state of this sidecar's probes of one endpoint for all sidecars.
 type sharedProbe struct {
-	request  *request // whose attempt is the probe that is out; nil: none is
-	attempt  int
+	request  *request // request whose attempt is the pending probe; nil if there is none
+	attempt  int      // number of that attempt
 	nextAt   time.Duration
-	failures int // in a row
+	failures int // consecutive
 }
 
 func (b *Balancer) beginProbing(ep *endpoint) {
@@ -32,7 +32,7 @@
 	b.probedEndpoints = append(b.probedEndpoints, ep)
 }
 
-// pickProbe returns the endpoint that r's first attempt probes, or nil.
+// pickProbe returns the endpoint that r's first attempt is to probe, or nil if there is none.
 func (b *Balancer) pickProbe(r *request) *endpoint {
 	if len(b.probedEndpoints) == 0 || !b.canProbe(r) {
 		return nil
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// canProbe tells whether r may fail its first attempt without harm.
+// canProbe reports whether r can be used as a probe: no harm is done if its first attempt fails.
 func (b *Balancer) canProbe(r *request) bool {
 	if r.class.Idempotency != Idempotent || r.bodyPending || len(r.attempts) > 0 || b.retryBudget.empty() {
 		return false
@@ -60,19 +60,19 @@
 	return canRetry && b.probeTimeout(r) >= seconds(b.latency.hedgeDelay.value*r.work)
 }
 
-// probedBySelf tells whether the endpoint's probes are this sidecar's.
+// probedBySelf reports whether this sidecar probes the endpoint for all sidecars.
 func (ep *endpoint) probedBySelf(now time.Duration) bool {
 	v := ep.gossip.verdicts[""]
 	return v != nil && now < v.until && v.probes == ProbeBySelf
 }
 
-// probeTimeout is how long a probe waits for its answer: so long that another attempt can follow.
+// probeTimeout returns how long a probe waits for its answer, such that another attempt can follow.
 func (b *Balancer) probeTimeout(r *request) time.Duration {
 	reserved := seconds(reservedRetryMedians * b.latency.median.value * r.work)
 	return min(seconds(maxProbeDelays*b.latency.hedgeDelay.value*r.work), r.abandonAt-b.now-reserved)
 }
 
-// onProbeEnded reports a probe's result. One that was ended before its time tells nothing.
+// onProbeEnded reports a probe's result to other sidecars. A probe that was cancelled or not sent has none.
 func (b *Balancer) onProbeEnded(a *attempt, res Result) {
 	ep := a.endpoint
 	probe := &ep.gossip.probe
@@ -93,6 +93,7 @@
 		At: ep.startedAt})
 }
 
+// probeEvidence returns the evidence of a failed probe.
 func probeEvidence(res Result) Evidence {
 	switch res {
 	case ServerError:
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// class is a Class of the settings, and what was learned of it.
+// class is a Class of the settings and what was learned about it.
 type class struct {
 	Class
 	meanLatency  float64 // seconds
 	firstAttempt firstAttemptTime
 }
 
-// newClass begins with what was learned of the class of that name; nil: nothing was.
-func newClass(settings Class, before *class) *class {
+// newClass returns a class that keeps the mean latency of old, the class that it replaces, unless old is nil.
+func newClass(settings Class, old *class) *class {
 	c := &class{Class: settings, meanLatency: settings.LatencyObjective.Seconds() / initialLatencyDivisor}
-	if before != nil {
-		c.meanLatency = before.meanLatency
+	if old != nil {
+		c.meanLatency = old.meanLatency
 	}
 	return c
 }
 
-// attempt is a request sent to an endpoint.
+// attempt is one sending of a request to an endpoint.
 type attempt struct {
 	request    *request
 	number     int // from 0
 	endpoint   *endpoint
-	zone       string // of the endpoint, when it was sent
-	cell       int
+	zone       string // of the endpoint, when the attempt was sent
+	cell       int    // of the endpoint, when the attempt was sent
 	sentAt     time.Duration
 	pending    bool // it has no result yet
-	mayHaveRun bool // false: it is known not to have run
+	mayHaveRun bool // false if it is known not to have run
 }
 
-// request is a client's request until it has its answer and all results of its attempts.
+// request is the state of a client's request until it is answered and all its attempts have ended.
 type request struct {
 	id          string
 	class       *class
-	tenant      int // index in Settings.Tenants; -1: none
+	tenant      int // index in Settings.Tenants; -1 if there is none
 	arrivedAt   time.Duration
 	expiresAt   time.Duration
 	objectiveAt time.Duration // clock time at which its latency objective ends
 	abandonAt   time.Duration // clock time at which it is abandoned
 	costHint    time.Duration
-	work        float64 // expected, relative to the mean request
+	work        float64 // expected work, relative to the mean request
 
 	attempts        []*attempt
 	pendingAttempts int
-	maxAttempts     int // by the settings that it came under
+	maxAttempts     int // by the settings in force when it arrived
 
 	bodyPending   bool
-	pastObjective bool          // the client's first attempt at it is longer ago than the objective
-	done          bool          // it has its answer, or its client is gone
-	stalled       bool          // nothing will come of its pending attempt, see checkStalled
+	pastObjective bool          // the client's first attempt was longer ago than the objective
+	done          bool          // it has its answer, or its client has disconnected
+	stalled       bool          // its pending attempt will probably get no answer, see checkStalled
 	streaming     bool          // its answer has begun
 	hedgeAt       time.Duration // clock time at which its latest attempt is late
 }
@@ -61,7 +61,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endpoint == ep })
 }
 
-// onRequest takes a request in. One that repeats the id of a request in flight is ignored.
+// onRequest processes a new request. One with the ID of a request in flight is ignored.
 func (b *Balancer) onRequest(e Request) {
 	c := b.classes[e.Class]
 	if b.requests[e.ID] != nil {
@@ -84,13 +84,13 @@
 		b.abandon(r)
 		return
 	}
-	b.admission.offered.add(r.work, b.now) // not what is rejected: its repeats would count again
+	b.admission.offered.add(r.work, b.now) // not rejected requests: their repeats would count again
 	b.dispatch(r)
 }
 
-// onBodyComplete starts the clock of a request whose body was still being received. It guards against slow
-// clients that make endpoints look slow and the sidecar look full: an endpoint, too, begins with the last
-// byte.
+// onBodyComplete sets the deadlines and timers of a request whose body has now been received. Otherwise,
+// slow clients would make endpoints look slow and the sidecar look overloaded: endpoints, too, start
+// processing with the last byte.
 func (b *Balancer) onBodyComplete(e BodyComplete) {
 	r := b.requests[e.ID]
 	if r == nil || r.done || !r.bodyPending {
@@ -109,8 +109,8 @@
 	}
 }
 
-// dispatch sends a request that has no attempt pending. If no endpoint is ready it waits for one, or is
-// abandoned if it can't have another attempt.
+// dispatch sends a request that has no attempt pending. If no endpoint is ready, the request waits for one.
+// It is abandoned if it can't have another attempt, or if there is too little time for one.
 func (b *Balancer) dispatch(r *request) {
 	if b.now+b.latency.expected(r.work) > r.abandonAt && len(r.attempts) > 0 {
 		b.abandon(r)
@@ -129,7 +129,7 @@
 
 // startAttempt sends r to an endpoint that pick returned for it.
 func (b *Balancer) startAttempt(r *request, ep *endpoint) {
-	notAfter := b.retryAllowedUntil(r)
+	deadline := b.retryAllowedUntil(r)
 	a := &attempt{request: r, number: len(r.attempts), endpoint: ep, zone: ep.zone, cell: ep.cell, sentAt: b.now,
 		pending: true, mayHaveRun: true}
 	if a.number == 0 {
@@ -137,7 +137,7 @@
 	} else {
 		b.retryBudget.withdraw()
 	}
-	if r.stalled { // with the attempt before
+	if r.stalled { // in the previous attempt
 		r.stalled = false
 		b.admission.stalled--
 		b.startStallTimer(r)
@@ -147,13 +147,13 @@
 	ep.inFlight = append(ep.inFlight, a)
 	ep.slowStart.tokens -= r.work
 	delete(b.endpoints.awaitingFirstRequest, ep.id)
-	b.emit(Action{Kind: StartAttempt, ID: r.id, Upstream: ep.id, Timeout: b.attemptTimeout(r, ep), At: notAfter})
+	b.emit(Action{Kind: StartAttempt, ID: r.id, Upstream: ep.id, Timeout: b.attemptTimeout(r, ep), At: deadline})
 	if !r.bodyPending {
 		b.startHedgeTimer(r)
 	}
 }
 
-// onFirstByte notes that an answer has begun: the client is bound to that attempt.
+// onFirstByte records that an attempt's answer has begun, and cancels the other attempts.
 func (b *Balancer) onFirstByte(e FirstByte) {
 	if r := b.requests[e.ID]; r != nil {
 		r.streaming = true
@@ -161,7 +161,7 @@
 	}
 }
 
-// onAttemptEnded takes in an attempt's result, and answers its request or sends it again.
+// onAttemptEnded records an attempt's result, and ends its request or sends it again if necessary.
 func (b *Balancer) onAttemptEnded(e AttemptEnded) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].pending {
@@ -172,7 +172,7 @@
 	r.pendingAttempts--
 	a.mayHaveRun = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != NotSent
 	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, func(x *attempt) bool { return x == a })
-	if !r.bodyPending || e.Result != Cancelled { // a client that broke off its body says nothing of the endpoint
+	if !r.bodyPending || e.Result != Cancelled { // a client that aborts its body says nothing about the endpoint
 		b.observeAttempt(a, e.Result, e.Elapsed)
 		b.updateHealth(a, e.Result, e.Elapsed)
 	}
@@ -194,11 +194,11 @@
 }
 
 // onFinalAnswer ends a request that an attempt has answered.
-func (b *Balancer) onFinalAnswer(r *request, winner int) {
+func (b *Balancer) onFinalAnswer(r *request, number int) {
 	if r.pendingAttempts > 0 {
-		b.hedges.record(winner > 0 && b.now < r.objectiveAt)
+		b.hedges.record(number > 0 && b.now < r.objectiveAt)
 	}
-	b.cancelOthers(r, winner)
+	b.cancelOthers(r, number)
 	b.adjustLimit(r)
 	b.closeRequest(r)
 }
@@ -209,7 +209,7 @@
 	}
 }
 
-// cancelOthers ends the pending attempts but for the one of that number; -1: all of them.
+// cancelOthers cancels r's pending attempts, except the one with the given number. With -1 it cancels all.
 func (b *Balancer) cancelOthers(r *request, number int) {
 	for _, a := range r.attempts {
 		if a.pending && a.number != number && b.settings.Cancellation {
@@ -218,7 +218,7 @@
 	}
 }
 
-// closeRequest ends a request: it has its answer, or its client is gone.
+// closeRequest ends a request that has its answer or whose client has disconnected.
 func (b *Balancer) closeRequest(r *request) {
 	if r.done {
 		return
@@ -233,7 +233,7 @@
 	b.forgetRequest(r)
 }
 
-// forgetRequest forgets a request once it is done and all its attempts have a result.
+// forgetRequest removes a request once it is done and all its attempts have a result.
 func (b *Balancer) forgetRequest(r *request) {
 	if r.done && r.pendingAttempts == 0 {
 		delete(b.requests, r.id)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	retryBudgetRatio = 0.25 // retries and hedged requests for each first attempt, over time
-	minRetryBudget   = 10.0 // so many at once in any case, so that a quiet sidecar can retry at all
+	retryBudgetRatio = 0.25 // retries and hedged requests per first attempt, on average
+	minRetryBudget   = 10.0 // minimum size of the budget, so that a sidecar with a low load can retry at all
 )
 
 // retryBudget bounds retries and hedged requests in proportion to first attempts, so that they don't
-// multiply an overload. Retries of refused connections cost nothing, and are not held to it.
+// multiply an overload. Retries of refused connections cost nothing, and are not bounded by it.
 type retryBudget struct{ tokens float64 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: minRetryBudget} }
 
-// deposit counts a first attempt. The budget holds what a second's offered load earns.
+// deposit counts a first attempt. The budget holds at most what the offered load of one second adds to it, or
+// minRetryBudget if that is more.
 func (r *retryBudget) deposit(offeredPerSecond float64) {
 	r.tokens = min(r.tokens+retryBudgetRatio, max(minRetryBudget, retryBudgetRatio*offeredPerSecond))
 }
@@ -25,7 +26,7 @@
 
 func (r *retryBudget) empty() bool { return r.tokens < 1 }
 
-// canAttempt is the gate that every attempt passes: r may be sent, and sent again, and to ep.
+// canAttempt reports whether an attempt of r may be sent to ep now. It is checked for every attempt.
 func (b *Balancer) canAttempt(r *request, ep *endpoint) bool {
 	if r.done || r.streaming || b.attemptsExhausted(r) || b.now >= r.expiresAt {
 		return false
@@ -42,23 +43,24 @@
 	return b.slowStartAllows(ep)
 }
 
-// attemptsExhausted tells whether r has had all the attempts that the settings allow, both those in force
+// attemptsExhausted reports whether r has had all the attempts that the settings allow, both those in force
 // when it arrived and the present ones.
 func (b *Balancer) attemptsExhausted(r *request) bool {
 	return len(r.attempts) >= min(r.maxAttempts, b.settings.MaxAttempts)
 }
 
-// retryForbidden tells whether an attempt of r may have run, and none may follow it.
+// retryForbidden reports whether no further attempt of r is allowed because an earlier one may have run.
 func (b *Balancer) retryForbidden(r *request) bool {
 	until := b.retryAllowedUntil(r)
 	return until != 0 && (r.class.Idempotency == NotIdempotent || b.now >= until)
 }
 
-// retryAllowedUntil is the clock time by which the first byte of another attempt of r has to be sent, since
-// an attempt may have run whose repeats are dropped only until then; 0: no attempt may have run. Connecting
-// takes time, so that an attempt decided on in time may begin too late.
+// retryAllowedUntil returns the clock time before which the first byte of another attempt of r must be
+// sent, because repeats of an attempt that may have run are dropped only until then. It returns 0 if r is
+// idempotent or no attempt may have run. Connecting takes time, so an attempt that is started in time may
+// be sent too late.
 func (b *Balancer) retryAllowedUntil(r *request) time.Duration {
-	for _, a := range r.attempts { // the earliest comes first
+	for _, a := range r.attempts { // in the order in which they were sent
 		if a.mayHaveRun && r.class.Idempotency != Idempotent {
 			return max(a.sentAt+r.class.DedupWindow-2*b.settings.Tick, 1)
 		}
@@ -66,7 +68,7 @@
 	return 0
 }
 
-// inKeyScope tells whether ep drops a repeat of what an earlier attempt of r may have run.
+// inKeyScope reports whether ep drops repeats of all earlier attempts of r that may have run.
 func (r *request) inKeyScope(ep *endpoint) bool {
 	if r.class.Idempotency != IdempotentByKey {
 		return true
@@ -78,7 +80,7 @@
 	})
 }
 
-// canReject tells whether a client may be told that sending r again is harmless.
+// canReject reports whether a client may be told that sending r again is harmless.
 func canReject(r *request) bool {
 	c := r.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == KeyScopeAll {
@@ -87,7 +89,7 @@
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// attemptTimeout is how long r's next attempt may take at ep.
+// attemptTimeout returns how long r's next attempt may take at ep.
 func (b *Balancer) attemptTimeout(r *request, ep *endpoint) time.Duration {
 	timeout := max(r.abandonAt-b.now, b.settings.Tick)
 	if ep.gossip != nil && ep.gossip.probe.request == r {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Idempotency tells what a second run of a request does.
+// Idempotency says whether a request may run more than once.
 type Idempotency int
 
 // The kinds of idempotency. New fails for any other value.
@@ -18,7 +18,7 @@
 	NotIdempotent                      // must not run twice
 )
 
-// KeyScope is the set of endpoints that share the memory of idempotency keys.
+// KeyScope is the set of endpoints that share a store of idempotency keys.
 type KeyScope int
 
 // The scopes of idempotency keys.
@@ -48,20 +48,20 @@
 	Quota float64 // fraction of the arriving requests that it is entitled to, 0 to 1
 }
 
-// Settings configures a Balancer. Where no default is stated, the zero value turns a feature off or makes its
-// cost nil.
+// Settings configures a Balancer. Where no default is stated, the zero value turns a feature off or means
+// that it has no cost.
 type Settings struct {
 	FleetSize int    // sidecars that share the endpoints; default: 1
 	Zone      string // zone of this sidecar
 	Classes   []Class
 	Tenants   []Tenant
 
-	MustSubscribe bool          // the endpoint list has to be asked for with Subscribe
+	MustSubscribe bool          // the endpoint list must be requested with Subscribe
 	Tick          time.Duration // shortest time between two calls of Handle; default: 1 ms
 
 	MaxAttempts    int // attempts of one request; default: 1
 	Hedging        bool
-	Cancellation   bool // CancelAttempt is understood
+	Cancellation   bool // the sidecar supports CancelAttempt
 	RetryAfter     bool // Reject may carry RetryAfter
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
@@ -70,19 +70,19 @@
 	OverQuotaFraction float64 // fraction of its value that a request over its tenant's quota has, 0 to 1
 	WeightByWork      bool    // PriorityWeight counts for each unit of work, not for each request
 
-	SlowStartCapacity float64       // fraction of its capacity that a starting endpoint has at least; default: 1
+	SlowStartCapacity float64       // minimum fraction of its capacity that a starting endpoint has; default: 1
 	SlowStartWindow   time.Duration // time after which a started endpoint has its full capacity
 	OverloadMultiple  float64       // load, relative to present capacity, that makes an endpoint fail; 0: none
-	OverloadDuration  time.Duration // time for which that load has to last
+	OverloadDuration  time.Duration // how long that load must last for the endpoint to fail
 
-	ShareEvidence bool // report own evidence on endpoints with ReportEvidence, and follow PeerVerdict
+	ShareEvidence bool // report evidence with ReportEvidence, and apply PeerVerdict
 }
 
-// SettingError says which setting New can't use. New returns no other error.
+// SettingError is the error that New returns for an invalid setting. New returns no other error.
 type SettingError struct {
-	Setting string // the field of Settings
-	Element string // where that is a list: the Name of the class or tenant
-	Field   string // the element's field; empty: the setting as a whole
+	Setting string // name of the field of Settings
+	Element string // Name of the class or tenant, if the field is a list
+	Field   string // name of the element's field; empty if the whole setting is invalid
 	Reason  string
 }
 
@@ -98,7 +98,7 @@
 
 const nameField = "Name"
 
-// validate fills in defaults, and names the first setting that is invalid.
+// validate sets defaults, and returns a SettingError for the first invalid setting.
 func (s *Settings) validate() error {
 	if err := s.validateNumbers(); err != nil {
 		return err
@@ -175,10 +175,10 @@
 	return nil
 }
 
-// isFraction is false for NaN, too.
+// isFraction reports whether x is between 0 and 1. It returns false for NaN.
 func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
-// invalidField names the first field that is invalid; "": none is.
+// invalidField returns the name of the first invalid field, or "" if there is none.
 func (c *Class) invalidField() string {
 	switch {
 	case c.LatencyObjective <= 0:
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// An endpoint that has just started has a part of its capacity, and fails if the whole fleet sends it too
-// much. The rule counts all sidecars' work, and no sidecar knows what the others send. So each holds itself
-// to a token bucket for each such endpoint whose rates, over the fleet, stay under the rule whatever the
-// number of sidecars and their shares of the work (docs/ARCHITECTURE.md, "Cold upstreams").
+// An endpoint that has just started has only a part of its capacity, and fails if the fleet sends it too
+// much. The limit applies to the work of all sidecars, and no sidecar knows what the others send. Each
+// sidecar therefore uses a token bucket for each such endpoint. The sum of the buckets' rates over the
+// fleet stays below the limit, for any number of sidecars and any distribution of the work
+// (docs/ARCHITECTURE.md, "Cold upstreams").
 
 const (
-	// slowStartSafety is the fraction used of the load that makes an endpoint fail: its capacity may be smaller
-	// than stated.
+	// slowStartSafety is the used fraction of the load that makes an endpoint fail. The margin is needed because
+	// the endpoint's capacity may be smaller than stated.
 	slowStartSafety = 0.45
-	// heldTokenFraction is how much of what comes within OverloadDuration all sidecars together may hold in
-	// tokens.
+	// heldTokenFraction bounds the tokens that all sidecars together hold for an endpoint on average, as a
+	// fraction of the tokens that they get within OverloadDuration.
 	heldTokenFraction = 1.0
-	// bucketDivisor is the part of OverloadDuration whose tokens a bucket may hold.
+	// A bucket holds at most the tokens of OverloadDuration divided by bucketDivisor, but at least one.
 	bucketDivisor = 10
 )
 
-// slowStart is the token bucket of an endpoint that warms up. A token is a request of mean work.
+// slowStart is the token bucket of an endpoint that warms up. A token stands for a request of mean work.
 type slowStart struct {
-	active     bool
+	active     bool          // the endpoint warms up
 	startedAt  time.Duration // clock time
-	tokens     float64       // below 0: in debt, by a request of more than mean work
-	refilledAt time.Duration // in the future: tokens until then were granted in advance
+	tokens     float64       // may be negative after a request of more than mean work
+	refilledAt time.Duration // in the future if tokens were granted in advance
 }
 
-// inherit takes over what was spent of an earlier bucket of the same endpoint.
+// inherit takes over the spent tokens of an earlier bucket of the same endpoint.
 func (s *slowStart) inherit(old *slowStart) {
 	s.tokens = min(s.tokens, old.tokens)
 	s.refilledAt = max(s.refilledAt, old.refilledAt)
 }
 
-// beginSlowStart begins an endpoint's warm-up at a clock time, with an estimate as slow as its capacity is
-// low.
+// beginSlowStart starts an endpoint's warm-up as of clock time from. Its latency estimate is the mean of
+// its kind of machine, divided by its capacity.
 func (b *Balancer) beginSlowStart(ep *endpoint, from time.Duration) {
 	ep.slowStart = slowStart{active: true, startedAt: from, refilledAt: b.now, tokens: b.rng.Float64()}
 	ep.latency = peakEWMA{*ep.machineLatency / b.warmCapacity(ep), b.now}
 }
 
-// warmCapacity is the least fraction of its capacity that an endpoint has by now, 0 to 1.
+// warmCapacity returns the fraction of its capacity that an endpoint has at least by now, 0 to 1.
 func (b *Balancer) warmCapacity(ep *endpoint) float64 {
 	s := &ep.slowStart
 	if s.active && b.now-s.startedAt >= b.settings.SlowStartWindow {
@@ -55,7 +56,8 @@
 	return min(1, b.settings.SlowStartCapacity+(1-b.settings.SlowStartCapacity)*age)
 }
 
-// slowStartAllows tells whether an endpoint's bucket has a token; one that does not warm up needs none.
+// slowStartAllows reports whether an endpoint's bucket has a token. An endpoint that does not warm up needs
+// none.
 func (b *Balancer) slowStartAllows(ep *endpoint) bool {
 	capacity := b.warmCapacity(ep)
 	if !ep.slowStart.active {
@@ -66,24 +68,26 @@
 	return perSecond > 0 && ep.slowStart.tokens >= 1
 }
 
-// slowStartRate is the rate at which an endpoint's bucket fills, in tokens a second: slowStartSafety of the
-// overload multiple of what this sidecar sends on average to an endpoint of the same side (local or remote)
-// of its subset, as far as the endpoint is warm. It is 0 for an endpoint outside the subset: with many
-// warming up, each sidecar would come to each. If fewer are listed than carried the work of late, or fewer
-// are local than a zone has on average, the larger number counts. That guards against a zone's entire work
-// for its first endpoints that come back.
+// slowStartRate returns the rate at which an endpoint's bucket fills, in tokens per second. It is the
+// average load that this sidecar sends to an endpoint of the same locality (local or remote) of its subset,
+// multiplied by slowStartSafety, OverloadMultiple and the endpoint's present capacity. The rate is 0 for an
+// endpoint outside the subset: otherwise each sidecar would send to each of many endpoints that warm up.
+//
+// If fewer endpoints are listed than carried the load recently, or fewer are local than a zone has on
+// average, the average is taken over the larger number. Otherwise a zone's first endpoints that return
+// would get its entire load.
 func (b *Balancer) slowStartRate(ep *endpoint, capacity float64) float64 {
 	t := &b.endpoints
 	local := ep.zone == b.settings.Zone
-	fraction, size, usual := b.locality.localFraction, t.localCount, t.recentSize/float64(t.zoneCount)
+	loadFraction, size, expectedSize := b.locality.localFraction, t.localCount, t.recentSize/float64(t.zoneCount)
 	if !local {
-		fraction, size, usual = 1-fraction, len(t.order)-size, t.recentSize-usual
+		loadFraction, size, expectedSize = 1-loadFraction, len(t.order)-size, t.recentSize-expectedSize
 	}
 	if size == len(t.order) {
-		fraction, usual = 1, t.recentSize
+		loadFraction, expectedSize = 1, t.recentSize
 	}
-	capacity *= min(1, float64(size)/usual)
-	if t.banClearedAt[ep.id] == 0 { // else it comes first with every sidecar, not just with some by chance
+	capacity *= min(1, float64(size)/expectedSize)
+	if t.banClearedAt[ep.id] == 0 { // with a cleared ban, it is in every sidecar's subset
 		size = min(size, b.subsetSize())
 	}
 	if !t.isAmongFirst(ep, size, b.settings.Zone) {
@@ -92,17 +96,17 @@
 	if b.settings.OverloadMultiple > 0 {
 		capacity *= slowStartSafety * b.settings.OverloadMultiple
 	}
-	return capacity * fraction * b.admission.carriedLoad(b.now) / float64(max(size, 1))
+	return capacity * loadFraction * b.admission.carriedLoad(b.now) / float64(max(size, 1))
 }
 
-// isAmongFirst tells whether fewer than size endpoints of ep's side come before it in the order.
+// isAmongFirst reports whether ep is one of the first size endpoints of its locality in the order.
 func (t *endpointTable) isAmongFirst(ep *endpoint, size int, zone string) bool {
 	local, ahead := ep.zone == zone, 0
-	for _, x := range t.order {
-		if x == ep {
+	for _, other := range t.order {
+		if other == ep {
 			break
 		}
-		if (x.zone == zone) == local {
+		if (other.zone == zone) == local {
 			if ahead++; ahead == size {
 				return false
 			}
@@ -112,37 +116,38 @@
 }
 
 // refillSlowStart adds the tokens that are due. It guards against many sidecars that each hold a token for
-// the same endpoint after a lull, and spend them together: where each gets few, a whole token lapses by
-// chance, so that the fleet holds heldTokenFraction of what comes within OverloadDuration on average.
+// the same endpoint after a lull, and spend them at the same time: where each sidecar gets few tokens, a
+// whole token expires at random, so that the fleet holds on average heldTokenFraction of its tokens for
+// OverloadDuration.
 func (b *Balancer) refillSlowStart(s *slowStart, perSecond float64) {
 	elapsed := (b.now - s.refilledAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	window := perSecond * b.settings.OverloadDuration.Seconds()
+	windowTokens := perSecond * b.settings.OverloadDuration.Seconds()
 	s.refilledAt = b.now
-	before := s.tokens
-	s.tokens = min(max(1, window/bucketDivisor), before+perSecond*elapsed)
-	if held := heldTokenFraction * window; s.tokens >= 1 && held > 0 && held < 1 {
-		heldFor := elapsed - max(0, 1-before)/perSecond
-		meanHeld := heldTokenFraction * b.settings.OverloadDuration.Seconds() / (1 - held)
-		if b.rng.Float64() > math.Exp(-heldFor/meanHeld) {
+	oldTokens := s.tokens
+	s.tokens = min(max(1, windowTokens/bucketDivisor), oldTokens+perSecond*elapsed)
+	if meanTokens := heldTokenFraction * windowTokens; s.tokens >= 1 && meanTokens > 0 && meanTokens < 1 {
+		holdTime := elapsed - max(0, 1-oldTokens)/perSecond
+		meanHoldTime := heldTokenFraction * b.settings.OverloadDuration.Seconds() / (1 - meanTokens)
+		if b.rng.Float64() > math.Exp(-holdTime/meanHoldTime) {
 			s.tokens = 0
 		}
 	}
 }
 
-// grantFirstRequest gives an endpoint whose ban was cleared what comes within OverloadDuration at once, as
-// one request or, by chance, none, and nothing more until that time is over. It guards against an endpoint
-// that every sidecar sends its first request to at the same moment.
+// grantFirstRequest grants an endpoint whose ban was cleared the tokens of the next OverloadDuration in
+// advance. Their number is the probability of granting one token, and no more are granted until that time
+// is over. It guards against all sidecars sending the endpoint their first request at the same moment.
 func (b *Balancer) grantFirstRequest(ep *endpoint) {
 	ep.slowStart.tokens = 1
 	capacity := b.warmCapacity(ep)
 	if !ep.slowStart.active || b.settings.OverloadMultiple == 0 {
 		return
 	}
-	granted := b.slowStartRate(ep, capacity) * b.settings.OverloadDuration.Seconds()
-	if !(b.rng.Float64() < granted) {
+	windowTokens := b.slowStartRate(ep, capacity) * b.settings.OverloadDuration.Seconds()
+	if !(b.rng.Float64() < windowTokens) {
 		ep.slowStart.tokens = 0
 	}
 	ep.slowStart.refilledAt = b.now + b.settings.OverloadDuration
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Snapshot is what a Balancer has learned from its own attempts. It is an event, too: the next process of the
-// same sidecar begins with it, after its first endpoint list. Times are durations before the moment of the
+// Snapshot is what a Balancer has learned from its own attempts. It is also an event: the next process of
+// the same sidecar starts from it, after its first endpoint list. Times are stored as durations before the
 // snapshot, since clocks differ between processes.
 //
-// The encoded names are those of the first version: snapshots are stored, and pass between processes of
-// different versions.
+// The encoded names are those of the first version, because snapshots are stored and passed between
+// processes of different versions.
 type Snapshot struct {
 	Endpoints         map[string]EndpointSnapshot `json:"Upstreams"`
 	MachineLatency    map[string]float64          `json:"Kinds"` // normalized, seconds
 	Classes           map[string]ClassSnapshot    `json:"Classes"`
 	Tenants           map[string]RateSnapshot     `json:"Tenants"`
-	FleetLatency      float64                     `json:"Fleet"` // mean normalized latency, seconds
-	MeanLatency       float64                     `json:"Mean"`  // seconds
-	MeanHint          float64                     `json:"HintMean"`
-	MedianLatency     float64                     `json:"Mid"`  // normalized, seconds
-	HedgeDelay        float64                     `json:"Late"` // normalized, seconds
+	FleetLatency      float64                     `json:"Fleet"`    // mean normalized latency, seconds
+	MeanLatency       float64                     `json:"Mean"`     // seconds
+	MeanHint          float64                     `json:"HintMean"` // seconds
+	MedianLatency     float64                     `json:"Mid"`      // normalized, seconds
+	HedgeDelay        float64                     `json:"Late"`     // normalized, seconds
 	LocalFraction     float64                     `json:"AtHome"`
 	LimitFraction     float64                     `json:"Limit"`
 	Congestion        float64                     `json:"Crowd"`
 	HedgeSuccessRatio float64                     `json:"Wins"`
 	CongestionAge     time.Duration               `json:"CrowdAge"`
-	SheddingAge       time.Duration               `json:"ShedAge"` // 0: no load is shed
+	SheddingAge       time.Duration               `json:"ShedAge"` // 0 if no load is shed
 	OfferedAtShedding float64                     `json:"Carried"`
 	Offered           RateSnapshot                `json:"Offered"`
 	Served            RateSnapshot                `json:"Served"`
 }
 
-// EndpointSnapshot is what was learned of one process of an endpoint.
+// EndpointSnapshot is what was learned about one process of an endpoint.
 type EndpointSnapshot struct {
-	Uptime       time.Duration `json:"UpFor"`    // 0: long
-	PeakEWMA     float64       `json:"Estimate"` // seconds
+	Uptime       time.Duration `json:"UpFor"`    // 0: started long ago
+	PeakEWMA     float64       `json:"Estimate"` // normalized, seconds
 	Age          time.Duration `json:"Age"`      // of the estimate
 	Ejections    int           `json:"Ejections"`
-	EjectedFor   time.Duration `json:"Left"`    // from now on
-	SlowStartAge time.Duration `json:"ColdFor"` // 0: it does not warm up
-	Tokens       float64       `json:"Tokens"`  // of its slow-start bucket; below 0: in debt
+	EjectedFor   time.Duration `json:"Left"`    // remaining time of the ejection; 0 if there is none
+	SlowStartAge time.Duration `json:"ColdFor"` // 0 if it does not warm up
+	Tokens       float64       `json:"Tokens"`  // in its slow-start bucket; may be negative
 }
 
-// ClassSnapshot is what was learned of a class.
+// ClassSnapshot is what was learned about a class.
 type ClassSnapshot struct {
 	MeanLatency       float64       `json:"Mean"` // seconds
 	FirstAttemptTime  time.Duration `json:"TryTime"`
@@ -54,17 +54,17 @@
 // RateSnapshot is an exponentially weighted rate.
 type RateSnapshot struct {
 	Sum float64       `json:"Sum"`
-	Age time.Duration `json:"Age"` // since its first event; 0: there was none
+	Age time.Duration `json:"Age"` // since its first event; 0 if there was none
 }
 
 const (
-	// startTolerance is how far apart two processes may put the start of an endpoint by their clocks.
+	// startTolerance is how much two processes' clock times of an endpoint's start may differ.
 	startTolerance = 10 * time.Millisecond
-	// rateLifetime is the age from which on rates, and what was shed by them, are void.
+	// rateLifetime is the age above which rates, and the state of load shedding, are discarded.
 	rateLifetime = 2 * time.Second
 )
 
-// Snapshot returns what was learned until now.
+// Snapshot returns what the Balancer has learned until now.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
 		Endpoints:         map[string]EndpointSnapshot{},
@@ -122,8 +122,7 @@
 	return s
 }
 
-// onSnapshot begins with what the process before has learned. A snapshot with a value that could upset the
-// decisions is ignored.
+// onSnapshot restores what the previous process has learned. A snapshot with an invalid value is ignored.
 func (b *Balancer) onSnapshot(s Snapshot) {
 	if !s.valid() {
 		return
@@ -137,12 +136,12 @@
 		}
 	}
 	for i, t := range b.settings.Tenants {
-		if x, known := s.Tenants[t.Name]; known {
+		if x, ok := s.Tenants[t.Name]; ok {
 			b.admission.tenants[i].restore(x, b.now)
 		}
 	}
 	for _, ep := range b.endpoints.order {
-		if x, known := s.Endpoints[ep.id]; known && ep.sameProcess(x, b.now) {
+		if x, ok := s.Endpoints[ep.id]; ok && ep.sameProcess(x, b.now) {
 			ep.restore(x, b.now, b.settings.SlowStartWindow)
 		}
 	}
@@ -170,7 +169,7 @@
 	a.served.restore(s.Served, now)
 }
 
-// sameProcess tells whether s is of this process of the endpoint, and not of one before a restart.
+// sameProcess reports whether s is from this process of the endpoint, and not from one before a restart.
 func (ep *endpoint) sameProcess(s EndpointSnapshot, now time.Duration) bool {
 	if ep.startedAt == 0 || s.Uptime == 0 {
 		return ep.startedAt == 0 && s.Uptime == 0
@@ -189,8 +188,8 @@
 	}
 }
 
-// Age lets d pass since the snapshot was taken. With crashed, its process ended unexpectedly: what it has
-// sent since to endpoints that warm up is not known, and counts as all that their buckets held.
+// Age updates a snapshot that was taken d ago. If crashed is set, its process has ended unexpectedly: what
+// it sent since then to endpoints that warm up is unknown, and all tokens in their buckets count as spent.
 func (s *Snapshot) Age(d time.Duration, crashed bool) {
 	for id, x := range s.Endpoints {
 		x.age(d, crashed)
@@ -215,12 +214,13 @@
 	if s.SlowStartAge > 0 {
 		s.SlowStartAge += d
 		if crashed {
-			s.Tokens = min(0, s.Tokens) // a debt stays
+			s.Tokens = min(0, s.Tokens) // a negative number is kept
 		}
 	}
 }
 
-// valid is false for a value that could upset the decisions: the snapshot may be of another version.
+// valid reports whether all values are usable. A snapshot may come from another version, and an unusable
+// value could disturb the decisions.
 func (s *Snapshot) valid() bool {
 	numbers := []float64{
 		s.FleetLatency, s.MeanLatency, s.MeanHint, s.MedianLatency, s.HedgeDelay,
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// quantile follows a quantile p of the samples added.
+// quantile estimates the p-quantile of the samples added.
 type quantile struct{ p, value float64 }
 
-// quantileStep is how far a sample moves the estimate, in logarithm.
+// quantileStep scales how far a sample moves the logarithm of the estimate.
 const quantileStep = 0.1
 
 func (q *quantile) add(x float64) {
@@ -21,8 +21,8 @@
 
 // rate is an exponentially weighted rate of events.
 type rate struct {
-	timeConstant time.Duration // time constant
-	sum          float64
+	timeConstant time.Duration // of the decay
+	sum          float64       // exponentially weighted sum of the events
 	lastAt       time.Duration // of the latest event
 	firstAt      time.Duration // of the first event
 	started      bool
@@ -36,7 +36,7 @@
 	r.lastAt = now
 }
 
-// perSecond is the rate now. It is not biased low while the rate is young.
+// perSecond returns the rate now, corrected for the short history of a new rate, which would bias it low.
 func (r *rate) perSecond(now time.Duration) float64 {
 	age := max(now-r.firstAt, r.timeConstant/20)
 	sum := r.sum * math.Exp(-float64(now-r.lastAt)/float64(r.timeConstant))
@@ -56,7 +56,7 @@
 	}
 }
 
-// binomialTail is the probability of k or more successes in n probes of probability p, 0 < p < 1.
+// binomialTail returns the probability of k or more successes in n trials of probability p, 0 < p < 1.
 func binomialTail(k, n int, p float64) float64 {
 	term, below := math.Pow(1-p, float64(n)), 0.0
 	for i := range k {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// timerKind tells what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind int
 
 const (
 	timerAbandon  timerKind = iota // the request's time is over
 	timerHedge                     // its latest attempt is late
-	timerDispatch                  // no endpoint was ready: try again
+	timerDispatch                  // no endpoint was ready: dispatch the request again
 	timerStall                     // see checkStalled
-	timerPoll                      // ask for the endpoint list again
+	timerPoll                      // request the endpoint list again
 )
 
 type timer struct {
 	at      time.Duration
-	seq     int // order among timers of one time
+	seq     int // order among timers with the same time
 	kind    timerKind
-	request *request
+	request *request // nil for timerPoll
 }
 
-// timerQueue is a heap of timers. The sidecar keeps one timer for all of them.
+// timerQueue is a heap of timers. The sidecar has one timer, which is set for the earliest of them.
 type timerQueue struct {
 	timers  []timer
 	seq     int
-	armedAt time.Duration // the earliest SetTimer that has not fired; 0: none
+	armedAt time.Duration // time of the last SetTimer, until it fires; 0 if there is none
 }
 
 func (q *timerQueue) Len() int { return len(q.timers) }
@@ -54,13 +54,13 @@
 	heap.Push(&b.timers, timer{at, b.timers.seq, kind, r})
 }
 
-// armTimer asks for TimerFired at the earliest timer, unless one that early is on its way.
+// armTimer requests a TimerFired event for the earliest timer, unless one is requested for then or before.
 func (b *Balancer) armTimer() {
 	q := &b.timers
 	if len(q.timers) == 0 {
 		return
 	}
-	// Callers may count microseconds: a timer that fired a moment too early would find nothing due.
+	// Callers may use microseconds, so at is rounded up: a timer that fires too early would find nothing due.
 	at := (q.timers[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
 	if q.armedAt == 0 || at < q.armedAt {
 		q.armedAt = max(at, 1)
@@ -68,7 +68,7 @@
 	}
 }
 
-// onTimerFired carries out what is due.
+// onTimerFired runs the timers that are due.
 func (b *Balancer) onTimerFired() {
 	q := &b.timers
 	if b.now >= q.armedAt {
--- a/balancer/views.go
+++ b/balancer/views.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Pressure tells how near admission is to shedding load, 1 where it begins, and which fraction of the local
-// zone's capacity takes no work now. A caller decides by them whether to forward a request to another
-// sidecar; no decision of this package depends on them.
+// Pressure returns how close admission is to load shedding, which starts at 1, and the fraction of the
+// local zone's capacity that takes no work now. A caller uses them to decide whether to forward a request
+// to another sidecar; no decision of this package depends on them.
 func (b *Balancer) Pressure(now time.Duration) (pressure, zoneLoss float64) {
 	b.now = max(now, b.now)
 	total, usable := 0, 0.0
@@ -22,7 +22,7 @@
 	return min(1, b.pressure()), zoneLoss
 }
 
-// Ejected names the endpoints that are ejected at now.
+// Ejected returns the IDs of the endpoints that are ejected at now.
 func (b *Balancer) Ejected(now time.Duration) (ids []string) {
 	for _, ep := range b.endpoints.order {
 		if now < ep.health.ejectedUntil {
