--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -22,16 +22,16 @@
 
 // byteBudget bounds the retained bytes of all bodies and answers together. Safe for concurrent use.
 type byteBudget struct {
-	mu   sync.Mutex
-	left int64
+	mu        sync.Mutex
+	available int64
 }
 
 // reserve reserves as many bytes as are left, up to bound, and minRetainedBytes at least: connections are bounded, too.
 func (b *byteBudget) reserve(bound int64) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := min(bound, max(minRetainedBytes, b.left))
-	b.left -= n
+	n := min(bound, max(minRetainedBytes, b.available))
+	b.available -= n
 	return n
 }
 
@@ -39,7 +39,7 @@
 func (b *byteBudget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left += n
+	b.available += n
 }
 
 var (
@@ -59,13 +59,13 @@
 	onComplete func()    // called after the last byte
 	onError    func(error)
 
-	reading  sync.Mutex // held while the rest is read
-	mu       sync.Mutex
-	consumed bool  // an attempt has read some of the rest
-	ended    bool  // the rest has been read to its end
-	err      error // with which reading from the client failed
-	seen     int64 // bytes of the rest
-	turn     int   // number of the attempt that may read
+	readMu         sync.Mutex // held while the rest is read
+	mu             sync.Mutex
+	consumed       bool  // an attempt has read some of the rest
+	ended          bool  // the rest has been read to its end
+	err            error // with which reading from the client failed
+	restBytes      int64 // bytes of the rest
+	currentAttempt int   // number of the attempt that may read
 }
 
 // receiving reports whether some of the body is still to be read from the client.
@@ -79,12 +79,12 @@
 func (b *clientBody) endAttempt() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++ // a late read would take bytes that the next attempt lacks
+	b.currentAttempt++ // a late read would take bytes that the next attempt lacks
 	return b.consumed
 }
 
-// failed returns the error with which reading from the client failed, or nil.
-func (b *clientBody) failed() error {
+// readError returns the error with which reading from the client failed, or nil.
+func (b *clientBody) readError() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.err
@@ -95,26 +95,26 @@
 func (b *clientBody) reader() io.ReadCloser {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
+	b.currentAttempt++
 	if b.consumed {
 		return &bodyReader{body: b} // turn 0 is never the current one
 	}
-	return &bodyReader{body: b, turn: b.turn, retained: b.retained}
+	return &bodyReader{body: b, attempt: b.currentAttempt, retained: b.retained}
 }
 
 // endReading ends the reading of attempts: the request has its answer.
 func (b *clientBody) endReading() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
+	b.currentAttempt++
 }
 
 // drain discards the rest of the body, since a client may not read its answer before it has sent the body. The source
 // bounds the time.
 func (b *clientBody) drain() {
 	b.endReading()
-	b.reading.Lock()
-	defer b.reading.Unlock()
+	b.readMu.Lock()
+	defer b.readMu.Unlock()
 	_, _ = io.CopyN(io.Discard, b.rest, maxBodyBytes) // any end will do
 }
 
@@ -127,7 +127,7 @@
 // bodyReader reads a body for one attempt.
 type bodyReader struct {
 	body      *clientBody
-	turn      int
+	attempt   int
 	retained  []byte
 	delivered atomic.Int64 // bytes
 	ended     atomic.Bool  // the body has been read to its end, or failed
@@ -151,7 +151,7 @@
 
 // next reads from the retained bytes, then from the client.
 func (r *bodyReader) next(p []byte) (int, error) {
-	if r.turn == 0 {
+	if r.attempt == 0 {
 		return 0, errAttemptEnded
 	}
 	if len(r.retained) > 0 {
@@ -163,11 +163,11 @@
 	if b.rest == nil {
 		return 0, io.EOF
 	}
-	b.reading.Lock()
-	defer b.reading.Unlock()
+	b.readMu.Lock()
+	defer b.readMu.Unlock()
 	b.mu.Lock()
 	switch {
-	case b.turn != r.turn:
+	case b.currentAttempt != r.attempt:
 		b.mu.Unlock()
 		return 0, errAttemptEnded
 	case b.err != nil || b.ended:
@@ -182,11 +182,11 @@
 	b.mu.Unlock()
 	n, err := b.rest.Read(p)
 	b.mu.Lock()
-	b.seen += int64(n)
-	if b.seen+int64(len(b.retained)) > maxBodyBytes && err == nil {
+	b.restBytes += int64(n)
+	if b.restBytes+int64(len(b.retained)) > maxBodyBytes && err == nil {
 		err = errBodyLarge
 	}
-	cut := b.turn != r.turn
+	cut := b.currentAttempt != r.attempt
 	switch {
 	case errors.Is(err, io.EOF):
 		b.ended = true
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -174,7 +174,7 @@
 
 // Guards against memory that grows with bodies: what is kept of all together is bounded, and none waits for it.
 func TestBudget(t *testing.T) {
-	b := &byteBudget{left: 100 << 10}
+	b := &byteBudget{available: 100 << 10}
 	for i, want := range []int64{64 << 10, 36 << 10, minRetainedBytes} {
 		if got := b.reserve(maxRetainedBytes); got != want {
 			t.Errorf("%d: %d", i, got)
@@ -233,7 +233,7 @@
 		left := func() int64 {
 			u.budget.mu.Lock()
 			defer u.budget.mu.Unlock()
-			return u.budget.left
+			return u.budget.available
 		}
 		before := left()
 		rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0)
@@ -246,7 +246,7 @@
 		}
 		for _, stated := range []int64{int64(size), int64(size) + 1, -1} { // true, never whole, in chunks
 			b, err := readBody(&http.Request{Body: io.NopCloser(strings.NewReader(strings.Repeat("x", size))), ContentLength: stated},
-				http.NewResponseController(&deadlines{}), time.Time{}, u.budget)
+				http.NewResponseController(&deadlineRecorder{}), time.Time{}, u.budget)
 			if err == nil {
 				b.release()
 			}
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -56,7 +56,7 @@
 	readDeadline time.Time     // as set by the library
 	readCut      bool          // the read of the rest of a request was cut short
 	closingSince time.Time     // since when its sending side is closed; zero: it is open
-	wrote        bool
+	hasWritten   bool
 }
 
 // Read implements net.Conn. It follows the framing of requests, and lets a read that was cut short return what has arrived
@@ -137,7 +137,7 @@
 func (c *framedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
-	c.wrote = true
+	c.hasWritten = true
 	c.mu.Unlock()
 	return n, err
 }
@@ -282,7 +282,7 @@
 // was sent is closed at once, except after SIGTERM.
 func (c *framedConn) Close() error {
 	c.mu.Lock()
-	lingers := !c.clientClosed.Load() && c.closingSince.IsZero() && !c.listener.stopped.Load() && (c.listener.lingering.Load() || c.wrote)
+	lingers := !c.clientClosed.Load() && c.closingSince.IsZero() && !c.listener.stopped.Load() && (c.listener.lingering.Load() || c.hasWritten)
 	if lingers {
 		c.closingSince = time.Now()
 		c.readSince, c.readCut, c.evicted = c.closingSince, false, false
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -120,8 +120,8 @@
 	c.changed.Broadcast()
 }
 
-// limit sets the limit of connections.
-func (c *clientConns) limit(bound int) {
+// setLimit sets the limit of connections.
+func (c *clientConns) setLimit(bound int) {
 	c.mu.Lock()
 	c.maxConns = max(bound, 1)
 	c.mu.Unlock()
@@ -180,8 +180,8 @@
 	}
 }
 
-// state is the ConnState callback of the HTTP server.
-func (c *clientConns) state(of net.Conn, s http.ConnState) {
+// onConnState is the ConnState callback of the HTTP server.
+func (c *clientConns) onConnState(of net.Conn, s http.ConnState) {
 	conn, ok := of.(*framedConn)
 	if !ok {
 		return
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -16,7 +16,7 @@
 func TestErrorIsReadBeforeTheClose(t *testing.T) {
 	t.Parallel()
 	s := newUpstream(t, says(ok200("")))
-	r := rigOf(t, s)
+	r := startWithUpstream(t, s)
 	much := strings.Repeat("GET /search/1 HTTP/1.1\r\nHost: s\r\n\r\n", 1000)
 	for name, text := range map[string]string{
 		"no HTTP":                "\x00\x01\r\n" + much,
@@ -34,43 +34,43 @@
 		if _, err := io.ReadAll(resp.Body); err != nil { // words without a length: the end has to come in order
 			t.Errorf("%s: %v", name, err)
 		}
-		p.over()
+		p.expectClose()
 	}
 	if n := len(s.requests()); n != 0 {
 		t.Errorf("%d requests behind them were sent on", n)
 	}
 }
 
-// shutConn runs a step at the very moment in which its sending is about to end.
-type shutConn struct {
+// halfCloseConn runs a step at the very moment in which its sending is about to end.
+type halfCloseConn struct {
 	*net.TCPConn
 	before func(*net.TCPConn)
 }
 
-func (c *shutConn) CloseWrite() error {
+func (c *halfCloseConn) CloseWrite() error {
 	c.before(c.TCPConn)
 	return c.TCPConn.CloseWrite()
 }
 
-type shutListener struct {
+type halfCloseListener struct {
 	net.Listener
 	before func(*net.TCPConn)
 }
 
-func (l *shutListener) SetDeadline(at time.Time) error {
+func (l *halfCloseListener) SetDeadline(at time.Time) error {
 	return l.Listener.(*net.TCPListener).SetDeadline(at)
 }
 
-func (l *shutListener) Accept() (net.Conn, error) {
+func (l *halfCloseListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &shutConn{c.(*net.TCPConn), l.before}, nil
+	return &halfCloseConn{c.(*net.TCPConn), l.before}, nil
 }
 
-// holds waits until so many bytes wait unread in a socket.
-func holds(t *testing.T, c *net.TCPConn, atLeast int) {
+// awaitUnreadBytes waits until so many bytes wait unread in a socket.
+func awaitUnreadBytes(t *testing.T, c *net.TCPConn, atLeast int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -94,20 +94,20 @@
 	t.Parallel()
 	for name, end := range map[string]func(r *running){
 		"SIGTERM": func(r *running) { r.stop() },
-		"room":    func(r *running) { dialRaw(t, r.address).send(text("confirm")) }, // held
+		"room":    func(r *running) { dialRaw(t, r.address).send(requestText("confirm")) }, // held
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, _ := pendingUpstream(t)
 			c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 			c.Limits.Sockets = fixedSockets + 2*2
-			crossing := text("search")
+			crossing := requestText("search")
 			var p *rawClient
 			var crossed atomic.Bool
-			l := &shutListener{listenAt(t), func(on *net.TCPConn) {
+			l := &halfCloseListener{listenLoopback(t), func(on *net.TCPConn) {
 				if p != nil && on.RemoteAddr().String() == p.LocalAddr().String() {
 					p.send(crossing)
-					holds(t, on, len(crossing))
+					awaitUnreadBytes(t, on, len(crossing))
 					crossed.Store(true)
 				}
 			}}
@@ -121,16 +121,16 @@
 			})
 			r.client.CloseIdleConnections()
 			p = dialRaw(t, r.address)
-			p.send(text("search"))
-			p.answered(200)
+			p.send(requestText("search"))
+			p.expectAnswer(200)
 			end(r)
-			p.over()
+			p.expectClose()
 			if !crossed.Load() {
 				t.Error("nothing crossed the end")
 			}
 			again := dialRaw(t, r.address)
-			again.send(text("search"))
-			again.answered(200)
+			again.send(requestText("search"))
+			again.expectAnswer(200)
 			for _, g := range s.requests() {
 				if strings.Contains(crossing, g.header.Get(headerID)) {
 					t.Error("the request that crossed the end was sent on")
@@ -140,7 +140,7 @@
 	}
 }
 
-func listenAt(t *testing.T) net.Listener {
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -61,7 +61,7 @@
 		"resets":             func(p *rawClient) { _ = p.Conn.(*net.TCPConn).SetLinger(0); _ = p.Close() },
 		"closes behind half": func(p *rawClient) { p.send("GET /sea"); _ = p.Close() },
 		"closes behind another": func(p *rawClient) {
-			p.send(text("search"))
+			p.send(requestText("search"))
 			_ = p.Close()
 		},
 	} {
@@ -73,7 +73,7 @@
 				g := newGate(c, s.address)
 				r := start(t, c, "127.0.0.1:0")
 				p := dialRaw(t, r.address)
-				p.send(text(class))
+				p.send(requestText(class))
 				wait(t, "an attempt is made", g.dials)
 				leave(p)
 				g.holds.Store(false)
@@ -95,8 +95,8 @@
 // large body while no attempt does. It counts as gone all the same, while its request waits or its attempt is out.
 func TestLeavingIsSeenBehindWhatNobodyReads(t *testing.T) {
 	for name, c := range map[string]struct{ first, more string }{
-		"a byte behind":           {text("search"), "G"},
-		"another request behind":  {text("search"), text("search")},
+		"a byte behind":           {requestText("search"), "G"},
+		"another request behind":  {requestText("search"), requestText("search")},
 		"a body that is not read": {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000d7\r\nContent-Length: 300000\r\n\r\n", strings.Repeat("x", 200<<10)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -303,7 +303,7 @@
 	t.Run("a drip", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			body, drip := io.Pipe()
-			rest := responseRest{body: body, length: -1, stallTimeout: 3 * time.Second, end: func() { _ = body.Close() }}
+			rest := responseRest{body: body, length: -1, stallTimeout: 3 * time.Second, cancelRead: func() { _ = body.Close() }}
 			over := make(chan struct{})
 			defer func() { <-over }()
 			go func() {
@@ -332,7 +332,7 @@
 			}
 			return false
 		})
-		r := rigOf(t, s)
+		r := startWithUpstream(t, s)
 		resp, err := r.client.Do(request(t, r.address, "search", ""))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -101,10 +101,10 @@
 
 // attemptEnded is the event that an attempt has ended.
 type attemptEnded struct {
-	flight  *inFlightRequest
-	attempt int
-	at      time.Duration
-	reply   attemptReply
+	inFlight *inFlightRequest
+	attempt  int
+	at       time.Duration
+	reply    attemptReply
 }
 
 // banCommand is an operator's call; done is closed once it has been applied.
@@ -298,7 +298,7 @@
 		r.answer <- answer{kind: duplicate}
 		return
 	}
-	if l.stopped || l.classes[r.class] != r.settings { // parsed by settings that have changed since
+	if l.stopped || l.classes[r.class] != r.classSettings { // parsed by settings that have changed since
 		r.answer <- answer{kind: rejected}
 		return
 	}
@@ -333,7 +333,7 @@
 
 // onAttemptEnded reports the result of an attempt to the balancer. The first that was served is the final answer.
 func (l *dispatcher) onAttemptEnded(e attemptEnded) {
-	f, id := e.flight, e.flight.request.id
+	f, id := e.inFlight, e.inFlight.request.id
 	f.pendingAttempts--
 	a := &f.attempts[e.attempt]
 	a.cancel(nil)
@@ -455,7 +455,7 @@
 	now := l.clock.now()
 	to := l.failures
 	if a.kind == served {
-		if now-f.acceptedAt <= f.request.settings.LatencyObjective {
+		if now-f.acceptedAt <= f.request.classSettings.LatencyObjective {
 			return true
 		}
 		to = l.lateAnswers
--- a/internal/sidecar/dispatcher_test.go
+++ b/internal/sidecar/dispatcher_test.go
@@ -8,8 +8,8 @@
 	"mosslead/balancer"
 )
 
-// testLoop is a loop whose attempts end as send says.
-func testLoop(t *testing.T, send func(context.Context, string, *clientRequest, time.Duration) attemptReply) *dispatcher {
+// newTestDispatcher is a loop whose attempts end as send says.
+func newTestDispatcher(t *testing.T, send func(context.Context, string, *clientRequest, time.Duration) attemptReply) *dispatcher {
 	t.Helper()
 	c := testConfig(t, "127.0.0.1:1")
 	b, err := balancer.New(c.Settings.Settings, c.Seed)
@@ -25,23 +25,23 @@
 	return &clientRequest{id: id, class: class, expiresAt: l.clock.now() + testTimeout, body: &clientBody{}, answer: make(chan answer, 1)}
 }
 
-func member(name string, state balancer.EndpointState) balancer.Endpoint {
+func testEndpoint(name string, state balancer.EndpointState) balancer.Endpoint {
 	return balancer.Endpoint{Upstream: name, Zone: "a", State: state}
 }
 
 // Guards against sends to what a list in the queue already forbids: news of the list goes first.
 func TestListsGoBeforeRequests(t *testing.T) {
 	sent := make(chan string, 8)
-	l := testLoop(t, func(_ context.Context, upstream string, _ *clientRequest, _ time.Duration) attemptReply {
+	l := newTestDispatcher(t, func(_ context.Context, upstream string, _ *clientRequest, _ time.Duration) attemptReply {
 		sent <- upstream
 		return attemptReply{result: balancer.OK}
 	})
 	for _, id := range []string{"1", "2", "3", "4"} {
 		l.enqueue(requestArrived{l.newRequest(id, "search")})
 	}
-	l.enqueueUpdate(balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{member("drains", balancer.Draining)}})
+	l.enqueueUpdate(balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{testEndpoint("drains", balancer.Draining)}})
 	go l.run(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{
-		member("drains", balancer.Active), member("stays", balancer.Active)}})
+		testEndpoint("drains", balancer.Active), testEndpoint("stays", balancer.Active)}})
 	for range 4 {
 		if to := <-sent; to != "stays" {
 			t.Errorf("sent to the one that %s", to)
@@ -52,11 +52,11 @@
 // Guards against two answers: a hedged requests's answer, or one after the request was failed, goes nowhere; each
 // attempt is still reported to the balancer, which then forgets the request.
 func TestOneFinalAnswer(t *testing.T) {
-	l := testLoop(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
+	l := newTestDispatcher(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
 		<-ctx.Done()
 		return attemptReply{result: balancer.OK, body: []byte("late")}
 	})
-	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{member("s", balancer.Active)}})
+	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
 	r := l.newRequest("1", "search")
 	l.onEvent(requestArrived{r})
 	if len(l.inFlight["1"].attempts) != 1 {
@@ -81,12 +81,12 @@
 // Guards against an attempt that outlasts its client: it ends when the client stops waiting, at the latest.
 func TestAttemptEndsWithItsRequest(t *testing.T) {
 	deadlines := make(chan time.Duration, 1)
-	l := testLoop(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
+	l := newTestDispatcher(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
 		d, _ := ctx.Deadline()
 		deadlines <- time.Until(d)
 		return attemptReply{result: balancer.Timeout}
 	})
-	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{member("s", balancer.Active)}})
+	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
 	r := l.newRequest("1", "confirm")
 	r.expiresAt = l.clock.now() + 3*time.Second
 	l.onEvent(requestArrived{r})
@@ -103,7 +103,7 @@
 // the one before still waits is closed.
 func TestNextAttemptAbandonsTheOneBefore(t *testing.T) {
 	abandoned, n := make(chan bool, 1), 0
-	l := testLoop(t, func(context.Context, string, *clientRequest, time.Duration) attemptReply {
+	l := newTestDispatcher(t, func(context.Context, string, *clientRequest, time.Duration) attemptReply {
 		if n++; n == 1 {
 			return attemptReply{result: balancer.Timeout, abandon: func() { abandoned <- true }}
 		}
@@ -114,7 +114,7 @@
 		}
 		return attemptReply{result: balancer.OK}
 	})
-	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{member("s", balancer.Active)}})
+	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
 	r := l.newRequest("1", "search")
 	l.onEvent(requestArrived{r})
 	l.onEvent(<-l.events)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// text words a request without a body.
-func text(class string) string {
+// requestText words a request without a body.
+func requestText(class string) string {
 	method := http.MethodPost
 	if class == "search" {
 		method = http.MethodGet
@@ -69,8 +69,8 @@
 	return fmt.Sprintf("%s /%s/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 9000m\r\n\r\n", method, class, lastID.Add(1))
 }
 
-// answered wants the next answer, and tells whether it ends the connection.
-func (p *rawClient) answered(status int) (last bool) {
+// expectAnswer wants the next answer, and tells whether it ends the connection.
+func (p *rawClient) expectAnswer(status int) (last bool) {
 	p.t.Helper()
 	resp, err := http.ReadResponse(p.r, nil)
 	if err != nil {
@@ -83,20 +83,20 @@
 	return resp.Close
 }
 
-// over wants the connection closed in order: a reset could take an answer with it.
-func (p *rawClient) over() {
+// expectClose wants the connection closed in order: a reset could take an answer with it.
+func (p *rawClient) expectClose() {
 	p.t.Helper()
 	if n, err := p.r.ReadByte(); !errors.Is(err, io.EOF) {
 		p.t.Errorf("%q, %v; want the end", n, err)
 	}
 }
 
-func rigOf(t *testing.T, s *fakeUpstream) *running {
+func startWithUpstream(t *testing.T, s *fakeUpstream) *running {
 	t.Helper()
 	return start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 }
 
-func term(r *running) time.Time {
+func sendSIGTERM(r *running) time.Time {
 	r.stop()
 	return time.Now()
 }
@@ -105,22 +105,22 @@
 func TestTermWithHalfAHead(t *testing.T) {
 	t.Parallel()
 	s, _ := pendingUpstream(t)
-	r := rigOf(t, s)
+	r := startWithUpstream(t, s)
 	used, fresh := dialRaw(t, r.address), dialRaw(t, r.address)
-	used.send(text("search"))
-	used.answered(200)
-	q, q2 := text("search"), text("search")
+	used.send(requestText("search"))
+	used.expectAnswer(200)
+	q, q2 := requestText("search"), requestText("search")
 	used.send(q[:20])
 	fresh.send(q2[:20])
-	begun := term(r)
+	begun := sendSIGTERM(r)
 	time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond))) // all that is between requests is closed by now
 	used.send(q[20:])
 	fresh.send(q2[20:])
 	for _, p := range []*rawClient{used, fresh} {
-		if !p.answered(200) {
+		if !p.expectAnswer(200) {
 			t.Error("the connection goes on")
 		}
-		p.over()
+		p.expectClose()
 	}
 }
 
@@ -128,18 +128,18 @@
 func TestTermWithARequestBehind(t *testing.T) {
 	t.Parallel()
 	s, release := pendingUpstream(t)
-	r := rigOf(t, s)
+	r := startWithUpstream(t, s)
 	p := dialRaw(t, r.address)
-	p.send(text("confirm"))
+	p.send(requestText("confirm"))
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
-	begun := term(r)
-	p.send(text("search"))
+	begun := sendSIGTERM(r)
+	p.send(requestText("search"))
 	time.Sleep(time.Until(begun.Add(50 * time.Millisecond)))
 	release()
-	if !p.answered(200) {
+	if !p.expectAnswer(200) {
 		t.Error("the connection goes on")
 	}
-	p.over()
+	p.expectClose()
 }
 
 // Guards against a request that is lost behind an answer whose head had gone before SIGTERM, without a word of the end.
@@ -156,21 +156,21 @@
 		_, err := io.WriteString(c, strings.Repeat("x", 10000))
 		return err == nil
 	})
-	r := rigOf(t, s)
+	r := startWithUpstream(t, s)
 	p := dialRaw(t, r.address)
-	p.send(text("confirm"))
+	p.send(requestText("confirm"))
 	if _, err := p.r.Peek(1); err != nil { // its head has gone
 		t.Fatal(err)
 	}
-	begun := term(r)
-	p.send(text("search"))
+	begun := sendSIGTERM(r)
+	p.send(requestText("search"))
 	time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond)))
 	close(rest)
-	p.answered(200)
-	if !p.answered(200) {
+	p.expectAnswer(200)
+	if !p.expectAnswer(200) {
 		t.Error("the connection goes on")
 	}
-	p.over()
+	p.expectClose()
 }
 
 // Guards against connections that are reset in the accept queue: the client's request is written to them already.
@@ -185,21 +185,21 @@
 	var busy, waiting []*rawClient
 	for range bound {
 		p := dialRaw(t, r.address)
-		p.send(text("confirm"))
+		p.send(requestText("confirm"))
 		busy = append(busy, p)
 	}
 	eventually(t, "requests at the upstream", func() bool { return len(s.requests()) == bound })
 	for range bound {
 		p := dialRaw(t, r.address)
-		p.send(text("search"))
+		p.send(requestText("search"))
 		waiting = append(waiting, p)
 	}
-	begun := term(r)
+	begun := sendSIGTERM(r)
 	time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond)))
 	release()
 	for _, p := range append(busy, waiting...) {
-		p.answered(200)
-		p.over()
+		p.expectAnswer(200)
+		p.expectClose()
 	}
 }
 
@@ -214,17 +214,17 @@
 	r := start(t, c, "127.0.0.1:0")
 	soon, late := dialRaw(t, r.address), dialRaw(t, r.address)
 	for _, p := range []*rawClient{soon, late} {
-		p.send(strings.Replace(text("confirm"), "\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nha", 1))
+		p.send(strings.Replace(requestText("confirm"), "\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nha", 1))
 	}
-	begun := term(r)
+	begun := sendSIGTERM(r)
 	time.Sleep(time.Until(begun.Add(drainAcceptTime + 50*time.Millisecond)))
 	soon.send("lf")
-	soon.answered(http.StatusBadGateway) // it was sent on, and nothing came
+	soon.expectAnswer(http.StatusBadGateway) // it was sent on, and nothing came
 	time.Sleep(time.Until(begun.Add(400*time.Millisecond + drainMargin + 50*time.Millisecond)))
 	late.send("lf")
-	late.answered(http.StatusServiceUnavailable)
+	late.expectAnswer(http.StatusServiceUnavailable)
 	for _, p := range []*rawClient{soon, late} {
-		p.over()
+		p.expectClose()
 	}
 	if n := len(s.requests()); n != 1 {
 		t.Errorf("%d reached the upstream", n)
@@ -285,11 +285,11 @@
 	for range peers {
 		dialRaw(t, r.address)
 	}
-	begun := term(r)
+	begun := sendSIGTERM(r)
 	p := dialRaw(t, r.address)
-	p.send(text("search"))
-	p.answered(200)
-	p.over()
+	p.send(requestText("search"))
+	p.expectAnswer(200)
+	p.expectClose()
 	if elapsed := time.Since(begun); elapsed > maxDrainTime {
 		t.Errorf("answered %v after SIGTERM", elapsed)
 	}
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -105,18 +105,18 @@
 	r := start(t, c, "127.0.0.1:0")
 	r.client.CloseIdleConnections()
 	p := dialRaw(t, r.address)
-	p.send(text("search"))
-	p.answered(200)
+	p.send(requestText("search"))
+	p.expectAnswer(200)
 	rested := time.Now()
 	for range 5 * bound {
 		dialRaw(t, r.address)
 	}
 	q := dialRaw(t, r.address) // behind them all
-	q.send(text("search"))
-	q.answered(200)
+	q.send(requestText("search"))
+	q.expectAnswer(200)
 	if time.Since(rested) < closableAfter { // else it may be closed
-		p.send(text("search"))
-		p.answered(200)
+		p.send(requestText("search"))
+		p.expectAnswer(200)
 	}
 }
 
@@ -125,13 +125,13 @@
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	for _, fails := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EPROTO} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &failing{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fails)}, until: time.Now().Add(time.Second)}
+			l := &failingListener{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fails)}, until: time.Now().Add(time.Second)}
 			c := newClientConns(l, 8)
 			client, server := net.Pipe()
 			defer func() { _ = client.Close() }()
 			resting := &framedConn{Conn: server, listener: c}
 			resting.framing.delivered = 1
-			c.state(resting, http.StateIdle)
+			c.onConnState(resting, http.StateIdle)
 			ended := make(chan error, 1)
 			go func() {
 				_, err := resting.Read(make([]byte, 1))
@@ -157,14 +157,14 @@
 	}
 }
 
-// failing is a listener that fails until then.
-type failing struct {
+// failingListener is a listener that fails until then.
+type failingListener struct {
 	err   error
 	until time.Time
 	calls int
 }
 
-func (l *failing) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	l.calls++
 	if time.Now().Before(l.until) {
 		return nil, l.err
@@ -173,8 +173,8 @@
 	return server, nil
 }
 
-func (l *failing) Close() error   { return nil }
-func (l *failing) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *failingListener) Close() error   { return nil }
+func (l *failingListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // Guards against the wrong one giving way, or giving way too soon.
 func TestWhoGivesWay(t *testing.T) {
@@ -245,7 +245,7 @@
 		conn := &framedConn{Conn: server, listener: all}
 		defer func() { _ = conn.Close() }()
 		conn.framing.delivered = 1
-		all.state(conn, http.StateIdle)
+		all.onConnState(conn, http.StateIdle)
 		until := time.Now().Add(time.Second)
 		_ = conn.SetReadDeadline(until) // a read shows it
 		read := func() <-chan error {
@@ -360,7 +360,7 @@
 				}
 				defer func() { _ = conn.Close() }()
 				_ = conn.SetDeadline(begun.Add(testTimeout)) // a read shows it
-				_, _ = io.WriteString(conn, text("search"))
+				_, _ = io.WriteString(conn, requestText("search"))
 				line, err := bufio.NewReader(conn).ReadString('\n')
 				if !strings.HasPrefix(line, "HTTP/1.1 200") || time.Since(begun) > lingers {
 					t.Errorf("asked %v after the return: %q, %v, after %v", begun.Sub(returned), line, err, time.Since(begun))
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -17,27 +17,27 @@
 // upstreamExchange is one request and its answer on a connection. It may outlast its attempt, which waits until ctx ends: the
 // answer is then read until readCtx ends, so that the connection can be used again, see awaitLateAnswer.
 type upstreamExchange struct {
-	pool    *upstreamPool
-	ctx     context.Context
-	readCtx context.Context
-	end     context.CancelFunc // ends readCtx
-	conn    *upstreamConn
-	client  *clientRequest
-	before  time.Duration // clock time at which it may no longer begin; 0: any time
-	use     connUse
+	pool        *upstreamPool
+	ctx         context.Context
+	readCtx     context.Context
+	cancelRead  context.CancelFunc // ends readCtx
+	conn        *upstreamConn
+	client      *clientRequest
+	startBefore time.Duration // clock time at which it may no longer begin; 0: any time
+	use         connUse
 
-	ended     chan attemptReply
+	reply     chan attemptReply
 	abandoned chan struct{} // closed when its attempt no longer waits
 
-	answered bool        // the answer has begun, so that the request may have been processed
-	early    atomic.Bool // the answer began before the whole body had been handed to the writer
+	answered      bool        // the answer has begun, so that the request may have been processed
+	answeredEarly atomic.Bool // the answer began before the whole body had been handed to the writer
 }
 
 // startExchange starts sending a request.
 func (u *upstreamPool) startExchange(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration, use connUse) *upstreamExchange {
-	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, client: r, before: before, use: use,
-		ended: make(chan attemptReply), abandoned: make(chan struct{})}
-	x.readCtx, x.end = context.WithCancel(context.WithoutCancel(ctx))
+	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, client: r, startBefore: before, use: use,
+		reply: make(chan attemptReply), abandoned: make(chan struct{})}
+	x.readCtx, x.cancelRead = context.WithCancel(context.WithoutCancel(ctx))
 	go x.run()
 	return x
 }
@@ -46,7 +46,7 @@
 func (x *upstreamExchange) run() {
 	rep, reusable := x.roundTrip()
 	finish := func(reusable bool) {
-		x.end()
+		x.cancelRead()
 		if reusable {
 			x.pool.release(x.conn)
 		} else {
@@ -54,13 +54,13 @@
 		}
 	}
 	if rep.rest != nil {
-		rep.rest.end, rep.rest.finish = x.end, finish
+		rep.rest.cancelRead, rep.rest.finish = x.cancelRead, finish
 	} else {
 		finish(reusable)
 	}
 	rep.use = x.use
 	select {
-	case x.ended <- rep:
+	case x.reply <- rep:
 	case <-x.abandoned:
 		rep.drop()
 	}
@@ -70,7 +70,7 @@
 func (x *upstreamExchange) roundTrip() (rep attemptReply, reusable bool) {
 	resp, err := x.conn.http.RoundTrip(x.request())
 	if err != nil {
-		return x.failure(err), false
+		return x.failureReply(err), false
 	}
 	x.answered = true
 	defer func() {
@@ -82,17 +82,17 @@
 	case resp.StatusCode == http.StatusSwitchingProtocols: // not requested, and its body has no end
 		return attemptReply{result: balancer.ServerError}, false
 	case resp.StatusCode != http.StatusOK:
-		return x.errorAnswer(resp)
-	case x.early.Load() && x.conn.uses > 1: // most likely a second answer to the previous request
-		return x.failure(errUnexpectedBytes), false
+		return x.readErrorAnswer(resp)
+	case x.answeredEarly.Load() && x.conn.uses > 1: // most likely a second answer to the previous request
+		return x.failureReply(errUnexpectedBytes), false
 	}
-	return x.success(resp)
+	return x.readSuccess(resp)
 }
 
 // request returns the request as it is sent, with callbacks that record its progress.
 func (x *upstreamExchange) request() *http.Request {
 	c := x.conn
-	c.allowed = func() error { return x.pool.canBegin(x.ctx, c, x.client, x.before) }
+	c.allowed = func() error { return x.pool.canBegin(x.ctx, c, x.client, x.startBefore) }
 	c.firstByteSent.Store(false)
 	c.requestEncoded.Store(false)
 	var req *http.Request
@@ -105,7 +105,7 @@
 		},
 		GotFirstResponseByte: func() {
 			if body, ok := req.Body.(*bodyReader); ok {
-				x.early.Store(body.incomplete())
+				x.answeredEarly.Store(body.incomplete())
 			}
 		},
 	}
@@ -120,14 +120,14 @@
 	return req
 }
 
-// failure returns the result of an exchange that failed with err.
-func (x *upstreamExchange) failure(err error) attemptReply {
+// failureReply returns the result of an exchange that failed with err.
+func (x *upstreamExchange) failureReply(err error) attemptReply {
 	c := x.conn
 	switch {
 	case c.disallowed.Load():
 		return attemptReply{result: balancer.NotSent, err: err}
-	case !c.requestEncoded.Load() && x.client.body.failed() != nil: // the client failed, not the upstream
-		return attemptReply{result: balancer.NotSent, err: x.client.body.failed()}
+	case !c.requestEncoded.Load() && x.client.body.readError() != nil: // the client failed, not the upstream
+		return attemptReply{result: balancer.NotSent, err: x.client.body.readError()}
 	case timedOut(x.ctx):
 		return attemptReply{result: balancer.Timeout, err: err}
 	case x.ctx.Err() != nil:
@@ -138,11 +138,11 @@
 	return attemptReply{result: balancer.Reset, err: err}
 }
 
-// success reads a 200 answer.
-func (x *upstreamExchange) success(resp *http.Response) (rep attemptReply, reusable bool) {
+// readSuccess reads a 200 answer.
+func (x *upstreamExchange) readSuccess(resp *http.Response) (rep attemptReply, reusable bool) {
 	body, reserved, complete, err := x.pool.readAnswer(resp)
 	if err != nil {
-		return x.failure(err), false
+		return x.failureReply(err), false
 	}
 	rep = attemptReply{result: balancer.OK, header: endToEnd(resp.Header), body: body, reservedBytes: reserved, budget: x.pool.budget}
 	reusable = !resp.Close && x.conn.requestEncoded.Load()
@@ -151,14 +151,14 @@
 	}
 	if x.ctx.Err() != nil { // too late
 		rep.release()
-		return x.failure(x.ctx.Err()), false
+		return x.failureReply(x.ctx.Err()), false
 	}
 	rep.rest = &responseRest{body: resp.Body, length: resp.ContentLength, stallTimeout: x.conn.writeTimeout, reusable: reusable}
 	return rep, false
 }
 
-// errorAnswer reads an answer other than 200. The connection is used again only if the answer was read to its end.
-func (x *upstreamExchange) errorAnswer(resp *http.Response) (rep attemptReply, reusable bool) {
+// readErrorAnswer reads an answer other than 200. The connection is used again only if the answer was read to its end.
+func (x *upstreamExchange) readErrorAnswer(resp *http.Response) (rep attemptReply, reusable bool) {
 	_, err := io.CopyN(io.Discard, resp.Body, minRetainedBytes)
 	reusable = errors.Is(err, io.EOF) && !resp.Close && x.conn.requestEncoded.Load()
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -62,7 +62,7 @@
 func (f *forwarder) serve(s *server) {
 	f.conns = newClientConns(f.listener, forwardIn)
 	f.srv = &http.Server{Handler: f.handler(s), ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeader,
-		DisableGeneralOptionsHandler: true, ConnState: f.conns.state, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+		DisableGeneralOptionsHandler: true, ConnState: f.conns.onConnState, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
 	go func() {
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -111,7 +111,7 @@
 	release := make(chan struct{})
 	peer := newUpstream(t, func(c net.Conn, g got) bool { <-release; return says(ok200("peer"))(c, g) })
 	f, clk := pressedBeside(t, peer.address)
-	s := &server{clock: clk, failures: newLimitedLog(maxFailureLines), stats: newStats(), budget: f.pool.budget, forwards: f, post: func(any) bool {
+	s := &server{clock: clk, failures: newLimitedLog(maxFailureLines), stats: newStats(), budget: f.pool.budget, forwarder: f, post: func(any) bool {
 		t.Error("begun at home")
 		return false
 	}}
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	conns := newClientConns(l, 4)
-	srv := &http.Server{Handler: s, ConnState: conns.state, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+	srv := &http.Server{Handler: s, ConnState: conns.onConnState, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, c)
 	}}
 	go func() { _ = srv.Serve(conns) }() // until Close
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -24,20 +24,20 @@
 	unknownFraming // the end can't be determined: the library rejects it, or the connection is closed after its answer
 )
 
-// headLine is how many bytes of a line are examined; a longer length or encoding is ambiguous.
-const headLine = 256
+// maxLineBytes is how many bytes of a line are examined; a longer length or encoding is ambiguous.
+const maxLineBytes = 256
 
 // framing follows the requests on one connection. scan is called by the goroutine that reads; the other methods are
 // safe for concurrent use but for what they say.
 type framing struct {
-	state framingState
-	line  []byte
-	left  int64
+	state     framingState
+	line      []byte
+	remaining int64
 
-	lengths, codings int // number of length and encoding headers in this head
-	length           int64
-	ambiguous        bool
-	lastHeader       byte // 'l' or 't' if the line before was a length or an encoding, else 0
+	lengthHeaders, encodingHeaders int // number of length and encoding headers in this head
+	contentLength                  int64
+	ambiguous                      bool
+	lastHeader                     byte // 'l' or 't' if the line before was a length or an encoding, else 0
 
 	mu          sync.Mutex
 	ambiguities []bool // whether each request read is ambiguous that the library has not delivered yet
@@ -110,9 +110,9 @@
 func (f *framing) scan(p []byte) {
 	for len(p) > 0 && f.state != unknownFraming {
 		if f.state == inBody || f.state == inChunk {
-			n := min(f.left, int64(len(p)))
-			p, f.left = p[n:], f.left-n
-			if f.left > 0 {
+			n := min(f.remaining, int64(len(p)))
+			p, f.remaining = p[n:], f.remaining-n
+			if f.remaining > 0 {
 				return
 			}
 			if f.state == inBody {
@@ -127,41 +127,41 @@
 		if i >= 0 {
 			part = p[:i]
 		}
-		f.line = append(f.line, part[:min(len(part), headLine-len(f.line))]...)
+		f.line = append(f.line, part[:min(len(part), maxLineBytes-len(f.line))]...)
 		if i < 0 {
 			return
 		}
 		p = p[i+1:]
-		f.handle(bytes.TrimSuffix(f.line, []byte("\r")))
+		f.handleLine(bytes.TrimSuffix(f.line, []byte("\r")))
 		f.line = f.line[:0]
 	}
 }
 
-// handle handles a complete line, without its line end.
-func (f *framing) handle(line []byte) {
+// handleLine handles a complete line, without its line end.
+func (f *framing) handleLine(line []byte) {
 	switch f.state {
 	case atStart:
-		f.lengths, f.codings, f.length, f.ambiguous, f.lastHeader = 0, 0, 0, false, 0
+		f.lengthHeaders, f.encodingHeaders, f.contentLength, f.ambiguous, f.lastHeader = 0, 0, 0, false, 0
 		f.state = inHead
 		if len(line) == 0 {
 			f.state = unknownFraming
 		}
 	case inHead:
 		if len(line) == 0 {
-			f.head()
+			f.endHead()
 			return
 		}
-		f.header(line)
+		f.handleHeader(line)
 	case inChunkSize:
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 62)
 		switch {
-		case err != nil || len(line) >= headLine:
+		case err != nil || len(line) >= maxLineBytes:
 			f.state = unknownFraming
 		case n == 0:
 			f.state = inTrailer
 		default: // the library checks the chunk's line end, which must be CR LF
-			f.state, f.left = inChunk, int64(n)+2
+			f.state, f.remaining = inChunk, int64(n)+2
 		}
 	case inTrailer:
 		if len(line) == 0 {
@@ -170,8 +170,8 @@
 	}
 }
 
-// header handles a header line.
-func (f *framing) header(line []byte) {
+// handleHeader handles a header line.
+func (f *framing) handleHeader(line []byte) {
 	if line[0] == ' ' || line[0] == '\t' { // continues the line before
 		f.ambiguous = f.ambiguous || f.lastHeader != 0
 		return
@@ -181,30 +181,30 @@
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		f.lastHeader = 'l'
-		f.lengths++
+		f.lengthHeaders++
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 63)
-		f.length = int64(min(n, math.MaxInt64))
-		f.ambiguous = f.ambiguous || err != nil || len(line) >= headLine
+		f.contentLength = int64(min(n, math.MaxInt64))
+		f.ambiguous = f.ambiguous || err != nil || len(line) >= maxLineBytes
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		f.lastHeader = 't'
-		f.codings++
-		f.ambiguous = f.ambiguous || len(line) >= headLine
+		f.encodingHeaders++
+		f.ambiguous = f.ambiguous || len(line) >= maxLineBytes
 	}
 }
 
-// head handles the end of a head.
-func (f *framing) head() {
-	f.ambiguous = f.ambiguous || f.lengths > 1 || f.codings > 1 || f.lengths > 0 && f.codings > 0
+// endHead handles the end of a head.
+func (f *framing) endHead() {
+	f.ambiguous = f.ambiguous || f.lengthHeaders > 1 || f.encodingHeaders > 1 || f.lengthHeaders > 0 && f.encodingHeaders > 0
 	f.mu.Lock()
 	f.ambiguities = append(f.ambiguities, f.ambiguous)
 	f.mu.Unlock()
 	switch {
 	case f.ambiguous:
 		f.state = unknownFraming
-	case f.codings > 0:
+	case f.encodingHeaders > 0:
 		f.state = inChunkSize
-	case f.length > 0:
-		f.state, f.left = inBody, f.length
+	case f.contentLength > 0:
+		f.state, f.remaining = inBody, f.contentLength
 	default:
 		f.state = atStart
 	}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -158,12 +158,12 @@
 			fresh.awaitReady(t, "YES")
 			old.awaitReady(t, "NO")
 			p := dialRaw(t, fresh.address)
-			p.send(text("confirm"))
+			p.send(requestText("confirm"))
 			eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
-			defer p.answered(200)
+			defer p.expectAnswer(200)
 			defer release()
 		}
-		begun := term(fresh)
+		begun := sendSIGTERM(fresh)
 		old.awaitReady(t, "YES")
 		time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond)))
 		if !tookOver {
@@ -171,8 +171,8 @@
 		}
 		for range 10 {
 			p := dialRaw(t, old.address)
-			p.send(text("search"))
-			p.answered(200)
+			p.send(requestText("search"))
+			p.expectAnswer(200)
 		}
 		select {
 		case <-fresh.ended:
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -124,7 +124,7 @@
 	if others == nil {
 		others = &connectionUse{}
 	}
-	p.conns.limit(p.maxConns - others.Clients)
+	p.conns.setLimit(p.maxConns - others.Clients)
 	p.upstreams.limit(p.maxConns - others.Upstreams)
 }
 
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			back := make(chan struct{})
-			r := startOn(t, testConfig(t, c.discovery(back), c.known...), listenAt(t), "")
+			r := startOn(t, testConfig(t, c.discovery(back), c.known...), listenLoopback(t), "")
 			begun := time.Now()
 			status := func() int {
 				resp, err := r.client.Get("http://" + r.address + "/-/ready")
--- a/internal/sidecar/requesthandler.go
+++ b/internal/sidecar/requesthandler.go
@@ -10,13 +10,13 @@
 
 // requestHandler handles one request, from its arrival to its answer, on the goroutine of its connection.
 type requestHandler struct {
-	server  *server
-	w       http.ResponseWriter
-	r       *http.Request
-	conn    *framedConn
-	req     *clientRequest
-	outcome answerKind // for the statistics
-	begun   sync.Once
+	server    *server
+	w         http.ResponseWriter
+	r         *http.Request
+	conn      *framedConn
+	req       *clientRequest
+	outcome   answerKind // for the statistics
+	beginOnce sync.Once
 }
 
 // run forwards the request to a peer or hands it to the dispatcher, and answers it.
@@ -29,9 +29,9 @@
 	defer req.body.release()
 	h.followBody()
 	a, done := answer{kind: duplicate}, true
-	if s.forwards.reserve(req.id) {
-		defer s.forwards.release(req.id)
-		a, done = s.forwards.forward(h.r.Context(), s.clock.now(), req)
+	if s.forwarder.reserve(req.id) {
+		defer s.forwarder.release(req.id)
+		a, done = s.forwarder.forward(h.r.Context(), s.clock.now(), req)
 	}
 	if done {
 		h.answerForwarded(a)
@@ -46,7 +46,7 @@
 }
 
 // begin counts the request, once its body has been received.
-func (h *requestHandler) begin() { h.begun.Do(h.server.stats.begin) }
+func (h *requestHandler) begin() { h.beginOnce.Do(h.server.stats.begin) }
 
 // followBody reports to the dispatcher when the body is complete, or to the handler when it fails.
 func (h *requestHandler) followBody() {
@@ -141,7 +141,7 @@
 	h.outcome = failed
 	bad := &rejection{http.StatusRequestTimeout, "the body did not come in time"}
 	if !isTimeout(err) {
-		bad = &rejection{http.StatusRequestEntityTooLarge, tooLarge}
+		bad = &rejection{http.StatusRequestEntityTooLarge, bodyTooLargeText}
 	}
 	h.server.reject(h.w, h.r, bad)
 }
--- a/internal/sidecar/requestparser.go
+++ b/internal/sidecar/requestparser.go
@@ -16,7 +16,7 @@
 // maxTimeout bounds the time-out and the cost that a client may state.
 const maxTimeout = time.Hour
 
-const tooLarge = "a body holds 32 MB at most" // maxBodyBytes
+const bodyTooLargeText = "a body holds 32 MB at most" // maxBodyBytes
 
 // connKey is the context key of a client's connection.
 type connKey struct{}
@@ -57,7 +57,7 @@
 	header.Del(forwarding.HeaderHop)
 	forwarded, _ := r.Context().Value(hopKey{}).(bool)
 	return &clientRequest{
-		id: r.Header.Get(headerID), class: class.Name, settings: class, tenant: r.Header.Get(headerTenant),
+		id: r.Header.Get(headerID), class: class.Name, classSettings: class, tenant: r.Header.Get(headerTenant),
 		expiresAt: s.clock.now() + timeout, costHint: hint, method: r.Method, target: r.RequestURI, host: r.Host,
 		header: header, body: body, timeout: timeout, bodyPending: body.rest != nil, forwarded: forwarded,
 		answer: make(chan answer, 1), bodyErrors: make(chan error, 1),
@@ -150,7 +150,7 @@
 // readRequestBody reads the part of a body that is retained.
 func (s *server) readRequestBody(w http.ResponseWriter, r *http.Request) (*clientBody, *rejection) {
 	if r.ContentLength > maxBodyBytes {
-		return nil, rejectf(http.StatusRequestEntityTooLarge, tooLarge)
+		return nil, rejectf(http.StatusRequestEntityTooLarge, bodyTooLargeText)
 	}
 	conn := http.NewResponseController(w)
 	var arrivedAt time.Time
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -21,10 +21,10 @@
 	body         io.ReadCloser
 	length       int64         // of the whole answer; -1: not stated
 	stallTimeout time.Duration // for the upstream to send more
-	end          func()        // cuts a read short
+	cancelRead   func()        // cuts a read short
 	finish       func(reusable bool)
 	reusable     bool // the connection can be used again after it
-	once         sync.Once
+	dropOnce     sync.Once
 	complete     bool
 
 	bytesRead int64
@@ -36,7 +36,7 @@
 // read reads the next part. Size and time are bounded, against answers that never end.
 func (a *responseRest) read(p []byte) (int, error) {
 	begun := time.Now()
-	stalled := time.AfterFunc(a.stallTimeout+time.Duration(a.bytesRead)*time.Second/minResponseRate-a.readTime, a.end)
+	stalled := time.AfterFunc(a.stallTimeout+time.Duration(a.bytesRead)*time.Second/minResponseRate-a.readTime, a.cancelRead)
 	defer stalled.Stop()
 	n, err := a.body.Read(p)
 	a.bytesRead, a.readTime = a.bytesRead+int64(n), a.readTime+time.Since(begun)
@@ -49,7 +49,7 @@
 
 // drop frees the connection, for another request if the answer was read to its end. It may be called more than once.
 func (a *responseRest) drop() {
-	a.once.Do(func() {
+	a.dropOnce.Do(func() {
 		_ = a.body.Close()
 		a.finish(a.complete && a.reusable)
 	})
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -13,7 +13,7 @@
 // clientRequest is a request of a client, parsed and checked.
 type clientRequest struct {
 	id, class, tenant string
-	settings          balancer.Class // its class, as it was when the request was parsed
+	classSettings     balancer.Class // its class, as it was when the request was parsed
 	expiresAt         time.Duration  // clock time at which the client stops waiting
 	costHint          time.Duration  // expected work; 0: unknown
 
@@ -43,8 +43,8 @@
 	disconnectPollInterval = 50 * time.Millisecond // between checks whether a client has disconnected from which nobody reads; 0.1 s are allowed
 )
 
-// hopByHop are the headers that are not forwarded (RFC 9110, section 7.6.1).
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
+// hopByHopHeaders are the headers that are not forwarded (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
 // endToEnd returns a copy of the headers without the hop-by-hop ones.
@@ -55,7 +55,7 @@
 			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		forwarded.Del(name)
 	}
 	return forwarded
@@ -73,7 +73,7 @@
 	stats        *stats
 	budget       *byteBudget
 	stopping     atomic.Bool // each connection is closed with its next answer
-	forwards     *forwarder  // nil: nothing is forwarded
+	forwarder    *forwarder  // nil: nothing is forwarded
 }
 
 // ServeHTTP implements http.Handler: it serves a client's request, and returns once that has its answer. It aborts the
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -171,7 +171,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		for rate, complete := range map[int]bool{64 << 10: true, 4 << 10: false} {
-			w := &deadlines{}
+			w := &deadlineRecorder{}
 			r := &rateCheckedReader{body: &slowBody{w: w, rate: rate, left: 1 << 20}, conn: http.NewResponseController(w), timeLeft: bodyStartTimeout}
 			_, err := io.Copy(io.Discard, r)
 			if complete != (err == nil) || !complete && !isTimeout(err) {
@@ -181,20 +181,20 @@
 	})
 }
 
-// deadlines is a client's connection that only takes read deadlines.
-type deadlines struct {
+// deadlineRecorder is a client's connection that only takes read deadlines.
+type deadlineRecorder struct {
 	http.ResponseWriter
 	at time.Time
 }
 
-func (d *deadlines) SetReadDeadline(at time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(at time.Time) error {
 	d.at = at
 	return nil
 }
 
 // slowBody comes at a rate, in chunks of a sixteenth of a second.
 type slowBody struct {
-	w          *deadlines
+	w          *deadlineRecorder
 	rate, left int
 }
 
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -325,7 +325,7 @@
 	go p.loop.run(known)
 	for i := range 20 {
 		r := p.loop.newRequest(fmt.Sprint(i), "search")
-		r.settings = p.config.Settings.Classes[0]
+		r.classSettings = p.config.Settings.Classes[0]
 		p.loop.enqueue(requestArrived{r})
 		if a := <-r.answer; a.kind != served {
 			t.Fatalf("answered %+v", a)
--- a/internal/sidecar/settingsupdate_test.go
+++ b/internal/sidecar/settingsupdate_test.go
@@ -87,9 +87,9 @@
 
 // Guards against a request that was checked by rules that the balancer has no more: it might be sent twice.
 func TestRequestCheckedByOldSettingsIsRejected(t *testing.T) {
-	l := testLoop(t, nil)
+	l := newTestDispatcher(t, nil)
 	r := l.newRequest("1", "search")
-	r.settings.Name = "search"
+	r.classSettings.Name = "search"
 	l.onEvent(requestArrived{r})
 	if a := <-r.answer; a.kind != rejected || len(l.inFlight) != 0 {
 		t.Errorf("answered %+v, %d in hand", a, len(l.inFlight))
--- a/internal/sidecar/sharing.go
+++ b/internal/sidecar/sharing.go
@@ -90,7 +90,7 @@
 	if s == nil || s.forwards == nil {
 		return
 	}
-	p.server.forwards = s.forwards
+	p.server.forwarder = s.forwards
 	s.forwards.serve(p.server)
 	s.parts.Go(func() { s.pressure(s.ctx, p) })
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -193,7 +193,7 @@
 // newHTTPServer returns the server of the clients' connections.
 func (p *process) newHTTPServer() *http.Server {
 	return &http.Server{Handler: p.server, ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout,
-		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true, ConnState: p.conns.state,
+		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true, ConnState: p.conns.onConnState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -41,7 +41,7 @@
 }
 
 func newUpstreamPool(c *Config, clk clock, bound int) *upstreamPool {
-	u := &upstreamPool{dial: c.dial, dispatched: func() {}, budget: &byteBudget{left: int64(c.Limits.MemoryMB * budgetFraction * (1 << 20))},
+	u := &upstreamPool{dial: c.dial, dispatched: func() {}, budget: &byteBudget{available: int64(c.Limits.MemoryMB * budgetFraction * (1 << 20))},
 		maxConns: bound, retainsIdle: true}
 	u.updateSettings(c.Settings)
 	u.directory = newEndpointDirectory(clk, u.drop)
@@ -105,7 +105,7 @@
 	}
 	x := u.startExchange(ctx, c, r, before, use)
 	select {
-	case rep := <-x.ended:
+	case rep := <-x.reply:
 		return rep
 	case <-ctx.Done():
 	}
@@ -115,9 +115,9 @@
 		rep.result = balancer.Timeout
 	}
 	mayOutlast := timeout || errors.Is(context.Cause(ctx), errAnswered)
-	if !mayOutlast || !u.awaitLateAnswer(x.readCtx, c, x.end) {
-		x.end()
-		ended := <-x.ended
+	if !mayOutlast || !u.awaitLateAnswer(x.readCtx, c, x.cancelRead) {
+		x.cancelRead()
+		ended := <-x.reply
 		if ended.rest == nil {
 			return ended
 		}
