--- a/internal/sidecar/answerwriter.go
+++ b/internal/sidecar/answerwriter.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// stream passes an answer on as it arrives. It fails if the client did not get all of it.
+// stream writes an answer to the client as it arrives. It fails if the client did not get all of it.
 func (s *server) stream(w http.ResponseWriter, rep *attemptReply) error {
 	length := ""
 	if rep.rest.length >= 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// writeLine writes an answer of the sidecar's own, of one line.
+// writeLine writes a one-line answer of the sidecar itself.
 func (s *server) writeLine(w http.ResponseWriter, status int, line string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	s.write(w, status, []byte(line+"\n"))
@@ -74,10 +74,10 @@
 
 // write writes an answer with a complete body.
 func (s *server) write(w http.ResponseWriter, status int, body []byte) {
-	// It fails on a closed connection only, as the write then does.
+	// It fails on a closed connection only, on which the write fails, too.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	s.writeHead(w, status, strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // fails if the client has gone
+	_, _ = w.Write(body) // fails if the client has disconnected
 }
 
 // writeHead writes the head of an answer. Without a length, the body is sent in chunks.
@@ -86,7 +86,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if w.Header().Get("Content-Type") == "" {
-		w.Header()["Content-Type"] = nil // or the library would guess one
+		w.Header()["Content-Type"] = nil // otherwise net/http guesses one
 	}
 	w.Header().Del("Content-Length")
 	if length != "" {
--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -15,18 +15,19 @@
 	minRetainedBytes = 4 << 10  // retained even if the budget is used up
 	maxBodyBytes     = 32 << 20 // of a request or an answer
 	budgetFraction   = 0.25     // of the memory limit, for all retained bodies and answers
-	minBodyRate      = 48 << 10 // bytes per second: clients are to send 64 kB/s, less a quarter for a busy machine
-	// bodyStartTimeout is the least time that the first bytes of a body have after its head.
+	minBodyRate      = 48 << 10 // bytes per second: clients must send 64 kB/s, and a quarter less is allowed for a busy machine
+	// bodyStartTimeout is the minimum time allowed for the first bytes of a body after its head.
 	bodyStartTimeout = 700 * time.Millisecond
 )
 
-// byteBudget bounds the retained bytes of all bodies and answers together. Safe for concurrent use.
+// byteBudget bounds the retained bytes of all bodies and answers together. It is safe for concurrent use.
 type byteBudget struct {
 	mu        sync.Mutex
-	available int64
+	available int64 // bytes; negative if minimum reservations exceed the budget
 }
 
-// reserve reserves as many bytes as are left, up to bound, and minRetainedBytes at least: connections are bounded, too.
+// reserve reserves the available bytes, up to bound, but at least minRetainedBytes, since the number of connections is
+// bounded, too. It returns the number of bytes.
 func (b *byteBudget) reserve(bound int64) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,20 +52,20 @@
 // read it one after the other, each through its own bodyReader; its methods are safe for concurrent use.
 type clientBody struct {
 	retained []byte
-	length   int64 // -1: not stated
-	reserved int64 // of the budget
+	length   int64 // -1 if not stated
+	reserved int64 // bytes of the budget
 	budget   *byteBudget
 
-	rest       io.Reader // nil: the whole body is retained
-	onComplete func()    // called after the last byte
-	onError    func(error)
+	rest       io.Reader   // nil if the whole body is retained
+	onComplete func()      // called after the last byte
+	onError    func(error) // called if reading from the client fails
 
 	readMu         sync.Mutex // held while the rest is read
 	mu             sync.Mutex
 	consumed       bool  // an attempt has read some of the rest
 	ended          bool  // the rest has been read to its end
-	err            error // with which reading from the client failed
-	restBytes      int64 // bytes of the rest
+	err            error // of reading from the client
+	restBytes      int64 // bytes read of the rest
 	currentAttempt int   // number of the attempt that may read
 }
 
@@ -79,7 +80,7 @@
 func (b *clientBody) endAttempt() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.currentAttempt++ // a late read would take bytes that the next attempt lacks
+	b.currentAttempt++ // a late read would take bytes that the next attempt needs
 	return b.consumed
 }
 
@@ -97,25 +98,25 @@
 	defer b.mu.Unlock()
 	b.currentAttempt++
 	if b.consumed {
-		return &bodyReader{body: b} // turn 0 is never the current one
+		return &bodyReader{body: b} // attempt 0 is never the current one
 	}
 	return &bodyReader{body: b, attempt: b.currentAttempt, retained: b.retained}
 }
 
-// endReading ends the reading of attempts: the request has its answer.
+// endReading stops the reading of all attempts, once the request has been answered.
 func (b *clientBody) endReading() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.currentAttempt++
 }
 
-// drain discards the rest of the body, since a client may not read its answer before it has sent the body. The source
-// bounds the time.
+// drain discards the rest of the body, since a client may not read its answer before it has sent the body. rest
+// limits the time.
 func (b *clientBody) drain() {
 	b.endReading()
 	b.readMu.Lock()
 	defer b.readMu.Unlock()
-	_, _ = io.CopyN(io.Discard, b.rest, maxBodyBytes) // any end will do
+	_, _ = io.CopyN(io.Discard, b.rest, maxBodyBytes) // errors end it, too
 }
 
 // release returns the reserved bytes to the budget.
@@ -136,7 +137,7 @@
 // Close implements io.Closer. The body belongs to its request, and stays open.
 func (r *bodyReader) Close() error { return nil }
 
-// incomplete reports whether some of the body has not been handed to the writer, so that no upstream can have all of it.
+// incomplete reports whether some of the body has not been passed to the writer, so that no upstream can have all of it.
 func (r *bodyReader) incomplete() bool { return !r.ended.Load() && r.delivered.Load() != r.body.length }
 
 // Read implements io.Reader.
@@ -186,7 +187,7 @@
 	if b.restBytes+int64(len(b.retained)) > maxBodyBytes && err == nil {
 		err = errBodyLarge
 	}
-	cut := b.currentAttempt != r.attempt
+	outdated := b.currentAttempt != r.attempt
 	switch {
 	case errors.Is(err, io.EOF):
 		b.ended = true
@@ -200,38 +201,38 @@
 	case err != nil:
 		b.onError(err)
 	}
-	if cut {
+	if outdated {
 		return 0, errAttemptEnded
 	}
 	return n, err
 }
 
-// rateCheckedReader reads a client's body as long as it arrives at minBodyRate at least. Time during which nobody reads,
-// because an upstream is slow, does not count, as it would with http.Server's ReadTimeout.
+// rateCheckedReader reads a client's body as long as it arrives at a rate of at least minBodyRate. Time during which no
+// attempt reads, because an upstream is slow, does not count, unlike with http.Server's ReadTimeout.
 type rateCheckedReader struct {
 	body     io.Reader
 	conn     *http.ResponseController
 	timeLeft time.Duration // grows with each byte read
 }
 
-// newRateCheckedReader starts the timeout of a body. accepted is when a connection without an earlier request was accepted,
-// which must get an answer or a close within requestTimeout of that; the zero time for any other connection.
+// newRateCheckedReader starts the timeout of a body. accepted is the time at which a connection without an earlier request
+// was accepted: it must be answered or closed within requestTimeout of that. It is the zero time for any other connection.
 func newRateCheckedReader(body io.Reader, conn *http.ResponseController, accepted time.Time) *rateCheckedReader {
-	left := requestTimeout
+	timeLeft := requestTimeout
 	if !accepted.IsZero() {
-		left = max(bodyStartTimeout, requestTimeout-time.Since(accepted))
+		timeLeft = max(bodyStartTimeout, requestTimeout-time.Since(accepted))
 	}
-	return &rateCheckedReader{body: body, conn: conn, timeLeft: left}
+	return &rateCheckedReader{body: body, conn: conn, timeLeft: timeLeft}
 }
 
 // Read implements io.Reader.
 func (r *rateCheckedReader) Read(p []byte) (int, error) {
-	begun := time.Now()
-	_ = r.conn.SetReadDeadline(begun.Add(r.timeLeft)) // fails only on a broken connection, as the read then does
+	start := time.Now()
+	_ = r.conn.SetReadDeadline(start.Add(r.timeLeft)) // fails only on a broken connection, as the read then does
 	n, err := r.body.Read(p)
-	r.timeLeft += time.Duration(n)*time.Second/minBodyRate - time.Since(begun)
+	r.timeLeft += time.Duration(n)*time.Second/minBodyRate - time.Since(start)
 	if errors.Is(err, io.EOF) {
-		_ = r.conn.SetReadDeadline(time.Time{}) // the server now reads to notice that the client leaves
+		_ = r.conn.SetReadDeadline(time.Time{}) // net/http now reads, to notice a disconnect
 	}
 	return n, err
 }
@@ -250,7 +251,7 @@
 	source := newRateCheckedReader(r.Body, conn, accepted)
 	buf := make([]byte, 0, min(b.reserved, minRetainedBytes))
 	for {
-		if int64(len(buf)) == b.length { // net/http reports the end with the last byte, or now
+		if int64(len(buf)) == b.length { // net/http reports the end with the last byte, or with the next read
 			b.retained = buf
 			_, err := source.Read(make([]byte, 1))
 			if !errors.Is(err, io.EOF) {
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// Guards against large bodies that are held whole, or changed: they pass in chunks and with a length, both ways.
+// Guards against large bodies that are changed, and against a connection that is not reused after one: they pass in both
+// directions, in chunks and with a length.
 func TestLargeBodiesPass(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 64<<10) // 1 MiB
 	s := newUpstream(t, func(c net.Conn, g got) bool {
@@ -22,13 +23,13 @@
 	})
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	for _, chunked := range []bool{false, true} {
-		eventually(t, "a connection is used again, once it has rested", func() bool {
+		eventually(t, "reuse of a connection after minIdleBeforeReuse", func() bool {
 			req := request(t, r.address, "confirm", body)
 			if chunked {
 				req.Body, req.ContentLength = io.NopCloser(strings.NewReader(body)), -1
 			}
 			if resp, text := r.do(t, req); resp.StatusCode != 200 || text != body {
-				t.Fatalf("chunked %v: %s, %d bytes", chunked, resp.Status, len(text))
+				t.Fatalf("chunked %v: got %s with a body of %d bytes, want 200 with the body sent, of %d", chunked, resp.Status, len(text), len(body))
 			}
 			time.Sleep(minIdleBeforeReuse)
 			all := s.requests()
@@ -38,8 +39,8 @@
 	}
 }
 
-// Guards against chunks that are rejected, or passed on with what belongs to the client's connection: extensions and
-// trailers end here, and what is small goes on with its length.
+// Guards against chunked requests that are rejected, or forwarded with parts that belong to the client's connection: chunk
+// extensions and trailers are dropped, and a small body is sent with its length.
 func TestChunkedRequest(t *testing.T) {
 	s := newUpstream(t, says(ok200("done")))
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
@@ -49,40 +50,40 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	const head = "POST /confirm/%d HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000e%d\r\n"
 	for n, rest := range []string{
 		"Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n3;ext=\"a b\"\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n",
-		"Content-Length: 5\r\n\r\nabcde", // the connection is used again
+		"Content-Length: 5\r\n\r\nabcde", // on the same connection
 		"Expect: 100-continue\r\nContent-Length: 5\r\n\r\n",
 	} {
-		for _, part := range strings.SplitAfter(fmt.Sprintf(head, n, n)+rest, "\r") { // cut anywhere
+		for _, part := range strings.SplitAfter(fmt.Sprintf(head, n, n)+rest, "\r") { // in several writes
 			if _, err := io.WriteString(conn, part); err != nil {
 				t.Fatal(err)
 			}
 		}
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err == nil && resp.StatusCode == http.StatusContinue {
 			if _, err = io.WriteString(conn, "abcde"); err == nil {
-				resp, err = http.ReadResponse(in, nil)
+				resp, err = http.ReadResponse(reader, nil)
 			}
 		}
 		if err != nil {
-			t.Fatalf("%d: %v", n, err)
+			t.Fatalf("request %d: %v", n, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 		if resp.StatusCode != 200 {
-			t.Fatalf("%d: %s", n, resp.Status)
+			t.Fatalf("request %d: got %s, want 200", n, resp.Status)
 		}
 		g := s.requests()[n]
 		if g.body != "abcde" || g.header.Get("Trailer") != "" || g.header.Get("Expect") != "" {
-			t.Errorf("%d: went on as %q with %v", n, g.body, g.header)
+			t.Errorf("request %d: the upstream got body %q with headers %v, want abcde without Trailer and Expect", n, g.body, g.header)
 		}
 	}
 }
 
-// Guards against half a body that an upstream takes for a request: where the client breaks off, the upstream sees no end.
+// Guards against half a body that an upstream takes for a whole one: if the client breaks off, the upstream sees no end.
 func TestBodyBrokenOffGoesNowhere(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
@@ -99,12 +100,12 @@
 		eventually(t, "the end of the attempt", func() bool { return s.closed.Load() == s.opened.Load() })
 	}
 	if n := len(s.requests()); n != 0 {
-		t.Errorf("%d requests reached the upstream", n)
+		t.Errorf("%d requests reached the upstream, want 0", n)
 	}
 }
 
-// Guards against a second attempt with half a body, and against one that is lost: what was sent in part is refused, as
-// it never ran, though its client still sends.
+// Guards against a second attempt with half a body, and against a request that is lost: a request that was sent in part is
+// rejected, since it was not processed, although the client is still sending.
 func TestNoRetryOnceTheBodyIsConsumed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +119,7 @@
 			if err != nil {
 				return
 			}
-			n, _ := io.CopyN(io.Discard, c, 100<<10) // past what is kept
+			n, _ := io.CopyN(io.Discard, c, 100<<10) // more than is retained
 			attempts <- int(n)
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
@@ -127,14 +128,14 @@
 	r := start(t, testConfig(t, quiet(t).address, entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
 	resp, _ := r.do(t, request(t, r.address, "confirm", strings.Repeat("x", 4<<20)))
 	if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("%s, close %v", resp.Status, resp.Close)
+		t.Errorf("got %s with close %v, want 503 with close true", resp.Status, resp.Close)
 	}
 	if n := len(attempts); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("got %d attempts, want 1", n)
 	}
 }
 
-// Guards against large answers that wait until they are whole, and against one cut off that looks whole.
+// Guards against large answers that are sent only once they are complete, and against a truncated one that looks complete.
 func TestLargeAnswerGoesOnAtOnce(t *testing.T) {
 	for name, c := range map[string]struct{ head, end string }{
 		"with a length": {"Content-Length: 1000000\r\n\r\n", ""}, "in chunks": {"Transfer-Encoding: chunked\r\n\r\n40000\r\n", "\r\n0\r\n\r\n"},
@@ -162,43 +163,43 @@
 			if _, err := io.ReadFull(resp.Body, make([]byte, maxRetainedBytes)); err != nil {
 				t.Fatalf("%s: %v", name, err)
 			}
-			close(release) // only now does the upstream go on
+			close(release) // only now does the upstream send the rest
 			_, err = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 			if complete != (err == nil) {
-				t.Errorf("%s, whole %v: %v", name, complete, err)
+				t.Errorf("%s: got error %v, want complete %v", name, err, complete)
 			}
 		}
 	}
 }
 
-// Guards against memory that grows with bodies: what is kept of all together is bounded, and none waits for it.
+// Guards against memory that grows with bodies: the retained bytes of all are bounded, and no request waits for them.
 func TestBudget(t *testing.T) {
 	b := &byteBudget{available: 100 << 10}
 	for i, want := range []int64{64 << 10, 36 << 10, minRetainedBytes} {
 		if got := b.reserve(maxRetainedBytes); got != want {
-			t.Errorf("%d: %d", i, got)
+			t.Errorf("reservation %d: got %d bytes, want %d", i, got, want)
 		}
 	}
 	b.release(64 << 10)
 	if got := b.reserve(maxRetainedBytes); got != 60<<10 {
-		t.Errorf("given back, %d", got)
+		t.Errorf("reservation after a release: got %d bytes, want %d", got, 60<<10)
 	}
 	s := newUpstream(t, func(c net.Conn, g got) bool {
 		_, err := io.WriteString(c, ok200(g.body))
 		return err == nil
 	})
 	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
-	c.Limits.MemoryMB = 0 // for what is kept, too
+	c.Limits.MemoryMB = 0 // so the budget is 0
 	r := start(t, c, "127.0.0.1:0")
 	body := strings.Repeat("x", 50000)
 	if resp, text := r.do(t, request(t, r.address, "confirm", body)); resp.StatusCode != 200 || text != body {
-		t.Errorf("without a budget: %s, %d bytes", resp.Status, len(text))
+		t.Errorf("without a budget: got %s with a body of %d bytes, want 200 with the body sent, of %d", resp.Status, len(text), len(body))
 	}
 }
 
-// Guards against a body with a hole in it: an attempt that has ended takes nothing more of what the next one would send,
-// and where it took some, there is no next one.
+// Guards against a body with missing bytes: an attempt that has ended reads no bytes that the next one needs, and once an
+// attempt has read some of the rest, the body can't be sent again.
 func TestBodyIsReadByOneAttempt(t *testing.T) {
 	body := func() *clientBody {
 		return &clientBody{retained: []byte("kept "), length: -1, rest: strings.NewReader("rest"), budget: &byteBudget{},
@@ -207,59 +208,59 @@
 	b := body()
 	first := b.reader()
 	if b.endAttempt() {
-		t.Error("spent before anything was read")
+		t.Error("endAttempt: got consumed, want not consumed before any read")
 	}
 	if text, err := io.ReadAll(first); !errors.Is(err, errAttemptEnded) || string(text) != "kept " {
-		t.Errorf("the attempt that has ended read %q, %v", text, err)
+		t.Errorf("the attempt that has ended read %q with error %v, want %q with %v", text, err, "kept ", errAttemptEnded)
 	}
 	if text, err := io.ReadAll(b.reader()); err != nil || string(text) != "kept rest" {
-		t.Errorf("the next read %q, %v", text, err)
+		t.Errorf("the next attempt read %q with error %v, want %q without one", text, err, "kept rest")
 	}
 	b = body()
 	_, _ = io.ReadAtLeast(b.reader(), make([]byte, 6), 6)
 	if text, err := io.ReadAll(b.reader()); !errors.Is(err, errAttemptEnded) || len(text) > 0 {
-		t.Errorf("after some of the rest was taken, the next read %q, %v", text, err)
+		t.Errorf("after a read of the rest, the next attempt read %q with error %v, want none with %v", text, err, errAttemptEnded)
 	}
 	if !b.endAttempt() {
-		t.Error("not spent")
+		t.Error("endAttempt: got not consumed, want consumed after a read of the rest")
 	}
 }
 
-// Guards against a budget that shrinks with each request until nothing is kept any more.
+// Guards against a budget that shrinks with each request until nothing is retained any more.
 func TestBudgetComesBack(t *testing.T) {
 	for _, size := range []int{0, 3, 5000, maxRetainedBytes, 3 * maxRetainedBytes} {
 		s := newUpstream(t, says(ok200(strings.Repeat("x", size))))
 		u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
-		left := func() int64 {
+		available := func() int64 {
 			u.budget.mu.Lock()
 			defer u.budget.mu.Unlock()
 			return u.budget.available
 		}
-		before := left()
+		before := available()
 		rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0)
-		if retained := before - left(); retained < int64(min(size, 1)) || retained > maxRetainedBytes {
-			t.Errorf("an answer of %d: %d held", size, retained)
+		if retained := before - available(); retained < int64(min(size, 1)) || retained > maxRetainedBytes {
+			t.Errorf("an answer of %d bytes reserves %d, want %d to %d", size, retained, min(size, 1), maxRetainedBytes)
 		}
 		rep.drop()
-		if left() != before {
-			t.Errorf("an answer of %d: %d left of %d", size, left(), before)
+		if available() != before {
+			t.Errorf("after an answer of %d bytes: %d bytes are available, want %d", size, available(), before)
 		}
-		for _, stated := range []int64{int64(size), int64(size) + 1, -1} { // true, never whole, in chunks
+		for _, stated := range []int64{int64(size), int64(size) + 1, -1} { // correct, too long, in chunks
 			b, err := readBody(&http.Request{Body: io.NopCloser(strings.NewReader(strings.Repeat("x", size))), ContentLength: stated},
 				http.NewResponseController(&deadlineRecorder{}), time.Time{}, u.budget)
 			if err == nil {
 				b.release()
 			}
-			if left() != before {
-				t.Errorf("a body of %d, stated %d: %d left of %d", size, stated, left(), before)
+			if available() != before {
+				t.Errorf("after a body of %d bytes with stated length %d: %d bytes are available, want %d", size, stated, available(), before)
 			}
 		}
 	}
 }
 
-// Guards against a client that stops reading its answer and holds the upstream's connection, or other requests, with it.
+// Guards against a client that stops reading its answer and thereby blocks the upstream's connection, or other requests.
 func TestClientThatStopsReadingEndsItsOwnRequest(t *testing.T) {
-	large := ok200(strings.Repeat("x", maxBodyBytes)) // more than sockets hold
+	large := ok200(strings.Repeat("x", maxBodyBytes)) // more than the socket buffers hold
 	s := newUpstream(t, func(c net.Conn, g got) bool {
 		text := ok200("small")
 		if strings.HasPrefix(g.target, "/confirm/") {
@@ -269,16 +270,16 @@
 		return err == nil
 	})
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
-	resp, err := r.client.Do(request(t, r.address, "confirm", "")) // and its body is left unread
+	resp, err := r.client.Do(request(t, r.address, "confirm", "")) // its body stays unread
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp, text := r.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 || text != "small" {
-		t.Errorf("beside it: %s %q", resp.Status, text)
+		t.Errorf("another request meanwhile: got %s %q, want 200 %q", resp.Status, text, "small")
 	}
 	eventually(t, "the end of its attempt", func() bool { return s.closed.Load() > 0 })
 	if resp, text := r.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 || text != "small" {
-		t.Errorf("afterwards: %s %q", resp.Status, text)
+		t.Errorf("a request afterwards: got %s %q, want 200 %q", resp.Status, text, "small")
 	}
 }
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -15,25 +15,25 @@
 const (
 	// bodyStallTimeout is how long a body may stall, beyond what minBodyRate allows, while other clients wait for a descriptor.
 	bodyStallTimeout   = 150 * time.Millisecond
-	finalReadTimeout   = time.Millisecond       // for a request that has arrived already when its connection is to end
-	acceptQueueTimeout = 10 * time.Millisecond  // for a connection in the kernel's queue; waited twice, as a goroutine may be late
-	maxLinger          = 100 * time.Millisecond // for the client to close its side of a closed connection
-	minLinger          = 10 * time.Millisecond  // the same while others wait for its descriptor; enough for the answer to arrive
-	maxLingerBytes     = 1 << 20                // bytes discarded meanwhile, that were in flight when the connection was closed
+	finalReadTimeout   = time.Millisecond       // for reading a request that has already arrived when its connection is to be closed
+	acceptQueueTimeout = 10 * time.Millisecond  // for accepting a connection from the kernel's queue; waited twice, as a goroutine may be late
+	maxLinger          = 100 * time.Millisecond // for the client to close its side of a connection that the sidecar has closed
+	minLinger          = 10 * time.Millisecond  // the same while other clients wait for its descriptor; enough for the answer to arrive
+	maxLingerBytes     = 1 << 20                // bytes discarded meanwhile, which were in flight when the connection was closed
 )
 
 // connStage is how far the next request of a connection has been read.
 type connStage int
 
 const (
-	betweenRequests connStage = iota // nothing of it
+	betweenRequests connStage = iota // none of it has been read
 	partialHead
-	headComplete // or more
+	headComplete // all of its head, and maybe some of its body
 )
 
-// framedConn is a client's connection. It closes gracefully: never while part of a request has been read that has no answer
-// yet, and its sending side first, so that bytes in flight don't make the kernel reset it and lose an answer. The HTTP
-// server owns it; the other methods are safe for concurrent use.
+// framedConn is a client's connection. It closes gracefully: never while a request that has been read in part is
+// unanswered, and its sending side first, so that bytes in flight don't make the kernel reset it and lose an answer. The
+// HTTP server calls the methods of net.Conn; the other methods are safe for concurrent use.
 type framedConn struct {
 	net.Conn
 	arrivedAt    time.Time // the earliest time at which it can have reached the kernel's queue
@@ -41,32 +41,32 @@
 	listener     *clientConns
 	framing      framing
 	clientClosed atomic.Bool   // the client has closed it, or reading failed
-	pipelined    chan struct{} // has a buffer of one: bytes of another request were read behind the one in flight, after which the library stops reading
+	pipelined    chan struct{} // receives when bytes were read behind the request in flight, after which net/http stops reading; has a buffer of one
 
 	mu           sync.Mutex
-	ending       bool // it is to be closed between requests
-	evicted      bool // it is ending only to free its descriptor
-	active       bool // the library has a request in flight
-	waiting      bool // a read is in progress that can only return the next request
+	ending       bool // it is to be closed once it is between requests
+	evicted      bool // it is ending only because its descriptor is needed
+	active       bool // net/http has a request in flight
+	waiting      bool // the read in progress can only return the next request
 	stage        connStage
-	readSince    time.Time     // since when a read is in progress; zero: none is
+	readSince    time.Time     // when the read in progress began; zero if there is none
 	headSince    time.Time     // when the first bytes of an incomplete head arrived
 	bodyWait     time.Duration // time spent reading the body in flight
 	bodyBytes    int           // read of the body in flight
-	readDeadline time.Time     // as set by the library
+	readDeadline time.Time     // as set by net/http
 	readCut      bool          // the read of the rest of a request was cut short
-	closingSince time.Time     // since when its sending side is closed; zero: it is open
-	hasWritten   bool
+	closingSince time.Time     // when its sending side was closed; zero while it is open
+	hasWritten   bool          // something was sent to the client
 }
 
-// Read implements net.Conn. It follows the framing of requests, and lets a read that was cut short return what has arrived
-// meanwhile.
+// Read implements net.Conn. It tracks the framing of requests, and lets a read that was cut short return the bytes that
+// have arrived meanwhile.
 func (c *framedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.waiting = !c.active && c.framing.stage() == betweenRequests
 	c.readSince = time.Now()
-	body := c.framing.bodyIncomplete()
-	if !body {
+	readingBody := c.framing.bodyIncomplete()
+	if !readingBody {
 		c.bodyWait, c.bodyBytes = 0, 0
 	}
 	if c.waiting && c.ending {
@@ -75,32 +75,32 @@
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
-	stays := false
+	keepOpen := false
 	if bounded := c.waiting && c.ending; bounded || c.readCut {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			n, err = c.readAvailable(p)
 		}
 		if n > 0 { // more has arrived meanwhile
-			stays = true
+			keepOpen = true
 			c.ending = c.ending && !c.evicted
 			c.evicted, c.readCut = false, false
-			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by the library; fails on a closed connection only
+			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by net/http; fails on a closed connection only
 		}
 	}
-	if body {
+	if readingBody {
 		c.bodyWait, c.bodyBytes = c.bodyWait+time.Since(c.readSince), c.bodyBytes+n
 	}
 	c.framing.scan(p[:n])
 	if n > 0 && c.active && c.framing.pipelined() {
 		wake(c.pipelined)
 	}
-	now := c.framing.stage()
-	if now == partialHead && c.stage != partialHead {
+	stage := c.framing.stage()
+	if stage == partialHead && c.stage != partialHead {
 		c.headSince = time.Now()
 	}
-	c.waiting, c.stage, c.readSince = false, now, time.Time{}
+	c.waiting, c.stage, c.readSince = false, stage, time.Time{}
 	c.mu.Unlock()
-	if stays {
+	if keepOpen {
 		c.listener.cancelEviction(c)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -118,15 +118,15 @@
 	return end
 }
 
-// SetReadDeadline implements net.Conn for the HTTP library. The deadline is kept, to be restored after an eviction that was
-// cancelled. That of a first request counts from the connection's arrival, as far as that is known.
+// SetReadDeadline implements net.Conn for net/http. The deadline is stored, to be restored after an eviction that was
+// cancelled. The deadline of a first request counts from the connection's arrival, as far as that is known.
 func (c *framedConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.framing.noRequest() && c.acceptedAt.After(c.arrivedAt) && at.After(c.acceptedAt) {
 		at = c.arrivedAt.Add(requestTimeout)
-		if atLeast := c.acceptedAt.Add(bodyStartTimeout); at.Before(atLeast) {
-			at = atLeast
+		if earliest := c.acceptedAt.Add(bodyStartTimeout); at.Before(earliest) {
+			at = earliest
 		}
 	}
 	c.readDeadline = at
@@ -149,19 +149,19 @@
 	classAnswered evictionClass = iota // its last answer has been sent, and only the client's close is awaited
 	classUnused                        // it has never carried a request
 	classSlowHead
-	classIdle     // since its last answer
-	classSlowBody // of a request in flight, of whose body more is to come
+	classIdle     // it has carried no request since its last answer
+	classSlowBody // the body of its request in flight is incomplete
 	classBusy     // a complete request is in flight, or the connection is being closed: not evicted
 )
 
-// evictionClass returns the class of the connection, since when it has been in it, and how long it may stay in it before it
-// can be evicted.
-func (c *framedConn) evictionClass() (class evictionClass, since time.Time, atLeast time.Duration) {
+// evictionClass returns the class of the connection, since when it has had this class, and how long it must have had it
+// before it can be evicted.
+func (c *framedConn) evictionClass() (class evictionClass, since time.Time, minAge time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	young, stall := newConnGrace, bodyStallTimeout
-	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has had its time while it waited to be accepted
-		young, stall = minLinger, newConnGrace
+	grace, stall := newConnGrace, bodyStallTimeout
+	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has had this time while it waited to be accepted
+		grace, stall = minLinger, newConnGrace
 	}
 	switch {
 	case c.readCut || c.evicted:
@@ -173,16 +173,16 @@
 	case c.active || c.stage == headComplete:
 		return classBusy, since, 0
 	case c.stage == partialHead && !c.readSince.IsZero():
-		return classSlowHead, c.headSince, young
+		return classSlowHead, c.headSince, grace
 	case c.stage == partialHead:
 		return classBusy, since, 0
 	case c.framing.noRequest():
-		return classUnused, c.acceptedAt, young
+		return classUnused, c.acceptedAt, grace
 	}
 	return classIdle, since, 0
 }
 
-// end closes the connection once it is between requests, and reports whether it is. Requests that have arrived until then are
+// end closes the connection once it is between requests, and reports whether it is. Requests that arrive before that are
 // answered.
 func (c *framedConn) end() bool {
 	c.mu.Lock()
@@ -194,10 +194,10 @@
 	return !c.active && c.stage == betweenRequests
 }
 
-// evict is end for a connection whose descriptor is needed. If a request arrives after all, the connection stays open.
+// evict is like end, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
 func (c *framedConn) evict() bool {
 	c.mu.Lock()
-	c.evicted = !c.ending // else it is closed in any case
+	c.evicted = !c.ending // otherwise it is closed in any case
 	c.mu.Unlock()
 	if c.end() {
 		return true
@@ -208,8 +208,8 @@
 	return false
 }
 
-// cutRead cuts short the read of the rest of a request, after which the library closes the connection or answers that the
-// request timed out. It returns false if no read is in progress, as bytes have just arrived.
+// cutRead cuts short the read of the rest of a request, after which net/http closes the connection, or the handler answers
+// that the request timed out. It returns false if no read is in progress, since bytes have just arrived.
 func (c *framedConn) cutRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,18 +221,18 @@
 	return true
 }
 
-// boundRead sets a short deadline for the read of the next request, after which the library closes the connection. A new
-// connection that is not evicted keeps newConnGrace for its first request. mu is held.
+// boundRead sets a short deadline for the read of the next request, after which net/http closes the connection. A new
+// connection that is not evicted keeps newConnGrace for its first request. The caller holds mu.
 func (c *framedConn) boundRead() {
 	deadline := time.Now().Add(finalReadTimeout)
-	if young := c.acceptedAt.Add(newConnGrace); !c.evicted && c.framing.noRequest() && young.After(deadline) {
-		deadline = young
+	if graceEnd := c.acceptedAt.Add(newConnGrace); !c.evicted && c.framing.noRequest() && graceEnd.After(deadline) {
+		deadline = graceEnd
 	}
 	_ = c.Conn.SetReadDeadline(deadline) // fails on a closed connection only
 }
 
-// readAvailable reads what has arrived, without blocking: a read past its deadline returns nothing even if bytes have
-// arrived.
+// readAvailable reads the bytes that have arrived, without blocking. After its deadline, net.Conn's Read returns none of
+// them.
 func (c *framedConn) readAvailable(p []byte) (n int, err error) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -244,7 +244,7 @@
 	}
 	_ = c.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection only
 	failed := fd.Read(func(fd uintptr) bool {
-		n, err = syscall.Read(int(fd), p) // package net's sockets don't block
+		n, err = syscall.Read(int(fd), p) // package net's sockets are non-blocking
 		return true
 	})
 	switch {
@@ -261,23 +261,23 @@
 	return n, nil
 }
 
-// setActive records whether the library has a request in flight.
+// setActive records whether net/http has a request in flight.
 func (c *framedConn) setActive(on bool) {
 	c.mu.Lock()
 	c.active = on
 	c.mu.Unlock()
 }
 
-// CloseWrite is called by the library before it closes a connection on which more may arrive. The library would then hold
-// the descriptor and all buffers for half a second, so that a flood of rejected connections would lock other clients out.
-// So the connection is closed here and its goroutine ended; only its deferred calls still run.
+// CloseWrite is called by net/http before it closes a connection on which more may arrive. net/http would then hold the
+// descriptor and all buffers for half a second, so that a flood of rejected connections would lock other clients out. So
+// the connection is closed here and its goroutine ended; only its deferred calls still run.
 func (c *framedConn) CloseWrite() error {
-	_ = c.Close() // it is closed whatever the error
+	_ = c.Close() // it is closed even if this fails
 	runtime.Goexit()
 	return nil
 }
 
-// Close implements net.Conn. A socket closed with bytes unread is reset, which loses an answer in flight; so the sending side
+// Close implements net.Conn. A socket closed with unread bytes is reset, which loses an answer in flight. So the sending side
 // is closed first, and bytes are discarded until the client closes, for at most maxLinger. A connection on which no answer
 // was sent is closed at once, except after SIGTERM.
 func (c *framedConn) Close() error {
@@ -288,14 +288,14 @@
 		c.readSince, c.readCut, c.evicted = c.closingSince, false, false
 	}
 	c.mu.Unlock()
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); lingers && ok && half.CloseWrite() == nil {
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); lingers && ok && halfCloser.CloseWrite() == nil {
 		c.mu.Lock()
 		if !c.readCut {
 			_ = c.Conn.SetReadDeadline(c.closingSince.Add(maxLinger)) // fails on a closed connection only
 		}
 		c.mu.Unlock()
 		c.listener.changed.Broadcast()                      // Accept may need the descriptor
-		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // any end will do
+		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // errors end it, too
 	}
 	return c.Conn.Close()
 }
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -11,36 +11,36 @@
 )
 
 // clientConns is the listener for clients. It limits their connections: at the limit it evicts some (see eviction.go), and
-// accepts no more until one has been closed. Safe for concurrent use.
+// accepts no more until one has been closed. It is safe for concurrent use.
 type clientConns struct {
 	net.Listener
 	maxConns int
 
 	mu            sync.Mutex
-	changed       *sync.Cond // signals a change of anything below
+	changed       *sync.Cond // signals a change of any field below
 	closed        bool
 	paused        bool                      // another process accepts clients
 	finishing     bool                      // every connection is to be closed, and the listener once its queue is empty
-	idleSince     map[*framedConn]time.Time // since when each connection carries no request; zero: it carries one
+	idleSince     map[*framedConn]time.Time // since when each connection has been idle; zero while it carries a request
 	evicting      map[*framedConn]bool      // connections that are being evicted
-	evictionTimer *time.Timer               // wakes Accept to try again; nil: not needed yet
-	fullSince     time.Time                 // since when connections may be waiting to be accepted; zero: none are
+	evictionTimer *time.Timer               // wakes Accept to evict again; nil until first needed
+	fullSince     time.Time                 // since when connections may be waiting to be accepted; zero if none are
 
 	lingering atomic.Bool // after SIGTERM: every close lingers
-	stopped   atomic.Bool // no close lingers any more
+	stopped   atomic.Bool // later closes don't linger
 }
 
-// newClientConns returns a listener that limits the connections of l to bound.
-func newClientConns(l net.Listener, bound int) *clientConns {
-	c := &clientConns{Listener: l, maxConns: bound, idleSince: map[*framedConn]time.Time{}, evicting: map[*framedConn]bool{}}
+// newClientConns returns a listener that limits the connections of l to maxConns.
+func newClientConns(l net.Listener, maxConns int) *clientConns {
+	c := &clientConns{Listener: l, maxConns: maxConns, idleSince: map[*framedConn]time.Time{}, evicting: map[*framedConn]bool{}}
 	c.changed = sync.NewCond(&c.mu)
 	return c
 }
 
-// Accept implements net.Listener. At the limit it evicts connections, and waits until one has gone.
+// Accept implements net.Listener. At the limit it evicts connections, and waits until one has been closed.
 func (c *clientConns) Accept() (net.Conn, error) {
-	failing := false
-	for empty := 0; ; {
+	logged := false
+	for timeouts := 0; ; {
 		c.mu.Lock()
 		for (c.paused && !c.finishing || len(c.idleSince) >= c.maxConns) && !c.closed {
 			if !c.paused {
@@ -51,29 +51,29 @@
 			}
 			c.changed.Wait()
 		}
-		last, paused := c.finishing, c.paused
+		finishing, paused := c.finishing, c.paused
 		c.mu.Unlock()
-		if last && paused { // another process accepts from the queue
+		if finishing && paused { // another process accepts from the queue
 			return nil, net.ErrClosed
 		}
-		if last {
+		if finishing {
 			c.setAcceptDeadline(time.Now().Add(acceptQueueTimeout))
 		}
-		begun := time.Now()
+		start := time.Now()
 		conn, err := c.Listener.Accept()
 		switch {
 		case err == nil:
-			return &framedConn{Conn: conn, arrivedAt: c.earliestArrival(begun), acceptedAt: time.Now(), listener: c, ending: last, pipelined: make(chan struct{}, 1)}, nil
+			return &framedConn{Conn: conn, arrivedAt: c.earliestArrival(start), acceptedAt: time.Now(), listener: c, ending: finishing, pipelined: make(chan struct{}, 1)}, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case !errors.Is(err, os.ErrDeadlineExceeded): // pause and finish set deadlines
-			if !failing {
+			if !logged {
 				logWarning(ofClients, "accepting a connection failed", err)
 			}
-			failing = true
-			c.onAcceptError(begun)
-		case last:
-			if empty++; empty == 2 { // the queue is empty
+			logged = true
+			c.onAcceptError(start)
+		case finishing:
+			if timeouts++; timeouts == 2 { // the queue is empty
 				return nil, net.ErrClosed
 			}
 		}
@@ -94,7 +94,7 @@
 	c.mu.Unlock()
 	var at time.Time
 	if on {
-		at = time.Unix(1, 0) // in the past: wakes a waiting Accept
+		at = time.Unix(1, 0) // in the past: ends an Accept in progress
 	}
 	c.setAcceptDeadline(at)
 	c.changed.Broadcast()
@@ -121,9 +121,9 @@
 }
 
 // setLimit sets the limit of connections.
-func (c *clientConns) setLimit(bound int) {
+func (c *clientConns) setLimit(maxConns int) {
 	c.mu.Lock()
-	c.maxConns = max(bound, 1)
+	c.maxConns = max(maxConns, 1)
 	c.mu.Unlock()
 	c.changed.Broadcast()
 }
@@ -135,19 +135,19 @@
 	return len(c.idleSince)
 }
 
-// awaitNone blocks until no connection is left, and after finish none can be accepted, or until the bound is over.
-func (c *clientConns) awaitNone(bound time.Duration) {
-	late := false
-	timer := time.AfterFunc(bound, func() {
+// awaitNone blocks until no connection is left and, after finish, none can be accepted any more; timeout bounds the wait.
+func (c *clientConns) awaitNone(timeout time.Duration) {
+	expired := false
+	timer := time.AfterFunc(timeout, func() {
 		c.mu.Lock()
-		late = true
+		expired = true
 		c.mu.Unlock()
 		c.changed.Broadcast()
 	})
 	defer timer.Stop()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for (len(c.idleSince) > 0 || c.finishing && !c.closed) && !late {
+	for (len(c.idleSince) > 0 || c.finishing && !c.closed) && !expired {
 		c.changed.Wait()
 	}
 }
@@ -161,7 +161,7 @@
 	return c.Listener.Close()
 }
 
-// cancelEviction records that a request has arrived on a connection that was to be evicted.
+// cancelEviction records that a request has arrived on a connection that was being evicted.
 func (c *clientConns) cancelEviction(conn *framedConn) {
 	c.mu.Lock()
 	delete(c.evicting, conn)
@@ -169,20 +169,20 @@
 	c.changed.Broadcast()
 }
 
-// endIdle closes all connections that have carried no request for atLeast.
-func (c *clientConns) endIdle(atLeast time.Duration) {
+// endIdle closes all connections that have been idle for at least minIdle.
+func (c *clientConns) endIdle(minIdle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, since := range c.idleSince {
-		if !since.IsZero() && time.Since(since) >= atLeast {
+		if !since.IsZero() && time.Since(since) >= minIdle {
 			conn.end()
 		}
 	}
 }
 
 // onConnState is the ConnState callback of the HTTP server.
-func (c *clientConns) onConnState(of net.Conn, s http.ConnState) {
-	conn, ok := of.(*framedConn)
+func (c *clientConns) onConnState(netConn net.Conn, s http.ConnState) {
+	conn, ok := netConn.(*framedConn)
 	if !ok {
 		return
 	}
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// Guards against an error that its peer can't read: what it sent besides is unread when the connection is closed, and a socket
-// closed with bytes unread is reset.
+// Guards against an error that the client can't read: bytes that it sent behind the request are unread when the connection is
+// closed, and a socket closed with unread bytes is reset.
 func TestErrorIsReadBeforeTheClose(t *testing.T) {
 	t.Parallel()
 	s := newUpstream(t, says(ok200("")))
 	r := startWithUpstream(t, s)
-	much := strings.Repeat("GET /search/1 HTTP/1.1\r\nHost: s\r\n\r\n", 1000)
+	requests := strings.Repeat("GET /search/1 HTTP/1.1\r\nHost: s\r\n\r\n", 1000)
 	for name, text := range map[string]string{
-		"no HTTP":                "\x00\x01\r\n" + much,
-		"a bad request":          "GET /none/1 HTTP/1.1\r\nHost: s\r\n\r\n" + much,
-		"a coding nobody knows":  "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: gzip\r\n\r\n" + much,
-		"a body that is too big": "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 1\r\nContent-Length: 99999999\r\n\r\n" + much,
+		"no HTTP":                    "\x00\x01\r\n" + requests,
+		"a bad request":              "GET /none/1 HTTP/1.1\r\nHost: s\r\n\r\n" + requests,
+		"an unknown transfer coding": "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: gzip\r\n\r\n" + requests,
+		"a body that is too big":     "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 1\r\nContent-Length: 99999999\r\n\r\n" + requests,
 	} {
-		p := dialRaw(t, r.address)
-		p.send(text)
-		resp, err := http.ReadResponse(p.r, nil)
+		client := dialRaw(t, r.address)
+		client.send(text)
+		resp, err := http.ReadResponse(client.r, nil)
 		if err != nil || resp.StatusCode < 400 {
-			t.Errorf("%s: %v, %v", name, resp, err)
+			t.Errorf("%s: got answer %v with error %v, want status 400 or more", name, resp, err)
 			continue
 		}
-		if _, err := io.ReadAll(resp.Body); err != nil { // words without a length: the end has to come in order
-			t.Errorf("%s: %v", name, err)
+		if _, err := io.ReadAll(resp.Body); err != nil { // without a length, the body ends only with an orderly close
+			t.Errorf("%s: reading the answer: %v", name, err)
 		}
-		p.expectClose()
+		client.expectClose()
 	}
 	if n := len(s.requests()); n != 0 {
-		t.Errorf("%d requests behind them were sent on", n)
+		t.Errorf("%d requests reached the upstream, want 0", n)
 	}
 }
 
-// halfCloseConn runs a step at the very moment in which its sending is about to end.
+// halfCloseConn is a connection that calls before just before its sending side is closed.
 type halfCloseConn struct {
 	*net.TCPConn
 	before func(*net.TCPConn)
@@ -52,6 +52,7 @@
 	return c.TCPConn.CloseWrite()
 }
 
+// halfCloseListener accepts halfCloseConns.
 type halfCloseListener struct {
 	net.Listener
 	before func(*net.TCPConn)
@@ -69,7 +70,7 @@
 	return &halfCloseConn{c.(*net.TCPConn), l.before}, nil
 }
 
-// awaitUnreadBytes waits until so many bytes wait unread in a socket.
+// awaitUnreadBytes waits until at least atLeast unread bytes are in a socket.
 func awaitUnreadBytes(t *testing.T, c *net.TCPConn, atLeast int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -84,17 +85,17 @@
 			return
 		}
 	}
-	t.Error("the bytes never came")
+	t.Errorf("fewer than %d bytes arrived in %v", atLeast, testTimeout)
 }
 
-// Guards against the request that comes in the very moment in which its resting connection is closed, after the last look: at
-// SIGTERM, and to make room. Nobody can answer it any more. It is not sent on, the connection ends in order and without a reset,
-// and its client is served on a new one.
+// Guards against mishandling a request that arrives at the moment in which its idle connection is closed, after the last
+// check: at SIGTERM, and on eviction. It can't be answered any more. It must not be sent to an upstream, the connection must be
+// closed without a reset, and the client must be served on a new one.
 func TestRequestAtTheMomentOfTheClose(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(r *running){
+	for name, closeConn := range map[string]func(r *running){
 		"SIGTERM": func(r *running) { r.stop() },
-		"room":    func(r *running) { dialRaw(t, r.address).send(requestText("confirm")) }, // held
+		"room":    func(r *running) { dialRaw(t, r.address).send(requestText("confirm")) }, // stays unanswered
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -102,12 +103,12 @@
 			c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 			c.Limits.Sockets = fixedSockets + 2*2
 			crossing := requestText("search")
-			var p *rawClient
+			var client *rawClient
 			var crossed atomic.Bool
-			l := &halfCloseListener{listenLoopback(t), func(on *net.TCPConn) {
-				if p != nil && on.RemoteAddr().String() == p.LocalAddr().String() {
-					p.send(crossing)
-					awaitUnreadBytes(t, on, len(crossing))
+			l := &halfCloseListener{listenLoopback(t), func(conn *net.TCPConn) {
+				if client != nil && conn.RemoteAddr().String() == client.LocalAddr().String() {
+					client.send(crossing)
+					awaitUnreadBytes(t, conn, len(crossing))
 					crossed.Store(true)
 				}
 			}}
@@ -120,20 +121,20 @@
 				return err == nil && resp.StatusCode == 200
 			})
 			r.client.CloseIdleConnections()
-			p = dialRaw(t, r.address)
-			p.send(requestText("search"))
-			p.expectAnswer(200)
-			end(r)
-			p.expectClose()
+			client = dialRaw(t, r.address)
+			client.send(requestText("search"))
+			client.expectAnswer(200)
+			closeConn(r)
+			client.expectClose()
 			if !crossed.Load() {
-				t.Error("nothing crossed the end")
+				t.Error("no request was sent at the moment of the close")
 			}
-			again := dialRaw(t, r.address)
-			again.send(requestText("search"))
-			again.expectAnswer(200)
+			second := dialRaw(t, r.address)
+			second.send(requestText("search"))
+			second.expectAnswer(200)
 			for _, g := range s.requests() {
 				if strings.Contains(crossing, g.header.Get(headerID)) {
-					t.Error("the request that crossed the end was sent on")
+					t.Error("the request that crossed the close reached the upstream")
 				}
 			}
 		})
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -11,23 +11,23 @@
 	"mosslead/internal/conflate"
 )
 
-// dispatcher owns the Balancer: the goroutine of run turns what happens into events, and carries out the actions without
-// blocking. The enqueue methods and snapshot are safe for concurrent use; all other methods belong to that goroutine.
+// dispatcher owns the Balancer: the goroutine of run passes it the events, and performs its actions without blocking. The
+// enqueue methods and snapshot are safe for concurrent use; only that goroutine calls the other methods.
 type dispatcher struct {
 	clock     clock
 	balancer  *balancer.Balancer
-	attempt   func(ctx context.Context, upstream string, r *clientRequest, before time.Duration) attemptReply
+	attempt   func(ctx context.Context, upstream string, r *clientRequest, startBefore time.Duration) attemptReply
 	subscribe func()
-	sharing   *sharing    // nil: nothing is shared
-	heartbeat loopPulse   // answers to heartbeat events
+	sharing   *sharing    // nil if nothing is shared with peers
+	heartbeat loopPulse   // records heartbeat events
 	ready     atomic.Bool // the initial list has been applied
 
 	failures        *limitedLog               // log of requests that failed
 	lateAnswers     *limitedLog               // log of requests answered late
-	classes         map[string]balancer.Class // as in the settings of the balancer
-	counts          attemptCounts             // of attempts
+	classes         map[string]balancer.Class // by name, as in the settings of the balancer
+	counts          attemptCounts             // of attempts, since the last line of statistics
 	stats           *stats
-	lastLogged      statsSnapshot          // as of the last line of statistics
+	lastLogged      statsSnapshot          // at the last line of statistics
 	onEjected       func(ejected []string) // receives the ejected endpoints for the statistics; may be nil
 	connectionStats func() slog.Attr       // for the line of statistics
 	zone            func(upstream string) string
@@ -37,7 +37,7 @@
 	stop   <-chan struct{}
 
 	inFlight map[string]*inFlightRequest
-	stopped  bool // after abort: requests are rejected
+	stopped  bool // set by an abort event: new requests are rejected
 	actions  []balancer.Action
 	timer    *time.Timer
 }
@@ -51,7 +51,7 @@
 type inFlightRequest struct {
 	request         *clientRequest
 	acceptedAt      time.Duration
-	expiresAt       time.Duration // 0: its body is still being received
+	expiresAt       time.Duration // 0 while its body is still being received
 	attempts        []inFlightAttempt
 	pendingAttempts int
 	done            bool
@@ -61,19 +61,19 @@
 type inFlightAttempt struct {
 	upstream     string
 	sentAt       time.Duration
-	endedAt      time.Duration           // 0: it is pending
+	endedAt      time.Duration           // 0 while it is pending
 	reply        attemptReply            // result, connection and error
 	cancel       context.CancelCauseFunc // ends it with a cause; with nil it frees the context of an attempt that has ended
-	endWithCause context.CancelCauseFunc // the same, when its time is over
+	endWithCause context.CancelCauseFunc // ends it with a cause, when its time is over
 	ctx          context.Context
 }
 
 // answer is the final answer to a request.
 type answer struct {
 	kind       answerKind
-	retryAfter time.Duration // with rejected
-	reply      attemptReply  // with served
-	attempted  bool          // an attempt was made
+	retryAfter time.Duration // set if kind is rejected
+	reply      attemptReply  // set if kind is served
+	attempted  bool          // at least one attempt was made
 }
 
 // answerKind is how a request was answered.
@@ -83,7 +83,7 @@
 	served answerKind = iota
 	rejected
 	failed
-	duplicate  // another request of this id is in flight
+	duplicate  // another request with this id is in flight
 	clientGone // no answer: the client has disconnected
 )
 
@@ -107,7 +107,7 @@
 	reply    attemptReply
 }
 
-// banCommand is an operator's call; done is closed once it has been applied.
+// banCommand is an operator's ban, or the lifting of one; done is closed once it has been applied.
 type banCommand struct {
 	balancer.Ban
 	done chan struct{}
@@ -122,122 +122,122 @@
 // snapshotCommand requests the balancer's snapshot; the channel must have a buffer of one.
 type snapshotCommand struct{ snapshot chan balancer.Snapshot }
 
-// abort is the event before the process is killed: all requests in flight fail, and later ones are rejected.
+// abort is the event sent before the process is killed: all requests in flight fail, and later ones are rejected.
 type abort struct{}
 
 func newDispatcher(b *balancer.Balancer, clk clock, stop <-chan struct{}) *dispatcher {
-	l := &dispatcher{clock: clk, balancer: b, urgent: make(chan any, 16), stats: newStats(), events: make(chan any, 256), stop: stop,
+	d := &dispatcher{clock: clk, balancer: b, urgent: make(chan any, 16), stats: newStats(), events: make(chan any, 256), stop: stop,
 		inFlight: map[string]*inFlightRequest{}, timer: time.NewTimer(time.Hour), failures: newLimitedLog(maxFailureLines), lateAnswers: newLimitedLog(maxLateLines), counts: newAttemptCounts(),
 		connectionStats: func() slog.Attr { return slog.Attr{} }, zone: func(string) string { return "" }}
-	l.timer.Stop()
-	return l
+	d.timer.Stop()
+	return d
 }
 
 // enqueue queues an event of a request, and blocks while the queue is full. It returns false once the dispatcher has stopped.
-func (l *dispatcher) enqueue(e any) bool {
+func (d *dispatcher) enqueue(e any) bool {
 	select {
-	case <-l.stop: // checked first, since the queue may still have room
+	case <-d.stop: // checked first, since the queue may still have room
 		return false
 	default:
 	}
 	select {
-	case l.events <- e:
+	case d.events <- e:
 		return true
-	case <-l.stop:
+	case <-d.stop:
 		return false
 	}
 }
 
-// snapshot returns the balancer's snapshot; false if the dispatcher does not answer within adminTimeout, or stops.
-func (l *dispatcher) snapshot() (balancer.Snapshot, bool) {
+// snapshot returns the balancer's snapshot, or false if the dispatcher does not answer within adminTimeout or stops.
+func (d *dispatcher) snapshot() (balancer.Snapshot, bool) {
 	command := snapshotCommand{make(chan balancer.Snapshot, 1)}
-	l.enqueueUrgent(command)
+	d.enqueueUrgent(command)
 	select {
 	case snapshot := <-command.snapshot:
 		return snapshot, true
 	case <-time.After(adminTimeout):
-	case <-l.stop:
+	case <-d.stop:
 	}
 	return balancer.Snapshot{}, false
 }
 
 // enqueueUpdate queues an endpoint update.
-func (l *dispatcher) enqueueUpdate(m balancer.EndpointUpdate) { l.enqueueUrgent(m) }
+func (d *dispatcher) enqueueUpdate(u balancer.EndpointUpdate) { d.enqueueUrgent(u) }
 
-// enqueueUrgent queues an event that is handled before queued requests, as it may remove the upstreams they would be sent to.
-// It blocks while the queue is full.
-func (l *dispatcher) enqueueUrgent(e any) {
+// enqueueUrgent queues an event that is handled before queued requests, since it may remove the upstreams to which they
+// would be sent. It blocks while the queue is full.
+func (d *dispatcher) enqueueUrgent(e any) {
 	select {
-	case l.urgent <- e:
-	case <-l.stop:
+	case d.urgent <- e:
+	case <-d.stop:
 	}
 }
 
-// run handles events until stop, starting with the known list.
-func (l *dispatcher) run(known balancer.EndpointUpdate) {
-	l.handle(known)
-	l.ready.Store(true)
+// run handles events until stop is closed. It starts with the known list.
+func (d *dispatcher) run(known balancer.EndpointUpdate) {
+	d.handle(known)
+	d.ready.Store(true)
 	statsTick := time.NewTicker(statsInterval)
 	defer statsTick.Stop()
 	var ejectedTick <-chan time.Time
-	if l.onEjected != nil {
+	if d.onEjected != nil {
 		ticker := time.NewTicker(ejectedInterval)
 		defer ticker.Stop()
 		ejectedTick = ticker.C
-		l.onEjected(nil)
+		d.onEjected(nil)
 	}
 	var verdicts *conflate.Queue[string, balancer.PeerVerdict]
-	if l.sharing != nil {
-		verdicts = l.sharing.verdicts
+	if d.sharing != nil {
+		verdicts = d.sharing.verdicts
 	}
 	for {
 		select {
-		case e := <-l.urgent:
-			l.onUrgent(e)
+		case e := <-d.urgent:
+			d.onUrgent(e)
 			continue
 		default:
 		}
 		select {
-		case e := <-l.urgent:
-			l.onUrgent(e)
-		case e := <-l.events:
-			l.onEvent(e)
-		case <-l.timer.C:
-			l.handle(balancer.TimerFired{})
+		case e := <-d.urgent:
+			d.onUrgent(e)
+		case e := <-d.events:
+			d.onEvent(e)
+		case <-d.timer.C:
+			d.handle(balancer.TimerFired{})
 		case <-verdicts.Ready():
-			l.sharing.echo.onTaken(l.clock.now())
+			d.sharing.echo.onTaken(d.clock.now())
 			for verdict, ok := verdicts.Pop(); ok; verdict, ok = verdicts.Pop() {
-				l.handle(verdict)
+				d.handle(verdict)
 			}
 		case <-statsTick.C:
-			l.logStats()
+			d.logStats()
 		case <-ejectedTick:
-			l.onEjected(l.balancer.Ejected(l.clock.now()))
-		case <-l.stop:
-			l.dropPending()
+			d.onEjected(d.balancer.Ejected(d.clock.now()))
+		case <-d.stop:
+			d.dropPending()
 			return
 		}
 	}
 }
 
-// logStats logs the counts since the call before.
-func (l *dispatcher) logStats() {
-	now := l.stats.snapshot()
-	logAttrs(slog.LevelInfo, ofCounts, "counts", append(now.since(&l.lastLogged), l.counts.attempts(),
-		slog.Int("in_flight", len(l.inFlight)), l.connectionStats())...)
-	l.lastLogged = now
-	if len(l.counts.upstreams) > 0 {
-		logAttrs(slog.LevelInfo, ofCounts, "by upstream", slog.String("upstreams", l.counts.byUpstream(l.zone)))
+// logStats logs the counts since the previous call.
+func (d *dispatcher) logStats() {
+	now := d.stats.snapshot()
+	logAttrs(slog.LevelInfo, ofCounts, "counts", append(now.since(&d.lastLogged), d.counts.attempts(),
+		slog.Int("in_flight", len(d.inFlight)), d.connectionStats())...)
+	d.lastLogged = now
+	if len(d.counts.upstreams) > 0 {
+		logAttrs(slog.LevelInfo, ofCounts, "by upstream", slog.String("upstreams", d.counts.byUpstream(d.zone)))
 	}
-	l.counts = newAttemptCounts()
-	l.sharing.logStats()
+	d.counts = newAttemptCounts()
+	d.sharing.logStats()
 }
 
 // dropPending drops answers that arrived too late to be handled, since each holds a connection and its goroutines.
-func (l *dispatcher) dropPending() {
+func (d *dispatcher) dropPending() {
 	for {
 		select {
-		case e := <-l.events:
+		case e := <-d.events:
 			if e, ok := e.(attemptEnded); ok {
 				e.reply.drop()
 			}
@@ -248,144 +248,144 @@
 }
 
 // onUrgent handles an event of the urgent queue.
-func (l *dispatcher) onUrgent(e any) {
+func (d *dispatcher) onUrgent(e any) {
 	switch e := e.(type) {
 	case balancer.EndpointUpdate:
-		l.handle(e)
+		d.handle(e)
 	case banCommand:
-		l.handle(e.Ban)
+		d.handle(e.Ban)
 		close(e.done)
 	case balancer.Snapshot:
-		l.handle(e)
+		d.handle(e)
 	case snapshotCommand:
-		e.snapshot <- l.balancer.Snapshot(l.clock.now())
+		e.snapshot <- d.balancer.Snapshot(d.clock.now())
 	case settingsCommand:
-		l.handle(balancer.SettingsUpdate{Settings: e.settings})
-		l.classes = classTable(e.settings)
+		d.handle(balancer.SettingsUpdate{Settings: e.settings})
+		d.classes = classTable(e.settings)
 		close(e.done)
 	}
 }
 
 // onEvent handles an event of a request.
-func (l *dispatcher) onEvent(e any) {
+func (d *dispatcher) onEvent(e any) {
 	switch e := e.(type) {
 	case requestArrived:
-		l.onRequestArrived(e.request)
+		d.onRequestArrived(e.request)
 	case bodyComplete:
-		l.onBodyComplete(e)
+		d.onBodyComplete(e)
 	case clientDisconnected:
-		if f := l.inFlight[e.request.id]; f != nil && f.request == e.request && !f.done {
-			l.onClientDisconnected(f)
+		if f := d.inFlight[e.request.id]; f != nil && f.request == e.request && !f.done {
+			d.onClientDisconnected(f)
 		}
-		select { // an answer that its handler did not wait for
+		select { // the handler no longer waits for an answer
 		case a := <-e.request.answer:
 			a.reply.drop()
 		default:
 		}
 	case attemptEnded:
-		l.onAttemptEnded(e)
+		d.onAttemptEnded(e)
 	case heartbeat:
-		inFlight, site := l.balancer.Pressure(l.clock.now())
-		l.heartbeat.answer(e, inFlight, site)
+		inFlight, site := d.balancer.Pressure(d.clock.now())
+		d.heartbeat.answer(e, inFlight, site)
 	case abort:
-		l.onAbort()
+		d.onAbort()
 	}
 }
 
-// onRequestArrived hands a new request to the balancer.
-func (l *dispatcher) onRequestArrived(r *clientRequest) {
-	if l.inFlight[r.id] != nil {
+// onRequestArrived passes a new request to the balancer.
+func (d *dispatcher) onRequestArrived(r *clientRequest) {
+	if d.inFlight[r.id] != nil {
 		r.answer <- answer{kind: duplicate}
 		return
 	}
-	if l.stopped || l.classes[r.class] != r.classSettings { // parsed by settings that have changed since
+	if d.stopped || d.classes[r.class] != r.classSettings { // it was parsed with settings that have changed since
 		r.answer <- answer{kind: rejected}
 		return
 	}
-	f := &inFlightRequest{request: r, acceptedAt: l.clock.now()}
+	f := &inFlightRequest{request: r, acceptedAt: d.clock.now()}
 	if !r.bodyPending {
 		f.expiresAt = r.expiresAt
 	}
-	l.inFlight[r.id] = f
-	l.handle(balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, ExpiresAt: r.expiresAt, CostHint: r.costHint, BodyPending: r.bodyPending})
-	l.forgetRequest(r.id)
+	d.inFlight[r.id] = f
+	d.handle(balancer.Request{ID: r.id, Class: r.class, Tenant: r.tenant, ExpiresAt: r.expiresAt, CostHint: r.costHint, BodyPending: r.bodyPending})
+	d.forgetRequest(r.id)
 }
 
 // onAbort fails all requests in flight.
-func (l *dispatcher) onAbort() {
-	l.stopped = true
-	for id, f := range l.inFlight {
+func (d *dispatcher) onAbort() {
+	d.stopped = true
+	for id, f := range d.inFlight {
 		if !f.done {
-			l.answer(id, answer{kind: failed})
-			l.handle(balancer.ClientDisconnected{ID: id})
-			l.forgetRequest(id)
+			d.answer(id, answer{kind: failed})
+			d.handle(balancer.ClientDisconnected{ID: id})
+			d.forgetRequest(id)
 		}
 	}
 }
 
 // onClientDisconnected ends a request whose client has disconnected.
-func (l *dispatcher) onClientDisconnected(f *inFlightRequest) {
+func (d *dispatcher) onClientDisconnected(f *inFlightRequest) {
 	f.done = true
-	l.failures.log("client disconnected", func() []slog.Attr { return f.attrs(l.clock.now()) })
-	l.handle(balancer.ClientDisconnected{ID: f.request.id})
-	l.forgetRequest(f.request.id)
+	d.failures.log("client disconnected", func() []slog.Attr { return f.attrs(d.clock.now()) })
+	d.handle(balancer.ClientDisconnected{ID: f.request.id})
+	d.forgetRequest(f.request.id)
 }
 
-// onAttemptEnded reports the result of an attempt to the balancer. The first that was served is the final answer.
-func (l *dispatcher) onAttemptEnded(e attemptEnded) {
+// onAttemptEnded reports the result of an attempt to the balancer. The first that succeeded provides the final answer.
+func (d *dispatcher) onAttemptEnded(e attemptEnded) {
 	f, id := e.inFlight, e.inFlight.request.id
 	f.pendingAttempts--
 	a := &f.attempts[e.attempt]
 	a.cancel(nil)
 	a.endedAt = e.at
 	a.reply = attemptReply{result: e.reply.result, use: e.reply.use, err: e.reply.err, abandon: e.reply.abandon}
-	l.counts.ended(a.upstream, e.reply.result, e.at-a.sentAt)
-	if e.reply.result == balancer.OK && !l.answer(id, answer{kind: served, reply: e.reply}) {
+	d.counts.ended(a.upstream, e.reply.result, e.at-a.sentAt)
+	if e.reply.result == balancer.OK && !d.answer(id, answer{kind: served, reply: e.reply}) {
 		e.reply.drop()
 	}
-	if errors.Is(e.reply.err, errClientGone) && !f.done { // noticed before the handler reported it
-		l.onClientDisconnected(f)
+	if errors.Is(e.reply.err, errClientGone) && !f.done { // the attempt noticed it before the handler reported it
+		d.onClientDisconnected(f)
 		f.request.answer <- answer{kind: clientGone}
 	}
-	l.handle(balancer.AttemptEnded{ID: id, Attempt: e.attempt, Result: e.reply.result,
+	d.handle(balancer.AttemptEnded{ID: id, Attempt: e.attempt, Result: e.reply.result,
 		Elapsed: e.at - a.sentAt, Final: f.done, BodyConsumed: f.request.body.endAttempt()})
-	l.forgetRequest(id)
+	d.forgetRequest(id)
 }
 
-// onBodyComplete starts the deadline of a request, and the time of a pending attempt, whose upstream begins only now.
-func (l *dispatcher) onBodyComplete(e bodyComplete) {
-	f := l.inFlight[e.request.id]
+// onBodyComplete starts the deadline of a request, and the time of a pending attempt, since its upstream begins only now.
+func (d *dispatcher) onBodyComplete(e bodyComplete) {
+	f := d.inFlight[e.request.id]
 	if f == nil || f.request != e.request || f.done {
 		return
 	}
-	now := l.clock.now()
+	now := d.clock.now()
 	f.acceptedAt, f.expiresAt = now, e.expires
 	for i := range f.attempts {
 		if a := &f.attempts[i]; a.endedAt == 0 {
 			a.sentAt = now
-			over := time.AfterFunc(e.expires-now, func() { a.endWithCause(context.DeadlineExceeded) })
-			context.AfterFunc(a.ctx, func() { over.Stop() })
+			timer := time.AfterFunc(e.expires-now, func() { a.endWithCause(context.DeadlineExceeded) })
+			context.AfterFunc(a.ctx, func() { timer.Stop() })
 		}
 	}
-	l.handle(balancer.BodyComplete{ID: f.request.id, ExpiresAt: e.expires})
-	l.forgetRequest(f.request.id)
+	d.handle(balancer.BodyComplete{ID: f.request.id, ExpiresAt: e.expires})
+	d.forgetRequest(f.request.id)
 }
 
-// handle hands an event to the balancer, and performs the actions.
-func (l *dispatcher) handle(e balancer.Event) {
-	l.actions = l.balancer.Handle(l.clock.now(), e, l.actions[:0])
-	for i := range l.actions {
-		l.perform(&l.actions[i])
+// handle passes an event to the balancer, and performs the resulting actions.
+func (d *dispatcher) handle(e balancer.Event) {
+	d.actions = d.balancer.Handle(d.clock.now(), e, d.actions[:0])
+	for i := range d.actions {
+		d.perform(&d.actions[i])
 	}
 }
 
 // perform performs one action of the balancer.
-func (l *dispatcher) perform(a *balancer.Action) {
+func (d *dispatcher) perform(a *balancer.Action) {
 	switch a.Kind {
 	case balancer.StartAttempt:
-		l.startAttempt(a)
+		d.startAttempt(a)
 	case balancer.CancelAttempt:
-		if f := l.inFlight[a.ID]; f != nil && a.Attempt < len(f.attempts) {
+		if f := d.inFlight[a.ID]; f != nil && a.Attempt < len(f.attempts) {
 			var cause error
 			if f.done {
 				cause = errAnswered
@@ -393,35 +393,35 @@
 			f.attempts[a.Attempt].cancel(cause)
 		}
 	case balancer.Reject:
-		l.answer(a.ID, answer{kind: rejected, retryAfter: a.RetryAfter})
+		d.answer(a.ID, answer{kind: rejected, retryAfter: a.RetryAfter})
 	case balancer.Fail:
-		l.answer(a.ID, answer{kind: failed})
+		d.answer(a.ID, answer{kind: failed})
 	case balancer.SetTimer:
-		l.timer.Reset(a.At - l.clock.now())
+		d.timer.Reset(a.At - d.clock.now())
 	case balancer.Subscribe:
-		l.subscribe()
+		d.subscribe()
 	case balancer.ReportEvidence:
-		l.sharing.report(a)
+		d.sharing.report(a)
 	case balancer.Log:
 		logAttrs(slog.LevelInfo, ofDecisions, a.Text, a.Attrs...)
 	}
 }
 
 // startAttempt starts an attempt in a goroutine, which reports its end as an attemptEnded event.
-func (l *dispatcher) startAttempt(a *balancer.Action) {
-	f := l.inFlight[a.ID]
+func (d *dispatcher) startAttempt(a *balancer.Action) {
+	f := d.inFlight[a.ID]
 	if f == nil {
 		return
 	}
-	now := l.clock.now()
-	for i := range f.attempts { // an earlier attempt must not keep waiting for a late answer beside this one
+	now := d.clock.now()
+	for i := range f.attempts { // an earlier attempt must not wait for a late answer while this one runs
 		if abandon := f.attempts[i].reply.abandon; abandon != nil {
 			abandon()
 		}
 	}
-	ctx, end := context.WithCancelCause(context.Background())
+	ctx, endWithCause := context.WithCancelCause(context.Background())
 	stop := func() {}
-	if f.expiresAt > 0 { // else the time begins with the end of the body, see onBodyComplete
+	if f.expiresAt > 0 { // otherwise the time starts once the body is complete, see onBodyComplete
 		limit := f.expiresAt - now
 		if a.Timeout > 0 {
 			limit = min(limit, a.Timeout)
@@ -429,44 +429,44 @@
 		ctx, stop = context.WithTimeout(ctx, limit)
 	}
 	cancel := func(cause error) {
-		end(cause)
+		endWithCause(cause)
 		stop()
 	}
-	n, upstream, before := len(f.attempts), a.Upstream, a.At
-	f.attempts = append(f.attempts, inFlightAttempt{upstream: upstream, sentAt: now, cancel: cancel, endWithCause: end, ctx: ctx})
+	n, upstream, startBefore := len(f.attempts), a.Upstream, a.At
+	f.attempts = append(f.attempts, inFlightAttempt{upstream: upstream, sentAt: now, cancel: cancel, endWithCause: endWithCause, ctx: ctx})
 	f.pendingAttempts++
 	go func() {
-		rep := l.attempt(ctx, upstream, f.request, before)
-		if !l.enqueue(attemptEnded{f, n, l.clock.now(), rep}) {
+		rep := d.attempt(ctx, upstream, f.request, startBefore)
+		if !d.enqueue(attemptEnded{f, n, d.clock.now(), rep}) {
 			rep.drop()
 		}
 	}()
 }
 
-// answer gives a request its final answer; it returns false if the request has one already, or its client has gone.
-func (l *dispatcher) answer(id string, a answer) bool {
-	f := l.inFlight[id]
+// answer gives a request its final answer; it returns false if the request has one already, or its client has disconnected.
+func (d *dispatcher) answer(id string, a answer) bool {
+	f := d.inFlight[id]
 	if f == nil || f.done {
 		return false
 	}
 	f.done = true
 	a.attempted = len(f.attempts) > 0
 	f.request.answer <- a
-	now := l.clock.now()
-	to := l.failures
+	now := d.clock.now()
+	logTo := d.failures
 	if a.kind == served {
 		if now-f.acceptedAt <= f.request.classSettings.LatencyObjective {
 			return true
 		}
-		to = l.lateAnswers
+		logTo = d.lateAnswers
 	}
-	to.log(answerNames[a.kind], func() []slog.Attr { return f.attrs(now) })
+	logTo.log(answerNames[a.kind], func() []slog.Attr { return f.attrs(now) })
 	return true
 }
 
-// forgetRequest removes a request that has its answer and no pending attempts.
-func (l *dispatcher) forgetRequest(id string) {
-	if f := l.inFlight[id]; f != nil && f.done && f.pendingAttempts == 0 {
-		delete(l.inFlight, id)
+// forgetRequest removes a request that has been answered and has no pending attempts.
+func (d *dispatcher) forgetRequest(id string) {
+	if f := d.inFlight[id]; f != nil && f.done && f.pendingAttempts == 0 {
+		delete(d.inFlight, id)
 	}
 }
--- a/internal/sidecar/dispatcher_test.go
+++ b/internal/sidecar/dispatcher_test.go
@@ -8,7 +8,7 @@
 	"mosslead/balancer"
 )
 
-// newTestDispatcher is a loop whose attempts end as send says.
+// newTestDispatcher returns a dispatcher that is not running, whose attempts return the result of send.
 func newTestDispatcher(t *testing.T, send func(context.Context, string, *clientRequest, time.Duration) attemptReply) *dispatcher {
 	t.Helper()
 	c := testConfig(t, "127.0.0.1:1")
@@ -16,110 +16,110 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newDispatcher(b, newClock(), t.Context().Done())
-	l.attempt, l.subscribe = send, func() {}
-	return l
+	d := newDispatcher(b, newClock(), t.Context().Done())
+	d.attempt, d.subscribe = send, func() {}
+	return d
 }
 
-func (l *dispatcher) newRequest(id, class string) *clientRequest {
-	return &clientRequest{id: id, class: class, expiresAt: l.clock.now() + testTimeout, body: &clientBody{}, answer: make(chan answer, 1)}
+func (d *dispatcher) newRequest(id, class string) *clientRequest {
+	return &clientRequest{id: id, class: class, expiresAt: d.clock.now() + testTimeout, body: &clientBody{}, answer: make(chan answer, 1)}
 }
 
 func testEndpoint(name string, state balancer.EndpointState) balancer.Endpoint {
 	return balancer.Endpoint{Upstream: name, Zone: "a", State: state}
 }
 
-// Guards against sends to what a list in the queue already forbids: news of the list goes first.
+// Guards against requests sent to an upstream that is draining according to a queued update: updates are handled first.
 func TestListsGoBeforeRequests(t *testing.T) {
 	sent := make(chan string, 8)
-	l := newTestDispatcher(t, func(_ context.Context, upstream string, _ *clientRequest, _ time.Duration) attemptReply {
+	d := newTestDispatcher(t, func(_ context.Context, upstream string, _ *clientRequest, _ time.Duration) attemptReply {
 		sent <- upstream
 		return attemptReply{result: balancer.OK}
 	})
 	for _, id := range []string{"1", "2", "3", "4"} {
-		l.enqueue(requestArrived{l.newRequest(id, "search")})
+		d.enqueue(requestArrived{d.newRequest(id, "search")})
 	}
-	l.enqueueUpdate(balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{testEndpoint("drains", balancer.Draining)}})
-	go l.run(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{
+	d.enqueueUpdate(balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{testEndpoint("drains", balancer.Draining)}})
+	go d.run(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{
 		testEndpoint("drains", balancer.Active), testEndpoint("stays", balancer.Active)}})
 	for range 4 {
 		if to := <-sent; to != "stays" {
-			t.Errorf("sent to the one that %s", to)
+			t.Errorf("request sent to %q, want %q", to, "stays")
 		}
 	}
 }
 
-// Guards against two answers: a hedged requests's answer, or one after the request was failed, goes nowhere; each
-// attempt is still reported to the balancer, which then forgets the request.
+// Guards against two answers: an answer that arrives after the request has failed is dropped. Its attempt is still reported
+// to the balancer, after which the request is forgotten.
 func TestOneFinalAnswer(t *testing.T) {
-	l := newTestDispatcher(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
+	d := newTestDispatcher(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
 		<-ctx.Done()
 		return attemptReply{result: balancer.OK, body: []byte("late")}
 	})
-	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
-	r := l.newRequest("1", "search")
-	l.onEvent(requestArrived{r})
-	if len(l.inFlight["1"].attempts) != 1 {
-		t.Fatal("not sent")
+	d.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
+	r := d.newRequest("1", "search")
+	d.onEvent(requestArrived{r})
+	if len(d.inFlight["1"].attempts) != 1 {
+		t.Fatalf("got %d attempts, want 1", len(d.inFlight["1"].attempts))
 	}
-	l.onEvent(abort{})
+	d.onEvent(abort{})
 	if a := <-r.answer; a.kind != failed {
-		t.Errorf("answered %+v", a)
+		t.Errorf("got answer %+v, want kind failed", a)
 	}
-	l.inFlight["1"].attempts[0].cancel(nil)
-	l.onEvent(<-l.events)
+	d.inFlight["1"].attempts[0].cancel(nil)
+	d.onEvent(<-d.events)
 	select {
 	case a := <-r.answer:
-		t.Errorf("answered again: %+v", a)
+		t.Errorf("got a second answer %+v, want none", a)
 	default:
 	}
-	if len(l.inFlight) != 0 {
-		t.Error("the request was not forgotten")
+	if len(d.inFlight) != 0 {
+		t.Errorf("%d requests are still in flight, want 0", len(d.inFlight))
 	}
 }
 
-// Guards against an attempt that outlasts its client: it ends when the client stops waiting, at the latest.
+// Guards against an attempt that outlasts its client: it ends at the latest when the client stops waiting.
 func TestAttemptEndsWithItsRequest(t *testing.T) {
 	deadlines := make(chan time.Duration, 1)
-	l := newTestDispatcher(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
-		d, _ := ctx.Deadline()
-		deadlines <- time.Until(d)
+	d := newTestDispatcher(t, func(ctx context.Context, _ string, _ *clientRequest, _ time.Duration) attemptReply {
+		deadline, _ := ctx.Deadline()
+		deadlines <- time.Until(deadline)
 		return attemptReply{result: balancer.Timeout}
 	})
-	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
-	r := l.newRequest("1", "confirm")
-	r.expiresAt = l.clock.now() + 3*time.Second
-	l.onEvent(requestArrived{r})
-	if left := <-deadlines; left > 3*time.Second {
-		t.Errorf("may take %v", left)
+	d.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
+	r := d.newRequest("1", "confirm")
+	r.expiresAt = d.clock.now() + 3*time.Second
+	d.onEvent(requestArrived{r})
+	if timeLeft := <-deadlines; timeLeft > 3*time.Second {
+		t.Errorf("the attempt may take %v, want at most 3s", timeLeft)
 	}
-	l.onEvent(<-l.events)
+	d.onEvent(<-d.events)
 	if a := <-r.answer; a.kind != failed {
-		t.Errorf("answered %+v", a)
+		t.Errorf("got answer %+v, want kind failed", a)
 	}
 }
 
-// Guards against two attempts out at once: before another attempt for a request begins, the connection on which
-// the one before still waits is closed.
+// Guards against two attempts at the same time: before another attempt for a request begins, the connection on which the
+// previous one still waits for an answer is closed.
 func TestNextAttemptAbandonsTheOneBefore(t *testing.T) {
 	abandoned, n := make(chan bool, 1), 0
-	l := newTestDispatcher(t, func(context.Context, string, *clientRequest, time.Duration) attemptReply {
+	d := newTestDispatcher(t, func(context.Context, string, *clientRequest, time.Duration) attemptReply {
 		if n++; n == 1 {
 			return attemptReply{result: balancer.Timeout, abandon: func() { abandoned <- true }}
 		}
 		select {
 		case <-abandoned:
 		default:
-			t.Error("the second attempt began beside the first")
+			t.Error("the second attempt began before the first was abandoned")
 		}
 		return attemptReply{result: balancer.OK}
 	})
-	l.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
-	r := l.newRequest("1", "search")
-	l.onEvent(requestArrived{r})
-	l.onEvent(<-l.events)
-	l.onEvent(<-l.events)
+	d.handle(balancer.EndpointUpdate{Kind: balancer.Cached, Endpoints: []balancer.Endpoint{testEndpoint("s", balancer.Active)}})
+	r := d.newRequest("1", "search")
+	d.onEvent(requestArrived{r})
+	d.onEvent(<-d.events)
+	d.onEvent(<-d.events)
 	if a := <-r.answer; a.kind != served || n != 2 {
-		t.Errorf("answered %+v after %d attempts", a, n)
+		t.Errorf("got answer %+v after %d attempts, want kind served after 2", a, n)
 	}
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -14,28 +14,28 @@
 	"time"
 )
 
-// pendingUpstream is an upstream that answers nothing before the test releases it, but at once what asks for /search.
+// pendingUpstream returns an upstream that answers requests for /search at once, and all others once release is called.
 func pendingUpstream(t *testing.T) (s *fakeUpstream, release func()) {
 	t.Helper()
-	free := make(chan struct{})
+	released := make(chan struct{})
 	s = newUpstream(t, func(c net.Conn, g got) bool {
 		if !strings.HasPrefix(g.target, "/search") {
-			<-free
+			<-released
 		}
 		_, err := io.WriteString(c, ok200("done"))
 		return err == nil
 	})
 	t.Cleanup(func() { release() })
-	done := false
+	closed := false
 	return s, func() {
-		if !done {
-			done = true
-			close(free)
+		if !closed {
+			closed = true
+			close(released)
 		}
 	}
 }
 
-// rawClient is a client's connection, byte by byte.
+// rawClient is a client's connection on which tests send and read bytes.
 type rawClient struct {
 	t *testing.T
 	net.Conn
@@ -49,18 +49,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(testTimeout)) // a read shows it
+	_ = conn.SetDeadline(time.Now().Add(testTimeout)) // if it fails, the next read reports it
 	return &rawClient{t, conn, bufio.NewReader(conn)}
 }
 
-func (p *rawClient) send(text string) {
-	p.t.Helper()
-	if _, err := io.WriteString(p, text); err != nil {
-		p.t.Fatalf("sending: %v", err)
+func (c *rawClient) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		c.t.Fatalf("sending: %v", err)
 	}
 }
 
-// requestText words a request without a body.
+// requestText returns the text of a request without a body.
 func requestText(class string) string {
 	method := http.MethodPost
 	if class == "search" {
@@ -69,80 +69,82 @@
 	return fmt.Sprintf("%s /%s/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 9000m\r\n\r\n", method, class, lastID.Add(1))
 }
 
-// expectAnswer wants the next answer, and tells whether it ends the connection.
-func (p *rawClient) expectAnswer(status int) (last bool) {
-	p.t.Helper()
-	resp, err := http.ReadResponse(p.r, nil)
+// expectAnswer checks the status of the next answer, and reports whether the answer announces the close of the connection.
+func (c *rawClient) expectAnswer(status int) (last bool) {
+	c.t.Helper()
+	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		p.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("reading an answer: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != status {
-		p.t.Fatalf("%s %q, %v; want %d", resp.Status, body, err, status)
+		c.t.Fatalf("got %s %q with error %v, want status %d", resp.Status, body, err, status)
 	}
 	return resp.Close
 }
 
-// expectClose wants the connection closed in order: a reset could take an answer with it.
-func (p *rawClient) expectClose() {
-	p.t.Helper()
-	if n, err := p.r.ReadByte(); !errors.Is(err, io.EOF) {
-		p.t.Errorf("%q, %v; want the end", n, err)
+// expectClose checks that the connection is closed without a reset, which could lose an answer.
+func (c *rawClient) expectClose() {
+	c.t.Helper()
+	if n, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+		c.t.Errorf("got byte %q with error %v, want EOF", n, err)
 	}
 }
 
+// startWithUpstream starts a sidecar whose list has one upstream.
 func startWithUpstream(t *testing.T, s *fakeUpstream) *running {
 	t.Helper()
 	return start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 }
 
+// sendSIGTERM stops the sidecar as SIGTERM does, and returns the time.
 func sendSIGTERM(r *running) time.Time {
 	r.stop()
 	return time.Now()
 }
 
-// Guards against a request that is cut off because its connection counts as idle until its head is whole.
+// Guards against a request that is cut off because its connection counts as idle until its head is complete.
 func TestTermWithHalfAHead(t *testing.T) {
 	t.Parallel()
 	s, _ := pendingUpstream(t)
 	r := startWithUpstream(t, s)
-	used, fresh := dialRaw(t, r.address), dialRaw(t, r.address)
+	used, unused := dialRaw(t, r.address), dialRaw(t, r.address)
 	used.send(requestText("search"))
 	used.expectAnswer(200)
-	q, q2 := requestText("search"), requestText("search")
-	used.send(q[:20])
-	fresh.send(q2[:20])
+	usedRequest, newRequest := requestText("search"), requestText("search")
+	used.send(usedRequest[:20])
+	unused.send(newRequest[:20])
 	begun := sendSIGTERM(r)
-	time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond))) // all that is between requests is closed by now
-	used.send(q[20:])
-	fresh.send(q2[20:])
-	for _, p := range []*rawClient{used, fresh} {
-		if !p.expectAnswer(200) {
-			t.Error("the connection goes on")
+	time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond))) // connections between requests are closed by now
+	used.send(usedRequest[20:])
+	unused.send(newRequest[20:])
+	for _, client := range []*rawClient{used, unused} {
+		if !client.expectAnswer(200) {
+			t.Error("got an answer without Connection: close, want one with it")
 		}
-		p.expectClose()
+		client.expectClose()
 	}
 }
 
-// Guards against an answer that dies with its connection: what comes behind a request is not read before the end.
+// Guards against an answer that is lost because its connection is reset: a pipelined request is unread at the close.
 func TestTermWithARequestBehind(t *testing.T) {
 	t.Parallel()
 	s, release := pendingUpstream(t)
 	r := startWithUpstream(t, s)
-	p := dialRaw(t, r.address)
-	p.send(requestText("confirm"))
+	client := dialRaw(t, r.address)
+	client.send(requestText("confirm"))
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 	begun := sendSIGTERM(r)
-	p.send(requestText("search"))
+	client.send(requestText("search"))
 	time.Sleep(time.Until(begun.Add(50 * time.Millisecond)))
 	release()
-	if !p.expectAnswer(200) {
-		t.Error("the connection goes on")
+	if !client.expectAnswer(200) {
+		t.Error("got an answer without Connection: close, want one with it")
 	}
-	p.expectClose()
+	client.expectClose()
 }
 
-// Guards against a request that is lost behind an answer whose head had gone before SIGTERM, without a word of the end.
+// Guards against the loss of a request that follows an answer whose head was sent before SIGTERM, without Connection: close.
 func TestTermWithHalfAnAnswer(t *testing.T) {
 	t.Parallel()
 	rest := make(chan struct{})
@@ -157,23 +159,23 @@
 		return err == nil
 	})
 	r := startWithUpstream(t, s)
-	p := dialRaw(t, r.address)
-	p.send(requestText("confirm"))
-	if _, err := p.r.Peek(1); err != nil { // its head has gone
+	client := dialRaw(t, r.address)
+	client.send(requestText("confirm"))
+	if _, err := client.r.Peek(1); err != nil { // its head has been sent
 		t.Fatal(err)
 	}
 	begun := sendSIGTERM(r)
-	p.send(requestText("search"))
+	client.send(requestText("search"))
 	time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond)))
 	close(rest)
-	p.expectAnswer(200)
-	if !p.expectAnswer(200) {
-		t.Error("the connection goes on")
+	client.expectAnswer(200)
+	if !client.expectAnswer(200) {
+		t.Error("got an answer without Connection: close, want one with it")
 	}
-	p.expectClose()
+	client.expectClose()
 }
 
-// Guards against connections that are reset in the accept queue: the client's request is written to them already.
+// Guards against connections that are reset in the accept queue, to which clients have already written their requests.
 func TestTermWithAFullHouse(t *testing.T) {
 	t.Parallel()
 	s, release := pendingUpstream(t)
@@ -184,26 +186,27 @@
 	r.client.CloseIdleConnections()
 	var busy, waiting []*rawClient
 	for range bound {
-		p := dialRaw(t, r.address)
-		p.send(requestText("confirm"))
-		busy = append(busy, p)
+		client := dialRaw(t, r.address)
+		client.send(requestText("confirm"))
+		busy = append(busy, client)
 	}
 	eventually(t, "requests at the upstream", func() bool { return len(s.requests()) == bound })
 	for range bound {
-		p := dialRaw(t, r.address)
-		p.send(requestText("search"))
-		waiting = append(waiting, p)
+		client := dialRaw(t, r.address)
+		client.send(requestText("search"))
+		waiting = append(waiting, client)
 	}
 	begun := sendSIGTERM(r)
 	time.Sleep(time.Until(begun.Add(drainAcceptTime + 100*time.Millisecond)))
 	release()
-	for _, p := range append(busy, waiting...) {
-		p.expectAnswer(200)
-		p.expectClose()
+	for _, client := range append(busy, waiting...) {
+		client.expectAnswer(200)
+		client.expectClose()
 	}
 }
 
-// Guards against a body that is whole only when nobody is left to see to its request: it is rejected at once.
+// Guards against a request that is never answered because its body is complete only after the dispatcher has failed all
+// requests: it is rejected at once.
 func TestTermWithHalfABody(t *testing.T) {
 	t.Parallel()
 	s, _ := pendingUpstream(t)
@@ -213,31 +216,31 @@
 	}
 	r := start(t, c, "127.0.0.1:0")
 	soon, late := dialRaw(t, r.address), dialRaw(t, r.address)
-	for _, p := range []*rawClient{soon, late} {
-		p.send(strings.Replace(requestText("confirm"), "\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nha", 1))
+	for _, client := range []*rawClient{soon, late} {
+		client.send(strings.Replace(requestText("confirm"), "\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nha", 1))
 	}
 	begun := sendSIGTERM(r)
 	time.Sleep(time.Until(begun.Add(drainAcceptTime + 50*time.Millisecond)))
 	soon.send("lf")
-	soon.expectAnswer(http.StatusBadGateway) // it was sent on, and nothing came
+	soon.expectAnswer(http.StatusBadGateway) // it was sent to the upstream, which did not answer
 	time.Sleep(time.Until(begun.Add(400*time.Millisecond + drainMargin + 50*time.Millisecond)))
 	late.send("lf")
 	late.expectAnswer(http.StatusServiceUnavailable)
-	for _, p := range []*rawClient{soon, late} {
-		p.expectClose()
+	for _, client := range []*rawClient{soon, late} {
+		client.expectClose()
 	}
 	if n := len(s.requests()); n != 1 {
-		t.Errorf("%d reached the upstream", n)
+		t.Errorf("%d requests reached the upstream, want 1", n)
 	}
 }
 
-// Guards against a connection that is closed on a request which has come, or is about to on a new one.
+// Guards against the close of a connection on which a request has arrived, or of a new one on which one is about to arrive.
 func TestEndLooksOnceMore(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		used   bool
-		at     time.Duration // of the request, after the end
-		active bool          // a read that only watches the client is under way
+		at     time.Duration // when the request is sent, counted from the call of end
+		active bool          // a request is in flight, and the read only detects a disconnect
 		want   error
 	}{
 		"new, soon":      {false, newConnGrace - time.Millisecond, false, nil},
@@ -255,25 +258,25 @@
 				if c.used {
 					conn.framing.delivered = 1
 				}
-				got := make(chan error, 1)
+				readErr := make(chan error, 1)
 				go func() {
 					_, err := conn.Read(make([]byte, 1))
-					got <- err
+					readErr <- err
 				}()
 				synctest.Wait()
 				conn.end()
-				come := time.AfterFunc(c.at, func() { _, _ = client.Write([]byte("G")) }) // fails where nobody reads
-				defer come.Stop()
-				if err := <-got; !errors.Is(err, c.want) {
-					t.Errorf("read %v, want %v", err, c.want)
+				sender := time.AfterFunc(c.at, func() { _, _ = client.Write([]byte("G")) }) // fails if the connection is not read
+				defer sender.Stop()
+				if err := <-readErr; !errors.Is(err, c.want) {
+					t.Errorf("read returned error %v, want %v", err, c.want)
 				}
 			})
 		})
 	}
 }
 
-// Guards against peers that only take up descriptors at SIGTERM: the client that comes behind them, in the time in which clients
-// still come, is served before the process is killed.
+// Guards against idle connections that take all descriptors at SIGTERM: a client that connects after them, while connections
+// are still accepted, is served before the process is killed.
 func TestTermBehindAFlood(t *testing.T) {
 	t.Parallel()
 	const bound, peers = 4, 110
@@ -286,11 +289,11 @@
 		dialRaw(t, r.address)
 	}
 	begun := sendSIGTERM(r)
-	p := dialRaw(t, r.address)
-	p.send(requestText("search"))
-	p.expectAnswer(200)
-	p.expectClose()
+	client := dialRaw(t, r.address)
+	client.send(requestText("search"))
+	client.expectAnswer(200)
+	client.expectClose()
 	if elapsed := time.Since(begun); elapsed > maxDrainTime {
-		t.Errorf("answered %v after SIGTERM", elapsed)
+		t.Errorf("answered %v after SIGTERM, want at most %v", elapsed, maxDrainTime)
 	}
 }
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -20,16 +20,16 @@
 	"mosslead/internal/lab/memnet"
 )
 
-// Guards against a flood that holds the descriptors: each of many peers that connect at once, with a house that takes few, gets an
-// error or a close within 3 s of connecting, and a client that comes behind them all is served in that time, too. A busy machine
-// may be late by a second; each peer in its turn would take 6 s and more.
+// Guards against a flood that holds all descriptors: each of many peers that connect at once to a sidecar with few descriptors
+// gets an error or a close within 3 s of connecting, and a client that connects after them is served in that time, too. The
+// limit allows 1 s more for a busy machine; evicting one peer at a time would take 6 s and more.
 func TestFlood(t *testing.T) {
 	t.Parallel()
 	const bound, peers, limit = 16, 192, 4 * time.Second
 	post := "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Timeout: 9000m\r\n"
 	for name, wanted := range map[string]struct {
 		text  string
-		error bool // else a close is as good
+		error bool // an error is required; otherwise a close is enough
 	}{
 		"nothing":                 {"", false},
 		"half a head":             {post, false},
@@ -57,13 +57,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				_, _ = io.WriteString(conn, wanted.text) // fails where the end comes first
+				_, _ = io.WriteString(conn, wanted.text) // fails if the connection is closed first
 				all.Go(func() {
 					defer func() { _ = conn.Close() }()
 					_ = conn.SetReadDeadline(begun.Add(limit))
 					line, err := bufio.NewReader(conn).ReadString('\n')
 					if errors.Is(err, os.ErrDeadlineExceeded) {
-						t.Errorf("a peer has neither an error nor an end after %v", limit)
+						t.Errorf("a peer got neither an error nor a close in %v", limit)
 					}
 					if strings.HasPrefix(line, "HTTP/1.1 4") {
 						errorsRead.Add(1)
@@ -79,23 +79,23 @@
 			}
 			_ = resp.Body.Close()
 			if elapsed := time.Since(begun); resp.StatusCode != 200 || elapsed > limit {
-				t.Errorf("the client beside them: %s after %v", resp.Status, elapsed)
+				t.Errorf("the client after them got %s after %v, want 200 in %v", resp.Status, elapsed, limit)
 			}
 			all.Wait()
-			if n := errorsRead.Load(); wanted.error && n < peers*9/10 { // the others' words came late, and are owed an end only
-				t.Errorf("%d of %d could read their error", n, peers)
+			if n := errorsRead.Load(); wanted.error && n < peers*9/10 { // peers whose bytes arrived late need only a close
+				t.Errorf("%d of %d peers got an error, want at least nine in ten", n, peers)
 			}
 			for _, g := range s.requests() {
 				if !strings.HasPrefix(g.target, "/search") {
-					t.Errorf("sent on: %v", g)
+					t.Errorf("a request of a peer reached the upstream: %v", g)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a flood that drives out those who were there before: what never brought a request is evicted first, a connection
-// that rests for a moment only does not.
+// Guards against a flood that evicts earlier clients: connections that never carried a request are evicted first, a connection
+// that has been idle only briefly is not.
 func TestFloodDoesNotDelayClients(t *testing.T) {
 	t.Parallel()
 	const bound = 8
@@ -104,60 +104,60 @@
 	c.Limits.Sockets = fixedSockets + 2*bound
 	r := start(t, c, "127.0.0.1:0")
 	r.client.CloseIdleConnections()
-	p := dialRaw(t, r.address)
-	p.send(requestText("search"))
-	p.expectAnswer(200)
-	rested := time.Now()
+	early := dialRaw(t, r.address)
+	early.send(requestText("search"))
+	early.expectAnswer(200)
+	idleSince := time.Now()
 	for range 5 * bound {
 		dialRaw(t, r.address)
 	}
-	q := dialRaw(t, r.address) // behind them all
-	q.send(requestText("search"))
-	q.expectAnswer(200)
-	if time.Since(rested) < closableAfter { // else it may be closed
-		p.send(requestText("search"))
-		p.expectAnswer(200)
+	late := dialRaw(t, r.address) // after them all
+	late.send(requestText("search"))
+	late.expectAnswer(200)
+	if time.Since(idleSince) < closableAfter { // otherwise it may have been closed
+		early.send(requestText("search"))
+		early.expectAnswer(200)
 	}
 }
 
-// Guards against an accept that fails for want of descriptors and ends the process, spins or rests for seconds: what rests gives
-// way, the next try comes soon, and each connection that waits is accepted once one can be.
+// Guards against an accept that fails for lack of descriptors and then ends the process, spins or pauses for seconds: an idle
+// connection is evicted, accept is soon called again, and a waiting connection is accepted once that is possible.
 func TestAcceptWithoutDescriptors(t *testing.T) {
-	for _, fails := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EPROTO} {
+	for _, acceptErr := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EPROTO} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &failingListener{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fails)}, until: time.Now().Add(time.Second)}
+			l := &failingListener{err: &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", acceptErr)}, until: time.Now().Add(time.Second)}
 			c := newClientConns(l, 8)
 			client, server := net.Pipe()
 			defer func() { _ = client.Close() }()
-			resting := &framedConn{Conn: server, listener: c}
-			resting.framing.delivered = 1
-			c.onConnState(resting, http.StateIdle)
+			idle := &framedConn{Conn: server, listener: c}
+			idle.framing.delivered = 1
+			c.onConnState(idle, http.StateIdle)
 			ended := make(chan error, 1)
 			go func() {
-				_, err := resting.Read(make([]byte, 1))
+				_, err := idle.Read(make([]byte, 1))
 				ended <- err
 			}()
 			synctest.Wait()
 			begun := time.Now()
 			conn, err := c.Accept()
 			if err != nil {
-				t.Fatalf("%v: %v", fails, err)
+				t.Fatalf("%v: %v", acceptErr, err)
 			}
 			_ = conn.Close()
 			if late := time.Since(begun) - time.Second; late > acceptRetryInterval {
-				t.Errorf("%v: accepted %v after one could be", fails, late)
+				t.Errorf("%v: accepted %v after accept could succeed, want at most %v", acceptErr, late, acceptRetryInterval)
 			}
 			if bound := int(time.Second/acceptRetryInterval) + 1; l.calls > bound {
-				t.Errorf("%v: tried %d times in a second", fails, l.calls)
+				t.Errorf("%v: %d calls of accept in a second, want at most %d", acceptErr, l.calls, bound)
 			}
 			if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("%v: what rests did not give way: %v", fails, err)
+				t.Errorf("%v: the read of the idle connection returned error %v, want %v", acceptErr, err, os.ErrDeadlineExceeded)
 			}
 		})
 	}
 }
 
-// failingListener is a listener that fails until then.
+// failingListener is a listener whose Accept returns err before the time in until.
 type failingListener struct {
 	err   error
 	until time.Time
@@ -176,43 +176,43 @@
 func (l *failingListener) Close() error   { return nil }
 func (l *failingListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Guards against the wrong one giving way, or giving way too soon.
+// Guards against the eviction of the wrong connection, or of one too soon.
 func TestWhoGivesWay(t *testing.T) {
-	type is struct {
-		how   evictionClass
+	type connState struct {
+		class evictionClass
 		since time.Duration // ago
 	}
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		all  []is
-		want int // which; -1: none yet
-		wait time.Duration
+		states []connState
+		want   int // index of the connection; -1 if none can be evicted yet
+		wait   time.Duration
 	}{
 		{nil, -1, 0},
-		{[]is{{classBusy, time.Hour}}, -1, 0},
-		{[]is{{classIdle, 10 * ms}, {classIdle, 20 * ms}, {classBusy, time.Hour}}, 1, 0},
-		{[]is{{classIdle, time.Hour}, {classUnused, 60 * ms}}, 1, 0},
-		{[]is{{classIdle, time.Second}, {classUnused, 40 * ms}}, -1, 10 * ms}, // a flood's own go first
-		{[]is{{classIdle, closableAfter}, {classUnused, 40 * ms}}, 0, 0},
-		{[]is{{classUnused, 60 * ms}, {classSlowHead, 70 * ms}, {classAnswered, 9 * ms}}, 0, 0},
-		{[]is{{classUnused, 60 * ms}, {classAnswered, 10 * ms}}, 1, 0},
-		{[]is{{classSlowBody, time.Hour}, {classIdle, 10 * ms}}, 1, 0},
-		{[]is{{classSlowBody, time.Hour}, {classSlowHead, 10 * ms}}, -1, 40 * ms},
-		{[]is{{classSlowBody, time.Hour}, {classBusy, time.Hour}}, 0, 0},
-		{[]is{{classSlowBody, 100 * ms}}, -1, 50 * ms},
+		{[]connState{{classBusy, time.Hour}}, -1, 0},
+		{[]connState{{classIdle, 10 * ms}, {classIdle, 20 * ms}, {classBusy, time.Hour}}, 1, 0},
+		{[]connState{{classIdle, time.Hour}, {classUnused, 60 * ms}}, 1, 0},
+		{[]connState{{classIdle, time.Second}, {classUnused, 40 * ms}}, -1, 10 * ms}, // connections of a flood are evicted first
+		{[]connState{{classIdle, closableAfter}, {classUnused, 40 * ms}}, 0, 0},
+		{[]connState{{classUnused, 60 * ms}, {classSlowHead, 70 * ms}, {classAnswered, 9 * ms}}, 0, 0},
+		{[]connState{{classUnused, 60 * ms}, {classAnswered, 10 * ms}}, 1, 0},
+		{[]connState{{classSlowBody, time.Hour}, {classIdle, 10 * ms}}, 1, 0},
+		{[]connState{{classSlowBody, time.Hour}, {classSlowHead, 10 * ms}}, -1, 40 * ms},
+		{[]connState{{classSlowBody, time.Hour}, {classBusy, time.Hour}}, 0, 0},
+		{[]connState{{classSlowBody, 100 * ms}}, -1, 50 * ms},
 	} {
-		t.Run(fmt.Sprint(c.all), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.states), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				all := newClientConns(nil, 1)
+				listener := newClientConns(nil, 1)
 				time.Sleep(2 * time.Hour)
 				now := time.Now()
 				var conns []*framedConn
-				for _, one := range c.all {
-					at := now.Add(-one.since)
-					conn := &framedConn{listener: all, arrivedAt: at, acceptedAt: at}
+				for _, state := range c.states {
+					at := now.Add(-state.since)
+					conn := &framedConn{listener: listener, arrivedAt: at, acceptedAt: at}
 					conn.framing.delivered = 1
-					all.idleSince[conn] = at
-					switch one.how {
+					listener.idleSince[conn] = at
+					switch state.class {
 					case classAnswered:
 						conn.closingSince = at
 					case classUnused:
@@ -226,28 +226,28 @@
 					}
 					conns = append(conns, conn)
 				}
-				got, _, wait := all.evictionCandidate(now)
+				got, _, wait := listener.evictionCandidate(now)
 				if c.want < 0 && got != nil || c.want >= 0 && got != conns[c.want] || wait != c.wait {
-					t.Errorf("%p of %p, in %v; want number %d, in %v", got, conns, wait, c.want, c.wait)
+					t.Errorf("got connection %p of %p after %v, want index %d after %v", got, conns, wait, c.want, c.wait)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a connection that was told to make room, kept since a request came on it, and ended after that one all the same;
-// and against a peer that gains time by being told.
+// Guards against a connection whose eviction was cancelled by a request, but that is closed after that request all the same;
+// and against a peer that gets a later read deadline by such an eviction.
 func TestEvictionIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := net.Pipe()
 		defer func() { _ = client.Close() }()
-		all := newClientConns(nil, 1)
-		conn := &framedConn{Conn: server, listener: all}
+		listener := newClientConns(nil, 1)
+		conn := &framedConn{Conn: server, listener: listener}
 		defer func() { _ = conn.Close() }()
 		conn.framing.delivered = 1
-		all.onConnState(conn, http.StateIdle)
+		listener.onConnState(conn, http.StateIdle)
 		until := time.Now().Add(time.Second)
-		_ = conn.SetReadDeadline(until) // a read shows it
+		_ = conn.SetReadDeadline(until) // if it fails, the next read reports it
 		read := func() <-chan error {
 			end := make(chan error, 1)
 			go func() {
@@ -258,12 +258,12 @@
 			return end
 		}
 		end := read()
-		all.mu.Lock()
-		all.evict()
-		evicting := len(all.evicting)
-		all.mu.Unlock()
+		listener.mu.Lock()
+		listener.evict()
+		evicting := len(listener.evicting)
+		listener.mu.Unlock()
 		if evicting != 1 {
-			t.Fatal("not told")
+			t.Fatalf("%d connections are being evicted, want 1", evicting)
 		}
 		if _, err := client.Write([]byte("G")); err != nil {
 			t.Fatal(err)
@@ -272,42 +272,42 @@
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		if conn.ending || conn.evicted || len(all.evicting) > 0 {
-			t.Error("it is still to end")
+		if conn.ending || conn.evicted || len(listener.evicting) > 0 {
+			t.Errorf("got ending %v, evicted %v and %d evictions, want none", conn.ending, conn.evicted, len(listener.evicting))
 		}
 		if err := <-read(); !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Equal(until) {
-			t.Errorf("%v at %v, the library's bound was %v", err, time.Now(), until)
+			t.Errorf("read returned error %v at %v, want a time-out at %v, the deadline set by net/http", err, time.Now(), until)
 		}
 	})
 }
 
-// Guards against clients that are held up by idle ones, which take all descriptors that clients may have and come again whenever
-// they are ended: each client that comes from discovery's return on is served within the second that is owed to it. The clock is
-// a fake one, so that a busy machine takes nothing of it; `mosslead-sidecar`'s TestIdleClientsTakeEveryDescriptor has the processes.
+// Guards against clients that are delayed by idle ones, which take all client descriptors and reconnect whenever they are
+// evicted: each client that connects after discovery has returned is served within 1 s. The clock is a fake one, so that a busy
+// machine causes no delay; TestIdleClientsTakeEveryDescriptor of mosslead-sidecar does the same with processes.
 func TestIdleClientsDelayNobody(t *testing.T) {
 	hush(t)
-	const bound, idle, lingers = 20, 120, time.Second
+	const bound, idle, maxWait = 20, 120, time.Second
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(func(memnet.Event) {})
 		ctx, cancel := context.WithCancel(t.Context())
-		back, returns := context.WithCancel(ctx)
+		back, returnDiscovery := context.WithCancel(ctx)
 		var all sync.WaitGroup
 		host := n.Host("sidecar", "10.0.0.1", 0)
-		listens := func(name, ip string, port int, answers http.HandlerFunc) {
+		listen := func(name, ip string, port int, handler http.HandlerFunc) {
 			l, err := n.Host(name, ip, time.Millisecond).Listen(port)
 			if err != nil {
 				t.Fatal(err)
 			}
-			srv := &http.Server{Handler: answers}
-			all.Go(func() { _ = srv.Serve(l) }) // ends with srv
+			srv := &http.Server{Handler: handler}
+			all.Go(func() { _ = srv.Serve(l) }) // returns once srv is closed
 			context.AfterFunc(ctx, func() { _ = srv.Close() })
 		}
-		listens("up-1", "10.0.0.11", 8000, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-		listens("up-2", "10.0.0.12", 8000, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "done") })
-		listens("discovery", "10.0.0.9", 7000, func(w http.ResponseWriter, r *http.Request) { // silent until it is back
-			for at := back; ; at = ctx {
+		listen("up-1", "10.0.0.11", 8000, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+		listen("up-2", "10.0.0.12", 8000, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "done") })
+		listen("discovery", "10.0.0.9", 7000, func(w http.ResponseWriter, r *http.Request) { // no answer until back is done
+			for until := back; ; until = ctx {
 				select {
-				case <-at.Done():
+				case <-until.Done():
 					if ctx.Err() != nil {
 						return
 					}
@@ -337,7 +337,7 @@
 				for ctx.Err() == nil {
 					if conn, err := clients.Dial(ctx, "tcp", "10.0.0.1:9000"); err == nil {
 						over := context.AfterFunc(ctx, func() { _ = conn.Close() })
-						_, _ = io.Copy(io.Discard, conn) // until it is ended
+						_, _ = io.Copy(io.Discard, conn) // until it is closed
 						over()
 						_ = conn.Close()
 					}
@@ -346,11 +346,11 @@
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		returns()
+		returnDiscovery()
 		returned := time.Now()
 		var queries sync.WaitGroup
 		elapsed := make(chan time.Duration, 30)
-		for range cap(elapsed) { // as many moments of what the others do
+		for range cap(elapsed) { // at different moments of what the idle clients do
 			queries.Go(func() {
 				begun := time.Now()
 				conn, err := clients.Dial(ctx, "tcp", "10.0.0.1:9000")
@@ -359,11 +359,11 @@
 					return
 				}
 				defer func() { _ = conn.Close() }()
-				_ = conn.SetDeadline(begun.Add(testTimeout)) // a read shows it
+				_ = conn.SetDeadline(begun.Add(testTimeout)) // if it fails, the next read reports it
 				_, _ = io.WriteString(conn, requestText("search"))
 				line, err := bufio.NewReader(conn).ReadString('\n')
-				if !strings.HasPrefix(line, "HTTP/1.1 200") || time.Since(begun) > lingers {
-					t.Errorf("asked %v after the return: %q, %v, after %v", begun.Sub(returned), line, err, time.Since(begun))
+				if !strings.HasPrefix(line, "HTTP/1.1 200") || time.Since(begun) > maxWait {
+					t.Errorf("request %v after the return: got %q with error %v after %v, want 200 in %v", begun.Sub(returned), line, err, time.Since(begun), maxWait)
 				}
 				elapsed <- time.Since(begun)
 			})
@@ -372,10 +372,10 @@
 		queries.Wait()
 		close(elapsed)
 		longest := time.Duration(0)
-		for one := range elapsed {
-			longest = max(longest, one)
+		for d := range elapsed {
+			longest = max(longest, d)
 		}
-		t.Logf("the longest was served after %v", longest)
+		t.Logf("the slowest request was served after %v", longest)
 		stop()
 		time.Sleep(killWait)
 		cancel()
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -15,7 +15,7 @@
 )
 
 // upstreamExchange is one request and its answer on a connection. It may outlast its attempt, which waits until ctx ends: the
-// answer is then read until readCtx ends, so that the connection can be used again, see awaitLateAnswer.
+// answer is then still read until readCtx ends, so that the connection can be used again, see awaitLateAnswer.
 type upstreamExchange struct {
 	pool        *upstreamPool
 	ctx         context.Context
@@ -23,19 +23,19 @@
 	cancelRead  context.CancelFunc // ends readCtx
 	conn        *upstreamConn
 	client      *clientRequest
-	startBefore time.Duration // clock time at which it may no longer begin; 0: any time
+	startBefore time.Duration // clock time at which it may no longer begin, 0 if there is no limit
 	use         connUse
 
-	reply     chan attemptReply
-	abandoned chan struct{} // closed when its attempt no longer waits
+	reply     chan attemptReply // delivers the result to the attempt
+	abandoned chan struct{}     // closed when its attempt no longer waits
 
-	answered      bool        // the answer has begun, so that the request may have been processed
-	answeredEarly atomic.Bool // the answer began before the whole body had been handed to the writer
+	answered      bool        // the answer has begun, so the request may have been processed
+	answeredEarly atomic.Bool // the answer began before the whole body had been passed to the writer
 }
 
 // startExchange starts sending a request.
-func (u *upstreamPool) startExchange(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration, use connUse) *upstreamExchange {
-	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, client: r, startBefore: before, use: use,
+func (u *upstreamPool) startExchange(ctx context.Context, c *upstreamConn, r *clientRequest, startBefore time.Duration, use connUse) *upstreamExchange {
+	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, client: r, startBefore: startBefore, use: use,
 		reply: make(chan attemptReply), abandoned: make(chan struct{})}
 	x.readCtx, x.cancelRead = context.WithCancel(context.WithoutCancel(ctx))
 	go x.run()
@@ -66,7 +66,7 @@
 	}
 }
 
-// roundTrip sends the request and reads its answer, or the start of a large one.
+// roundTrip sends the request and reads its answer, or the start of a large answer.
 func (x *upstreamExchange) roundTrip() (rep attemptReply, reusable bool) {
 	resp, err := x.conn.http.RoundTrip(x.request())
 	if err != nil {
@@ -110,12 +110,12 @@
 		},
 	}
 	req = x.client.outgoing(httptrace.WithClientTrace(x.readCtx, trace), c.address.address)
-	left := x.client.timeout.Microseconds()
+	timeLeft := x.client.timeout.Microseconds()
 	if deadline, ok := x.ctx.Deadline(); ok {
-		left = max(time.Until(deadline).Microseconds(), 1)
+		timeLeft = max(time.Until(deadline).Microseconds(), 1)
 	}
-	if left > 0 {
-		req.Header.Set(headerTimeout, strconv.FormatInt(left, 10)+"u")
+	if timeLeft > 0 {
+		req.Header.Set(headerTimeout, strconv.FormatInt(timeLeft, 10)+"u")
 	}
 	return req
 }
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -7,57 +7,57 @@
 	"sync"
 )
 
-// Detection of ambiguous message framing (RFC 9112, section 6.3). The HTTP library drops a Content-Length beside a
-// Transfer-Encoding, and one of two equal ones, while an upstream may go by the one dropped and see a request where we see
-// a body (request smuggling). So a client's connection follows the framing of its requests, and reports which are ambiguous.
+// Detection of ambiguous message framing (RFC 9112, section 6.3). net/http drops a Content-Length beside a
+// Transfer-Encoding, and one of two equal ones, while an upstream may use the dropped one and take part of a body for a
+// request (request smuggling). So a client's connection tracks the framing of its requests and reports ambiguous ones.
 
-// framingState is the part of a request that the next bytes belong to.
+// framingState is the part of a request to which the next bytes belong.
 type framingState int
 
 const (
 	atStart framingState = iota // the request line
 	inHead
-	inBody      // of which left bytes are to come
+	inBody      // remaining bytes of the body are still to come
 	inChunkSize // the line before a chunk
-	inChunk     // of which left bytes are to come, with its line end
+	inChunk     // remaining bytes of the chunk and its line end are still to come
 	inTrailer
-	unknownFraming // the end can't be determined: the library rejects it, or the connection is closed after its answer
+	unknownFraming // the end of the request is unknown: net/http rejects the request, or the connection is closed after its answer
 )
 
-// maxLineBytes is how many bytes of a line are examined; a longer length or encoding is ambiguous.
+// maxLineBytes is how many bytes of a line are examined; a longer Content-Length or Transfer-Encoding is ambiguous.
 const maxLineBytes = 256
 
-// framing follows the requests on one connection. scan is called by the goroutine that reads; the other methods are
-// safe for concurrent use but for what they say.
+// framing tracks where the requests on one connection begin and end. Only the goroutine that reads the connection, the
+// reader, calls scan; the other methods are safe for concurrent use unless they state otherwise.
 type framing struct {
 	state     framingState
 	line      []byte
 	remaining int64
 
-	lengthHeaders, encodingHeaders int // number of length and encoding headers in this head
+	lengthHeaders, encodingHeaders int // number of Content-Length and Transfer-Encoding headers in this head
 	contentLength                  int64
 	ambiguous                      bool
-	lastHeader                     byte // 'l' or 't' if the line before was a length or an encoding, else 0
+	lastHeader                     byte // 'l' or 't' if the previous line was a Content-Length or a Transfer-Encoding, else 0
 
 	mu          sync.Mutex
-	ambiguities []bool // whether each request read is ambiguous that the library has not delivered yet
-	delivered   int    // number of requests that the library has delivered
+	ambiguities []bool // for each request read that net/http has not delivered yet: whether it is ambiguous
+	delivered   int    // number of requests that net/http has delivered
 }
 
-// nextAmbiguous reports whether the request that the library delivers now is ambiguous. It is called once for each request.
+// nextAmbiguous reports whether the request that net/http delivers now is ambiguous. It is called once for each request.
 func (f *framing) nextAmbiguous() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delivered++
-	if len(f.ambiguities) == 0 { // its framing was not followed
+	if len(f.ambiguities) == 0 { // its framing could not be tracked
 		return true
 	}
-	d := f.ambiguities[0]
+	ambiguous := f.ambiguities[0]
 	f.ambiguities = f.ambiguities[1:]
-	return d
+	return ambiguous
 }
 
-// stage returns how far the requests have been read that the library has not delivered. Called by the reader.
+// stage returns how far the next request that net/http has not delivered has been read. It is called by the reader.
 func (f *framing) stage() connStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,15 +70,15 @@
 	return betweenRequests
 }
 
-// pipelined reports whether bytes were read beyond the request delivered last. Called by the reader.
+// pipelined reports whether bytes were read beyond the request delivered last. It is called by the reader.
 func (f *framing) pipelined() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.ambiguities) > 0 || f.state == inHead || f.state == atStart && len(f.line) > 0
 }
 
-// bodyIncomplete reports whether the request delivered last has not been read to its end. Called by the reader, or while it
-// does not read.
+// bodyIncomplete reports whether the request delivered last has not been read to its end. It is called by the reader, or
+// while no scan is in progress.
 func (f *framing) bodyIncomplete() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +106,7 @@
 	return f.delivered == 0
 }
 
-// scan follows bytes that were read.
+// scan updates the state with bytes that were read.
 func (f *framing) scan(p []byte) {
 	for len(p) > 0 && f.state != unknownFraming {
 		if f.state == inBody || f.state == inChunk {
@@ -160,7 +160,7 @@
 			f.state = unknownFraming
 		case n == 0:
 			f.state = inTrailer
-		default: // the library checks the chunk's line end, which must be CR LF
+		default: // net/http checks the chunk's line end, which must be CR LF
 			f.state, f.remaining = inChunk, int64(n)+2
 		}
 	case inTrailer:
@@ -172,7 +172,7 @@
 
 // handleHeader handles a header line.
 func (f *framing) handleHeader(line []byte) {
-	if line[0] == ' ' || line[0] == '\t' { // continues the line before
+	if line[0] == ' ' || line[0] == '\t' { // continues the previous line
 		f.ambiguous = f.ambiguous || f.lastHeader != 0
 		return
 	}
@@ -192,7 +192,7 @@
 	}
 }
 
-// endHead handles the end of a head.
+// endHead handles the empty line that ends a head.
 func (f *framing) endHead() {
 	f.ambiguous = f.ambiguous || f.lengthHeaders > 1 || f.encodingHeaders > 1 || f.lengthHeaders > 0 && f.encodingHeaders > 0
 	f.mu.Lock()
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Guards against requests that stand inside the body of another: where two readers may disagree on where a
-// request ends, it is rejected, nothing of it goes upstream, and nothing after it is read.
+// Guards against request smuggling: a request whose end is ambiguous is rejected, no part of it is sent to an upstream, and
+// nothing after it is read.
 func TestNothingInsideABodyIsARequest(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
@@ -24,14 +24,14 @@
 		"two lengths in one":    {"POST /confirm/1 HTTP/1.1\r\n" + rest + "Content-Length: 3, 3\r\n\r\nabc", "400"},
 		"chunks on a folded line beside a length": {"POST /confirm/1 HTTP/1.1\r\n" + rest +
 			"Content-Length: 88\r\nTransfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n", "400"},
-		"a chunk that is longer than it says": {"POST /confirm/1 HTTP/1.1\r\n" + rest +
+		"a chunk that is longer than its stated size": {"POST /confirm/1 HTTP/1.1\r\n" + rest +
 			"Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n", "400"},
 		"chunks with GET": {"GET /search/1 HTTP/1.1\r\n" + rest + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
 		"chunks to an own page": {"GET /-/ready HTTP/1.1\r\n" + rest +
 			"Content-Length: 88\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
-		"chunks to an own page that is none": {"POST /-/none HTTP/1.1\r\n" + rest +
+		"chunks to an own page that does not exist": {"POST /-/none HTTP/1.1\r\n" + rest +
 			"Content-Length: 88\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
-		"chunks that HTTP/1.0 does not know": {"POST /confirm/1 HTTP/1.0\r\n" + rest +
+		"chunks with HTTP/1.0": {"POST /confirm/1 HTTP/1.0\r\n" + rest +
 			"Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n", "505"},
 		"a body with GET": {"GET /search/1 HTTP/1.1\r\n" + rest + "Content-Length: 88\r\n\r\n", "400"},
 	} {
@@ -43,23 +43,23 @@
 		if _, err := io.WriteString(conn, c.text+inner); err != nil {
 			t.Fatal(err)
 		}
-		in := bufio.NewReader(conn)
-		resp, err := http.ReadResponse(in, nil)
+		reader := bufio.NewReader(conn)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 		if !strings.HasPrefix(resp.Status, c.want) {
-			t.Errorf("%s: %s, want %s", name, resp.Status, c.want)
+			t.Errorf("%s: got %s, want %s", name, resp.Status, c.want)
 		}
-		if second, err := http.ReadResponse(in, nil); err == nil {
+		if second, err := http.ReadResponse(reader, nil); err == nil {
 			_ = second.Body.Close()
-			t.Errorf("%s: what follows was answered too: %s", name, second.Status)
+			t.Errorf("%s: the bytes after the request were answered with %s, want no answer", name, second.Status)
 		}
 		_ = conn.Close()
 	}
 	if got := s.requests(); len(got) != 0 {
-		t.Errorf("%d requests reached the upstream, the first %s %s", len(got), got[0].method, got[0].target)
+		t.Errorf("%d requests reached the upstream, the first %s %s; want 0", len(got), got[0].method, got[0].target)
 	}
 }
--- a/internal/sidecar/peek.go
+++ b/internal/sidecar/peek.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// pending tells what has come on a connection without reading it: bytes, and the other side's end, which may stand behind
-// bytes that nobody has read. A read tells of an end only once all before it is read, and its goroutine may be late.
+// pending reports, without reading, whether bytes have arrived on a connection, and whether the other side has closed it,
+// maybe behind unread bytes. A read reports the close only after those bytes, and its goroutine may be late.
 func pending(c net.Conn) (bytes, end bool) {
-	if m, ok := c.(interface{ Pending() (bytes, end bool) }); ok { // a network in memory
+	if m, ok := c.(interface{ Pending() (bytes, end bool) }); ok { // a connection of an in-memory network
 		return m.Pending()
 	}
 	s, ok := c.(syscall.Conn)
@@ -29,7 +29,7 @@
 				continue
 			}
 			end = fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-			bytes = fds[0].Revents&unix.POLLIN != 0 && !end // an end is readable, too
+			bytes = fds[0].Revents&unix.POLLIN != 0 && !end // a closed connection is readable, too
 			return
 		}
 	})
--- a/internal/sidecar/requesthandler.go
+++ b/internal/sidecar/requesthandler.go
@@ -19,7 +19,7 @@
 	beginOnce sync.Once
 }
 
-// run forwards the request to a peer or hands it to the dispatcher, and answers it.
+// run forwards the request to a peer or passes it to the dispatcher, and answers it.
 func (h *requestHandler) run() {
 	s, req := h.server, h.req
 	defer func() {
@@ -48,7 +48,7 @@
 // begin counts the request, once its body has been received.
 func (h *requestHandler) begin() { h.beginOnce.Do(h.server.stats.begin) }
 
-// followBody reports to the dispatcher when the body is complete, or to the handler when it fails.
+// followBody reports to the dispatcher when the body is complete, or to the handler when reading it fails.
 func (h *requestHandler) followBody() {
 	req := h.req
 	if !req.bodyPending {
@@ -62,7 +62,7 @@
 	req.body.onError = func(err error) { req.bodyErrors <- err }
 }
 
-// answerForwarded answers a request that a peer has answered, or whose id is in use.
+// answerForwarded answers a request that a peer has answered, or whose id is already in use.
 func (h *requestHandler) answerForwarded(a answer) {
 	defer a.reply.drop()
 	if h.outcome = a.kind; h.r.Context().Err() != nil {
@@ -77,10 +77,10 @@
 	h.write(a)
 }
 
-// awaitAnswer waits for the dispatcher's answer, or for the client to disconnect. The library reports that while it reads;
-// otherwise the connection is checked every disconnectPollInterval.
+// awaitAnswer waits for the dispatcher's answer, or for the client to disconnect. net/http reports a disconnect while it
+// reads the connection; otherwise the connection is checked every disconnectPollInterval.
 func (h *requestHandler) awaitAnswer() {
-	pipelined := h.conn.pipelined // the library has stopped reading
+	pipelined := h.conn.pipelined // receives once net/http has stopped reading
 	var polls <-chan time.Time
 	var ticker *time.Ticker
 	poll := func() {
@@ -94,7 +94,7 @@
 		}
 	}()
 	for {
-		if polls == nil && h.req.body.receiving() { // nobody reads while no attempt does
+		if polls == nil && h.req.body.receiving() { // the connection is read only while an attempt reads the body
 			poll()
 		}
 		select {
@@ -126,7 +126,7 @@
 	if a.kind == clientGone {
 		panic(http.ErrAbortHandler)
 	}
-	if h.req.forwarded && a.kind == rejected && !a.attempted { // the peer that forwarded it handles it
+	if h.req.forwarded && a.kind == rejected && !a.attempted { // the peer that forwarded it then handles it itself
 		h.w.Header().Set(headerNotProcessed, "1")
 	}
 	h.write(a)
@@ -139,11 +139,11 @@
 		panic(http.ErrAbortHandler)
 	}
 	h.outcome = failed
-	bad := &rejection{http.StatusRequestTimeout, "the body did not come in time"}
+	rej := &rejection{http.StatusRequestTimeout, "the body did not come in time"}
 	if !isTimeout(err) {
-		bad = &rejection{http.StatusRequestEntityTooLarge, bodyTooLargeText}
+		rej = &rejection{http.StatusRequestEntityTooLarge, bodyTooLargeText}
 	}
-	h.server.reject(h.w, h.r, bad)
+	h.server.reject(h.w, h.r, rej)
 }
 
 // answerStopped answers a request after the dispatcher has stopped.
@@ -152,14 +152,14 @@
 	h.server.writeLine(h.w, http.StatusInternalServerError, "stopped")
 }
 
-// write writes an answer. If that fails midway, the connection is aborted, by which the client can tell.
+// write writes an answer. If that fails midway, the connection is aborted, so that the client notices.
 func (h *requestHandler) write(a answer) {
 	if h.req.body.receiving() {
 		h.server.answerEarly(h.w, h.req, a)
 		return
 	}
 	if err := h.server.writeAnswer(h.w, a); err != nil {
-		h.outcome = failed // by the upstream, or a client that does not read
+		h.outcome = failed // because of the upstream, or of a client that does not read
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/sidecar/requestparser.go
+++ b/internal/sidecar/requestparser.go
@@ -16,7 +16,7 @@
 // maxTimeout bounds the time-out and the cost that a client may state.
 const maxTimeout = time.Hour
 
-const bodyTooLargeText = "a body holds 32 MB at most" // maxBodyBytes
+const bodyTooLargeText = "a body holds 32 MB at most" // states maxBodyBytes
 
 // connKey is the context key of a client's connection.
 type connKey struct{}
@@ -33,24 +33,24 @@
 
 // parse checks a request, and reads the part of its body that is retained.
 func (s *server) parse(w http.ResponseWriter, r *http.Request) (*clientRequest, *rejection) {
-	if bad := checkHead(r); bad != nil {
-		return nil, bad
+	if rej := checkHead(r); rej != nil {
+		return nil, rej
 	}
-	class, bad := s.classOf(w, r)
-	if bad != nil {
-		return nil, bad
+	class, rej := s.classOf(w, r)
+	if rej != nil {
+		return nil, rej
 	}
-	timeout, bad := parseClientTimeout(r, class.Deadline)
-	if bad != nil {
-		return nil, bad
+	timeout, rej := parseClientTimeout(r, class.Deadline)
+	if rej != nil {
+		return nil, rej
 	}
-	hint, bad := parseCostHint(r)
-	if bad != nil {
-		return nil, bad
+	hint, rej := parseCostHint(r)
+	if rej != nil {
+		return nil, rej
 	}
-	body, bad := s.readRequestBody(w, r)
-	if bad != nil {
-		return nil, bad
+	body, rej := s.readRequestBody(w, r)
+	if rej != nil {
+		return nil, rej
 	}
 	header := endToEnd(r.Header)
 	header.Del(headerTimeout) // each attempt is sent with the time left
@@ -64,7 +64,7 @@
 	}, nil
 }
 
-// checkHead checks the target and the headers that must not be repeated, since an upstream could go by another of them.
+// checkHead checks the target and the headers that must not be repeated, since an upstream could use another occurrence.
 func checkHead(r *http.Request) *rejection {
 	if !strings.HasPrefix(r.RequestURI, "/") || strings.HasPrefix(r.RequestURI, "//") {
 		return rejectf(http.StatusBadRequest, "the request target is not a path")
@@ -80,17 +80,17 @@
 	return nil
 }
 
-// classOf returns the class of a request. Header, path and method must agree on it: the upstream could go by another of them,
-// whose class may not be idempotent.
+// classOf returns the class of a request. Header, path and method must name the same class: the upstream could use another
+// of them, whose class may not be idempotent.
 func (s *server) classOf(w http.ResponseWriter, r *http.Request) (balancer.Class, *rejection) {
-	inPath, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	name := cmp.Or(r.Header.Get(headerClass), inPath)
+	pathClass, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	name := cmp.Or(r.Header.Get(headerClass), pathClass)
 	class, known := (*s.classes.Load())[name]
 	if !known {
 		return class, rejectf(http.StatusNotFound, "unknown class %q", name)
 	}
-	if name != inPath {
-		return class, rejectf(http.StatusBadRequest, "the header names class %q, the path %q", name, inPath)
+	if name != pathClass {
+		return class, rejectf(http.StatusBadRequest, "the header names class %q, the path %q", name, pathClass)
 	}
 	method := http.MethodPost
 	if class.Idempotency == balancer.Idempotent {
@@ -108,11 +108,11 @@
 
 // parseClientTimeout returns the time-out that the client states, or else the deadline of its class.
 func parseClientTimeout(r *http.Request, deadline time.Duration) (time.Duration, *rejection) {
-	texts, stated := r.Header[headerTimeout]
+	values, stated := r.Header[headerTimeout]
 	if !stated {
 		return deadline, nil
 	}
-	timeout, err := parseTimeout(texts[0])
+	timeout, err := parseTimeout(values[0])
 	if err != nil {
 		return 0, rejectf(http.StatusBadRequest, "X-Timeout: %v", err)
 	}
@@ -134,7 +134,7 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseCostHint parses the expected work, in microseconds on the wire; 0: none is stated.
+// parseCostHint parses the expected work, in microseconds on the wire. It returns 0 if none is stated.
 func parseCostHint(r *http.Request) (time.Duration, *rejection) {
 	text := r.Header.Get(headerCost)
 	if text == "" {
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	maxBufferTime       = 100 * time.Millisecond // for an answer of unknown length to end, before it is streamed
-	transferBufferBytes = 32 << 10               // of a streamed answer at a time
-	minResponseRate     = 4 << 10                // bytes per second: a slower answer is given up after its stall time-out
+	maxBufferTime       = 100 * time.Millisecond // for which an answer of unknown length is buffered before it is streamed
+	transferBufferBytes = 32 << 10               // read at a time of a streamed answer
+	minResponseRate     = 4 << 10                // bytes per second: a slower answer is aborted after its stall time-out
 )
 
 var transferBuffers = sync.Pool{New: func() any { return new([transferBufferBytes]byte) }}
@@ -19,11 +19,11 @@
 // responseRest is the rest of an answer whose start has been read. Its owner must drop it.
 type responseRest struct {
 	body         io.ReadCloser
-	length       int64         // of the whole answer; -1: not stated
-	stallTimeout time.Duration // for the upstream to send more
-	cancelRead   func()        // cuts a read short
+	length       int64         // of the whole answer, -1 if not stated
+	stallTimeout time.Duration // for which the upstream may send nothing
+	cancelRead   func()        // interrupts a read
 	finish       func(reusable bool)
-	reusable     bool // the connection can be used again after it
+	reusable     bool // the connection can be used again after this answer
 	dropOnce     sync.Once
 	complete     bool
 
@@ -31,31 +31,31 @@
 	readTime  time.Duration // time spent in reads, without the waits for the client
 }
 
-var errResponseTooLarge = errors.New("the answer does not come to its end")
+var errResponseTooLarge = errors.New("the answer is too large")
 
-// read reads the next part. Size and time are bounded, against answers that never end.
-func (a *responseRest) read(p []byte) (int, error) {
-	begun := time.Now()
-	stalled := time.AfterFunc(a.stallTimeout+time.Duration(a.bytesRead)*time.Second/minResponseRate-a.readTime, a.cancelRead)
+// read reads the next part. Size and time are bounded, since an answer might never end.
+func (r *responseRest) read(p []byte) (int, error) {
+	start := time.Now()
+	stalled := time.AfterFunc(r.stallTimeout+time.Duration(r.bytesRead)*time.Second/minResponseRate-r.readTime, r.cancelRead)
 	defer stalled.Stop()
-	n, err := a.body.Read(p)
-	a.bytesRead, a.readTime = a.bytesRead+int64(n), a.readTime+time.Since(begun)
-	a.complete = a.complete || errors.Is(err, io.EOF)
-	if err == nil && a.bytesRead > maxBodyBytes {
+	n, err := r.body.Read(p)
+	r.bytesRead, r.readTime = r.bytesRead+int64(n), r.readTime+time.Since(start)
+	r.complete = r.complete || errors.Is(err, io.EOF)
+	if err == nil && r.bytesRead > maxBodyBytes {
 		err = errResponseTooLarge
 	}
 	return n, err
 }
 
-// drop frees the connection, for another request if the answer was read to its end. It may be called more than once.
-func (a *responseRest) drop() {
-	a.dropOnce.Do(func() {
-		_ = a.body.Close()
-		a.finish(a.complete && a.reusable)
+// drop frees the connection, which can carry another request if the answer was read to its end. It may be called repeatedly.
+func (r *responseRest) drop() {
+	r.dropOnce.Do(func() {
+		_ = r.body.Close()
+		r.finish(r.complete && r.reusable)
 	})
 }
 
-// drop frees the resources of a reply that is not passed on.
+// drop frees the resources of a reply that has been written to the client, or will not be.
 func (r *attemptReply) drop() {
 	r.release()
 	if r.rest != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// release releases the start of the answer.
+// release returns the reserved bytes of the start of the answer to the budget.
 func (r *attemptReply) release() {
 	if r.reservedBytes > 0 {
 		r.budget.release(r.reservedBytes)
@@ -72,7 +72,7 @@
 }
 
 // readAnswer reads a small answer completely, and the start of a large one. An answer without a length ends with the
-// connection, if that is closed and not reset. The reply holds a part of the budget until release.
+// connection, if that is closed and not reset. retained is the part of the budget that the reply holds until release.
 func (u *upstreamPool) readAnswer(resp *http.Response) (body []byte, retained int64, complete bool, err error) {
 	bound := int64(maxRetainedBytes)
 	if resp.ContentLength >= 0 {
@@ -86,7 +86,7 @@
 		u.budget.release(reserved - retained)
 	}()
 	large := resp.ContentLength > reserved
-	begun := time.Now()
+	start := time.Now()
 	body = make([]byte, 0, min(reserved, minRetainedBytes))
 	for {
 		if int64(len(body)) == reserved {
@@ -109,7 +109,7 @@
 			return body, 0, true, nil
 		case err != nil:
 			return nil, 0, false, err
-		case n > 0 && large, n > 0 && resp.ContentLength < 0 && time.Since(begun) > maxBufferTime:
+		case n > 0 && large, n > 0 && resp.ContentLength < 0 && time.Since(start) > maxBufferTime:
 			return body, 0, false, nil
 		}
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -15,18 +15,18 @@
 	id, class, tenant string
 	classSettings     balancer.Class // its class, as it was when the request was parsed
 	expiresAt         time.Duration  // clock time at which the client stops waiting
-	costHint          time.Duration  // expected work; 0: unknown
+	costHint          time.Duration  // expected work, 0 if unknown
 
 	method, target, host string
 	header               http.Header // as sent to upstreams
 	body                 *clientBody
 	timeout              time.Duration // stated by the client, or the deadline of its class
 	bodyPending          bool          // the body was incomplete when the request was dispatched
-	forwarded            bool          // by a peer
+	forwarded            bool          // a peer forwarded the request
 	disconnected         func() bool   // reports whether the client has disconnected; may be nil
 
-	answer     chan answer // has a buffer of one: the final answer
-	bodyErrors chan error  // has a buffer of one: the error of reading the body
+	answer     chan answer // receives the final answer; has a buffer of one
+	bodyErrors chan error  // receives the error of reading the body; has a buffer of one
 }
 
 const (
@@ -40,7 +40,7 @@
 	headerNotProcessed = "X-Not-Processed"
 
 	writeTimeout           = 5 * time.Second       // for each write of an answer
-	disconnectPollInterval = 50 * time.Millisecond // between checks whether a client has disconnected from which nobody reads; 0.1 s are allowed
+	disconnectPollInterval = 50 * time.Millisecond // between checks whether a client has disconnected while its connection is not read; 0.1 s are allowed
 )
 
 // hopByHopHeaders are the headers that are not forwarded (RFC 9110, section 7.6.1).
@@ -61,39 +61,40 @@
 	return forwarded
 }
 
-// server is the HTTP handler of clients' requests. Safe for concurrent use.
+// server is the HTTP handler of clients' requests. It is safe for concurrent use.
 type server struct {
 	clock        clock
 	classes      atomic.Pointer[map[string]balancer.Class]
-	post         func(any) bool
-	stop         <-chan struct{}
+	post         func(any) bool  // queues an event for the dispatcher; returns false once that has stopped
+	stop         <-chan struct{} // closed when the dispatcher stops
 	ready        func() bool
 	hasEndpoints func() bool // reports whether an upstream is ready
 	failures     *limitedLog // log of rejected requests
 	stats        *stats
 	budget       *byteBudget
-	stopping     atomic.Bool // each connection is closed with its next answer
-	forwarder    *forwarder  // nil: nothing is forwarded
+	stopping     atomic.Bool // each connection is closed after its next answer
+	forwarder    *forwarder  // nil if nothing is forwarded
 }
 
-// ServeHTTP implements http.Handler: it serves a client's request, and returns once that has its answer. It aborts the
-// connection, by panicking with http.ErrAbortHandler, if the client has gone or has to see that its answer is incomplete.
+// ServeHTTP implements http.Handler: it serves a client's request, and returns once the request is answered. It aborts
+// the connection, by panicking with http.ErrAbortHandler, if the client has disconnected or must notice that its answer is
+// incomplete.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(*framedConn)
-	if r.ContentLength != 0 { // the library reads a body that nobody else reads
+	if r.ContentLength != 0 { // net/http reads what the handler leaves of a body
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStartTimeout)) // fails on a closed connection only
 	}
-	bad := checkFraming(r, conn == nil || conn.framing.nextAmbiguous())
-	if bad == nil && strings.HasPrefix(r.URL.Path, "/-/") {
+	rej := checkFraming(r, conn == nil || conn.framing.nextAmbiguous())
+	if rej == nil && strings.HasPrefix(r.URL.Path, "/-/") {
 		s.serveOwnPage(w, r)
 		return
 	}
 	var req *clientRequest
-	if bad == nil {
-		req, bad = s.parse(w, r)
+	if rej == nil {
+		req, rej = s.parse(w, r)
 	}
-	if bad != nil {
-		s.reject(w, r, bad)
+	if rej != nil {
+		s.reject(w, r, rej)
 		return
 	}
 	h := &requestHandler{server: s, w: w, r: r, conn: conn, req: req, outcome: clientGone}
@@ -101,29 +102,29 @@
 }
 
 // reject answers a malformed request, and closes its connection.
-func (s *server) reject(w http.ResponseWriter, r *http.Request, bad *rejection) {
+func (s *server) reject(w http.ResponseWriter, r *http.Request, rej *rejection) {
 	s.failures.log("request rejected before admission", func() []slog.Attr {
 		return []slog.Attr{slog.String("request", truncate(r.Header.Get(headerID))), slog.String("peer", r.RemoteAddr),
 			slog.String("method", truncate(r.Method)), slog.String("target", truncate(r.RequestURI)), slog.Int64("length", r.ContentLength),
-			slog.Int("status", bad.status), slog.String("err", bad.text)}
+			slog.Int("status", rej.status), slog.String("err", rej.text)}
 	})
-	w.Header().Set("Connection", "close") // or the library would first wait for the rest of the body
-	s.writeLine(w, bad.status, bad.text)
+	w.Header().Set("Connection", "close") // otherwise net/http first waits for the rest of the body
+	s.writeLine(w, rej.status, rej.text)
 }
 
 // answerEarly answers a request whose body is still arriving, and discards the rest: a client may read its answer only after
 // it has sent the whole body.
 func (s *server) answerEarly(w http.ResponseWriter, req *clientRequest, a answer) {
 	conn := http.NewResponseController(w)
-	_ = conn.EnableFullDuplex() // or the library would read the body first; it can't fail for HTTP/1.1
+	_ = conn.EnableFullDuplex() // otherwise net/http reads the body first; it can't fail for HTTP/1.1
 	w.Header().Set("Connection", "close")
-	_ = s.writeAnswer(w, a) // fails if the client has gone
+	_ = s.writeAnswer(w, a) // fails if the client has disconnected
 	_ = conn.Flush()
 	req.body.drain()
 }
 
 // checkFraming rejects a request with ambiguous framing (see framing.go), so that no part of a body is ever read as a
-// request. HTTP/1.0 has no chunks, and an idempotent request must have no body.
+// request. HTTP/1.0 has no chunked bodies, and an idempotent request must have no body.
 func checkFraming(r *http.Request, ambiguous bool) *rejection {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -17,7 +17,7 @@
 	"mosslead/balancer"
 )
 
-// Guards against answers that no upstream made, and refusals without the advice when to come back.
+// Guards against answers that differ from the upstream's.
 func TestServedUnchanged(t *testing.T) {
 	body := "\x00\xff answer\r\n"
 	s := newUpstream(t, says("HTTP/1.1 200 OK\r\nContent-Type: application/x-seat\r\n"+
@@ -26,49 +26,50 @@
 	for _, class := range []string{"search", "record", "confirm"} {
 		resp, text := r.do(t, request(t, r.address, class, ""))
 		if resp.StatusCode != 200 || text != body || resp.Header.Get("Content-Type") != "application/x-seat" {
-			t.Errorf("%s: %s %q", class, resp.Status, text)
+			t.Errorf("class %s: got %s %q with Content-Type %q, want 200 %q with application/x-seat", class, resp.Status, text,
+				resp.Header.Get("Content-Type"), body)
 		}
-		// What tells how to read the body goes on, what belongs to the upstream's connection does not.
+		// End-to-end headers are forwarded, headers of the upstream's connection are not.
 		if resp.Header.Get("Content-Encoding") != "x-seat" || resp.Header.Get("X-Hop") != "" {
-			t.Errorf("%s: headers %v", class, resp.Header)
+			t.Errorf("class %s: got headers %v, want Content-Encoding x-seat and no X-Hop", class, resp.Header)
 		}
 	}
 }
 
-// Guards against an unsafe request that runs twice, and against a refusal for one that may have run: it is
-// sent once, and its failure is told at once.
+// Guards against an unsafe request that runs twice, and against a rejection of one that may have run: it is
+// sent once, and the client gets the failure at once.
 func TestUnsafeThatMayHaveRunFailsAtOnce(t *testing.T) {
 	s := newUpstream(t, func(net.Conn, got) bool { return false })
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	begun := time.Now()
 	resp, _ := r.do(t, request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
-		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("got %s with Retry-After %q, want 502 without Retry-After", resp.Status, resp.Header.Get("Retry-After"))
 	}
-	if elapsed := time.Since(begun); elapsed > 4*time.Second { // it might have been held for 9
-		t.Errorf("told after %v", elapsed)
+	if elapsed := time.Since(begun); elapsed > 4*time.Second { // a sidecar that waits for the deadline would take 9 s
+		t.Errorf("the failure was sent after %v, want at most 4s", elapsed)
 	}
 	if n := len(s.requests()); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("the request was sent %d times, want once", n)
 	}
 }
 
-// Guards against failures where a refusal is safe: what was rejected never ran. The balancer's advice goes
-// to the client with its decimals.
+// Guards against failures where a rejection is safe, because the upstream did not process the request. The balancer's
+// Retry-After reaches the client with its decimals.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	s := newUpstream(t, says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	resp, _ := r.do(t, request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1.5" {
-		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("got %s with Retry-After %q, want 503 with 1.5", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if n := len(s.requests()); n != 5 {
-		t.Errorf("sent %d times, SendCap is 5", n)
+		t.Errorf("the request was sent %d times, want 5, the SendCap", n)
 	}
 }
 
-// Guards against the library's answers and panics for what clients may send wrongly. None may be taken for a
-// refusal, and none reaches an upstream.
+// Guards against wrong answers and panics on malformed requests. No answer may look like a rejection by the balancer, and
+// no such request reaches an upstream.
 func TestMalformedRequests(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
@@ -107,32 +108,32 @@
 		_, _ = io.WriteString(conn, c.head+"\r\n")
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.1 "+c.want) {
-			t.Errorf("%s: %q, %v; want %s", name, line, err, c.want)
+			t.Errorf("%s: got %q with error %v, want status %s", name, line, err, c.want)
 		}
 		_ = conn.Close()
 	}
 	if n := len(s.requests()); n != 0 {
-		t.Errorf("%d of them reached the upstream", n)
+		t.Errorf("%d malformed requests reached the upstream, want 0", n)
 	}
 	if resp, _ := r.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 {
-		t.Errorf("afterwards: %s", resp.Status)
+		t.Errorf("a valid request afterwards: got %s, want 200", resp.Status)
 	}
 }
 
-// Guards against peers that hold connections by sending too little: nothing, part of a head, part of a body,
-// whatever time they state. Each gets an error or a close in time; the limit of 3 s is checked by the deadline
-// that is set, and here only that it comes long before the time they state.
+// Guards against clients that hold connections by sending nothing, part of a head or part of a body, whatever time-out they
+// state. Each must get an error or a close. TestBodyTimeout checks the limit of 3 s; this test checks only that the end
+// comes long before the stated time-out.
 func TestPeersThatDoNotFinish(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	const head = "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Timeout: 60000m\r\n"
-	var peers sync.WaitGroup
+	var clients sync.WaitGroup
 	for name, text := range map[string]string{"nothing": "", "part of a head": head,
 		"part of a body":                   head + "Content-Length: 9\r\n\r\nhalf",
 		"part of a body that nobody reads": strings.Replace(head, "confirm", "none", 1) + "Content-Length: 9\r\n\r\nhalf",
 		"part of a body to an own page":    strings.Replace(head, "confirm", "-", 1) + "Content-Length: 9\r\n\r\nhalf",
 	} {
-		peers.Go(func() {
+		clients.Go(func() {
 			conn, err := net.Dial("tcp", r.address)
 			if err != nil {
 				t.Error(err)
@@ -142,18 +143,18 @@
 			_, _ = io.WriteString(conn, text)
 			_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("%s: still connected after %v", name, testTimeout)
+				t.Errorf("%s: the connection is still open after %v, want an answer or a close", name, testTimeout)
 			}
 		})
 	}
-	peers.Wait()
+	clients.Wait()
 	if n := len(s.requests()); n != 0 {
-		t.Errorf("%d of them reached the upstream", n)
+		t.Errorf("%d incomplete requests reached the upstream, want 0", n)
 	}
 }
 
-// Guards against bodies that are cut off though they come at the rate that clients owe, and against peers that hold a
-// connection by trickling.
+// Guards against bodies that are cut off although they arrive at the required rate, and against clients that hold a
+// connection by sending too slowly.
 func TestBodyTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -166,22 +167,22 @@
 	} {
 		got := newRateCheckedReader(nil, nil, c.accepted).timeLeft
 		if got > c.want || got < c.want-bodyStartTimeout {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: got time-out %v, want %v", c.name, got, c.want)
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
 		for rate, complete := range map[int]bool{64 << 10: true, 4 << 10: false} {
 			w := &deadlineRecorder{}
-			r := &rateCheckedReader{body: &slowBody{w: w, rate: rate, left: 1 << 20}, conn: http.NewResponseController(w), timeLeft: bodyStartTimeout}
+			r := &rateCheckedReader{body: &slowBody{conn: w, rate: rate, remaining: 1 << 20}, conn: http.NewResponseController(w), timeLeft: bodyStartTimeout}
 			_, err := io.Copy(io.Discard, r)
 			if complete != (err == nil) || !complete && !isTimeout(err) {
-				t.Errorf("%d bytes a second: %v", rate, err)
+				t.Errorf("body at %d bytes per second: got error %v, want complete %v, or else a time-out", rate, err, complete)
 			}
 		}
 	})
 }
 
-// deadlineRecorder is a client's connection that only takes read deadlines.
+// deadlineRecorder is a ResponseWriter that only records the read deadline.
 type deadlineRecorder struct {
 	http.ResponseWriter
 	at time.Time
@@ -192,41 +193,41 @@
 	return nil
 }
 
-// slowBody comes at a rate, in chunks of a sixteenth of a second.
+// slowBody is a body that arrives at rate bytes per second, a part each sixteenth of a second.
 type slowBody struct {
-	w          *deadlineRecorder
-	rate, left int
+	conn            *deadlineRecorder
+	rate, remaining int
 }
 
-func (s *slowBody) Read(p []byte) (int, error) {
-	if s.left == 0 {
+func (b *slowBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	if next := time.Now().Add(time.Second / 16); next.After(s.w.at) {
-		time.Sleep(time.Until(s.w.at))
+	if next := time.Now().Add(time.Second / 16); next.After(b.conn.at) {
+		time.Sleep(time.Until(b.conn.at))
 		return 0, os.ErrDeadlineExceeded
 	}
 	time.Sleep(time.Second / 16)
-	n := min(s.rate/16, s.left, len(p))
-	s.left -= n
+	n := min(b.rate/16, b.remaining, len(p))
+	b.remaining -= n
 	return n, nil
 }
 
-// Guards against a connection that just ends where an answer is owed: also one whose time is up on arrival.
+// Guards against a connection that is closed without an answer if the request has expired on arrival.
 func TestExpiredOnArrivalIsAnswered(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	req := request(t, r.address, "search", "")
 	req.Header.Set("X-Timeout", "0m")
 	if resp, _ := r.do(t, req); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("answered %s", resp.Status)
+		t.Errorf("got %s, want 503", resp.Status)
 	}
 	if n := len(s.requests()); n != 0 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("the request was sent %d times, want 0", n)
 	}
 }
 
-// Guards against two answers to one request, and against a second request of an id that waits for ever:
+// Guards against two answers to one request, and against a second request with the same id that is never answered, since
 // the balancer ignores it.
 func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
@@ -237,23 +238,23 @@
 	})
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	first := request(t, r.address, "confirm", "")
-	end := r.later(first)
+	firstAnswer := r.later(first)
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
-	again := request(t, r.address, "confirm", "")
-	again.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
-	if resp, _ := r.do(t, again); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %s", resp.Status)
+	second := request(t, r.address, "confirm", "")
+	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
+	if resp, _ := r.do(t, second); resp.StatusCode != http.StatusConflict {
+		t.Errorf("second request with the same id: got %s, want 409", resp.Status)
 	}
 	close(release)
-	if got := <-end; got != "200 once" {
-		t.Errorf("the first: %s", got)
+	if got := <-firstAnswer; got != "200 once" {
+		t.Errorf("first request: got %q, want %q", got, "200 once")
 	}
 	if n := len(s.requests()); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("the request was sent %d times, want once", n)
 	}
 }
 
-// Guards against work for clients that have left.
+// Guards against work for clients that have disconnected: the dispatcher must get an event.
 func TestClientDisconnected(t *testing.T) {
 	events := make(chan any, 2)
 	s := &server{stats: newStats(), budget: &byteBudget{}, clock: newClock(),
@@ -267,25 +268,25 @@
 	}
 	go func() { _ = srv.Serve(newClientConns(l, 8)) }()
 	defer func() { _ = srv.Close() }()
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	req := request(t, l.Addr().String(), "search", "").WithContext(ctx)
 	go func() {
 		if resp, err := http.DefaultClient.Do(req); err == nil {
 			_ = resp.Body.Close()
 		}
 	}()
-	come, ok := (<-events).(requestArrived)
+	arrival, ok := (<-events).(requestArrived)
 	if !ok {
-		t.Fatal("no arrival")
+		t.Fatal("the first event is not requestArrived")
 	}
-	leave()
-	if left, ok := (<-events).(clientDisconnected); !ok || left.request != come.request {
-		t.Error("the client left and nothing was reported")
+	disconnect()
+	if event, ok := (<-events).(clientDisconnected); !ok || event.request != arrival.request {
+		t.Error("the event after the disconnect is not clientDisconnected for the request that arrived")
 	}
 }
 
-// Guards against too many descriptors: at the limit a connection between requests is evicted to a new one, or else one that
-// has sent half a head.
+// Guards against the use of too many descriptors: at the limit, a connection between requests, or one that has sent half a
+// head, is evicted for a new one.
 func TestClientConnectionLimit(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
@@ -308,12 +309,12 @@
 		clients = append(clients, client)
 	}
 	if elapsed := time.Since(begun); len(s.requests()) != len(clients) || elapsed > requestTimeout {
-		t.Errorf("%d of %d were served in %v", len(s.requests()), len(clients), elapsed)
+		t.Errorf("%d of %d requests were served in %v, want all in %v", len(s.requests()), len(clients), elapsed, requestTimeout)
 	}
 }
 
-// Guards against lost requests at a planned restart: after SIGTERM clients still come on new connections and
-// use old ones, and what was taken is finished. Then the address is free for the next process.
+// Guards against lost requests at a planned restart: after SIGTERM, clients still open connections and use existing ones,
+// and accepted requests are finished. Then the address is free for the next process.
 func TestStopFinishesWhatWasTaken(t *testing.T) {
 	release := make(chan struct{})
 	s := newUpstream(t, func(c net.Conn, g got) bool {
@@ -325,47 +326,47 @@
 	})
 	d := quiet(t)
 	r := start(t, testConfig(t, d.address, entry("s", s.address, "Ready")), "127.0.0.1:0")
-	taken := r.later(request(t, r.address, "confirm", ""))
+	accepted := r.later(request(t, r.address, "confirm", ""))
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 	r.stop()
 	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
-	eventually(t, "answers end their connections", func() bool {
+	eventually(t, "an answer that closes its connection", func() bool {
 		resp, err := fresh.Do(request(t, r.address, "search", ""))
 		if err != nil {
 			t.Fatalf("a new connection after SIGTERM: %v", err)
 		}
 		defer func() { _ = resp.Body.Close() }()
 		if resp.StatusCode != 200 {
-			t.Fatalf("after SIGTERM: %s", resp.Status)
+			t.Fatalf("request after SIGTERM: got %s, want 200", resp.Status)
 		}
 		return resp.Close
 	})
 	close(release)
-	if got := <-taken; got != "200 done" {
-		t.Errorf("what was taken: %s", got)
+	if got := <-accepted; got != "200 done" {
+		t.Errorf("request accepted before SIGTERM: got %q, want %q", got, "200 done")
 	}
 	<-r.ended
 	if r.err != nil {
-		t.Errorf("ended with %v", r.err)
+		t.Errorf("serve returned %v, want nil", r.err)
 	}
-	again := start(t, testConfig(t, d.address, entry("s", s.address, "Ready")), r.address)
-	if resp, _ := again.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 {
-		t.Errorf("after the restart: %s", resp.Status)
+	restarted := start(t, testConfig(t, d.address, entry("s", s.address, "Ready")), r.address)
+	if resp, _ := restarted.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 {
+		t.Errorf("request after the restart: got %s, want 200", resp.Status)
 	}
 }
 
-// Guards against requests that SIGKILL finds unanswered: what can't be finished by then is failed before.
+// Guards against requests that are unanswered at SIGKILL: those that can't be finished by then fail before.
 func TestStopFailsWhatCannotBeFinished(t *testing.T) {
 	s := newUpstream(t, silent)
 	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
-	taken := r.later(request(t, r.address, "confirm", ""))
+	accepted := r.later(request(t, r.address, "confirm", ""))
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 	r.stop()
-	if got := <-taken; !strings.HasPrefix(got, "502 ") {
-		t.Errorf("answered %s", got)
+	if got := <-accepted; !strings.HasPrefix(got, "502 ") {
+		t.Errorf("got %q, want status 502", got)
 	}
 	<-r.ended
 	if r.err != nil {
-		t.Errorf("ended with %v", r.err)
+		t.Errorf("serve returned %v, want nil", r.err)
 	}
 }
--- a/internal/sidecar/wake.go
+++ b/internal/sidecar/wake.go
@@ -1,6 +1,6 @@
 package sidecar
 
-// wake wakes the reader of c, which has a buffer of one. It does not block.
+// wake wakes the goroutine that receives from c, which must have a buffer of one. It does not block.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
