--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -7,57 +7,57 @@
 	"sync"
 )
 
-// Detection of ambiguous message framing (RFC 9112, section 6.3). The HTTP library drops a Content-Length beside a
-// Transfer-Encoding, and one of two equal ones, while an upstream may go by the one dropped and see a request where we see
-// a body (request smuggling). So a client's connection follows the framing of its requests, and reports which are ambiguous.
+// Detection of ambiguous message framing (RFC 9112, section 6.3). net/http drops a Content-Length beside a
+// Transfer-Encoding, and one of two equal ones, while an upstream may use the dropped one and take part of a body for a
+// request (request smuggling). So a client's connection tracks the framing of its requests and reports ambiguous ones.
 
-// framingState is the part of a request that the next bytes belong to.
+// framingState is the part of a request to which the next bytes belong.
 type framingState int
 
 const (
 	atStart framingState = iota // the request line
 	inHead
-	inBody      // of which left bytes are to come
+	inBody      // remaining bytes of the body are still to come
 	inChunkSize // the line before a chunk
-	inChunk     // of which left bytes are to come, with its line end
+	inChunk     // remaining bytes of the chunk and its line end are still to come
 	inTrailer
-	unknownFraming // the end can't be determined: the library rejects it, or the connection is closed after its answer
+	unknownFraming // the end of the request is unknown: net/http rejects the request, or the connection is closed after its answer
 )
 
-// headLine is how many bytes of a line are examined; a longer length or encoding is ambiguous.
-const headLine = 256
+// maxLineBytes is how many bytes of a line are examined; a longer Content-Length or Transfer-Encoding is ambiguous.
+const maxLineBytes = 256
 
-// framing follows the requests on one connection. scan is called by the goroutine that reads; the other methods are
-// safe for concurrent use but for what they say.
+// framing tracks where the requests on one connection begin and end. Only the goroutine that reads the connection, the
+// reader, calls scan; the other methods are safe for concurrent use unless they state otherwise.
 type framing struct {
-	state framingState
-	line  []byte
-	left  int64
+	state     framingState
+	line      []byte
+	remaining int64
 
-	lengths, codings int // number of length and encoding headers in this head
-	length           int64
-	ambiguous        bool
-	lastHeader       byte // 'l' or 't' if the line before was a length or an encoding, else 0
+	lengthHeaders, encodingHeaders int // number of Content-Length and Transfer-Encoding headers in this head
+	contentLength                  int64
+	ambiguous                      bool
+	lastHeader                     byte // 'l' or 't' if the previous line was a Content-Length or a Transfer-Encoding, else 0
 
 	mu          sync.Mutex
-	ambiguities []bool // whether each request read is ambiguous that the library has not delivered yet
-	delivered   int    // number of requests that the library has delivered
+	ambiguities []bool // for each request read that net/http has not delivered yet: whether it is ambiguous
+	delivered   int    // number of requests that net/http has delivered
 }
 
-// nextAmbiguous reports whether the request that the library delivers now is ambiguous. It is called once for each request.
+// nextAmbiguous reports whether the request that net/http delivers now is ambiguous. It is called once for each request.
 func (f *framing) nextAmbiguous() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delivered++
-	if len(f.ambiguities) == 0 { // its framing was not followed
+	if len(f.ambiguities) == 0 { // its framing could not be tracked
 		return true
 	}
-	d := f.ambiguities[0]
+	ambiguous := f.ambiguities[0]
 	f.ambiguities = f.ambiguities[1:]
-	return d
+	return ambiguous
 }
 
-// stage returns how far the requests have been read that the library has not delivered. Called by the reader.
+// stage returns how far the next request that net/http has not delivered has been read. It is called by the reader.
 func (f *framing) stage() connStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,15 +70,15 @@
 	return betweenRequests
 }
 
-// pipelined reports whether bytes were read beyond the request delivered last. Called by the reader.
+// pipelined reports whether bytes were read beyond the request delivered last. It is called by the reader.
 func (f *framing) pipelined() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.ambiguities) > 0 || f.state == inHead || f.state == atStart && len(f.line) > 0
 }
 
-// bodyIncomplete reports whether the request delivered last has not been read to its end. Called by the reader, or while it
-// does not read.
+// bodyIncomplete reports whether the request delivered last has not been read to its end. It is called by the reader, or
+// while no scan is in progress.
 func (f *framing) bodyIncomplete() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,13 +106,13 @@
 	return f.delivered == 0
 }
 
-// scan follows bytes that were read.
+// scan updates the state with bytes that were read.
 func (f *framing) scan(p []byte) {
 	for len(p) > 0 && f.state != unknownFraming {
 		if f.state == inBody || f.state == inChunk {
-			n := min(f.left, int64(len(p)))
-			p, f.left = p[n:], f.left-n
-			if f.left > 0 {
+			n := min(f.remaining, int64(len(p)))
+			p, f.remaining = p[n:], f.remaining-n
+			if f.remaining > 0 {
 				return
 			}
 			if f.state == inBody {
@@ -127,41 +127,41 @@
 		if i >= 0 {
 			part = p[:i]
 		}
-		f.line = append(f.line, part[:min(len(part), headLine-len(f.line))]...)
+		f.line = append(f.line, part[:min(len(part), maxLineBytes-len(f.line))]...)
 		if i < 0 {
 			return
 		}
 		p = p[i+1:]
-		f.handle(bytes.TrimSuffix(f.line, []byte("\r")))
+		f.handleLine(bytes.TrimSuffix(f.line, []byte("\r")))
 		f.line = f.line[:0]
 	}
 }
 
-// handle handles a complete line, without its line end.
-func (f *framing) handle(line []byte) {
+// handleLine handles a complete line, without its line end.
+func (f *framing) handleLine(line []byte) {
 	switch f.state {
 	case atStart:
-		f.lengths, f.codings, f.length, f.ambiguous, f.lastHeader = 0, 0, 0, false, 0
+		f.lengthHeaders, f.encodingHeaders, f.contentLength, f.ambiguous, f.lastHeader = 0, 0, 0, false, 0
 		f.state = inHead
 		if len(line) == 0 {
 			f.state = unknownFraming
 		}
 	case inHead:
 		if len(line) == 0 {
-			f.head()
+			f.endHead()
 			return
 		}
-		f.header(line)
+		f.handleHeader(line)
 	case inChunkSize:
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 62)
 		switch {
-		case err != nil || len(line) >= headLine:
+		case err != nil || len(line) >= maxLineBytes:
 			f.state = unknownFraming
 		case n == 0:
 			f.state = inTrailer
-		default: // the library checks the chunk's line end, which must be CR LF
-			f.state, f.left = inChunk, int64(n)+2
+		default: // net/http checks the chunk's line end, which must be CR LF
+			f.state, f.remaining = inChunk, int64(n)+2
 		}
 	case inTrailer:
 		if len(line) == 0 {
@@ -170,9 +170,9 @@
 	}
 }
 
-// header handles a header line.
-func (f *framing) header(line []byte) {
-	if line[0] == ' ' || line[0] == '\t' { // continues the line before
+// handleHeader handles a header line.
+func (f *framing) handleHeader(line []byte) {
+	if line[0] == ' ' || line[0] == '\t' { // continues the previous line
 		f.ambiguous = f.ambiguous || f.lastHeader != 0
 		return
 	}
@@ -181,30 +181,30 @@
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		f.lastHeader = 'l'
-		f.lengths++
+		f.lengthHeaders++
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 63)
-		f.length = int64(min(n, math.MaxInt64))
-		f.ambiguous = f.ambiguous || err != nil || len(line) >= headLine
+		f.contentLength = int64(min(n, math.MaxInt64))
+		f.ambiguous = f.ambiguous || err != nil || len(line) >= maxLineBytes
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		f.lastHeader = 't'
-		f.codings++
-		f.ambiguous = f.ambiguous || len(line) >= headLine
+		f.encodingHeaders++
+		f.ambiguous = f.ambiguous || len(line) >= maxLineBytes
 	}
 }
 
-// head handles the end of a head.
-func (f *framing) head() {
-	f.ambiguous = f.ambiguous || f.lengths > 1 || f.codings > 1 || f.lengths > 0 && f.codings > 0
+// endHead handles the empty line that ends a head.
+func (f *framing) endHead() {
+	f.ambiguous = f.ambiguous || f.lengthHeaders > 1 || f.encodingHeaders > 1 || f.lengthHeaders > 0 && f.encodingHeaders > 0
 	f.mu.Lock()
 	f.ambiguities = append(f.ambiguities, f.ambiguous)
 	f.mu.Unlock()
 	switch {
 	case f.ambiguous:
 		f.state = unknownFraming
-	case f.codings > 0:
+	case f.encodingHeaders > 0:
 		f.state = inChunkSize
-	case f.length > 0:
-		f.state, f.left = inBody, f.length
+	case f.contentLength > 0:
+		f.state, f.remaining = inBody, f.contentLength
 	default:
 		f.state = atStart
 	}
