--- a/internal/sidecar/acks_test.go
+++ b/internal/sidecar/acks_test.go
@@ -17,16 +17,16 @@
 	"mosslead/internal/registry/api"
 )
 
-// counting is a log that counts lines by their text.
-type counting struct {
+// lineCounter is a log that counts lines by their text.
+type lineCounter struct {
 	mu    sync.Mutex
 	lines map[string]int
 }
 
-func (c *counting) Enabled(context.Context, slog.Level) bool { return true }
-func (c *counting) WithAttrs([]slog.Attr) slog.Handler       { return c }
-func (c *counting) WithGroup(string) slog.Handler            { return c }
-func (c *counting) Handle(_ context.Context, r slog.Record) error {
+func (c *lineCounter) Enabled(context.Context, slog.Level) bool { return true }
+func (c *lineCounter) WithAttrs([]slog.Attr) slog.Handler       { return c }
+func (c *lineCounter) WithGroup(string) slog.Handler            { return c }
+func (c *lineCounter) Handle(_ context.Context, r slog.Record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lines[r.Message]++
@@ -35,12 +35,12 @@
 
 // Guards against messages that wear the list service down or fill the log: one in 20 s and one after a change, whatever fails.
 func TestAcksArePaced(t *testing.T) {
-	log := &counting{lines: map[string]int{}}
+	log := &lineCounter{lines: map[string]int{}}
 	old := slog.Default()
 	slog.SetDefault(slog.New(log))
 	defer slog.SetDefault(old)
 	synctest.Test(t, func(t *testing.T) {
-		s := newSettingsFollower(ofService(t, "127.0.0.1:1"))
+		s := newSettingsFollower(ordersConfig(t, "127.0.0.1:1"))
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		var all []time.Duration
@@ -77,10 +77,10 @@
 			}
 		}
 		at := time.Since(begun)
-		d := document(2, probing)
+		d := document(2, probeSettings)
 		d.Service, d.Schema = "orders", 1
-		s.judge(d, nil)
-		s.judge(document(3, ""), errors.New("bad")) // both in one word
+		s.recordOutcome(d, nil)
+		s.recordOutcome(document(3, ""), errors.New("bad")) // both in one word
 		time.Sleep(ackJitter)
 		changed := ackTimes()
 		if n := len(changed) - len(calm); n < 1 || n > 2 || changed[len(changed)-1]-at > ackJitter {
@@ -106,15 +106,15 @@
 
 // Guards against a word that the list service would turn down.
 func TestAckHasBounds(t *testing.T) {
-	s := newSettingsFollower(ofService(t, "127.0.0.1:1"))
+	s := newSettingsFollower(ordersConfig(t, "127.0.0.1:1"))
 	north := document(4, "")
 	north.Service, north.Region = "orders", "north"
-	good := document(3, probing)
+	good := document(3, probeSettings)
 	good.Service, good.Schema = "orders", 1
 	s.onDocuments([]api.Document{good})
-	s.judge(good, nil)
+	s.recordOutcome(good, nil)
 	s.onDocuments([]api.Document{north})
-	s.judge(north, errors.New(strings.Repeat("ü", 300)))
+	s.recordOutcome(north, errors.New(strings.Repeat("ü", 300)))
 	a := s.ack()
 	if err := a.Check(); err != nil || a.Region != "north" || a.Revision != 0 || a.RejectedRevision != 4 || !strings.HasPrefix(a.Reason, `version 3 of region "south" is in force`) {
 		t.Errorf("acknowledges %+v: %v", a, err)
@@ -123,7 +123,7 @@
 	large.Service, large.Schema = "orders", 1
 	s.onDocuments([]api.Document{large})
 	d, _ := s.nextDocument()
-	if _, err := s.file.withDocument(d); err == nil || !strings.Contains(err.Error(), "bytes") {
+	if _, err := s.fileConfig.withDocument(d); err == nil || !strings.Contains(err.Error(), "bytes") {
 		t.Errorf("too large: %v", err)
 	}
 }
@@ -139,11 +139,11 @@
 		before := len(svc.requests())
 		r := start(t, c, "127.0.0.1:0")
 		eventually(t, "a watch", func() bool { return len(svc.requests()) > before })
-		svc.announce(document(9, probing))
+		svc.announce(document(9, probeSettings))
 		if got := svc.requests()[before]; got != "/api/targets?watch=1&from=1" {
 			t.Errorf("asked %q", got)
 		}
-		if text := goroutines(); strings.Contains(text, "acknowledge") || strings.Contains(text, "(*settingsFollower)") {
+		if text := goroutineStacks(); strings.Contains(text, "acknowledge") || strings.Contains(text, "(*settingsFollower)") {
 			t.Errorf("goroutines of a service: %s", text)
 		}
 		if figures := r.call(t, "STATS\n"); strings.Contains(figures, "settings_version") || strings.Contains(figures, "list_version") {
@@ -151,7 +151,7 @@
 		}
 		r.stop()
 		<-r.ended
-		if files := persistedFiles(t, c.State); len(files) > 0 {
+		if files := settingsFiles(t, c.State); len(files) > 0 {
 			t.Errorf("on disk: %v", files)
 		}
 		if last := svc.lastAck(); last != (api.Ack{}) {
@@ -164,8 +164,8 @@
 	}
 	// The test above has to see what it looks for.
 	before := len(svc.requests())
-	r := start(t, ofService(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
-	eventually(t, "goroutines of a service", func() bool { return strings.Contains(goroutines(), "(*settingsFollower).acknowledge") })
+	r := start(t, ordersConfig(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
+	eventually(t, "goroutines of a service", func() bool { return strings.Contains(goroutineStacks(), "(*settingsFollower).acknowledge") })
 	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.settings_version:") {
 		t.Errorf("figures %s", figures)
 	}
@@ -175,8 +175,8 @@
 	}
 }
 
-// goroutines words the stacks of all.
-func goroutines() string {
+// goroutineStacks words the stacks of all.
+func goroutineStacks() string {
 	text := make([]byte, 4<<20)
 	return string(text[:runtime.Stack(text, true)])
 }
--- a/internal/sidecar/bans.go
+++ b/internal/sidecar/bans.go
@@ -14,7 +14,7 @@
 	if !p.upstreams.directory.ban(id, cleared) {
 		return fmt.Errorf("no upstream is called %s", quoteShort(id))
 	}
-	err := confirm(p.upstreams.directory, p.loop, id, cleared)
+	err := applyBan(p.upstreams.directory, p.loop, id, cleared)
 	persisted := false
 	if err == nil && p.handsOver {
 		persisted, err = p.handover.relayBan(banMessage{ID: id, Cleared: cleared, Writes: p.persister.writesNow()}, p.upstreams.directory.bans())
@@ -25,16 +25,16 @@
 	return p.persister.ban(id, cleared)
 }
 
-// banned applies a ban relayed by the other process, and reports whether it is on disk.
-func (p *process) banned(b banMessage) (persisted bool, err error) {
-	if err := confirm(p.upstreams.directory, p.loop, b.ID, b.Cleared); err != nil {
+// applyRelayedBan applies a ban relayed by the other process, and reports whether it is on disk.
+func (p *process) applyRelayedBan(b banMessage) (persisted bool, err error) {
+	if err := applyBan(p.upstreams.directory, p.loop, b.ID, b.Cleared); err != nil {
 		return false, fmt.Errorf("%s: %w", quoteShort(b.ID), err)
 	}
-	return p.persister.accept(b.ID, b.Cleared, b.Writes)
+	return p.persister.acceptRelayedBan(b.ID, b.Cleared, b.Writes)
 }
 
-// confirm applies a ban to the directory, where it also stops requests that have been decided on, and then to the balancer.
-func confirm(dir *endpointDirectory, l *dispatcher, id string, cleared bool) error {
+// applyBan applies a ban to the directory, where it also stops requests that have been decided on, and then to the balancer.
+func applyBan(dir *endpointDirectory, l *dispatcher, id string, cleared bool) error {
 	dir.setBan(id, cleared)
 	b := banCommand{balancer.Ban{Upstream: id, Cleared: cleared}, make(chan struct{})}
 	late := time.NewTimer(adminTimeout)
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -255,7 +255,7 @@
 // deliver hands verdicts to the dispatcher, and campaigns for the probes of open breakers.
 func (p *breakerTracker) deliver(verdicts []circuitbreaker.Verdict) {
 	for _, v := range verdicts {
-		verdict := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.s.clock.unixMs(float64(v.StartedMs)), Class: v.Class, Since: v.Since,
+		verdict := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.s.clock.fromUnixMs(float64(v.StartedMs)), Class: v.Class, Since: v.Since,
 			PassFraction: v.PassFraction, Probes: probeOwners[v.Probes], ProbeSucceeded: v.Step == 0 && v.ProbesSucceeded}
 		if v.Open {
 			verdict.Until = p.s.clock.now() + v.For
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -234,7 +234,7 @@
 				if rep := u.attempt(t.Context(), "s", testRequest("POST", "1"), 0); rep.result != balancer.OK {
 					t.Fatalf("the one before: %d", rep.result)
 				}
-				u.awaitRest(t)
+				u.awaitReusable(t)
 			}
 			rest, client := io.Pipe()
 			defer func() { _ = client.Close() }()
@@ -278,7 +278,7 @@
 			})
 			u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 			for i := range 20 { // the library may look before or after; each time it has to be right
-				u.awaitRest(t)
+				u.awaitReusable(t)
 				body := strconv.Itoa(i)
 				rep := u.attempt(t.Context(), "s", testRequest("POST", body), 0)
 				for rep.result == balancer.ConnectFailed || rep.result == balancer.NotSent { // seen just then: it never ran
@@ -287,7 +287,7 @@
 				if string(rep.body) != "for "+body {
 					t.Fatalf("%d: %d %q", i, rep.result, rep.body)
 				}
-				u.awaitRest(t)
+				u.awaitReusable(t)
 				spend(<-conns)
 			}
 			if n := len(s.requests()); n != 20 {
--- a/internal/sidecar/dialer.go
+++ b/internal/sidecar/dialer.go
@@ -9,9 +9,9 @@
 // dialer opens connections to upstreams and to discovery; nil is the machine's network. Tests put one in memory in its place.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// from has connections leave from the host of that address, as gossip's do, so that what stands between the sidecars knows
+// withSourceHost has connections leave from the host of that address, as gossip's do, so that what stands between the sidecars knows
 // who sends; where the host is no address of one interface, the machine chooses.
-func (d dialer) from(address string) dialer {
+func (d dialer) withSourceHost(address string) dialer {
 	host, _, err := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
 	if d != nil || err != nil || ip == nil || ip.IsUnspecified() {
@@ -20,8 +20,8 @@
 	return (&net.Dialer{LocalAddr: &net.TCPAddr{IP: ip}}).DialContext
 }
 
-// within gives a connection that long to come up.
-func (d dialer) within(ctx context.Context, bound time.Duration, network, address string) (net.Conn, error) {
+// dialTimeout gives a connection that long to come up.
+func (d dialer) dialTimeout(ctx context.Context, bound time.Duration, network, address string) (net.Conn, error) {
 	if d == nil {
 		return (&net.Dialer{Timeout: bound}).DialContext(ctx, network, address)
 	}
--- a/internal/sidecar/endpointdirectory.go
+++ b/internal/sidecar/endpointdirectory.go
@@ -78,8 +78,8 @@
 
 func (c clock) now() time.Duration { return clockStart + time.Since(c.start) }
 
-// unixMs converts a wall-clock time in milliseconds; 0 stays 0.
-func (c clock) unixMs(ms float64) time.Duration {
+// fromUnixMs converts a wall-clock time in milliseconds; 0 stays 0.
+func (c clock) fromUnixMs(ms float64) time.Duration {
 	if !(ms > 0) {
 		return 0
 	}
@@ -96,11 +96,11 @@
 	clock  clock
 	onDrop func(name string) // an upstream's connections are no longer wanted
 
-	mu      sync.RWMutex
-	index   int64               // revision of the list
-	entries map[string]endpoint // the list, including draining upstreams
-	banned  map[string]bool     // by an operator, whatever the list says
-	removed []string            // from the list; the latest last, at most maxRemoved
+	mu           sync.RWMutex
+	listRevision int64               // revision of the list
+	entries      map[string]endpoint // the list, including draining upstreams
+	banned       map[string]bool     // by an operator, whatever the list says
+	removed      []string            // from the list; the latest last, at most maxRemoved
 }
 
 // endpointAddress identifies one process of an upstream: connections to an earlier process can't be used.
@@ -126,7 +126,7 @@
 func (d *endpointDirectory) apply(l *listing) balancer.EndpointUpdate {
 	m := balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
 	d.mu.Lock()
-	d.index = *l.Revision
+	d.listRevision = *l.Revision
 	before := map[string]endpoint{}
 	if l.Snapshot {
 		m.Kind = balancer.FullState
@@ -164,7 +164,7 @@
 // balancerEndpoint translates an entry for the balancer.
 func (d *endpointDirectory) balancerEndpoint(e endpoint) balancer.Endpoint {
 	m := balancer.Endpoint{Upstream: e.Name, Zone: e.Zone, Machine: e.Machine, Cell: e.Cell, State: balancer.Removed,
-		StartedAt: d.clock.unixMs(e.StartedMs), Weight: e.Weight}
+		StartedAt: d.clock.fromUnixMs(e.StartedMs), Weight: e.Weight}
 	switch e.Status {
 	case statusReady:
 		m.State = balancer.Active
@@ -177,17 +177,17 @@
 // cachedUpdate returns the present list as an update for the balancer.
 func (d *endpointDirectory) cachedUpdate() balancer.EndpointUpdate {
 	m := balancer.EndpointUpdate{Kind: balancer.Cached}
-	for _, e := range d.full().Endpoints {
+	for _, e := range d.fullList().Endpoints {
 		m.Endpoints = append(m.Endpoints, d.balancerEndpoint(e))
 	}
 	return m
 }
 
-// full returns the present list.
-func (d *endpointDirectory) full() *listing {
+// fullList returns the present list.
+func (d *endpointDirectory) fullList() *listing {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	index := d.index
+	index := d.listRevision
 	l := &listing{Revision: &index, Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(d.entries)) {
 		l.Endpoints = append(l.Endpoints, d.entries[name])
@@ -199,7 +199,7 @@
 func (d *endpointDirectory) revision() (index int64, entries int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.index, len(d.entries)
+	return d.listRevision, len(d.entries)
 }
 
 // ban bans an upstream on behalf of an operator, or with cleared lifts the ban; it returns false for an unknown name. A ban
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -92,7 +92,7 @@
 // request returns the request as it is sent, with callbacks that record its progress.
 func (x *upstreamExchange) request() *http.Request {
 	c := x.conn
-	c.allowed = func() error { return x.pool.canBegin(x.ctx, c, x.client, x.before) }
+	c.checkAllowed = func() error { return x.pool.checkBegin(x.ctx, c, x.client, x.before) }
 	c.firstByteSent.Store(false)
 	c.requestEncoded.Store(false)
 	var req *http.Request
@@ -100,7 +100,7 @@
 		WroteRequest: func(info httptrace.WroteRequestInfo) {
 			c.requestEncoded.Store(info.Err == nil)
 			if info.Err == nil && !c.writeFailed.Load() {
-				x.pool.dispatched()
+				x.pool.onDispatched()
 			}
 		},
 		GotFirstResponseByte: func() {
--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -53,7 +53,7 @@
 	}
 	f := &forwarder{pool: newUpstreamPool(c, clk, forwardOut), listener: in, decider: forwarding.NewDecider(c.Peers.site(c), c.Seed), crossZoneCost: c.Settings.CrossZoneCost,
 		inFlight: map[string]bool{}}
-	f.pool.dial = c.dial.from(c.Peers.Forward)
+	f.pool.dial = c.dial.withSourceHost(c.Peers.Forward)
 	f.ctx, f.abort = context.WithCancel(context.Background())
 	return f, nil
 }
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -33,6 +33,6 @@
 func TestFiguresKeepTheirNames(t *testing.T) {
 	f := statsSnapshot{classes: map[string]outcomes{"a": {served: 1, rejected: 2, failed: 3}}, accepted: 4, disconnected: 5, dispatches: 6, concurrent: 7, targets: 8,
 		unavailable: 9, reloadsApplied: 10, reloadsRejected: 11}
-	k := &statePersister{failing: errors.New("full"), errors: 12}
+	k := &statePersister{lastWriteErr: errors.New("full"), errorCount: 12}
 	golden.Equal(t, "figures", f.lines()+k.lines(true, 13*time.Millisecond))
 }
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -43,7 +43,7 @@
 	}
 	p.watch.report = h.wrapReport(p)
 	if p.service != nil && h.OnSettings != nil {
-		p.service.onJudged = func(d api.Document, rejected error) { h.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
+		p.service.onOutcome = func(d api.Document, rejected error) { h.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
 	}
 	known, _, err := p.restore()
 	if err != nil {
@@ -77,7 +77,7 @@
 		case <-ctx.Done():
 		}
 	}
-	p.persister.end(over)
+	p.persister.stopAndWait(over)
 	p.loop.sharing.close()
 	stop()
 	parts.Wait()
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -134,9 +134,9 @@
 		})
 		b.Run(fmt.Sprint(size, " entries and settings"), func(b *testing.B) {
 			svc := newListService(b, entries...)
-			svc.announce(document(5, probing))
+			svc.announce(document(5, probeSettings))
 			costs(b, func(ready *sync.WaitGroup) {
-				c := ofService(b, svc.address)
+				c := ordersConfig(b, svc.address)
 				c.Known = nil
 				startHollow(b, c, HollowObserver{OnSettings: func(string, int64, error, time.Time) { ready.Done() }})
 			})
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -27,49 +27,49 @@
 // pauses between, for as long as goes is true, and then is reset where ends is set, or stays open and silent. Nothing that
 // was begun before the return brings anything after it, but for a message without end.
 var outages = []struct {
-	name  string
-	dial  string // refused or hangs; else it comes up
-	says  []string
-	pause time.Duration // between what it says
-	ends  bool
-	more  string // once all was said: again and again, also after the return
+	name    string
+	dial    string // refused or hangs; else it comes up
+	writes  []string
+	pause   time.Duration // between what it says
+	resets  bool
+	repeats string // once all was said: again and again, also after the return
 }{
 	{name: "refused", dial: "refused"},
 	{name: "hangs", dial: "hangs"},
 	{name: "no head"},
-	{name: "half a head", says: []string{outageHead[:30]}},
-	{name: "a head, a byte at a time", says: []string{outageHead[:30]}, pause: 250 * time.Millisecond, more: "x"},
-	{name: "a head, late", says: []string{"", outageHead}, pause: 1900 * time.Millisecond},
-	{name: "a head", says: []string{outageHead}},
-	{name: "half a line", says: []string{outageHead + chunked(`{"index":7,"endp`)}},
-	{name: "half a line, late", says: []string{outageHead, chunked(`{"index":7,"endp`)}, pause: 2400 * time.Millisecond},
-	{name: "a line without end", says: []string{outageHead + chunked(`{"index":7,"more":"`)}, pause: 250 * time.Millisecond, more: chunked("x")},
-	{name: "a line without end, slowly", says: []string{outageHead + chunked(`{"index":7,"more":"`)}, pause: 2 * time.Second, more: chunked("x")},
-	{name: "reset", ends: true},
-	{name: "reset after a head", says: []string{outageHead}, ends: true},
-	{name: "reset after a while", says: []string{outageHead, ""}, pause: time.Second, ends: true},
-	{name: "ended", says: []string{outageHead + "0\r\n\r\n"}, ends: true},
-	{name: "ended after an empty line", says: []string{outageHead + chunked("\n") + "0\r\n\r\n"}, ends: true},
-	{name: "503", says: []string{"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"}, ends: true},
-	{name: "500 without end", says: []string{"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 10\r\n\r\n"}},
-	{name: "a spoilt line", says: []string{outageHead + chunked(`{"index":8]`)}},
-	{name: "a list that can't be used", says: []string{outageHead + chunked(`{"index":8,"snapshot":true,"endpoints":[{}]}`)}},
+	{name: "half a head", writes: []string{outageHead[:30]}},
+	{name: "a head, a byte at a time", writes: []string{outageHead[:30]}, pause: 250 * time.Millisecond, repeats: "x"},
+	{name: "a head, late", writes: []string{"", outageHead}, pause: 1900 * time.Millisecond},
+	{name: "a head", writes: []string{outageHead}},
+	{name: "half a line", writes: []string{outageHead + chunked(`{"index":7,"endp`)}},
+	{name: "half a line, late", writes: []string{outageHead, chunked(`{"index":7,"endp`)}, pause: 2400 * time.Millisecond},
+	{name: "a line without end", writes: []string{outageHead + chunked(`{"index":7,"more":"`)}, pause: 250 * time.Millisecond, repeats: chunked("x")},
+	{name: "a line without end, slowly", writes: []string{outageHead + chunked(`{"index":7,"more":"`)}, pause: 2 * time.Second, repeats: chunked("x")},
+	{name: "reset", resets: true},
+	{name: "reset after a head", writes: []string{outageHead}, resets: true},
+	{name: "reset after a while", writes: []string{outageHead, ""}, pause: time.Second, resets: true},
+	{name: "ended", writes: []string{outageHead + "0\r\n\r\n"}, resets: true},
+	{name: "ended after an empty line", writes: []string{outageHead + chunked("\n") + "0\r\n\r\n"}, resets: true},
+	{name: "503", writes: []string{"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"}, resets: true},
+	{name: "500 without end", writes: []string{"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 10\r\n\r\n"}},
+	{name: "a spoilt line", writes: []string{outageHead + chunked(`{"index":8]`)}},
+	{name: "a list that can't be used", writes: []string{outageHead + chunked(`{"index":8,"snapshot":true,"endpoints":[{}]}`)}},
 }
 
-// outageParty is a watcher with its module, and its agent, which fails from down until back in one of the ways above, and
+// outageScenario is a watcher with its module, and its agent, which fails from down until back in one of the ways above, and
 // has a drain to tell when it is back. Times are since the party began.
-type outageParty struct {
-	way        int
-	down, back time.Duration
-	begun      time.Time
-	w          *watcher
-	dir        *endpointDirectory
-	announced  atomic.Int64  // when the drain was in flight; 0: it is not
-	failed     atomic.Int64  // how often the balancer was told of a failure
-	event      time.Duration // the return, or the move
-	swallows   bool          // the first call at the new address is never answered
-	swallowed  atomic.Bool   // it was made
-	running    *sync.WaitGroup
+type outageScenario struct {
+	outage              int
+	failsAt, recoversAt time.Duration
+	startedAt           time.Time
+	watcher             *watcher
+	dir                 *endpointDirectory
+	drainedAt           atomic.Int64  // when the drain was in flight; 0: it is not
+	failureReports      atomic.Int64  // how often the balancer was told of a failure
+	eventAt             time.Duration // the return, or the move
+	ignoresFirstCall    bool          // the first call at the new address is never answered
+	firstCallIgnored    atomic.Bool   // it was made
+	running             *sync.WaitGroup
 }
 
 const (
@@ -77,12 +77,12 @@
 	outageTo   = "127.0.0.2:1" // an agent that never fails
 )
 
-func (p *outageParty) now() time.Duration { return time.Since(p.begun) }
+func (p *outageScenario) now() time.Duration { return time.Since(p.startedAt) }
 
-func (p *outageParty) fails() bool { return p.now() >= p.down && p.now() < p.back }
+func (p *outageScenario) fails() bool { return p.now() >= p.failsAt && p.now() < p.recoversAt }
 
-func (p *outageParty) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	if way := outages[p.way]; address == outageFrom && p.fails() && way.dial != "" {
+func (p *outageScenario) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	if way := outages[p.outage]; address == outageFrom && p.fails() && way.dial != "" {
 		if way.dial == "hangs" {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -95,7 +95,7 @@
 		if _, err := http.ReadRequest(bufio.NewReader(theirs)); err != nil {
 			return
 		}
-		if address == outageTo && p.swallows && !p.swallowed.Swap(true) {
+		if address == outageTo && p.ignoresFirstCall && !p.firstCallIgnored.Swap(true) {
 			_, _ = io.Copy(io.Discard, theirs)
 			return
 		}
@@ -105,35 +105,35 @@
 }
 
 // serve is an agent's answer; it returns once the connection is to be reset.
-func (p *outageParty) serve(c net.Conn, sound bool) {
+func (p *outageScenario) serve(c net.Conn, sound bool) {
 	say := func(text string) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
-	if way := outages[p.way]; sound || !p.fails() {
+	if way := outages[p.outage]; sound || !p.fails() {
 		index, status := 5, "Ready"
-		if sound || p.now() >= p.back {
+		if sound || p.now() >= p.recoversAt {
 			index, status = 7, "Terminating"
 		}
 		if !say(outageHead + chunked(list(index, false, entry("a", "127.0.0.2:1", status))+"\n")) {
 			return
 		}
-		for next := p.now() + 2*time.Second; index == 7 || next < p.down; next += 2 * time.Second {
+		for next := p.now() + 2*time.Second; index == 7 || next < p.failsAt; next += 2 * time.Second {
 			time.Sleep(next - p.now())
 			if !say(chunked("\n")) {
 				return
 			}
 		}
-		time.Sleep(p.down - p.now())
-		if way.ends || way.dial == "refused" {
+		time.Sleep(p.failsAt - p.now())
+		if way.resets || way.dial == "refused" {
 			return
 		}
-		if way.more != "" && strings.HasPrefix(way.name, "a line") {
+		if way.repeats != "" && strings.HasPrefix(way.name, "a line") {
 			say(chunked(`{"index":7,"more":"`))
-			p.trickle(say)
+			p.writeRepeats(say)
 		}
 	} else {
-		for i, text := range way.says {
+		for i, text := range way.writes {
 			if i > 0 {
 				time.Sleep(way.pause)
 			}
@@ -141,24 +141,24 @@
 				return
 			}
 		}
-		if way.ends {
+		if way.resets {
 			return
 		}
-		if way.more != "" {
-			p.trickle(say)
+		if way.repeats != "" {
+			p.writeRepeats(say)
 		}
 	}
 	_, _ = io.Copy(io.Discard, c)
 }
 
-func (p *outageParty) trickle(say func(string) bool) {
-	for say(outages[p.way].more) {
-		time.Sleep(outages[p.way].pause)
+func (p *outageScenario) writeRepeats(say func(string) bool) {
+	for say(outages[p.outage].repeats) {
+		time.Sleep(outages[p.outage].pause)
 	}
 }
 
-// begin runs the party until it has the drain, or ctx ends.
-func (p *outageParty) begin(ctx context.Context, t *testing.T, c Config, seed uint64) {
+// start runs the party until it has the drain, or ctx ends.
+func (p *outageScenario) start(ctx context.Context, t *testing.T, c Config, seed uint64) {
 	c.dial = p.dial
 	b, err := balancer.New(c.Settings.Settings, seed)
 	if err != nil {
@@ -166,63 +166,63 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	clk := newClock()
-	p.begun, p.dir = time.Now(), newEndpointDirectory(clk, func(string) {})
+	p.startedAt, p.dir = time.Now(), newEndpointDirectory(clk, func(string) {})
 	p.dir.apply(c.Known)
 	l := newDispatcher(b, clk, ctx.Done())
 	onDemand := c.Settings.MustSubscribe
-	p.w = newWatcher(&c, p.dir, func(m balancer.EndpointUpdate) {
+	p.watcher = newWatcher(&c, p.dir, func(m balancer.EndpointUpdate) {
 		if m.Kind == balancer.WatchFailed {
-			p.failed.Add(1)
+			p.failureReports.Add(1)
 		}
-		if _, ok := p.dir.address("a"); !ok && p.announced.Load() == 0 {
-			p.announced.Store(int64(p.now()))
+		if _, ok := p.dir.address("a"); !ok && p.drainedAt.Load() == 0 {
+			p.drainedAt.Store(int64(p.now()))
 			cancel()
 		}
 		if onDemand {
 			l.enqueueUpdate(m)
 		}
 	})
-	p.running.Go(func() { p.w.run(ctx, onDemand) })
+	p.running.Go(func() { p.watcher.run(ctx, onDemand) })
 	if onDemand {
-		l.subscribe = p.w.subscribe
+		l.subscribe = p.watcher.subscribe
 		p.running.Go(func() { l.run(p.dir.cachedUpdate()) })
 	}
 }
 
-// moments are those at which something comes 50 ms apart: from then on, over so long, in an outage that begins at down.
-type moments struct{ down, from, over time.Duration }
+// eventTimes are those at which something comes 50 ms apart: from then on, over so long, in an outage that begins at down.
+type eventTimes struct{ failsAt, offset, length time.Duration }
 
-// outageMoments are at the start, after a while without an outage, and once all waits are at their longest, over one round of
+// outageEventTimes are at the start, after a while without an outage, and once all waits are at their longest, over one round of
 // all that is tried: two calls and the balancer's wait where that asks, one silence where not.
-func outageMoments(onDemand bool) []moments {
+func outageEventTimes(onDemand bool) []eventTimes {
 	const sec = time.Second
 	if onDemand {
-		return []moments{{0, 0, 4 * sec}, {1017 * time.Millisecond, 0, 4 * sec}, {0, 20 * sec, 8 * sec}}
+		return []eventTimes{{0, 0, 4 * sec}, {1017 * time.Millisecond, 0, 4 * sec}, {0, 20 * sec, 8 * sec}}
 	}
-	return []moments{{0, 0, 4 * sec}, {1017 * time.Millisecond, 0, 4 * sec}, {0, 10 * sec, 2500 * time.Millisecond}}
+	return []eventTimes{{0, 0, 4 * sec}, {1017 * time.Millisecond, 0, 4 * sec}, {0, 10 * sec, 2500 * time.Millisecond}}
 }
 
-// outagePlay plays moments of an outage in one bubble: at each the agent is back for one party or, where moves is set,
+// runOutage plays moments of an outage in one bubble: at each the agent is back for one party or, where moves is set,
 // discovery moves for good. It returns how long after that the latest of them had the drain.
-func outagePlay(t *testing.T, onDemand, moves bool, way int, connect time.Duration, at []moments) (latest time.Duration) {
+func runOutage(t *testing.T, onDemand, moves bool, way int, connect time.Duration, at []eventTimes) (latest time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		c := testConfig(t, outageFrom, entry("a", "127.0.0.2:1", "Ready"))
 		c.Settings.ConnectTimeout, c.Settings.MustSubscribe = connect, onDemand
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		var all []*outageParty
+		var all []*outageScenario
 		var last, first time.Duration
 		for _, m := range at {
-			for after := 50 * time.Millisecond; after <= m.over; after += 50 * time.Millisecond {
-				p := &outageParty{way: way, down: m.down, event: m.down + m.from + after, running: &running}
-				p.back, last = p.event, max(last, p.event)
+			for after := 50 * time.Millisecond; after <= m.length; after += 50 * time.Millisecond {
+				p := &outageScenario{outage: way, failsAt: m.failsAt, eventAt: m.failsAt + m.offset + after, running: &running}
+				p.recoversAt, last = p.eventAt, max(last, p.eventAt)
 				if moves {
-					p.back, p.swallows = time.Hour, len(all)%2 == 1
+					p.recoversAt, p.ignoresFirstCall = time.Hour, len(all)%2 == 1
 				}
 				all = append(all, p)
-				p.begin(ctx, t, *c, uint64(len(all)))
+				p.start(ctx, t, *c, uint64(len(all)))
 				if moves {
-					time.AfterFunc(p.event, func() { p.w.move(outageTo) })
+					time.AfterFunc(p.eventAt, func() { p.watcher.move(outageTo) })
 				}
 			}
 		}
@@ -230,16 +230,16 @@
 		cancel()
 		running.Wait()
 		for _, p := range all {
-			announced := time.Duration(p.announced.Load())
-			if announced < p.event {
-				t.Fatalf("down at %v, event at %v: told at %v, %d failures", p.down, p.event, announced, p.failed.Load())
+			announced := time.Duration(p.drainedAt.Load())
+			if announced < p.eventAt {
+				t.Fatalf("down at %v, event at %v: told at %v, %d failures", p.failsAt, p.eventAt, announced, p.failureReports.Load())
 			}
-			if !onDemand && p.failed.Load() > 0 {
+			if !onDemand && p.failureReports.Load() > 0 {
 				t.Error("a failure was told to a module that did not ask")
 			}
-			latest = max(latest, announced-p.event)
-			if moves && !p.swallowed.Load() {
-				first = max(first, announced-p.event)
+			latest = max(latest, announced-p.eventAt)
+			if moves && !p.firstCallIgnored.Load() {
+				first = max(first, announced-p.eventAt)
 			}
 		}
 		if first > 0 {
@@ -264,7 +264,7 @@
 					if onDemand {
 						bound = watch.NotifyDeadline
 					}
-					if got := outagePlay(t, onDemand, false, way, connect, outageMoments(onDemand)); got > bound {
+					if got := runOutage(t, onDemand, false, way, connect, outageEventTimes(onDemand)); got > bound {
 						t.Errorf("in hand %v after the return, at the latest", got)
 					} else {
 						t.Logf("in hand %v after the return, at the latest", got)
@@ -283,8 +283,8 @@
 		for way := range outages {
 			t.Run(fmt.Sprintf("asks %v, %s", onDemand, outages[way].name), func(t *testing.T) {
 				t.Parallel()
-				at := []moments{{1017 * time.Millisecond, 0, 1500 * time.Millisecond}, {0, 15 * time.Second, 2 * time.Second}}
-				if got := outagePlay(t, onDemand, true, way, 2200*time.Millisecond, at); got > 4*time.Second {
+				at := []eventTimes{{1017 * time.Millisecond, 0, 1500 * time.Millisecond}, {0, 15 * time.Second, 2 * time.Second}}
+				if got := runOutage(t, onDemand, true, way, 2200*time.Millisecond, at); got > 4*time.Second {
 					t.Errorf("in hand %v after the signal, at the latest", got)
 				}
 			})
@@ -300,13 +300,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				var running sync.WaitGroup
-				p := &outageParty{way: 0, back: time.Hour, running: &running}
+				p := &outageScenario{outage: 0, recoversAt: time.Hour, running: &running}
 				if drains && !moves {
-					p.back = 2 * time.Second
+					p.recoversAt = 2 * time.Second
 				}
 				c := testConfig(t, outageFrom, entry("a", "127.0.0.2:1", "Ready"))
 				c.Settings.MustSubscribe = false
-				p.begin(ctx, t, *c, 1)
+				p.start(ctx, t, *c, 1)
 				late, bytes := make(chan struct{}), make(chan int, 1)
 				c.Settings.ConnectTimeout = time.Minute
 				c.dial = func(context.Context, string, string) (net.Conn, error) {
@@ -326,7 +326,7 @@
 				go func() { ended <- u.attempt(t.Context(), "a", testRequest("GET", ""), 0) }()
 				time.Sleep(time.Second)
 				if drains && moves {
-					p.w.move(outageTo)
+					p.watcher.move(outageTo)
 				}
 				time.Sleep(4 * time.Second)
 				close(late)
--- a/internal/sidecar/persister.go
+++ b/internal/sidecar/persister.go
@@ -17,7 +17,7 @@
 
 const (
 	persistInterval   = 2 * time.Second        // between writes of the snapshot, and of the list if it has changed
-	maxWriteFraction  = 100                    // the pause after writing is this many times as long as the writing
+	writePauseFactor  = 100                    // the pause after writing is this many times as long as the writing
 	persistStartDelay = 20 * time.Millisecond  // before the directory is acquired: the list is served first
 	lockPollInterval  = 20 * time.Millisecond  // while another process of the sidecar writes
 	diskRetryInterval = time.Second            // after a disk error
@@ -40,9 +40,9 @@
 	settings func() (*statestore.Settings, int64)
 	log      func(slog.Level, string, error) // logs disk errors
 
-	source        string // of the list that was written last
-	index         int64  // its revision
-	settingsCount int64  // number of changes of the settings written last
+	writtenSource        string // of the list that was written last
+	writtenRevision      int64  // its revision
+	writtenSettingsCount int64  // number of changes of the settings written last
 
 	incarnationBegun bool // the start of this process is recorded in the directory
 
@@ -53,13 +53,13 @@
 
 	mu          sync.RWMutex  // read-held while the store is used for a ban
 	writing     chan struct{} // closed while this process is the writer
-	writes      bool
+	isWriter    bool
 	clearedBans map[string]bool // cleared here while another process was the writer
 
-	figures sync.Mutex
-	failing error // the error of the last write; nil: it succeeded
-	errors  int64
-	savedAt time.Time // of the snapshot
+	statsMu      sync.Mutex
+	lastWriteErr error // the error of the last write; nil: it succeeded
+	errorCount   int64
+	savedAt      time.Time // of the snapshot
 }
 
 func newStatePersister(store *statestore.Store) *statePersister {
@@ -131,12 +131,12 @@
 			wait = time.Hour
 			continue
 		}
-		if k.writes && !k.store.Holds() { // the directory was deleted or replaced by a copy
+		if k.isWriter && !k.store.Holds() { // the directory was deleted or replaced by a copy
 			k.release(false)
 			k.log(slog.LevelWarn, "state directory was replaced", errors.New("taking it up anew"))
 		}
-		if !k.writes {
-			if wait = k.acquire(); k.writes {
+		if !k.isWriter {
+			if wait = k.acquire(); k.isWriter {
 				wait = persistInterval // what has just been read need not be written
 			}
 			continue
@@ -146,7 +146,7 @@
 			settled = k.recordResult(k.store.Settled())
 		}
 		k.save()
-		wait = max(persistInterval, maxWriteFraction*time.Since(begun))
+		wait = max(persistInterval, writePauseFactor*time.Since(begun))
 		wait = time.Duration(float64(wait) * (0.9 + 0.2*rand.Float64())) // so that the sidecars of a machine do not write in step
 	}
 }
@@ -200,8 +200,8 @@
 	}
 	k.recordResult(err)
 	k.clearedBans = map[string]bool{}
-	k.source, k.settingsCount = "", 0 // have list and settings written
-	k.writes = true
+	k.writtenSource, k.writtenSettingsCount = "", 0 // have list and settings written
+	k.isWriter = true
 	close(k.writing)
 	return 0
 }
@@ -211,8 +211,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.incarnationBegun = false
-	if k.writes {
-		k.writes = false
+	if k.isWriter {
+		k.isWriter = false
 		k.writing = make(chan struct{})
 	}
 	if err := k.store.Release(clean); err != nil {
@@ -220,8 +220,8 @@
 	}
 }
 
-// end stops run by closing stop, and blocks until it has ended.
-func (k *statePersister) end(stop chan<- struct{}) {
+// stopAndWait stops run by closing stop, and blocks until it has ended.
+func (k *statePersister) stopAndWait(stop chan<- struct{}) {
 	close(stop)
 	if k != nil {
 		<-k.ended
@@ -245,10 +245,10 @@
 
 // save writes the list and the settings, if they have changed, and the snapshot.
 func (k *statePersister) save() {
-	if !k.writes {
+	if !k.isWriter {
 		return
 	}
-	if source, l := k.list(); l != nil && (source != k.source || *l.Revision != k.index) {
+	if source, l := k.list(); l != nil && (source != k.writtenSource || *l.Revision != k.writtenRevision) {
 		text, err := json.Marshal(l)
 		if err == nil {
 			err = k.store.WriteList(source, text, time.Now())
@@ -256,21 +256,21 @@
 		if !k.recordResult(err) {
 			return
 		}
-		k.source, k.index = source, *l.Revision
+		k.writtenSource, k.writtenRevision = source, *l.Revision
 	}
 	if k.settings != nil {
-		if s, change := k.settings(); s != nil && change != k.settingsCount {
+		if s, change := k.settings(); s != nil && change != k.writtenSettingsCount {
 			if !k.recordResult(k.store.WriteSettings(*s, time.Now())) {
 				return
 			}
-			k.settingsCount = change
+			k.writtenSettingsCount = change
 		}
 	}
 	if l, ok := k.snapshot(); ok {
 		if k.recordResult(k.store.WriteSnapshot(l, time.Now())) {
-			k.figures.Lock()
+			k.statsMu.Lock()
 			k.savedAt = time.Now()
-			k.figures.Unlock()
+			k.statsMu.Unlock()
 		}
 	}
 }
@@ -280,16 +280,16 @@
 	if k == nil {
 		return nil
 	}
-	return k.within(banTimeout, func() error { return k.write(id, cleared, banTimeout*3/4) })
+	return k.runWithin(banTimeout, func() error { return k.writeBan(id, cleared, banTimeout*3/4) })
 }
 
-// accept is ban for one relayed by the other process of an upgrade; persisted: it is on disk. It is not if the other process
+// acceptRelayedBan is ban for one relayed by the other process of an upgrade; persisted: it is on disk. It is not if the other process
 // is the writer or this one stores nothing; the other process then writes it.
-func (k *statePersister) accept(id string, cleared, otherWrites bool) (persisted bool, err error) {
+func (k *statePersister) acceptRelayedBan(id string, cleared, otherWrites bool) (persisted bool, err error) {
 	if k == nil || otherWrites {
 		return false, nil
 	}
-	err = k.within(banTimeout/2, func() error { return k.write(id, cleared, banTimeout/4) })
+	err = k.runWithin(banTimeout/2, func() error { return k.writeBan(id, cleared, banTimeout/4) })
 	if errors.Is(err, errNotWriting) {
 		return false, nil
 	}
@@ -303,11 +303,11 @@
 	}
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	return k.writes
+	return k.isWriter
 }
 
-// within runs f, and waits for it up to the bound. Calls that a hanging disk blocks keep their slots until it answers.
-func (k *statePersister) within(bound time.Duration, f func() error) error {
+// runWithin runs f, and waits for it up to the bound. Calls that a hanging disk blocks keep their slots until it answers.
+func (k *statePersister) runWithin(bound time.Duration, f func() error) error {
 	select {
 	case k.slots <- struct{}{}:
 	default:
@@ -330,10 +330,10 @@
 
 var errNotWriting = errors.New("nothing can be written now, call again")
 
-// write stores a ban, or removes it. It waits up to turn for this process to become the writer.
-func (k *statePersister) write(id string, cleared bool, turn time.Duration) error {
+// writeBan stores a ban, or removes it. It waits up to turn for this process to become the writer.
+func (k *statePersister) writeBan(id string, cleared bool, turn time.Duration) error {
 	k.mu.Lock()
-	if cleared && !k.writes {
+	if cleared && !k.isWriter {
 		k.clearedBans[id] = true
 	} else {
 		delete(k.clearedBans, id)
@@ -349,7 +349,7 @@
 	}
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	if !k.writes {
+	if !k.isWriter {
 		return errNotWriting
 	}
 	var err error
@@ -371,10 +371,10 @@
 		k.recordError(err)
 		return false
 	}
-	k.figures.Lock()
-	failed := k.failing
-	k.failing = nil
-	k.figures.Unlock()
+	k.statsMu.Lock()
+	failed := k.lastWriteErr
+	k.lastWriteErr = nil
+	k.statsMu.Unlock()
 	if failed != nil {
 		k.log(slog.LevelInfo, "state writes recovered", nil)
 	}
@@ -383,11 +383,11 @@
 
 // recordError records the error of a write.
 func (k *statePersister) recordError(err error) {
-	k.figures.Lock()
-	first := k.failing == nil
-	k.failing = err
-	k.errors++
-	k.figures.Unlock()
+	k.statsMu.Lock()
+	first := k.lastWriteErr == nil
+	k.lastWriteErr = err
+	k.errorCount++
+	k.statsMu.Unlock()
 	if first {
 		k.log(slog.LevelWarn, "state write failed, serving without", err)
 	}
@@ -398,11 +398,11 @@
 	if k == nil {
 		return ""
 	}
-	k.figures.Lock()
-	defer k.figures.Unlock()
+	k.statsMu.Lock()
+	defer k.statsMu.Unlock()
 	var s strings.Builder
 	flag := map[bool]int{true: 1}
-	fmt.Fprintf(&s, "gw.state_failing:%d|g\ngw.state_errors:%d|c\n", flag[k.failing != nil], k.errors)
+	fmt.Fprintf(&s, "gw.state_failing:%d|g\ngw.state_errors:%d|c\n", flag[k.lastWriteErr != nil], k.errorCount)
 	if !k.savedAt.IsZero() {
 		fmt.Fprintf(&s, "gw.state_age_ms:%d|g\n", time.Since(k.savedAt).Milliseconds())
 	}
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -38,8 +38,8 @@
 	return s
 }
 
-// crash copies a state directory as it is on disk, which is what a process that is killed leaves.
-func crash(t *testing.T, dir string) string {
+// copyState copies a state directory as it is on disk, which is what a process that is killed leaves.
+func copyState(t *testing.T, dir string) string {
 	t.Helper()
 	for {
 		to := filepath.Join(t.TempDir(), "state")
@@ -62,7 +62,7 @@
 	if got := first.call(t, "DISABLE s\n"); got != "YES\n" {
 		t.Fatalf("DISABLE: %q", got)
 	}
-	left := crash(t, dir)
+	left := copyState(t, dir)
 	second := start(t, withState(t, left, entries...), "127.0.0.1:0")
 	for range 20 {
 		if _, body := second.get(t); body != "other" {
@@ -111,7 +111,7 @@
 	}
 	k.bans, k.adoptBan = func() []string { return []string{"here"} }, func(id string) { t.Errorf("%s was adopted", id) }
 	k.list, k.snapshot = nil, nil
-	if persisted, err := k.accept("a", false, false); persisted || err != nil {
+	if persisted, err := k.acceptRelayedBan("a", false, false); persisted || err != nil {
 		t.Errorf("while the other writes: kept %v, %v", persisted, err)
 	}
 	if err := s.Release(false); err != nil {
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -25,7 +25,7 @@
 	up, l := p.upstreams, p.loop
 	l.attempt, l.connectionStats = up.attempt, up.connectionStats
 	classes := l.classes
-	up.dispatched = l.stats.countDispatched
+	up.onDispatched = l.stats.countDispatched
 	if admin {
 		l.onEjected = func(ejected []string) { l.stats.setEndpoints(up.directory.countUnavailable(ejected)) }
 	}
@@ -33,7 +33,7 @@
 		ready: p.ready, hasEndpoints: func() bool { return !up.directory.empty() }}
 	p.server.classes.Store(&classes)
 	p.conns = newClientConns(listener, p.maxConns)
-	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, ban: p.banned,
+	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, ban: p.applyRelayedBan,
 		yield: p.yield, resume: p.resume, limitBeside: p.limitBeside,
 		use: func() connectionUse { return connectionUse{p.conns.count(), up.count()} }}
 	p.limitMemory(false)
@@ -85,7 +85,7 @@
 	l.classes = classTable(c.Settings.Settings)
 	l.stats.addClasses(slices.Collect(maps.Keys(l.classes)))
 	p.upstreams, p.loop, p.watch, p.service = up, l, w, newSettingsFollower(c)
-	w.service = p.service
+	w.settings = p.service
 	return nil
 }
 
@@ -108,7 +108,7 @@
 
 // handoverState returns the state for a successor.
 func (p *process) handoverState() handoverState {
-	s := handoverState{List: p.upstreams.directory.full(), Banned: p.upstreams.directory.bans()}
+	s := handoverState{List: p.upstreams.directory.fullList(), Banned: p.upstreams.directory.bans()}
 	if p.service != nil {
 		s.Settings, _ = p.service.persisted()
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -27,7 +27,7 @@
 	logAttrs(slog.LevelInfo, ofReload, "taken", slog.Any("classes", slices.Sorted(maps.Keys(classes))), slog.String("discovery", p.config.Discovery))
 	p.watch.move(p.config.Discovery)
 	if p.service != nil {
-		p.service.file = file
+		p.service.fileConfig = file
 	}
 }
 
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -25,8 +25,8 @@
 	c := client.New(all)
 	defer c.Close()
 	var query func() string
-	if w.service != nil {
-		query = w.service.query
+	if w.settings != nil {
+		query = w.settings.query
 	}
 	c.Watch(ctx, w.currentList(), client.Watcher{
 		Query: query,
@@ -39,9 +39,9 @@
 			if err := received.check(); err != nil {
 				return err
 			}
-			w.index = l.Revision
+			w.revision = l.Revision
 			w.report(w.dir.apply(received))
-			w.service.onDocuments(l.Documents)
+			w.settings.onDocuments(l.Documents)
 			return nil
 		},
 		OnEstablished: func() { w.report(balancer.EndpointUpdate{Kind: balancer.Delta}) },
@@ -53,11 +53,11 @@
 
 // currentList returns the list in use, with the revision of discovery; nil: there is none.
 func (w *watcher) currentList() *api.WatchEvent {
-	complete := w.dir.full()
+	complete := w.dir.fullList()
 	if len(complete.Endpoints) == 0 {
 		return nil
 	}
-	l := &api.WatchEvent{Revision: w.index, Snapshot: true}
+	l := &api.WatchEvent{Revision: w.revision, Snapshot: true}
 	for _, e := range complete.Endpoints {
 		l.Endpoints = append(l.Endpoints, api.Endpoint{Name: e.Name, Status: e.Status})
 	}
--- a/internal/sidecar/replicas_test.go
+++ b/internal/sidecar/replicas_test.go
@@ -14,11 +14,11 @@
 		send(list(9, true, entry("b", "127.0.0.2:2", "Terminating")))
 	}
 	one, other := newDiscovery(t, ends), newDiscovery(t, ends)
-	dir, updates := follow(t, &fakeDiscovery{address: one.address + "," + other.address}, entry("a", "127.0.0.2:1", "Ready"))
-	if m := next(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 2 {
+	dir, updates := startWatcher(t, &fakeDiscovery{address: one.address + "," + other.address}, entry("a", "127.0.0.2:1", "Ready"))
+	if m := nextUpdate(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 2 {
 		t.Errorf("first told %+v", m)
 	}
-	m := next(t, updates)
+	m := nextUpdate(t, updates)
 	if m.Kind != balancer.Delta || len(m.Endpoints) != 1 || m.Endpoints[0].Upstream != "b" || m.Endpoints[0].State != balancer.Draining {
 		t.Errorf("of a list that is doubted, told %+v", m)
 	}
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -40,9 +40,9 @@
 	}
 	if first != nil {
 		known = p.upstreams.directory.apply(first)
-		p.watch.index = 0
+		p.watch.revision = 0
 		if source == p.config.Discovery { // another discovery's revisions can't be compared
-			p.watch.index = *first.Revision
+			p.watch.revision = *first.Revision
 		}
 	}
 	p.restoreDocument(settings)
@@ -62,7 +62,7 @@
 		case configured == nil || k.Source == p.config.Discovery && *l.Revision >= *configured.Revision:
 			first, source = l, k.Source
 			p.cachedList.Store(k)
-			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millis("list_age_ms", since(k.SavedMs)))
+			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millis("list_age_ms", ageOf(k.SavedMs)))
 		}
 	}
 	logAttrs(slog.LevelInfo, ofState, "persisted state loaded", attrs...)
@@ -82,7 +82,7 @@
 	if k.Snapshot == nil {
 		return
 	}
-	age := since(k.Snapshot.SavedMs)
+	age := ageOf(k.Snapshot.SavedMs)
 	k.Snapshot.Balancer.Age(age, k.Crashed)
 	logAttrs(slog.LevelInfo, ofState, "snapshot restored", slog.Int("upstreams", len(k.Snapshot.Balancer.Endpoints)), millis("age_ms", age))
 	p.loop.enqueueUrgent(k.Snapshot.Balancer)
@@ -98,8 +98,8 @@
 	}
 }
 
-// since is the time since a moment of the machine's clock, at least 0.
-func since(unixMs int64) time.Duration { return max(0, time.Since(time.UnixMilli(unixMs))) }
+// ageOf is the time since a moment of the machine's clock, at least 0.
+func ageOf(unixMs int64) time.Duration { return max(0, time.Since(time.UnixMilli(unixMs))) }
 
 // usesCachedList reports whether the list in use is the persisted one, and its age.
 func (p *process) usesCachedList() (bool, time.Duration) {
@@ -107,7 +107,7 @@
 	if old == nil || p.listReceived.Load() {
 		return false, 0
 	}
-	return true, since(old.SavedMs)
+	return true, ageOf(old.SavedMs)
 }
 
 // useSuspectList uses a list that was quarantined after a crash loop, if no other list has been received within
@@ -146,7 +146,7 @@
 		if !p.listReceived.Load() && p.cachedList.Load() != nil {
 			return "", nil // it was read from the disk
 		}
-		l := p.upstreams.directory.full()
+		l := p.upstreams.directory.fullList()
 		if len(l.Endpoints) == 0 {
 			return "", nil
 		}
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -20,17 +20,17 @@
 // receives documents; the process applies the newest, completely or not at all, on top of its configuration file. A nil
 // one follows none. Safe for concurrent use; its methods don't block.
 type settingsFollower struct {
-	name, node string
-	received   chan struct{}             // has a buffer of one: a document was received
-	changed    chan struct{}             // has a buffer of one: there is something new to acknowledge
-	onJudged   func(api.Document, error) // called with each document that was applied or rejected; may be nil
-	muted      func() bool               // another process of this sidecar acknowledges for it
-	file       *Config                   // as last read; belongs to the process
+	service, node string
+	received      chan struct{}             // has a buffer of one: a document was received
+	changed       chan struct{}             // has a buffer of one: there is something new to acknowledge
+	onOutcome     func(api.Document, error) // called with each document that was applied or rejected; may be nil
+	muted         func() bool               // another process of this sidecar acknowledges for it
+	fileConfig    *Config                   // as last read; belongs to the process
 
 	mu            sync.Mutex
 	seenRevisions map[string]int64 // the highest received, by region
 	latest        api.Document     // the newest received; Revision 0: none
-	judged        bool             // whether latest was applied or rejected
+	processed     bool             // whether latest was applied or rejected
 	inForce       api.Document     // Revision 0: none yet; then, as after a deletion, the file's settings are in force
 	lastGood      api.Document     // inForce, or that of the predecessor, which stays on disk until another is in force
 	rejected      error            // why latest is not in force
@@ -43,7 +43,7 @@
 	if c.Service == "" {
 		return nil
 	}
-	return &settingsFollower{name: c.Service, node: c.Name, file: c, received: make(chan struct{}, 1), changed: make(chan struct{}, 1),
+	return &settingsFollower{service: c.Service, node: c.Name, fileConfig: c, received: make(chan struct{}, 1), changed: make(chan struct{}, 1),
 		muted: func() bool { return false }, seenRevisions: map[string]int64{}}
 }
 
@@ -59,7 +59,7 @@
 func (s *settingsFollower) query() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return client.Service(s.name, s.latest)
+	return client.Service(s.service, s.latest)
 }
 
 // onDocuments receives documents of the watch. Of several only the newest is applied; one below the highest known revision
@@ -69,22 +69,22 @@
 		return
 	}
 	for _, d := range documents {
-		if d.Service != s.name || d.Revision < 1 {
+		if d.Service != s.service || d.Revision < 1 {
 			continue
 		}
-		if ignored, seen := s.accept(d); ignored != "" {
-			logAttrs(slog.LevelWarn, ofSettings, ignored, attrsOf(d, slog.Int64("seen", seen))...)
+		if ignored, seen := s.receive(d); ignored != "" {
+			logAttrs(slog.LevelWarn, ofSettings, ignored, documentAttrs(d, slog.Int64("seen", seen))...)
 		}
 	}
 }
 
-// accept receives one document. It returns why the document is ignored, only once for each, as every watch may send it again.
-func (s *settingsFollower) accept(d api.Document) (ignored string, seen int64) {
+// receive receives one document. It returns why the document is ignored, only once for each, as every watch may send it again.
+func (s *settingsFollower) receive(d api.Document) (ignored string, seen int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen, known := s.seenRevisions[d.Region]
 	switch {
-	case same(d, s.latest) || same(d, s.ignored):
+	case sameRevision(d, s.latest) || sameRevision(d, s.ignored):
 		return "", seen
 	case d.Revision < seen:
 		s.ignored = d
@@ -97,16 +97,16 @@
 		d.Settings = nil // rejected by withDocument, and not kept in memory
 	}
 	s.seenRevisions[d.Region] = d.Revision
-	s.latest, s.judged = d, false
+	s.latest, s.processed = d, false
 	wake(s.received)
 	return "", seen
 }
 
-// same reports whether two documents have the same region and revision.
-func same(a, b api.Document) bool { return a.Region == b.Region && a.Revision == b.Revision }
+// sameRevision reports whether two documents have the same region and revision.
+func sameRevision(a, b api.Document) bool { return a.Region == b.Region && a.Revision == b.Revision }
 
-// attrsOf returns log attributes that identify a document, and more.
-func attrsOf(d api.Document, more ...slog.Attr) []slog.Attr {
+// documentAttrs returns log attributes that identify a document, and more.
+func documentAttrs(d api.Document, more ...slog.Attr) []slog.Attr {
 	return append([]slog.Attr{slog.String("service", d.Service), slog.String("region", d.Region), slog.Int64("version", d.Revision)}, more...)
 }
 
@@ -115,7 +115,7 @@
 func (s *settingsFollower) nextDocument() (d api.Document, any bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.latest, s.latest.Revision > 0 && !s.judged
+	return s.latest, s.latest.Revision > 0 && !s.processed
 }
 
 // overlay applies the document in force to a configuration file that was read again.
@@ -162,11 +162,11 @@
 	return &merged, nil
 }
 
-// judge records that a document was applied, or with an error that it was rejected.
-func (s *settingsFollower) judge(d api.Document, rejected error) {
+// recordOutcome records that a document was applied, or with an error that it was rejected.
+func (s *settingsFollower) recordOutcome(d api.Document, rejected error) {
 	s.mu.Lock()
-	if same(d, s.latest) {
-		s.judged, s.rejected = true, rejected
+	if sameRevision(d, s.latest) {
+		s.processed, s.rejected = true, rejected
 	}
 	if rejected == nil {
 		s.inForce, s.lastGood = d, d
@@ -176,14 +176,14 @@
 	wake(s.changed)
 	switch {
 	case rejected != nil:
-		logAttrs(slog.LevelWarn, ofSettings, "settings rejected, earlier ones stay in force", attrsOf(d, slog.Any("err", rejected))...)
+		logAttrs(slog.LevelWarn, ofSettings, "settings rejected, earlier ones stay in force", documentAttrs(d, slog.Any("err", rejected))...)
 	case d.Deleted:
-		logAttrs(slog.LevelInfo, ofSettings, "settings deleted, those of the file are in force", attrsOf(d)...)
+		logAttrs(slog.LevelInfo, ofSettings, "settings deleted, those of the file are in force", documentAttrs(d)...)
 	default:
-		logAttrs(slog.LevelInfo, ofSettings, "in force", attrsOf(d)...)
+		logAttrs(slog.LevelInfo, ofSettings, "in force", documentAttrs(d)...)
 	}
-	if s.onJudged != nil {
-		s.onJudged(d, rejected)
+	if s.onOutcome != nil {
+		s.onOutcome(d, rejected)
 	}
 }
 
@@ -194,7 +194,7 @@
 	if s.changes == 0 {
 		return nil, 0
 	}
-	return &statestore.Settings{Service: s.name, Document: s.lastGood, Seen: maps.Clone(s.seenRevisions)}, s.changes
+	return &statestore.Settings{Service: s.service, Document: s.lastGood, Seen: maps.Clone(s.seenRevisions)}, s.changes
 }
 
 // restore starts with the settings that the previous process had in force.
@@ -216,11 +216,11 @@
 func (s *settingsFollower) ack() api.Ack {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := api.Ack{Node: s.node, Service: s.name, Region: s.inForce.Region}
+	a := api.Ack{Node: s.node, Service: s.service, Region: s.inForce.Region}
 	if !s.inForce.Deleted {
 		a.Revision = s.inForce.Revision
 	}
-	if s.judged && s.rejected != nil {
+	if s.processed && s.rejected != nil {
 		why := s.rejected.Error()
 		if s.latest.Region != s.inForce.Region && a.Revision > 0 { // versions of two regions can't stand beside each other
 			why = fmt.Sprintf("version %d of region %q is in force: %s", a.Revision, a.Region, why)
@@ -246,12 +246,12 @@
 	if !any {
 		return
 	}
-	c, err := p.service.file.withDocument(d)
+	c, err := p.service.fileConfig.withDocument(d)
 	if err == nil {
 		p.config = c
 		p.applySettings(post)
 	}
-	p.service.judge(d, err)
+	p.service.recordOutcome(d, err)
 }
 
 // restoreDocument starts with the settings that the previous process had in force, from that process or from the disk. It is
@@ -266,7 +266,7 @@
 	if before == nil {
 		return
 	}
-	if before.Service != p.service.name {
+	if before.Service != p.service.service {
 		logWarning(ofSettings, "persisted settings not used", fmt.Errorf("it is of service %s", quoteShort(before.Service)))
 		return
 	}
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -48,21 +48,21 @@
 
 	u := newUpstream(t, says(ok200("done")))
 	first := put(testSettings, 0)
-	own := ofService(t, at, entry("s", u.address, "Ready"))
+	own := ordersConfig(t, at, entry("s", u.address, "Ready"))
 	own.Name = "n2"
 	r := start(t, own, "127.0.0.1:0")
-	outcomes, _ := startHollowWith(t, ofService(t, at))
-	hears(t, outcomes, first, "")
+	outcomes, _ := startHollowWithOutcomes(t, ordersConfig(t, at))
+	expectOutcome(t, outcomes, first, "")
 	of(first, inForce)
 
-	second := put(probing, first)
-	hears(t, outcomes, second, "")
+	second := put(probeSettings, first)
+	expectOutcome(t, outcomes, second, "")
 	of(second, inForce)
 	if resp, _ := r.do(t, request(t, r.address, "probe", "")); resp.StatusCode == 404 {
 		t.Error("a class of the settings is unknown")
 	}
-	third := put(strings.Replace(probing, `"SecondCopies":true,`, ``, 1), second) // valid, and less than the files have
-	hears(t, outcomes, third, "lacks settings.Limits.SecondCopies")
+	third := put(strings.Replace(probeSettings, `"SecondCopies":true,`, ``, 1), second) // valid, and less than the files have
+	expectOutcome(t, outcomes, third, "lacks settings.Limits.SecondCopies")
 	of(third, func(r api.Rollout) bool {
 		return r.Rejected == 2 && len(r.NotInForce) == 2 && r.NotInForce[0].Revision == second && strings.Contains(r.NotInForce[0].Reason, "SecondCopies")
 	})
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hears(t, outcomes, last, "")
+	expectOutcome(t, outcomes, last, "")
 	of(last, inForce)
 	if resp, _ := r.do(t, request(t, r.address, "probe", "")); resp.StatusCode != 404 {
 		t.Errorf("a class of deleted settings: %s", resp.Status)
--- a/internal/sidecar/settingsfollower_rig_test.go
+++ b/internal/sidecar/settingsfollower_rig_test.go
@@ -21,25 +21,25 @@
 	address string
 	srv     *http.Server
 
-	mu        sync.Mutex
-	list      string // the entries of its list
-	index     int64
-	announced api.Document // Version 0: there is none
-	again     chan struct{}
-	calls     []string // of watches, as they were asked
-	acks      []api.Ack
-	refuses   bool // acks
+	mu          sync.Mutex
+	list        string // the entries of its list
+	index       int64
+	announced   api.Document // Version 0: there is none
+	changed     chan struct{}
+	watchURIs   []string // of watches, as they were asked
+	acks        []api.Ack
+	rejectsAcks bool // acks
 }
 
 func newListService(t testing.TB, entries ...string) *fakeService {
 	t.Helper()
-	s := &fakeService{list: strings.Join(entries, ","), index: 1, again: make(chan struct{})}
-	s.begin(t, "127.0.0.1:0")
+	s := &fakeService{list: strings.Join(entries, ","), index: 1, changed: make(chan struct{})}
+	s.listenOn(t, "127.0.0.1:0")
 	return s
 }
 
-// begin answers at an address, until stop.
-func (s *fakeService) begin(t testing.TB, address string) {
+// listenOn answers at an address, until stop.
+func (s *fakeService) listenOn(t testing.TB, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,7 +53,7 @@
 		defer end()
 		defer context.AfterFunc(stop, end)()
 		s.mu.Lock()
-		s.calls = append(s.calls, r.RequestURI)
+		s.watchURIs = append(s.watchURIs, r.RequestURI)
 		s.mu.Unlock()
 		s.watch(ctx, w, r)
 	})
@@ -62,7 +62,7 @@
 		err := json.NewDecoder(r.Body).Decode(&all)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if err != nil || s.refuses {
+		if err != nil || s.rejectsAcks {
 			http.Error(w, `{"code":"bad request","error":"refused"}`, http.StatusBadRequest)
 			return
 		}
@@ -87,7 +87,7 @@
 	held, first := r.FormValue("held"), r.FormValue("from") != "1"
 	for {
 		s.mu.Lock()
-		d, index, again := s.announced, s.index, s.again
+		d, index, again := s.announced, s.index, s.changed
 		text := fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, first, s.list)
 		s.mu.Unlock()
 		var l map[string]any
@@ -130,14 +130,14 @@
 	}
 	s.announced = d
 	s.index++
-	close(s.again)
-	s.again = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *fakeService) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.calls)
+	return slices.Clone(s.watchURIs)
 }
 
 // lastAck is the last ack; a zero one: there was none.
@@ -154,13 +154,13 @@
 	return api.Document{Region: "south", Revision: version, Settings: json.RawMessage(settings)}
 }
 
-// ofService is testConfig for a sidecar of the service orders.
-func ofService(t testing.TB, discovery string, known ...string) *Config {
+// ordersConfig is testConfig for a sidecar of the service orders.
+func ordersConfig(t testing.TB, discovery string, known ...string) *Config {
 	t.Helper()
-	return withService(t, discovery, testSettings, known...)
+	return ordersConfigWith(t, discovery, testSettings, known...)
 }
 
-func withService(t testing.TB, discovery, settings string, known ...string) *Config {
+func ordersConfigWith(t testing.TB, discovery, settings string, known ...string) *Config {
 	t.Helper()
 	c, err := parseConfig(fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:9000","ops":"127.0.0.1:0","discovery":%q,"seed":"1f","service":"orders",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, discovery, list(1, true, known...), settings))
@@ -170,22 +170,22 @@
 	return c
 }
 
-// probing are settings with one more class.
-var probing = strings.Replace(testSettings, `{"Name":"search"`, moreSettings, 1)
+// probeSettings are settings with one more class.
+var probeSettings = strings.Replace(testSettings, `{"Name":"search"`, probeClass, 1)
 
-// judged is what a hollow sidecar was told of a document.
-type judged struct {
+// documentOutcome is what a hollow sidecar was told of a document.
+type documentOutcome struct {
 	region   string
 	version  int64
 	rejected string
 }
 
-// startHollowWith is a hollow sidecar of the service, and what it says of documents.
-func startHollowWith(t testing.TB, c *Config) (outcomes chan judged, end func()) {
+// startHollowWithOutcomes is a hollow sidecar of the service, and what it says of documents.
+func startHollowWithOutcomes(t testing.TB, c *Config) (outcomes chan documentOutcome, end func()) {
 	t.Helper()
-	outcomes = make(chan judged, 64)
+	outcomes = make(chan documentOutcome, 64)
 	return outcomes, startHollow(t, c, HollowObserver{OnSettings: func(region string, version int64, rejected error, _ time.Time) {
-		j := judged{region: region, version: version}
+		j := documentOutcome{region: region, version: version}
 		if rejected != nil {
 			j.rejected = rejected.Error()
 		}
@@ -193,8 +193,8 @@
 	}})
 }
 
-// hears waits for what a hollow sidecar says next, and compares; a rejection has to hold the words.
-func hears(t testing.TB, outcomes chan judged, version int64, rejected string) {
+// expectOutcome waits for what a hollow sidecar says next, and compares; a rejection has to hold the words.
+func expectOutcome(t testing.TB, outcomes chan documentOutcome, version int64, rejected string) {
 	t.Helper()
 	select {
 	case j := <-outcomes:
@@ -206,8 +206,8 @@
 	}
 }
 
-// quietly fails where anything more was said.
-func quietly(t testing.TB, outcomes chan judged) {
+// expectNoOutcome fails where anything more was said.
+func expectNoOutcome(t testing.TB, outcomes chan documentOutcome) {
 	t.Helper()
 	select {
 	case j := <-outcomes:
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -21,7 +21,7 @@
 func TestSettingsOfTheServiceUnderLoad(t *testing.T) {
 	u := newUpstream(t, says(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
-	r := start(t, ofService(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
+	r := start(t, ordersConfig(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
 	ctx, stop := context.WithCancel(t.Context())
 	var load sync.WaitGroup
 	var served, bad atomic.Int64
@@ -59,7 +59,7 @@
 	if !checkReady(404)() {
 		t.Fatal("a class that nobody has told of")
 	}
-	svc.announce(document(5, probing))
+	svc.announce(document(5, probeSettings))
 	eventually(t, "the class of the document", checkReady(200))
 	eventually(t, "its ack", acked(ack(5, 0)))
 
@@ -69,12 +69,12 @@
 		t.Errorf("rejected since %q", why)
 	}
 	svc.announce(document(7, strings.Replace(testSettings, `"SendCap":5`, `"SendCap":0`, 1)))
-	svc.announce(document(8, strings.Replace(probing, `"probe"`, `"repaired"`, 1))) // within a moment
+	svc.announce(document(8, strings.Replace(probeSettings, `"probe"`, `"repaired"`, 1))) // within a moment
 	eventually(t, "the repair", acked(ack(8, 0)))
 	if !checkReady(404)() {
 		t.Error("a class is left of what was repaired")
 	}
-	svc.announce(document(9, probing))
+	svc.announce(document(9, probeSettings))
 	eventually(t, "the next", acked(ack(9, 0)))
 	next := document(10, testSettings)
 	next.Schema = 2
@@ -82,9 +82,9 @@
 	eventually(t, "the next schema rejected", acked(ack(9, 10)))
 
 	// A file that was read anew has the document's settings above it, and one that the document does not fit is not taken.
-	file := ofService(t, svc.address, entry("s", u.address, "Ready"))
+	file := ordersConfig(t, svc.address, entry("s", u.address, "Ready"))
 	r.reloads <- Reload{Config: file}
-	more := withService(t, svc.address, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1), entry("s", u.address, "Ready"))
+	more := ordersConfigWith(t, svc.address, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1), entry("s", u.address, "Ready"))
 	r.reloads <- Reload{Config: more}
 	r.reloads <- Reload{Err: errors.New("not readable")} // the one before is through
 	if !checkReady(200)() {
@@ -100,7 +100,7 @@
 	svc.announce(deleted)
 	eventually(t, "the file's settings", checkReady(404))
 	eventually(t, "their ack", func() bool { return svc.lastAck() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
-	svc.announce(document(12, probing))
+	svc.announce(document(12, probeSettings))
 	eventually(t, "settings anew", checkReady(200))
 	stop()
 	load.Wait()
@@ -114,102 +114,102 @@
 	for name, play := range map[string]func(t *testing.T, c *Config, svc *fakeService){
 		"stopped through five versions": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(1, testSettings))
-			outcomes, end := startHollowWith(t, c)
-			hears(t, outcomes, 1, "")
-			endPersisted(t, c, end)
+			outcomes, end := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 1, "")
+			endAfterPersisting(t, c, end)
 			for v := range int64(5) {
-				svc.announce(document(2+v, probing))
+				svc.announce(document(2+v, probeSettings))
 			}
-			outcomes, _ = startHollowWith(t, c)
-			hears(t, outcomes, 1, "") // from the disk
-			hears(t, outcomes, 6, "")
-			quietly(t, outcomes)
+			outcomes, _ = startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 1, "") // from the disk
+			expectOutcome(t, outcomes, 6, "")
+			expectNoOutcome(t, outcomes)
 		},
 		"the list service is down at the start": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(3, testSettings))
-			outcomes, end := startHollowWith(t, c)
-			hears(t, outcomes, 3, "")
-			endPersisted(t, c, end)
+			outcomes, end := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 3, "")
+			endAfterPersisting(t, c, end)
 			_ = svc.srv.Close()
-			outcomes, end = startHollowWith(t, c)
-			hears(t, outcomes, 3, "")
-			endPersisted(t, c, end)
-			svc.announce(document(4, probing))
-			svc.begin(t, svc.address)
-			outcomes, _ = startHollowWith(t, c)
-			hears(t, outcomes, 3, "")
-			hears(t, outcomes, 4, "")
+			outcomes, end = startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 3, "")
+			endAfterPersisting(t, c, end)
+			svc.announce(document(4, probeSettings))
+			svc.listenOn(t, svc.address)
+			outcomes, _ = startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 3, "")
+			expectOutcome(t, outcomes, 4, "")
 		},
 		"its owner is an old copy": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			outcomes, end := startHollowWith(t, c)
-			hears(t, outcomes, 9, "")
+			outcomes, end := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 9, "")
 			svc.announce(document(20, `{}`))
-			hears(t, outcomes, 20, "Classes")
-			endPersisted(t, c, end)
-			svc.announce(document(12, probing)) // below 20, which it has seen
-			outcomes, _ = startHollowWith(t, c)
-			hears(t, outcomes, 9, "")
+			expectOutcome(t, outcomes, 20, "Classes")
+			endAfterPersisting(t, c, end)
+			svc.announce(document(12, probeSettings)) // below 20, which it has seen
+			outcomes, _ = startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 9, "")
 			eventually(t, "the watch", func() bool { return len(svc.requests()) >= 2 })
 			svc.announce(document(21, testSettings))
-			hears(t, outcomes, 21, "")
+			expectOutcome(t, outcomes, 21, "")
 		},
 		"another region's": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			outcomes, _ := startHollowWith(t, c)
-			hears(t, outcomes, 9, "")
-			other := document(2, probing)
+			outcomes, _ := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 9, "")
+			other := document(2, probeSettings)
 			other.Region = "north"
 			svc.announce(other)
-			hears(t, outcomes, 2, "")
+			expectOutcome(t, outcomes, 2, "")
 		},
 		"deleted, and started again": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			outcomes, end := startHollowWith(t, c)
-			hears(t, outcomes, 9, "")
+			outcomes, end := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 9, "")
 			svc.announce(api.Document{Region: "south", Revision: 10, Deleted: true})
-			hears(t, outcomes, 10, "")
-			endPersisted(t, c, end)
+			expectOutcome(t, outcomes, 10, "")
+			endAfterPersisting(t, c, end)
 			svc.announce(document(9, testSettings))
-			outcomes, _ = startHollowWith(t, c)
-			hears(t, outcomes, 10, "")
-			svc.announce(document(11, probing))
-			hears(t, outcomes, 11, "")
+			outcomes, _ = startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 10, "")
+			svc.announce(document(11, probeSettings))
+			expectOutcome(t, outcomes, 11, "")
 		},
 		"a service renamed": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(9, testSettings))
-			outcomes, end := startHollowWith(t, c)
-			hears(t, outcomes, 9, "")
-			endPersisted(t, c, end)
+			outcomes, end := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 9, "")
+			endAfterPersisting(t, c, end)
 			c.Service = "billing"
-			outcomes, _ = startHollowWith(t, c)
+			outcomes, _ = startHollowWithOutcomes(t, c)
 			svc.announce(document(10, testSettings)) // of orders still
 			other := document(2, testSettings)
 			other.Service = "billing"
 			svc.announce(other)
-			hears(t, outcomes, 2, "")
+			expectOutcome(t, outcomes, 2, "")
 		},
 		"rejected at the start, and kept": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(3, testSettings))
-			outcomes, end := startHollowWith(t, c)
-			hears(t, outcomes, 3, "")
-			endPersisted(t, c, end)
+			outcomes, end := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 3, "")
+			endAfterPersisting(t, c, end)
 			_ = svc.srv.Close()
-			more := withService(t, c.Discovery, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1))
+			more := ordersConfigWith(t, c.Discovery, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1))
 			more.State = c.State
-			outcomes, end = startHollowWith(t, more)
-			hears(t, outcomes, 3, "lacks settings.Limits.Probes")
-			endPersisted(t, c, end)
-			outcomes, _ = startHollowWith(t, c)
-			hears(t, outcomes, 3, "")
+			outcomes, end = startHollowWithOutcomes(t, more)
+			expectOutcome(t, outcomes, 3, "lacks settings.Limits.Probes")
+			endAfterPersisting(t, c, end)
+			outcomes, _ = startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 3, "")
 		},
 		"damaged on disk": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(3, testSettings))
-			outcomes, end := startHollowWith(t, c)
-			hears(t, outcomes, 3, "")
-			endPersisted(t, c, end)
+			outcomes, end := startHollowWithOutcomes(t, c)
+			expectOutcome(t, outcomes, 3, "")
+			endAfterPersisting(t, c, end)
 			_ = svc.srv.Close()
-			for _, file := range persistedFiles(t, c.State) {
+			for _, file := range settingsFiles(t, c.State) {
 				text, err := os.ReadFile(file)
 				if err == nil {
 					text[len(text)/2] ^= 1
@@ -219,24 +219,24 @@
 					t.Fatal(err)
 				}
 			}
-			outcomes, end = startHollowWith(t, c)
-			eventually(t, "the file put aside", func() bool { return len(persistedFiles(t, c.State)) == 0 })
-			endPersisted(t, c, end)
-			quietly(t, outcomes)
+			outcomes, end = startHollowWithOutcomes(t, c)
+			eventually(t, "the file put aside", func() bool { return len(settingsFiles(t, c.State)) == 0 })
+			endAfterPersisting(t, c, end)
+			expectNoOutcome(t, outcomes)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			svc := newListService(t, entry("a", "127.0.0.2:1", "Ready"))
-			c := ofService(t, svc.address)
+			c := ordersConfig(t, svc.address)
 			c.State = t.TempDir()
 			play(t, c, svc)
 		})
 	}
 }
 
-// endPersisted ends a sidecar that has taken up its directory: what it has in force is then on disk. The table of bans, of which there are none,
+// endAfterPersisting ends a sidecar that has taken up its directory: what it has in force is then on disk. The table of bans, of which there are none,
 // is what tells; the next sidecar has to write it anew.
-func endPersisted(t *testing.T, c *Config, end func()) {
+func endAfterPersisting(t *testing.T, c *Config, end func()) {
 	t.Helper()
 	tables := func() []string {
 		all, err := filepath.Glob(filepath.Join(c.State, "bans.*"))
@@ -254,8 +254,8 @@
 	}
 }
 
-// persistedFiles are those of the settings.
-func persistedFiles(t *testing.T, dir string) []string {
+// settingsFiles are those of the settings.
+func settingsFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(dir, "settings.*"))
 	if err != nil {
@@ -267,11 +267,11 @@
 // Guards against a bad document that stays since its repair came too soon: whatever the order in which they are heard and judged, the
 // newest is judged last.
 func TestNewestSettingsWin(t *testing.T) {
-	c := ofService(t, "127.0.0.1:1")
+	c := ordersConfig(t, "127.0.0.1:1")
 	s := newSettingsFollower(c)
-	bad, good := document(2, `{}`), document(3, probing)
+	bad, good := document(2, `{}`), document(3, probeSettings)
 	bad.Service, good.Service, good.Schema, bad.Schema = "orders", "orders", 1, 1
-	none, others := api.Document{Service: "orders"}, document(7, probing)
+	none, others := api.Document{Service: "orders"}, document(7, probeSettings)
 	others.Service = "billing"
 	s.onDocuments([]api.Document{none, others})
 	if d, any := s.nextDocument(); any {
@@ -284,12 +284,12 @@
 	}
 	s.onDocuments([]api.Document{good}) // meanwhile
 	_, err := c.withDocument(d)
-	s.judge(d, err)
+	s.recordOutcome(d, err)
 	if d, any = s.nextDocument(); !any || d.Revision != 3 {
 		t.Fatalf("to judge then: %+v, %v", d, any)
 	}
 	_, err = c.withDocument(d)
-	s.judge(d, err)
+	s.recordOutcome(d, err)
 	if a := s.ack(); a.Revision != 3 || a.RejectedRevision != 0 {
 		t.Errorf("acknowledged %+v", a)
 	}
@@ -311,7 +311,7 @@
 func TestSettingsUpdateRetainsEstimates(t *testing.T) {
 	stop := make(chan struct{})
 	defer close(stop)
-	p := &process{config: ofService(t, "127.0.0.1:1", entry("s", "127.0.0.2:1", "Ready")), server: &server{}, handover: &handover{}, maxConns: 8}
+	p := &process{config: ordersConfig(t, "127.0.0.1:1", entry("s", "127.0.0.2:1", "Ready")), server: &server{}, handover: &handover{}, maxConns: 8}
 	if err := p.assemble(stop); err != nil {
 		t.Fatal(err)
 	}
@@ -341,7 +341,7 @@
 		return u, l.MeanLatency
 	}
 	before, mean := snapshot()
-	d := document(2, probing)
+	d := document(2, probeSettings)
 	d.Service, d.Schema = "orders", 1
 	p.service.onDocuments([]api.Document{d})
 	p.applyDocument(p.loop.enqueueUrgent)
@@ -358,9 +358,9 @@
 	tmp, listeners := t.TempDir(), passed(t, 2)
 	u := newUpstream(t, says(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
-	c := ofService(t, svc.address, entry("s", u.address, "Ready"))
+	c := ordersConfig(t, svc.address, entry("s", u.address, "Ready"))
 	old := startOn(t, c, listeners[0], tmp)
-	svc.announce(document(7, probing))
+	svc.announce(document(7, probeSettings))
 	inForce := func(r *running) func() bool {
 		return func() bool { return strings.Contains(r.call(t, "STATS\n"), "gw.settings_version:7|g\n") }
 	}
--- a/internal/sidecar/settingsupdate_test.go
+++ b/internal/sidecar/settingsupdate_test.go
@@ -14,7 +14,7 @@
 		discovery, list(1, true, entry("s", address, "Ready")), settings)
 }
 
-const moreSettings = `{"Name":"probe","Semantics":"fragile","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5},
+const probeClass = `{"Name":"probe","Semantics":"fragile","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5},
   {"Name":"search"`
 
 // Guards against a reload that takes part of a file, or none: classes come and go with SIGHUP, what is open keeps its
@@ -39,7 +39,7 @@
 	open := r.later(request(t, r.address, "record", ""))
 	eventually(t, "the request at the upstream", func() bool { return len(s.requests()) == 1 })
 
-	more := strings.Replace(testSettings, `{"Name":"search"`, moreSettings, 1)
+	more := strings.Replace(testSettings, `{"Name":"search"`, probeClass, 1)
 	fresh := strings.Replace(more, `{"Name":"record"`, `{"Name":"note"`, 1)
 	for name, bad := range map[string][2]string{
 		"no attempts":          {`"SendCap":5`, `"SendCap":0`},
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -174,7 +174,7 @@
 		go p.useSuspectList(running)
 	}
 	go p.persister.run(over)
-	return func() { p.persister.end(over) }
+	return func() { p.persister.stopAndWait(over) }
 }
 
 // newAdminServer returns the server of the operators' port.
--- a/internal/sidecar/upstreamconn.go
+++ b/internal/sidecar/upstreamconn.go
@@ -11,16 +11,16 @@
 // request as written while it is still in a buffer. One exchange at a time owns it; the flags are safe for concurrent use.
 type upstreamConn struct {
 	net.Conn
-	http       *http.ClientConn
-	name       string
-	address    endpointAddress
-	retire     *time.Timer
-	uses       int       // requests that it was acquired for
-	releasedAt time.Time // when it was last released
-	closed     bool      // guarded by the pool's lock
+	http        *http.ClientConn
+	name        string
+	address     endpointAddress
+	retireTimer *time.Timer
+	uses        int       // requests that it was acquired for
+	releasedAt  time.Time // when it was last released
+	closed      bool      // guarded by the pool's lock
 
 	writeTimeout   time.Duration // of one write
-	allowed        func() error  // returns why the next request may no longer be written; nil: it may
+	checkAllowed   func() error  // returns why the next request may no longer be written; nil: it may
 	firstByteSent  atomic.Bool   // of the next request
 	disallowed     atomic.Bool   // the request was stopped before its first byte
 	requestEncoded atomic.Bool   // the library has written the request completely, perhaps into a buffer
@@ -32,7 +32,7 @@
 // decision the upstream may have begun to drain, the client may have left, or the time for a retry may be over.
 func (c *upstreamConn) Write(p []byte) (int, error) {
 	if !c.firstByteSent.Swap(true) {
-		if err := c.allowed(); err != nil {
+		if err := c.checkAllowed(); err != nil {
 			c.disallowed.Store(true)
 			return 0, err
 		}
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -25,13 +25,13 @@
 
 // upstreamPool makes attempts, over connections that carry one request at a time. Safe for concurrent use.
 type upstreamPool struct {
-	directory  *endpointDirectory
-	dial       dialer
-	dispatched func() // called when an attempt was written completely
-	budget     *byteBudget
+	directory    *endpointDirectory
+	dial         dialer
+	onDispatched func() // called when an attempt was written completely
+	budget       *byteBudget
 
 	mu           sync.Mutex
-	times        connTimeouts
+	timeouts     connTimeouts
 	maxConns     int
 	retainsIdle  bool            // false once another process accepts the clients
 	open         int             // connections
@@ -41,7 +41,7 @@
 }
 
 func newUpstreamPool(c *Config, clk clock, bound int) *upstreamPool {
-	u := &upstreamPool{dial: c.dial, dispatched: func() {}, budget: &byteBudget{left: int64(c.Limits.MemoryMB * budgetFraction * (1 << 20))},
+	u := &upstreamPool{dial: c.dial, onDispatched: func() {}, budget: &byteBudget{left: int64(c.Limits.MemoryMB * budgetFraction * (1 << 20))},
 		maxConns: bound, retainsIdle: true}
 	u.updateSettings(c.Settings)
 	u.directory = newEndpointDirectory(clk, u.drop)
@@ -63,7 +63,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.times = t
+	u.timeouts = t
 }
 
 // errAnswered ends an attempt whose request has its final answer: no other attempt will follow.
@@ -147,15 +147,15 @@
 	case err != nil:
 		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
 	}
-	if err := u.canBegin(ctx, c, r, before); err != nil { // no longer, after the connecting; another request can use c
+	if err := u.checkBegin(ctx, c, r, before); err != nil { // no longer, after the connecting; another request can use c
 		u.release(c)
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	}
 	return c, failure
 }
 
-// canBegin returns why an attempt may not, or no longer, begin; nil: it may.
-func (u *upstreamPool) canBegin(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) error {
+// checkBegin returns why an attempt may not, or no longer, begin; nil: it may.
+func (u *upstreamPool) checkBegin(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
@@ -187,7 +187,7 @@
 		return false
 	}
 	u.awaitingLate = append(u.awaitingLate, c)
-	timer := time.AfterFunc(u.times.late, end)
+	timer := time.AfterFunc(u.timeouts.late, end)
 	context.AfterFunc(exchangeCtx, func() { timer.Stop() })
 	return true
 }
@@ -219,11 +219,11 @@
 	}
 	u.open++
 	u.opened++
-	times := u.times
+	times := u.timeouts
 	u.mu.Unlock()
 	c := &upstreamConn{name: name, address: at, writeTimeout: times.late}
 	var err error
-	if c.Conn, err = u.dial.within(ctx, times.connect, "tcp", at.address); err == nil {
+	if c.Conn, err = u.dial.dialTimeout(ctx, times.connect, "tcp", at.address); err == nil {
 		var protocols http.Protocols
 		protocols.SetHTTP1(true)
 		transport := &http.Transport{
@@ -255,7 +255,7 @@
 			continue
 		}
 		u.idle = slices.Delete(u.idle, i, i+1)
-		if c.retire.Stop() && c.http.Err() == nil && c.address == at && (c.uses == 0 || !c.unusable()) {
+		if c.retireTimer.Stop() && c.http.Err() == nil && c.address == at && (c.uses == 0 || !c.unusable()) {
 			return c
 		}
 		u.closeLocked(c)
@@ -273,7 +273,7 @@
 		return
 	}
 	c.releasedAt = time.Now()
-	c.retire = time.AfterFunc(u.times.idle, func() { u.retire(c) })
+	c.retireTimer = time.AfterFunc(u.timeouts.idle, func() { u.retire(c) })
 	u.idle = append(u.idle, c)
 }
 
@@ -312,7 +312,7 @@
 	}
 	u.maxConns = max(u.open, 1)
 	for _, c := range u.idle {
-		c.retire.Reset(replacedIdleTimeout)
+		c.retireTimer.Reset(replacedIdleTimeout)
 	}
 }
 
@@ -347,8 +347,8 @@
 	}
 	c.closed = true
 	u.endLateWait(c)
-	if c.retire != nil {
-		c.retire.Stop()
+	if c.retireTimer != nil {
+		c.retireTimer.Stop()
 	}
 	_ = c.http.Close()
 	u.open--
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -36,8 +36,8 @@
 	return x.roundTrip()
 }
 
-// awaitRest waits until each connection that is kept may be used again.
-func (u *upstreamPool) awaitRest(t *testing.T) {
+// awaitReusable waits until each connection that is kept may be used again.
+func (u *upstreamPool) awaitReusable(t *testing.T) {
 	t.Helper()
 	eventually(t, "the connections have rested", func() bool {
 		u.mu.Lock()
@@ -51,10 +51,10 @@
 		header: http.Header{"X-Request-Id": {"9b1f03aa5c7e2d41"}, "Idempotency-Key": {"k"}}, body: &clientBody{retained: []byte(body), length: int64(len(body))}}
 }
 
-// slowWrites is a connection whose writes return a second after what they carry has gone out.
-type slowWrites struct{ net.Conn }
+// slowWriteConn is a connection whose writes return a second after what they carry has gone out.
+type slowWriteConn struct{ net.Conn }
 
-func (c slowWrites) Write(p []byte) (int, error) {
+func (c slowWriteConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	time.Sleep(time.Second)
 	return n, err
@@ -72,7 +72,7 @@
 		u := testUpstreams(t, 4, entry("s", up1, "Ready"))
 		u.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := near.Dial(ctx, network, address)
-			return slowWrites{c}, err
+			return slowWriteConn{c}, err
 		}
 		go func() {
 			c, err := calls.Next()
@@ -218,7 +218,7 @@
 			u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 			ctx, cancel := context.WithCancelCause(context.Background())
 			defer cancel(nil)
-			ctx, expire := newDeadline(ctx)
+			ctx, expire := newManualDeadline(ctx)
 			end := make(chan attemptReply, 1)
 			go func() { end <- u.attempt(ctx, "s", testRequest("POST", "first"), 0) }()
 			eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
@@ -245,16 +245,16 @@
 	}
 }
 
-// deadline is a context whose time is up when the test says so.
-type deadline struct {
+// manualDeadline is a context whose time is up when the test says so.
+type manualDeadline struct {
 	context.Context
-	up chan struct{}
+	expired chan struct{}
 }
 
-func newDeadline(parent context.Context) (context.Context, context.CancelFunc) {
-	d := &deadline{parent, make(chan struct{})}
-	context.AfterFunc(parent, func() { closeOnce(d.up) })
-	return d, func() { closeOnce(d.up) }
+func newManualDeadline(parent context.Context) (context.Context, context.CancelFunc) {
+	d := &manualDeadline{parent, make(chan struct{})}
+	context.AfterFunc(parent, func() { closeOnce(d.expired) })
+	return d, func() { closeOnce(d.expired) }
 }
 
 func closeOnce(c chan struct{}) {
@@ -265,14 +265,14 @@
 	}
 }
 
-func (d *deadline) Done() <-chan struct{} { return d.up }
+func (d *manualDeadline) Done() <-chan struct{} { return d.expired }
 
-func (d *deadline) Err() error {
+func (d *manualDeadline) Err() error {
 	if err := d.Context.Err(); err != nil {
 		return err
 	}
 	select {
-	case <-d.up:
+	case <-d.expired:
 		return context.DeadlineExceeded
 	default:
 		return nil
@@ -296,7 +296,7 @@
 		t.Errorf("result %d at the limit", rep.result)
 	}
 	eventually(t, "it gave way", func() bool { return a.closed.Load() == 1 })
-	u.times.late = 50 * time.Millisecond
+	u.timeouts.late = 50 * time.Millisecond
 	late()
 	eventually(t, "its wait ended", func() bool { return a.closed.Load() == 2 })
 	eventually(t, "none is counted", func() bool {
@@ -387,7 +387,7 @@
 	u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 	send := func(want balancer.Result) {
 		t.Helper()
-		u.awaitRest(t)
+		u.awaitReusable(t)
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != want {
 			t.Fatalf("result %d, want %d", rep.result, want)
 		}
@@ -409,12 +409,12 @@
 	}
 
 	// Retired while idle, before the upstream would.
-	u.times.idle = time.Millisecond
+	u.timeouts.idle = time.Millisecond
 	send(balancer.OK)
 	eventually(t, "idle connection retired", func() bool { return s.closed.Load() == 2 })
 
 	// Gone: the pool goes too.
-	u.times.idle = time.Hour
+	u.timeouts.idle = time.Hour
 	send(balancer.OK)
 	u.directory.apply(parsed(t, list(2, false, entry("s", s.address, "Gone"))))
 	eventually(t, "pool dropped", func() bool { return s.closed.Load() == 3 })
@@ -452,7 +452,7 @@
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != want {
 			t.Errorf("result %d, want %d", rep.result, want)
 		}
-		u.awaitRest(t)
+		u.awaitReusable(t)
 	}
 	if got := s.requests(); len(got) != 2 || got[1].conn != 1 {
 		t.Errorf("%d requests, the last on connection %d", len(got), got[len(got)-1].conn)
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -35,9 +35,9 @@
 // subscribe, move and source are safe for concurrent use; the rest belongs to the goroutine of run.
 type watcher struct {
 	dir               *endpointDirectory
-	service           *settingsFollower // nil: only the list is requested
+	settings          *settingsFollower // nil: only the list is requested
 	client            *http.Client
-	index             int64 // revision of the list
+	revision          int64 // revision of the list
 	report            func(balancer.EndpointUpdate)
 	subscribeRequests chan struct{} // has a buffer of one: the balancer subscribes
 	addressChanges    chan struct{} // has a buffer of one: the address has changed
@@ -56,11 +56,11 @@
 	w := &watcher{address: c.Discovery, dir: dir, report: report,
 		subscribeRequests: make(chan struct{}, 1), addressChanges: make(chan struct{}, 1)}
 	if c.Known != nil {
-		w.index = *c.Known.Revision
+		w.revision = *c.Known.Revision
 	}
 	w.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			return c.dial.within(ctx, c.Settings.ConnectTimeout, network, address)
+			return c.dial.dialTimeout(ctx, c.Settings.ConnectTimeout, network, address)
 		},
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
@@ -124,7 +124,7 @@
 			return
 		}
 		address, at, end := w.currentAddress(ctx)
-		if isReplicated(address) || w.service != nil {
+		if isReplicated(address) || w.settings != nil {
 			w.follow(at, address)
 		} else {
 			w.watch(at, onDemand)
@@ -168,13 +168,13 @@
 			last = at
 			return at
 		},
-		Revision: func() int64 { return w.index },
+		Revision: func() int64 { return w.revision },
 		Apply: func(_ string, l *listing) error {
 			if err := l.check(); err != nil { // the last good list stays in use, and changes are requested from its revision on
 				return fmt.Errorf("malformed list: %w", err)
 			}
 			wait = baseRewatchDelay
-			w.index = *l.Revision
+			w.revision = *l.Revision
 			w.report(w.dir.apply(l))
 			return nil
 		},
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -17,8 +17,8 @@
 	"mosslead/balancer"
 )
 
-// follow runs a watcher as a module would that asks again at once.
-func follow(t *testing.T, d *fakeDiscovery, known ...string) (*endpointDirectory, chan balancer.EndpointUpdate) {
+// startWatcher runs a watcher as a module would that asks again at once.
+func startWatcher(t *testing.T, d *fakeDiscovery, known ...string) (*endpointDirectory, chan balancer.EndpointUpdate) {
 	t.Helper()
 	updates := make(chan balancer.EndpointUpdate, 64)
 	u := testUpstreams(t, 4, known...)
@@ -39,7 +39,7 @@
 	return u.directory, updates
 }
 
-func next(t *testing.T, updates chan balancer.EndpointUpdate) balancer.EndpointUpdate {
+func nextUpdate(t *testing.T, updates chan balancer.EndpointUpdate) balancer.EndpointUpdate {
 	t.Helper()
 	select {
 	case m := <-updates:
@@ -58,14 +58,14 @@
 		send(`{"index":6,"snapshot":true,"new_field":[1],"endpoints":[` + entry("c", "127.0.0.2:3", "Ready") + `]}`)
 		<-done
 	})
-	dir, updates := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
-	m := next(t, updates)
+	dir, updates := startWatcher(t, d, entry("a", "127.0.0.2:1", "Ready"))
+	m := nextUpdate(t, updates)
 	if m.Kind != balancer.Delta || len(m.Endpoints) != 2 || m.Endpoints[0].State != balancer.Active ||
 		m.Endpoints[1].State != balancer.Draining || m.Endpoints[0].Machine != "m" || m.Endpoints[0].Zone != "a" ||
 		m.Endpoints[0].Weight != 3 {
 		t.Errorf("changes told as %+v", m)
 	}
-	if m = next(t, updates); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
+	if m = nextUpdate(t, updates); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
 		t.Errorf("snapshot told as %+v", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
@@ -96,11 +96,11 @@
 				}
 				<-done
 			})
-			dir, updates := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
-			if m := next(t, updates); m.Kind != balancer.Delta {
+			dir, updates := startWatcher(t, d, entry("a", "127.0.0.2:1", "Ready"))
+			if m := nextUpdate(t, updates); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
-			if m := next(t, updates); m.Kind != balancer.WatchFailed {
+			if m := nextUpdate(t, updates); m.Kind != balancer.WatchFailed {
 				t.Errorf("told %+v", m)
 			}
 			eventually(t, "asked again", func() bool { return len(d.watches()) == 2 })
@@ -122,9 +122,9 @@
 		send(list(9, false))
 		<-done
 	})
-	dir, updates := follow(t, d, entry("a", "127.0.0.2:1", "Ready"))
+	dir, updates := startWatcher(t, d, entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the answer and the news, nothing for the second empty line
-		if m := next(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
+		if m := nextUpdate(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
 			t.Errorf("told %+v", m)
 		}
 	}
@@ -154,7 +154,7 @@
 	}()
 	t.Cleanup(func() { <-done })
 	for range 2 {
-		if m := next(t, updates); m.Kind != balancer.Delta {
+		if m := nextUpdate(t, updates); m.Kind != balancer.Delta {
 			t.Errorf("told %+v", m)
 		}
 	}
@@ -167,14 +167,14 @@
 // started before this sidecar did.
 func TestSinceIsOnTheSidecarsClock(t *testing.T) {
 	clk := newClock()
-	if got := clk.unixMs(0); got != 0 {
+	if got := clk.fromUnixMs(0); got != 0 {
 		t.Errorf("long ago is %v", got)
 	}
 	since := float64(clk.start.Add(-3 * time.Second).UnixMilli())
-	if got := clk.unixMs(since) - clockStart; got > -2900*time.Millisecond || got < -3100*time.Millisecond {
+	if got := clk.fromUnixMs(since) - clockStart; got > -2900*time.Millisecond || got < -3100*time.Millisecond {
 		t.Errorf("3 s before the start is %v", got)
 	}
-	if got := clk.unixMs(1); got != 0 {
+	if got := clk.fromUnixMs(1); got != 0 {
 		t.Errorf("1970 is %v", got)
 	}
 }
@@ -204,12 +204,12 @@
 				close(done)
 			}()
 			w.subscribe()
-			if m := next(t, updates); m.Kind != balancer.Delta {
+			if m := nextUpdate(t, updates); m.Kind != balancer.Delta {
 				t.Errorf("told %+v", m)
 			}
 			w.move(after.address)
 			for {
-				m := next(t, updates)
+				m := nextUpdate(t, updates)
 				if m.Kind == balancer.WatchFailed {
 					t.Error("a move was told as a failure")
 				}
@@ -262,8 +262,8 @@
 					w.move("127.0.0.2:1")
 					time.Sleep(late + time.Millisecond)
 					synctest.Wait()
-					if _, ok := u.directory.address("a"); ok || *u.directory.full().Revision != 6 {
-						t.Errorf("version %d is in use, and takes work: %v", *u.directory.full().Revision, ok)
+					if _, ok := u.directory.address("a"); ok || *u.directory.fullList().Revision != 6 {
+						t.Errorf("version %d is in use, and takes work: %v", *u.directory.fullList().Revision, ok)
 					}
 					cancel()
 					<-done
@@ -273,9 +273,9 @@
 	}
 }
 
-// agents are agents of discovery in memory: each connection runs script with its address and number at that address, from
+// scriptDiscovery sets up agents of discovery in memory: each connection runs script with its address and number at that address, from
 // 1, and then stays open. Not answering is silence; script ends the answer where it says so, and nil lines refuse.
-func agents(w *watcher, script func(address string, n int) (refuses bool, lines []string, ends bool)) *[]time.Time {
+func scriptDiscovery(w *watcher, script func(address string, n int) (refuses bool, lines []string, ends bool)) *[]time.Time {
 	dials, numbers := &[]time.Time{}, map[string]int{}
 	w.client.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
 		*dials = append(*dials, time.Now())
@@ -334,7 +334,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWatcher(testConfig(t, "127.0.0.1:1"), newEndpointDirectory(newClock(), func(string) {}), func(balancer.EndpointUpdate) {})
-				dials := agents(w, x.script)
+				dials := scriptDiscovery(w, x.script)
 				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan struct{})
 				go func() {
@@ -342,7 +342,7 @@
 					close(done)
 				}()
 				synctest.Wait()
-				if got := *w.dir.full().Revision; got != 5 {
+				if got := *w.dir.fullList().Revision; got != 5 {
 					t.Fatalf("version %d at the start", got)
 				}
 				if x.moves {
@@ -350,7 +350,7 @@
 				}
 				time.Sleep(x.within)
 				synctest.Wait()
-				if got := *w.dir.full().Revision; got != 7 {
+				if got := *w.dir.fullList().Revision; got != 7 {
 					t.Errorf("version %d after %v", got, x.within)
 				}
 				for i, at := range (*dials)[1:] {
