--- a/internal/sidecar/acks.go
+++ b/internal/sidecar/acks.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	ackInterval = 20 * time.Second // well within api.HeardMs, also where one is lost
-	ackJitter   = time.Second      // after a change, which reaches all sidecars of a region at once
-	ackTimeout  = 10 * time.Second // of one acknowledgement, with the client's retries
+	ackInterval = 20 * time.Second // well within api.HeardMs, even if one acknowledgement is lost
+	ackJitter   = time.Second      // longest delay after a change, which reaches all sidecars of a region at once
+	ackTimeout  = 10 * time.Second // for one acknowledgement, including the client's retries
 	ackSockets  = 2                // file descriptors: of one connection, and of the one that replaces it
 )
 
 // acknowledge reports to the list service which settings are in force here, until ctx ends. source returns the present
-// addresses of the service. A nil receiver has nothing to report.
+// addresses of the list service. A nil settingsFollower reports nothing.
 func (s *settingsFollower) acknowledge(ctx context.Context, source func() string) {
 	if s == nil {
 		return
 	}
 	var c *client.Client
-	at := ""
+	clientAddresses := ""
 	defer func() {
 		if c != nil {
 			c.Close()
 		}
 	}()
 	s.acknowledgeLoop(ctx, func(ctx context.Context, ack api.Ack) error {
-		if now := source(); c == nil || now != at {
-			all, err := client.Addresses(now)
-			if err != nil { // the configuration was checked
+		if addresses := source(); c == nil || addresses != clientAddresses {
+			replicas, err := client.Addresses(addresses)
+			if err != nil { // can't happen, since the configuration was checked
 				return err
 			}
 			if c != nil {
 				c.Close()
 			}
-			c, at = client.New(all), now
+			c, clientAddresses = client.New(replicas), addresses
 		}
 		return c.Acknowledge(ctx, []api.Ack{ack})
 	})
 }
 
-// acknowledgeLoop sends an acknowledgement after each change and every ackInterval. One is in flight at most; a change
-// meanwhile is in the next.
+// acknowledgeLoop sends an acknowledgement after each change and every ackInterval. At most one is in flight; the next one
+// includes the changes made meanwhile.
 func (s *settingsFollower) acknowledgeLoop(ctx context.Context, send func(context.Context, api.Ack) error) {
 	failing := false
-	t := time.NewTimer(rand.N(ackInterval)) // spreads the calls of a fleet that starts at once
-	defer t.Stop()
+	timer := time.NewTimer(rand.N(ackInterval)) // spreads the calls of a fleet that starts at once
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.changed:
-			t.Reset(rand.N(ackJitter))
+			timer.Reset(rand.N(ackJitter))
 			continue
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Reset(ackInterval*9/10 + rand.N(ackInterval/5))
+		timer.Reset(ackInterval*9/10 + rand.N(ackInterval/5))
 		if s.muted() {
 			continue
 		}
@@ -79,11 +79,11 @@
 	}
 }
 
-// cutText cuts a text to at most bound bytes of whole characters.
-func cutText(text string, bound int) string {
+// cutText cuts a text to at most maxBytes bytes, without splitting a character.
+func cutText(text string, maxBytes int) string {
 	text = strings.ToValidUTF8(text, "?")
-	if len(text) > bound {
-		text = strings.ToValidUTF8(text[:bound], "")
+	if len(text) > maxBytes {
+		text = strings.ToValidUTF8(text[:maxBytes], "")
 	}
 	return text
 }
--- a/internal/sidecar/bans.go
+++ b/internal/sidecar/bans.go
@@ -8,8 +8,8 @@
 	"mosslead/balancer"
 )
 
-// ban bans an upstream, or with cleared lifts the ban, here and in the other process of an upgrade. It returns once that is
-// in force and on disk.
+// ban bans an upstream, or lifts the ban if cleared is set, in this process and in the other process of an upgrade. It returns
+// once the change is in force and on disk.
 func (p *process) ban(id string, cleared bool) error {
 	if !p.upstreams.directory.ban(id, cleared) {
 		return fmt.Errorf("no upstream is called %s", quoteShort(id))
@@ -26,26 +26,27 @@
 }
 
 // applyRelayedBan applies a ban relayed by the other process, and reports whether it is on disk.
-func (p *process) applyRelayedBan(b banMessage) (persisted bool, err error) {
-	if err := applyBan(p.upstreams.directory, p.loop, b.ID, b.Cleared); err != nil {
-		return false, fmt.Errorf("%s: %w", quoteShort(b.ID), err)
+func (p *process) applyRelayedBan(message banMessage) (persisted bool, err error) {
+	if err := applyBan(p.upstreams.directory, p.loop, message.ID, message.Cleared); err != nil {
+		return false, fmt.Errorf("%s: %w", quoteShort(message.ID), err)
 	}
-	return p.persister.acceptRelayedBan(b.ID, b.Cleared, b.Writes)
+	return p.persister.acceptRelayedBan(message.ID, message.Cleared, message.Writes)
 }
 
-// applyBan applies a ban to the directory, where it also stops requests that have been decided on, and then to the balancer.
-func applyBan(dir *endpointDirectory, l *dispatcher, id string, cleared bool) error {
+// applyBan applies a ban to the directory, which also stops requests that are being dispatched, and then to the balancer. It
+// returns nil once the balancer has applied it.
+func applyBan(dir *endpointDirectory, d *dispatcher, id string, cleared bool) error {
 	dir.setBan(id, cleared)
-	b := banCommand{balancer.Ban{Upstream: id, Cleared: cleared}, make(chan struct{})}
-	late := time.NewTimer(adminTimeout)
-	defer late.Stop()
-	go l.enqueueUrgent(b) // returns once the dispatcher has stopped at the latest
+	command := banCommand{balancer.Ban{Upstream: id, Cleared: cleared}, make(chan struct{})}
+	timeout := time.NewTimer(adminTimeout)
+	defer timeout.Stop()
+	go d.enqueueUrgent(command) // returns at the latest once the dispatcher has stopped
 	select {
-	case <-b.done:
+	case <-command.done:
 		return nil
-	case <-late.C:
+	case <-timeout.C:
 		return errors.New("too busy to confirm it in time, call again")
-	case <-l.stop:
+	case <-d.stop:
 		return errors.New("this process ends")
 	}
 }
--- a/internal/sidecar/dialer.go
+++ b/internal/sidecar/dialer.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// dialer opens connections to upstreams and to discovery; nil is the machine's network. Tests put one in memory in its place.
+// dialer opens connections to upstreams and to discovery. nil dials over the machine's network; tests use one in memory.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// withSourceHost has connections leave from the host of that address, as gossip's do, so that what stands between the sidecars knows
-// who sends; where the host is no address of one interface, the machine chooses.
+// withSourceHost returns a dialer whose connections have the host of address as their source, like those of gossip, so that
+// devices between the sidecars can identify the sender. If the host is not the address of one interface, or d is set, it
+// returns d.
 func (d dialer) withSourceHost(address string) dialer {
 	host, _, err := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
@@ -20,12 +21,12 @@
 	return (&net.Dialer{LocalAddr: &net.TCPAddr{IP: ip}}).DialContext
 }
 
-// dialTimeout gives a connection that long to come up.
-func (d dialer) dialTimeout(ctx context.Context, bound time.Duration, network, address string) (net.Conn, error) {
+// dialTimeout opens a connection, and fails if that takes longer than timeout.
+func (d dialer) dialTimeout(ctx context.Context, timeout time.Duration, network, address string) (net.Conn, error) {
 	if d == nil {
-		return (&net.Dialer{Timeout: bound}).DialContext(ctx, network, address)
+		return (&net.Dialer{Timeout: timeout}).DialContext(ctx, network, address)
 	}
-	ctx, cancel := context.WithTimeout(ctx, bound)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return d(ctx, network, address)
 }
--- a/internal/sidecar/endpointdirectory.go
+++ b/internal/sidecar/endpointdirectory.go
@@ -13,7 +13,7 @@
 	"mosslead/internal/circuitbreaker"
 )
 
-// listing is one message of discovery: the whole list, or the changes since the message before.
+// listing is one message of discovery: the whole list, or the changes since the previous message.
 type listing struct {
 	Revision  *int64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// clock is the sidecar's one clock. It is monotonic, and starts at clockStart, so that upstreams which started shortly
-// before this process have times above 0; 0 stands for long ago.
+// clock is the only clock of the sidecar. It is monotonic, and starts at clockStart, so that the start times of upstreams that
+// started shortly before this process are above 0; 0 means long ago.
 type clock struct{ start time.Time }
 
 const clockStart = time.Hour
@@ -78,7 +78,7 @@
 
 func (c clock) now() time.Duration { return clockStart + time.Since(c.start) }
 
-// fromUnixMs converts a wall-clock time in milliseconds; 0 stays 0.
+// fromUnixMs converts a Unix time in milliseconds to a time of this clock; 0 stays 0.
 func (c clock) fromUnixMs(ms float64) time.Duration {
 	if !(ms > 0) {
 		return 0
@@ -86,24 +86,25 @@
 	return max(0, clockStart+time.UnixMilli(int64(min(ms, 1e15))).Sub(c.start))
 }
 
-// maxRemoved is how many upstreams that left the list stay known, so that operators can ban one that is restarting.
+// maxRemoved is the number of upstreams that are remembered after their removal from the list, so that operators can ban one
+// that is restarting.
 const maxRemoved = 256
 
 // endpointDirectory holds the addresses of upstreams, whether they accept requests, and which are banned. The watcher
-// updates it as soon as a message is received, ahead of the dispatcher, so that a request to a server that has been
-// removed, drained or banned since the decision is still stopped at its write. Safe for concurrent use.
+// updates it as soon as a message is received, before the dispatcher gets the update, so that a request to a server that was
+// removed, drained or banned after the decision is still stopped before it is written. It is safe for concurrent use.
 type endpointDirectory struct {
 	clock  clock
-	onDrop func(name string) // an upstream's connections are no longer wanted
+	onDrop func(name string) // called when an upstream's connections may no longer be used
 
 	mu           sync.RWMutex
 	listRevision int64               // revision of the list
-	entries      map[string]endpoint // the list, including draining upstreams
-	banned       map[string]bool     // by an operator, whatever the list says
-	removed      []string            // from the list; the latest last, at most maxRemoved
+	entries      map[string]endpoint // by name; includes draining upstreams
+	banned       map[string]bool     // by an operator, independently of the list
+	removed      []string            // names removed from the list, the latest last; at most maxRemoved
 }
 
-// endpointAddress identifies one process of an upstream: connections to an earlier process can't be used.
+// endpointAddress identifies one process of an upstream: connections to an earlier process can no longer be used.
 type endpointAddress struct {
 	address string
 	sinceMs float64
@@ -113,7 +114,7 @@
 	return &endpointDirectory{clock: c, onDrop: onDrop, entries: map[string]endpoint{}, banned: map[string]bool{}}
 }
 
-// readyAddress returns the address of a ready entry, and the zero address of any other.
+// readyAddress returns the address of a ready entry, or the zero address if it is not ready.
 func (e endpoint) readyAddress() endpointAddress {
 	if e.Status != statusReady {
 		return endpointAddress{}
@@ -124,29 +125,29 @@
 // apply applies a message, calls onDrop for each upstream whose address has changed, and returns the update for the
 // balancer.
 func (d *endpointDirectory) apply(l *listing) balancer.EndpointUpdate {
-	m := balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
+	update := balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
 	d.mu.Lock()
 	d.listRevision = *l.Revision
-	before := map[string]endpoint{}
+	previous := map[string]endpoint{}
 	if l.Snapshot {
-		m.Kind = balancer.FullState
-		before, d.entries = d.entries, map[string]endpoint{}
+		update.Kind = balancer.FullState
+		previous, d.entries = d.entries, map[string]endpoint{}
 	}
 	for _, e := range l.Endpoints {
 		if old, listed := d.entries[e.Name]; listed {
-			before[e.Name] = old
+			previous[e.Name] = old
 		}
 		if e.Status == statusReady || e.Status == statusTerminating {
 			d.entries[e.Name] = e
 		} else {
 			delete(d.entries, e.Name)
 		}
-		m.Endpoints = append(m.Endpoints, d.balancerEndpoint(e))
+		update.Endpoints = append(update.Endpoints, d.balancerEndpoint(e))
 	}
 	var dropped []string
-	for name, old := range before {
-		now, listed := d.entries[name]
-		if now.readyAddress() != old.readyAddress() {
+	for name, old := range previous {
+		current, listed := d.entries[name]
+		if current.readyAddress() != old.readyAddress() {
 			dropped = append(dropped, name)
 		}
 		if !listed {
@@ -158,7 +159,7 @@
 	for _, name := range dropped {
 		d.onDrop(name)
 	}
-	return m
+	return update
 }
 
 // balancerEndpoint translates an entry for the balancer.
@@ -176,19 +177,19 @@
 
 // cachedUpdate returns the present list as an update for the balancer.
 func (d *endpointDirectory) cachedUpdate() balancer.EndpointUpdate {
-	m := balancer.EndpointUpdate{Kind: balancer.Cached}
+	update := balancer.EndpointUpdate{Kind: balancer.Cached}
 	for _, e := range d.fullList().Endpoints {
-		m.Endpoints = append(m.Endpoints, d.balancerEndpoint(e))
+		update.Endpoints = append(update.Endpoints, d.balancerEndpoint(e))
 	}
-	return m
+	return update
 }
 
 // fullList returns the present list.
 func (d *endpointDirectory) fullList() *listing {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	index := d.listRevision
-	l := &listing{Revision: &index, Snapshot: true}
+	revision := d.listRevision
+	l := &listing{Revision: &revision, Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(d.entries)) {
 		l.Endpoints = append(l.Endpoints, d.entries[name])
 	}
@@ -196,14 +197,14 @@
 }
 
 // revision returns the list's revision and its number of entries.
-func (d *endpointDirectory) revision() (index int64, entries int) {
+func (d *endpointDirectory) revision() (revision int64, entries int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.listRevision, len(d.entries)
 }
 
-// ban bans an upstream on behalf of an operator, or with cleared lifts the ban; it returns false for an unknown name. A ban
-// also stops requests that were decided on before: upstreamConn checks it at the write.
+// ban bans an upstream on behalf of an operator, or lifts the ban if cleared is set. It reports whether the name is known. A
+// ban also stops requests that are already being dispatched: upstreamConn checks it before it writes a request.
 func (d *endpointDirectory) ban(name string, cleared bool) bool {
 	d.mu.Lock()
 	_, known := d.entries[name]
@@ -215,7 +216,8 @@
 	return known
 }
 
-// setBan is ban without the check of the name, which another process of this sidecar may have made.
+// setBan bans an upstream, or lifts the ban, without the check of the name, which another process of this sidecar may have
+// made.
 func (d *endpointDirectory) setBan(name string, cleared bool) {
 	d.mu.Lock()
 	if cleared {
@@ -236,27 +238,28 @@
 	return slices.Sorted(maps.Keys(d.banned))
 }
 
-// countUnavailable returns the number of listed upstreams, and of those that are banned or among the ejected.
-func (d *endpointDirectory) countUnavailable(ejected []string) (listed, avoided int) {
+// countUnavailable returns the number of listed upstreams, and how many of them are banned or ejected.
+func (d *endpointDirectory) countUnavailable(ejected []string) (listed, unavailable int) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for name := range d.entries {
 		if d.banned[name] || slices.Contains(ejected, name) {
-			avoided++
+			unavailable++
 		}
 	}
-	return len(d.entries), avoided
+	return len(d.entries), unavailable
 }
 
-// address returns where an upstream takes requests now; false while it drains, is removed or is banned.
+// address returns the address at which an upstream accepts requests, and reports whether there is one; there is none while
+// it drains, and if it is removed or banned.
 func (d *endpointDirectory) address(name string) (endpointAddress, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	at := d.entries[name].readyAddress()
-	return at, at != endpointAddress{} && !d.banned[name]
+	address := d.entries[name].readyAddress()
+	return address, address != endpointAddress{} && !d.banned[name]
 }
 
-// zone returns the zone of a ready upstream, or "gone".
+// zone returns the zone of a ready upstream, or "gone" if it is not ready.
 func (d *endpointDirectory) zone(name string) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -266,7 +269,7 @@
 	return "gone"
 }
 
-// incarnation returns when a listed upstream started, as listed, and its zone.
+// incarnation returns the start time and the zone of an upstream, as listed, and reports whether it is listed.
 func (d *endpointDirectory) incarnation(name string) (sinceMs int64, zone string, listed bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -274,7 +277,7 @@
 	return int64(e.StartedMs), e.Zone, listed
 }
 
-// incarnations returns the ready upstreams, as the breaker tracker identifies them.
+// incarnations returns the ready upstreams, as the tracker of the circuit breakers identifies them.
 func (d *endpointDirectory) incarnations() []circuitbreaker.Upstream {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -300,10 +303,10 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// ready reports whether an upstream takes requests at that address.
-func (d *endpointDirectory) ready(name string, at endpointAddress) bool {
-	now, ok := d.address(name)
-	return ok && now == at
+// ready reports whether an upstream accepts requests at that address.
+func (d *endpointDirectory) ready(name string, address endpointAddress) bool {
+	current, ok := d.address(name)
+	return ok && current == address
 }
 
 // empty reports whether no upstream is ready.
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -23,16 +23,16 @@
 
 func chunked(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// outages are the ways in which an agent of discovery may fail. A call made while it does gets what before writes, with
-// pauses between, for as long as goes is true, and then is reset where ends is set, or stays open and silent. Nothing that
-// was begun before the return brings anything after it, but for a message without end.
+// outages are the ways in which discovery may fail. A call during an outage gets the texts of writes, with pauses between them,
+// until the outage ends. The connection is then reset if resets is set; otherwise it stays open and silent. A connection opened
+// during the outage brings nothing after it, except for a message without end.
 var outages = []struct {
 	name    string
-	dial    string // refused or hangs; else it comes up
+	dial    string // "refused", "hangs", or "" if the connection is established
 	writes  []string
-	pause   time.Duration // between what it says
+	pause   time.Duration // between writes, and between repeats
 	resets  bool
-	repeats string // once all was said: again and again, also after the return
+	repeats string // written again and again after writes, also after the outage
 }{
 	{name: "refused", dial: "refused"},
 	{name: "hangs", dial: "hangs"},
@@ -56,144 +56,146 @@
 	{name: "a list that can't be used", writes: []string{outageHead + chunked(`{"index":8,"snapshot":true,"endpoints":[{}]}`)}},
 }
 
-// outageScenario is a watcher with its module, and its agent, which fails from down until back in one of the ways above, and
-// has a drain to tell when it is back. Times are since the party began.
+// outageScenario is a watcher with its dispatcher, and a discovery that fails from failsAt until recoversAt in one of the ways
+// above, and then has a list in which the upstream a drains. Times are since the start of the scenario.
 type outageScenario struct {
 	outage              int
 	failsAt, recoversAt time.Duration
 	startedAt           time.Time
 	watcher             *watcher
 	dir                 *endpointDirectory
-	drainedAt           atomic.Int64  // when the drain was in flight; 0: it is not
-	failureReports      atomic.Int64  // how often the balancer was told of a failure
-	eventAt             time.Duration // the return, or the move
+	drainedAt           atomic.Int64  // when the drain was applied to the directory; 0 if it was not
+	failureReports      atomic.Int64  // number of failures reported to the balancer
+	eventAt             time.Duration // when discovery recovers or moves
 	ignoresFirstCall    bool          // the first call at the new address is never answered
-	firstCallIgnored    atomic.Bool   // it was made
+	firstCallIgnored    atomic.Bool   // that call was made
 	running             *sync.WaitGroup
 }
 
 const (
 	outageFrom = "127.0.0.1:1"
-	outageTo   = "127.0.0.2:1" // an agent that never fails
+	outageTo   = "127.0.0.2:1" // discovery at this address never fails
 )
 
-func (p *outageScenario) now() time.Duration { return time.Since(p.startedAt) }
+func (s *outageScenario) now() time.Duration { return time.Since(s.startedAt) }
 
-func (p *outageScenario) fails() bool { return p.now() >= p.failsAt && p.now() < p.recoversAt }
+func (s *outageScenario) fails() bool { return s.now() >= s.failsAt && s.now() < s.recoversAt }
 
-func (p *outageScenario) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	if way := outages[p.outage]; address == outageFrom && p.fails() && way.dial != "" {
-		if way.dial == "hangs" {
+func (s *outageScenario) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	if outage := outages[s.outage]; address == outageFrom && s.fails() && outage.dial != "" {
+		if outage.dial == "hangs" {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		return nil, errors.New("refused")
 	}
-	ours, theirs := net.Pipe()
-	p.running.Go(func() {
-		defer func() { _ = theirs.Close() }()
-		if _, err := http.ReadRequest(bufio.NewReader(theirs)); err != nil {
+	near, far := net.Pipe()
+	s.running.Go(func() {
+		defer func() { _ = far.Close() }()
+		if _, err := http.ReadRequest(bufio.NewReader(far)); err != nil {
 			return
 		}
-		if address == outageTo && p.ignoresFirstCall && !p.firstCallIgnored.Swap(true) {
-			_, _ = io.Copy(io.Discard, theirs)
+		if address == outageTo && s.ignoresFirstCall && !s.firstCallIgnored.Swap(true) {
+			_, _ = io.Copy(io.Discard, far)
 			return
 		}
-		p.serve(theirs, address == outageTo)
+		s.serve(far, address == outageTo)
 	})
-	return ours, nil
+	return near, nil
 }
 
-// serve is an agent's answer; it returns once the connection is to be reset.
-func (p *outageScenario) serve(c net.Conn, sound bool) {
-	say := func(text string) bool {
+// serve writes discovery's answer; it returns when the connection is to be reset.
+func (s *outageScenario) serve(c net.Conn, healthy bool) {
+	write := func(text string) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
-	if way := outages[p.outage]; sound || !p.fails() {
+	if outage := outages[s.outage]; healthy || !s.fails() {
 		index, status := 5, "Ready"
-		if sound || p.now() >= p.recoversAt {
+		if healthy || s.now() >= s.recoversAt {
 			index, status = 7, "Terminating"
 		}
-		if !say(outageHead + chunked(list(index, false, entry("a", "127.0.0.2:1", status))+"\n")) {
+		if !write(outageHead + chunked(list(index, false, entry("a", "127.0.0.2:1", status))+"\n")) {
 			return
 		}
-		for next := p.now() + 2*time.Second; index == 7 || next < p.failsAt; next += 2 * time.Second {
-			time.Sleep(next - p.now())
-			if !say(chunked("\n")) {
+		for next := s.now() + 2*time.Second; index == 7 || next < s.failsAt; next += 2 * time.Second {
+			time.Sleep(next - s.now())
+			if !write(chunked("\n")) {
 				return
 			}
 		}
-		time.Sleep(p.failsAt - p.now())
-		if way.resets || way.dial == "refused" {
+		time.Sleep(s.failsAt - s.now())
+		if outage.resets || outage.dial == "refused" {
 			return
 		}
-		if way.repeats != "" && strings.HasPrefix(way.name, "a line") {
-			say(chunked(`{"index":7,"more":"`))
-			p.writeRepeats(say)
+		if outage.repeats != "" && strings.HasPrefix(outage.name, "a line") {
+			write(chunked(`{"index":7,"more":"`))
+			s.writeRepeats(write)
 		}
 	} else {
-		for i, text := range way.writes {
+		for i, text := range outage.writes {
 			if i > 0 {
-				time.Sleep(way.pause)
+				time.Sleep(outage.pause)
 			}
-			if p.fails() && !say(text) {
+			if s.fails() && !write(text) {
 				return
 			}
 		}
-		if way.resets {
+		if outage.resets {
 			return
 		}
-		if way.repeats != "" {
-			p.writeRepeats(say)
+		if outage.repeats != "" {
+			s.writeRepeats(write)
 		}
 	}
 	_, _ = io.Copy(io.Discard, c)
 }
 
-func (p *outageScenario) writeRepeats(say func(string) bool) {
-	for say(outages[p.outage].repeats) {
-		time.Sleep(outages[p.outage].pause)
+func (s *outageScenario) writeRepeats(write func(string) bool) {
+	for write(outages[s.outage].repeats) {
+		time.Sleep(outages[s.outage].pause)
 	}
 }
 
-// start runs the party until it has the drain, or ctx ends.
-func (p *outageScenario) start(ctx context.Context, t *testing.T, c Config, seed uint64) {
-	c.dial = p.dial
+// start runs the scenario until the drain is applied, or ctx ends.
+func (s *outageScenario) start(ctx context.Context, t *testing.T, c Config, seed uint64) {
+	c.dial = s.dial
 	b, err := balancer.New(c.Settings.Settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	clk := newClock()
-	p.startedAt, p.dir = time.Now(), newEndpointDirectory(clk, func(string) {})
-	p.dir.apply(c.Known)
-	l := newDispatcher(b, clk, ctx.Done())
+	s.startedAt, s.dir = time.Now(), newEndpointDirectory(clk, func(string) {})
+	s.dir.apply(c.Known)
+	d := newDispatcher(b, clk, ctx.Done())
 	onDemand := c.Settings.MustSubscribe
-	p.watcher = newWatcher(&c, p.dir, func(m balancer.EndpointUpdate) {
-		if m.Kind == balancer.WatchFailed {
-			p.failureReports.Add(1)
+	s.watcher = newWatcher(&c, s.dir, func(update balancer.EndpointUpdate) {
+		if update.Kind == balancer.WatchFailed {
+			s.failureReports.Add(1)
 		}
-		if _, ok := p.dir.address("a"); !ok && p.drainedAt.Load() == 0 {
-			p.drainedAt.Store(int64(p.now()))
+		if _, ok := s.dir.address("a"); !ok && s.drainedAt.Load() == 0 {
+			s.drainedAt.Store(int64(s.now()))
 			cancel()
 		}
 		if onDemand {
-			l.enqueueUpdate(m)
+			d.enqueueUpdate(update)
 		}
 	})
-	p.running.Go(func() { p.watcher.run(ctx, onDemand) })
+	s.running.Go(func() { s.watcher.run(ctx, onDemand) })
 	if onDemand {
-		l.subscribe = p.watcher.subscribe
-		p.running.Go(func() { l.run(p.dir.cachedUpdate()) })
+		d.subscribe = s.watcher.subscribe
+		s.running.Go(func() { d.run(s.dir.cachedUpdate()) })
 	}
 }
 
-// eventTimes are those at which something comes 50 ms apart: from then on, over so long, in an outage that begins at down.
+// eventTimes are the times of events, 50 ms apart, in an outage that begins at failsAt. offset counts from failsAt; the first
+// event is 50 ms after offset, and the last one length after offset.
 type eventTimes struct{ failsAt, offset, length time.Duration }
 
-// outageEventTimes are at the start, after a while without an outage, and once all waits are at their longest, over one round of
-// all that is tried: two calls and the balancer's wait where that asks, one silence where not.
+// outageEventTimes returns times in an outage from the start, in one after a while without an outage, and late in an outage,
+// when all waits are at their longest, over one round of tries: two calls and the balancer's back-off with onDemand, otherwise
+// one silence.
 func outageEventTimes(onDemand bool) []eventTimes {
 	const sec = time.Second
 	if onDemand {
@@ -202,72 +204,72 @@
 	return []eventTimes{{0, 0, 4 * sec}, {1017 * time.Millisecond, 0, 4 * sec}, {0, 10 * sec, 2500 * time.Millisecond}}
 }
 
-// runOutage plays moments of an outage in one bubble: at each the agent is back for one party or, where moves is set,
-// discovery moves for good. It returns how long after that the latest of them had the drain.
-func runOutage(t *testing.T, onDemand, moves bool, way int, connect time.Duration, at []eventTimes) (latest time.Duration) {
+// runOutage runs one scenario for each event time in one synctest bubble: at that time discovery recovers or, if moves is set,
+// discovery moves and stays down at the old address. It returns the longest time from the event until the drain was applied.
+func runOutage(t *testing.T, onDemand, moves bool, outage int, connect time.Duration, events []eventTimes) (longest time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		c := testConfig(t, outageFrom, entry("a", "127.0.0.2:1", "Ready"))
 		c.Settings.ConnectTimeout, c.Settings.MustSubscribe = connect, onDemand
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		var all []*outageScenario
-		var last, first time.Duration
-		for _, m := range at {
-			for after := 50 * time.Millisecond; after <= m.length; after += 50 * time.Millisecond {
-				p := &outageScenario{outage: way, failsAt: m.failsAt, eventAt: m.failsAt + m.offset + after, running: &running}
-				p.recoversAt, last = p.eventAt, max(last, p.eventAt)
+		var scenarios []*outageScenario
+		var lastEvent, firstCallDelay time.Duration
+		for _, times := range events {
+			for after := 50 * time.Millisecond; after <= times.length; after += 50 * time.Millisecond {
+				p := &outageScenario{outage: outage, failsAt: times.failsAt, eventAt: times.failsAt + times.offset + after, running: &running}
+				p.recoversAt, lastEvent = p.eventAt, max(lastEvent, p.eventAt)
 				if moves {
-					p.recoversAt, p.ignoresFirstCall = time.Hour, len(all)%2 == 1
+					p.recoversAt, p.ignoresFirstCall = time.Hour, len(scenarios)%2 == 1
 				}
-				all = append(all, p)
-				p.start(ctx, t, *c, uint64(len(all)))
+				scenarios = append(scenarios, p)
+				p.start(ctx, t, *c, uint64(len(scenarios)))
 				if moves {
 					time.AfterFunc(p.eventAt, func() { p.watcher.move(outageTo) })
 				}
 			}
 		}
-		time.Sleep(last + 2*watch.NotifyDeadline)
+		time.Sleep(lastEvent + 2*watch.NotifyDeadline)
 		cancel()
 		running.Wait()
-		for _, p := range all {
-			announced := time.Duration(p.drainedAt.Load())
-			if announced < p.eventAt {
-				t.Fatalf("down at %v, event at %v: told at %v, %d failures", p.failsAt, p.eventAt, announced, p.failureReports.Load())
+		for _, p := range scenarios {
+			drainedAt := time.Duration(p.drainedAt.Load())
+			if drainedAt < p.eventAt {
+				t.Fatalf("outage at %v, event at %v: got the drain at %v, after %d reported failures, want it after the event", p.failsAt, p.eventAt, drainedAt, p.failureReports.Load())
 			}
 			if !onDemand && p.failureReports.Load() > 0 {
-				t.Error("a failure was told to a module that did not ask")
+				t.Errorf("got %d failures reported without onDemand, want none", p.failureReports.Load())
 			}
-			latest = max(latest, announced-p.eventAt)
+			longest = max(longest, drainedAt-p.eventAt)
 			if moves && !p.firstCallIgnored.Load() {
-				first = max(first, announced-p.eventAt)
+				firstCallDelay = max(firstCallDelay, drainedAt-p.eventAt)
 			}
 		}
-		if first > 0 {
-			t.Errorf("the new address was first asked %v after the signal, at the latest", first)
+		if firstCallDelay > 0 {
+			t.Errorf("got the drain up to %v after the move where the first call to the new address is answered, want at once", firstCallDelay)
 		}
 	})
-	return latest
+	return longest
 }
 
-// Guards against a drain that is acted on too late: whatever failed before, a change is in flight within watch.Told of the
-// moment at which discovery had it and could be reached, and where it is pushed within 3 s, since it binds at once there.
+// Guards against a drain that is applied too late: whatever failed before, a change is applied within watch.NotifyDeadline
+// after discovery has it and can be reached, and within 3 s if lists are pushed, since sidecars then have to follow it at once.
 func TestAfterAnOutageAListIsInHandInTime(t *testing.T) {
 	for _, onDemand := range []bool{false, true} {
-		for way := range outages {
+		for outage := range outages {
 			for _, connect := range []time.Duration{200 * time.Millisecond, 2200 * time.Millisecond, 5 * time.Second} {
-				if connect > 200*time.Millisecond && outages[way].dial != "hangs" {
+				if connect > 200*time.Millisecond && outages[outage].dial != "hangs" {
 					continue
 				}
-				t.Run(fmt.Sprintf("asks %v, %s, connect %v", onDemand, outages[way].name, connect), func(t *testing.T) {
+				t.Run(fmt.Sprintf("asks %v, %s, connect %v", onDemand, outages[outage].name, connect), func(t *testing.T) {
 					t.Parallel()
 					bound := 3 * time.Second
 					if onDemand {
 						bound = watch.NotifyDeadline
 					}
-					if got := runOutage(t, onDemand, false, way, connect, outageEventTimes(onDemand)); got > bound {
-						t.Errorf("in hand %v after the return, at the latest", got)
+					if got := runOutage(t, onDemand, false, outage, connect, outageEventTimes(onDemand)); got > bound {
+						t.Errorf("got the drain up to %v after the recovery, want at most %v", got, bound)
 					} else {
-						t.Logf("in hand %v after the return, at the latest", got)
+						t.Logf("the drain was applied up to %v after the recovery", got)
 					}
 				})
 			}
@@ -275,25 +277,25 @@
 	}
 }
 
-// Guards against a list that is late after SIGHUP: the new address is asked at once, whatever is wrong with the old one and
-// however long the balancer would still wait; where that first call is never answered, the list is in flight all the same
-// before it binds, 4 s after the signal.
+// Guards against a list that is applied too late after SIGHUP: the first call to the new address is made at once, however the
+// old one fails and however long the balancer's back-off still is. Even if that call is never answered, the list is applied
+// within 4 s after the signal, by when sidecars have to follow it.
 func TestAMovedListIsInHandInTime(t *testing.T) {
 	for _, onDemand := range []bool{false, true} {
-		for way := range outages {
-			t.Run(fmt.Sprintf("asks %v, %s", onDemand, outages[way].name), func(t *testing.T) {
+		for outage := range outages {
+			t.Run(fmt.Sprintf("asks %v, %s", onDemand, outages[outage].name), func(t *testing.T) {
 				t.Parallel()
-				at := []eventTimes{{1017 * time.Millisecond, 0, 1500 * time.Millisecond}, {0, 15 * time.Second, 2 * time.Second}}
-				if got := runOutage(t, onDemand, true, way, 2200*time.Millisecond, at); got > 4*time.Second {
-					t.Errorf("in hand %v after the signal, at the latest", got)
+				events := []eventTimes{{1017 * time.Millisecond, 0, 1500 * time.Millisecond}, {0, 15 * time.Second, 2 * time.Second}}
+				if got := runOutage(t, onDemand, true, outage, 2200*time.Millisecond, events); got > 4*time.Second {
+					t.Errorf("got the drain up to %v after the signal, want at most 4 s", got)
 				}
 			})
 		}
 	}
 }
 
-// Guards against a request that was decided on before a drain was known and is sent after: its connection is still coming up when
-// discovery is back, or has moved, and is up later. Nothing is written to it, and the balancer may send it elsewhere.
+// Guards against a request that was decided on before a drain was known and is sent afterwards: its connection is established
+// only after discovery has recovered or moved. Nothing is written to it, and the balancer may send the request elsewhere.
 func TestAConnectionThatIsUpAfterTheDrainSendsNothing(t *testing.T) {
 	for _, moves := range []bool{false, true} {
 		for _, drains := range []bool{false, true} {
@@ -307,18 +309,18 @@
 				c := testConfig(t, outageFrom, entry("a", "127.0.0.2:1", "Ready"))
 				c.Settings.MustSubscribe = false
 				p.start(ctx, t, *c, 1)
-				late, bytes := make(chan struct{}), make(chan int, 1)
+				connected, bytes := make(chan struct{}), make(chan int, 1)
 				c.Settings.ConnectTimeout = time.Minute
 				c.dial = func(context.Context, string, string) (net.Conn, error) {
-					<-late
-					ours, theirs := net.Pipe()
+					<-connected
+					near, far := net.Pipe()
 					go func() {
-						got := make([]byte, 100)
-						n, _ := theirs.Read(got)
-						_ = theirs.Close()
+						buffer := make([]byte, 100)
+						n, _ := far.Read(buffer)
+						_ = far.Close()
 						bytes <- n
 					}()
-					return ours, nil
+					return near, nil
 				}
 				u := newUpstreamPool(c, newClock(), 4)
 				u.directory = p.dir
@@ -329,13 +331,13 @@
 					p.watcher.move(outageTo)
 				}
 				time.Sleep(4 * time.Second)
-				close(late)
+				close(connected)
 				rep, n := <-ended, <-bytes
 				if drains && (n != 0 || rep.result != balancer.NotSent) {
-					t.Errorf("moves %v: %d bytes after the drain, result %d", moves, n, rep.result)
+					t.Errorf("moves %v: got %d bytes after the drain, result %d, want 0, %d", moves, n, rep.result, balancer.NotSent)
 				}
 				if !drains && n == 0 {
-					t.Errorf("moves %v: nothing was sent without a drain", moves)
+					t.Errorf("moves %v: got 0 bytes without a drain, want the request", moves)
 				}
 				cancel()
 				running.Wait()
--- a/internal/sidecar/persister.go
+++ b/internal/sidecar/persister.go
@@ -17,47 +17,47 @@
 
 const (
 	persistInterval   = 2 * time.Second        // between writes of the snapshot, and of the list if it has changed
-	writePauseFactor  = 100                    // the pause after writing is this many times as long as the writing
-	persistStartDelay = 20 * time.Millisecond  // before the directory is acquired: the list is served first
-	lockPollInterval  = 20 * time.Millisecond  // while another process of the sidecar writes
+	writePauseFactor  = 100                    // the pause after a write is at least this many times as long as the write
+	persistStartDelay = 20 * time.Millisecond  // before the directory is acquired, so that the list is in use first
+	lockPollInterval  = 20 * time.Millisecond  // between tries, while another process of the sidecar is the writer
 	diskRetryInterval = time.Second            // after a disk error
-	banTimeout        = 350 * time.Millisecond // for a ban to be on disk; with adminTimeout, below the 1 s for a call
+	banTimeout        = 350 * time.Millisecond // for a ban to reach the disk; together with adminTimeout below the 1 s of a call
 	maxWaitingBans    = 64                     // bans that may wait for a disk that hangs
 	stateSockets      = 4                      // file descriptors: the lock, the log, and a file being written
 )
 
-// statePersister writes the state that outlives the process, in the background. One process of the sidecar holds the
-// directory's lock and writes; in an upgrade the predecessor releases it when it yields, and the successor then acquires it.
-// A nil statePersister stores nothing. Its methods are safe for concurrent use, but for run, save, acquire and release,
-// which belong to the goroutine of run.
+// statePersister writes the state that outlives the process, in the background. One process of the sidecar, the writer, holds
+// the directory's lock; in an upgrade the predecessor releases it when it yields, and the successor then acquires it. A nil
+// statePersister stores nothing. Its methods are safe for concurrent use, except for run, save, acquire and release, which
+// belong to the goroutine of run.
 type statePersister struct {
 	store    *statestore.Store
 	bans     func() []string                  // returns the bans in force
 	adoptBan func(id string)                  // applies a ban that is on disk and not in force
 	list     func() (string, *listing)        // returns the list and its source
-	snapshot func() (balancer.Snapshot, bool) // returns that of the balancer
-	// settings returns the followed settings and the number of their changes; nil: none are followed.
+	snapshot func() (balancer.Snapshot, bool) // returns the balancer's snapshot; false if there is none
+	// settings returns the followed settings and the number of their changes; nil if none are followed.
 	settings func() (*statestore.Settings, int64)
 	log      func(slog.Level, string, error) // logs disk errors
 
-	writtenSource        string // of the list that was written last
-	writtenRevision      int64  // its revision
+	writtenSource        string // of the list written last
+	writtenRevision      int64  // revision of that list
 	writtenSettingsCount int64  // number of changes of the settings written last
 
-	incarnationBegun bool // the start of this process is recorded in the directory
+	incarnationBegun bool // the directory has a record of the start of this process
 
 	startedAt   time.Time
-	shouldWrite chan bool // has a buffer of one
-	ended       chan struct{}
-	slots       chan struct{} // one for each call that waits for the disk
+	shouldWrite chan bool     // buffer of one; whether this process is to be the writer
+	ended       chan struct{} // closed once run has ended
+	slots       chan struct{} // holds one element for each call that waits for the disk
 
-	mu          sync.RWMutex  // read-held while the store is used for a ban
-	writing     chan struct{} // closed while this process is the writer
+	mu          sync.RWMutex  // held for reading while the store is used for a ban
+	writing     chan struct{} // closed while this process is the writer; release replaces it
 	isWriter    bool
-	clearedBans map[string]bool // cleared here while another process was the writer
+	clearedBans map[string]bool // names of those lifted here while another process was the writer
 
 	statsMu      sync.Mutex
-	lastWriteErr error // the error of the last write; nil: it succeeded
+	lastWriteErr error // nil if the last write succeeded
 	errorCount   int64
 	savedAt      time.Time // of the snapshot
 }
@@ -68,16 +68,17 @@
 		log: func(level slog.Level, text string, err error) { logAttrs(level, ofState, text, slog.Any("err", err)) }}
 }
 
-// openState reads the state that a sidecar starts with. With alone, a lock held by another process is an error; else it is
-// acquired later, once the other process releases it. Any other error is logged, and the sidecar starts without state.
+// openState reads the state with which a sidecar starts. If alone is set, a lock held by another process is an error;
+// otherwise it is acquired later, once the other process releases it. Any other error is logged, and the sidecar starts
+// without state.
 func openState(c *Config, alone bool) (*statePersister, statestore.Loaded, error) {
 	if c.State == "" {
 		return nil, statestore.Loaded{}, nil
 	}
-	k := newStatePersister(statestore.New(c.State, c.Name))
-	lock := k.store.TryLock
+	p := newStatePersister(statestore.New(c.State, c.Name))
+	lock := p.store.TryLock
 	if alone {
-		lock = k.store.Lock
+		lock = p.store.Lock
 	}
 	err := lock()
 	if alone && errors.Is(err, durable.ErrLocked) {
@@ -86,210 +87,210 @@
 	locked := err == nil
 	var persisted statestore.Loaded
 	if err == nil || errors.Is(err, durable.ErrLocked) {
-		persisted, err = k.store.LoadFirst(time.Now())
+		persisted, err = p.store.LoadFirst(time.Now())
 	}
 	if err == nil && c.Service != "" {
-		err = k.store.LoadSettings(&persisted)
+		err = p.store.LoadSettings(&persisted)
 	}
 	if err != nil {
-		k.recordError(err)
-		return k, statestore.Loaded{}, nil
+		p.recordError(err)
+		return p, statestore.Loaded{}, nil
 	}
 	if locked {
-		persisted = k.store.Begin(persisted, time.Now())
-		k.incarnationBegun = true
+		persisted = p.store.Begin(persisted, time.Now())
+		p.incarnationBegun = true
 	}
 	logLoaded(persisted)
-	return k, persisted, nil
+	return p, persisted, nil
 }
 
-// run acquires the directory and writes, until stop; then it releases the directory, marked as clean.
-func (k *statePersister) run(stop <-chan struct{}) {
-	if k == nil {
+// run acquires the directory and writes until stop is closed; then it releases the directory, marked as cleanly closed.
+func (p *statePersister) run(stop <-chan struct{}) {
+	if p == nil {
 		return
 	}
-	defer close(k.ended)
-	wanted, settled := true, false
+	defer close(p.ended)
+	enabled, settled := true, false
 	wait := persistStartDelay
 	for {
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
 		case <-stop:
-			t.Stop()
-			k.save()
-			k.release(true)
+			timer.Stop()
+			p.save()
+			p.release(true)
 			return
-		case wanted = <-k.shouldWrite:
-			t.Stop()
-			if !wanted {
-				k.save()
-				k.release(true) // handed over
+		case enabled = <-p.shouldWrite:
+			timer.Stop()
+			if !enabled {
+				p.save()
+				p.release(true) // the successor acquires it
 			}
-		case <-t.C:
+		case <-timer.C:
 		}
-		if !wanted {
+		if !enabled {
 			wait = time.Hour
 			continue
 		}
-		if k.isWriter && !k.store.Holds() { // the directory was deleted or replaced by a copy
-			k.release(false)
-			k.log(slog.LevelWarn, "state directory was replaced", errors.New("taking it up anew"))
+		if p.isWriter && !p.store.Holds() { // the directory was deleted or replaced by a copy
+			p.release(false)
+			p.log(slog.LevelWarn, "state directory was replaced", errors.New("acquiring the new one"))
 		}
-		if !k.isWriter {
-			if wait = k.acquire(); k.isWriter {
-				wait = persistInterval // what has just been read need not be written
+		if !p.isWriter {
+			if wait = p.acquire(); p.isWriter {
+				wait = persistInterval // the state has just been read, and need not be written yet
 			}
 			continue
 		}
-		begun := time.Now()
-		if !settled && time.Since(k.startedAt) >= statestore.SettledAfter {
-			settled = k.recordResult(k.store.Settled())
+		started := time.Now()
+		if !settled && time.Since(p.startedAt) >= statestore.SettledAfter {
+			settled = p.recordResult(p.store.Settled())
 		}
-		k.save()
-		wait = max(persistInterval, writePauseFactor*time.Since(begun))
+		p.save()
+		wait = max(persistInterval, writePauseFactor*time.Since(started))
 		wait = time.Duration(float64(wait) * (0.9 + 0.2*rand.Float64())) // so that the sidecars of a machine do not write in step
 	}
 }
 
 // acquire tries to become the writer, and returns how long to wait before the next try.
-func (k *statePersister) acquire() time.Duration {
-	if !k.store.Holds() {
-		if err := k.store.TryLock(); errors.Is(err, durable.ErrLocked) {
+func (p *statePersister) acquire() time.Duration {
+	if !p.store.Holds() {
+		if err := p.store.TryLock(); errors.Is(err, durable.ErrLocked) {
 			return lockPollInterval
 		} else if err != nil {
-			k.recordError(err)
+			p.recordError(err)
 			return diskRetryInterval
 		}
 	}
-	if !k.incarnationBegun { // the state there is the other process's, which has handed it over
-		persisted, err := k.store.LoadFirst(time.Now())
-		if err == nil && k.settings != nil {
-			err = k.store.LoadSettings(&persisted)
+	if !p.incarnationBegun { // the state on disk was written by the other process, which has released it
+		persisted, err := p.store.LoadFirst(time.Now())
+		if err == nil && p.settings != nil {
+			err = p.store.LoadSettings(&persisted)
 		}
 		if err != nil {
-			k.recordError(err)
-			k.release(false)
+			p.recordError(err)
+			p.release(false)
 			return diskRetryInterval
 		}
-		k.store.Begin(persisted, time.Now())
-		k.incarnationBegun = true
+		p.store.Begin(persisted, time.Now())
+		p.incarnationBegun = true
 	}
-	onDisk, err := k.store.Open(time.Now())
+	onDisk, err := p.store.Open(time.Now())
 	if err != nil {
-		k.recordError(err)
-		k.release(false)
+		p.recordError(err)
+		p.release(false)
 		return diskRetryInterval
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	inForce := map[string]bool{}
-	for _, id := range k.bans() {
+	for _, id := range p.bans() {
 		inForce[id] = true
 		if onDisk[id] == "" {
-			err = errors.Join(err, k.store.Ban(id, time.Now()))
+			err = errors.Join(err, p.store.Ban(id, time.Now()))
 		}
 	}
 	for id := range onDisk {
 		switch {
 		case inForce[id]:
-		case k.clearedBans[id]:
-			err = errors.Join(err, k.store.Unban(id))
+		case p.clearedBans[id]:
+			err = errors.Join(err, p.store.Unban(id))
 		default: // a ban that reached only the predecessor
-			k.adoptBan(id)
+			p.adoptBan(id)
 		}
 	}
-	k.recordResult(err)
-	k.clearedBans = map[string]bool{}
-	k.writtenSource, k.writtenSettingsCount = "", 0 // have list and settings written
-	k.isWriter = true
-	close(k.writing)
+	p.recordResult(err)
+	p.clearedBans = map[string]bool{}
+	p.writtenSource, p.writtenSettingsCount = "", 0 // so that the list and the settings are written
+	p.isWriter = true
+	close(p.writing)
 	return 0
 }
 
-// release lets another process be the writer.
-func (k *statePersister) release(clean bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.incarnationBegun = false
-	if k.isWriter {
-		k.isWriter = false
-		k.writing = make(chan struct{})
-	}
-	if err := k.store.Release(clean); err != nil {
-		k.recordError(err)
+// release releases the lock, so that another process can become the writer.
+func (p *statePersister) release(clean bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.incarnationBegun = false
+	if p.isWriter {
+		p.isWriter = false
+		p.writing = make(chan struct{})
+	}
+	if err := p.store.Release(clean); err != nil {
+		p.recordError(err)
 	}
 }
 
-// stopAndWait stops run by closing stop, and blocks until it has ended.
-func (k *statePersister) stopAndWait(stop chan<- struct{}) {
+// stopAndWait stops run by closing stop, and blocks until run has ended.
+func (p *statePersister) stopAndWait(stop chan<- struct{}) {
 	close(stop)
-	if k != nil {
-		<-k.ended
+	if p != nil {
+		<-p.ended
 	}
 }
 
 // setWriting sets whether this process is to be the writer. It does not block.
-func (k *statePersister) setWriting(write bool) {
-	if k == nil {
+func (p *statePersister) setWriting(enable bool) {
+	if p == nil {
 		return
 	}
 	select {
-	case <-k.shouldWrite: // only the latest value counts
+	case <-p.shouldWrite: // discard an earlier value that run has not received
 	default:
 	}
 	select {
-	case k.shouldWrite <- write:
-	case <-k.ended:
+	case p.shouldWrite <- enable:
+	case <-p.ended:
 	}
 }
 
 // save writes the list and the settings, if they have changed, and the snapshot.
-func (k *statePersister) save() {
-	if !k.isWriter {
+func (p *statePersister) save() {
+	if !p.isWriter {
 		return
 	}
-	if source, l := k.list(); l != nil && (source != k.writtenSource || *l.Revision != k.writtenRevision) {
+	if source, l := p.list(); l != nil && (source != p.writtenSource || *l.Revision != p.writtenRevision) {
 		text, err := json.Marshal(l)
 		if err == nil {
-			err = k.store.WriteList(source, text, time.Now())
+			err = p.store.WriteList(source, text, time.Now())
 		}
-		if !k.recordResult(err) {
+		if !p.recordResult(err) {
 			return
 		}
-		k.writtenSource, k.writtenRevision = source, *l.Revision
+		p.writtenSource, p.writtenRevision = source, *l.Revision
 	}
-	if k.settings != nil {
-		if s, change := k.settings(); s != nil && change != k.writtenSettingsCount {
-			if !k.recordResult(k.store.WriteSettings(*s, time.Now())) {
+	if p.settings != nil {
+		if s, change := p.settings(); s != nil && change != p.writtenSettingsCount {
+			if !p.recordResult(p.store.WriteSettings(*s, time.Now())) {
 				return
 			}
-			k.writtenSettingsCount = change
+			p.writtenSettingsCount = change
 		}
 	}
-	if l, ok := k.snapshot(); ok {
-		if k.recordResult(k.store.WriteSnapshot(l, time.Now())) {
-			k.statsMu.Lock()
-			k.savedAt = time.Now()
-			k.statsMu.Unlock()
+	if l, ok := p.snapshot(); ok {
+		if p.recordResult(p.store.WriteSnapshot(l, time.Now())) {
+			p.statsMu.Lock()
+			p.savedAt = time.Now()
+			p.statsMu.Unlock()
 		}
 	}
 }
 
 // ban stores a ban, or the lifting of one, durably.
-func (k *statePersister) ban(id string, cleared bool) error {
-	if k == nil {
+func (p *statePersister) ban(id string, cleared bool) error {
+	if p == nil {
 		return nil
 	}
-	return k.runWithin(banTimeout, func() error { return k.writeBan(id, cleared, banTimeout*3/4) })
+	return p.runWithin(banTimeout, func() error { return p.writeBan(id, cleared, banTimeout*3/4) })
 }
 
-// acceptRelayedBan is ban for one relayed by the other process of an upgrade; persisted: it is on disk. It is not if the other process
-// is the writer or this one stores nothing; the other process then writes it.
-func (k *statePersister) acceptRelayedBan(id string, cleared, otherWrites bool) (persisted bool, err error) {
-	if k == nil || otherWrites {
+// acceptRelayedBan stores a ban relayed by the other process of an upgrade, and reports whether it is on disk. It is not if the
+// other process is the writer or this one stores nothing; the other process then writes it.
+func (p *statePersister) acceptRelayedBan(id string, cleared, otherWrites bool) (persisted bool, err error) {
+	if p == nil || otherWrites {
 		return false, nil
 	}
-	err = k.runWithin(banTimeout/2, func() error { return k.writeBan(id, cleared, banTimeout/4) })
+	err = p.runWithin(banTimeout/2, func() error { return p.writeBan(id, cleared, banTimeout/4) })
 	if errors.Is(err, errNotWriting) {
 		return false, nil
 	}
@@ -297,114 +298,115 @@
 }
 
 // writesNow reports whether this process is the writer.
-func (k *statePersister) writesNow() bool {
-	if k == nil {
+func (p *statePersister) writesNow() bool {
+	if p == nil {
 		return false
 	}
-	k.mu.RLock()
-	defer k.mu.RUnlock()
-	return k.isWriter
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	return p.isWriter
 }
 
-// runWithin runs f, and waits for it up to the bound. Calls that a hanging disk blocks keep their slots until it answers.
-func (k *statePersister) runWithin(bound time.Duration, f func() error) error {
+// runWithin runs f, and waits for it at most until the timeout. A call that a hanging disk blocks keeps its slot until the
+// disk answers.
+func (p *statePersister) runWithin(timeout time.Duration, f func() error) error {
 	select {
-	case k.slots <- struct{}{}:
+	case p.slots <- struct{}{}:
 	default:
 		return errors.New("the disk does not answer, call again")
 	}
-	late := time.NewTimer(bound)
-	defer late.Stop()
-	ended := make(chan error, 1)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	result := make(chan error, 1)
 	go func() {
-		defer func() { <-k.slots }()
-		ended <- f()
+		defer func() { <-p.slots }()
+		result <- f()
 	}()
 	select {
-	case err := <-ended:
+	case err := <-result:
 		return err
-	case <-late.C:
+	case <-timer.C:
 		return errors.New("not on disk in time, call again")
 	}
 }
 
 var errNotWriting = errors.New("nothing can be written now, call again")
 
-// writeBan stores a ban, or removes it. It waits up to turn for this process to become the writer.
-func (k *statePersister) writeBan(id string, cleared bool, turn time.Duration) error {
-	k.mu.Lock()
-	if cleared && !k.isWriter {
-		k.clearedBans[id] = true
+// writeBan stores a ban, or removes it. It waits at most until the timeout for this process to become the writer.
+func (p *statePersister) writeBan(id string, cleared bool, timeout time.Duration) error {
+	p.mu.Lock()
+	if cleared && !p.isWriter {
+		p.clearedBans[id] = true
 	} else {
-		delete(k.clearedBans, id)
+		delete(p.clearedBans, id)
 	}
-	writing := k.writing
-	k.mu.Unlock()
-	late := time.NewTimer(turn)
-	defer late.Stop()
+	writing := p.writing
+	p.mu.Unlock()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-writing:
-	case <-late.C:
+	case <-timer.C:
 		return errNotWriting
 	}
-	k.mu.RLock()
-	defer k.mu.RUnlock()
-	if !k.isWriter {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	if !p.isWriter {
 		return errNotWriting
 	}
 	var err error
 	if cleared {
-		err = k.store.Unban(id)
+		err = p.store.Unban(id)
 	} else {
-		err = k.store.Ban(id, time.Now())
+		err = p.store.Ban(id, time.Now())
 	}
-	if !k.recordResult(err) {
+	if !p.recordResult(err) {
 		return errors.New("not on disk, call again")
 	}
 	return nil
 }
 
-// recordResult records the result of a write, and logs when writes start to fail and when they recover. It returns whether
-// the write succeeded.
-func (k *statePersister) recordResult(err error) bool {
+// recordResult records the result of a write, and logs when writes start to fail and when they recover. It reports
+// whether the write succeeded.
+func (p *statePersister) recordResult(err error) bool {
 	if err != nil {
-		k.recordError(err)
+		p.recordError(err)
 		return false
 	}
-	k.statsMu.Lock()
-	failed := k.lastWriteErr
-	k.lastWriteErr = nil
-	k.statsMu.Unlock()
+	p.statsMu.Lock()
+	failed := p.lastWriteErr
+	p.lastWriteErr = nil
+	p.statsMu.Unlock()
 	if failed != nil {
-		k.log(slog.LevelInfo, "state writes recovered", nil)
+		p.log(slog.LevelInfo, "state writes recovered", nil)
 	}
 	return true
 }
 
 // recordError records the error of a write.
-func (k *statePersister) recordError(err error) {
-	k.statsMu.Lock()
-	first := k.lastWriteErr == nil
-	k.lastWriteErr = err
-	k.errorCount++
-	k.statsMu.Unlock()
+func (p *statePersister) recordError(err error) {
+	p.statsMu.Lock()
+	first := p.lastWriteErr == nil
+	p.lastWriteErr = err
+	p.errorCount++
+	p.statsMu.Unlock()
 	if first {
-		k.log(slog.LevelWarn, "state write failed, serving without", err)
+		p.log(slog.LevelWarn, "state write failed, serving without", err)
 	}
 }
 
-// lines returns the figures for operators; cached tells whether the list in use is the persisted one.
-func (k *statePersister) lines(cached bool, listAge time.Duration) string {
-	if k == nil {
+// lines returns the lines of STATS about the persisted state; cached is whether the list in use is the persisted one.
+func (p *statePersister) lines(cached bool, listAge time.Duration) string {
+	if p == nil {
 		return ""
 	}
-	k.statsMu.Lock()
-	defer k.statsMu.Unlock()
+	p.statsMu.Lock()
+	defer p.statsMu.Unlock()
 	var s strings.Builder
 	flag := map[bool]int{true: 1}
-	fmt.Fprintf(&s, "gw.state_failing:%d|g\ngw.state_errors:%d|c\n", flag[k.lastWriteErr != nil], k.errorCount)
-	if !k.savedAt.IsZero() {
-		fmt.Fprintf(&s, "gw.state_age_ms:%d|g\n", time.Since(k.savedAt).Milliseconds())
+	fmt.Fprintf(&s, "gw.state_failing:%d|g\ngw.state_errors:%d|c\n", flag[p.lastWriteErr != nil], p.errorCount)
+	if !p.savedAt.IsZero() {
+		fmt.Fprintf(&s, "gw.state_age_ms:%d|g\n", time.Since(p.savedAt).Milliseconds())
 	}
 	fmt.Fprintf(&s, "gw.list_kept:%d|g\n", flag[cached])
 	if cached {
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -14,7 +14,7 @@
 	"mosslead/internal/statestore"
 )
 
-// withState is a configuration with a state directory and an admin port, over a discovery without news.
+// withState returns a configuration with a state directory, an operators' port and a discovery that sends no changes.
 func withState(t *testing.T, dir string, known ...string) *Config {
 	t.Helper()
 	c := testConfig(t, quiet(t).address, known...)
@@ -28,7 +28,7 @@
 	return resp.StatusCode, body
 }
 
-// lockHolder plays another process that writes to a directory.
+// lockHolder returns a store that holds the lock of a directory, as another process of the sidecar would.
 func lockHolder(t *testing.T, dir string) *statestore.Store {
 	t.Helper()
 	s := statestore.New(dir, "n1")
@@ -38,7 +38,7 @@
 	return s
 }
 
-// copyState copies a state directory as it is on disk, which is what a process that is killed leaves.
+// copyState copies a state directory as it is on disk, which is what a killed process leaves.
 func copyState(t *testing.T, dir string) string {
 	t.Helper()
 	for {
@@ -47,37 +47,39 @@
 		if err == nil {
 			return to
 		}
-		if !errors.Is(err, os.ErrNotExist) { // else a file took its name while it was copied
+		if !errors.Is(err, os.ErrNotExist) { // otherwise a file was renamed during the copy
 			t.Fatal(err)
 		}
 	}
 }
 
-// Guards against a ban undone by a crash: what got its YES holds in the process that starts from what is on disk then.
+// Guards against the loss of a ban in a crash: a ban answered by YES is in force in a process that starts from the state that
+// was on disk then.
 func TestBanOutlivesACrash(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up, other := newUpstream(t, says(ok200("s"))), newUpstream(t, says(ok200("other")))
 	entries := []string{entry("s", up.address, "Ready"), entry("other", other.address, "Ready")}
 	first := start(t, withState(t, dir, entries...), "127.0.0.1:0")
 	if got := first.call(t, "DISABLE s\n"); got != "YES\n" {
-		t.Fatalf("DISABLE: %q", got)
+		t.Fatalf("DISABLE: got %q, want YES", got)
 	}
-	left := copyState(t, dir)
-	second := start(t, withState(t, left, entries...), "127.0.0.1:0")
+	crashed := copyState(t, dir)
+	second := start(t, withState(t, crashed, entries...), "127.0.0.1:0")
 	for range 20 {
 		if _, body := second.get(t); body != "other" {
-			t.Fatalf("served by %q", body)
+			t.Fatalf("served by %q, want other", body)
 		}
 	}
 	if got := second.call(t, "ENABLE s\n"); got != "YES\n" {
-		t.Errorf("ENABLE: %q", got)
+		t.Errorf("ENABLE: got %q, want YES", got)
 	}
-	if k, err := statestore.New(left, "n1").Load(time.Now()); err != nil || len(k.Bans) != 0 {
-		t.Errorf("lifted, on disk: %v, %v", k.Bans, err)
+	if loaded, err := statestore.New(crashed, "n1").Load(time.Now()); err != nil || len(loaded.Bans) != 0 {
+		t.Errorf("on disk after ENABLE: got bans %v, %v, want none", loaded.Bans, err)
 	}
 }
 
-// Guards against a start that waits for discovery though the list is on disk: it is ready with that, and says so.
+// Guards against a start that waits for discovery although the list is on disk: the process is ready with that list, and
+// STATS shows its use.
 func TestStartsWithThePersistedListWhileDiscoveryIsSilent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, says(ok200("s")))
@@ -88,115 +90,118 @@
 	}
 	c := withState(t, dir)
 	c.Known = nil
-	c.Discovery = "127.0.0.1:1" // nobody there
+	c.Discovery = "127.0.0.1:1" // nothing listens there
 	r := start(t, c, "127.0.0.1:0")
 	if status, body := r.get(t); status != 200 || body != "s" {
-		t.Errorf("served %d %q", status, body)
+		t.Errorf("got %d %q, want 200 \"s\"", status, body)
 	}
 	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g\n") || !strings.Contains(got, "gw.list_age_ms:6") {
-		t.Errorf("figures: %s", got)
+		t.Errorf("got STATS %s, want gw.list_kept:1|g and gw.list_age_ms:6...", got)
 	}
 }
 
-// A second process on one directory, with no upgrade between them, is refused: it would write over the first one's.
+// Guards against a second process on one directory without an upgrade: it fails, since it would overwrite the state of the
+// first.
 func TestSecondProcessOnOneDirectoryFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	s := lockHolder(t, dir)
 	if _, _, err := openState(withState(t, dir), true); !errors.Is(err, durable.ErrLocked) || !strings.Contains(err.Error(), dir) {
-		t.Errorf("alone: %v", err)
+		t.Errorf("without an upgrade: got error %v, want %v with the directory", err, durable.ErrLocked)
 	}
-	k, _, err := openState(withState(t, dir), false)
+	p, _, err := openState(withState(t, dir), false)
 	if err != nil {
-		t.Fatalf("in an upgrade: %v", err)
+		t.Fatalf("in an upgrade: got error %v, want none", err)
 	}
-	k.bans, k.adoptBan = func() []string { return []string{"here"} }, func(id string) { t.Errorf("%s was adopted", id) }
-	k.list, k.snapshot = nil, nil
-	if persisted, err := k.acceptRelayedBan("a", false, false); persisted || err != nil {
-		t.Errorf("while the other writes: kept %v, %v", persisted, err)
+	p.bans, p.adoptBan = func() []string { return []string{"here"} }, func(id string) { t.Errorf("got adopted ban of %s, want none", id) }
+	p.list, p.snapshot = nil, nil
+	if persisted, err := p.acceptRelayedBan("a", false, false); persisted || err != nil {
+		t.Errorf("while the other process is the writer: got persisted %v, error %v, want false, none", persisted, err)
 	}
 	if err := s.Release(false); err != nil {
 		t.Fatal(err)
 	}
-	if wait := k.acquire(); wait != 0 || !k.writesNow() {
-		t.Fatalf("not taken up once the other let go (%v)", wait)
+	if wait := p.acquire(); wait != 0 || !p.writesNow() {
+		t.Fatalf("after the other process released the lock: got wait %v, writer %v, want 0, true", wait, p.writesNow())
 	}
-	if err := k.ban("b", false); err != nil {
+	if err := p.ban("b", false); err != nil {
 		t.Error(err)
 	}
-	k.release(false)
+	p.release(false)
 	if persisted, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || len(persisted.Bans) != 2 {
-		t.Errorf("on disk: %v, %v; the ban in force and the new one are wanted", persisted.Bans, err)
+		t.Errorf("on disk: got bans %v, %v, want 2: the one in force and the new one", persisted.Bans, err)
 	}
 }
 
-// A disk that can't be used costs what it would keep, and a NO for bans, and no service; it is used again once it can.
+// Guards against a sidecar that needs its disk: while the disk is not usable, requests are served, bans are answered by NO and
+// no state is kept; once it is usable again, it is used.
 func TestServiceGoesOnWithoutTheDisk(t *testing.T) {
 	base := t.TempDir()
 	dir := filepath.Join(base, "state")
-	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no directory can be made there
+	if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file, so that no directory can be created there
 		t.Fatal(err)
 	}
 	up := newUpstream(t, says(ok200("s")))
 	r := start(t, withState(t, dir, entry("s", up.address, "Ready")), "127.0.0.1:0")
 	if status, _ := r.get(t); status != 200 {
-		t.Errorf("status %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 	if got := r.call(t, "DISABLE s\n"); !strings.HasPrefix(got, "NO nothing can be written now") {
-		t.Errorf("DISABLE: %q", got)
+		t.Errorf("DISABLE: got %q, want NO nothing can be written now", got)
 	}
 	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:1|g\n") {
-		t.Errorf("figures: %s", got)
+		t.Errorf("got STATS %s, want gw.state_failing:1|g", got)
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a ban on disk", func() bool { return r.call(t, "DISABLE s\n") == "YES\n" })
-	if k, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || len(k.Bans) != 1 {
-		t.Errorf("on disk: %v, %v", k.Bans, err)
+	if loaded, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || len(loaded.Bans) != 1 {
+		t.Errorf("on disk: got bans %v, %v, want 1", loaded.Bans, err)
 	}
 	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:0|g\n") {
-		t.Errorf("figures: %s", got)
+		t.Errorf("got STATS %s, want gw.state_failing:0|g", got)
 	}
 }
 
-// SIGTERM leaves a clean mark, and the list with the snapshot.
+// Guards against an end by SIGTERM that leaves the state marked as crashed, or without the list and the snapshot.
 func TestOrderlyEndIsMarked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, says(ok200("s")))
 	r := start(t, withState(t, dir, entry("s", up.address, "Ready")), "127.0.0.1:0")
 	if status, _ := r.get(t); status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("got status %d, want 200", status)
 	}
-	if k, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || !k.Crashed {
-		t.Errorf("while it runs: %v, crashed %v", err, k.Crashed)
+	if loaded, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || !loaded.Crashed {
+		t.Errorf("while it runs: got error %v, crashed %v, want none, true", err, loaded.Crashed)
 	}
 	r.stop()
 	<-r.ended
-	k, err := statestore.New(dir, "n1").Load(time.Now())
-	if err != nil || k.Crashed || k.List == nil || k.Snapshot == nil || len(k.Snapshot.Balancer.Endpoints) != 1 {
-		t.Errorf("after its end: %+v, %v", k, err)
+	loaded, err := statestore.New(dir, "n1").Load(time.Now())
+	if err != nil || loaded.Crashed || loaded.List == nil || loaded.Snapshot == nil || len(loaded.Snapshot.Balancer.Endpoints) != 1 {
+		t.Errorf("after its end: got state %+v, %v, want not crashed, a list and a snapshot with 1 endpoint", loaded, err)
 	}
 }
 
-// After a crash loop the list is set aside, and taken all the same where nobody tells another one.
+// Guards against a sidecar without a list after a crash loop: the list is quarantined, and used nevertheless if no other list
+// is received.
 func TestListOfACrashLoopIsTheLastResort(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, says(ok200("s")))
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	for range 3 {
 		s := lockHolder(t, dir)
-		k, err := s.Load(time.Now())
+		loaded, err := s.Load(time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Begin(k, time.Now())
+		s.Begin(loaded, time.Now())
 		if err := errors.Join(s.WriteList("127.0.0.1:1", []byte(text), time.Now()), s.Release(false)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c := withState(t, dir)
 	c.Known = nil
-	c.Discovery = "127.0.0.1:1" // nobody there
+	c.Discovery = "127.0.0.1:1" // nothing listens there
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -205,12 +210,12 @@
 	r := startOn(t, c, l, "")
 	r.awaitReady(t, "YES")
 	if elapsed := time.Since(begun); elapsed < suspectListDelay {
-		t.Errorf("ready after %v, with a list that was set aside", elapsed)
+		t.Errorf("got ready after %v with a quarantined list, want at least %v", elapsed, suspectListDelay)
 	}
 	if status, body := r.get(t); status != 200 || body != "s" {
-		t.Errorf("served %d %q", status, body)
+		t.Errorf("got %d %q, want 200 \"s\"", status, body)
 	}
 	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g") {
-		t.Errorf("figures: %s", got)
+		t.Errorf("got STATS %s, want gw.list_kept:1|g", got)
 	}
 }
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Guards against a process that is not ready for as long as discovery is down, because the list that it knows is empty or only
-// has servers that drain: it is ready all the same, holds what comes, refuses it in its time, and serves once discovery speaks.
+// Guards against a process that is not ready while discovery is down, because its list is empty or has only draining upstreams:
+// it becomes ready nevertheless, queues requests, refuses them within their deadlines, and serves once discovery answers.
 func TestReadyWithoutAServer(t *testing.T) {
 	t.Parallel()
 	s := newUpstream(t, says(ok200("done")))
-	silentOne := func(back <-chan struct{}) string { // answers no call before it is back
+	silentUntil := func(back <-chan struct{}) string { // answers no call before back is closed
 		return newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 			select {
 			case <-back:
@@ -28,15 +28,15 @@
 		discovery func(<-chan struct{}) string
 		returns   bool
 	}{
-		"empty, silent":    {nil, silentOne, true},
-		"draining, silent": {[]string{entry("s", s.address, "Terminating")}, silentOne, true},
+		"empty, silent":    {nil, silentUntil, true},
+		"draining, silent": {[]string{entry("s", s.address, "Terminating")}, silentUntil, true},
 		"empty, down":      {nil, refuses, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			back := make(chan struct{})
 			r := startOn(t, testConfig(t, c.discovery(back), c.known...), listenAt(t), "")
-			begun := time.Now()
+			startedAt := time.Now()
 			status := func() int {
 				resp, err := r.client.Get("http://" + r.address + "/-/ready")
 				if err != nil {
@@ -46,20 +46,20 @@
 				return resp.StatusCode
 			}
 			if got := status(); got != http.StatusServiceUnavailable {
-				t.Errorf("ready at once: %d", got) // a list may come any moment
+				t.Errorf("at the start: got status %d, want 503", got) // a list may be received at any moment
 			}
 			eventually(t, "ready", func() bool { return status() == http.StatusOK })
-			if elapsed := time.Since(begun); elapsed < readyWithoutListAfter-100*time.Millisecond || elapsed > 8*time.Second {
-				t.Errorf("ready after %v", elapsed)
+			if elapsed := time.Since(startedAt); elapsed < readyWithoutListAfter-100*time.Millisecond || elapsed > 8*time.Second {
+				t.Errorf("got ready after %v, want %v to 8 s", elapsed, readyWithoutListAfter)
 			}
 			req := request(t, r.address, "search", "")
 			req.Header.Set("X-Timeout", "400m")
-			queries := time.Now()
+			sentAt := time.Now()
 			if resp, _ := r.do(t, req); resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("without a list: %s", resp.Status)
+				t.Errorf("without a list: got status %s, want 503", resp.Status)
 			}
-			if elapsed := time.Since(queries); elapsed > 2*time.Second { // 400 ms and what a busy machine takes
-				t.Errorf("refused after %v", elapsed)
+			if elapsed := time.Since(sentAt); elapsed > 2*time.Second { // 400 ms and the delays of a busy machine
+				t.Errorf("got the refusal after %v, want at most 2 s", elapsed)
 			}
 			if !c.returns {
 				return
@@ -67,34 +67,35 @@
 			pending := r.later(request(t, r.address, "search", ""))
 			close(back)
 			if got := <-pending; got != "200 done" {
-				t.Errorf("what was held as discovery came back: %s", got)
+				t.Errorf("request queued before discovery returned: got %s, want 200 done", got)
 			}
 		})
 	}
 }
 
-// Guards against a start that waits where there is a list, however old and whatever discovery does.
+// Guards against a start that waits although there is a list, however old it is and whatever discovery does.
 func TestReadyAtOnceWithAnOldList(t *testing.T) {
 	t.Parallel()
 	s := newUpstream(t, says(ok200("done")))
 	for name, discovery := range map[string]string{"down": "127.0.0.1:1", "silent": newDiscovery(t,
 		func(_ int, _ func(string), done <-chan struct{}) { <-done }).address} {
-		begun := time.Now()
+		startedAt := time.Now()
 		r := start(t, testConfig(t, discovery, entry("s", s.address, "Ready")), "127.0.0.1:0")
-		if elapsed := time.Since(begun); elapsed > readyWithoutListAfter {
-			t.Errorf("%s: ready after %v", name, elapsed)
+		if elapsed := time.Since(startedAt); elapsed > readyWithoutListAfter {
+			t.Errorf("%s: got ready after %v, want at most %v", name, elapsed, readyWithoutListAfter)
 		}
 		if resp, _ := r.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 {
-			t.Errorf("%s: %s", name, resp.Status)
+			t.Errorf("%s: got status %s, want 200", name, resp.Status)
 		}
 	}
 }
 
-// Guards against limits that leave nothing for clients, and are taken without a word: the process would accept nobody.
+// Guards against limits of descriptors that leave none for clients: the process would accept no connection, so newProcess
+// returns an error that names the limit.
 func TestTooFewDescriptorsAreNamed(t *testing.T) {
 	for _, c := range []struct {
 		sockets int
-		all     bool // doors, disk, passed socket
+		all     bool // with operators' port, state directory, forwarding between peers, and hand-over
 		ok      bool
 	}{{64, false, true}, {64, true, false}, {35, false, false}, {256, true, true}} {
 		conf := testConfig(t, "127.0.0.1:1")
@@ -106,13 +107,13 @@
 		}
 		p, err := newProcess(conf, nil, c.all, tmp, nil)
 		if (err == nil) != c.ok {
-			t.Errorf("%d descriptors, all %v: %v", c.sockets, c.all, err)
+			t.Errorf("%d descriptors, all %v: got error %v, want success %v", c.sockets, c.all, err, c.ok)
 		}
 		if err == nil && p.maxConns < minConns {
-			t.Errorf("%d descriptors, all %v: %d for clients", c.sockets, c.all, p.maxConns)
+			t.Errorf("%d descriptors, all %v: got %d for clients, want at least %d", c.sockets, c.all, p.maxConns, minConns)
 		}
 		if err != nil && fmt.Sprint(err)[:16] != "limits: sockets:" {
-			t.Errorf("not named: %v", err)
+			t.Errorf("got error %v, want it to begin with limits: sockets:", err)
 		}
 	}
 }
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -10,19 +10,19 @@
 	"mosslead/internal/registry/client"
 )
 
-// isReplicated reports whether discovery is a list service of several replicas.
+// isReplicated reports whether the addresses of discovery are those of a list service with several replicas.
 func isReplicated(addresses string) bool { return strings.Contains(addresses, ",") }
 
-// follow watches a list service of several replicas, or one that sends settings too, until ctx ends. The client chooses the
+// follow watches a list service that has several replicas or also sends settings, until ctx ends. The client chooses the
 // replica, retries, and checks lists for plausibility.
 func (w *watcher) follow(ctx context.Context, addresses string) {
-	all, err := client.Addresses(addresses)
-	if err != nil { // the configuration was checked
+	replicas, err := client.Addresses(addresses)
+	if err != nil { // can't happen, since the configuration was checked
 		logWarning(ofDiscovery, "list service addresses not usable", err)
 		<-ctx.Done()
 		return
 	}
-	c := client.New(all)
+	c := client.New(replicas)
 	defer c.Close()
 	var query func() string
 	if w.settings != nil {
@@ -30,36 +30,36 @@
 	}
 	c.Watch(ctx, w.currentList(), client.Watcher{
 		Query: query,
-		Apply: func(l api.WatchEvent) error {
-			received := &listing{Revision: &l.Revision, Snapshot: l.Snapshot}
-			for _, e := range l.Endpoints {
+		Apply: func(event api.WatchEvent) error {
+			received := &listing{Revision: &event.Revision, Snapshot: event.Snapshot}
+			for _, e := range event.Endpoints {
 				received.Endpoints = append(received.Endpoints, endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Machine: e.Machine, Cell: e.Cell,
 					Status: e.Status, StartedMs: float64(e.StartedMs), Weight: e.Weight})
 			}
 			if err := received.check(); err != nil {
 				return err
 			}
-			w.revision = l.Revision
+			w.revision = event.Revision
 			w.report(w.dir.apply(received))
-			w.settings.onDocuments(l.Documents)
+			w.settings.onDocuments(event.Documents)
 			return nil
 		},
 		OnEstablished: func() { w.report(balancer.EndpointUpdate{Kind: balancer.Delta}) },
-		OnError: func(at string, why error) {
-			logAttrs(slog.LevelWarn, ofDiscovery, "watch ended", slog.String("peer", at), slog.Any("err", why))
+		OnError: func(replica string, err error) {
+			logAttrs(slog.LevelWarn, ofDiscovery, "watch ended", slog.String("peer", replica), slog.Any("err", err))
 		},
 	})
 }
 
-// currentList returns the list in use, with the revision of discovery; nil: there is none.
+// currentList returns the list in use, with the revision of discovery, or nil if the list is empty.
 func (w *watcher) currentList() *api.WatchEvent {
 	complete := w.dir.fullList()
 	if len(complete.Endpoints) == 0 {
 		return nil
 	}
-	l := &api.WatchEvent{Revision: w.revision, Snapshot: true}
+	event := &api.WatchEvent{Revision: w.revision, Snapshot: true}
 	for _, e := range complete.Endpoints {
-		l.Endpoints = append(l.Endpoints, api.Endpoint{Name: e.Name, Status: e.Status})
+		event.Endpoints = append(event.Endpoints, api.Endpoint{Name: e.Name, Status: e.Status})
 	}
-	return l
+	return event
 }
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -12,24 +12,24 @@
 // suspectListDelay is how long a process waits for discovery before it uses a quarantined list.
 const suspectListDelay = 2 * time.Second
 
-// restore returns the list and the snapshot that this process starts with, from the predecessor or, if there is none, from
+// restore returns the list and the snapshot with which this process starts, from the predecessor or, if there is none, from
 // disk, and applies the bans. It fails if another process of the sidecar has locked the state directory.
 func (p *process) restore() (known balancer.EndpointUpdate, snapshot *balancer.Snapshot, err error) {
-	first, source, banned := p.config.Known, p.config.Discovery, []string(nil)
+	initial, source, banned := p.config.Known, p.config.Discovery, []string(nil)
 	var settings *statestore.Settings
 	if p.handsOver {
-		before := p.handover.receiveState()
+		predecessor := p.handover.receiveState()
 		p.limitMemory(p.handover.other != nil)
-		if list := before.List; list != nil && list.Revision != nil && (first == nil || *list.Revision >= *first.Revision) {
-			first = list
+		if list := predecessor.List; list != nil && list.Revision != nil && (initial == nil || *list.Revision >= *initial.Revision) {
+			initial = list
 		}
-		snapshot, banned, settings = before.Snapshot, before.Banned, before.Settings
+		snapshot, banned, settings = predecessor.Snapshot, predecessor.Banned, predecessor.Settings
 	}
 	if p.persister, p.loaded, err = openState(p.config, p.handover.other == nil); err != nil {
 		return known, nil, err
 	}
 	if p.persister != nil && p.handover.other == nil {
-		first, source = p.chooseList(first)
+		initial, source = p.chooseList(initial)
 		for id := range p.loaded.Bans {
 			banned = append(banned, id)
 		}
@@ -38,11 +38,11 @@
 		p.upstreams.directory.setBan(id, false)
 		p.loop.handle(balancer.Ban{Upstream: id})
 	}
-	if first != nil {
-		known = p.upstreams.directory.apply(first)
+	if initial != nil {
+		known = p.upstreams.directory.apply(initial)
 		p.watch.revision = 0
 		if source == p.config.Discovery { // another discovery's revisions can't be compared
-			p.watch.revision = *first.Revision
+			p.watch.revision = *initial.Revision
 		}
 	}
 	p.restoreDocument(settings)
@@ -51,63 +51,63 @@
 }
 
 // chooseList chooses between the list of the configuration and the persisted one.
-func (p *process) chooseList(configured *listing) (first *listing, source string) {
-	first, source = configured, p.config.Discovery
+func (p *process) chooseList(configured *listing) (chosen *listing, source string) {
+	chosen, source = configured, p.config.Discovery
 	attrs := []slog.Attr{slog.Bool("crashed", p.loaded.Crashed), slog.Int("bans", len(p.loaded.Bans))}
-	if k := p.loaded.List; k != nil {
-		l, err := parseListing(k.Listing)
+	if persisted := p.loaded.List; persisted != nil {
+		l, err := parseListing(persisted.Listing)
 		switch {
 		case err != nil:
 			logWarning(ofState, "persisted endpoint list not usable", err)
-		case configured == nil || k.Source == p.config.Discovery && *l.Revision >= *configured.Revision:
-			first, source = l, k.Source
-			p.cachedList.Store(k)
-			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millis("list_age_ms", ageOf(k.SavedMs)))
+		case configured == nil || persisted.Source == p.config.Discovery && *l.Revision >= *configured.Revision:
+			chosen, source = l, persisted.Source
+			p.cachedList.Store(persisted)
+			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millis("list_age_ms", ageOf(persisted.SavedMs)))
 		}
 	}
 	logAttrs(slog.LevelInfo, ofState, "persisted state loaded", attrs...)
-	return first, source
+	return chosen, source
 }
 
-// restoreSnapshot reads the balancer's snapshot, ages it and hands it to the dispatcher. It runs beside the start, since it
-// takes milliseconds; until then upstreams in slow start get no requests beyond their budgets.
+// restoreSnapshot reads the balancer's snapshot, adjusts it for its age and sends it to the dispatcher. It runs concurrently
+// with the start, since it takes milliseconds; until then upstreams in slow start get no requests beyond their budgets.
 func (p *process) restoreSnapshot() {
-	k := p.loaded // a copy: the notes on this read are logged on their own
-	k.Notes, k.Corruptions = nil, nil
-	if err := p.persister.store.LoadSnapshot(&k, time.Now()); err != nil {
+	loaded := p.loaded // a copy, so that only the notes on this read are logged below
+	loaded.Notes, loaded.Corruptions = nil, nil
+	if err := p.persister.store.LoadSnapshot(&loaded, time.Now()); err != nil {
 		p.persister.recordError(err)
 		return
 	}
-	logLoaded(k)
-	if k.Snapshot == nil {
+	logLoaded(loaded)
+	if loaded.Snapshot == nil {
 		return
 	}
-	age := ageOf(k.Snapshot.SavedMs)
-	k.Snapshot.Balancer.Age(age, k.Crashed)
-	logAttrs(slog.LevelInfo, ofState, "snapshot restored", slog.Int("upstreams", len(k.Snapshot.Balancer.Endpoints)), millis("age_ms", age))
-	p.loop.enqueueUrgent(k.Snapshot.Balancer)
+	age := ageOf(loaded.Snapshot.SavedMs)
+	loaded.Snapshot.Balancer.Age(age, loaded.Crashed)
+	logAttrs(slog.LevelInfo, ofState, "snapshot restored", slog.Int("upstreams", len(loaded.Snapshot.Balancer.Endpoints)), millis("age_ms", age))
+	p.loop.enqueueUrgent(loaded.Snapshot.Balancer)
 }
 
-// logLoaded logs which parts of the state were not used.
-func logLoaded(k statestore.Loaded) {
-	for _, d := range k.Corruptions {
-		logAttrs(slog.LevelWarn, ofState, "damaged", slog.String("file", d.File), slog.Int64("byte", d.At), slog.Bool("torn", d.Torn), slog.Any("err", d.Err))
+// logLoaded logs which parts of the persisted state were not used.
+func logLoaded(loaded statestore.Loaded) {
+	for _, damage := range loaded.Corruptions {
+		logAttrs(slog.LevelWarn, ofState, "damaged", slog.String("file", damage.File), slog.Int64("byte", damage.At), slog.Bool("torn", damage.Torn), slog.Any("err", damage.Err))
 	}
-	for _, text := range k.Notes {
-		logAttrs(slog.LevelWarn, ofState, "not used", slog.String("err", text))
+	for _, text := range loaded.Notes {
+		logAttrs(slog.LevelWarn, ofState, "persisted state not used", slog.String("err", text))
 	}
 }
 
-// ageOf is the time since a moment of the machine's clock, at least 0.
+// ageOf returns the time since a Unix time in milliseconds, at least 0.
 func ageOf(unixMs int64) time.Duration { return max(0, time.Since(time.UnixMilli(unixMs))) }
 
-// usesCachedList reports whether the list in use is the persisted one, and its age.
+// usesCachedList reports whether the list in use is the persisted one, and returns its age.
 func (p *process) usesCachedList() (bool, time.Duration) {
-	old := p.cachedList.Load()
-	if old == nil || p.listReceived.Load() {
+	cached := p.cachedList.Load()
+	if cached == nil || p.listReceived.Load() {
 		return false, 0
 	}
-	return true, ageOf(old.SavedMs)
+	return true, ageOf(cached.SavedMs)
 }
 
 // useSuspectList uses a list that was quarantined after a crash loop, if no other list has been received within
@@ -132,7 +132,7 @@
 	p.loop.enqueueUpdate(known)
 }
 
-// connectPersister connects the state persister with the sources of what it writes.
+// connectPersister sets the functions from which the state persister gets what it writes.
 func (p *process) connectPersister() {
 	if p.persister == nil {
 		return
@@ -140,9 +140,9 @@
 	p.persister.bans = p.upstreams.directory.bans
 	p.persister.adoptBan = func(id string) {
 		p.upstreams.directory.setBan(id, false)
-		go p.loop.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // returns once the dispatcher has stopped at the latest
+		go p.loop.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // returns at the latest once the dispatcher has stopped
 	}
-	p.persister.list = func() (string, *listing) { // a nil list: there is none to write
+	p.persister.list = func() (string, *listing) { // returns a nil list if there is none to write
 		if !p.listReceived.Load() && p.cachedList.Load() != nil {
 			return "", nil // it was read from the disk
 		}
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -13,29 +13,29 @@
 	"mosslead/internal/statestore"
 )
 
-// maxRegions is the number of regions whose revisions are remembered; fleets have fewer.
+// maxRegions is the maximum number of regions whose revisions are remembered; fleets have fewer regions.
 const maxRegions = 64
 
 // settingsFollower follows the settings of the sidecar's service, which the list service sends with the list. The watch
 // receives documents; the process applies the newest, completely or not at all, on top of its configuration file. A nil
-// one follows none. Safe for concurrent use; its methods don't block.
+// settingsFollower follows no settings. It is safe for concurrent use; its methods don't block.
 type settingsFollower struct {
 	service, node string
-	received      chan struct{}             // has a buffer of one: a document was received
-	changed       chan struct{}             // has a buffer of one: there is something new to acknowledge
+	received      chan struct{}             // buffer of one; signals that a document was received
+	changed       chan struct{}             // buffer of one; signals a change to acknowledge
 	onOutcome     func(api.Document, error) // called with each document that was applied or rejected; may be nil
-	muted         func() bool               // another process of this sidecar acknowledges for it
-	fileConfig    *Config                   // as last read; belongs to the process
+	muted         func() bool               // reports whether another process of this sidecar sends the acknowledgements
+	fileConfig    *Config                   // as last read; used only by the goroutine of the process
 
 	mu            sync.Mutex
-	seenRevisions map[string]int64 // the highest received, by region
-	latest        api.Document     // the newest received; Revision 0: none
-	processed     bool             // whether latest was applied or rejected
-	inForce       api.Document     // Revision 0: none yet; then, as after a deletion, the file's settings are in force
-	lastGood      api.Document     // inForce, or that of the predecessor, which stays on disk until another is in force
+	seenRevisions map[string]int64 // the highest received revision, by region
+	latest        api.Document     // the newest received; Revision is 0 if there is none
+	processed     bool             // latest was applied or rejected
+	inForce       api.Document     // if Revision is 0, or after a deletion, the file's settings are in force
+	lastGood      api.Document     // inForce, or the predecessor's, which stays on disk until another is in force
 	rejected      error            // why latest is not in force
-	changes       int64            // number of changes of what is persisted
-	ignored       api.Document     // the last one received below the highest revision
+	changes       int64            // number of changes of the persisted state
+	ignored       api.Document     // the last document that was ignored
 }
 
 // newSettingsFollower returns nil if the configuration names no service.
@@ -55,15 +55,16 @@
 	return s.received
 }
 
-// query returns what a watch requests beside the list: changes since the document received last, applied or not.
+// query returns the part of a watch's query that requests the changes of the settings since the document received last,
+// applied or not.
 func (s *settingsFollower) query() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return client.Service(s.service, s.latest)
 }
 
-// onDocuments receives documents of the watch. Of several only the newest is applied; one below the highest known revision
-// of its region is ignored.
+// onDocuments receives documents from the watch. Only the newest of them is applied; one below the highest known revision of
+// its region is ignored.
 func (s *settingsFollower) onDocuments(documents []api.Document) {
 	if s == nil {
 		return
@@ -78,7 +79,8 @@
 	}
 }
 
-// receive receives one document. It returns why the document is ignored, only once for each, as every watch may send it again.
+// receive receives one document. If the document is ignored, it returns the reason, but only the first time, since each
+// watch may send the document again.
 func (s *settingsFollower) receive(d api.Document) (ignored string, seen int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +96,7 @@
 		return "settings document ignored, too many regions", seen
 	}
 	if len(d.Settings) > api.MaxSettings {
-		d.Settings = nil // rejected by withDocument, and not kept in memory
+		d.Settings = nil // not kept in memory; withDocument rejects it
 	}
 	s.seenRevisions[d.Region] = d.Revision
 	s.latest, s.processed = d, false
@@ -105,20 +107,20 @@
 // sameRevision reports whether two documents have the same region and revision.
 func sameRevision(a, b api.Document) bool { return a.Region == b.Region && a.Revision == b.Revision }
 
-// documentAttrs returns log attributes that identify a document, and more.
+// documentAttrs returns log attributes that identify a document, followed by more.
 func documentAttrs(d api.Document, more ...slog.Attr) []slog.Attr {
 	return append([]slog.Attr{slog.String("service", d.Service), slog.String("region", d.Region), slog.Int64("version", d.Revision)}, more...)
 }
 
-// nextDocument returns the document to apply, if there is any. One that was rejected is not applied later in this process: a
-// configuration file that is read again can't ask less of it than the one before.
-func (s *settingsFollower) nextDocument() (d api.Document, any bool) {
+// nextDocument returns the document to apply; ok is false if there is none. A rejected document is not tried again in this
+// process, since a reloaded configuration file can't require less of it than the file before.
+func (s *settingsFollower) nextDocument() (d api.Document, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latest, s.latest.Revision > 0 && !s.processed
 }
 
-// overlay applies the document in force to a configuration file that was read again.
+// overlay returns a reloaded configuration file with the settings of the document in force.
 func (s *settingsFollower) overlay(file *Config) (*Config, error) {
 	if s == nil {
 		return file, nil
@@ -133,9 +135,9 @@
 	return c, nil
 }
 
-// withDocument returns the configuration with the settings of a document in place of its own, but for the sidecar's zone and
-// the way its list arrives, since a document is for all sidecars of a service. A document must have every key that the file
-// has: an absent key would be read as a limit that was never set.
+// withDocument returns the configuration with the settings of a document in place of its own, except for the sidecar's zone
+// and the way in which it gets its list, since a document is for all sidecars of a service. A document must have every key
+// that the file has: an absent key would be read as a limit that was never set.
 func (c *Config) withDocument(d api.Document) (*Config, error) {
 	if d.Revision == 0 || d.Deleted {
 		return c, nil
@@ -143,7 +145,7 @@
 	if len(d.Settings) == 0 {
 		return nil, fmt.Errorf("no settings, or more than %d bytes of them", api.MaxSettings)
 	}
-	read, err := settings.Check(d.Schema, d.Settings)
+	parsed, err := settings.Check(d.Schema, d.Settings)
 	if err != nil {
 		return nil, err
 	}
@@ -156,9 +158,9 @@
 	if key := keys.Lacks(required, settings.Under+"Zone", settings.Under+"Discovery"); key != "" {
 		return nil, fmt.Errorf("lacks %s, which this sidecar's file has", key)
 	}
-	read.Zone, read.MustSubscribe = c.Settings.Zone, c.Settings.MustSubscribe
+	parsed.Zone, parsed.MustSubscribe = c.Settings.Zone, c.Settings.MustSubscribe
 	merged := *c
-	merged.Settings = c.withDefaults(read)
+	merged.Settings = c.withDefaults(parsed)
 	return &merged, nil
 }
 
@@ -187,7 +189,7 @@
 	}
 }
 
-// persisted returns what is to outlive the process, and the number of its changes; nil: nothing has been received.
+// persisted returns the state that is to outlive the process, and the number of its changes; nil if nothing was received.
 func (s *settingsFollower) persisted() (*statestore.Settings, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,16 +199,16 @@
 	return &statestore.Settings{Service: s.service, Document: s.lastGood, Seen: maps.Clone(s.seenRevisions)}, s.changes
 }
 
-// restore starts with the settings that the previous process had in force.
-func (s *settingsFollower) restore(k *statestore.Settings) {
+// restore restores the settings that the previous process had in force; nextDocument then returns them.
+func (s *settingsFollower) restore(persisted *statestore.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for region, version := range k.Seen {
+	for region, revision := range persisted.Seen {
 		if len(s.seenRevisions) < maxRegions {
-			s.seenRevisions[region] = max(s.seenRevisions[region], version)
+			s.seenRevisions[region] = max(s.seenRevisions[region], revision)
 		}
 	}
-	if d := k.Document; d.Revision > 0 {
+	if d := persisted.Document; d.Revision > 0 {
 		s.seenRevisions[d.Region] = max(s.seenRevisions[d.Region], d.Revision)
 		s.latest, s.lastGood = d, d
 	}
@@ -221,29 +223,29 @@
 		a.Revision = s.inForce.Revision
 	}
 	if s.processed && s.rejected != nil {
-		why := s.rejected.Error()
-		if s.latest.Region != s.inForce.Region && a.Revision > 0 { // versions of two regions can't stand beside each other
-			why = fmt.Sprintf("version %d of region %q is in force: %s", a.Revision, a.Region, why)
+		reason := s.rejected.Error()
+		if s.latest.Region != s.inForce.Region && a.Revision > 0 { // an Ack has one region, so it can't hold the versions of two
+			reason = fmt.Sprintf("version %d of region %q is in force: %s", a.Revision, a.Region, reason)
 			a.Revision = 0
 		}
-		a.Region, a.RejectedRevision, a.Reason = s.latest.Region, s.latest.Revision, cutText(why, api.MaxReason)
+		a.Region, a.RejectedRevision, a.Reason = s.latest.Region, s.latest.Revision, cutText(reason, api.MaxReason)
 	}
 	return a
 }
 
-// lines returns the figures for operators.
+// lines returns the lines of STATS about settings.
 func (s *settingsFollower) lines(d *endpointDirectory) string {
 	if s == nil {
 		return ""
 	}
-	index, _ := d.revision()
-	return fmt.Sprintf("gw.settings_version:%d|g\ngw.list_version:%d|g\n", s.ack().Revision, index)
+	revision, _ := d.revision()
+	return fmt.Sprintf("gw.settings_version:%d|g\ngw.list_version:%d|g\n", s.ack().Revision, revision)
 }
 
-// applyDocument applies the newest document, completely or not at all; post hands the settings to the balancer.
+// applyDocument applies the newest document, completely or not at all; post sends the settings to the balancer.
 func (p *process) applyDocument(post func(any)) {
-	d, any := p.service.nextDocument()
-	if !any {
+	d, ok := p.service.nextDocument()
+	if !ok {
 		return
 	}
 	c, err := p.service.fileConfig.withDocument(d)
@@ -254,22 +256,22 @@
 	p.service.recordOutcome(d, err)
 }
 
-// restoreDocument starts with the settings that the previous process had in force, from that process or from the disk. It is
-// called before anything runs.
-func (p *process) restoreDocument(before *statestore.Settings) {
+// restoreDocument applies the settings that the previous process had in force, from that process or from the disk. It is
+// called before any goroutine of the process runs.
+func (p *process) restoreDocument(persisted *statestore.Settings) {
 	if p.service == nil {
 		return
 	}
-	if before == nil {
-		before = p.loaded.Settings
+	if persisted == nil {
+		persisted = p.loaded.Settings
 	}
-	if before == nil {
+	if persisted == nil {
 		return
 	}
-	if before.Service != p.service.service {
-		logWarning(ofSettings, "persisted settings not used", fmt.Errorf("it is of service %s", quoteShort(before.Service)))
+	if persisted.Service != p.service.service {
+		logWarning(ofSettings, "persisted settings not used", fmt.Errorf("they are of service %s", quoteShort(persisted.Service)))
 		return
 	}
-	p.service.restore(before)
+	p.service.restore(persisted)
 	p.applyDocument(p.loop.onUrgent)
 }
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -12,23 +12,24 @@
 	"mosslead/internal/registry/registrytest"
 )
 
-// Guards against two sides that each work with what stands in for the other: a real list service, and a sidecar of each kind.
+// Guards against a list service and sidecars that work only with the fakes of each other: a real list service, a sidecar and a
+// hollow sidecar.
 func TestSettingsFromARealListService(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := l.Addr().String()
+	address := l.Addr().String()
 	_ = l.Close()
-	registrytest.Start(t, registry.Dev(at))
-	c := client.New([]string{at})
+	registrytest.Start(t, registry.Dev(address))
+	c := client.New([]string{address})
 	t.Cleanup(c.Close)
-	put := func(text string, on int64) int64 {
+	put := func(text string, basedOn int64) int64 {
 		t.Helper()
 		var version int64
-		eventually(t, "settings taken", func() bool { // a leader has to hear first that all replicas know of settings
+		eventually(t, "settings accepted by the list service", func() bool { // the leader refuses settings until it knows that all replicas support them
 			var err error
-			version, err = c.Put(t.Context(), "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(text), IfRevision: &on})
+			version, err = c.Put(t.Context(), "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(text), IfRevision: &basedOn})
 			if err != nil && !api.IsCode(err, api.CodeOlderReplica) {
 				t.Fatal(err)
 			}
@@ -36,8 +37,8 @@
 		})
 		return version
 	}
-	// of is how far the document has come, once it is as far as wanted.
-	of := func(version int64, ok func(api.Rollout) bool) {
+	// awaitRollout waits until the rollout of a version is as ok wants it.
+	awaitRollout := func(version int64, ok func(api.Rollout) bool) {
 		t.Helper()
 		eventually(t, "the rollout", func() bool {
 			all, err := c.Rollouts(t.Context())
@@ -48,34 +49,34 @@
 
 	u := newUpstream(t, says(ok200("done")))
 	first := put(testSettings, 0)
-	own := ordersConfig(t, at, entry("s", u.address, "Ready"))
-	own.Name = "n2"
-	r := start(t, own, "127.0.0.1:0")
-	outcomes, _ := startHollowWithOutcomes(t, ordersConfig(t, at))
+	config := ordersConfig(t, address, entry("s", u.address, "Ready"))
+	config.Name = "n2"
+	r := start(t, config, "127.0.0.1:0")
+	outcomes, _ := startHollowWithOutcomes(t, ordersConfig(t, address))
 	expectOutcome(t, outcomes, first, "")
-	of(first, inForce)
+	awaitRollout(first, inForce)
 
 	second := put(probeSettings, first)
 	expectOutcome(t, outcomes, second, "")
-	of(second, inForce)
+	awaitRollout(second, inForce)
 	if resp, _ := r.do(t, request(t, r.address, "probe", "")); resp.StatusCode == 404 {
-		t.Error("a class of the settings is unknown")
+		t.Error("got status 404 for a class of the settings, want another")
 	}
-	third := put(strings.Replace(probeSettings, `"SecondCopies":true,`, ``, 1), second) // valid, and less than the files have
+	third := put(strings.Replace(probeSettings, `"SecondCopies":true,`, ``, 1), second) // valid, but without a key that the files have
 	expectOutcome(t, outcomes, third, "lacks settings.Limits.SecondCopies")
-	of(third, func(r api.Rollout) bool {
+	awaitRollout(third, func(r api.Rollout) bool {
 		return r.Rejected == 2 && len(r.NotInForce) == 2 && r.NotInForce[0].Revision == second && strings.Contains(r.NotInForce[0].Reason, "SecondCopies")
 	})
 	if _, err := c.Put(t.Context(), "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(`{"Classes":[]}`), IfRevision: &third}); err == nil {
-		t.Error("the list service took settings that no sidecar can use")
+		t.Error("got no error from the list service for settings that no sidecar can use, want one")
 	}
 	last, err := c.Delete(t.Context(), "orders", third)
 	if err != nil {
 		t.Fatal(err)
 	}
 	expectOutcome(t, outcomes, last, "")
-	of(last, inForce)
+	awaitRollout(last, inForce)
 	if resp, _ := r.do(t, request(t, r.address, "probe", "")); resp.StatusCode != 404 {
-		t.Errorf("a class of deleted settings: %s", resp.Status)
+		t.Errorf("got status %s for a class of deleted settings, want 404", resp.Status)
 	}
 }
--- a/internal/sidecar/settingsfollower_rig_test.go
+++ b/internal/sidecar/settingsfollower_rig_test.go
@@ -16,7 +16,8 @@
 	"mosslead/internal/registry/api"
 )
 
-// fakeService is a list service of one replica as sidecars see it: its list never changes, the settings of one service do.
+// fakeService is a list service of one replica with the API that sidecars use. Its list never changes; the settings of one
+// service do.
 type fakeService struct {
 	address string
 	srv     *http.Server
@@ -24,11 +25,11 @@
 	mu          sync.Mutex
 	list        string // the entries of its list
 	index       int64
-	announced   api.Document // Version 0: there is none
+	announced   api.Document // Revision is 0 if there is none
 	changed     chan struct{}
-	watchURIs   []string // of watches, as they were asked
+	watchURIs   []string // request URIs of all watches
 	acks        []api.Ack
-	rejectsAcks bool // acks
+	rejectsAcks bool // answers acknowledgements by 400
 }
 
 func newListService(t testing.TB, entries ...string) *fakeService {
@@ -38,7 +39,7 @@
 	return s
 }
 
-// listenOn answers at an address, until stop.
+// listenOn starts to serve at an address, until the test ends.
 func (s *fakeService) listenOn(t testing.TB, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -76,8 +77,8 @@
 }
 
 func (s *fakeService) watch(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	line := func(l any) {
-		text, err := json.Marshal(l)
+	send := func(event any) {
+		text, err := json.Marshal(event)
 		if err != nil {
 			panic(err)
 		}
@@ -87,23 +88,23 @@
 	held, first := r.FormValue("held"), r.FormValue("from") != "1"
 	for {
 		s.mu.Lock()
-		d, index, again := s.announced, s.index, s.changed
+		d, index, changed := s.announced, s.index, s.changed
 		text := fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, first, s.list)
 		s.mu.Unlock()
-		var l map[string]any
-		if err := json.Unmarshal([]byte(text), &l); err != nil {
+		var event map[string]any
+		if err := json.Unmarshal([]byte(text), &event); err != nil {
 			panic(err)
 		}
 		if !first {
-			l["endpoints"] = []any{}
+			event["endpoints"] = []any{}
 		}
-		now := fmt.Sprintf("%s@%d", d.Region, d.Revision)
-		news := d.Revision > 0 && d.Service == r.FormValue("service") && now != held
-		if news {
-			l["documents"], held = []api.Document{d}, now
+		current := fmt.Sprintf("%s@%d", d.Region, d.Revision)
+		changes := d.Revision > 0 && d.Service == r.FormValue("service") && current != held
+		if changes {
+			event["documents"], held = []api.Document{d}, current
 		}
-		if first || news {
-			line(l)
+		if first || changes {
+			send(event)
 		} else {
 			_, _ = io.WriteString(w, "\n")
 			_ = http.NewResponseController(w).Flush()
@@ -112,13 +113,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-changed:
 		case <-time.After(time.Second): // a heartbeat
 		}
 	}
 }
 
-// announce changes the settings.
+// announce makes d the present settings and sends it to the watches.
 func (s *fakeService) announce(d api.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +141,7 @@
 	return slices.Clone(s.watchURIs)
 }
 
-// lastAck is the last ack; a zero one: there was none.
+// lastAck returns the last acknowledgement, or the zero Ack if there was none.
 func (s *fakeService) lastAck() (last api.Ack) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +155,7 @@
 	return api.Document{Region: "south", Revision: version, Settings: json.RawMessage(settings)}
 }
 
-// ordersConfig is testConfig for a sidecar of the service orders.
+// ordersConfig returns the configuration of a sidecar of the service orders.
 func ordersConfig(t testing.TB, discovery string, known ...string) *Config {
 	t.Helper()
 	return ordersConfigWith(t, discovery, testSettings, known...)
@@ -170,17 +171,17 @@
 	return c
 }
 
-// probeSettings are settings with one more class.
+// probeSettings is testSettings with one more class, probe.
 var probeSettings = strings.Replace(testSettings, `{"Name":"search"`, probeClass, 1)
 
-// documentOutcome is what a hollow sidecar was told of a document.
+// documentOutcome is the outcome of one document in a hollow sidecar.
 type documentOutcome struct {
 	region   string
 	version  int64
 	rejected string
 }
 
-// startHollowWithOutcomes is a hollow sidecar of the service, and what it says of documents.
+// startHollowWithOutcomes starts a hollow sidecar, and returns a channel of the outcomes of its documents.
 func startHollowWithOutcomes(t testing.TB, c *Config) (outcomes chan documentOutcome, end func()) {
 	t.Helper()
 	outcomes = make(chan documentOutcome, 64)
@@ -193,25 +194,25 @@
 	}})
 }
 
-// expectOutcome waits for what a hollow sidecar says next, and compares; a rejection has to hold the words.
+// expectOutcome waits for the next outcome, and compares it with a version and, as a part of the error, a rejection; "" is none.
 func expectOutcome(t testing.TB, outcomes chan documentOutcome, version int64, rejected string) {
 	t.Helper()
 	select {
-	case j := <-outcomes:
-		if j.version != version || (j.rejected == "") != (rejected == "") || !strings.Contains(j.rejected, rejected) {
-			t.Errorf("told %+v, not version %d, rejected %q", j, version, rejected)
+	case got := <-outcomes:
+		if got.version != version || (got.rejected == "") != (rejected == "") || !strings.Contains(got.rejected, rejected) {
+			t.Errorf("got outcome %+v, want version %d, rejected %q", got, version, rejected)
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("nothing was said of version %d", version)
+		t.Fatalf("got no outcome in time, want version %d", version)
 	}
 }
 
-// expectNoOutcome fails where anything more was said.
+// expectNoOutcome fails the test if there is another outcome.
 func expectNoOutcome(t testing.TB, outcomes chan documentOutcome) {
 	t.Helper()
 	select {
-	case j := <-outcomes:
-		t.Errorf("told %+v, too", j)
+	case got := <-outcomes:
+		t.Errorf("got outcome %+v, want none", got)
 	default:
 	}
 }
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -16,23 +16,23 @@
 	"mosslead/internal/registry/api"
 )
 
-// Guards against settings that cost a request or a connection, that are taken in part, or that do not last: under load documents come, are
-// rejected, repaired, overtaken by an old one and deleted, with a SIGHUP between, while what is open stays open.
+// Guards against changes of settings that fail a request or close a connection, are applied in part, or are lost: under load,
+// documents are applied, rejected, corrected, followed by an older one and deleted, with a reload between.
 func TestSettingsOfTheServiceUnderLoad(t *testing.T) {
 	u := newUpstream(t, says(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	r := start(t, ordersConfig(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
 	ctx, stop := context.WithCancel(t.Context())
 	var load sync.WaitGroup
-	var served, bad atomic.Int64
+	var served, failed atomic.Int64
 	for range 4 {
 		load.Go(func() {
 			for ctx.Err() == nil {
 				if got := <-r.later(request(t, r.address, "confirm", "")); got == "200 done" {
 					served.Add(1)
 				} else {
-					bad.Add(1)
-					t.Errorf("answered %s", got)
+					failed.Add(1)
+					t.Errorf("got answer %s, want 200 done", got)
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -48,70 +48,70 @@
 	acked := func(a api.Ack) func() bool {
 		return func() bool {
 			last := svc.lastAck()
-			why := last.Reason
+			reason := last.Reason
 			last.Reason = ""
-			return last == a && strings.Contains(why, a.Reason)
+			return last == a && strings.Contains(reason, a.Reason)
 		}
 	}
 	ack := func(version, rejected int64) api.Ack {
 		return api.Ack{Node: "n1", Service: "orders", Region: "south", Revision: version, RejectedRevision: rejected}
 	}
 	if !checkReady(404)() {
-		t.Fatal("a class that nobody has told of")
+		t.Fatal("got no status 404 for a class that is in no settings")
 	}
 	svc.announce(document(5, probeSettings))
 	eventually(t, "the class of the document", checkReady(200))
-	eventually(t, "its ack", acked(ack(5, 0)))
+	eventually(t, "its acknowledgement", acked(ack(5, 0)))
 
-	svc.announce(document(6, strings.Replace(testSettings, `"SecondCopies":true,`, ``, 1))) // valid in form
+	svc.announce(document(6, strings.Replace(testSettings, `"SecondCopies":true,`, ``, 1))) // valid, but without a key that the file has
 	eventually(t, "a rejection", acked(ack(5, 6)))
-	if why := svc.lastAck().Reason; !strings.Contains(why, "lacks settings.Limits.SecondCopies") {
-		t.Errorf("rejected since %q", why)
+	if reason := svc.lastAck().Reason; !strings.Contains(reason, "lacks settings.Limits.SecondCopies") {
+		t.Errorf("got reason %q, want lacks settings.Limits.SecondCopies", reason)
 	}
 	svc.announce(document(7, strings.Replace(testSettings, `"SendCap":5`, `"SendCap":0`, 1)))
-	svc.announce(document(8, strings.Replace(probeSettings, `"probe"`, `"repaired"`, 1))) // within a moment
-	eventually(t, "the repair", acked(ack(8, 0)))
+	svc.announce(document(8, strings.Replace(probeSettings, `"probe"`, `"repaired"`, 1))) // version 7 may not be applied yet
+	eventually(t, "the acknowledgement of the corrected settings", acked(ack(8, 0)))
 	if !checkReady(404)() {
-		t.Error("a class is left of what was repaired")
+		t.Error("got no status 404 for a class that the settings no longer have")
 	}
 	svc.announce(document(9, probeSettings))
-	eventually(t, "the next", acked(ack(9, 0)))
-	next := document(10, testSettings)
-	next.Schema = 2
-	svc.announce(next)
-	eventually(t, "the next schema rejected", acked(ack(9, 10)))
+	eventually(t, "the acknowledgement of the next settings", acked(ack(9, 0)))
+	newer := document(10, testSettings)
+	newer.Schema = 2
+	svc.announce(newer)
+	eventually(t, "the rejection of the next schema", acked(ack(9, 10)))
 
-	// A file that was read anew has the document's settings above it, and one that the document does not fit is not taken.
+	// The document's settings stay in force over those of a reloaded file; a file with a key that the document lacks is rejected.
 	file := ordersConfig(t, svc.address, entry("s", u.address, "Ready"))
 	r.reloads <- Reload{Config: file}
 	more := ordersConfigWith(t, svc.address, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1), entry("s", u.address, "Ready"))
 	r.reloads <- Reload{Config: more}
-	r.reloads <- Reload{Err: errors.New("not readable")} // the one before is through
+	r.reloads <- Reload{Err: errors.New("not readable")} // once this is received, the reload before was applied
 	if !checkReady(200)() {
-		t.Error("a file's settings are above the document's")
+		t.Error("got no status 200 for a class of the document: the reloaded file replaced its settings")
 	}
 	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.reload_success:1|c") || !strings.Contains(figures, "gw.settings_version:9|g") ||
 		!strings.Contains(figures, "gw.list_version:") {
-		t.Errorf("figures %s", figures)
+		t.Errorf("got STATS %s, want gw.reload_success:1|c, gw.settings_version:9|g and gw.list_version", figures)
 	}
 
-	svc.announce(document(4, testSettings)) // an owner's old copy
+	svc.announce(document(4, testSettings)) // an older version, as from a copy of the owner's state
 	deleted := api.Document{Region: "south", Revision: 11, Deleted: true}
 	svc.announce(deleted)
-	eventually(t, "the file's settings", checkReady(404))
-	eventually(t, "their ack", func() bool { return svc.lastAck() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
+	eventually(t, "the file's settings in force", checkReady(404))
+	eventually(t, "their acknowledgement", func() bool { return svc.lastAck() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
 	svc.announce(document(12, probeSettings))
-	eventually(t, "settings anew", checkReady(200))
+	eventually(t, "settings in force after the deletion", checkReady(200))
 	stop()
 	load.Wait()
-	if u.closed.Load() != 0 || bad.Load() > 0 || served.Load() == 0 {
-		t.Errorf("%d connections to the upstream were closed, %d requests served, %d not", u.closed.Load(), served.Load(), bad.Load())
+	if u.closed.Load() != 0 || failed.Load() > 0 || served.Load() == 0 {
+		t.Errorf("got %d closed connections to the upstream, %d served and %d failed requests, want 0, some, 0", u.closed.Load(), served.Load(), failed.Load())
 	}
 }
 
-// Guards against each way in which a sidecar could be left on settings that nobody wants: see the names.
+// Guards against sidecars that stay on wrong settings, in each of the named cases.
 func TestSettingsFollowed(t *testing.T) {
-	for name, play := range map[string]func(t *testing.T, c *Config, svc *fakeService){
+	for name, scenario := range map[string]func(t *testing.T, c *Config, svc *fakeService){
 		"stopped through five versions": func(t *testing.T, c *Config, svc *fakeService) {
 			svc.announce(document(1, testSettings))
 			outcomes, end := startHollowWithOutcomes(t, c)
@@ -147,7 +147,7 @@
 			svc.announce(document(20, `{}`))
 			expectOutcome(t, outcomes, 20, "Classes")
 			endAfterPersisting(t, c, end)
-			svc.announce(document(12, probeSettings)) // below 20, which it has seen
+			svc.announce(document(12, probeSettings)) // below 20, which this sidecar has received
 			outcomes, _ = startHollowWithOutcomes(t, c)
 			expectOutcome(t, outcomes, 9, "")
 			eventually(t, "the watch", func() bool { return len(svc.requests()) >= 2 })
@@ -183,7 +183,7 @@
 			endAfterPersisting(t, c, end)
 			c.Service = "billing"
 			outcomes, _ = startHollowWithOutcomes(t, c)
-			svc.announce(document(10, testSettings)) // of orders still
+			svc.announce(document(10, testSettings)) // still of the service orders
 			other := document(2, testSettings)
 			other.Service = "billing"
 			svc.announce(other)
@@ -195,9 +195,9 @@
 			expectOutcome(t, outcomes, 3, "")
 			endAfterPersisting(t, c, end)
 			_ = svc.srv.Close()
-			more := ordersConfigWith(t, c.Discovery, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1))
-			more.State = c.State
-			outcomes, end = startHollowWithOutcomes(t, more)
+			stricter := ordersConfigWith(t, c.Discovery, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1))
+			stricter.State = c.State
+			outcomes, end = startHollowWithOutcomes(t, stricter)
 			expectOutcome(t, outcomes, 3, "lacks settings.Limits.Probes")
 			endAfterPersisting(t, c, end)
 			outcomes, _ = startHollowWithOutcomes(t, c)
@@ -220,7 +220,7 @@
 				}
 			}
 			outcomes, end = startHollowWithOutcomes(t, c)
-			eventually(t, "the file put aside", func() bool { return len(settingsFiles(t, c.State)) == 0 })
+			eventually(t, "the damaged file is quarantined", func() bool { return len(settingsFiles(t, c.State)) == 0 })
 			endAfterPersisting(t, c, end)
 			expectNoOutcome(t, outcomes)
 		},
@@ -229,23 +229,23 @@
 			svc := newListService(t, entry("a", "127.0.0.2:1", "Ready"))
 			c := ordersConfig(t, svc.address)
 			c.State = t.TempDir()
-			play(t, c, svc)
+			scenario(t, c, svc)
 		})
 	}
 }
 
-// endAfterPersisting ends a sidecar that has taken up its directory: what it has in force is then on disk. The table of bans, of which there are none,
-// is what tells; the next sidecar has to write it anew.
+// endAfterPersisting ends a sidecar once it is the writer of its directory, so that it stores its settings. A table of bans, even an
+// empty one, shows that it is the writer; the table is then removed, and the next sidecar writes its own.
 func endAfterPersisting(t *testing.T, c *Config, end func()) {
 	t.Helper()
 	tables := func() []string {
-		all, err := filepath.Glob(filepath.Join(c.State, "bans.*"))
+		files, err := filepath.Glob(filepath.Join(c.State, "bans.*"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return all
+		return files
 	}
-	eventually(t, "the state directory taken up", func() bool { return len(tables()) > 0 })
+	eventually(t, "a table of bans in the state directory", func() bool { return len(tables()) > 0 })
 	end()
 	for _, file := range tables() {
 		if err := os.Remove(file); err != nil {
@@ -254,60 +254,60 @@
 	}
 }
 
-// settingsFiles are those of the settings.
+// settingsFiles returns the files of persisted settings.
 func settingsFiles(t *testing.T, dir string) []string {
 	t.Helper()
-	all, err := filepath.Glob(filepath.Join(dir, "settings.*"))
+	files, err := filepath.Glob(filepath.Join(dir, "settings.*"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return files
 }
 
-// Guards against a bad document that stays since its repair came too soon: whatever the order in which they are heard and judged, the
-// newest is judged last.
+// Guards against a bad document that stays the latest because the corrected one was received before the bad one was processed:
+// the newest document is always processed last.
 func TestNewestSettingsWin(t *testing.T) {
 	c := ordersConfig(t, "127.0.0.1:1")
 	s := newSettingsFollower(c)
-	bad, good := document(2, `{}`), document(3, probeSettings)
-	bad.Service, good.Service, good.Schema, bad.Schema = "orders", "orders", 1, 1
+	invalid, valid := document(2, `{}`), document(3, probeSettings)
+	invalid.Service, valid.Service, valid.Schema, invalid.Schema = "orders", "orders", 1, 1
 	none, others := api.Document{Service: "orders"}, document(7, probeSettings)
 	others.Service = "billing"
 	s.onDocuments([]api.Document{none, others})
-	if d, any := s.nextDocument(); any {
-		t.Errorf("to judge: %+v", d)
+	if d, ok := s.nextDocument(); ok {
+		t.Errorf("got document %+v to apply, want none", d)
 	}
-	s.onDocuments([]api.Document{bad})
-	d, any := s.nextDocument()
-	if !any || d.Revision != 2 {
-		t.Fatalf("to judge: %+v, %v", d, any)
+	s.onDocuments([]api.Document{invalid})
+	d, ok := s.nextDocument()
+	if !ok || d.Revision != 2 {
+		t.Fatalf("got document %+v to apply, %v, want version 2, true", d, ok)
 	}
-	s.onDocuments([]api.Document{good}) // meanwhile
+	s.onDocuments([]api.Document{valid}) // meanwhile
 	_, err := c.withDocument(d)
 	s.recordOutcome(d, err)
-	if d, any = s.nextDocument(); !any || d.Revision != 3 {
-		t.Fatalf("to judge then: %+v, %v", d, any)
+	if d, ok = s.nextDocument(); !ok || d.Revision != 3 {
+		t.Fatalf("got document %+v to apply, %v, want version 3, true", d, ok)
 	}
 	_, err = c.withDocument(d)
 	s.recordOutcome(d, err)
 	if a := s.ack(); a.Revision != 3 || a.RejectedRevision != 0 {
-		t.Errorf("acknowledged %+v", a)
+		t.Errorf("got acknowledgement %+v, want version 3 without a rejection", a)
 	}
-	s.onDocuments([]api.Document{bad, good}) // again, as a watch that begins may
-	if d, any = s.nextDocument(); any {
-		t.Errorf("judged twice: %+v", d)
+	s.onDocuments([]api.Document{invalid, valid}) // again, as a new watch may send them
+	if d, ok = s.nextDocument(); ok {
+		t.Errorf("got document %+v to apply again, want none", d)
 	}
-	for i := range int64(2 * maxRegions) { // of a service gone mad
+	for i := range int64(2 * maxRegions) { // a faulty list service sends documents of many regions
 		d := document(1, `{}`)
 		d.Service, d.Region = "orders", fmt.Sprint("region-", i)
 		s.onDocuments([]api.Document{d})
 	}
 	if n := len(s.seenRevisions); n != maxRegions {
-		t.Errorf("the versions of %d regions are remembered", n)
+		t.Errorf("got versions of %d regions remembered, want %d", n, maxRegions)
 	}
 }
 
-// Guards against settings that cost the snapshot.
+// Guards against the loss of the balancer's estimates when settings change.
 func TestSettingsUpdateRetainsEstimates(t *testing.T) {
 	stop := make(chan struct{})
 	defer close(stop)
@@ -328,17 +328,17 @@
 		r.settings = p.config.Settings.Classes[0]
 		p.loop.enqueue(requestArrived{r})
 		if a := <-r.answer; a.kind != served {
-			t.Fatalf("answered %+v", a)
+			t.Fatalf("got answer %+v, want kind %d", a, served)
 		}
 	}
 	snapshot := func() (balancer.EndpointSnapshot, float64) {
 		l, ok := p.loop.snapshot()
 		if !ok || l.Endpoints["s"].PeakEWMA == 0 {
-			t.Fatalf("learnt %+v, %v", l, ok)
+			t.Fatalf("got snapshot %+v, %v, want an estimate for s", l, ok)
 		}
-		u := l.Endpoints["s"]
-		u.Age, u.Uptime = 0, 0
-		return u, l.MeanLatency
+		endpoint := l.Endpoints["s"]
+		endpoint.Age, endpoint.Uptime = 0, 0
+		return endpoint, l.MeanLatency
 	}
 	before, mean := snapshot()
 	d := document(2, probeSettings)
@@ -346,14 +346,15 @@
 	p.service.onDocuments([]api.Document{d})
 	p.applyDocument(p.loop.enqueueUrgent)
 	if len(p.config.Settings.Classes) != 4 {
-		t.Error("not taken in")
+		t.Errorf("got %d classes, want 4: the document was not applied", len(p.config.Settings.Classes))
 	}
 	if after, m := snapshot(); after != before || m != mean {
-		t.Errorf("learnt %+v and %v, before %+v and %v", after, m, before, mean)
+		t.Errorf("got estimates %+v and %v, want those before: %+v and %v", after, m, before, mean)
 	}
 }
 
-// Guards against an upgrade after which the new process begins with its file's settings: it has those in force, the list service being down.
+// Guards against an upgrade after which the new process starts with its file's settings: it starts with those in force, even
+// if the list service is down.
 func TestUpgradeBeginsWithTheSettingsInForce(t *testing.T) {
 	tmp, listeners := t.TempDir(), passed(t, 2)
 	u := newUpstream(t, says(ok200("done")))
@@ -365,14 +366,14 @@
 		return func() bool { return strings.Contains(r.call(t, "STATS\n"), "gw.settings_version:7|g\n") }
 	}
 	eventually(t, "the settings in the old process", inForce(old))
-	eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
+	eventually(t, "the socket of the hand-over", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
 	_ = svc.srv.Close()
 	fresh := startOn(t, c, listeners[1], tmp)
 	fresh.awaitReady(t, "YES")
 	if !inForce(fresh)() {
-		t.Errorf("figures %s", fresh.call(t, "STATS\n"))
+		t.Errorf("got STATS %s, want gw.settings_version:7|g", fresh.call(t, "STATS\n"))
 	}
 	if resp, _ := fresh.do(t, request(t, fresh.address, "probe", "")); resp.StatusCode != 200 {
-		t.Errorf("a class of the settings: %s", resp.Status)
+		t.Errorf("got status %s for a class of the settings, want 200", resp.Status)
 	}
 }
--- a/internal/sidecar/settingsupdate_test.go
+++ b/internal/sidecar/settingsupdate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// configText is a configuration over one upstream.
+// configText returns the text of a configuration with one upstream.
 func configText(discovery, address, settings string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:9000","ops":"127.0.0.1:0","discovery":%q,"seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
@@ -17,8 +17,8 @@
 const probeClass = `{"Name":"probe","Semantics":"fragile","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5},
   {"Name":"search"`
 
-// Guards against a reload that takes part of a file, or none: classes come and go with SIGHUP, what is open keeps its
-// class, and a file with anything wrong changes nothing.
+// Guards against a reload that applies a part of a file, or nothing: classes are added and removed by SIGHUP, a request that
+// is in flight keeps its class, and a file with any error changes nothing.
 func TestRetune(t *testing.T) {
 	release := make(chan struct{})
 	s := newUpstream(t, func(c net.Conn, g got) bool {
@@ -36,12 +36,12 @@
 		t.Fatal(err)
 	}
 	r := start(t, c, "127.0.0.1:0")
-	open := r.later(request(t, r.address, "record", ""))
+	pending := r.later(request(t, r.address, "record", ""))
 	eventually(t, "the request at the upstream", func() bool { return len(s.requests()) == 1 })
 
 	more := strings.Replace(testSettings, `{"Name":"search"`, probeClass, 1)
-	fresh := strings.Replace(more, `{"Name":"record"`, `{"Name":"note"`, 1)
-	for name, bad := range map[string][2]string{
+	renamed := strings.Replace(more, `{"Name":"record"`, `{"Name":"note"`, 1)
+	for name, change := range map[string][2]string{
 		"no attempts":          {`"SendCap":5`, `"SendCap":0`},
 		"null attempts":        {`"SendCap":5`, `"SendCap":null`},
 		"attempts as text":     {`"SendCap":5`, `"SendCap":"5"`},
@@ -52,17 +52,17 @@
 		"a rule that is gone":  {`"FallMs":2000,`, ``},
 		"cut short":            {`"Tenants":[]}`, ``},
 	} {
-		text := strings.Replace(fresh, bad[0], bad[1], 1)
-		if text == fresh {
-			t.Fatalf("%s: nothing changed", name)
+		text := strings.Replace(renamed, change[0], change[1], 1)
+		if text == renamed {
+			t.Fatalf("%s: got the same settings text, want a changed one", name)
 		}
 		c, err := read(text)
 		r.reloads <- Reload{c, err}
 		if resp, _ := r.do(t, request(t, r.address, "note", "")); resp.StatusCode != 404 {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: got status %s for a class of the file, want 404", name, resp.Status)
 		}
 	}
-	c, err = read(fresh)
+	c, err = read(renamed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,11 +72,11 @@
 		return resp.StatusCode == 200
 	})
 	if resp, _ := r.do(t, request(t, r.address, "record", "")); resp.StatusCode != 404 {
-		t.Errorf("the class that was dropped: %s", resp.Status)
+		t.Errorf("got status %s for the removed class, want 404", resp.Status)
 	}
 	close(release)
-	if got := <-open; got != "200 done" {
-		t.Errorf("open under the class that was dropped: %s", got)
+	if got := <-pending; got != "200 done" {
+		t.Errorf("request of the removed class: got %s, want 200 done", got)
 	}
 	eventually(t, "counts", func() bool {
 		figures := r.call(t, "STATS\n")
@@ -85,13 +85,13 @@
 	})
 }
 
-// Guards against a request that was checked by rules that the balancer has no more: it might be sent twice.
+// Guards against a request that was checked by settings that the balancer no longer has: it might be sent twice.
 func TestRequestCheckedByOldSettingsIsRejected(t *testing.T) {
 	l := testLoop(t, nil)
 	r := l.newRequest("1", "search")
 	r.settings.Name = "search"
 	l.onEvent(requestArrived{r})
 	if a := <-r.answer; a.kind != rejected || len(l.inFlight) != 0 {
-		t.Errorf("answered %+v, %d in hand", a, len(l.inFlight))
+		t.Errorf("got answer %+v, %d requests in flight, want kind %d, 0", a, len(l.inFlight), rejected)
 	}
 }
--- a/internal/sidecar/upstreamconn.go
+++ b/internal/sidecar/upstreamconn.go
@@ -15,21 +15,21 @@
 	name        string
 	address     endpointAddress
 	retireTimer *time.Timer
-	uses        int       // requests that it was acquired for
+	uses        int       // number of attempts that acquired it
 	releasedAt  time.Time // when it was last released
 	closed      bool      // guarded by the pool's lock
 
 	writeTimeout   time.Duration // of one write
-	checkAllowed   func() error  // returns why the next request may no longer be written; nil: it may
-	firstByteSent  atomic.Bool   // of the next request
+	checkAllowed   func() error  // returns the reason why the next request may not be written, or nil if it may
+	firstByteSent  atomic.Bool   // Write was called with the first byte of the present request
 	disallowed     atomic.Bool   // the request was stopped before its first byte
 	requestEncoded atomic.Bool   // the library has written the request completely, perhaps into a buffer
 	writeFailed    atomic.Bool   // a write failed, so that the last byte was not sent
-	idleReading    atomic.Bool   // the library waits for bytes, and has none buffered
+	idleReading    atomic.Bool   // the library is waiting for bytes, and has none buffered
 }
 
 // Write implements net.Conn. Before the first byte of a request it checks whether the request may still be sent: since the
-// decision the upstream may have begun to drain, the client may have left, or the time for a retry may be over.
+// decision the upstream may have begun to drain, the client may have disconnected, or the time for a retry may be over.
 func (c *upstreamConn) Write(p []byte) (int, error) {
 	if !c.firstByteSent.Swap(true) {
 		if err := c.checkAllowed(); err != nil {
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -18,31 +18,31 @@
 
 const (
 	maxHeader           = 16 << 10
-	replacedIdleTimeout = 500 * time.Millisecond // of idle connections while this process is replaced, for the last requests
-	idleFraction        = 0.6                    // of the upstreams' idle time-out, after which idle connections are closed
-	minIdleBeforeReuse  = 10 * time.Millisecond  // of a connection: a second answer may follow the first by milliseconds
+	replacedIdleTimeout = 500 * time.Millisecond // keeps idle connections for the last requests of a process that is being replaced
+	idleFraction        = 0.6                    // of the upstreams' idle time-out, after which an idle connection is closed
+	minIdleBeforeReuse  = 10 * time.Millisecond  // an upstream may send a surplus second answer milliseconds after the first
 )
 
-// upstreamPool makes attempts, over connections that carry one request at a time. Safe for concurrent use.
+// upstreamPool sends attempts over connections that carry one request at a time. It is safe for concurrent use.
 type upstreamPool struct {
 	directory    *endpointDirectory
 	dial         dialer
-	onDispatched func() // called when an attempt was written completely
+	onDispatched func() // called when the request of an attempt was written completely
 	budget       *byteBudget
 
 	mu           sync.Mutex
 	timeouts     connTimeouts
 	maxConns     int
 	retainsIdle  bool            // false once another process accepts the clients
-	open         int             // connections
-	opened       int             // since the last line of statistics
-	idle         []*upstreamConn // the one idle for longest first
-	awaitingLate []*upstreamConn // with an answer outstanding that no request waits for; the oldest first
+	open         int             // number of open connections
+	opened       int             // number of connections opened since the last log line of counts
+	idle         []*upstreamConn // longest idle first
+	awaitingLate []*upstreamConn // an answer is outstanding that no request waits for; oldest first
 }
 
-func newUpstreamPool(c *Config, clk clock, bound int) *upstreamPool {
+func newUpstreamPool(c *Config, clk clock, maxConns int) *upstreamPool {
 	u := &upstreamPool{dial: c.dial, onDispatched: func() {}, budget: &byteBudget{left: int64(c.Limits.MemoryMB * budgetFraction * (1 << 20))},
-		maxConns: bound, retainsIdle: true}
+		maxConns: maxConns, retainsIdle: true}
 	u.updateSettings(c.Settings)
 	u.directory = newEndpointDirectory(clk, u.drop)
 	return u
@@ -51,48 +51,48 @@
 // connTimeouts are the time-outs of connections, from the settings.
 type connTimeouts struct {
 	connect time.Duration
-	idle    time.Duration // after which a connection is closed
-	late    time.Duration // for a late answer, and for one write
+	idle    time.Duration // after which an idle connection is closed
+	late    time.Duration // longest wait for a late answer, and for one write
 }
 
-// updateSettings applies other settings to connections and attempts that start from now on.
+// updateSettings sets the time-outs of connections and attempts that start afterwards.
 func (u *upstreamPool) updateSettings(s wire.Settings) {
-	t := connTimeouts{connect: s.ConnectTimeout, idle: time.Duration(float64(s.ConnIdle) * idleFraction)}
+	timeouts := connTimeouts{connect: s.ConnectTimeout, idle: time.Duration(float64(s.ConnIdle) * idleFraction)}
 	for _, class := range s.Classes {
-		t.late = max(t.late, class.Deadline)
+		timeouts.late = max(timeouts.late, class.Deadline)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.timeouts = t
+	u.timeouts = timeouts
 }
 
 // errAnswered ends an attempt whose request has its final answer: no other attempt will follow.
 var errAnswered = errors.New("the request has its final answer")
 
 var (
-	errEndpointUnavailable = errors.New("the upstream drains or is gone")
-	errClientGone          = errors.New("the client has gone")
-	errRetryWindowOver     = errors.New("no other attempt may begin any more")
-	errUnexpectedBytes     = errors.New("the connection brought what no request on it asked for, or its end")
+	errEndpointUnavailable = errors.New("the upstream is draining or was removed")
+	errClientGone          = errors.New("the client has disconnected")
+	errRetryWindowOver     = errors.New("the time for another attempt is over")
+	errUnexpectedBytes     = errors.New("the upstream sent unrequested bytes or closed the connection")
 	errSaturated           = errors.New("all upstream connections that the limits allow are busy")
 )
 
-// attemptReply is how an attempt ended; the rest belongs to an answer.
+// attemptReply is the outcome of an attempt. header, body, rest, reservedBytes and budget belong to an answer.
 type attemptReply struct {
 	result        balancer.Result
 	header        http.Header
 	body          []byte
-	rest          *responseRest // nil: body is all
-	reservedBytes int64         // of the budget, for body
+	rest          *responseRest // nil if body is complete
+	reservedBytes int64         // taken from budget for body
 	budget        *byteBudget
 	use           connUse
-	err           error // what broke the attempt, for the log
+	err           error // cause of the failure, for the log
 
-	abandon func() // closes the connection, which still waits for the answer; nil: it does not
+	abandon func() // closes the connection, which still waits for the answer; nil if it does not wait
 }
 
-// attempt sends a request to an upstream once, and blocks until the attempt or ctx ends. It does not begin at or after the
-// clock time before, if that is above 0.
+// attempt sends a request to an upstream once, and blocks until the attempt or ctx ends. If before is above 0, the attempt
+// does not begin at or after that clock time.
 func (u *upstreamPool) attempt(ctx context.Context, name string, r *clientRequest, before time.Duration) attemptReply {
 	c, failure := u.connFor(ctx, name, r, before)
 	if c == nil {
@@ -105,40 +105,41 @@
 	}
 	x := u.startExchange(ctx, c, r, before, use)
 	select {
-	case rep := <-x.ended:
-		return rep
+	case reply := <-x.ended:
+		return reply
 	case <-ctx.Done():
 	}
-	rep := attemptReply{result: balancer.Cancelled, use: use, err: context.Cause(ctx)}
+	reply := attemptReply{result: balancer.Cancelled, use: use, err: context.Cause(ctx)}
 	timeout := timedOut(ctx)
 	if timeout {
-		rep.result = balancer.Timeout
+		reply.result = balancer.Timeout
 	}
-	mayOutlast := timeout || errors.Is(context.Cause(ctx), errAnswered)
-	if !mayOutlast || !u.awaitLateAnswer(x.readCtx, c, x.end) {
+	mayAwaitAnswer := timeout || errors.Is(context.Cause(ctx), errAnswered)
+	if !mayAwaitAnswer || !u.awaitLateAnswer(x.readCtx, c, x.end) {
 		x.end()
 		ended := <-x.ended
 		if ended.rest == nil {
 			return ended
 		}
 		ended.drop() // the answer began just after ctx ended
-		return rep
+		return reply
 	}
 	close(x.abandoned)
-	rep.abandon = func() { u.abandon(x.readCtx, c) }
-	return rep
+	reply.abandon = func() { u.abandon(x.readCtx, c) }
+	return reply
 }
 
-// connFor returns an idle or a new connection on which the attempt may begin; nil: failure says why there is none.
+// connFor returns an idle or new connection on which the attempt may begin. If there is none, c is nil and failure is the
+// outcome of the attempt.
 func (u *upstreamPool) connFor(ctx context.Context, name string, r *clientRequest, before time.Duration) (c *upstreamConn, failure attemptReply) {
-	at, ok := u.directory.address(name)
+	address, ok := u.directory.address(name)
 	if !ok {
 		return nil, attemptReply{result: balancer.NotSent}
 	}
-	if c = u.acquire(name, at); c != nil {
+	if c = u.acquire(name, address); c != nil {
 		return c, failure
 	}
-	c, err := u.connect(ctx, name, at)
+	c, err := u.connect(ctx, name, address)
 	switch {
 	case errors.Is(err, errSaturated): // not a failure of the upstream
 		return nil, attemptReply{result: balancer.NotSent, err: err}
@@ -147,14 +148,14 @@
 	case err != nil:
 		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
 	}
-	if err := u.checkBegin(ctx, c, r, before); err != nil { // no longer, after the connecting; another request can use c
+	if err := u.checkBegin(ctx, c, r, before); err != nil { // it was too late once c was open; another request can use c
 		u.release(c)
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	}
 	return c, failure
 }
 
-// checkBegin returns why an attempt may not, or no longer, begin; nil: it may.
+// checkBegin returns the reason why an attempt may not begin, or nil if it may.
 func (u *upstreamPool) checkBegin(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
@@ -171,28 +172,28 @@
 	return nil
 }
 
-// timedOut reports whether ctx ended by its deadline. (That of a request whose body arrives slowly is a cause set by
-// dispatcher.onBodyComplete.)
+// timedOut reports whether ctx ended by its deadline. For a request whose body arrives slowly, dispatcher.onBodyComplete sets
+// the deadline, and cancels ctx with context.DeadlineExceeded as the cause.
 func timedOut(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
 // awaitLateAnswer keeps a connection open for an answer that its request no longer waits for, so that it can be used again:
-// the first request on a new connection would have to wait for the handshake. It returns false if the connection can't be
-// kept, for instance because the request was not sent completely.
-func (u *upstreamPool) awaitLateAnswer(exchangeCtx context.Context, c *upstreamConn, end context.CancelFunc) bool {
+// the first request on a new connection has to wait for the handshake. It returns false if the connection can't be kept, for
+// instance because the request was not sent completely.
+func (u *upstreamPool) awaitLateAnswer(exchangeCtx context.Context, c *upstreamConn, cancelExchange context.CancelFunc) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !c.requestEncoded.Load() || c.writeFailed.Load() || c.closed || exchangeCtx.Err() != nil {
 		return false
 	}
 	u.awaitingLate = append(u.awaitingLate, c)
-	timer := time.AfterFunc(u.timeouts.late, end)
+	timer := time.AfterFunc(u.timeouts.late, cancelExchange)
 	context.AfterFunc(exchangeCtx, func() { timer.Stop() })
 	return true
 }
 
-// abandon closes c unless its exchange has ended: c may carry another by now.
+// abandon closes c unless its exchange has ended, because c may then carry another one.
 func (u *upstreamPool) abandon(exchangeCtx context.Context, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -201,9 +202,9 @@
 	}
 }
 
-// connect opens a connection. At the limit it first closes the oldest that waits for a late answer, or the one idle for
-// longest; it fails with errSaturated if there is none.
-func (u *upstreamPool) connect(ctx context.Context, name string, at endpointAddress) (*upstreamConn, error) {
+// connect opens a connection. At the limit it first closes the connection that has waited longest for a late answer, or else
+// the longest idle one; it fails with errSaturated if there is neither.
+func (u *upstreamPool) connect(ctx context.Context, name string, address endpointAddress) (*upstreamConn, error) {
 	u.mu.Lock()
 	for u.open >= u.maxConns {
 		switch {
@@ -219,11 +220,11 @@
 	}
 	u.open++
 	u.opened++
-	times := u.timeouts
+	timeouts := u.timeouts
 	u.mu.Unlock()
-	c := &upstreamConn{name: name, address: at, writeTimeout: times.late}
+	c := &upstreamConn{name: name, address: address, writeTimeout: timeouts.late}
 	var err error
-	if c.Conn, err = u.dial.dialTimeout(ctx, times.connect, "tcp", at.address); err == nil {
+	if c.Conn, err = u.dial.dialTimeout(ctx, timeouts.connect, "tcp", address.address); err == nil {
 		var protocols http.Protocols
 		protocols.SetHTTP1(true)
 		transport := &http.Transport{
@@ -233,7 +234,7 @@
 			Protocols:              &protocols,
 		}
 		// A ClientConn never sends a request twice; a Transport retries on connections that it reuses.
-		if c.http, err = transport.NewClientConn(ctx, "http", at.address); err == nil {
+		if c.http, err = transport.NewClientConn(ctx, "http", address.address); err == nil {
 			return c, nil
 		}
 		_ = c.Close()
@@ -244,9 +245,9 @@
 	return nil, fmt.Errorf("connecting to %s: %w", name, err)
 }
 
-// acquire returns the idle connection to the upstream that was used last, or nil. It closes unusable ones, and leaves those
-// released less than minIdleBeforeReuse ago.
-func (u *upstreamPool) acquire(name string, at endpointAddress) *upstreamConn {
+// acquire returns the most recently used idle connection to the upstream, or nil if there is none. It closes unusable ones,
+// and skips those released less than minIdleBeforeReuse ago.
+func (u *upstreamPool) acquire(name string, address endpointAddress) *upstreamConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for i := len(u.idle) - 1; i >= 0; i-- {
@@ -255,7 +256,7 @@
 			continue
 		}
 		u.idle = slices.Delete(u.idle, i, i+1)
-		if c.retireTimer.Stop() && c.http.Err() == nil && c.address == at && (c.uses == 0 || !c.unusable()) {
+		if c.retireTimer.Stop() && c.http.Err() == nil && c.address == address && (c.uses == 0 || !c.unusable()) {
 			return c
 		}
 		u.closeLocked(c)
@@ -294,20 +295,20 @@
 	u.closeLocked(c)
 }
 
-// limit sets the limit of connections.
-func (u *upstreamPool) limit(bound int) {
+// limit sets the maximum number of connections.
+func (u *upstreamPool) limit(maxConns int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.maxConns = max(bound, 1)
+	u.maxConns = max(maxConns, 1)
 }
 
-// setRetention sets whether idle connections are kept, and the limit of connections. If they are not kept, none is opened
-// beyond the present number, and each is closed after its next request or after replacedIdleTimeout.
-func (u *upstreamPool) setRetention(on bool, bound int) {
+// setRetention sets whether idle connections are kept, and the maximum number of connections. If they are not kept, the
+// present number becomes the maximum, and each connection is closed after its next request or after replacedIdleTimeout.
+func (u *upstreamPool) setRetention(retain bool, maxConns int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.retainsIdle, u.maxConns = on, max(bound, 1)
-	if on {
+	u.retainsIdle, u.maxConns = retain, max(maxConns, 1)
+	if retain {
 		return
 	}
 	u.maxConns = max(u.open, 1)
@@ -323,7 +324,7 @@
 	return u.open
 }
 
-// drop closes an upstream's idle connections; release closes those in use.
+// drop closes an upstream's idle connections; release closes its others once they are no longer in use.
 func (u *upstreamPool) drop(name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -335,12 +336,12 @@
 	})
 }
 
-// endLateWait takes c off awaitingLate, with mu held.
+// endLateWait removes c from awaitingLate. The caller holds mu.
 func (u *upstreamPool) endLateWait(c *upstreamConn) {
 	u.awaitingLate = slices.DeleteFunc(u.awaitingLate, func(x *upstreamConn) bool { return x == c })
 }
 
-// closeLocked closes c, with mu held. A second call, as at the end of a wait for a late answer, has no effect.
+// closeLocked closes c. The caller holds mu. A second call, as at the end of a wait for a late answer, has no effect.
 func (u *upstreamPool) closeLocked(c *upstreamConn) {
 	if c.closed {
 		return
@@ -359,7 +360,7 @@
 
 // outgoing returns the request as it is sent to an upstream.
 func (r *clientRequest) outgoing(ctx context.Context, address string) *http.Request {
-	// Opaque passes path and query on byte for byte.
+	// Opaque passes on the path and query byte for byte.
 	req := &http.Request{Method: r.method, URL: &url.URL{Scheme: "http", Host: address, Opaque: r.target},
 		Host: r.host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.header.Clone()}
 	if r.body.length != 0 {
@@ -368,7 +369,7 @@
 	return req.WithContext(ctx)
 }
 
-// connectionStats returns the pool's state for the line of counts, and restarts the count of opened connections.
+// connectionStats returns the pool's state for the log line of counts, and resets the count of opened connections.
 func (u *upstreamPool) connectionStats() slog.Attr {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -17,10 +17,10 @@
 	"mosslead/internal/lab/transcript"
 )
 
-func testUpstreams(t *testing.T, bound int, entries ...string) *upstreamPool {
+func testUpstreams(t *testing.T, maxConns int, entries ...string) *upstreamPool {
 	t.Helper()
 	c := testConfig(t, "127.0.0.1:1", entries...)
-	u := newUpstreamPool(c, newClock(), bound)
+	u := newUpstreamPool(c, newClock(), maxConns)
 	u.directory.apply(c.Known)
 	t.Cleanup(func() {
 		for _, e := range c.Known.Endpoints {
@@ -30,16 +30,16 @@
 	return u
 }
 
-// roundTrip sends a request on a connection, without an attempt that waits for it.
+// roundTrip runs an exchange on a connection, without the steps of attempt before and after it.
 func (u *upstreamPool) roundTrip(ctx context.Context, c *upstreamConn, r *clientRequest) (attemptReply, bool) {
 	x := &upstreamExchange{pool: u, ctx: ctx, readCtx: ctx, conn: c, client: r}
 	return x.roundTrip()
 }
 
-// awaitReusable waits until each connection that is kept may be used again.
+// awaitReusable waits until each idle connection may be used again.
 func (u *upstreamPool) awaitReusable(t *testing.T) {
 	t.Helper()
-	eventually(t, "the connections have rested", func() bool {
+	eventually(t, "each idle connection may be used again", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return !slices.ContainsFunc(u.idle, func(c *upstreamConn) bool { return time.Since(c.releasedAt) < minIdleBeforeReuse })
@@ -51,7 +51,7 @@
 		header: http.Header{"X-Request-Id": {"9b1f03aa5c7e2d41"}, "Idempotency-Key": {"k"}}, body: &clientBody{retained: []byte(body), length: int64(len(body))}}
 }
 
-// slowWriteConn is a connection whose writes return a second after what they carry has gone out.
+// slowWriteConn is a connection whose writes return one second after their bytes were sent.
 type slowWriteConn struct{ net.Conn }
 
 func (c slowWriteConn) Write(p []byte) (int, error) {
@@ -60,8 +60,8 @@
 	return n, err
 }
 
-// Guards against an unsafe request that runs twice: an answer that breaks off says that the request may have run, also
-// where nothing has said yet that it was written.
+// Guards against an unsafe request that runs twice: an answer that is cut off means that the request may have run, even if
+// the write of the request has not returned yet.
 func TestAnswerBreaksOffBeforeTheWriteReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, calls := memnet.New(func(memnet.Event) {}), transcript.NewCalls()
@@ -89,15 +89,14 @@
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		if rep := u.attempt(ctx, "s", testRequest("POST", "b"), 0); rep.result != balancer.Reset {
-			t.Errorf("result %d, want %d: %v", rep.result, balancer.Reset, rep.err)
+			t.Errorf("got result %d, want %d: %v", rep.result, balancer.Reset, rep.err)
 		}
 		n.Close()
-		time.Sleep(time.Minute) // all ends
+		time.Sleep(time.Minute) // until all goroutines have ended
 	})
 }
 
-// Guards against claims about attempts that the sockets do not bear out: a request that may have run must
-// never be reported as one that did not.
+// Guards against wrong results of attempts: a request that may have run must never be reported as one that did not.
 func TestOutcomes(t *testing.T) {
 	refusal, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -144,23 +143,23 @@
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			if rep := u.attempt(ctx, "s", testRequest("POST", "b"), 0); rep.result != c.want {
-				t.Errorf("result %d, want %d", rep.result, c.want)
+				t.Errorf("got result %d, want %d", rep.result, c.want)
 			}
 			if n := len(s.requests()); n != 1 {
-				t.Errorf("the upstream got %d copies", n)
+				t.Errorf("the upstream got %d requests, want 1", n)
 			}
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
 		u := testUpstreams(t, 4, entry("s", refusal.Addr().String(), "Ready"))
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != balancer.ConnectFailed {
-			t.Errorf("result %d", rep.result)
+			t.Errorf("got result %d, want %d", rep.result, balancer.ConnectFailed)
 		}
 	})
 }
 
-// Guards against attempts that are called off in name only: where another may follow, the upstream must see the
-// connection end.
+// Guards against attempts that go on after they were cancelled: if another attempt may follow, the upstream must see that the
+// connection was closed.
 func TestTimeoutAndCancelCloseTheConnection(t *testing.T) {
 	for _, want := range []balancer.Result{balancer.Timeout, balancer.Cancelled} {
 		s := newUpstream(t, silent)
@@ -177,10 +176,10 @@
 		}
 		rep := <-end
 		if rep.result != want {
-			t.Errorf("result %d, want %d", rep.result, want)
+			t.Errorf("got result %d, want %d", rep.result, want)
 		}
 		if (rep.abandon != nil) != (want == balancer.Timeout) {
-			t.Fatalf("result %d: waits on: %v", rep.result, rep.abandon != nil)
+			t.Fatalf("result %d: got a connection that waits for a late answer: %v, want %v", rep.result, rep.abandon != nil, want == balancer.Timeout)
 		}
 		if rep.abandon != nil {
 			rep.abandon()
@@ -188,14 +187,14 @@
 		cancel()
 		eventually(t, "connection closed", func() bool { return s.closed.Load() == 1 })
 		if u.open != 0 {
-			t.Errorf("%d connections counted", u.open)
+			t.Errorf("got %d open connections, want 0", u.open)
 		}
 	}
 }
 
-// Guards against a handshake after each time-out: with little time to each request, one that pays for a new
-// connection runs out of it too, and ends that connection. The late answer is taken in and goes to nobody, also
-// not to the request that uses the connection next.
+// Guards against a handshake after each time-out: with short deadlines, a request that waits for a new connection also times
+// out, and its connection is closed in turn. The late answer is read and discarded; in particular, the request that uses the
+// connection next does not get it.
 func TestLateAnswerKeepsItsConnection(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -225,7 +224,7 @@
 			c.end(cancel, expire)
 			rep := <-end
 			if rep.result != c.want {
-				t.Fatalf("result %d, want %d", rep.result, c.want)
+				t.Fatalf("got result %d, want %d", rep.result, c.want)
 			}
 			close(release)
 			eventually(t, "the connection is idle", func() bool {
@@ -233,19 +232,19 @@
 				defer u.mu.Unlock()
 				return len(u.idle) == 1 && len(u.awaitingLate) == 0 && time.Since(u.idle[0].releasedAt) >= minIdleBeforeReuse
 			})
-			rep.abandon() // comes too late to harm
+			rep.abandon() // has no effect, since the exchange has ended
 			next := u.attempt(t.Context(), "s", testRequest("POST", "second"), 0)
 			if next.result != balancer.OK || string(next.body) != "for second" || next.use.nth != 2 {
-				t.Errorf("then: result %d, %q, use %d", next.result, next.body, next.use.nth)
+				t.Errorf("second request: got result %d, body %q, use %d of the connection, want %d, \"for second\", 2", next.result, next.body, next.use.nth, balancer.OK)
 			}
 			if n := s.opened.Load(); n != 1 {
-				t.Errorf("%d connections", n)
+				t.Errorf("got %d connections, want 1", n)
 			}
 		})
 	}
 }
 
-// manualDeadline is a context whose time is up when the test says so.
+// manualDeadline is a context whose deadline passes when expired is closed.
 type manualDeadline struct {
 	context.Context
 	expired chan struct{}
@@ -279,37 +278,38 @@
 	}
 }
 
-// Guards against connections that wait for ever, and against too many of them: they are evicted at the limit.
+// Guards against connections that wait for a late answer without bound, and against too many of them: at the limit they are
+// closed.
 func TestLateAnswerIsNotWaitedForLong(t *testing.T) {
 	a, b := newUpstream(t, silent), newUpstream(t, says(ok200("")))
 	u := testUpstreams(t, 1, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
-	late := func() {
+	timeOutAttempt := func() {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		if rep := u.attempt(ctx, "a", testRequest("GET", ""), 0); rep.result != balancer.Timeout {
-			t.Fatalf("result %d", rep.result)
+			t.Fatalf("got result %d, want %d", rep.result, balancer.Timeout)
 		}
 	}
-	late()
+	timeOutAttempt()
 	if rep := u.attempt(t.Context(), "b", testRequest("GET", ""), 0); rep.result != balancer.OK {
-		t.Errorf("result %d at the limit", rep.result)
+		t.Errorf("at the limit: got result %d, want %d", rep.result, balancer.OK)
 	}
-	eventually(t, "it gave way", func() bool { return a.closed.Load() == 1 })
+	eventually(t, "the waiting connection is closed for another", func() bool { return a.closed.Load() == 1 })
 	u.timeouts.late = 50 * time.Millisecond
-	late()
-	eventually(t, "its wait ended", func() bool { return a.closed.Load() == 2 })
-	eventually(t, "none is counted", func() bool {
+	timeOutAttempt()
+	eventually(t, "the wait for a late answer ends", func() bool { return a.closed.Load() == 2 })
+	eventually(t, "no connection is open", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return u.open == 0 && len(u.awaitingLate) == 0
 	})
 }
 
-// Guards against a refusal that is not safe, and a failure where one would be: what was never written whole
-// has not run. The library reports such a request as written, from its buffer.
+// Guards against a wrong result for a request that was not written completely, which has not run: its result is
+// ConnectFailed, not Reset. The library reports such a request as written, since it was in its buffer.
 func TestBrokenBeforeTheLastByteNeverRan(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and leaves them alone
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections, and neither reads nor writes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,11 +325,11 @@
 	rep, reusable := u.roundTrip(t.Context(), c, testRequest("POST", "b"))
 	u.discard(c)
 	if rep.result != balancer.ConnectFailed || reusable {
-		t.Errorf("result %d, reusable %v", rep.result, reusable)
+		t.Errorf("got result %d, reusable %v, want %d, false", rep.result, reusable, balancer.ConnectFailed)
 	}
 }
 
-// Guards against sends to an upstream that drains: the news came between the decision and the write.
+// Guards against requests to an upstream that drains: the update arrived between the decision and the write.
 func TestDrainIsCheckedAtTheWrite(t *testing.T) {
 	for _, status := range []string{"Terminating", "Gone"} {
 		s := newUpstream(t, says(ok200("")))
@@ -340,19 +340,19 @@
 		}
 		u.directory.apply(parsed(t, list(2, false, entry("s", s.address, status))))
 		if rep, _ := u.roundTrip(t.Context(), c, testRequest("GET", "")); rep.result != balancer.NotSent {
-			t.Errorf("%s: result %d", status, rep.result)
+			t.Errorf("%s: got result %d, want %d", status, rep.result, balancer.NotSent)
 		}
 		u.discard(c)
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != balancer.NotSent {
-			t.Errorf("%s: later result %d", status, rep.result)
+			t.Errorf("%s: next attempt: got result %d, want %d", status, rep.result, balancer.NotSent)
 		}
 		if n := len(s.requests()); n != 0 {
-			t.Errorf("%s: the upstream got %d requests", status, n)
+			t.Errorf("%s: the upstream got %d requests, want 0", status, n)
 		}
 	}
 }
 
-// Guards against changed requests: upstreams drop repeats and count copies by what stands in them.
+// Guards against changed requests: upstreams recognise duplicates by the contents of requests.
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	s := newUpstream(t, says(ok200("")))
 	u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
@@ -362,18 +362,18 @@
 	u.attempt(ctx, "s", testRequest("POST", body), 0)
 	g := s.requests()[0]
 	if g.method != "POST" || g.target != "/search/a%2Fb?x=%20y&z" || g.body != body {
-		t.Errorf("got %s %s and %d bytes", g.method, g.target, len(g.body))
+		t.Errorf("got %s %s with %d bytes, want POST /search/a%%2Fb?x=%%20y&z with the %d bytes sent", g.method, g.target, len(g.body), len(body))
 	}
 	if g.header.Get("X-Request-ID") != "9b1f03aa5c7e2d41" || g.header.Get("Idempotency-Key") != "k" {
-		t.Errorf("headers %v", g.header)
+		t.Errorf("got headers %v, want X-Request-ID 9b1f03aa5c7e2d41 and Idempotency-Key k", g.header)
 	}
 	if d, err := parseTimeout(g.header.Get("X-Timeout")); err != nil || d <= 0 || d > testTimeout {
-		t.Errorf("X-Timeout %q: %v, %v", g.header.Get("X-Timeout"), d, err)
+		t.Errorf("got X-Timeout %q: %v, %v, want above 0 and at most %v", g.header.Get("X-Timeout"), d, err, testTimeout)
 	}
 }
 
-// Guards against a handshake for each request, and against requests on connections that the upstream closed
-// or is about to close.
+// Guards against a handshake for each request, and against requests on connections that the upstream has closed or is about
+// to close.
 func TestPool(t *testing.T) {
 	n, pooled := atomic.Int32{}, make(chan struct{})
 	s := newUpstream(t, func(c net.Conn, _ got) bool {
@@ -381,7 +381,7 @@
 		if n.Add(1) != 3 {
 			return true
 		}
-		<-pooled // the third answer's connection is reset when idle
+		<-pooled // the connection is reset while it is idle after the third answer
 		return false
 	})
 	u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
@@ -389,55 +389,55 @@
 		t.Helper()
 		u.awaitReusable(t)
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != want {
-			t.Fatalf("result %d, want %d", rep.result, want)
+			t.Fatalf("got result %d, want %d", rep.result, want)
 		}
 	}
 	send(balancer.OK)
 	send(balancer.OK)
 	if n := s.opened.Load(); n != 1 {
-		t.Fatalf("%d connections for two requests", n)
+		t.Fatalf("got %d connections for two requests, want 1", n)
 	}
 
 	// A reset while idle: the next request takes a new connection.
 	send(balancer.OK)
 	idle := u.idle[0]
 	close(pooled)
-	eventually(t, "the upstream's close is seen", func() bool { return idle.http.Err() != nil })
+	eventually(t, "the upstream's reset is detected", func() bool { return idle.http.Err() != nil })
 	send(balancer.OK)
 	if n := s.opened.Load(); n != 2 {
-		t.Fatalf("%d connections", n)
+		t.Fatalf("got %d connections, want 2", n)
 	}
 
-	// Retired while idle, before the upstream would.
+	// An idle connection is closed before the upstream would close it.
 	u.timeouts.idle = time.Millisecond
 	send(balancer.OK)
 	eventually(t, "idle connection retired", func() bool { return s.closed.Load() == 2 })
 
-	// Gone: the pool goes too.
+	// The upstream is removed: its idle connections are closed.
 	u.timeouts.idle = time.Hour
 	send(balancer.OK)
 	u.directory.apply(parsed(t, list(2, false, entry("s", s.address, "Gone"))))
-	eventually(t, "pool dropped", func() bool { return s.closed.Load() == 3 })
+	eventually(t, "the removed upstream's connection is closed", func() bool { return s.closed.Load() == 3 })
 
-	// Back at another address: no connection to the old one is used.
+	// The upstream is back at another address: no connection to the old address is used.
 	u.directory.apply(parsed(t, list(3, false, entry("s", s.address, "Ready"))))
 	send(balancer.OK)
 	moved := newUpstream(t, says(ok200("")))
 	u.directory.apply(parsed(t, list(4, false, entry("s", moved.address, "Ready"))))
-	eventually(t, "old address dropped", func() bool { return s.closed.Load() == 4 })
+	eventually(t, "the connection to the old address is closed", func() bool { return s.closed.Load() == 4 })
 	send(balancer.OK)
 	if len(moved.requests()) != 1 {
-		t.Error("the new address got nothing")
+		t.Errorf("the new address got %d requests, want 1", len(moved.requests()))
 	}
 
-	// A new process at the same address: connections to the old one are dead, if silently.
+	// A new process is at the same address: connections to the old process are closed, even if they show no failure.
 	again := strings.Replace(entry("s", moved.address, "Ready"), `"since_ms":0`, `"since_ms":1000`, 1)
 	u.directory.apply(parsed(t, list(5, false, again)))
-	eventually(t, "old process dropped", func() bool { return moved.closed.Load() == 1 })
+	eventually(t, "the connection to the old process is closed", func() bool { return moved.closed.Load() == 1 })
 }
 
-// Guards against hidden copies: a library that sends a request again by itself, as net/http's Transport does
-// on a connection that it reuses, makes an attempt that nobody decided on.
+// Guards against retries by the HTTP library: net/http's Transport sends a request again if a reused connection fails, which
+// would be an attempt on which the balancer did not decide.
 func TestBrokenRequestIsNotSentAgain(t *testing.T) {
 	n := atomic.Int32{}
 	s := newUpstream(t, func(c net.Conn, _ got) bool {
@@ -450,29 +450,29 @@
 	u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 	for _, want := range []balancer.Result{balancer.OK, balancer.Reset} {
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != want {
-			t.Errorf("result %d, want %d", rep.result, want)
+			t.Errorf("got result %d, want %d", rep.result, want)
 		}
 		u.awaitReusable(t)
 	}
 	if got := s.requests(); len(got) != 2 || got[1].conn != 1 {
-		t.Errorf("%d requests, the last on connection %d", len(got), got[len(got)-1].conn)
+		t.Errorf("got %d requests, the last on connection %d, want 2 on connection 1", len(got), got[len(got)-1].conn)
 	}
 }
 
-// Guards against too many descriptors: at the limit the least useful idle connection is evicted, and where
-// all are busy an attempt ends as one that was never sent, which says nothing of its upstream.
+// Guards against too many descriptors: at the limit the longest idle connection is closed, and if all are busy an attempt ends
+// as NotSent, which does not count as a failure of its upstream.
 func TestConnectionLimit(t *testing.T) {
 	a, b := newUpstream(t, says(ok200(""))), newUpstream(t, silent)
 	u := testUpstreams(t, 1, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
 	if rep := u.attempt(t.Context(), "a", testRequest("GET", ""), 0); rep.result != balancer.OK {
-		t.Fatalf("result %d", rep.result)
+		t.Fatalf("got result %d, want %d", rep.result, balancer.OK)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	end := make(chan attemptReply, 1)
 	go func() { end <- u.attempt(ctx, "b", testRequest("GET", ""), 0) }()
-	eventually(t, "the idle connection gave way", func() bool { return a.closed.Load() == 1 && len(b.requests()) == 1 })
+	eventually(t, "the idle connection is closed for another", func() bool { return a.closed.Load() == 1 && len(b.requests()) == 1 })
 	if rep := u.attempt(t.Context(), "a", testRequest("GET", ""), 0); rep.result != balancer.NotSent {
-		t.Errorf("result %d over the limit", rep.result)
+		t.Errorf("above the limit: got result %d, want %d", rep.result, balancer.NotSent)
 	}
 	cancel()
 	<-end
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -15,18 +15,18 @@
 
 const (
 	maxList          = 4 << 20                // bytes of one message
-	baseRewatchDelay = 250 * time.Millisecond // between watches, where lists are pushed
-	maxRewatchDelay  = 2 * time.Second        // to which that grows
-	// subscribeStep and subscribeCalls are for discovery on demand, which answers calls in turn: a call gets longer to be
-	// answered, and after subscribeCalls the balancer decides when to subscribe again. They keep the bound of watch.Told;
-	// the longest case:
+	baseRewatchDelay = 250 * time.Millisecond // first pause between watches, if lists are pushed
+	maxRewatchDelay  = 2 * time.Second        // to which the pause grows
+	// subscribeStep and subscribeCalls apply to discovery on demand, which answers calls in turn: each call has more time for
+	// its answer, and after subscribeCalls failed calls the balancer decides when to subscribe again. The longest delay is
+	// still watch.NotifyDeadline:
 	//
 	//	the last call before discovery returns is unanswered    2.5 s (also a connection that is never established)
 	//	the back-off of the balancer                            3.0 s (balancer's maxPollBackoff, with jitter)
-	//	left for connecting and one list                        0.5 s
+	//	remaining for connecting and one list                   0.5 s
 	//
 	// A call that is refused, reset or answered by an error or a malformed list ends at once, so that only the back-off
-	// counts. A change of the address does not wait for the back-off: see awaitSubscribe.
+	// counts. A change of address does not wait for the back-off: see awaitSubscribe.
 	subscribeStep  = watch.Silence
 	subscribeCalls = 2
 )
@@ -35,21 +35,21 @@
 // subscribe, move and source are safe for concurrent use; the rest belongs to the goroutine of run.
 type watcher struct {
 	dir               *endpointDirectory
-	settings          *settingsFollower // nil: only the list is requested
+	settings          *settingsFollower // nil if only the list is requested
 	client            *http.Client
 	revision          int64 // revision of the list
 	report            func(balancer.EndpointUpdate)
-	subscribeRequests chan struct{} // has a buffer of one: the balancer subscribes
-	addressChanges    chan struct{} // has a buffer of one: the address has changed
+	subscribeRequests chan struct{} // buffer of one; signals that the balancer subscribes
+	addressChanges    chan struct{} // buffer of one; signals that address has changed
 
 	mu                 sync.Mutex
 	address            string
-	endWatch           context.CancelCauseFunc // ends the watch at the present address; nil: none is open
-	continuesElsewhere bool                    // that watch moves to another address by itself, unless that is one of several replicas
+	endWatch           context.CancelCauseFunc // ends the watch at the present address; nil if none is open
+	continuesElsewhere bool                    // the open watch moves to another address by itself, unless that has several replicas
 }
 
-// errMoved is the cause that ends a watch because the address has changed. It is not a failure: the list stays in use, and
-// another watch starts at the new address.
+// errMoved is the cause that ends a watch because the address has changed. It is not a failure: the list stays in use,
+// and another watch starts at the new address.
 var errMoved = errors.New("discovery has moved")
 
 func newWatcher(c *Config, dir *endpointDirectory, report func(balancer.EndpointUpdate)) *watcher {
@@ -95,51 +95,51 @@
 	return w.address
 }
 
-// currentAddress returns the address of discovery, and a context that ends when the watch there has to end for another
-// address.
-func (w *watcher) currentAddress(ctx context.Context) (address string, at context.Context, end context.CancelCauseFunc) {
+// currentAddress returns the address of discovery, a context for the watch there, which ends if the watch has to move to
+// another address, and the function that cancels it.
+func (w *watcher) currentAddress(ctx context.Context) (address string, watchCtx context.Context, end context.CancelCauseFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at, w.endWatch = context.WithCancelCause(ctx)
+	watchCtx, w.endWatch = context.WithCancelCause(ctx)
 	select {
 	case <-w.addressChanges: // the present address is returned
 	default:
 	}
-	return w.address, at, w.endWatch
+	return w.address, watchCtx, w.endWatch
 }
 
 // setContinues sets whether the open watch moves to another address by itself, see watch.Follower.AddressChanged.
-func (w *watcher) setContinues(on bool) {
+func (w *watcher) setContinues(continues bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.continuesElsewhere = on
+	w.continuesElsewhere = continues
 }
 
-// run watches until ctx ends. With onDemand, each watch starts when the balancer subscribes, which also decides when to try
-// again after a failure.
+// run watches until ctx ends. With onDemand, each watch starts when the balancer subscribes; the balancer also decides when
+// to try again after a failure.
 func (w *watcher) run(ctx context.Context, onDemand bool) {
-	standing := false // the watch continues at another address, without a call of subscribe
+	moved := false // the last watch ended for another address; the next one starts without a call of subscribe
 	for ctx.Err() == nil {
-		if onDemand && !standing && !w.awaitSubscribe(ctx) {
+		if onDemand && !moved && !w.awaitSubscribe(ctx) {
 			return
 		}
-		address, at, end := w.currentAddress(ctx)
+		address, watchCtx, end := w.currentAddress(ctx)
 		if isReplicated(address) || w.settings != nil {
-			w.follow(at, address)
+			w.follow(watchCtx, address)
 		} else {
-			w.watch(at, onDemand)
+			w.watch(watchCtx, onDemand)
 		}
-		standing = errors.Is(context.Cause(at), errMoved)
+		moved = errors.Is(context.Cause(watchCtx), errMoved)
 		end(nil)
-		if onDemand && !standing && ctx.Err() == nil {
+		if onDemand && !moved && ctx.Err() == nil {
 			w.report(balancer.EndpointUpdate{Kind: balancer.WatchFailed})
 		}
 	}
 }
 
-// awaitSubscribe blocks until the balancer subscribes; it returns false if ctx ended first. The back-off of the balancer after
-// a failure does not hold for another address: after a change it is handed the cached list, upon which it subscribes at
-// once.
+// awaitSubscribe blocks until the balancer subscribes; it returns false if ctx ended first. The balancer's back-off after a
+// failure does not apply to another address: after a change of address the balancer gets the cached list, upon which it
+// subscribes at once.
 func (w *watcher) awaitSubscribe(ctx context.Context) bool {
 	for {
 		select {
@@ -157,36 +157,36 @@
 func (w *watcher) watch(ctx context.Context, onDemand bool) {
 	w.setContinues(true)
 	defer w.setContinues(false)
-	wait, last := baseRewatchDelay, ""
+	delay, lastAddress := baseRewatchDelay, ""
 	f := watch.Follower[listing]{Client: w.client, MaxMessageBytes: maxList, AddressChanged: w.addressChanges,
 		Address: func() string {
-			at := w.source()
-			if at != last && last != "" {
+			address := w.source()
+			if address != lastAddress && lastAddress != "" {
 				logWarning(ofDiscovery, "watch continues at another address", errMoved)
-				wait = baseRewatchDelay
+				delay = baseRewatchDelay
 			}
-			last = at
-			return at
+			lastAddress = address
+			return address
 		},
 		Revision: func() int64 { return w.revision },
 		Apply: func(_ string, l *listing) error {
 			if err := l.check(); err != nil { // the last good list stays in use, and changes are requested from its revision on
 				return fmt.Errorf("malformed list: %w", err)
 			}
-			wait = baseRewatchDelay
+			delay = baseRewatchDelay
 			w.revision = *l.Revision
 			w.report(w.dir.apply(l))
 			return nil
 		},
 		OnEstablished: func() {
-			wait = baseRewatchDelay
+			delay = baseRewatchDelay
 			w.report(balancer.EndpointUpdate{Kind: balancer.Delta})
 		},
-		OnError: func(_ string, why error) { logWarning(ofDiscovery, "watch ended", why) },
+		OnError: func(_ string, err error) { logWarning(ofDiscovery, "watch ended", err) },
 		Wait: func() time.Duration {
-			now := wait
-			wait = min(2*wait, maxRewatchDelay)
-			return now
+			current := delay
+			delay = min(2*delay, maxRewatchDelay)
+			return current
 		},
 	}
 	if onDemand {
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -17,7 +17,7 @@
 	"mosslead/balancer"
 )
 
-// startWatcher runs a watcher as a module would that asks again at once.
+// startWatcher runs a watcher on demand, and subscribes again at once after each failure.
 func startWatcher(t *testing.T, d *fakeDiscovery, known ...string) (*endpointDirectory, chan balancer.EndpointUpdate) {
 	t.Helper()
 	updates := make(chan balancer.EndpointUpdate, 64)
@@ -45,12 +45,12 @@
 	case m := <-updates:
 		return m
 	case <-time.After(testTimeout):
-		t.Fatal("nothing was reported")
+		t.Fatal("got no update in time")
 		panic("unreachable")
 	}
 }
 
-// Guards against a list that differs from discovery's: changes apply to what is known, a snapshot replaces it.
+// Guards against a list that differs from that of discovery: changes apply to the known list, a snapshot replaces it.
 func TestWatchFollowsTheList(t *testing.T) {
 	d := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(list(5, false, entry("b", "127.0.0.2:2", "Ready"), entry("a", "127.0.0.2:1", "Terminating")))
@@ -63,22 +63,23 @@
 	if m.Kind != balancer.Delta || len(m.Endpoints) != 2 || m.Endpoints[0].State != balancer.Active ||
 		m.Endpoints[1].State != balancer.Draining || m.Endpoints[0].Machine != "m" || m.Endpoints[0].Zone != "a" ||
 		m.Endpoints[0].Weight != 3 {
-		t.Errorf("changes told as %+v", m)
+		t.Errorf("got update %+v, want a delta with b, active, on machine m in zone a with weight 3, and a, draining", m)
 	}
 	if m = nextUpdate(t, updates); m.Kind != balancer.FullState || len(m.Endpoints) != 1 {
-		t.Errorf("snapshot told as %+v", m)
+		t.Errorf("got update %+v, want the full state with 1 endpoint", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
 		if _, ok := dir.address(name); ok != want {
-			t.Errorf("%s wants requests: %v", name, ok)
+			t.Errorf("%s accepts requests: got %v, want %v", name, ok, want)
 		}
 	}
 	if froms := d.watches(); !slices.Equal(froms, []string{"1"}) {
-		t.Errorf("watches from %v", froms)
+		t.Errorf("got watches from %v, want [1]", froms)
 	}
 }
 
-// Guards against a list lost to a bad line: the last good one stays, and is asked for again from there.
+// Guards against the loss of the list after a malformed line: the last good list stays in use, and the next watch asks for
+// changes from its revision on.
 func TestMalformedLines(t *testing.T) {
 	for name, bad := range map[string]string{
 		"not JSON":   `{"index":8]`,
@@ -98,23 +99,23 @@
 			})
 			dir, updates := startWatcher(t, d, entry("a", "127.0.0.2:1", "Ready"))
 			if m := nextUpdate(t, updates); m.Kind != balancer.Delta {
-				t.Errorf("told %+v", m)
+				t.Errorf("got update %+v, want kind %d", m, balancer.Delta)
 			}
 			if m := nextUpdate(t, updates); m.Kind != balancer.WatchFailed {
-				t.Errorf("told %+v", m)
+				t.Errorf("got update %+v, want kind %d", m, balancer.WatchFailed)
 			}
-			eventually(t, "asked again", func() bool { return len(d.watches()) == 2 })
+			eventually(t, "a second watch", func() bool { return len(d.watches()) == 2 })
 			if froms := d.watches(); froms[1] != "7" {
-				t.Errorf("asked again from %s", froms[1])
+				t.Errorf("got a second watch from %s, want 7", froms[1])
 			}
 			if _, ok := dir.address("a"); !ok {
-				t.Error("the good list is lost")
+				t.Error("got no address for a, want the one of the last good list")
 			}
 		})
 	}
 }
 
-// Guards against a watch that is taken for not yet answered because there is no news: an empty line answers it.
+// Guards against a watch that counts as unanswered because there are no changes: an empty line is an answer.
 func TestWatchWithoutChangesIsAnswered(t *testing.T) {
 	d := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
@@ -123,21 +124,21 @@
 		<-done
 	})
 	dir, updates := startWatcher(t, d, entry("a", "127.0.0.2:1", "Ready"))
-	for range 2 { // the answer and the news, nothing for the second empty line
+	for range 2 { // for the answer and for the changes, none for the second empty line
 		if m := nextUpdate(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
-			t.Errorf("told %+v", m)
+			t.Errorf("got update %+v, want kind %d without endpoints", m, balancer.Delta)
 		}
 	}
 	if len(updates) != 0 {
-		t.Errorf("told %+v too", <-updates)
+		t.Errorf("got a third update %+v, want two", <-updates)
 	}
 	if _, ok := dir.address("a"); !ok {
-		t.Error("the known list is lost")
+		t.Error("got no address for a, want the one of the known list")
 	}
 }
 
-// Guards against a list that stands still where nobody asks for it: a pushed list is watched again by itself,
-// and the balancer hears of no failure of a call that it did not make.
+// Guards against a list that is no longer updated after a watch has ended: a pushed list is watched again without a call of
+// subscribe, and the balancer gets no failure of a watch that it did not request.
 func TestPushedListIsWatchedAgain(t *testing.T) {
 	d := newDiscovery(t, func(n int, send func(string), done <-chan struct{}) {
 		send(list(6+n, false))
@@ -155,48 +156,48 @@
 	t.Cleanup(func() { <-done })
 	for range 2 {
 		if m := nextUpdate(t, updates); m.Kind != balancer.Delta {
-			t.Errorf("told %+v", m)
+			t.Errorf("got update %+v, want kind %d", m, balancer.Delta)
 		}
 	}
 	if froms := d.watches(); !slices.Equal(froms, []string{"1", "7"}) {
-		t.Errorf("watches from %v", froms)
+		t.Errorf("got watches from %v, want [1 7]", froms)
 	}
 }
 
-// Guards against a new process taken for an old one: its age tells the balancer how warm it is. Also one that
-// started before this sidecar did.
+// Guards against wrong start times of upstreams, also of those that started before this sidecar: the balancer derives from
+// them how warm an upstream is.
 func TestSinceIsOnTheSidecarsClock(t *testing.T) {
 	clk := newClock()
 	if got := clk.fromUnixMs(0); got != 0 {
-		t.Errorf("long ago is %v", got)
+		t.Errorf("got %v for 0, want 0", got)
 	}
 	since := float64(clk.start.Add(-3 * time.Second).UnixMilli())
 	if got := clk.fromUnixMs(since) - clockStart; got > -2900*time.Millisecond || got < -3100*time.Millisecond {
-		t.Errorf("3 s before the start is %v", got)
+		t.Errorf("got %v for 3 s before the start, want -3 s within 0.1 s", got)
 	}
 	if got := clk.fromUnixMs(1); got != 0 {
-		t.Errorf("1970 is %v", got)
+		t.Errorf("got %v for 1 ms after the start of 1970, want 0", got)
 	}
 }
 
-// Guards against a list that stands still after discovery has moved: the watch goes on at the new address from the
-// version that it had, whether it was standing or waiting to be opened again, and no failure is told.
+// Guards against a list that is no longer updated after discovery has moved: the watch continues at the new address from its
+// last version, whether it was open or waiting for the next try, and no failure is reported.
 func TestMovedDiscoveryIsFollowed(t *testing.T) {
 	for _, onDemand := range []bool{true, false} {
-		for _, stood := range []bool{true, false} {
-			before := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
+		for _, staysOpen := range []bool{true, false} {
+			first := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 				send(list(5, false))
-				if stood || onDemand {
+				if staysOpen || onDemand {
 					<-done
 				}
 			})
-			after := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
+			second := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 				send(list(6, false, entry("b", "127.0.0.2:2", "Ready")))
 				<-done
 			})
 			updates := make(chan balancer.EndpointUpdate, 64)
 			u := testUpstreams(t, 4)
-			w := newWatcher(testConfig(t, before.address), u.directory, func(m balancer.EndpointUpdate) { updates <- m })
+			w := newWatcher(testConfig(t, first.address), u.directory, func(m balancer.EndpointUpdate) { updates <- m })
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
@@ -205,20 +206,20 @@
 			}()
 			w.subscribe()
 			if m := nextUpdate(t, updates); m.Kind != balancer.Delta {
-				t.Errorf("told %+v", m)
+				t.Errorf("got update %+v, want kind %d", m, balancer.Delta)
 			}
-			w.move(after.address)
+			w.move(second.address)
 			for {
 				m := nextUpdate(t, updates)
 				if m.Kind == balancer.WatchFailed {
-					t.Error("a move was told as a failure")
+					t.Error("got a failure as the update after a move, want none")
 				}
 				if len(m.Endpoints) == 1 {
 					break
 				}
 			}
-			if from := after.watches(); from[0] != "5" {
-				t.Errorf("asked at the new address from %s", from[0])
+			if from := second.watches(); from[0] != "5" {
+				t.Errorf("got the first watch at the new address from %s, want 5", from[0])
 			}
 			cancel()
 			<-done
@@ -226,8 +227,8 @@
 	}
 }
 
-// Guards against a line that crosses SIGHUP and is never read: what the old discovery has written counts as told, also while the
-// new one does not answer, whoever asks for the list. Versions are asked on from there.
+// Guards against the loss of a line that the old address writes at the time of SIGHUP: it is applied, also while the new
+// address does not answer, with and without onDemand.
 func TestALineThatCrossesAMoveIsRead(t *testing.T) {
 	for _, onDemand := range []bool{true, false} {
 		for _, late := range []time.Duration{0, time.Millisecond, time.Second} {
@@ -238,17 +239,17 @@
 					w := newWatcher(testConfig(t, "127.0.0.1:1"), u.directory, func(m balancer.EndpointUpdate) { updates <- m })
 					move := make(chan struct{})
 					w.client.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
-						ours, theirs := net.Pipe()
+						near, far := net.Pipe()
 						go func() {
-							if _, err := http.ReadRequest(bufio.NewReader(theirs)); err == nil && address == "127.0.0.1:1" {
-								_, _ = io.WriteString(theirs, outageHead+chunked(list(5, false)))
+							if _, err := http.ReadRequest(bufio.NewReader(far)); err == nil && address == "127.0.0.1:1" {
+								_, _ = io.WriteString(far, outageHead+chunked(list(5, false)))
 								<-move
 								time.Sleep(late)
-								_, _ = io.WriteString(theirs, chunked(list(6, false, entry("a", "127.0.0.2:1", "Terminating"))))
+								_, _ = io.WriteString(far, chunked(list(6, false, entry("a", "127.0.0.2:1", "Terminating"))))
 							}
-							_, _ = io.Copy(io.Discard, theirs)
+							_, _ = io.Copy(io.Discard, far)
 						}()
-						return ours, nil
+						return near, nil
 					}
 					ctx, cancel := context.WithCancel(t.Context())
 					done := make(chan struct{})
@@ -263,7 +264,7 @@
 					time.Sleep(late + time.Millisecond)
 					synctest.Wait()
 					if _, ok := u.directory.address("a"); ok || *u.directory.fullList().Revision != 6 {
-						t.Errorf("version %d is in use, and takes work: %v", *u.directory.fullList().Revision, ok)
+						t.Errorf("got version %d, a accepts requests: %v, want version 6, false", *u.directory.fullList().Revision, ok)
 					}
 					cancel()
 					<-done
@@ -273,8 +274,9 @@
 	}
 }
 
-// scriptDiscovery sets up agents of discovery in memory: each connection runs script with its address and number at that address, from
-// 1, and then stays open. Not answering is silence; script ends the answer where it says so, and nil lines refuse.
+// scriptDiscovery replaces the connections of w by ones to a discovery in memory, and returns the times of the dials. script gets
+// the address and the number of the connection at that address, from 1. It returns whether the connection is refused, the lines
+// of the answer, nil for no answer, and whether the answer ends after them; the connection stays open in any case.
 func scriptDiscovery(w *watcher, script func(address string, n int) (refuses bool, lines []string, ends bool)) *[]time.Time {
 	dials, numbers := &[]time.Time{}, map[string]int{}
 	w.client.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
@@ -284,9 +286,9 @@
 		if refuses {
 			return nil, errors.New("refused")
 		}
-		ours, theirs := net.Pipe()
+		near, far := net.Pipe()
 		go func() {
-			if _, err := http.ReadRequest(bufio.NewReader(theirs)); err != nil || lines == nil {
+			if _, err := http.ReadRequest(bufio.NewReader(far)); err != nil || lines == nil {
 				return
 			}
 			text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -296,17 +298,17 @@
 			if ends {
 				text += "0\r\n\r\n"
 			}
-			_, _ = io.WriteString(theirs, text)
-			_, _ = io.Copy(io.Discard, theirs)
+			_, _ = io.WriteString(far, text)
+			_, _ = io.Copy(io.Discard, far)
 		}()
-		return ours, nil
+		return near, nil
 	}
 	return dials
 }
 
-// Guards against a list that comes too late where pushed lists bind whether or not they were heard: silence within the
-// 4 s after SIGHUP, with a successor that is never answered; an agent that ends the watch, is gone for a while, and has a
-// list that came meanwhile, which binds 3 s after its return.
+// Guards against a pushed list that is applied too late: sidecars have to follow it by a deadline, whether or not they have
+// received it. The cases: the new address is silent within the 4 s after SIGHUP, and the next watch is never answered;
+// discovery ends the watch, is down for 3.75 s, and has a new list, which sidecars have to follow 3 s after its return.
 func TestListIsInHandWhenItBinds(t *testing.T) {
 	for name, x := range map[string]struct {
 		script func(address string, n int) (bool, []string, bool)
@@ -343,7 +345,7 @@
 				}()
 				synctest.Wait()
 				if got := *w.dir.fullList().Revision; got != 5 {
-					t.Fatalf("version %d at the start", got)
+					t.Fatalf("got version %d at the start, want 5", got)
 				}
 				if x.moves {
 					w.move("127.0.0.2:1")
@@ -351,11 +353,11 @@
 				time.Sleep(x.within)
 				synctest.Wait()
 				if got := *w.dir.fullList().Revision; got != 7 {
-					t.Errorf("version %d after %v", got, x.within)
+					t.Errorf("got version %d after %v, want 7", got, x.within)
 				}
 				for i, at := range (*dials)[1:] {
 					if gap := at.Sub((*dials)[i]); gap > 2500*time.Millisecond {
-						t.Errorf("not asked for %v", gap)
+						t.Errorf("got %v between two dials, want at most 2.5 s", gap)
 					}
 				}
 				cancel()
