--- a/internal/sidecar/settingsfollower_rig_test.go
+++ b/internal/sidecar/settingsfollower_rig_test.go
@@ -16,30 +16,31 @@
 	"mosslead/internal/registry/api"
 )
 
-// fakeService is a list service of one replica as sidecars see it: its list never changes, the settings of one service do.
+// fakeService is a list service of one replica with the API that sidecars use. Its list never changes; the settings of one
+// service do.
 type fakeService struct {
 	address string
 	srv     *http.Server
 
-	mu        sync.Mutex
-	list      string // the entries of its list
-	index     int64
-	announced api.Document // Version 0: there is none
-	again     chan struct{}
-	calls     []string // of watches, as they were asked
-	acks      []api.Ack
-	refuses   bool // acks
+	mu          sync.Mutex
+	list        string // the entries of its list
+	index       int64
+	announced   api.Document // Revision is 0 if there is none
+	changed     chan struct{}
+	watchURIs   []string // request URIs of all watches
+	acks        []api.Ack
+	rejectsAcks bool // answers acknowledgements by 400
 }
 
 func newListService(t testing.TB, entries ...string) *fakeService {
 	t.Helper()
-	s := &fakeService{list: strings.Join(entries, ","), index: 1, again: make(chan struct{})}
-	s.begin(t, "127.0.0.1:0")
+	s := &fakeService{list: strings.Join(entries, ","), index: 1, changed: make(chan struct{})}
+	s.listenOn(t, "127.0.0.1:0")
 	return s
 }
 
-// begin answers at an address, until stop.
-func (s *fakeService) begin(t testing.TB, address string) {
+// listenOn starts to serve at an address, until the test ends.
+func (s *fakeService) listenOn(t testing.TB, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,7 +54,7 @@
 		defer end()
 		defer context.AfterFunc(stop, end)()
 		s.mu.Lock()
-		s.calls = append(s.calls, r.RequestURI)
+		s.watchURIs = append(s.watchURIs, r.RequestURI)
 		s.mu.Unlock()
 		s.watch(ctx, w, r)
 	})
@@ -62,7 +63,7 @@
 		err := json.NewDecoder(r.Body).Decode(&all)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if err != nil || s.refuses {
+		if err != nil || s.rejectsAcks {
 			http.Error(w, `{"code":"bad request","error":"refused"}`, http.StatusBadRequest)
 			return
 		}
@@ -76,8 +77,8 @@
 }
 
 func (s *fakeService) watch(ctx context.Context, w http.ResponseWriter, r *http.Request) {
-	line := func(l any) {
-		text, err := json.Marshal(l)
+	send := func(event any) {
+		text, err := json.Marshal(event)
 		if err != nil {
 			panic(err)
 		}
@@ -87,23 +88,23 @@
 	held, first := r.FormValue("held"), r.FormValue("from") != "1"
 	for {
 		s.mu.Lock()
-		d, index, again := s.announced, s.index, s.again
+		d, index, changed := s.announced, s.index, s.changed
 		text := fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, first, s.list)
 		s.mu.Unlock()
-		var l map[string]any
-		if err := json.Unmarshal([]byte(text), &l); err != nil {
+		var event map[string]any
+		if err := json.Unmarshal([]byte(text), &event); err != nil {
 			panic(err)
 		}
 		if !first {
-			l["endpoints"] = []any{}
+			event["endpoints"] = []any{}
 		}
-		now := fmt.Sprintf("%s@%d", d.Region, d.Revision)
-		news := d.Revision > 0 && d.Service == r.FormValue("service") && now != held
-		if news {
-			l["documents"], held = []api.Document{d}, now
+		current := fmt.Sprintf("%s@%d", d.Region, d.Revision)
+		changes := d.Revision > 0 && d.Service == r.FormValue("service") && current != held
+		if changes {
+			event["documents"], held = []api.Document{d}, current
 		}
-		if first || news {
-			line(l)
+		if first || changes {
+			send(event)
 		} else {
 			_, _ = io.WriteString(w, "\n")
 			_ = http.NewResponseController(w).Flush()
@@ -112,13 +113,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-changed:
 		case <-time.After(time.Second): // a heartbeat
 		}
 	}
 }
 
-// announce changes the settings.
+// announce makes d the present settings and sends it to the watches.
 func (s *fakeService) announce(d api.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,17 +131,17 @@
 	}
 	s.announced = d
 	s.index++
-	close(s.again)
-	s.again = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *fakeService) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.calls)
+	return slices.Clone(s.watchURIs)
 }
 
-// lastAck is the last ack; a zero one: there was none.
+// lastAck returns the last acknowledgement, or the zero Ack if there was none.
 func (s *fakeService) lastAck() (last api.Ack) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,13 +155,13 @@
 	return api.Document{Region: "south", Revision: version, Settings: json.RawMessage(settings)}
 }
 
-// ofService is testConfig for a sidecar of the service orders.
-func ofService(t testing.TB, discovery string, known ...string) *Config {
+// ordersConfig returns the configuration of a sidecar of the service orders.
+func ordersConfig(t testing.TB, discovery string, known ...string) *Config {
 	t.Helper()
-	return withService(t, discovery, testSettings, known...)
+	return ordersConfigWith(t, discovery, testSettings, known...)
 }
 
-func withService(t testing.TB, discovery, settings string, known ...string) *Config {
+func ordersConfigWith(t testing.TB, discovery, settings string, known ...string) *Config {
 	t.Helper()
 	c, err := parseConfig(fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:9000","ops":"127.0.0.1:0","discovery":%q,"seed":"1f","service":"orders",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, discovery, list(1, true, known...), settings))
@@ -170,22 +171,22 @@
 	return c
 }
 
-// probing are settings with one more class.
-var probing = strings.Replace(testSettings, `{"Name":"search"`, moreSettings, 1)
+// probeSettings is testSettings with one more class, probe.
+var probeSettings = strings.Replace(testSettings, `{"Name":"search"`, probeClass, 1)
 
-// judged is what a hollow sidecar was told of a document.
-type judged struct {
+// documentOutcome is the outcome of one document in a hollow sidecar.
+type documentOutcome struct {
 	region   string
 	version  int64
 	rejected string
 }
 
-// startHollowWith is a hollow sidecar of the service, and what it says of documents.
-func startHollowWith(t testing.TB, c *Config) (outcomes chan judged, end func()) {
+// startHollowWithOutcomes starts a hollow sidecar, and returns a channel of the outcomes of its documents.
+func startHollowWithOutcomes(t testing.TB, c *Config) (outcomes chan documentOutcome, end func()) {
 	t.Helper()
-	outcomes = make(chan judged, 64)
+	outcomes = make(chan documentOutcome, 64)
 	return outcomes, startHollow(t, c, HollowObserver{OnSettings: func(region string, version int64, rejected error, _ time.Time) {
-		j := judged{region: region, version: version}
+		j := documentOutcome{region: region, version: version}
 		if rejected != nil {
 			j.rejected = rejected.Error()
 		}
@@ -193,25 +194,25 @@
 	}})
 }
 
-// hears waits for what a hollow sidecar says next, and compares; a rejection has to hold the words.
-func hears(t testing.TB, outcomes chan judged, version int64, rejected string) {
+// expectOutcome waits for the next outcome, and compares it with a version and, as a part of the error, a rejection; "" is none.
+func expectOutcome(t testing.TB, outcomes chan documentOutcome, version int64, rejected string) {
 	t.Helper()
 	select {
-	case j := <-outcomes:
-		if j.version != version || (j.rejected == "") != (rejected == "") || !strings.Contains(j.rejected, rejected) {
-			t.Errorf("told %+v, not version %d, rejected %q", j, version, rejected)
+	case got := <-outcomes:
+		if got.version != version || (got.rejected == "") != (rejected == "") || !strings.Contains(got.rejected, rejected) {
+			t.Errorf("got outcome %+v, want version %d, rejected %q", got, version, rejected)
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("nothing was said of version %d", version)
+		t.Fatalf("got no outcome in time, want version %d", version)
 	}
 }
 
-// quietly fails where anything more was said.
-func quietly(t testing.TB, outcomes chan judged) {
+// expectNoOutcome fails the test if there is another outcome.
+func expectNoOutcome(t testing.TB, outcomes chan documentOutcome) {
 	t.Helper()
 	select {
-	case j := <-outcomes:
-		t.Errorf("told %+v, too", j)
+	case got := <-outcomes:
+		t.Errorf("got outcome %+v, want none", got)
 	default:
 	}
 }
