--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -56,21 +56,21 @@
 // breakerTracker owns the verdict tracker: it takes in the reports of this sidecar and of others, and hands verdicts to
 // the dispatcher. Its fields belong to the goroutine of run.
 type breakerTracker struct {
-	s             *sharing
+	sharing       *sharing
 	gossip        broadcaster
 	leaderships   probeLeaderships
 	tracker       *circuitbreaker.VerdictTracker
 	suspicion     *circuitbreaker.SelfSuspicion
 	selfSuspicion float64                   // how far this process distrusts its own evidence, as of the latest tick
-	own           map[string]message.Report // open breakers of this sidecar, sent again until closed
+	ownReports    map[string]message.Report // open breakers of this sidecar, sent again until closed
 	announcedAt   map[string]time.Duration
 	probes        map[string]*ownProbe
-	present       int // number of members last logged
+	membersLogged int // number of members last logged
 }
 
 func newBreakerTracker(s *sharing, duties probeLeaderships) *breakerTracker {
-	return &breakerTracker{s: s, gossip: s.gossip, leaderships: duties, tracker: circuitbreaker.New(circuitbreaker.Config{Self: s.self.Name, Site: s.self.Site}),
-		suspicion: circuitbreaker.NewSelfSuspicion(s.clock.now(), breakerTick), own: map[string]message.Report{}, announcedAt: map[string]time.Duration{}, probes: map[string]*ownProbe{}}
+	return &breakerTracker{sharing: s, gossip: s.gossip, leaderships: duties, tracker: circuitbreaker.New(circuitbreaker.Config{Self: s.self.Name, Site: s.self.Site}),
+		suspicion: circuitbreaker.NewSelfSuspicion(s.clock.now(), breakerTick), ownReports: map[string]message.Report{}, announcedAt: map[string]time.Duration{}, probes: map[string]*ownProbe{}}
 }
 
 // run handles reports, records of others and ticks until ctx ends.
@@ -85,32 +85,32 @@
 			return
 		case <-tick.C:
 			p.tick()
-		case answer := <-p.s.openVerdicts:
+		case answer := <-p.sharing.openVerdicts:
 			answer <- p.tracker.Open() // has a buffer of one: does not block
-		case <-p.s.reports.Ready():
-			for w, ok := p.s.reports.Pop(); ok; w, ok = p.s.reports.Pop() {
+		case <-p.sharing.reports.Ready():
+			for w, ok := p.sharing.reports.Pop(); ok; w, ok = p.sharing.reports.Pop() {
 				p.onOwnEvidence(w)
 			}
 		case <-reports.Ready():
-			p.handle(read(reports))
+			p.handle(drainInbox(reports))
 		case <-results.Ready():
-			p.handle(read(results))
+			p.handle(drainInbox(results))
 		}
 	}
 }
 
-// read drains an inbox into events of the tracker.
-func read(inbox *conflate.Queue[message.Key, message.Record]) (all circuitbreaker.Batch) {
+// drainInbox drains an inbox into events of the tracker.
+func drainInbox(inbox *conflate.Queue[message.Key, message.Record]) (all circuitbreaker.Batch) {
 	for r, ok := inbox.Pop(); ok; r, ok = inbox.Pop() {
-		if e := event(r); e != nil {
+		if e := decodeEvent(r); e != nil {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// event decodes a record for the tracker; it returns nil for a record that can't be decoded.
-func event(r message.Record) circuitbreaker.Event {
+// decodeEvent decodes a record for the tracker; it returns nil for a record that can't be decoded.
+func decodeEvent(r message.Record) circuitbreaker.Event {
 	switch r.Kind {
 	case message.Breaker:
 		var report message.Report
@@ -128,19 +128,19 @@
 
 // tick updates the members, the listed upstreams and the probe leaderships, and sends reports again that are due.
 func (p *breakerTracker) tick() {
-	now := p.s.clock.now()
+	now := p.sharing.clock.now()
 	members := p.gossip.Members()
-	if len(members) != p.present {
-		p.present = len(members)
-		logAttrs(slog.LevelInfo, ofPeers, "present", slog.Int("members", p.present))
+	if len(members) != p.membersLogged {
+		p.membersLogged = len(members)
+		logAttrs(slog.LevelInfo, componentPeers, "present", slog.Int("members", p.membersLogged))
 	}
-	p.selfSuspicion = p.suspicion.Check(now, len(members), p.s.echo.delay(now))
-	p.s.verdicts.Push("", balancer.PeerVerdict{}, false) // the loop's taking it shows that it is not stalled: see loopEcho
-	batch := circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: p.s.dir.incarnations()}, circuitbreaker.Roster{Members: members}}
-	for key, r := range p.own {
-		if since, _, listed := p.s.dir.incarnation(r.Upstream); !listed || since != r.StartedMs {
+	p.selfSuspicion = p.suspicion.Check(now, len(members), p.sharing.stall.delay(now))
+	p.sharing.verdicts.Push("", balancer.PeerVerdict{}, false) // the loop's taking it shows that it is not stalled: see loopEcho
+	batch := circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: p.sharing.dir.incarnations()}, circuitbreaker.Roster{Members: members}}
+	for key, r := range p.ownReports {
+		if since, _, listed := p.sharing.dir.incarnation(r.Upstream); !listed || since != r.StartedMs {
 			p.withdraw(key, r)
-			batch = append(batch, circuitbreaker.OwnReport{Report: closed(r)})
+			batch = append(batch, circuitbreaker.OwnReport{Report: closedReport(r)})
 		} else if now-p.announcedAt[key] >= reportInterval {
 			p.announce(key, r)
 			batch = append(batch, circuitbreaker.OwnReport{Report: r})
@@ -149,13 +149,13 @@
 	p.handle(append(batch, p.updateProbes(now)...))
 }
 
-func closed(r message.Report) message.Report {
+func closedReport(r message.Report) message.Report {
 	r.State, r.Count, r.Evidence = message.Closed, 0, 0
 	return r
 }
 
 func (p *breakerTracker) handle(e circuitbreaker.Event) {
-	p.deliver(p.tracker.Handle(p.s.clock.now(), e))
+	p.deliver(p.tracker.Handle(p.sharing.clock.now(), e))
 }
 
 // onOwnEvidence handles a report of the dispatcher.
@@ -167,11 +167,11 @@
 	}
 	key := r.Upstream + " " + r.Class
 	r.Round = p.tracker.Round(r.Upstream)
-	logAttrs(slog.LevelInfo, ofPeers, "report", slog.String("upstream", r.Upstream), slog.String("class", r.Class),
+	logAttrs(slog.LevelInfo, componentPeers, "report", slog.String("upstream", r.Upstream), slog.String("class", r.Class),
 		slog.Bool("open", r.State != message.Closed), slog.Int("evidence", int(r.Evidence)), slog.Int("count", r.Count))
 	switch {
 	case r.State != message.Closed && r.SelfSuspicion == 0:
-		p.own[key] = r
+		p.ownReports[key] = r
 		p.announce(key, r)
 	case r.Count > 0: // a first failure, or successes against the verdict: sent once
 		p.announce(key, r)
@@ -185,18 +185,18 @@
 // announce broadcasts a report, with the present self-suspicion of this process.
 func (p *breakerTracker) announce(key string, r message.Report) {
 	r.SelfSuspicion = max(r.SelfSuspicion, p.selfSuspicion)
-	p.announcedAt[key] = p.s.clock.now()
+	p.announcedAt[key] = p.sharing.clock.now()
 	if err := p.gossip.Broadcast(message.Breaker, key, r, reportTTL, false); err != nil {
-		logWarning(ofPeers, "breaker report not sent", err)
+		logWarning(componentPeers, "breaker report not sent", err)
 	}
 }
 
 // withdraw broadcasts that a report no longer holds.
 func (p *breakerTracker) withdraw(key string, r message.Report) {
-	delete(p.own, key)
+	delete(p.ownReports, key)
 	delete(p.announcedAt, key)
-	if err := p.gossip.Broadcast(message.Breaker, key, closed(r), reportTTL, true); err != nil {
-		logWarning(ofPeers, "withdrawal of a breaker report not sent", err)
+	if err := p.gossip.Broadcast(message.Breaker, key, closedReport(r), reportTTL, true); err != nil {
+		logWarning(componentPeers, "withdrawal of a breaker report not sent", err)
 	}
 }
 
@@ -204,7 +204,7 @@
 func (p *breakerTracker) updateProbes(now time.Duration) (events circuitbreaker.Batch) {
 	for _, upstream := range slices.Sorted(maps.Keys(p.probes)) {
 		t := p.probes[upstream]
-		epoch, leading := p.leaderships.holds(probesOf(upstream))
+		epoch, leading := p.leaderships.holds(probeLeadership(upstream))
 		if leading != t.leading {
 			t.leading = leading
 			events = append(events, circuitbreaker.ProbeLeadership{Upstream: upstream, Acquired: leading})
@@ -228,7 +228,7 @@
 	if t == nil || t.startedMs != r.StartedMs {
 		return
 	}
-	epoch, leading := p.leaderships.holds(probesOf(r.Upstream))
+	epoch, leading := p.leaderships.holds(probeLeadership(r.Upstream))
 	if !leading || epoch != t.result.Epoch {
 		return
 	}
@@ -245,26 +245,26 @@
 }
 
 func (p *breakerTracker) announceProbe(t *ownProbe) circuitbreaker.Event {
-	t.announcedAt = p.s.clock.now()
+	t.announcedAt = p.sharing.clock.now()
 	if err := p.gossip.Broadcast(message.Probe, t.result.Upstream, t.result, probeTTL, false); err != nil {
-		logWarning(ofPeers, "probe result not sent", err)
+		logWarning(componentPeers, "probe result not sent", err)
 	}
-	return circuitbreaker.ProbeResult{From: p.s.self.Name, Result: t.result, TTL: probeTTL}
+	return circuitbreaker.ProbeResult{From: p.sharing.self.Name, Result: t.result, TTL: probeTTL}
 }
 
 // deliver hands verdicts to the dispatcher, and campaigns for the probes of open breakers.
 func (p *breakerTracker) deliver(verdicts []circuitbreaker.Verdict) {
 	for _, v := range verdicts {
-		verdict := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.s.clock.unixMs(float64(v.StartedMs)), Class: v.Class, Since: v.Since,
+		verdict := balancer.PeerVerdict{Upstream: v.Upstream, StartedAt: p.sharing.clock.unixMs(float64(v.StartedMs)), Class: v.Class, Since: v.Since,
 			PassFraction: v.PassFraction, Probes: probeOwners[v.Probes], ProbeSucceeded: v.Step == 0 && v.ProbesSucceeded}
 		if v.Open {
-			verdict.Until = p.s.clock.now() + v.For
+			verdict.Until = p.sharing.clock.now() + v.For
 		}
 		if v.Changed {
-			logAttrs(slog.LevelInfo, ofPeers, "verdict", slog.String("upstream", v.Upstream), slog.String("class", v.Class),
+			logAttrs(slog.LevelInfo, componentPeers, "verdict", slog.String("upstream", v.Upstream), slog.String("class", v.Class),
 				slog.Bool("open", v.Open), slog.Float64("share", v.PassFraction), slog.Int("trials", int(v.Probes)), slog.String("why", v.Reason))
 		}
-		p.s.verdicts.Push(v.Upstream+" "+v.Class, verdict, !v.Open)
+		p.sharing.verdicts.Push(v.Upstream+" "+v.Class, verdict, !v.Open)
 		if v.Class == "" && p.leaderships != nil {
 			p.campaign(v)
 		}
@@ -288,7 +288,7 @@
 	}
 	if v.Open != t.campaigning {
 		t.campaigning = v.Open
-		p.leaderships.campaign(probesOf(v.Upstream), v.Open)
+		p.leaderships.campaign(probeLeadership(v.Upstream), v.Open)
 	}
 }
 
@@ -315,19 +315,19 @@
 var evidenceKinds = map[balancer.Evidence]message.Evidence{balancer.EvidenceErrors: message.ErrorAnswers, balancer.EvidenceConnections: message.BrokenConnections,
 	balancer.EvidenceSilence: message.Silence, balancer.EvidenceRejections: message.Rejections}
 
-// loopEcho measures for how long the dispatcher's loop has left a message in its queue: evidence of a process whose loop is
+// stallDetector measures for how long the dispatcher's loop has left a message in its queue: evidence of a process whose loop is
 // stalled must not count. The loop calls onTaken, the breaker tracker calls delay.
-type loopEcho struct {
-	taken  atomic.Int64 // clock time
-	sentAt time.Duration
+type stallDetector struct {
+	receivedAt atomic.Int64 // clock time
+	sentAt     time.Duration
 }
 
-// onTaken records that the loop has taken its messages.
-func (e *loopEcho) onTaken(now time.Duration) { e.taken.Store(int64(now)) }
+// onReceived records that the loop has taken its messages.
+func (e *stallDetector) onReceived(now time.Duration) { e.receivedAt.Store(int64(now)) }
 
 // delay returns how long the message queued by an earlier call has waited, 0 if it has been taken since.
-func (e *loopEcho) delay(now time.Duration) (waited time.Duration) {
-	if taken := time.Duration(e.taken.Load()); e.sentAt > 0 && taken < e.sentAt && taken > 0 {
+func (e *stallDetector) delay(now time.Duration) (waited time.Duration) {
+	if taken := time.Duration(e.receivedAt.Load()); e.sentAt > 0 && taken < e.sentAt && taken > 0 {
 		return now - e.sentAt
 	}
 	e.sentAt = now
--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -11,18 +11,18 @@
 	"mosslead/internal/gossip/message"
 )
 
-// leases are leaderships as a test says.
-type leases struct {
-	epoch   uint64
-	holding bool
-	wished  map[string]bool
+// fakeLeaderships are leaderships as a test says.
+type fakeLeaderships struct {
+	epoch       uint64
+	leading     bool
+	campaigning map[string]bool
 }
 
-func (l *leases) campaign(name string, wanted bool)    { l.wished[name] = wanted }
-func (l *leases) holds(string) (epoch uint64, ok bool) { return l.epoch, l.holding }
+func (l *fakeLeaderships) campaign(name string, wanted bool)    { l.campaigning[name] = wanted }
+func (l *fakeLeaderships) holds(string) (epoch uint64, ok bool) { return l.epoch, l.leading }
 
-// breakersRig is the breakers' part without its thread: n0 at makati, beside n1 at cebu and n2 at davao.
-func breakersRig(t *testing.T, d probeLeaderships) *breakerTracker {
+// newTestTracker is the breakers' part without its thread: n0 at makati, beside n1 at cebu and n2 at davao.
+func newTestTracker(t *testing.T, d probeLeaderships) *breakerTracker {
 	s := &sharing{self: message.Member{Name: "n0", Site: "makati"}, clock: newClock(),
 		reports: conflate.New[string, evidenceReport](maxPendingReports), verdicts: conflate.New[string, balancer.PeerVerdict](maxPendingVerdicts)}
 	s.dir = newEndpointDirectory(s.clock, func(string) {})
@@ -45,10 +45,10 @@
 	return p
 }
 
-// told is the newest verdict on s-1.
-func (p *breakerTracker) told(t *testing.T) balancer.PeerVerdict {
+// newestVerdict is the newest verdict on s-1.
+func (p *breakerTracker) newestVerdict(t *testing.T) balancer.PeerVerdict {
 	t.Helper()
-	for h, ok := p.s.verdicts.Pop(); ok; h, ok = p.s.verdicts.Pop() {
+	for h, ok := p.sharing.verdicts.Pop(); ok; h, ok = p.sharing.verdicts.Pop() {
 		if h.Upstream == "s-1" {
 			return h
 		}
@@ -57,7 +57,7 @@
 	return balancer.PeerVerdict{}
 }
 
-func (p *breakerTracker) blame() {
+func (p *breakerTracker) reportFromPeers() {
 	for _, name := range []string{"n1", "n2"} {
 		p.handle(circuitbreaker.PeerReport{From: message.Member{Name: name}, TTL: reportTTL,
 			Report: message.Report{Upstream: "s-1", StartedMs: 5, State: message.Open, Evidence: message.Silence, Count: 3}})
@@ -66,44 +66,44 @@
 
 // Probes are wished for while a breaker is open, said under the lease's epoch, in steps, and not once the lease is over.
 func TestProbesAreReportedUnderALease(t *testing.T) {
-	d := &leases{epoch: 3, wished: map[string]bool{}}
-	p := breakersRig(t, d)
+	d := &fakeLeaderships{epoch: 3, campaigning: map[string]bool{}}
+	p := newTestTracker(t, d)
 	result := func(state message.BreakerState) {
 		p.onOwnEvidence(evidenceReport{message.Report{Upstream: "s-1", StartedMs: 5, State: state, Evidence: message.Silence}, true})
 	}
-	p.blame()
-	if h := p.told(t); h.Until == 0 || h.Probes != balancer.ProbeByEach || !d.wished["trials/s-1"] {
-		t.Fatalf("told %+v, wished %v", h, d.wished)
+	p.reportFromPeers()
+	if h := p.newestVerdict(t); h.Until == 0 || h.Probes != balancer.ProbeByEach || !d.campaigning["trials/s-1"] {
+		t.Fatalf("told %+v, wished %v", h, d.campaigning)
 	}
 	result(message.Closed) // not held: says nothing
-	d.holding = true
-	p.handle(p.updateProbes(p.s.clock.now()))
-	if h := p.told(t); h.Probes != balancer.ProbeBySelf || h.PassFraction != 0 {
+	d.leading = true
+	p.handle(p.updateProbes(p.sharing.clock.now()))
+	if h := p.newestVerdict(t); h.Probes != balancer.ProbeBySelf || h.PassFraction != 0 {
 		t.Fatalf("held, and told %+v", h)
 	}
 	result(message.Closed)
-	if h := p.told(t); h.PassFraction == 0 || h.Until == 0 {
+	if h := p.newestVerdict(t); h.PassFraction == 0 || h.Until == 0 {
 		t.Fatalf("after one step told %+v", h)
 	}
 	result(message.Open)
-	if h := p.told(t); h.PassFraction != 0 || h.Until == 0 {
+	if h := p.newestVerdict(t); h.PassFraction != 0 || h.Until == 0 {
 		t.Fatalf("after a trial that failed told %+v", h)
 	}
 	result(message.Closed)
 	result(message.Closed)
-	d.holding = false // the lease ends in the middle of it
+	d.leading = false // the lease ends in the middle of it
 	result(message.Closed)
-	p.handle(p.updateProbes(p.s.clock.now()))
-	if h := p.told(t); h.Until == 0 || h.Probes == balancer.ProbeBySelf {
+	p.handle(p.updateProbes(p.sharing.clock.now()))
+	if h := p.newestVerdict(t); h.Until == 0 || h.Probes == balancer.ProbeBySelf {
 		t.Fatalf("closed without the lease: told %+v", h)
 	}
-	d.epoch, d.holding = 4, true
-	p.handle(p.updateProbes(p.s.clock.now()))
+	d.epoch, d.leading = 4, true
+	p.handle(p.updateProbes(p.sharing.clock.now()))
 	for range circuitbreaker.ProbeSteps {
 		result(message.Closed)
 	}
-	if h := p.told(t); h.Until != 0 || !h.ProbeSucceeded || d.wished["trials/s-1"] {
-		t.Fatalf("closed, and told %+v, wished %v", h, d.wished)
+	if h := p.newestVerdict(t); h.Until != 0 || !h.ProbeSucceeded || d.campaigning["trials/s-1"] {
+		t.Fatalf("closed, and told %+v, wished %v", h, d.campaigning)
 	}
 	if p.tracker.Round("s-1") != 1 {
 		t.Errorf("round %d", p.tracker.Round("s-1"))
@@ -112,33 +112,33 @@
 
 // What this sidecar says is said again until taken back, or until the upstream is another; a jammed loop is doubted.
 func TestReportsAreRepeated(t *testing.T) {
-	p := breakersRig(t, nil)
-	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 2})
-	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c", Evidence: balancer.EvidenceErrors, Count: 4})
-	for w, ok := p.s.reports.Pop(); ok; w, ok = p.s.reports.Pop() {
+	p := newTestTracker(t, nil)
+	p.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 2})
+	p.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c", Evidence: balancer.EvidenceErrors, Count: 4})
+	for w, ok := p.sharing.reports.Pop(); ok; w, ok = p.sharing.reports.Pop() {
 		p.onOwnEvidence(w)
 	}
 	first := p.announcedAt["s-1 "]
-	p.s.clock.start = p.s.clock.start.Add(-reportInterval)
-	p.s.echo.onTaken(p.s.clock.now())
+	p.sharing.clock.start = p.sharing.clock.start.Add(-reportInterval)
+	p.sharing.stall.onReceived(p.sharing.clock.now())
 	p.tick()
-	if p.announcedAt["s-1 "] == first || len(p.own) != 2 {
-		t.Errorf("not said again: %v", p.own)
+	if p.announcedAt["s-1 "] == first || len(p.ownReports) != 2 {
+		t.Errorf("not said again: %v", p.ownReports)
 	}
 	for range 8 { // the thread itself looks in time
-		p.suspicion = circuitbreaker.NewSelfSuspicion(p.s.clock.now(), breakerTick)
-		p.s.clock.start = p.s.clock.start.Add(-breakerTick)
+		p.suspicion = circuitbreaker.NewSelfSuspicion(p.sharing.clock.now(), breakerTick)
+		p.sharing.clock.start = p.sharing.clock.start.Add(-breakerTick)
 		p.tick()
 	}
 	if p.selfSuspicion < 1 {
 		t.Error("no doubt while the loop takes nothing")
 	}
 	index := int64(2)
-	p.s.dir.apply(&listing{Revision: &index, Endpoints: []endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "davao", Status: statusReady, StartedMs: 9}}})
+	p.sharing.dir.apply(&listing{Revision: &index, Endpoints: []endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "davao", Status: statusReady, StartedMs: 9}}})
 	p.tick()
-	p.s.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c"})
-	w, _ := p.s.reports.Pop()
-	if p.onOwnEvidence(w); len(p.own) != 0 {
-		t.Errorf("still says %v", p.own)
+	p.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c"})
+	w, _ := p.sharing.reports.Pop()
+	if p.onOwnEvidence(w); len(p.ownReports) != 0 {
+		t.Errorf("still says %v", p.ownReports)
 	}
 }
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -19,7 +19,7 @@
 	attempt   func(ctx context.Context, upstream string, r *clientRequest, before time.Duration) attemptReply
 	subscribe func()
 	sharing   *sharing    // nil: nothing is shared
-	heartbeat loopPulse   // answers to heartbeat events
+	heartbeat loopStatus  // answers to heartbeat events
 	ready     atomic.Bool // the initial list has been applied
 
 	failures        *limitedLog               // log of requests that failed
@@ -205,7 +205,7 @@
 		case <-l.timer.C:
 			l.handle(balancer.TimerFired{})
 		case <-verdicts.Ready():
-			l.sharing.echo.onTaken(l.clock.now())
+			l.sharing.stall.onReceived(l.clock.now())
 			for verdict, ok := verdicts.Pop(); ok; verdict, ok = verdicts.Pop() {
 				l.handle(verdict)
 			}
@@ -286,7 +286,7 @@
 		l.onAttemptEnded(e)
 	case heartbeat:
 		inFlight, site := l.balancer.Pressure(l.clock.now())
-		l.heartbeat.answer(e, inFlight, site)
+		l.heartbeat.record(e, inFlight, site)
 	case abort:
 		l.onAbort()
 	}
--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	forwardOut    = 16                    // connections to peers; their file descriptors are reserved
-	forwardIn     = 32                    // connections from peers, likewise
-	forwardMargin = 5 * time.Millisecond  // of the client's deadline, for the answer to reach it
-	crossTime     = 20 * time.Millisecond // round-trip time between sites
+	maxConnsToPeers   = 16                    // connections to peers; their file descriptors are reserved
+	maxConnsFromPeers = 32                    // connections from peers, likewise
+	forwardMargin     = 5 * time.Millisecond  // of the client's deadline, for the answer to reach it
+	crossSiteRTT      = 20 * time.Millisecond // round-trip time between sites
 )
 
 // forwarder forwards requests to peers and accepts theirs. A request that a peer may have begun is not attempted anywhere
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening for peers: %w", err)
 	}
-	f := &forwarder{pool: newUpstreamPool(c, clk, forwardOut), listener: in, decider: forwarding.NewDecider(c.Peers.site(c), c.Seed), crossZoneCost: c.Settings.CrossZoneCost,
+	f := &forwarder{pool: newUpstreamPool(c, clk, maxConnsToPeers), listener: in, decider: forwarding.NewDecider(c.Peers.site(c), c.Seed), crossZoneCost: c.Settings.CrossZoneCost,
 		inFlight: map[string]bool{}}
 	f.pool.dial = c.dial.from(c.Peers.Forward)
 	f.ctx, f.abort = context.WithCancel(context.Background())
@@ -60,14 +60,14 @@
 
 // serve serves the requests that peers forward, with the server of the clients, in the background until close.
 func (f *forwarder) serve(s *server) {
-	f.conns = newClientConns(f.listener, forwardIn)
+	f.conns = newClientConns(f.listener, maxConnsFromPeers)
 	f.srv = &http.Server{Handler: f.handler(s), ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeader,
 		DisableGeneralOptionsHandler: true, ConnState: f.conns.state, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
 	go func() {
 		if err := f.srv.Serve(f.conns); !errors.Is(err, http.ErrServerClosed) {
-			logWarning(ofPeers, "server for forwarded requests stopped", err)
+			logWarning(componentPeers, "server for forwarded requests stopped", err)
 		}
 	}()
 }
@@ -103,7 +103,7 @@
 		return a, false
 	}
 	f.mu.Lock()
-	choice, to := f.decider.Choose(now, &f.gauge, forwarding.Request{TimeLeft: r.expiresAt - now, RoundTrip: crossTime, Cost: f.crossZoneCost})
+	choice, to := f.decider.Choose(now, &f.gauge, forwarding.Request{TimeLeft: r.expiresAt - now, RoundTrip: crossSiteRTT, Cost: f.crossZoneCost})
 	f.mu.Unlock()
 	if choice != forwarding.Forward {
 		return a, false
@@ -186,8 +186,8 @@
 	_ = f.listener.Close()
 }
 
-// figures returns the pressure and the counts of forwarded requests, for operators.
-func (f *forwarder) figures() []slog.Attr {
+// statsAttrs returns the pressure and the counts of forwarded requests, for operators.
+func (f *forwarder) statsAttrs() []slog.Attr {
 	f.mu.Lock()
 	at, hot := f.gauge.Now(), f.gauge.Hot()
 	f.mu.Unlock()
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -13,8 +13,8 @@
 	"mosslead/internal/gossip/message"
 )
 
-// pressedBeside is the way out of a sidecar whose site is short, with one idle peer at another site.
-func pressedBeside(t *testing.T, peer string) (*forwarder, clock) {
+// forwarderUnderPressure is the way out of a sidecar whose site is short, with one idle peer at another site.
+func forwarderUnderPressure(t *testing.T, peer string) (*forwarder, clock) {
 	t.Helper()
 	c := testConfig(t, "127.0.0.1:1")
 	c.Peers = &Peers{Forward: "127.0.0.1:0", Zone: "a"}
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer := newUpstream(t, c.answer)
-			f, clk := pressedBeside(t, peer.address)
+			f, clk := forwarderUnderPressure(t, peer.address)
 			r := &clientRequest{id: "1", class: "confirm", method: http.MethodPost, target: "/confirm/1", host: "x", header: http.Header{headerID: {"1"}},
 				body: &clientBody{budget: f.pool.budget}, expiresAt: clk.now() + 300*time.Millisecond, timeout: 300 * time.Millisecond}
 			a, done := f.forward(context.Background(), clk.now(), r)
@@ -69,7 +69,7 @@
 			}
 		})
 	}
-	f, clk := pressedBeside(t, "127.0.0.1:1")
+	f, clk := forwarderUnderPressure(t, "127.0.0.1:1")
 	r := &clientRequest{method: http.MethodGet, target: "/", header: http.Header{}, body: &clientBody{budget: f.pool.budget}, expiresAt: clk.now() + time.Second}
 	if _, done := f.forward(context.Background(), clk.now(), r); done || f.returned.Load() != 1 {
 		t.Error("a peer that can't be reached keeps the request")
@@ -110,7 +110,7 @@
 func TestAnIDThatIsWithAPeerIsInHand(t *testing.T) {
 	release := make(chan struct{})
 	peer := newUpstream(t, func(c net.Conn, g got) bool { <-release; return says(ok200("peer"))(c, g) })
-	f, clk := pressedBeside(t, peer.address)
+	f, clk := forwarderUnderPressure(t, peer.address)
 	s := &server{clock: clk, failures: newLimitedLog(maxFailureLines), stats: newStats(), budget: f.pool.budget, forwards: f, post: func(any) bool {
 		t.Error("begun at home")
 		return false
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -64,17 +64,17 @@
 
 // handoverLink is one end of the link between the two processes.
 type handoverLink struct {
-	conn net.Conn
-	in   *watch.Messages
-	ban  func(banMessage) (persisted bool, err error) // applies a ban that the other process relays
+	conn     net.Conn
+	messages *watch.Messages
+	applyBan func(banMessage) (persisted bool, err error) // applies a ban that the other process relays
 
-	mu    sync.Mutex
-	calls int
-	acks  map[int]chan bool
+	mu            sync.Mutex
+	lastBanNumber int
+	acks          map[int]chan bool
 }
 
 func newLink(conn net.Conn) *handoverLink {
-	return &handoverLink{conn: conn, in: watch.NewMessages(conn, maxList), acks: map[int]chan bool{}}
+	return &handoverLink{conn: conn, messages: watch.NewMessages(conn, maxList), acks: map[int]chan bool{}}
 }
 
 // send sends one message; it is safe for concurrent use.
@@ -91,12 +91,12 @@
 func (l *handoverLink) follow(handle func(handoverMessage)) error {
 	for {
 		var m handoverMessage
-		if err := l.in.Next(&m); err != nil {
+		if err := l.messages.Next(&m); err != nil {
 			return fmt.Errorf("the link has ended: %w", err)
 		}
 		switch {
 		case m.Ban != nil:
-			persisted, err := l.ban(*m.Ban)
+			persisted, err := l.applyBan(*m.Ban)
 			if err != nil { // without an Ack the other process does not confirm it either
 				logWarning(ofHandover, "ban from the other process not applied", err)
 				continue
@@ -122,8 +122,8 @@
 func (l *handoverLink) relayBan(c banMessage) (persisted bool, err error) {
 	done := make(chan bool, 1)
 	l.mu.Lock()
-	l.calls++
-	c.Number = l.calls
+	l.lastBanNumber++
+	c.Number = l.lastBanNumber
 	l.acks[c.Number] = done
 	l.mu.Unlock()
 	if l.send(handoverMessage{Ban: &c}) != nil {
@@ -142,22 +142,22 @@
 
 // handover is a process's side of upgrades: first as the successor, later as the predecessor.
 type handover struct {
-	dir         string // TMPDIR
-	state       func() handoverState
-	ban         func(banMessage) (bool, error) // applies a ban
-	yield       func()                         // stops accepting clients
-	resume      func()                         // accepts clients again
-	use         func() connectionUse           // returns the connections that this process uses
-	limitBeside func(others *connectionUse)    // limits this process beside the other one; nil: that has ended
-	halveMemory func(bool)                     // whether the memory limit is shared with another process
+	dir             string // TMPDIR
+	state           func() handoverState
+	applyBan        func(banMessage) (bool, error) // applies a ban
+	stopAccepting   func()                         // stops accepting clients
+	resumeAccepting func()                         // accepts clients again
+	ownUse          func() connectionUse           // returns the connections that this process uses
+	limitConns      func(others *connectionUse)    // limits this process beside the other one; nil: that has ended
+	halveMemory     func(bool)                     // whether the memory limit is shared with another process
 
-	yielded chan struct{} // closed once the predecessor accepts no more, or there is none
+	predecessorStopped chan struct{} // closed once the predecessor accepts no more, or there is none
 
 	mu          sync.Mutex
 	other       *handoverLink // nil: no other process
 	predecessor *handoverLink // nil: none, or it has ended
 	closedCh    chan struct{}
-	listen      net.Listener
+	listener    net.Listener
 	closed      bool
 }
 
@@ -188,12 +188,12 @@
 		l := newLink(conn)
 		_ = conn.SetReadDeadline(time.Now().Add(linkTimeout))
 		var m handoverMessage
-		if err = l.in.Next(&m); err == nil && m.State == nil {
+		if err = l.messages.Next(&m); err == nil && m.State == nil {
 			err = errors.New("it began with something else")
 		}
 		_ = conn.SetReadDeadline(time.Time{})
 		if err == nil {
-			l.ban = h.ban
+			l.applyBan = h.applyBan
 			h.other, h.predecessor = l, l
 			return *m.State
 		}
@@ -212,31 +212,31 @@
 	return s
 }
 
-// join follows the link to the predecessor, if there is one, in the background until the link ends.
-func (h *handover) join() {
+// followPredecessor follows the link to the predecessor, if there is one, in the background until the link ends.
+func (h *handover) followPredecessor() {
 	l := h.other // h is not shared yet: no lock
 	if l == nil {
-		close(h.yielded)
+		close(h.predecessorStopped)
 		return
 	}
 	var once sync.Once
 	go func() {
 		err := l.follow(func(m handoverMessage) {
 			if m.Uses != nil {
-				h.limitBeside(m.Uses)
-				once.Do(func() { close(h.yielded) })
+				h.limitConns(m.Uses)
+				once.Do(func() { close(h.predecessorStopped) })
 			}
 		})
 		logWarning(ofHandover, "predecessor disconnected", err)
 		_ = l.conn.Close()
-		h.forget(l)
-		h.limitBeside(nil)
-		once.Do(func() { close(h.yielded) })
+		h.dropPredecessor(l)
+		h.limitConns(nil)
+		once.Do(func() { close(h.predecessorStopped) })
 	}()
 }
 
-// awaitYield tells the predecessor that this process is ready, and blocks until that accepts no more, at most linkTimeout.
-func (h *handover) awaitYield() {
+// awaitPredecessor tells the predecessor that this process is ready, and blocks until that accepts no more, at most linkTimeout.
+func (h *handover) awaitPredecessor() {
 	h.mu.Lock()
 	l := h.other
 	h.mu.Unlock()
@@ -246,7 +246,7 @@
 		}
 	}
 	select {
-	case <-h.yielded:
+	case <-h.predecessorStopped:
 	case <-time.After(linkTimeout):
 	}
 }
@@ -265,7 +265,7 @@
 		return err
 	}
 	h.mu.Lock()
-	h.listen = l
+	h.listener = l
 	closed := h.closed
 	h.mu.Unlock()
 	if closed {
@@ -291,7 +291,7 @@
 func (h *handover) serveSuccessor(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	l := newLink(conn)
-	l.ban = h.ban
+	l.applyBan = h.applyBan
 	before, closed := h.replaceOther(l)
 	if closed {
 		return
@@ -313,9 +313,9 @@
 	logWarning(ofHandover, "successor disconnected", err)
 	switch {
 	case returned:
-		h.limitBeside(nil)
+		h.limitConns(nil)
 	case ready:
-		h.resume()
+		h.resumeAccepting()
 	}
 }
 
@@ -357,14 +357,14 @@
 		switch {
 		case m.Ready && !ready:
 			ready = true
-			h.yield()
+			h.stopAccepting()
 			close(yielded)
 		case m.Returning && ready && !returned:
 			returned = true
 			logAttrs(slog.LevelInfo, ofHandover, "successor is ending, accepting clients again")
-			h.resume()
+			h.resumeAccepting()
 		case m.Uses != nil && returned:
-			h.limitBeside(m.Uses)
+			h.limitConns(m.Uses)
 		}
 	})
 	close(end)
@@ -376,7 +376,7 @@
 func (h *handover) reportUse(l *handoverLink, end <-chan struct{}) {
 	last := connectionUse{-1, -1}
 	for {
-		if u := h.use(); u != last {
+		if u := h.ownUse(); u != last {
 			if l.send(handoverMessage{Uses: &u}) != nil {
 				return
 			}
@@ -406,8 +406,8 @@
 	go h.reportUse(l, h.closedCh)
 }
 
-// forget drops the link to a predecessor that has ended.
-func (h *handover) forget(l *handoverLink) {
+// dropPredecessor drops the link to a predecessor that has ended.
+func (h *handover) dropPredecessor(l *handoverLink) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.other == l {
@@ -446,8 +446,8 @@
 		close(h.closedCh)
 	}
 	h.closed = true
-	if h.listen != nil {
-		_ = h.listen.Close()
+	if h.listener != nil {
+		_ = h.listener.Close()
 	}
 	if h.other != nil {
 		_ = h.other.conn.Close()
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// passed gives processes their own descriptors of one listening socket, as a platform does that holds it.
-func passed(t *testing.T, n int) []net.Listener {
+// passedListeners gives processes their own descriptors of one listening socket, as a platform does that holds it.
+func passedListeners(t *testing.T, n int) []net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 // Guards against an upgrade that loses requests, bans or connections: the new process takes clients when it is ready, the
 // old one ends each connection with its next answer, and a ban holds in both, whichever was called.
 func TestUpgrade(t *testing.T) {
-	tmp, listeners := t.TempDir(), passed(t, 2)
+	tmp, listeners := t.TempDir(), passedListeners(t, 2)
 	c, b := twoUpstreams(t)
 	old := startOn(t, c, listeners[0], tmp)
 	old.awaitReady(t, "YES")
@@ -107,7 +107,7 @@
 
 // Guards against an old process that stays useless when the new one dies, before it is ready or after.
 func TestNewProcessDies(t *testing.T) {
-	tmp, listeners := t.TempDir(), passed(t, 1)
+	tmp, listeners := t.TempDir(), passedListeners(t, 1)
 	c, _ := twoUpstreams(t)
 	old := startOn(t, c, listeners[0], tmp)
 	old.awaitReady(t, "YES")
@@ -146,7 +146,7 @@
 // in flight: the old one, if it stays, takes them at once.
 func TestSuccessorIsTerminated(t *testing.T) {
 	for _, tookOver := range []bool{false, true} {
-		tmp, listeners := t.TempDir(), passed(t, 2)
+		tmp, listeners := t.TempDir(), passedListeners(t, 2)
 		s, release := pendingUpstream(t)
 		c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 		c.Ops = "127.0.0.1:0"
@@ -198,7 +198,7 @@
 			}
 		}
 		config, _ := twoUpstreams(t)
-		r := startOn(t, config, passed(t, 1)[0], tmp)
+		r := startOn(t, config, passedListeners(t, 1)[0], tmp)
 		r.awaitReady(t, "YES")
 		if got := r.call(t, "STATS\n"); !strings.Contains(got, c.want) {
 			t.Errorf("%s: %s", name, got)
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -95,7 +95,7 @@
 		}
 		index, entries := p.upstreams.directory.revision()
 		if h.OnChange != nil {
-			h.changes(m, states, index)
+			h.reportChanges(m, states, index)
 		}
 		if h.OnList != nil {
 			h.OnList(index, entries, time.Now())
@@ -103,8 +103,8 @@
 	}
 }
 
-// changes calls OnChange for what a message changes in states.
-func (h HollowObserver) changes(m balancer.EndpointUpdate, states map[string]string, index int64) {
+// reportChanges calls OnChange for what a message changes in states.
+func (h HollowObserver) reportChanges(m balancer.EndpointUpdate, states map[string]string, index int64) {
 	statuses := map[balancer.EndpointState]string{balancer.Active: statusReady, balancer.Draining: statusTerminating, balancer.Removed: statusRemoved}
 	named := map[string]bool{}
 	for _, e := range m.Endpoints {
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -128,14 +128,14 @@
 				send(text)
 				<-done
 			})
-			costs(b, func(ready *sync.WaitGroup) {
+			measureCost(b, func(ready *sync.WaitGroup) {
 				startHollow(b, testConfig(b, d.address+",127.0.0.2:1"), HollowObserver{OnList: func(int64, int, time.Time) { ready.Done() }})
 			})
 		})
 		b.Run(fmt.Sprint(size, " entries and settings"), func(b *testing.B) {
 			svc := newListService(b, entries...)
 			svc.announce(document(5, probing))
-			costs(b, func(ready *sync.WaitGroup) {
+			measureCost(b, func(ready *sync.WaitGroup) {
 				c := ofService(b, svc.address)
 				c.Known = nil
 				startHollow(b, c, HollowObserver{OnSettings: func(string, int64, error, time.Time) { ready.Done() }})
@@ -144,10 +144,10 @@
 	}
 }
 
-// costs tells what each of b.N holds. The fake's side of each watch is in the figure: a connection and its goroutines.
-func costs(b *testing.B, begin func(ready *sync.WaitGroup)) {
+// measureCost tells what each of b.N holds. The fake's side of each watch is in the figure: a connection and its goroutines.
+func measureCost(b *testing.B, begin func(ready *sync.WaitGroup)) {
 	b.Helper()
-	before := footprintNow()
+	before := measureFootprint()
 	var ready sync.WaitGroup
 	for range b.N {
 		ready.Add(1)
@@ -155,15 +155,15 @@
 	}
 	ready.Wait()
 	b.StopTimer()
-	now := footprintNow()
+	now := measureFootprint()
 	b.ReportMetric(float64(now.bytes-before.bytes)/float64(b.N)/1024, "KB/hollow")
 	b.ReportMetric(float64(now.goroutines-before.goroutines)/float64(b.N), "goroutines/hollow")
 }
 
 type footprint struct{ bytes, goroutines int64 }
 
-// footprintNow is what the process holds once the garbage is gone: heap and stacks.
-func footprintNow() footprint {
+// measureFootprint is what the process holds once the garbage is gone: heap and stacks.
+func measureFootprint() footprint {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/sidecar/leaderships.go
+++ b/internal/sidecar/leaderships.go
@@ -16,9 +16,9 @@
 )
 
 // Names of the leaderships in use.
-func probesOf(upstream string) string { return "trials/" + upstream }
-func digestOf(site string) string     { return "digest/" + site }
-func incidentOf(site string) string   { return "incident/" + site }
+func probeLeadership(upstream string) string { return "trials/" + upstream }
+func digestLeadership(site string) string    { return "digest/" + site }
+func incidentLeadership(site string) string  { return "incident/" + site }
 
 const (
 	maxLeaderships    = 128              // for which this sidecar is a candidate at most
@@ -32,18 +32,18 @@
 // leaderships holds and campaigns for leaderships. A nil one holds none: what depends on a leadership is then done by each
 // sidecar alone. Safe for concurrent use; of its methods only run and close block.
 type leaderships struct {
-	service       lease.Service
-	closeClient   func() // of the service's client
-	candidateName string
-	site          string
-	config        lease.Config // of each leadership, but for its name and holder
-	sites         func() []string
-	siteOf        func(upstream string) string
-	pressed       atomic.Uint64 // pressure in thousandths
-
-	ctx  context.Context
-	stop context.CancelFunc
-	runs sync.WaitGroup
+	service             lease.Service
+	closeClient         func() // of the service's client
+	candidateName       string
+	site                string
+	config              lease.Config // of each leadership, but for its name and holder
+	sites               func() []string
+	siteOf              func(upstream string) string
+	pressureThousandths atomic.Uint64 // pressure in thousandths
+
+	ctx     context.Context
+	stop    context.CancelFunc
+	runners sync.WaitGroup
 
 	mu       sync.Mutex
 	byName   map[string]*candidacy
@@ -79,19 +79,19 @@
 	defer tick.Stop()
 	incidents := map[string]bool{}
 	for {
-		d.setWanted(digestOf(d.site), true, d.site)
+		d.setWanted(digestLeadership(d.site), true, d.site)
 		now := map[string]bool{}
 		for _, site := range d.sites() {
 			now[site] = true
-			d.setWanted(incidentOf(site), true, site)
+			d.setWanted(incidentLeadership(site), true, site)
 		}
 		for site := range incidents {
 			if !now[site] {
-				d.setWanted(incidentOf(site), false, site)
+				d.setWanted(incidentLeadership(site), false, site)
 			}
 		}
 		incidents = now
-		d.forget(time.Now())
+		d.dropUnwanted(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -117,7 +117,7 @@
 
 // campaign is setWanted for the probes of an upstream.
 func (d *leaderships) campaign(name string, wanted bool) {
-	d.setWanted(name, wanted, d.siteOf(strings.TrimPrefix(name, probesOf(""))))
+	d.setWanted(name, wanted, d.siteOf(strings.TrimPrefix(name, probeLeadership(""))))
 }
 
 // setWanted starts or stops campaigning for a leadership that is about a site. A leadership that is held and no longer
@@ -126,7 +126,7 @@
 	if d == nil {
 		return
 	}
-	fitness := float64(idleFitness) * (1 - min(1, float64(d.pressed.Load())/1000))
+	fitness := float64(idleFitness) * (1 - min(1, float64(d.pressureThousandths.Load())/1000))
 	if site == d.site {
 		fitness += ownSiteFitness
 	}
@@ -141,7 +141,7 @@
 		d.rejected++
 		return
 	case h == nil:
-		h = d.begin(name)
+		h = d.startCandidacy(name)
 	case h.wanted == wanted && h.fitness == fitness:
 		return
 	}
@@ -152,14 +152,14 @@
 	h.Campaign(wanted, fitness)
 }
 
-// begin starts a candidacy, with d.mu held.
-func (d *leaderships) begin(name string) *candidacy {
+// startCandidacy starts a candidacy, with d.mu held.
+func (d *leaderships) startCandidacy(name string) *candidacy {
 	c := d.config
 	c.Name, c.Holder = name, d.candidateName
 	ctx, stop := context.WithCancel(d.ctx)
 	h := &candidacy{stop: stop, Runner: lease.NewRunner(d.service, c, func(a lease.Action) { logLeadership(name, a) })}
 	d.byName[name] = h
-	d.runs.Go(func() { h.Run(ctx) })
+	d.runners.Go(func() { h.Run(ctx) })
 	return h
 }
 
@@ -168,22 +168,22 @@
 	switch a := a.(type) {
 	case lease.Acquired:
 		if a.New {
-			logAttrs(slog.LevelInfo, ofPeers, "leadership acquired", slog.String("leadership", name), slog.Uint64("epoch", a.Epoch))
+			logAttrs(slog.LevelInfo, componentPeers, "leadership acquired", slog.String("leadership", name), slog.Uint64("epoch", a.Epoch))
 		}
 	case lease.Expired:
-		logAttrs(slog.LevelInfo, ofPeers, "leadership lost", slog.String("leadership", name), slog.Uint64("epoch", a.Epoch), slog.String("reason", a.Reason))
+		logAttrs(slog.LevelInfo, componentPeers, "leadership lost", slog.String("leadership", name), slog.Uint64("epoch", a.Epoch), slog.String("reason", a.Reason))
 	}
 }
 
 // setPressure sets this sidecar's pressure, 0 to 1; less pressure is more fitness.
 func (d *leaderships) setPressure(pressure float64) {
 	if d != nil {
-		d.pressed.Store(uint64(1000 * min(max(pressure, 0), 1)))
+		d.pressureThousandths.Store(uint64(1000 * min(max(pressure, 0), 1)))
 	}
 }
 
-// forget drops candidacies that have been unwanted for candidacyLifetime.
-func (d *leaderships) forget(now time.Time) {
+// dropUnwanted drops candidacies that have been unwanted for candidacyLifetime.
+func (d *leaderships) dropUnwanted(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, h := range d.byName {
@@ -194,8 +194,8 @@
 	}
 }
 
-// yield releases all leaderships and ends all candidacies. It does not wait for that.
-func (d *leaderships) yield() {
+// releaseAll releases all leaderships and ends all candidacies. It does not wait for that.
+func (d *leaderships) releaseAll() {
 	if d != nil {
 		d.stop()
 	}
@@ -207,12 +207,12 @@
 		return
 	}
 	d.stop()
-	d.runs.Wait()
+	d.runners.Wait()
 	d.closeClient()
 }
 
-// lines returns the leaderships for operators: those held, with their epochs, and those campaigned for.
-func (d *leaderships) lines() string {
+// describe returns the leaderships for operators: those held, with their epochs, and those campaigned for.
+func (d *leaderships) describe() string {
 	if d == nil {
 		return ""
 	}
--- a/internal/sidecar/leaderships_test.go
+++ b/internal/sidecar/leaderships_test.go
@@ -20,7 +20,7 @@
 				t.Fatal(err)
 			}
 			d.service = service
-			d.runs.Go(func() { d.run(d.ctx) })
+			d.runners.Go(func() { d.run(d.ctx) })
 			return d
 		}
 		a, b := begin("a", "cebu"), begin("b", "davao")
@@ -31,17 +31,17 @@
 			}
 		}
 		a.siteOf = func(string) string { return "cebu" }
-		a.campaign(probesOf("s-1"), true)
+		a.campaign(probeLeadership("s-1"), true)
 		time.Sleep(10 * time.Second)
-		if _, ok := a.holds(probesOf("s-1")); !ok {
+		if _, ok := a.holds(probeLeadership("s-1")); !ok {
 			t.Error("nobody holds the trials of one that is left out")
 		}
-		a.campaign(probesOf("s-1"), false)
+		a.campaign(probeLeadership("s-1"), false)
 		time.Sleep(time.Second)
-		if _, ok := a.holds(probesOf("s-1")); ok || service.Leadership(probesOf("s-1")).Holder != "" {
+		if _, ok := a.holds(probeLeadership("s-1")); ok || service.Leadership(probeLeadership("s-1")).Holder != "" {
 			t.Error("the trials of one that is used again are still held")
 		}
-		a.yield()
+		a.releaseAll()
 		time.Sleep(2 * time.Second)
 		if _, ok := b.holds("incident/cebu"); !ok {
 			t.Errorf("not handed on by one that ends: %+v", service.Leadership("incident/cebu"))
--- a/internal/sidecar/pressure.go
+++ b/internal/sidecar/pressure.go
@@ -23,23 +23,23 @@
 // heartbeat is an event that measures the delay of the dispatcher's loop.
 type heartbeat struct{ sent time.Time }
 
-// loopPulse is the state of the dispatcher's loop at its latest heartbeat. Safe for concurrent use.
-type loopPulse struct {
+// loopStatus is the state of the dispatcher's loop at its latest heartbeat. Safe for concurrent use.
+type loopStatus struct {
 	delay    atomic.Int64 // of the latest heartbeat, in nanoseconds
 	inFlight atomic.Uint64
 	site     atomic.Uint64
 }
 
-// answer records a heartbeat; it is called by the loop.
-func (p *loopPulse) answer(e heartbeat, inFlight, site float64) {
+// record records a heartbeat; it is called by the loop.
+func (p *loopStatus) record(e heartbeat, inFlight, site float64) {
 	p.delay.Store(int64(time.Since(e.sent)))
 	p.inFlight.Store(math.Float64bits(inFlight))
 	p.site.Store(math.Float64bits(site))
 }
 
-// pressure owns the gauge: it samples this sidecar's pressure, and handles the pressures and requests of peers, until ctx
+// runPressure owns the gauge: it samples this sidecar's runPressure, and handles the pressures and requests of peers, until ctx
 // ends.
-func (s *sharing) pressure(ctx context.Context, p *process) {
+func (s *sharing) runPressure(ctx context.Context, p *process) {
 	tick := time.NewTicker(pressureInterval)
 	defer tick.Stop()
 	reports := s.gossip.Inbox(message.LoadReport)
@@ -77,18 +77,18 @@
 	if message.Decode(r.Body, &load) != nil {
 		return
 	}
-	s.forwards.mu.Lock()
-	defer s.forwards.mu.Unlock()
-	s.forwards.decider.OnPressure(s.clock.now(), r.Owner, load.Total)
+	s.forwarder.mu.Lock()
+	defer s.forwarder.mu.Unlock()
+	s.forwarder.decider.OnPressure(s.clock.now(), r.Owner, load.Total)
 }
 
 // answerPressure sends this sidecar's pressure to a peer.
 func (s *sharing) answerPressure(peer string) {
-	s.forwards.mu.Lock()
-	load := s.forwards.gauge.Now()
-	s.forwards.mu.Unlock()
+	s.forwarder.mu.Lock()
+	load := s.forwarder.gauge.Now()
+	s.forwarder.mu.Unlock()
 	if err := s.gossip.SendTo(peer, message.LoadReport, load, loadTTL); err != nil {
-		slog.Debug("not answered", "component", ofPeers, "peer", peer, "err", err)
+		slog.Debug("not answered", "component", componentPeers, "peer", peer, "err", err)
 	}
 }
 
@@ -100,17 +100,17 @@
 		present = nil
 	}
 	if !slices.Equal(present, before) {
-		s.forwards.setMembers(present, s.self.Name)
+		s.forwarder.setMembers(present, s.self.Name)
 	}
 	return present
 }
 
 // updatePressure adds a sample to the gauge, and asks peers for their pressure while this sidecar is under pressure.
 func (s *sharing) updatePressure(sample message.Pressure) {
-	s.forwards.mu.Lock()
-	pressure := s.forwards.gauge.Add(s.clock.now(), sample)
-	hot := s.forwards.gauge.Hot()
-	s.forwards.mu.Unlock()
+	s.forwarder.mu.Lock()
+	pressure := s.forwarder.gauge.Add(s.clock.now(), sample)
+	hot := s.forwarder.gauge.Hot()
+	s.forwarder.mu.Unlock()
 	s.leaderships.setPressure(pressure.Total)
 	if hot {
 		s.queryPressure()
@@ -138,12 +138,12 @@
 // queryPressure asks some peers for their pressure. Pressure is not broadcast: among 300 sidecars that would cost more than
 // it saves.
 func (s *sharing) queryPressure() {
-	s.forwards.mu.Lock()
-	names := s.forwards.decider.PeersToQuery(pressureQueries)
-	s.forwards.mu.Unlock()
+	s.forwarder.mu.Lock()
+	names := s.forwarder.decider.PeersToQuery(pressureQueries)
+	s.forwarder.mu.Unlock()
 	for _, name := range names {
 		if err := s.gossip.SendTo(name, message.PressureRequest, nil, loadTTL); err != nil {
-			slog.Debug("not asked", "component", ofPeers, "peer", name, "err", err)
+			slog.Debug("not asked", "component", componentPeers, "peer", name, "err", err)
 		}
 	}
 }
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -33,9 +33,9 @@
 		ready: p.ready, hasEndpoints: func() bool { return !up.directory.empty() }}
 	p.server.classes.Store(&classes)
 	p.conns = newClientConns(listener, p.maxConns)
-	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, ban: p.banned,
-		yield: p.yield, resume: p.resume, limitBeside: p.limitBeside,
-		use: func() connectionUse { return connectionUse{p.conns.count(), up.count()} }}
+	p.handover = &handover{dir: tmp, predecessorStopped: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, applyBan: p.banned,
+		stopAccepting: p.yield, resumeAccepting: p.resume, limitConns: p.limitBeside,
+		ownUse: func() connectionUse { return connectionUse{p.conns.count(), up.count()} }}
 	p.limitMemory(false)
 	return p, nil
 }
@@ -53,9 +53,9 @@
 		n += ackSockets
 	}
 	if c.Peers != nil {
-		n += peerSockets
+		n += gossipSockets
 		if c.Peers.Forward != "" {
-			n += forwardIn + forwardOut
+			n += maxConnsFromPeers + maxConnsToPeers
 		}
 	}
 	if handsOver {
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -355,7 +355,7 @@
 
 // Guards against an upgrade after which the new process begins with its file's settings: it has those in force, the list service being down.
 func TestUpgradeBeginsWithTheSettingsInForce(t *testing.T) {
-	tmp, listeners := t.TempDir(), passed(t, 2)
+	tmp, listeners := t.TempDir(), passedListeners(t, 2)
 	u := newUpstream(t, says(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	c := ofService(t, svc.address, entry("s", u.address, "Ready"))
--- a/internal/sidecar/sharing.go
+++ b/internal/sidecar/sharing.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	ofPeers     = "peers" // the log's component
-	peerSockets = 16      // file descriptors of gossip: its listeners, and connections for push/pull
+	componentPeers = "peers" // the log's component
+	gossipSockets  = 16      // file descriptors of gossip: its listeners, and connections for push/pull
 )
 
 // Peers configures sharing with other sidecars; absent, nothing is shared.
@@ -40,8 +40,8 @@
 	gossip       *gossip.Gossiper
 	dir          *endpointDirectory
 	clock        clock
-	forwards     *forwarder                                    // nil: nothing is forwarded
-	echo         loopEcho                                      // of the dispatcher's loop
+	forwarder    *forwarder                                    // nil: nothing is forwarded
+	stall        stallDetector                                 // of the dispatcher's loop
 	reports      *conflate.Queue[string, evidenceReport]       // from the dispatcher
 	verdicts     *conflate.Queue[string, balancer.PeerVerdict] // to the dispatcher
 	leaderships  *leaderships                                  // nil: no list service is configured
@@ -58,17 +58,17 @@
 			Site: c.Peers.site(c), Version: version, Schema: message.Schema, Forward: cmp.Or(c.Peers.ForwardAs, c.Peers.Forward)}}
 	var err error
 	if c.Peers.Forward != "" {
-		if s.forwards, err = newForwarder(c, clk); err != nil {
+		if s.forwarder, err = newForwarder(c, clk); err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
 	}
 	if s.gossip, err = gossip.Join(gossip.Config{Member: s.self, Address: c.Peers.Address, Advertise: c.Peers.Advertise, Seeds: c.Peers.Seeds}); err != nil {
-		s.forwards.close()
+		s.forwarder.close()
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	if c.Peers.Service != "" {
 		if s.leaderships, err = newLeaderships(c.Peers.Service, s.self, dir.sites); err != nil {
-			s.forwards.close()
+			s.forwarder.close()
 			return nil, errors.Join(fmt.Errorf("peers: %w", err), s.gossip.Leave())
 		}
 		s.leaderships.siteOf = func(upstream string) string { _, zone, _ := dir.incarnation(upstream); return zone }
@@ -87,12 +87,12 @@
 
 // startForwarding starts forwarding requests to peers and serving theirs.
 func (s *sharing) startForwarding(p *process) {
-	if s == nil || s.forwards == nil {
+	if s == nil || s.forwarder == nil {
 		return
 	}
-	p.server.forwards = s.forwards
-	s.forwards.serve(p.server)
-	s.parts.Go(func() { s.pressure(s.ctx, p) })
+	p.server.forwards = s.forwarder
+	s.forwarder.serve(p.server)
+	s.parts.Go(func() { s.runPressure(s.ctx, p) })
 }
 
 // site returns the sidecar's site.
@@ -106,16 +106,16 @@
 	late, over := s.gossip.Dropped()
 	attrs := []slog.Attr{slog.Int("present", s.gossip.Present()), slog.Bool("fenced", s.gossip.Fenced()),
 		slog.Uint64("records_dropped", late+over), slog.Uint64("reports_dropped", s.reports.Dropped()), slog.Uint64("verdicts_dropped", s.verdicts.Dropped())}
-	if s.forwards != nil {
-		attrs = append(attrs, s.forwards.figures()...)
+	if s.forwarder != nil {
+		attrs = append(attrs, s.forwarder.statsAttrs()...)
 	}
-	logAttrs(slog.LevelInfo, ofPeers, "sharing", attrs...)
+	logAttrs(slog.LevelInfo, componentPeers, "sharing", attrs...)
 }
 
 // abort fails the requests at peers, before the process is killed.
 func (s *sharing) abort() {
-	if s != nil && s.forwards != nil {
-		s.forwards.abort()
+	if s != nil && s.forwarder != nil {
+		s.forwarder.abort()
 	}
 }
 
@@ -125,17 +125,17 @@
 		return
 	}
 	s.stop()
-	s.forwards.close()
+	s.forwarder.close()
 	s.parts.Wait()
 	s.leaderships.close()
 	if err := s.gossip.Leave(); err != nil {
-		logWarning(ofPeers, "leaving the members failed", err)
+		logWarning(componentPeers, "leaving the members failed", err)
 	}
 }
 
 // releaseLeaderships releases all leaderships, for other sidecars to acquire while this process drains. It does not wait.
 func (s *sharing) releaseLeaderships() {
 	if s != nil {
-		s.leaderships.yield()
+		s.leaderships.releaseAll()
 	}
 }
--- a/internal/sidecar/sharingview.go
+++ b/internal/sidecar/sharingview.go
@@ -28,7 +28,7 @@
 	gauge("duties_held", leading)
 	gauge("duties_waited_for", campaigning)
 	counter("duties_beyond", rejected)
-	if f := s.forwards; f != nil {
+	if f := s.forwarder; f != nil {
 		f.mu.Lock()
 		total := f.gauge.Now().Total
 		f.mu.Unlock()
@@ -62,8 +62,8 @@
 	for _, v := range open {
 		fmt.Fprintf(&text, "breaker %s %s for %v, %s\n", v.Upstream, v.Class, v.For.Round(time.Millisecond), v.Reason)
 	}
-	text.WriteString(s.leaderships.lines())
-	if f := s.forwards; f != nil {
+	text.WriteString(s.leaderships.describe())
+	if f := s.forwarder; f != nil {
 		f.mu.Lock()
 		p := f.gauge.Now()
 		f.mu.Unlock()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -133,7 +133,7 @@
 	}
 	go p.loop.run(known)
 	go p.watch.run(running, c.Settings.MustSubscribe)
-	p.handover.join()
+	p.handover.followPredecessor()
 	defer p.handover.close()
 	defer p.startPersister(running, !waits)()
 	if p.service != nil {
@@ -206,7 +206,7 @@
 		time.Sleep(startPollInterval)
 	}
 	if waits && !p.draining.Load() {
-		p.handover.awaitYield()
+		p.handover.awaitPredecessor()
 		p.conns.pause(false)
 	}
 	p.accepting.Store(true)
