--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -11,7 +11,7 @@
 	"mosslead/internal/gossip/message"
 )
 
-// fakeLeaderships are leaderships as a test says.
+// fakeLeaderships is a probeLeaderships whose leadership and epoch the test sets. It records which leaderships are wanted.
 type fakeLeaderships struct {
 	epoch       uint64
 	leading     bool
@@ -21,8 +21,9 @@
 func (l *fakeLeaderships) campaign(name string, wanted bool)    { l.campaigning[name] = wanted }
 func (l *fakeLeaderships) holds(string) (epoch uint64, ok bool) { return l.epoch, l.leading }
 
-// newTestTracker is the breakers' part without its thread: n0 at makati, beside n1 at cebu and n2 at davao.
-func newTestTracker(t *testing.T, d probeLeaderships) *breakerTracker {
+// newTestTracker returns the breaker tracker of n0 at makati, with the members n1 at cebu and n2 at davao. Its run is not
+// called.
+func newTestTracker(t *testing.T, leaderships probeLeaderships) *breakerTracker {
 	s := &sharing{self: message.Member{Name: "n0", Site: "makati"}, clock: newClock(),
 		reports: conflate.New[string, evidenceReport](maxPendingReports), verdicts: conflate.New[string, balancer.PeerVerdict](maxPendingVerdicts)}
 	s.dir = newEndpointDirectory(s.clock, func(string) {})
@@ -38,107 +39,111 @@
 			t.Error(err)
 		}
 	})
-	p := newBreakerTracker(s, d)
-	p.handle(circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: s.dir.incarnations()},
+	b := newBreakerTracker(s, leaderships)
+	b.handle(circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: s.dir.incarnations()},
 		circuitbreaker.Roster{Members: []message.Member{s.self, {Name: "n1", Site: "cebu"}, {Name: "n2", Site: "davao"}}}})
-	s.clock.start = s.clock.start.Add(-time.Minute) // the tracker has settled
-	return p
+	s.clock.start = s.clock.start.Add(-time.Minute) // moves the clock beyond the tracker's startup time
+	return b
 }
 
-// newestVerdict is the newest verdict on s-1.
-func (p *breakerTracker) newestVerdict(t *testing.T) balancer.PeerVerdict {
+// newestVerdict returns the queued verdict on s-1. The queue keeps only the newest verdict of a key.
+func (b *breakerTracker) newestVerdict(t *testing.T) balancer.PeerVerdict {
 	t.Helper()
-	for h, ok := p.sharing.verdicts.Pop(); ok; h, ok = p.sharing.verdicts.Pop() {
-		if h.Upstream == "s-1" {
-			return h
+	for v, ok := b.sharing.verdicts.Pop(); ok; v, ok = b.sharing.verdicts.Pop() {
+		if v.Upstream == "s-1" {
+			return v
 		}
 	}
-	t.Fatal("no verdict")
+	t.Fatal("no verdict on s-1 is queued, want one")
 	return balancer.PeerVerdict{}
 }
 
-func (p *breakerTracker) reportFromPeers() {
+// reportFromPeers handles reports of n1 and n2 that their breakers of s-1 are open.
+func (b *breakerTracker) reportFromPeers() {
 	for _, name := range []string{"n1", "n2"} {
-		p.handle(circuitbreaker.PeerReport{From: message.Member{Name: name}, TTL: reportTTL,
+		b.handle(circuitbreaker.PeerReport{From: message.Member{Name: name}, TTL: reportTTL,
 			Report: message.Report{Upstream: "s-1", StartedMs: 5, State: message.Open, Evidence: message.Silence, Count: 3}})
 	}
 }
 
-// Probes are wished for while a breaker is open, said under the lease's epoch, in steps, and not once the lease is over.
+// Guards against probe results without a lease: a sidecar campaigns for the probes of an upstream while its breaker is open,
+// and its results close the breaker step by step, but only while it holds the lease.
 func TestProbesAreReportedUnderALease(t *testing.T) {
-	d := &fakeLeaderships{epoch: 3, campaigning: map[string]bool{}}
-	p := newTestTracker(t, d)
+	l := &fakeLeaderships{epoch: 3, campaigning: map[string]bool{}}
+	b := newTestTracker(t, l)
 	result := func(state message.BreakerState) {
-		p.onOwnEvidence(evidenceReport{message.Report{Upstream: "s-1", StartedMs: 5, State: state, Evidence: message.Silence}, true})
+		b.onOwnEvidence(evidenceReport{message.Report{Upstream: "s-1", StartedMs: 5, State: state, Evidence: message.Silence}, true})
 	}
-	p.reportFromPeers()
-	if h := p.newestVerdict(t); h.Until == 0 || h.Probes != balancer.ProbeByEach || !d.campaigning["trials/s-1"] {
-		t.Fatalf("told %+v, wished %v", h, d.campaigning)
+	b.reportFromPeers()
+	if v := b.newestVerdict(t); v.Until == 0 || v.Probes != balancer.ProbeByEach || !l.campaigning["trials/s-1"] {
+		t.Fatalf("after reports of two peers: got verdict %+v, campaigning %v; want an open one with probes by each, campaigning for trials/s-1", v, l.campaigning)
 	}
-	result(message.Closed) // not held: says nothing
-	d.leading = true
-	p.handle(p.updateProbes(p.sharing.clock.now()))
-	if h := p.newestVerdict(t); h.Probes != balancer.ProbeBySelf || h.PassFraction != 0 {
-		t.Fatalf("held, and told %+v", h)
+	result(message.Closed) // no lease: the result is not counted
+	l.leading = true
+	b.handle(b.updateProbes(b.sharing.clock.now()))
+	if v := b.newestVerdict(t); v.Probes != balancer.ProbeBySelf || v.PassFraction != 0 {
+		t.Fatalf("with the lease: got verdict %+v, want probes by this sidecar and PassFraction 0", v)
 	}
 	result(message.Closed)
-	if h := p.newestVerdict(t); h.PassFraction == 0 || h.Until == 0 {
-		t.Fatalf("after one step told %+v", h)
+	if v := b.newestVerdict(t); v.PassFraction == 0 || v.Until == 0 {
+		t.Fatalf("after one successful probe: got verdict %+v, want an open one with PassFraction above 0", v)
 	}
 	result(message.Open)
-	if h := p.newestVerdict(t); h.PassFraction != 0 || h.Until == 0 {
-		t.Fatalf("after a trial that failed told %+v", h)
+	if v := b.newestVerdict(t); v.PassFraction != 0 || v.Until == 0 {
+		t.Fatalf("after a failed probe: got verdict %+v, want an open one with PassFraction 0", v)
 	}
 	result(message.Closed)
 	result(message.Closed)
-	d.leading = false // the lease ends in the middle of it
+	l.leading = false // the lease ends between two steps
 	result(message.Closed)
-	p.handle(p.updateProbes(p.sharing.clock.now()))
-	if h := p.newestVerdict(t); h.Until == 0 || h.Probes == balancer.ProbeBySelf {
-		t.Fatalf("closed without the lease: told %+v", h)
+	b.handle(b.updateProbes(b.sharing.clock.now()))
+	if v := b.newestVerdict(t); v.Until == 0 || v.Probes == balancer.ProbeBySelf {
+		t.Fatalf("without the lease: got verdict %+v, want an open one without probes by this sidecar", v)
 	}
-	d.epoch, d.leading = 4, true
-	p.handle(p.updateProbes(p.sharing.clock.now()))
+	l.epoch, l.leading = 4, true
+	b.handle(b.updateProbes(b.sharing.clock.now()))
 	for range circuitbreaker.ProbeSteps {
 		result(message.Closed)
 	}
-	if h := p.newestVerdict(t); h.Until != 0 || !h.ProbeSucceeded || d.campaigning["trials/s-1"] {
-		t.Fatalf("closed, and told %+v, wished %v", h, d.campaigning)
+	if v := b.newestVerdict(t); v.Until != 0 || !v.ProbeSucceeded || l.campaigning["trials/s-1"] {
+		t.Fatalf("after all steps: got verdict %+v, campaigning %v; want a closed one after successful probes, and no campaign for trials/s-1", v, l.campaigning)
 	}
-	if p.tracker.Round("s-1") != 1 {
-		t.Errorf("round %d", p.tracker.Round("s-1"))
+	if b.tracker.Round("s-1") != 1 {
+		t.Errorf("round of s-1: got %d, want 1", b.tracker.Round("s-1"))
 	}
 }
 
-// What this sidecar says is said again until taken back, or until the upstream is another; a jammed loop is doubted.
+// Guards against reports that are not sent again until they are withdrawn or the upstream is a new process, and against a
+// stalled loop whose evidence is not suspected.
 func TestReportsAreRepeated(t *testing.T) {
-	p := newTestTracker(t, nil)
-	p.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 2})
-	p.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c", Evidence: balancer.EvidenceErrors, Count: 4})
-	for w, ok := p.sharing.reports.Pop(); ok; w, ok = p.sharing.reports.Pop() {
-		p.onOwnEvidence(w)
-	}
-	first := p.announcedAt["s-1 "]
-	p.sharing.clock.start = p.sharing.clock.start.Add(-reportInterval)
-	p.sharing.stall.onReceived(p.sharing.clock.now())
-	p.tick()
-	if p.announcedAt["s-1 "] == first || len(p.ownReports) != 2 {
-		t.Errorf("not said again: %v", p.ownReports)
-	}
-	for range 8 { // the thread itself looks in time
-		p.suspicion = circuitbreaker.NewSelfSuspicion(p.sharing.clock.now(), breakerTick)
-		p.sharing.clock.start = p.sharing.clock.start.Add(-breakerTick)
-		p.tick()
-	}
-	if p.selfSuspicion < 1 {
-		t.Error("no doubt while the loop takes nothing")
+	b := newTestTracker(t, nil)
+	b.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 2})
+	b.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c", Evidence: balancer.EvidenceErrors, Count: 4})
+	for e, ok := b.sharing.reports.Pop(); ok; e, ok = b.sharing.reports.Pop() {
+		b.onOwnEvidence(e)
+	}
+	first := b.announcedAt["s-1 "]
+	b.sharing.clock.start = b.sharing.clock.start.Add(-reportInterval)
+	b.sharing.stall.onReceived(b.sharing.clock.now())
+	b.tick()
+	if b.announcedAt["s-1 "] == first || len(b.ownReports) != 2 {
+		t.Errorf("after reportInterval: report on s-1 last sent at %v, want later than %v; got own reports %v, want 2",
+			b.announcedAt["s-1 "], first, b.ownReports)
+	}
+	for range 8 { // the checks of the tracker itself are on time
+		b.suspicion = circuitbreaker.NewSelfSuspicion(b.sharing.clock.now(), breakerTick)
+		b.sharing.clock.start = b.sharing.clock.start.Add(-breakerTick)
+		b.tick()
+	}
+	if b.selfSuspicion < 1 {
+		t.Errorf("self-suspicion while the loop receives nothing: got %v, want at least 1", b.selfSuspicion)
 	}
 	index := int64(2)
-	p.sharing.dir.apply(&listing{Revision: &index, Endpoints: []endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "davao", Status: statusReady, StartedMs: 9}}})
-	p.tick()
-	p.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c"})
-	w, _ := p.sharing.reports.Pop()
-	if p.onOwnEvidence(w); len(p.ownReports) != 0 {
-		t.Errorf("still says %v", p.ownReports)
+	b.sharing.dir.apply(&listing{Revision: &index, Endpoints: []endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "davao", Status: statusReady, StartedMs: 9}}})
+	b.tick()
+	b.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-2", Class: "c"})
+	e, _ := b.sharing.reports.Pop()
+	if b.onOwnEvidence(e); len(b.ownReports) != 0 {
+		t.Errorf("after a new process of s-1 and the end of evidence on s-2: got own reports %v, want none", b.ownReports)
 	}
 }
--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -18,47 +18,48 @@
 )
 
 const (
-	maxConnsToPeers   = 16                    // connections to peers; their file descriptors are reserved
-	maxConnsFromPeers = 32                    // connections from peers, likewise
-	forwardMargin     = 5 * time.Millisecond  // of the client's deadline, for the answer to reach it
+	maxConnsToPeers   = 16                    // file descriptors are reserved for these connections
+	maxConnsFromPeers = 32                    // file descriptors are reserved for these connections as well
+	forwardMargin     = 5 * time.Millisecond  // part of the client's deadline that is kept for the answer to reach the client
 	crossSiteRTT      = 20 * time.Millisecond // round-trip time between sites
 )
 
 // forwarder forwards requests to peers and accepts theirs. A request that a peer may have begun is not attempted anywhere
-// else; only a peer's answer that it was not processed returns it to this sidecar. Safe for concurrent use.
+// else. This sidecar handles a forwarded request itself only if it did not reach the peer, or if the peer answers that it has
+// not processed it. A forwarder is safe for concurrent use.
 type forwarder struct {
-	pool      *upstreamPool // of connections to peers; it sends nothing twice
+	pool      *upstreamPool // connections to peers; it sends no request twice
 	listener  net.Listener
 	srv       *http.Server
 	conns     *clientConns
-	accepted  atomic.Int64 // forwarded to this sidecar and admitted
-	rejected  atomic.Int64 // from a peer and rejected, mostly under pressure
-	forwarded atomic.Int64 // forwarded by this sidecar
-	returned  atomic.Int64 // of those, returned unprocessed
+	accepted  atomic.Int64 // requests from peers that this sidecar accepted
+	rejected  atomic.Int64 // requests from peers that this sidecar rejected, mostly under pressure
+	forwarded atomic.Int64 // requests that this sidecar forwarded
+	returned  atomic.Int64 // forwarded requests that no peer processed, and this sidecar handled itself
 	abort     context.CancelFunc
-	ctx       context.Context // of the forwarded requests in flight
+	ctx       context.Context // parent context of the forwarded requests in flight
 
 	mu            sync.Mutex
 	decider       *forwarding.Decider
 	gauge         forwarding.Gauge
-	inFlight      map[string]bool // request ids, here or at a peer
-	crossZoneCost float64         // as a share of a request's importance
+	inFlight      map[string]bool // ids of the requests in flight, here or at a peer
+	crossZoneCost float64         // as a fraction of a request's importance
 }
 
-// newForwarder listens on the address for forwarded requests.
+// newForwarder returns a forwarder that listens on the address for forwarded requests. It does not accept any before serve.
 func newForwarder(c *Config, clk clock) (*forwarder, error) {
-	in, err := net.Listen("tcp", c.Peers.Forward)
+	listener, err := net.Listen("tcp", c.Peers.Forward)
 	if err != nil {
 		return nil, fmt.Errorf("listening for peers: %w", err)
 	}
-	f := &forwarder{pool: newUpstreamPool(c, clk, maxConnsToPeers), listener: in, decider: forwarding.NewDecider(c.Peers.site(c), c.Seed), crossZoneCost: c.Settings.CrossZoneCost,
+	f := &forwarder{pool: newUpstreamPool(c, clk, maxConnsToPeers), listener: listener, decider: forwarding.NewDecider(c.Peers.site(c), c.Seed), crossZoneCost: c.Settings.CrossZoneCost,
 		inFlight: map[string]bool{}}
 	f.pool.dial = c.dial.from(c.Peers.Forward)
 	f.ctx, f.abort = context.WithCancel(context.Background())
 	return f, nil
 }
 
-// serve serves the requests that peers forward, with the server of the clients, in the background until close.
+// serve starts serving the requests that peers forward, with the server for clients, in the background until close.
 func (f *forwarder) serve(s *server) {
 	f.conns = newClientConns(f.listener, maxConnsFromPeers)
 	f.srv = &http.Server{Handler: f.handler(s), ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeader,
@@ -72,7 +73,8 @@
 	}()
 }
 
-// handler admits requests of peers: of one hop only, and none under pressure. A rejected request has not been processed.
+// handler returns the handler for requests from peers. It rejects requests that do not state exactly one hop, and every
+// request while this sidecar is under pressure or can't serve. A rejected request has not been processed.
 func (f *forwarder) handler(s *server) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if hops := r.Header[forwarding.HeaderHop]; len(hops) != 1 || hops[0] != "1" {
@@ -103,15 +105,15 @@
 		return a, false
 	}
 	f.mu.Lock()
-	choice, to := f.decider.Choose(now, &f.gauge, forwarding.Request{TimeLeft: r.expiresAt - now, RoundTrip: crossSiteRTT, Cost: f.crossZoneCost})
+	choice, peer := f.decider.Choose(now, &f.gauge, forwarding.Request{TimeLeft: r.expiresAt - now, RoundTrip: crossSiteRTT, Cost: f.crossZoneCost})
 	f.mu.Unlock()
 	if choice != forwarding.Forward {
 		return a, false
 	}
-	client := ctx
+	clientCtx := ctx
 	defer func() {
 		f.mu.Lock()
-		f.decider.Done(to, done && a.kind == served || client.Err() != nil) // a client's leaving is not the peer's failure
+		f.decider.Done(peer, done && a.kind == served || clientCtx.Err() != nil) // a client that cancels its request is not the peer's failure
 		f.mu.Unlock()
 	}()
 	f.forwarded.Add(1)
@@ -121,7 +123,7 @@
 	hop := *r
 	hop.header = r.header.Clone()
 	hop.header.Set(forwarding.HeaderHop, "1")
-	rep := f.pool.attempt(ctx, to, &hop, 0)
+	rep := f.pool.attempt(ctx, peer, &hop, 0)
 	switch rep.result {
 	case balancer.OK:
 		return answer{kind: served, reply: rep}, true
@@ -129,12 +131,12 @@
 		f.returned.Add(1)
 		return a, false
 	}
-	// It may have been processed, so that a second attempt here could run beside the one at the peer.
+	// The peer may be processing the request, so a second attempt here could run beside it.
 	return answer{kind: failed, reply: attemptReply{use: rep.use, err: rep.err, result: rep.result}}, true
 }
 
-// reserve marks a request id as in flight; it returns false if it already is, here or at a peer. (The dispatcher knows only
-// those here.)
+// reserve marks a request id as in flight. It returns false if the id is already in flight, here or at a peer. (The dispatcher
+// knows only the requests in flight here.)
 func (f *forwarder) reserve(id string) bool {
 	if f == nil {
 		return true
@@ -148,7 +150,7 @@
 	return true
 }
 
-// release ends what reserve began.
+// release removes the mark that reserve set.
 func (f *forwarder) release(id string) {
 	if f != nil {
 		f.mu.Lock()
@@ -186,14 +188,14 @@
 	_ = f.listener.Close()
 }
 
-// statsAttrs returns the pressure and the counts of forwarded requests, for operators.
+// statsAttrs returns the pressure and the counts of forwarded requests as log attributes.
 func (f *forwarder) statsAttrs() []slog.Attr {
 	f.mu.Lock()
-	at, hot := f.gauge.Now(), f.gauge.Hot()
+	pressure, hot := f.gauge.Now(), f.gauge.Hot()
 	f.mu.Unlock()
-	part := func(name string, x float64) slog.Attr { return slog.Float64(name, math.Round(x*100)/100) }
-	return []slog.Attr{slog.Group("pressure", slog.Bool("hot", hot), part("cpu", at.CPU), part("sockets", at.Sockets), part("heap", at.Heap),
-		part("in_flight", at.InFlight), part("site", at.Site)),
+	attr := func(name string, x float64) slog.Attr { return slog.Float64(name, math.Round(x*100)/100) }
+	return []slog.Attr{slog.Group("pressure", slog.Bool("hot", hot), attr("cpu", pressure.CPU), attr("sockets", pressure.Sockets), attr("heap", pressure.Heap),
+		attr("in_flight", pressure.InFlight), attr("site", pressure.Site)),
 		slog.Int64("forwarded", f.forwarded.Load()), slog.Int64("returned", f.returned.Load()),
 		slog.Int64("accepted_from_peers", f.accepted.Load()), slog.Int64("rejected_from_peers", f.rejected.Load())}
 }
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -13,7 +13,7 @@
 	"mosslead/internal/gossip/message"
 )
 
-// forwarderUnderPressure is the way out of a sidecar whose site is short, with one idle peer at another site.
+// forwarderUnderPressure returns the forwarder of a sidecar whose site is under pressure, with one idle peer at another site.
 func forwarderUnderPressure(t *testing.T, peer string) (*forwarder, clock) {
 	t.Helper()
 	c := testConfig(t, "127.0.0.1:1")
@@ -32,19 +32,19 @@
 	return f, clk
 }
 
-// While a request is with a peer nothing else is done with it; only the peer's word that it never began, or no way to tell it,
-// brings it home.
+// Guards against a request that is attempted twice: while a peer has it, it is attempted nowhere else. This sidecar handles it
+// only if the peer answers that it has not begun it, or can't be reached.
 func TestWhatComesOfAForwardedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(net.Conn, got) bool
 		kind   answerKind
 		done   bool
 	}{
-		"served":                      {says(ok200("yes")), served, true},
-		"refused unbegun":             {says("HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), 0, false},
-		"refused after it began":      {says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), failed, true},
-		"killed after the last byte":  {func(net.Conn, got) bool { return false }, failed, true},
-		"silent until its time is up": {silent, failed, true},
+		"served":                     {says(ok200("yes")), served, true},
+		"refused before it began":    {says("HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), 0, false},
+		"refused after it began":     {says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), failed, true},
+		"killed after the last byte": {func(net.Conn, got) bool { return false }, failed, true},
+		"silent until the deadline":  {silent, failed, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer := newUpstream(t, c.answer)
@@ -53,29 +53,30 @@
 				body: &clientBody{budget: f.pool.budget}, expiresAt: clk.now() + 300*time.Millisecond, timeout: 300 * time.Millisecond}
 			a, done := f.forward(context.Background(), clk.now(), r)
 			if done != c.done || done && a.kind != c.kind {
-				t.Fatalf("done %v, %v", done, answerNames[a.kind])
+				t.Fatalf("forward: got done %v, answer %s; want done %v, answer %s", done, answerNames[a.kind], c.done, answerNames[c.kind])
 			}
 			a.reply.drop()
-			at := peer.requests()
-			if len(at) != 1 {
-				t.Fatalf("the peer got it %d times", len(at))
+			received := peer.requests()
+			if len(received) != 1 {
+				t.Fatalf("the peer received %d requests, want 1", len(received))
 			}
-			if h := at[0].header; h.Get(forwarding.HeaderHop) != "1" || h.Get(headerID) != "1" || !strings.HasSuffix(h.Get(headerTimeout), "u") {
-				t.Errorf("the peer got %v", h)
+			if h := received[0].header; h.Get(forwarding.HeaderHop) != "1" || h.Get(headerID) != "1" || !strings.HasSuffix(h.Get(headerTimeout), "u") {
+				t.Errorf("header at the peer: got %v, want one hop, the request id 1 and a timeout in microseconds", h)
 			}
 			r.forwarded = true
 			if _, again := f.forward(context.Background(), clk.now(), r); again || len(peer.requests()) != 1 {
-				t.Error("it travelled a second hop")
+				t.Errorf("a forwarded request: forwarded again %v, the peer received %d requests; want false, 1", again, len(peer.requests()))
 			}
 		})
 	}
 	f, clk := forwarderUnderPressure(t, "127.0.0.1:1")
 	r := &clientRequest{method: http.MethodGet, target: "/", header: http.Header{}, body: &clientBody{budget: f.pool.budget}, expiresAt: clk.now() + time.Second}
 	if _, done := f.forward(context.Background(), clk.now(), r); done || f.returned.Load() != 1 {
-		t.Error("a peer that can't be reached keeps the request")
+		t.Errorf("peer that can't be reached: got done %v, %d requests returned; want false, 1", done, f.returned.Load())
 	}
 }
 
+// Guards against requests that are forwarded more than once, and against a hop header that a client sets or an upstream gets.
 func TestAPeerTakesOneHop(t *testing.T) {
 	up := newUpstream(t, says(ok200("yes")))
 	c := testConfig(t, quiet(t).address, entry("s-1", up.address, "Ready"))
@@ -88,31 +89,32 @@
 			req.Header.Set(forwarding.HeaderHop, hops)
 		}
 		if resp, body := r.do(t, req); resp.StatusCode != want {
-			t.Errorf("%q hops: %d %s", hops, resp.StatusCode, body)
+			t.Errorf("%q hops: got status %d, body %s; want status %d", hops, resp.StatusCode, body, want)
 		}
 	}
-	own := request(t, r.address, "confirm", "x")
-	own.Header.Set(forwarding.HeaderHop, "1") // from a client it means nothing
-	if resp, _ := r.do(t, own); resp.StatusCode != 200 {
-		t.Errorf("a client's own: %d", resp.StatusCode)
+	fromClient := request(t, r.address, "confirm", "x")
+	fromClient.Header.Set(forwarding.HeaderHop, "1") // ignored from a client
+	if resp, _ := r.do(t, fromClient); resp.StatusCode != 200 {
+		t.Errorf("client that sets the hop header: got status %d, want 200", resp.StatusCode)
 	}
 	for _, g := range up.requests() {
 		if g.header.Get(forwarding.HeaderHop) != "" {
-			t.Error("an upstream got the header of the hop")
+			t.Errorf("hop header at the upstream: got %q, want none", g.header.Get(forwarding.HeaderHop))
 		}
 	}
 	if n := len(up.requests()); n != 2 {
-		t.Errorf("%d requests at the upstream", n)
+		t.Errorf("the upstream received %d requests, want 2", n)
 	}
 }
 
-// A second request of an id that is with a peer is told so, and begins nowhere; one that comes after its end is another.
+// Guards against a second request with the id of one that a peer has: it gets 409 and is attempted nowhere. After the end of
+// the first, a request with the same id is a new one.
 func TestAnIDThatIsWithAPeerIsInHand(t *testing.T) {
 	release := make(chan struct{})
 	peer := newUpstream(t, func(c net.Conn, g got) bool { <-release; return says(ok200("peer"))(c, g) })
 	f, clk := forwarderUnderPressure(t, peer.address)
 	s := &server{clock: clk, failures: newLimitedLog(maxFailureLines), stats: newStats(), budget: f.pool.budget, forwards: f, post: func(any) bool {
-		t.Error("begun at home")
+		t.Error("the request was handled by the sidecar itself, want it forwarded")
 		return false
 	}}
 	s.classes.Store(&map[string]balancer.Class{"confirm": {Idempotency: balancer.NotIdempotent, Deadline: testTimeout}})
@@ -124,30 +126,30 @@
 	srv := &http.Server{Handler: s, ConnState: conns.state, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, c)
 	}}
-	go func() { _ = srv.Serve(conns) }() // until Close
+	go func() { _ = srv.Serve(conns) }() // ends with Close
 	t.Cleanup(func() { _ = srv.Close() })
 	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}}
 	t.Cleanup(r.client.CloseIdleConnections)
-	same := func() *http.Request {
+	sameID := func() *http.Request {
 		req := request(t, r.address, "confirm", "x")
 		req.Header.Set("X-Request-ID", "the same")
 		return req
 	}
-	first := r.later(same())
-	eventually(t, "it is with the peer", func() bool { return len(peer.requests()) == 1 })
-	if resp, body := r.do(t, same()); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %d %s", resp.StatusCode, body)
+	first := r.later(sameID())
+	eventually(t, "the request is at the peer", func() bool { return len(peer.requests()) == 1 })
+	if resp, body := r.do(t, sameID()); resp.StatusCode != http.StatusConflict {
+		t.Errorf("second request: got status %d, body %s; want status 409", resp.StatusCode, body)
 	}
 	close(release)
 	if got := <-first; got != "200 peer" {
-		t.Errorf("the first: %s", got)
+		t.Errorf("first request: got %q, want %q", got, "200 peer")
 	}
-	if resp, _ := r.do(t, same()); resp.StatusCode != 200 || len(peer.requests()) != 2 {
-		t.Errorf("afterwards: %d, the peer got it %d times", resp.StatusCode, len(peer.requests()))
+	if resp, _ := r.do(t, sameID()); resp.StatusCode != 200 || len(peer.requests()) != 2 {
+		t.Errorf("request after the end of the first: got status %d, %d requests at the peer; want 200, 2", resp.StatusCode, len(peer.requests()))
 	}
 }
 
-// freeAddress is an address that nobody listened at a moment ago.
+// freeAddress returns an address at which nothing listened a moment ago.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -17,32 +17,32 @@
 	"mosslead/internal/watch"
 )
 
-// Handover between processes: during an upgrade a new process takes over the clients of the one that serves, see
+// During an upgrade a new process, the successor, takes over the clients of the serving process, its predecessor: see
 // docs/ONCALL.md. The two are connected by a Unix socket in TMPDIR, and each continues alone when that connection ends.
 
 const (
-	linkName          = "handover.sock"
-	bansName          = "bans.json"
-	linkTimeout       = time.Second            // for the first answer of the other process: a start may take 6 s in all
-	banRelayTimeout   = 350 * time.Millisecond // for the other process to confirm a ban; with adminTimeout, below the 1 s for a call
-	useReportInterval = 20 * time.Millisecond  // between reports of the connections in use, which move as requests end
+	linkName          = "handover.sock"        // file in TMPDIR: the socket
+	bansName          = "bans.json"            // file in TMPDIR: the bans
+	linkTimeout       = time.Second            // to await the first message of the other process; a start may take 6 s in all
+	banRelayTimeout   = 350 * time.Millisecond // to await that the other process confirms a ban; with adminTimeout, below the 1 s for a call
+	useReportInterval = 20 * time.Millisecond  // time between reports of the connections in use, whose number changes as requests end
 )
 
-// connectionUse is how many connections a process uses of the limits that both processes share.
+// connectionUse is the number of connections that a process uses of the limits that both processes share.
 type connectionUse struct {
 	Clients   int `json:"Clients"`
 	Upstreams int `json:"Upstreams"`
 }
 
-// handoverMessage is one line on the link, in JSON; one field is set, or Ack and Persisted.
+// handoverMessage is one line on the link, in JSON. Exactly one field is set, or Ack and Persisted.
 type handoverMessage struct {
-	State     *handoverState `json:"State,omitempty"` // old to new: the state to start with
-	Ready     bool           `json:"Ready,omitempty"` // new to old: it can accept clients
-	Uses      *connectionUse `json:"Uses,omitempty"`  // old to new, once it accepts no more; new to old after Returning
-	Returning bool           `json:"Back,omitempty"`  // new to old: it is ending, and returns the clients
+	State     *handoverState `json:"State,omitempty"` // from the predecessor: the state to start with
+	Ready     bool           `json:"Ready,omitempty"` // from the successor: it can accept clients
+	Uses      *connectionUse `json:"Uses,omitempty"`  // from the predecessor once it no longer accepts clients; from the successor after Returning
+	Returning bool           `json:"Back,omitempty"`  // from the successor: it is ending, and the predecessor must accept clients again
 	Ban       *banMessage    `json:"Ban,omitempty"`
-	Ack       int            `json:"Ack,omitempty"`  // the ban of this number has been applied
-	Persisted bool           `json:"Kept,omitempty"` // with Ack: the ban is on disk as well
+	Ack       int            `json:"Ack,omitempty"`  // the sender has applied the ban of this number
+	Persisted bool           `json:"Kept,omitempty"` // with Ack: the sender has written the ban to disk as well
 }
 
 // handoverState is the state that a process sends its successor.
@@ -50,7 +50,7 @@
 	List     *listing           `json:"List"`
 	Banned   []string           `json:"Banned"`
 	Snapshot *balancer.Snapshot `json:"Learnt,omitempty"`
-	// Settings are those followed from the list service; nil: none are followed, or none have been received.
+	// Settings are those followed from the list service; nil if none are followed, or none have been received.
 	Settings *statestore.Settings `json:"Settings,omitempty"`
 }
 
@@ -59,7 +59,7 @@
 	Number  int    `json:"Number"`
 	ID      string `json:"ID"`
 	Cleared bool   `json:"Lifted"`
-	Writes  bool   `json:"Writes,omitempty"` // the sender writes it to disk itself
+	Writes  bool   `json:"Writes,omitempty"` // the sender writes the ban to disk itself
 }
 
 // handoverLink is one end of the link between the two processes.
@@ -69,22 +69,22 @@
 	applyBan func(banMessage) (persisted bool, err error) // applies a ban that the other process relays
 
 	mu            sync.Mutex
-	lastBanNumber int
-	acks          map[int]chan bool
+	lastBanNumber int               // number of the ban relayed last
+	acks          map[int]chan bool // by ban number; receives whether the other process has written the ban to disk
 }
 
 func newLink(conn net.Conn) *handoverLink {
 	return &handoverLink{conn: conn, messages: watch.NewMessages(conn, maxList), acks: map[int]chan bool{}}
 }
 
-// send sends one message; it is safe for concurrent use.
+// send sends one message. It is safe for concurrent use.
 func (l *handoverLink) send(m handoverMessage) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.conn.SetWriteDeadline(time.Now().Add(linkTimeout)); err != nil {
 		return err
 	}
-	return json.NewEncoder(l.conn).Encode(m) // Encode writes once
+	return json.NewEncoder(l.conn).Encode(m) // Encode calls Write once
 }
 
 // follow handles incoming messages until the link ends; handle is called with those that are not about bans.
@@ -97,7 +97,7 @@
 		switch {
 		case m.Ban != nil:
 			persisted, err := l.applyBan(*m.Ban)
-			if err != nil { // without an Ack the other process does not confirm it either
+			if err != nil { // without an Ack the other process does not confirm the ban to its caller
 				logWarning(ofHandover, "ban from the other process not applied", err)
 				continue
 			}
@@ -117,16 +117,16 @@
 	}
 }
 
-// relayBan sends a ban to the other process and waits until that has applied it; persisted: it is on disk there as well. A
-// link that has ended has no process that would need it.
-func (l *handoverLink) relayBan(c banMessage) (persisted bool, err error) {
+// relayBan sends a ban to the other process, waits until that has applied it, and reports whether that has written it to disk
+// as well. If the link has ended, there is no process left that needs the ban, and relayBan returns no error.
+func (l *handoverLink) relayBan(ban banMessage) (persisted bool, err error) {
 	done := make(chan bool, 1)
 	l.mu.Lock()
 	l.lastBanNumber++
-	c.Number = l.lastBanNumber
-	l.acks[c.Number] = done
+	ban.Number = l.lastBanNumber
+	l.acks[ban.Number] = done
 	l.mu.Unlock()
-	if l.send(handoverMessage{Ban: &c}) != nil {
+	if l.send(handoverMessage{Ban: &ban}) != nil {
 		return false, nil
 	}
 	select {
@@ -134,34 +134,34 @@
 		return persisted, nil
 	case <-time.After(banRelayTimeout):
 		l.mu.Lock()
-		delete(l.acks, c.Number)
+		delete(l.acks, ban.Number)
 		l.mu.Unlock()
 		return false, errors.New("the other process of the upgrade has not confirmed it, call again")
 	}
 }
 
-// handover is a process's side of upgrades: first as the successor, later as the predecessor.
+// handover is a process's part in upgrades: at first it is the successor, later the predecessor.
 type handover struct {
-	dir             string // TMPDIR
-	state           func() handoverState
-	applyBan        func(banMessage) (bool, error) // applies a ban
+	dir             string                         // TMPDIR
+	state           func() handoverState           // returns the state for a successor
+	applyBan        func(banMessage) (bool, error) // applies a ban that the other process relays
 	stopAccepting   func()                         // stops accepting clients
 	resumeAccepting func()                         // accepts clients again
 	ownUse          func() connectionUse           // returns the connections that this process uses
-	limitConns      func(others *connectionUse)    // limits this process beside the other one; nil: that has ended
-	halveMemory     func(bool)                     // whether the memory limit is shared with another process
+	limitConns      func(others *connectionUse)    // subtracts what the other process uses from the limits; nil once that has ended
+	halveMemory     func(bool)                     // halves the memory limit while another process shares it, or restores it
 
-	predecessorStopped chan struct{} // closed once the predecessor accepts no more, or there is none
+	predecessorStopped chan struct{} // closed once the predecessor no longer accepts clients, or there is none
 
 	mu          sync.Mutex
-	other       *handoverLink // nil: no other process
-	predecessor *handoverLink // nil: none, or it has ended
-	closedCh    chan struct{}
+	other       *handoverLink // nil if there is no other process
+	predecessor *handoverLink // nil if there is none, or it has ended
+	closedCh    chan struct{} // closed by close
 	listener    net.Listener
 	closed      bool
 }
 
-// passedListener returns the clients' socket that the platform passes, or nil if it passes none.
+// passedListener returns the listening socket for clients that the platform passes, or nil if it passes none.
 func passedListener() (net.Listener, error) {
 	text, passed := os.LookupEnv("GW_PASSED_SOCKET")
 	if !passed || text == "" {
@@ -180,8 +180,8 @@
 	return l, nil
 }
 
-// receiveState connects to the process that serves and returns its state. If there is none, or it sends nothing usable, the
-// bans are read from their file; a start never fails here.
+// receiveState connects to the predecessor and returns the state that it sends. If there is no predecessor, or it sends nothing
+// usable, the state holds only the bans from their file. A start never fails here.
 func (h *handover) receiveState() (s handoverState) {
 	conn, err := net.DialTimeout("unix", filepath.Join(h.dir, linkName), linkTimeout)
 	if err == nil {
@@ -189,7 +189,7 @@
 		_ = conn.SetReadDeadline(time.Now().Add(linkTimeout))
 		var m handoverMessage
 		if err = l.messages.Next(&m); err == nil && m.State == nil {
-			err = errors.New("it began with something else")
+			err = errors.New("the first message of the predecessor holds no state")
 		}
 		_ = conn.SetReadDeadline(time.Time{})
 		if err == nil {
@@ -202,9 +202,9 @@
 	if !errors.Is(err, os.ErrNotExist) {
 		logWarning(ofHandover, "no predecessor found, starting alone", err)
 	}
-	text, err := os.ReadFile(filepath.Join(h.dir, bansName))
+	data, err := os.ReadFile(filepath.Join(h.dir, bansName))
 	if err == nil {
-		err = json.Unmarshal(text, &s.Banned)
+		err = json.Unmarshal(data, &s.Banned)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		logWarning(ofHandover, "file of bans not usable", err)
@@ -214,7 +214,7 @@
 
 // followPredecessor follows the link to the predecessor, if there is one, in the background until the link ends.
 func (h *handover) followPredecessor() {
-	l := h.other // h is not shared yet: no lock
+	l := h.other // no lock is needed: no other goroutine uses h yet
 	if l == nil {
 		close(h.predecessorStopped)
 		return
@@ -235,7 +235,8 @@
 	}()
 }
 
-// awaitPredecessor tells the predecessor that this process is ready, and blocks until that accepts no more, at most linkTimeout.
+// awaitPredecessor tells the predecessor that this process is ready, and blocks until that no longer accepts clients, for
+// linkTimeout at most.
 func (h *handover) awaitPredecessor() {
 	h.mu.Lock()
 	l := h.other
@@ -253,14 +254,14 @@
 
 // serve listens for a successor, in the background until close.
 func (h *handover) serve() error {
-	own := filepath.Join(h.dir, fmt.Sprintf("handover-%d.sock", os.Getpid()))
-	_ = os.Remove(own) // of an earlier process with this process's id
-	l, err := net.Listen("unix", own)
+	ownPath := filepath.Join(h.dir, fmt.Sprintf("handover-%d.sock", os.Getpid()))
+	_ = os.Remove(ownPath) // left by an earlier process with the same process id
+	l, err := net.Listen("unix", ownPath)
 	if err != nil {
 		return err
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false) // by then the name may belong to the successor
-	if err := os.Rename(own, filepath.Join(h.dir, linkName)); err != nil {
+	l.(*net.UnixListener).SetUnlinkOnClose(false) // when it is closed, the name may belong to the successor's socket
+	if err := os.Rename(ownPath, filepath.Join(h.dir, linkName)); err != nil {
 		_ = l.Close()
 		return err
 	}
@@ -287,23 +288,23 @@
 	return nil
 }
 
-// serveSuccessor serves one successor until it or this process ends. Others wait for their turn.
+// serveSuccessor serves one successor until that or this process ends. The caller accepts no other successor meanwhile.
 func (h *handover) serveSuccessor(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	l := newLink(conn)
 	l.applyBan = h.applyBan
-	before, closed := h.replaceOther(l)
+	previous, closed := h.replaceOther(l)
 	if closed {
 		return
 	}
-	h.sendState(l) // after replaceOther, so that a ban from now on is relayed
+	h.sendState(l) // after replaceOther, so that bans applied from now on are relayed
 	logAttrs(slog.LevelInfo, ofHandover, "successor connected")
 	h.halveMemory(true)
 	defer h.halveMemory(false)
 	ready, returned, err := h.followSuccessor(l)
 	h.mu.Lock()
 	if h.other == l {
-		h.other = before
+		h.other = previous
 	}
 	closed = h.closed
 	h.mu.Unlock()
@@ -319,12 +320,12 @@
 	}
 }
 
-// replaceOther makes l the link to the other process, and returns the one before.
-func (h *handover) replaceOther(l *handoverLink) (before *handoverLink, closed bool) {
+// replaceOther makes l the link to the other process. It returns the previous link, and whether h is closed.
+func (h *handover) replaceOther(l *handoverLink) (previous *handoverLink, closed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before, h.other = h.other, l
-	return before, h.closed
+	previous, h.other = h.other, l
+	return previous, h.closed
 }
 
 // sendState sends the successor its state. A snapshot may hold a number that JSON can't encode; the state is then sent
@@ -341,16 +342,16 @@
 	}
 }
 
-// followSuccessor handles the successor's messages until the link ends. It returns whether the successor became ready, and
+// followSuccessor handles the successor's messages until the link ends. It reports whether the successor became ready, and
 // whether it has returned the clients since.
 func (h *handover) followSuccessor(l *handoverLink) (ready, returned bool, err error) {
-	yielded, end, reported := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	stopped, linkEnded, reporterDone := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(reported)
+		defer close(reporterDone)
 		select {
-		case <-yielded:
-			h.reportUse(l, end)
-		case <-end:
+		case <-stopped:
+			h.reportUse(l, linkEnded)
+		case <-linkEnded:
 		}
 	}()
 	err = l.follow(func(m handoverMessage) {
@@ -358,7 +359,7 @@
 		case m.Ready && !ready:
 			ready = true
 			h.stopAccepting()
-			close(yielded)
+			close(stopped)
 		case m.Returning && ready && !returned:
 			returned = true
 			logAttrs(slog.LevelInfo, ofHandover, "successor is ending, accepting clients again")
@@ -367,13 +368,14 @@
 			h.limitConns(m.Uses)
 		}
 	})
-	close(end)
-	<-reported
+	close(linkEnded)
+	<-reporterDone
 	return ready, returned, err
 }
 
-// reportUse reports the connections that this process uses to the other one, until end is closed or the link ends.
-func (h *handover) reportUse(l *handoverLink, end <-chan struct{}) {
+// reportUse sends the other process the number of connections that this one uses, at each change, until stop is closed or
+// the link ends.
+func (h *handover) reportUse(l *handoverLink, stop <-chan struct{}) {
 	last := connectionUse{-1, -1}
 	for {
 		if u := h.ownUse(); u != last {
@@ -384,14 +386,14 @@
 		}
 		select {
 		case <-time.After(useReportInterval):
-		case <-end:
+		case <-stop:
 			return
 		}
 	}
 }
 
-// returnClients has the predecessor, if it is still there, accept clients again: this process was told to end, and may need
-// seconds for its requests in flight.
+// returnClients has the predecessor, if it still runs, accept clients again. It is called when this process must end, which
+// may take seconds while requests are in flight.
 func (h *handover) returnClients() {
 	h.mu.Lock()
 	l := h.predecessor
@@ -416,14 +418,14 @@
 	h.predecessor = nil
 }
 
-// relayBan makes a ban outlive this process: it writes all bans to the file in TMPDIR, and relays c to the other process,
-// if there is one; persisted: that has written it to disk.
-func (h *handover) relayBan(c banMessage, all []string) (persisted bool, err error) {
-	text, err := json.Marshal(all)
+// relayBan makes a ban outlive this process: it writes all bans to the file in TMPDIR, and relays ban to the other process, if
+// there is one. It reports whether that has written the ban to disk.
+func (h *handover) relayBan(ban banMessage, allBans []string) (persisted bool, err error) {
+	data, err := json.Marshal(allBans)
 	if err == nil {
-		fresh := filepath.Join(h.dir, fmt.Sprintf("bans-%d", os.Getpid()))
-		if err = os.WriteFile(fresh, text, 0o600); err == nil {
-			err = os.Rename(fresh, filepath.Join(h.dir, bansName))
+		newFile := filepath.Join(h.dir, fmt.Sprintf("bans-%d", os.Getpid()))
+		if err = os.WriteFile(newFile, data, 0o600); err == nil {
+			err = os.Rename(newFile, filepath.Join(h.dir, bansName))
 		}
 	}
 	if err != nil {
@@ -435,10 +437,10 @@
 	if l == nil {
 		return false, nil
 	}
-	return l.relayBan(c)
+	return l.relayBan(ban)
 }
 
-// close closes the link, by which the successor learns that this process ends, and stops listening.
+// close closes the link, which tells the other process that this one ends, and stops listening.
 func (h *handover) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// passedListeners gives processes their own descriptors of one listening socket, as a platform does that holds it.
+// passedListeners returns n listeners, each with its own descriptor of one listening socket, as a platform passes it to each
+// process.
 func passedListeners(t *testing.T, n int) []net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,6 +38,7 @@
 	return all
 }
 
+// twoUpstreams returns the configuration of a sidecar with the upstreams a and b, and the upstream b.
 func twoUpstreams(t *testing.T) (*Config, *fakeUpstream) {
 	a, b := newUpstream(t, says(ok200("a"))), newUpstream(t, says(ok200("b")))
 	c := testConfig(t, quiet(t).address, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
@@ -44,13 +46,14 @@
 	return c, b
 }
 
+// awaitReady waits until READY is answered with want.
 func (r *running) awaitReady(t *testing.T, want string) {
 	t.Helper()
 	eventually(t, "READY "+want, func() bool { return strings.HasPrefix(r.call(t, "READY\n"), want) })
 }
 
-// Guards against an upgrade that loses requests, bans or connections: the new process takes clients when it is ready, the
-// old one ends each connection with its next answer, and a ban holds in both, whichever was called.
+// Guards against an upgrade that loses requests, bans or connections: the new process accepts clients when it is ready, the
+// old one closes each connection with its next answer, and a ban that either process gets applies in both.
 func TestUpgrade(t *testing.T) {
 	tmp, listeners := t.TempDir(), passedListeners(t, 2)
 	c, b := twoUpstreams(t)
@@ -58,20 +61,20 @@
 	old.awaitReady(t, "YES")
 	eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
 	if got := old.call(t, "DISABLE b\n"); got != "YES\n" {
-		t.Fatal(got)
+		t.Fatalf("DISABLE b: got %q, want YES", got)
 	}
 	if resp, _ := old.do(t, request(t, old.address, "confirm", "")); resp.Close {
-		t.Error("a connection ended without an upgrade")
+		t.Errorf("response without an upgrade: got close %v, want false", resp.Close)
 	}
 	fresh := startOn(t, c, listeners[1], tmp)
 	fresh.awaitReady(t, "YES")
 	old.awaitReady(t, "NO")
 	if resp, text := old.do(t, request(t, old.address, "confirm", "")); !resp.Close || text != "a" {
-		t.Errorf("on a connection to the old process: %s %q, close %v", resp.Status, text, resp.Close)
+		t.Errorf("on a connection to the old process: got %s %q, close %v; want a, close true", resp.Status, text, resp.Close)
 	}
-	for range 20 { // a new connection comes to the new process
+	for range 20 { // new connections go to the new process
 		if resp, text := fresh.do(t, request(t, fresh.address, "confirm", "")); resp.Close || text != "a" {
-			t.Fatalf("on a new connection: %s %q, close %v", resp.Status, text, resp.Close)
+			t.Fatalf("on a new connection: got %s %q, close %v; want a, close false", resp.Status, text, resp.Close)
 		}
 	}
 	for _, call := range []struct {
@@ -79,33 +82,33 @@
 		line string
 	}{{old, "ENABLE b\n"}, {fresh, "DISABLE b\n"}, {fresh, "ENABLE b\n"}, {old, "DISABLE b\n"}} {
 		if got := call.on.call(t, call.line); got != "YES\n" {
-			t.Errorf("%s: %q", call.line, got)
+			t.Errorf("%q: got %q, want YES", call.line, got)
 		}
 		want := "targets_disabled:1|g"
 		if strings.HasPrefix(call.line, "ENABLE") {
 			want = "targets_disabled:0|g"
 		}
 		for _, r := range []*running{old, fresh} {
-			eventually(t, call.line+" in both", func() bool { return strings.Contains(r.call(t, "STATS\n"), want) })
+			eventually(t, call.line+" applies in both processes", func() bool { return strings.Contains(r.call(t, "STATS\n"), want) })
 		}
 	}
 	old.stop()
 	<-old.ended
 	if old.err != nil {
-		t.Errorf("the old process ended with %v", old.err)
+		t.Errorf("the old process ended with error %v, want nil", old.err)
 	}
 	if resp, text := fresh.do(t, request(t, fresh.address, "confirm", "")); text != "a" {
-		t.Errorf("afterwards: %s %q", resp.Status, text)
+		t.Errorf("after the end of the old process: got %s %q, want a", resp.Status, text)
 	}
 	if got := fresh.call(t, "DISABLE nobody\n"); !strings.HasPrefix(got, "NO ") {
-		t.Error(got)
+		t.Errorf("DISABLE of an unknown upstream: got %q, want NO and a reason", got)
 	}
 	if n := len(b.requests()); n != 0 {
-		t.Errorf("the banned one got %d requests", n)
+		t.Errorf("the banned upstream received %d requests, want 0", n)
 	}
 }
 
-// Guards against an old process that stays useless when the new one dies, before it is ready or after.
+// Guards against an old process that does not accept clients again when the new one dies, before it is ready or after.
 func TestNewProcessDies(t *testing.T) {
 	tmp, listeners := t.TempDir(), passedListeners(t, 1)
 	c, _ := twoUpstreams(t)
@@ -120,14 +123,14 @@
 		})
 		var m handoverMessage
 		if err := json.NewDecoder(conn).Decode(&m); err != nil || m.State == nil || len(m.State.List.Endpoints) != 2 {
-			t.Fatalf("told %+v, %v", m, err)
+			t.Fatalf("first message to the successor: got %+v, error %v; want the state with 2 endpoints", m, err)
 		}
 		if ready {
 			if _, err := io.WriteString(conn, `{"Ready":true}`+"\n"); err != nil {
 				t.Fatal(err)
 			}
 			if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.Contains(line, "Uses") {
-				t.Fatalf("%q, %v", line, err)
+				t.Fatalf("message to a ready successor: got %q, error %v; want Uses", line, err)
 			}
 			old.awaitReady(t, "NO")
 		}
@@ -136,14 +139,14 @@
 		client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 		resp, err := client.Do(request(t, old.address, "confirm", ""))
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("ready %v, then gone: %v, %v", ready, resp, err)
+			t.Fatalf("after a successor that died, ready %v: got response %v, error %v; want status 200", ready, resp, err)
 		}
 		_ = resp.Body.Close()
 	}
 }
 
-// Guards against clients that nobody accepts while a new process ends again, before it took over or after, with a request
-// in flight: the old one, if it stays, takes them at once.
+// Guards against clients that no process accepts while a new process ends, before it took over or after, with a request in
+// flight: the old process, if it still runs, accepts them at once.
 func TestSuccessorIsTerminated(t *testing.T) {
 	for _, tookOver := range []bool{false, true} {
 		tmp, listeners := t.TempDir(), passedListeners(t, 2)
@@ -159,7 +162,7 @@
 			old.awaitReady(t, "NO")
 			p := dialRaw(t, fresh.address)
 			p.send(text("confirm"))
-			eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
+			eventually(t, "the request is at the upstream", func() bool { return len(s.requests()) == 1 })
 			defer p.answered(200)
 			defer release()
 		}
@@ -177,19 +180,19 @@
 		select {
 		case <-fresh.ended:
 			if tookOver {
-				t.Error("it ended before its request was answered")
+				t.Error("the new process ended before its request was answered, want it to wait")
 			}
 		default:
 		}
 	}
 }
 
-// Guards against a start that fails for what an earlier process left, and against bans that are lost with it.
+// Guards against a start that fails because of files of an earlier process, and against the loss of the bans in them.
 func TestWhatAnEarlierProcessLeft(t *testing.T) {
 	for name, c := range map[string]struct{ bans, want string }{
-		"bans":      {`["b"]`, "targets_disabled:1|g"},
-		"no use":    {`["b"`, "targets_disabled:0|g"},
-		"no string": {`[1]`, "targets_disabled:0|g"},
+		"bans":       {`["b"]`, "targets_disabled:1|g"},
+		"no JSON":    {`["b"`, "targets_disabled:0|g"},
+		"no strings": {`[1]`, "targets_disabled:0|g"},
 	} {
 		tmp := t.TempDir()
 		for file, text := range map[string]string{bansName: c.bans, linkName: "stale"} {
@@ -201,21 +204,21 @@
 		r := startOn(t, config, passedListeners(t, 1)[0], tmp)
 		r.awaitReady(t, "YES")
 		if got := r.call(t, "STATS\n"); !strings.Contains(got, c.want) {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("file of bans %s: STATS: got\n%s\nwant %s", name, got, c.want)
 		}
 	}
 }
 
-// Guards against a descriptor that is none.
+// Guards against a number in GW_PASSED_SOCKET that is not a usable descriptor.
 func TestPassedSocket(t *testing.T) {
 	for _, text := range []string{"three", "-1", "1", "9999"} {
 		t.Setenv("GW_PASSED_SOCKET", text)
 		if l, err := passedListener(); err == nil || l != nil {
-			t.Errorf("%q: taken", text)
+			t.Errorf("GW_PASSED_SOCKET=%q: got listener %v, error %v; want an error", text, l, err)
 		}
 	}
 	t.Setenv("GW_PASSED_SOCKET", "")
 	if l, err := passedListener(); err != nil || l != nil {
-		t.Errorf("none: %v, %v", l, err)
+		t.Errorf("empty GW_PASSED_SOCKET: got listener %v, error %v; want neither", l, err)
 	}
 }
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -10,27 +10,27 @@
 	"mosslead/internal/registry/api"
 )
 
-// HollowObserver observes what a sidecar without clients receives. Any field may be nil, and none may block. Its functions
-// are called one at a time by the goroutine that follows the list, OnSettings by another.
+// HollowObserver observes what a hollow sidecar receives: see RunHollow. Any field may be nil, and no function may block. The
+// goroutine that follows the list calls the functions one at a time; another goroutine calls OnSettings.
 type HollowObserver struct {
-	// OnList is called once a message of discovery has been applied, with the list's revision and number of entries.
+	// OnList is called after each message of discovery has been applied, with the list's revision and number of entries.
 	OnList func(index int64, entries int, at time.Time)
-	// OnChange is called for each entry that a message names, and for those that a full list no longer has. It costs a
+	// OnChange is called for each entry in a message, and for each entry that a full list no longer contains. It costs a
 	// second table of names.
 	OnChange func(name, status string, index int64)
-	// OnSettings is called with each document of the service that was applied, or rejected with an error. After a deletion
-	// the settings of the file are in force.
+	// OnSettings is called with each document of the service that was applied, or rejected with an error. After the deletion
+	// of a document the settings of the sidecar's file are in force.
 	OnSettings func(region string, revision int64, rejected error, at time.Time)
 }
 
-// RunHollow runs a sidecar without clients and upstreams, for simulations of many in one process: it follows the list, the
-// settings and its peers, and stores state, as Run does. It listens only where sharing requires it, and does not change
-// process-wide limits, signals or the log. It blocks until ctx ends, and then returns nil.
-func RunHollow(ctx context.Context, c *Config, h HollowObserver) error {
+// RunHollow runs a hollow sidecar: one without clients, and without connections to upstreams, for simulations of many sidecars
+// in one process. It follows the list, the settings and its peers, and stores state, as Run does. It listens only where sharing
+// requires it, and does not change process-wide limits, signals or the log. It blocks until ctx ends, and then returns nil.
+func RunHollow(ctx context.Context, c *Config, o HollowObserver) error {
 	if c.Peers != nil {
 		shared := *c
 		shared.Peers = &Peers{Address: c.Peers.Address, Advertise: c.Peers.Advertise, Seeds: c.Peers.Seeds, Zone: c.Peers.Zone, Service: c.Peers.Service}
-		c = &shared // without requests there is nothing to forward
+		c = &shared // without Forward: there are no requests to forward
 	}
 	running, stop := context.WithCancel(context.Background())
 	p := &process{config: c, server: &server{}, handover: &handover{}}
@@ -39,13 +39,13 @@
 		return err
 	}
 	p.loop.attempt = func(context.Context, string, *clientRequest, time.Duration) attemptReply {
-		return attemptReply{result: balancer.NotSent, err: errors.New("nobody sends through a hollow sidecar")}
+		return attemptReply{result: balancer.NotSent, err: errors.New("a hollow sidecar sends no requests")}
 	}
-	p.watch.report = h.wrapReport(p)
-	if p.service != nil && h.OnSettings != nil {
-		p.service.onJudged = func(d api.Document, rejected error) { h.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
+	p.watch.report = o.wrapReport(p)
+	if p.service != nil && o.OnSettings != nil {
+		p.service.onJudged = func(d api.Document, rejected error) { o.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
 	}
-	known, _, err := p.restore()
+	list, _, err := p.restore()
 	if err != nil {
 		stop()
 		return err
@@ -61,14 +61,14 @@
 	}
 	p.connectPersister()
 	var parts sync.WaitGroup
-	over := make(chan struct{})
-	parts.Go(func() { p.loop.run(known) })
+	stopPersister := make(chan struct{})
+	parts.Go(func() { p.loop.run(list) })
 	parts.Go(func() { p.watch.run(running, c.Settings.MustSubscribe) })
 	if p.persister != nil {
 		parts.Go(p.restoreSnapshot)
 		parts.Go(func() { p.useSuspectList(running) })
 	}
-	parts.Go(func() { p.persister.run(over) })
+	parts.Go(func() { p.persister.run(stopPersister) })
 	parts.Go(func() { p.service.acknowledge(running, p.watch.source) })
 	for ctx.Err() == nil {
 		select {
@@ -77,7 +77,7 @@
 		case <-ctx.Done():
 		}
 	}
-	p.persister.end(over)
+	p.persister.end(stopPersister)
 	p.loop.sharing.close()
 	stop()
 	parts.Wait()
@@ -85,26 +85,27 @@
 	return nil
 }
 
-// wrapReport returns the report function of the watcher, which reports to the dispatcher and then to the observer.
-func (h HollowObserver) wrapReport(p *process) func(balancer.EndpointUpdate) {
+// wrapReport returns a report function for the watcher, which reports to the dispatcher and then to the observer.
+func (o HollowObserver) wrapReport(p *process) func(balancer.EndpointUpdate) {
 	report, states := p.watch.report, map[string]string{}
 	return func(m balancer.EndpointUpdate) {
 		report(m)
-		if m.Endpoints == nil || m.Kind != balancer.Delta && m.Kind != balancer.FullState { // not a message: a watch was established or failed
+		if m.Endpoints == nil || m.Kind != balancer.Delta && m.Kind != balancer.FullState { // a watch was established or failed: no message of discovery
 			return
 		}
 		index, entries := p.upstreams.directory.revision()
-		if h.OnChange != nil {
-			h.reportChanges(m, states, index)
+		if o.OnChange != nil {
+			o.reportChanges(m, states, index)
 		}
-		if h.OnList != nil {
-			h.OnList(index, entries, time.Now())
+		if o.OnList != nil {
+			o.OnList(index, entries, time.Now())
 		}
 	}
 }
 
-// reportChanges calls OnChange for what a message changes in states.
-func (h HollowObserver) reportChanges(m balancer.EndpointUpdate, states map[string]string, index int64) {
+// reportChanges calls OnChange for each entry in a message and for each that a full list no longer contains, and updates
+// states, which holds the status of each listed entry.
+func (o HollowObserver) reportChanges(m balancer.EndpointUpdate, states map[string]string, index int64) {
 	statuses := map[balancer.EndpointState]string{balancer.Active: statusReady, balancer.Draining: statusTerminating, balancer.Removed: statusRemoved}
 	named := map[string]bool{}
 	for _, e := range m.Endpoints {
@@ -112,7 +113,7 @@
 		if states[e.Upstream] = statuses[e.State]; e.State == balancer.Removed {
 			delete(states, e.Upstream)
 		}
-		h.OnChange(e.Upstream, statuses[e.State], index)
+		o.OnChange(e.Upstream, statuses[e.State], index)
 	}
 	if m.Kind != balancer.FullState {
 		return
@@ -120,7 +121,7 @@
 	for name := range states {
 		if !named[name] {
 			delete(states, name)
-			h.OnChange(name, statusRemoved, index)
+			o.OnChange(name, statusRemoved, index)
 		}
 	}
 }
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -16,7 +16,7 @@
 	"mosslead/internal/statestore"
 )
 
-// startHollow runs one until its test ends, or what it gives is called.
+// startHollow runs a hollow sidecar until end is called or the test ends.
 func startHollow(t testing.TB, c *Config, h HollowObserver) (end func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -32,36 +32,36 @@
 	return end
 }
 
-// Guards against a hollow sidecar that does not follow the list as a real one does, that hides what it heard from whoever plays with it,
-// or that leaves goroutines behind; and against one without state or with a list service of several replicas that differs.
+// Guards against a hollow sidecar that does not follow the list or store state as a real one does, with one address of the
+// list service and with several, that does not report what it receives to its observer, or that leaks goroutines.
 func TestHollowFollowsTheList(t *testing.T) {
 	for name, addresses := range map[string]func(string) string{
 		"one address":      func(a string) string { return a },
 		"several replicas": func(a string) string { return a + "," + strings.Replace(a, "127.0.0.1", "127.0.0.2", 1) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			goes := make(chan struct{})
+			sentAll := make(chan struct{})
 			d := newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 				send(list(5, true, entry("a", "127.0.0.2:1", "Ready"), entry("b", "127.0.0.2:2", "Ready")))
 				send("")
 				send(list(6, false, entry("a", "127.0.0.2:1", "Terminating")))
 				send(list(7, true, entry("b", "127.0.0.2:2", "Ready")))
-				close(goes)
+				close(sentAll)
 				<-done
 			})
 			before := goleak.IgnoreCurrent()
 			c := testConfig(t, addresses(d.address))
 			c.State = t.TempDir()
 			var mu sync.Mutex
-			var inbox []string
+			var got []string
 			done := make(chan struct{})
 			end := startHollow(t, c, HollowObserver{
 				OnList: func(index int64, entries int, at time.Time) {
 					mu.Lock()
 					defer mu.Unlock()
-					inbox = append(inbox, fmt.Sprintf("list %d of %d", index, entries))
+					got = append(got, fmt.Sprintf("list %d of %d", index, entries))
 					if at.IsZero() {
-						t.Error("heard at no time")
+						t.Errorf("OnList of revision %d: got the zero time, want the time of receipt", index)
 					}
 					if index == 7 {
 						close(done)
@@ -70,52 +70,52 @@
 				OnChange: func(name, status string, index int64) {
 					mu.Lock()
 					defer mu.Unlock()
-					inbox = append(inbox, fmt.Sprint(name, " ", status, " ", index))
+					got = append(got, fmt.Sprint(name, " ", status, " ", index))
 				},
 			})
 			select {
 			case <-done:
 			case <-time.After(testTimeout):
-				t.Fatal("the list was not followed")
+				t.Fatalf("OnList was not called with revision 7 within %v", testTimeout)
 			}
-			<-goes
-			eventually(t, "the state directory taken up", func() bool {
+			<-sentAll
+			eventually(t, "the sidecar uses its state directory", func() bool {
 				tables, err := filepath.Glob(filepath.Join(c.State, "bans.*"))
 				return err == nil && len(tables) > 0
 			})
 			end()
 			want := []string{"a Ready 5", "b Ready 5", "list 5 of 2", "a Terminating 6", "list 6 of 2", "b Ready 7", "a Gone 7", "list 7 of 1"}
-			if !slices.Equal(inbox, want) {
-				t.Errorf("heard %q, not %q", inbox, want)
+			if !slices.Equal(got, want) {
+				t.Errorf("observer calls: got %q, want %q", got, want)
 			}
-			// What it held is on disk, as a real one's would be.
+			// The list is on disk, as that of a real sidecar is.
 			persisted, err := statestore.New(c.State, c.Name).Load(time.Now())
 			if err != nil || persisted.List == nil || !strings.Contains(string(persisted.List.Listing), `"name":"b"`) || persisted.Crashed {
-				t.Errorf("kept %+v, %v", persisted, err)
+				t.Errorf("state on disk: got %+v, error %v; want a list with b and a clean end", persisted, err)
 			}
 			goleak.VerifyNone(t, before)
 		})
 	}
 }
 
-// Guards against a hollow sidecar that shares without an end, or that listens for requests which it has nobody to send.
+// Guards against a hollow sidecar that does not end its sharing, or that listens for forwarded requests.
 func TestHollowShares(t *testing.T) {
 	d := quiet(t)
 	before := goleak.IgnoreCurrent()
 	c := testConfig(t, d.address)
-	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: d.address, Zone: "a"} // taken: whoever listens there fails
+	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: d.address, Zone: "a"} // Forward is in use: listening there fails
 	listed := make(chan struct{})
 	end := startHollow(t, c, HollowObserver{OnList: func(int64, int, time.Time) { close(listed) }})
 	select {
 	case <-listed:
 	case <-time.After(testTimeout):
-		t.Fatal("the list was not followed")
+		t.Fatalf("OnList was not called within %v", testTimeout)
 	}
 	end()
 	goleak.VerifyNone(t, before)
 }
 
-// What a hollow one costs among others: go test -run '^$' -bench Hollow -benchtime 200x ./internal/sidecar
+// BenchmarkHollow measures the cost of one hollow sidecar among b.N: go test -run '^$' -bench Hollow -benchtime 200x ./internal/sidecar
 func BenchmarkHollow(b *testing.B) {
 	for _, size := range []int{100, 1800} {
 		var entries []string
@@ -144,25 +144,27 @@
 	}
 }
 
-// measureCost tells what each of b.N holds. The fake's side of each watch is in the figure: a connection and its goroutines.
-func measureCost(b *testing.B, begin func(ready *sync.WaitGroup)) {
+// measureCost reports the memory and goroutines per sidecar of b.N. The figures include the fake's side of each watch: a
+// connection and its goroutines.
+func measureCost(b *testing.B, start func(ready *sync.WaitGroup)) {
 	b.Helper()
 	before := measureFootprint()
 	var ready sync.WaitGroup
 	for range b.N {
 		ready.Add(1)
-		begin(&ready)
+		start(&ready)
 	}
 	ready.Wait()
 	b.StopTimer()
-	now := measureFootprint()
-	b.ReportMetric(float64(now.bytes-before.bytes)/float64(b.N)/1024, "KB/hollow")
-	b.ReportMetric(float64(now.goroutines-before.goroutines)/float64(b.N), "goroutines/hollow")
+	after := measureFootprint()
+	b.ReportMetric(float64(after.bytes-before.bytes)/float64(b.N)/1024, "KB/hollow")
+	b.ReportMetric(float64(after.goroutines-before.goroutines)/float64(b.N), "goroutines/hollow")
 }
 
+// footprint is the memory and the number of goroutines of this process.
 type footprint struct{ bytes, goroutines int64 }
 
-// measureFootprint is what the process holds once the garbage is gone: heap and stacks.
+// measureFootprint returns the footprint of the process after garbage collection: heap, stacks and goroutines.
 func measureFootprint() footprint {
 	runtime.GC()
 	runtime.GC()
--- a/internal/sidecar/leaderships.go
+++ b/internal/sidecar/leaderships.go
@@ -15,31 +15,35 @@
 	"mosslead/internal/registry/client"
 )
 
-// Names of the leaderships in use.
+// probeLeadership returns the name of the leadership for probes of an upstream.
 func probeLeadership(upstream string) string { return "trials/" + upstream }
-func digestLeadership(site string) string    { return "digest/" + site }
-func incidentLeadership(site string) string  { return "incident/" + site }
+
+// digestLeadership returns the name of the leadership for the digest of a site.
+func digestLeadership(site string) string { return "digest/" + site }
+
+// incidentLeadership returns the name of the leadership for the incidents of a site.
+func incidentLeadership(site string) string { return "incident/" + site }
 
 const (
-	maxLeaderships    = 128              // for which this sidecar is a candidate at most
-	leadershipTick    = time.Second      // between updates of the sites and of the fitness
-	candidacyLifetime = 10 * time.Minute // after which an unwanted candidacy is dropped, with its back-off
-	ownSiteFitness    = 500              // fitness of a candidate at the site that the leadership is about
+	maxLeaderships    = 128              // maximum number of leaderships for which this sidecar is a candidate
+	leadershipTick    = time.Second      // time between updates of the sites and of the fitness
+	candidacyLifetime = 10 * time.Minute // an unwanted candidacy is dropped after this time, together with its back-off
+	ownSiteFitness    = 500              // fitness of a candidate at the site that the leadership concerns
 	idleFitness       = 400              // fitness of a candidate without pressure
-	fitnessStep       = 50               // to which fitness is rounded down
+	fitnessStep       = 50               // fitness is rounded down to a multiple of this
 )
 
-// leaderships holds and campaigns for leaderships. A nil one holds none: what depends on a leadership is then done by each
-// sidecar alone. Safe for concurrent use; of its methods only run and close block.
+// leaderships holds and campaigns for leaderships. A nil *leaderships holds none: each sidecar then does on its own what a
+// leader would do for all. It is safe for concurrent use; of its methods only run and close block.
 type leaderships struct {
 	service             lease.Service
-	closeClient         func() // of the service's client
+	closeClient         func() // closes the client of service
 	candidateName       string
 	site                string
-	config              lease.Config // of each leadership, but for its name and holder
-	sites               func() []string
-	siteOf              func(upstream string) string
-	pressureThousandths atomic.Uint64 // pressure in thousandths
+	config              lease.Config                 // configuration of each leadership, without its name and holder
+	sites               func() []string              // returns the present sites
+	siteOf              func(upstream string) string // returns the site of an upstream
+	pressureThousandths atomic.Uint64                // this sidecar's pressure
 
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -47,51 +51,52 @@
 
 	mu       sync.Mutex
 	byName   map[string]*candidacy
-	rejected int64 // candidacies beyond maxLeaderships
+	rejected int64 // candidacies rejected because there were maxLeaderships
 }
 
-// candidacy is this sidecar's part in one election.
+// candidacy is this sidecar's candidacy for one leadership.
 type candidacy struct {
 	*lease.Runner
 	stop          context.CancelFunc
 	wanted        bool
 	fitness       float64
-	unwantedSince time.Time
+	unwantedSince time.Time // when it became unwanted, if it is not wanted
 }
 
-// newLeaderships returns the leaderships of a sidecar at the list service; sites returns the present sites.
+// newLeaderships returns the leaderships of a sidecar, which the list service at the addresses grants; sites returns the
+// present sites.
 func newLeaderships(addresses string, self message.Member, sites func() []string) (*leaderships, error) {
 	all, err := client.Addresses(addresses)
 	if err != nil {
 		return nil, fmt.Errorf("service: %w", err)
 	}
 	c := client.New(all)
-	d := &leaderships{service: c, closeClient: c.Close, site: self.Site, sites: sites, byName: map[string]*candidacy{},
+	l := &leaderships{service: c, closeClient: c.Close, site: self.Site, sites: sites, byName: map[string]*candidacy{},
 		candidateName: fmt.Sprintf("%s/%d/%x", self.Name, self.Incarnation.StartedMs, self.Incarnation.ID)}
-	d.ctx, d.stop = context.WithCancel(context.Background())
-	return d, nil
+	l.ctx, l.stop = context.WithCancel(context.Background())
+	return l, nil
 }
 
 // run keeps this sidecar a candidate for the leaderships that all sidecars campaign for, until ctx ends: the digest of its
 // own site, and the incidents of each site.
-func (d *leaderships) run(ctx context.Context) {
+func (l *leaderships) run(ctx context.Context) {
 	tick := time.NewTicker(leadershipTick)
 	defer tick.Stop()
 	incidents := map[string]bool{}
 	for {
-		d.setWanted(digestLeadership(d.site), true, d.site)
-		now := map[string]bool{}
-		for _, site := range d.sites() {
-			now[site] = true
-			d.setWanted(incidentLeadership(site), true, site)
+		l.setWanted(digestLeadership(l.site), true, l.site)
+		present := map[string]bool{}
+		for _, site := range l.sites() {
+			present[site] = true
+			l.setWanted(incidentLeadership(site), true, site)
 		}
 		for site := range incidents {
-			if !now[site] {
-				d.setWanted(incidentLeadership(site), false, site)
+			if !present[site] {
+				l.setWanted(incidentLeadership(site), false, site)
 			}
 		}
-		incidents = now
-		d.dropUnwanted(time.Now())
+		incidents = present
+		l.dropUnwanted(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -100,67 +105,67 @@
 	}
 }
 
-// holds reports whether this sidecar is the leader, and the epoch that an act of the leader must carry. It is called directly
-// before each act; receivers reject an epoch below the highest they have seen.
-func (d *leaderships) holds(name string) (epoch uint64, ok bool) {
-	if d == nil {
+// holds reports whether this sidecar is the leader, and returns the epoch that each message of the leader must carry. It is
+// called directly before each action as the leader; receivers reject an epoch below the highest they have seen.
+func (l *leaderships) holds(name string) (epoch uint64, ok bool) {
+	if l == nil {
 		return 0, false
 	}
-	d.mu.Lock()
-	h := d.byName[name]
-	d.mu.Unlock()
-	if h == nil {
+	l.mu.Lock()
+	c := l.byName[name]
+	l.mu.Unlock()
+	if c == nil {
 		return 0, false
 	}
-	return h.Holds(time.Now())
+	return c.Holds(time.Now())
 }
 
-// campaign is setWanted for the probes of an upstream.
-func (d *leaderships) campaign(name string, wanted bool) {
-	d.setWanted(name, wanted, d.siteOf(strings.TrimPrefix(name, probeLeadership(""))))
+// campaign starts or stops campaigning for the probe leadership of an upstream.
+func (l *leaderships) campaign(name string, wanted bool) {
+	l.setWanted(name, wanted, l.siteOf(strings.TrimPrefix(name, probeLeadership(""))))
 }
 
-// setWanted starts or stops campaigning for a leadership that is about a site. A leadership that is held and no longer
-// wanted is released.
-func (d *leaderships) setWanted(name string, wanted bool, site string) {
-	if d == nil {
+// setWanted starts or stops campaigning for a leadership that concerns a site. A leadership that is held and no longer wanted
+// is released.
+func (l *leaderships) setWanted(name string, wanted bool, site string) {
+	if l == nil {
 		return
 	}
-	fitness := float64(idleFitness) * (1 - min(1, float64(d.pressureThousandths.Load())/1000))
-	if site == d.site {
+	fitness := float64(idleFitness) * (1 - min(1, float64(l.pressureThousandths.Load())/1000))
+	if site == l.site {
 		fitness += ownSiteFitness
 	}
 	fitness -= float64(int(fitness) % fitnessStep)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	h := d.byName[name]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := l.byName[name]
 	switch {
-	case h == nil && !wanted:
+	case c == nil && !wanted:
 		return
-	case h == nil && len(d.byName) >= maxLeaderships:
-		d.rejected++
+	case c == nil && len(l.byName) >= maxLeaderships:
+		l.rejected++
 		return
-	case h == nil:
-		h = d.startCandidacy(name)
-	case h.wanted == wanted && h.fitness == fitness:
+	case c == nil:
+		c = l.startCandidacy(name)
+	case c.wanted == wanted && c.fitness == fitness:
 		return
 	}
-	if h.wanted && !wanted {
-		h.unwantedSince = time.Now()
+	if c.wanted && !wanted {
+		c.unwantedSince = time.Now()
 	}
-	h.wanted, h.fitness = wanted, fitness
-	h.Campaign(wanted, fitness)
+	c.wanted, c.fitness = wanted, fitness
+	c.Campaign(wanted, fitness)
 }
 
-// startCandidacy starts a candidacy, with d.mu held.
-func (d *leaderships) startCandidacy(name string) *candidacy {
-	c := d.config
-	c.Name, c.Holder = name, d.candidateName
-	ctx, stop := context.WithCancel(d.ctx)
-	h := &candidacy{stop: stop, Runner: lease.NewRunner(d.service, c, func(a lease.Action) { logLeadership(name, a) })}
-	d.byName[name] = h
-	d.runners.Go(func() { h.Run(ctx) })
-	return h
+// startCandidacy starts a candidacy. The caller holds l.mu.
+func (l *leaderships) startCandidacy(name string) *candidacy {
+	cfg := l.config
+	cfg.Name, cfg.Holder = name, l.candidateName
+	ctx, stop := context.WithCancel(l.ctx)
+	c := &candidacy{stop: stop, Runner: lease.NewRunner(l.service, cfg, func(a lease.Action) { logLeadership(name, a) })}
+	l.byName[name] = c
+	l.runners.Go(func() { c.Run(ctx) })
+	return c
 }
 
 // logLeadership logs that a leadership was acquired or lost.
@@ -175,76 +180,76 @@
 	}
 }
 
-// setPressure sets this sidecar's pressure, 0 to 1; less pressure is more fitness.
-func (d *leaderships) setPressure(pressure float64) {
-	if d != nil {
-		d.pressureThousandths.Store(uint64(1000 * min(max(pressure, 0), 1)))
+// setPressure sets this sidecar's pressure, 0 to 1. The lower the pressure, the higher the fitness.
+func (l *leaderships) setPressure(pressure float64) {
+	if l != nil {
+		l.pressureThousandths.Store(uint64(1000 * min(max(pressure, 0), 1)))
 	}
 }
 
 // dropUnwanted drops candidacies that have been unwanted for candidacyLifetime.
-func (d *leaderships) dropUnwanted(now time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for name, h := range d.byName {
-		if !h.wanted && now.Sub(h.unwantedSince) > candidacyLifetime {
-			h.stop()
-			delete(d.byName, name)
+func (l *leaderships) dropUnwanted(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for name, c := range l.byName {
+		if !c.wanted && now.Sub(c.unwantedSince) > candidacyLifetime {
+			c.stop()
+			delete(l.byName, name)
 		}
 	}
 }
 
-// releaseAll releases all leaderships and ends all candidacies. It does not wait for that.
-func (d *leaderships) releaseAll() {
-	if d != nil {
-		d.stop()
+// releaseAll starts the release of all leaderships and the end of all candidacies, and does not wait for them.
+func (l *leaderships) releaseAll() {
+	if l != nil {
+		l.stop()
 	}
 }
 
-// close is yield, and returns once the service has been told or the leases have expired.
-func (d *leaderships) close() {
-	if d == nil {
+// close releases all leaderships, and blocks until the service has confirmed that or the leases have expired.
+func (l *leaderships) close() {
+	if l == nil {
 		return
 	}
-	d.stop()
-	d.runners.Wait()
-	d.closeClient()
+	l.stop()
+	l.runners.Wait()
+	l.closeClient()
 }
 
-// describe returns the leaderships for operators: those held, with their epochs, and those campaigned for.
-func (d *leaderships) describe() string {
-	if d == nil {
+// describe returns the lines of PEERS about leaderships: those held, with their epochs, and those campaigned for.
+func (l *leaderships) describe() string {
+	if l == nil {
 		return ""
 	}
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	var all []string
-	for name, h := range d.byName {
-		if epoch, ok := h.Holds(now); ok {
-			all = append(all, fmt.Sprintf("duty %s held %d\n", name, epoch))
-		} else if h.wanted {
-			all = append(all, fmt.Sprintf("duty %s waits\n", name))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var lines []string
+	for name, c := range l.byName {
+		if epoch, ok := c.Holds(now); ok {
+			lines = append(lines, fmt.Sprintf("duty %s held %d\n", name, epoch))
+		} else if c.wanted {
+			lines = append(lines, fmt.Sprintf("duty %s waits\n", name))
 		}
 	}
-	slices.Sort(all)
-	return strings.Join(all, "") + fmt.Sprintf("duties_beyond %d\n", d.rejected)
+	slices.Sort(lines)
+	return strings.Join(lines, "") + fmt.Sprintf("duties_beyond %d\n", l.rejected)
 }
 
-// count returns how many leaderships are held, how many are campaigned for, and how many candidacies were rejected.
-func (d *leaderships) count() (leading, campaigning, rejected int64) {
-	if d == nil {
+// count returns how many leaderships are held, how many others are campaigned for, and how many candidacies were rejected.
+func (l *leaderships) count() (leading, campaigning, rejected int64) {
+	if l == nil {
 		return 0, 0, 0
 	}
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, h := range d.byName {
-		if _, ok := h.Holds(now); ok {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, c := range l.byName {
+		if _, ok := c.Holds(now); ok {
 			leading++
-		} else if h.wanted {
+		} else if c.wanted {
 			campaigning++
 		}
 	}
-	return leading, campaigning, d.rejected
+	return leading, campaigning, l.rejected
 }
--- a/internal/sidecar/leaderships_test.go
+++ b/internal/sidecar/leaderships_test.go
@@ -9,45 +9,45 @@
 	"mosslead/internal/lease/memory"
 )
 
-// The site's own sidecar gets the leaderships that are about its site; one that ends hands on at once; a suspect's probes are a leadership
-// only while somebody suspects it.
+// Guards against leaderships at the wrong sidecar: those that concern a site go to a sidecar of that site, a sidecar that ends
+// releases its leaderships at once, and the probes of an upstream are led only while a sidecar wants them.
 func TestLeadershipsOfTwoSidecars(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := memory.New(nil)
-		begin := func(name, site string) *leaderships {
-			d, err := newLeaderships("127.0.0.1:1", message.Member{Name: name, Site: site}, func() []string { return []string{"cebu", "davao"} })
+		start := func(name, site string) *leaderships {
+			l, err := newLeaderships("127.0.0.1:1", message.Member{Name: name, Site: site}, func() []string { return []string{"cebu", "davao"} })
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.service = service
-			d.runners.Go(func() { d.run(d.ctx) })
-			return d
+			l.service = service
+			l.runners.Go(func() { l.run(l.ctx) })
+			return l
 		}
-		a, b := begin("a", "cebu"), begin("b", "davao")
+		a, b := start("a", "cebu"), start("b", "davao")
 		time.Sleep(30 * time.Second)
-		for name, d := range map[string]*leaderships{"digest/cebu": a, "incident/cebu": a, "digest/davao": b, "incident/davao": b} {
-			if epoch, ok := d.holds(name); !ok || epoch != service.Leadership(name).Epoch {
-				t.Errorf("%s: %d, %v; the service says %+v", name, epoch, ok, service.Leadership(name))
+		for name, l := range map[string]*leaderships{"digest/cebu": a, "incident/cebu": a, "digest/davao": b, "incident/davao": b} {
+			if epoch, ok := l.holds(name); !ok || epoch != service.Leadership(name).Epoch {
+				t.Errorf("%s: got epoch %d, held %v; want it held under the epoch of the service: %+v", name, epoch, ok, service.Leadership(name))
 			}
 		}
 		a.siteOf = func(string) string { return "cebu" }
 		a.campaign(probeLeadership("s-1"), true)
 		time.Sleep(10 * time.Second)
 		if _, ok := a.holds(probeLeadership("s-1")); !ok {
-			t.Error("nobody holds the trials of one that is left out")
+			t.Errorf("probes of s-1 while wanted: held %v, want true", ok)
 		}
 		a.campaign(probeLeadership("s-1"), false)
 		time.Sleep(time.Second)
 		if _, ok := a.holds(probeLeadership("s-1")); ok || service.Leadership(probeLeadership("s-1")).Holder != "" {
-			t.Error("the trials of one that is used again are still held")
+			t.Errorf("probes of s-1 while unwanted: held %v, holder at the service %q; want false, none", ok, service.Leadership(probeLeadership("s-1")).Holder)
 		}
 		a.releaseAll()
 		time.Sleep(2 * time.Second)
 		if _, ok := b.holds("incident/cebu"); !ok {
-			t.Errorf("not handed on by one that ends: %+v", service.Leadership("incident/cebu"))
+			t.Errorf("incident/cebu after the release by a: held by b %v, want true; the service has %+v", ok, service.Leadership("incident/cebu"))
 		}
 		if _, ok := (*leaderships)(nil).holds("digest/cebu"); ok {
-			t.Error("a sidecar without a list service holds a duty")
+			t.Errorf("digest/cebu without a list service: held %v, want false", ok)
 		}
 		a.close()
 		b.close()
--- a/internal/sidecar/pressure.go
+++ b/internal/sidecar/pressure.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	pressureInterval = 100 * time.Millisecond
-	pressureQueries  = 2 // peers asked per pressureInterval while this sidecar is under pressure
-	loadTTL          = 10 * time.Second
-	halfDelay        = 2 * time.Millisecond // delay of the loop that counts as a CPU pressure of 0.5
+	pressureInterval = 100 * time.Millisecond // time between samples
+	pressureQueries  = 2                      // peers asked per pressureInterval while this sidecar is under pressure
+	loadTTL          = 10 * time.Second       // lifetime of pressure messages
+	halfDelay        = 2 * time.Millisecond   // delay of the dispatcher's loop that counts as a CPU pressure of 0.5
 )
 
-// heartbeat is an event that measures the delay of the dispatcher's loop.
+// heartbeat is an event that measures the delay of the dispatcher's loop; sent is when it was queued.
 type heartbeat struct{ sent time.Time }
 
-// loopStatus is the state of the dispatcher's loop at its latest heartbeat. Safe for concurrent use.
+// loopStatus is the state of the dispatcher's loop at its latest heartbeat. It is safe for concurrent use.
 type loopStatus struct {
-	delay    atomic.Int64 // of the latest heartbeat, in nanoseconds
-	inFlight atomic.Uint64
-	site     atomic.Uint64
+	delay    atomic.Int64  // of the latest heartbeat, in nanoseconds
+	inFlight atomic.Uint64 // as in message.Pressure, the bits of a float64
+	site     atomic.Uint64 // likewise
 }
 
-// record records a heartbeat; it is called by the loop.
-func (p *loopStatus) record(e heartbeat, inFlight, site float64) {
-	p.delay.Store(int64(time.Since(e.sent)))
-	p.inFlight.Store(math.Float64bits(inFlight))
-	p.site.Store(math.Float64bits(site))
+// record stores the state at a heartbeat; the loop calls it.
+func (s *loopStatus) record(h heartbeat, inFlight, site float64) {
+	s.delay.Store(int64(time.Since(h.sent)))
+	s.inFlight.Store(math.Float64bits(inFlight))
+	s.site.Store(math.Float64bits(site))
 }
 
-// runPressure owns the gauge: it samples this sidecar's runPressure, and handles the pressures and requests of peers, until ctx
-// ends.
+// runPressure samples this sidecar's pressure for the gauge, and handles the pressures that peers report and request, until
+// ctx ends.
 func (s *sharing) runPressure(ctx context.Context, p *process) {
 	tick := time.NewTicker(pressureInterval)
 	defer tick.Stop()
 	reports := s.gossip.Inbox(message.LoadReport)
 	requests := s.gossip.Inbox(message.PressureRequest)
 	var due time.Time
-	var before []message.Member
+	var known []message.Member
 	for {
 		select {
 		case <-ctx.Done():
@@ -60,13 +60,13 @@
 			}
 		case <-tick.C:
 			now := time.Now()
-			late := time.Duration(0) // a tick that is late shows that the processor is short
+			delay := time.Duration(0) // a late tick shows that the process lacks CPU time
 			if !due.IsZero() {
-				late = max(0, now.Sub(due))
+				delay = max(0, now.Sub(due))
 			}
 			due = now.Add(pressureInterval)
-			before = s.updateForwardingPeers(before)
-			s.updatePressure(p.sample(late))
+			known = s.updateForwardingPeers(known)
+			s.updatePressure(p.sample(delay))
 		}
 	}
 }
@@ -92,14 +92,14 @@
 	}
 }
 
-// updateForwardingPeers sets the peers to forward to, if they differ from before, and returns them. A sidecar that is fenced
-// forwards to none.
-func (s *sharing) updateForwardingPeers(before []message.Member) []message.Member {
+// updateForwardingPeers sets the peers to forward to, if they differ from those known so far, and returns them. A fenced
+// sidecar forwards to none.
+func (s *sharing) updateForwardingPeers(known []message.Member) []message.Member {
 	present := s.gossip.Members()
 	if s.gossip.Fenced() {
 		present = nil
 	}
-	if !slices.Equal(present, before) {
+	if !slices.Equal(present, known) {
 		s.forwarder.setMembers(present, s.self.Name)
 	}
 	return present
@@ -117,12 +117,12 @@
 	}
 }
 
-// sample measures the parts of the pressure, and sends the loop the heartbeat that the next sample reads. late is how late
-// the caller's timer fired.
-func (p *process) sample(late time.Duration) message.Pressure {
+// sample measures the parts of the pressure, and sends the dispatcher's loop a heartbeat, whose delay the next sample reads.
+// timerDelay is how late the caller's timer fired.
+func (p *process) sample(timerDelay time.Duration) message.Pressure {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
-	delay := max(time.Duration(p.loop.heartbeat.delay.Load()), late)
+	delay := max(time.Duration(p.loop.heartbeat.delay.Load()), timerDelay)
 	select {
 	case p.loop.events <- heartbeat{time.Now()}:
 	default: // the queue of the loop is full
@@ -135,15 +135,15 @@
 		Site:     math.Float64frombits(p.loop.heartbeat.site.Load())}
 }
 
-// queryPressure asks some peers for their pressure. Pressure is not broadcast: among 300 sidecars that would cost more than
-// it saves.
+// queryPressure asks up to pressureQueries peers for their pressure. Pressure is not broadcast: among 300 sidecars that would
+// cost more than it saves.
 func (s *sharing) queryPressure() {
 	s.forwarder.mu.Lock()
 	names := s.forwarder.decider.PeersToQuery(pressureQueries)
 	s.forwarder.mu.Unlock()
 	for _, name := range names {
 		if err := s.gossip.SendTo(name, message.PressureRequest, nil, loadTTL); err != nil {
-			slog.Debug("not asked", "component", componentPeers, "peer", name, "err", err)
+			slog.Debug("pressure request not sent", "component", componentPeers, "peer", name, "err", err)
 		}
 	}
 }
--- a/internal/sidecar/sharing.go
+++ b/internal/sidecar/sharing.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	componentPeers = "peers" // the log's component
-	gossipSockets  = 16      // file descriptors of gossip: its listeners, and connections for push/pull
+	componentPeers = "peers" // component of log lines
+	gossipSockets  = 16      // file descriptors that gossip needs: its listeners, and connections for push/pull
 )
 
-// Peers configures sharing with other sidecars; absent, nothing is shared.
+// Peers configures sharing with other sidecars. If it is absent, nothing is shared.
 type Peers struct {
-	Address   string   `json:"address"`           // host:port, UDP and TCP
-	Advertise string   `json:"advertise"`         // address for the others; absent: Address
-	Seeds     []string `json:"seeds"`             // addresses of members to join
-	Zone      string   `json:"zone"`              // the sidecar's site; absent: that of the settings
-	Service   string   `json:"service"`           // addresses of the list service, for leaderships; absent: none are held
-	Forward   string   `json:"forward"`           // host:port for forwarded requests; absent: nothing is forwarded
-	ForwardAs string   `json:"forward_advertise"` // address for the others; absent: Forward
+	Address   string   `json:"address"`           // host:port of gossip, UDP and TCP
+	Advertise string   `json:"advertise"`         // address that the others use; Address if it is absent
+	Seeds     []string `json:"seeds"`             // addresses of gossip members to join
+	Zone      string   `json:"zone"`              // the sidecar's site; the zone of the settings if it is absent
+	Service   string   `json:"service"`           // addresses of the list service, for leaderships; if it is absent, no leaderships are held
+	Forward   string   `json:"forward"`           // host:port for forwarded requests; if it is absent, nothing is forwarded
+	ForwardAs string   `json:"forward_advertise"` // address that the others use; Forward if it is absent
 }
 
-// sharing runs what a sidecar shares with others: a goroutine for each part, which owns the part's state, connected with the
-// dispatcher by bounded queues. A nil sharing shares nothing.
+// sharing runs the parts that share state and load with other sidecars. Each part is a goroutine that owns the part's state
+// and is connected with the dispatcher by bounded queues. A nil sharing shares nothing.
 type sharing struct {
 	self         message.Member
 	gossip       *gossip.Gossiper
 	dir          *endpointDirectory
 	clock        clock
-	forwarder    *forwarder                                    // nil: nothing is forwarded
-	stall        stallDetector                                 // of the dispatcher's loop
+	forwarder    *forwarder                                    // nil if nothing is forwarded
+	stall        stallDetector                                 // stall of the dispatcher's loop
 	reports      *conflate.Queue[string, evidenceReport]       // from the dispatcher
 	verdicts     *conflate.Queue[string, balancer.PeerVerdict] // to the dispatcher
-	leaderships  *leaderships                                  // nil: no list service is configured
-	openVerdicts chan chan []circuitbreaker.Verdict            // requests of the admin port to the breaker tracker
+	leaderships  *leaderships                                  // nil if no list service is configured
+	openVerdicts chan chan []circuitbreaker.Verdict            // requests for the open verdicts, from the admin port to the breaker tracker
 	parts        sync.WaitGroup
-	ctx          context.Context // of the parts
+	ctx          context.Context // ends when the parts must end
 	stop         context.CancelFunc
 }
 
@@ -77,7 +77,7 @@
 	if s.leaderships != nil {
 		s.parts.Go(func() { s.leaderships.run(s.ctx) })
 	}
-	var probes probeLeaderships // not an interface that holds a nil *leaderships
+	var probes probeLeaderships // stays nil without leaderships: an interface that holds a nil *leaderships is not nil
 	if s.leaderships != nil {
 		probes = s.leaderships
 	}
@@ -103,23 +103,23 @@
 	if s == nil {
 		return
 	}
-	late, over := s.gossip.Dropped()
+	late, overBound := s.gossip.Dropped()
 	attrs := []slog.Attr{slog.Int("present", s.gossip.Present()), slog.Bool("fenced", s.gossip.Fenced()),
-		slog.Uint64("records_dropped", late+over), slog.Uint64("reports_dropped", s.reports.Dropped()), slog.Uint64("verdicts_dropped", s.verdicts.Dropped())}
+		slog.Uint64("records_dropped", late+overBound), slog.Uint64("reports_dropped", s.reports.Dropped()), slog.Uint64("verdicts_dropped", s.verdicts.Dropped())}
 	if s.forwarder != nil {
 		attrs = append(attrs, s.forwarder.statsAttrs()...)
 	}
 	logAttrs(slog.LevelInfo, componentPeers, "sharing", attrs...)
 }
 
-// abort fails the requests at peers, before the process is killed.
+// abort cancels the requests that have been forwarded to peers; it is called before the process is killed.
 func (s *sharing) abort() {
 	if s != nil && s.forwarder != nil {
 		s.forwarder.abort()
 	}
 }
 
-// close ends the parts and leaves the other sidecars.
+// close ends the parts and leaves the gossip members.
 func (s *sharing) close() {
 	if s == nil {
 		return
@@ -133,7 +133,8 @@
 	}
 }
 
-// releaseLeaderships releases all leaderships, for other sidecars to acquire while this process drains. It does not wait.
+// releaseLeaderships releases all leaderships, so that other sidecars acquire them while this process drains. It does not
+// wait for that.
 func (s *sharing) releaseLeaderships() {
 	if s != nil {
 		s.leaderships.releaseAll()
--- a/internal/sidecar/sharingview.go
+++ b/internal/sidecar/sharingview.go
@@ -8,7 +8,7 @@
 	"mosslead/internal/circuitbreaker"
 )
 
-// lines returns the figures of sharing for operators; "" if nothing is shared.
+// lines returns the lines of STATS about sharing, or "" if nothing is shared.
 func (s *sharing) lines() string {
 	if s == nil {
 		return ""
@@ -22,8 +22,8 @@
 		fenced = 1
 	}
 	gauge("fenced", fenced)
-	late, over := s.gossip.Dropped()
-	counter("dropped", int64(late+over+s.reports.Dropped()+s.verdicts.Dropped()))
+	late, overBound := s.gossip.Dropped()
+	counter("dropped", int64(late+overBound+s.reports.Dropped()+s.verdicts.Dropped()))
 	leading, campaigning, rejected := s.leaderships.count()
 	gauge("duties_held", leading)
 	gauge("duties_waited_for", campaigning)
@@ -41,7 +41,8 @@
 	return text.String()
 }
 
-// describe returns the answer to PEERS: a line for each member, open breaker and leadership, and the dropped records.
+// describe returns the answer to PEERS: a line for each member, open breaker and leadership, and the counts of dropped
+// records.
 func (s *sharing) describe() string {
 	if s == nil {
 		return "NO this sidecar shares nothing\n"
@@ -70,25 +71,25 @@
 		fmt.Fprintf(&text, "pressure %.2f: processor %.2f descriptors %.2f heap %.2f in hand %.2f zone %.2f\n", p.Total, p.CPU, p.Sockets, p.Heap, p.InFlight, p.Site)
 		fmt.Fprintf(&text, "forwarded %d, of them home unbegun %d; taken from peers %d, refused to them %d\n", f.forwarded.Load(), f.returned.Load(), f.accepted.Load(), f.rejected.Load())
 	}
-	late, over := s.gossip.Dropped()
-	fmt.Fprintf(&text, "dropped: records %d, over an owner's bound %d, reports %d, verdicts %d\n", late, over, s.reports.Dropped(), s.verdicts.Dropped())
+	late, overBound := s.gossip.Dropped()
+	fmt.Fprintf(&text, "dropped: records %d, over an owner's bound %d, reports %d, verdicts %d\n", late, overBound, s.reports.Dropped(), s.verdicts.Dropped())
 	return text.String() + "END\n"
 }
 
-// openBreakers returns the open verdicts; false if the breaker tracker does not answer in time.
+// openBreakers returns the open verdicts. ok is false if the breaker tracker does not answer within adminTimeout.
 func (s *sharing) openBreakers() (open []circuitbreaker.Verdict, ok bool) {
-	answer := make(chan []circuitbreaker.Verdict, 1)
-	late := time.NewTimer(adminTimeout)
-	defer late.Stop()
+	reply := make(chan []circuitbreaker.Verdict, 1)
+	timeout := time.NewTimer(adminTimeout)
+	defer timeout.Stop()
 	select {
-	case s.openVerdicts <- answer:
-	case <-late.C:
+	case s.openVerdicts <- reply:
+	case <-timeout.C:
 		return nil, false
 	}
 	select {
-	case open = <-answer:
+	case open = <-reply:
 		return open, true
-	case <-late.C:
+	case <-timeout.C:
 		return nil, false
 	}
 }
