--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -19,7 +19,7 @@
 	attempt   func(ctx context.Context, upstream string, r *clientRequest, startBefore time.Duration) attemptReply
 	subscribe func()
 	sharing   *sharing    // nil if nothing is shared with peers
-	heartbeat loopPulse   // records heartbeat events
+	heartbeat loopStatus  // records heartbeat events
 	ready     atomic.Bool // the initial list has been applied
 
 	failures        *limitedLog               // log of requests that failed
@@ -205,7 +205,7 @@
 		case <-d.timer.C:
 			d.handle(balancer.TimerFired{})
 		case <-verdicts.Ready():
-			d.sharing.echo.onTaken(d.clock.now())
+			d.sharing.stall.onReceived(d.clock.now())
 			for verdict, ok := verdicts.Pop(); ok; verdict, ok = verdicts.Pop() {
 				d.handle(verdict)
 			}
@@ -286,7 +286,7 @@
 		d.onAttemptEnded(e)
 	case heartbeat:
 		inFlight, site := d.balancer.Pressure(d.clock.now())
-		d.heartbeat.answer(e, inFlight, site)
+		d.heartbeat.record(e, inFlight, site)
 	case abort:
 		d.onAbort()
 	}
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -356,7 +356,7 @@
 // Guards against an upgrade after which the new process starts with its file's settings: it starts with those in force, even
 // if the list service is down.
 func TestUpgradeBeginsWithTheSettingsInForce(t *testing.T) {
-	tmp, listeners := t.TempDir(), passed(t, 2)
+	tmp, listeners := t.TempDir(), passedListeners(t, 2)
 	u := newUpstream(t, says(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	c := ordersConfig(t, svc.address, entry("s", u.address, "Ready"))
