--- a/internal/registry/leasetable/table.go
+++ b/internal/registry/leasetable/table.go
@@ -32,19 +32,19 @@
 // Table holds the leases of the present leaderships. The zero value is that of a replica that does not lead.
 // Not safe for concurrent use.
 type Table struct {
-	entries    map[string]*entry
-	quietUntil time.Duration // until then nothing is granted that nobody is known to hold
+	entries      map[string]*entry
+	blockedUntil time.Duration // until then nothing is granted that nobody is known to hold
 }
 
 type entry struct {
-	list.LeaseTerm               // Epoch 0: nobody holds it, as far as is known here
-	expiresAt      time.Duration // of the lease
-	fitness        float64       // of the holder, as last reported
-	lastRetryAt    time.Duration // when the last of those that wait was told to come back
-	waiting        string        // the fittest of those that wait
-	waitingFitness float64
-	waitingSince   time.Duration
-	reservedUntil  time.Duration // for the one that waits
+	list.LeaseTerm                 // Epoch 0: nobody holds it, as far as is known here
+	expiresAt        time.Duration // of the lease
+	fitness          float64       // of the holder, as last reported
+	lastRetryAt      time.Duration // when the last of those that wait was told to come back
+	candidate        string        // the fittest of those that wait
+	candidateFitness float64
+	candidateSeenAt  time.Duration
+	reservedUntil    time.Duration // for the one that waits
 }
 
 // Lead begins with the leaderships of the list, each with its full time again: an election only makes a lease
@@ -61,14 +61,14 @@
 func (t *Table) Committed(now time.Duration, d list.Leadership) {
 	x := t.entry(d.Name)
 	if d.Holder == "" {
-		if x.Epoch != 0 && x.hasBetter(now) {
+		if x.Epoch != 0 && x.hasFitterCandidate(now) {
 			x.reservedUntil = now + ReservationTime
 		}
 		x.LeaseTerm = list.LeaseTerm{}
 		return
 	}
 	if x.Epoch != d.Epoch {
-		x.expiresAt, x.waiting, x.reservedUntil = 0, "", 0
+		x.expiresAt, x.candidate, x.reservedUntil = 0, "", 0
 	}
 	x.LeaseTerm = d.LeaseTerm
 	x.expiresAt = max(x.expiresAt, now+time.Duration(d.LeaseMs)*time.Millisecond)
@@ -88,7 +88,7 @@
 // left then.
 func (t *Table) Invalidate(now time.Duration) {
 	t.entries = map[string]*entry{}
-	t.quietUntil = now + api.MaxLeadershipLeaseMs*time.Millisecond
+	t.blockedUntil = now + api.MaxLeadershipLeaseMs*time.Millisecond
 }
 
 // Decide tells whether a claim is worth a command: then over, which may be nil, is the term that it ends.
@@ -102,18 +102,18 @@
 	switch {
 	case isHeld && d.Holder == c.Holder:
 		return nil, 0, true
-	case !isHeld && now < t.quietUntil:
-		return nil, max(min(t.quietUntil-now, MaxRetryAfter), MinRetryAfter), false
-	case (!isHeld || now >= x.expiresAt) && (now >= x.reservedUntil || x.waiting == c.Holder):
+	case !isHeld && now < t.blockedUntil:
+		return nil, max(min(t.blockedUntil-now, MaxRetryAfter), MinRetryAfter), false
+	case (!isHeld || now >= x.expiresAt) && (now >= x.reservedUntil || x.candidate == c.Holder):
 		if isHeld {
 			over = &d.LeaseTerm
 		}
 		return over, 0, true
 	}
-	if now >= x.waitingSince+WaitingTime || c.Fitness > x.waitingFitness || x.waiting == c.Holder {
-		x.waiting, x.waitingFitness, x.waitingSince = c.Holder, c.Fitness, now
+	if now >= x.candidateSeenAt+WaitingTime || c.Fitness > x.candidateFitness || x.candidate == c.Holder {
+		x.candidate, x.candidateFitness, x.candidateSeenAt = c.Holder, c.Fitness, now
 	}
-	if x.waiting == c.Holder && x.hasBetter(now) {
+	if x.candidate == c.Holder && x.hasFitterCandidate(now) {
 		return nil, MinRetryAfter, false // the holder may hand over to it at any time
 	}
 	// One that the holder stopped renewing is claimed at its lease's end.
@@ -127,15 +127,15 @@
 func (t *Table) Renewed(now time.Duration, c api.LeadershipClaim) (better float64) {
 	x := t.entry(c.Name)
 	x.fitness = c.Fitness
-	if x.hasBetter(now) {
-		return x.waitingFitness
+	if x.hasFitterCandidate(now) {
+		return x.candidateFitness
 	}
 	return 0
 }
 
-// hasBetter tells whether one that waits is fitter than the holder by HandoverMargin.
-func (x *entry) hasBetter(now time.Duration) bool {
-	return x.waiting != "" && now < x.waitingSince+WaitingTime && x.waitingFitness >= x.fitness+HandoverMargin
+// hasFitterCandidate tells whether one that waits is fitter than the holder by HandoverMargin.
+func (x *entry) hasFitterCandidate(now time.Duration) bool {
+	return x.candidate != "" && now < x.candidateSeenAt+WaitingTime && x.candidateFitness >= x.fitness+HandoverMargin
 }
 
 // Expired returns the terms that have been over for IdleTime, by name, and forgets leaderships that nobody
@@ -145,7 +145,7 @@
 		switch {
 		case x.Epoch != 0 && now > x.expiresAt+IdleTime:
 			idle = append(idle, x.LeaseTerm)
-		case x.Epoch == 0 && now > max(x.waitingSince, x.lastRetryAt)+IdleTime:
+		case x.Epoch == 0 && now > max(x.candidateSeenAt, x.lastRetryAt)+IdleTime:
 			delete(t.entries, name)
 		}
 	}
@@ -160,7 +160,7 @@
 
 // Clone returns a copy in the same state.
 func (t *Table) Clone() Table {
-	c := Table{entries: map[string]*entry{}, quietUntil: t.quietUntil}
+	c := Table{entries: map[string]*entry{}, blockedUntil: t.blockedUntil}
 	for name, x := range t.entries {
 		same := *x
 		c.entries[name] = &same
@@ -181,10 +181,10 @@
 	b = binary.AppendVarint(b, int64(1000*x.fitness))
 	put(x.expiresAt)
 	put(x.lastRetryAt)
-	put(t.quietUntil)
-	if now < max(x.waitingSince+WaitingTime, x.reservedUntil) {
-		b = binary.AppendVarint(append(b, x.waiting...), int64(1000*x.waitingFitness))
-		put(x.waitingSince + WaitingTime)
+	put(t.blockedUntil)
+	if now < max(x.candidateSeenAt+WaitingTime, x.reservedUntil) {
+		b = binary.AppendVarint(append(b, x.candidate...), int64(1000*x.candidateFitness))
+		put(x.candidateSeenAt + WaitingTime)
 		put(x.reservedUntil)
 	}
 	return b
