--- a/internal/registry/acks.go
+++ b/internal/registry/acks.go
@@ -18,45 +18,45 @@
 // acks are the latest acknowledgements of sidecars. Only the leader stores them, in memory: a new leader
 // receives all of them again within the time between two.
 type acks struct {
-	last map[ackKey]ack
+	latest map[ackKey]ack
 }
 
 type ackKey struct{ node, service string }
 
 type ack struct {
 	api.Ack
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// lead starts without acknowledgements.
-func (a *acks) lead() { a.last = map[ackKey]ack{} }
+// reset starts without acknowledgements.
+func (a *acks) reset() { a.latest = map[ackKey]ack{} }
 
 // record stores an acknowledgement; it returns false if there are too many sidecars.
 func (a *acks) record(now time.Duration, reported api.Ack) bool {
 	reported.SilentMs = 0
 	of := ackKey{reported.Node, reported.Service}
-	if _, known := a.last[of]; !known && len(a.last) >= maxAcks {
-		if a.forget(now); len(a.last) >= maxAcks {
+	if _, known := a.latest[of]; !known && len(a.latest) >= maxAcks {
+		if a.removeOld(now); len(a.latest) >= maxAcks {
 			return false
 		}
 	}
-	a.last[of] = ack{reported, now}
+	a.latest[of] = ack{reported, now}
 	return true
 }
 
-func (a *acks) forget(now time.Duration) {
-	for of, x := range a.last {
-		if now-x.at > ackLifetime {
-			delete(a.last, of)
+func (a *acks) removeOld(now time.Duration) {
+	for of, x := range a.latest {
+		if now-x.receivedAt > ackLifetime {
+			delete(a.latest, of)
 		}
 	}
 }
 
 // rollouts returns the rollout of each of these documents, which are those sent to sidecars.
 func (a *acks) rollouts(now time.Duration, published []api.Document) []api.Rollout {
-	a.forget(now)
+	a.removeOld(now)
 	of := map[string][]ack{}
-	for _, x := range a.last {
+	for _, x := range a.latest {
 		of[x.Service] = append(of[x.Service], x)
 	}
 	all := []api.Rollout{}
@@ -65,9 +65,9 @@
 		r := api.Rollout{Document: d}
 		for _, x := range of[d.Service] {
 			switch {
-			case now-x.at > ackTimeout:
+			case now-x.receivedAt > ackTimeout:
 				r.Silent++
-				x.SilentMs = (now - x.at).Milliseconds()
+				x.SilentMs = (now - x.receivedAt).Milliseconds()
 			case inForce(x.Ack, d):
 				r.InForce++
 				continue
--- a/internal/registry/acks_test.go
+++ b/internal/registry/acks_test.go
@@ -11,7 +11,7 @@
 // was not heard is the service's word alone.
 func TestRolloutsCountEachSidecarOnce(t *testing.T) {
 	var a acks
-	a.lead()
+	a.reset()
 	say := func(at time.Duration, x api.Ack) {
 		t.Helper()
 		x.Service, x.SilentMs = "orders", 5
--- a/internal/registry/documents.go
+++ b/internal/registry/documents.go
@@ -10,12 +10,12 @@
 	"mosslead/internal/settings"
 )
 
-// documentCommand applies a command of schema 3 through the log.
-func (n *Node) documentCommand(c list.Command) (list.Result, error) {
+// applyDocument applies a command of schema 3 through the log.
+func (n *Node) applyDocument(c list.Command) (list.Result, error) {
 	if err := n.requireSchema(list.DocumentSchema); err != nil {
 		return list.Result{}, err
 	}
-	c.Region = n.c.Region
+	c.Region = n.config.Region
 	return n.apply(c)
 }
 
@@ -23,7 +23,7 @@
 func (n *Node) putSettings(r *http.Request, body []byte) (any, error) {
 	var p api.PutRequest
 	service := r.PathValue("service")
-	if err := read(body, &p); err != nil {
+	if err := decodeBody(body, &p); err != nil {
 		return nil, err
 	}
 	if err := p.Check(service); err != nil {
@@ -32,13 +32,13 @@
 	if _, err := settings.Check(p.Schema, p.Settings); err != nil {
 		return nil, api.Errorf(api.CodeBadRequest, "settings: %v", err)
 	}
-	return n.applyDocument(list.Command{Op: list.PutDocument, Name: service, IfRevision: p.IfRevision, Document: &api.Document{Service: service, Schema: p.Schema, Settings: p.Settings}})
+	return n.writeDocument(list.Command{Op: list.PutDocument, Name: service, IfRevision: p.IfRevision, Document: &api.Document{Service: service, Schema: p.Schema, Settings: p.Settings}})
 }
 
 func (n *Node) deleteSettings(r *http.Request, body []byte) (any, error) {
 	var p api.PutRequest
 	service := r.PathValue("service")
-	if err := read(body, &p); err != nil {
+	if err := decodeBody(body, &p); err != nil {
 		return nil, err
 	}
 	switch {
@@ -47,18 +47,18 @@
 	case p.IfRevision == nil || *p.IfRevision < 0:
 		return nil, api.Errorf(api.CodeBadRequest, "if_version: the version that is to be deleted")
 	}
-	return n.applyDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: p.IfRevision})
+	return n.writeDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: p.IfRevision})
 }
 
-func (n *Node) applyDocument(c list.Command) (any, error) {
-	result, err := n.documentCommand(c)
+func (n *Node) writeDocument(c list.Command) (any, error) {
+	result, err := n.applyDocument(c)
 	return api.WriteResult{Revision: result.Revision}, err
 }
 
 // documents serves all documents, without their settings.
 func (n *Node) documents(*http.Request, []byte) (any, error) {
 	var all api.Documents
-	n.machine.read(func(l *list.List) { all = api.Documents{Revision: l.Revision(), Documents: l.Documents()} })
+	n.fsm.read(func(l *list.List) { all = api.Documents{Revision: l.Revision(), Documents: l.Documents()} })
 	for i := range all.Documents {
 		all.Documents[i].Settings = nil
 	}
@@ -76,7 +76,7 @@
 	}
 	var d api.Document
 	var found bool
-	n.machine.read(func(l *list.List) {
+	n.fsm.read(func(l *list.List) {
 		if version > 0 {
 			d, found = l.DocumentAt(service, version)
 		} else if d, found = l.Document(service); d.Region == l.Region() {
@@ -92,10 +92,10 @@
 	return nil, api.Errorf(api.CodeNotFound, "settings of %s", service)
 }
 
-// acknowledged handles the acknowledgements of sidecars.
-func (n *Node) acknowledged(_ *http.Request, body []byte) (any, error) {
+// recordAcks handles the acknowledgements of sidecars.
+func (n *Node) recordAcks(_ *http.Request, body []byte) (any, error) {
 	var reported api.Acks
-	if err := read(body, &reported); err != nil {
+	if err := decodeBody(body, &reported); err != nil {
 		return nil, err
 	}
 	for i, a := range reported.Acks {
@@ -106,7 +106,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
 	now := n.now()
 	for _, a := range reported.Acks {
@@ -120,7 +120,7 @@
 // rollouts serves the rollout of each document that sidecars are sent.
 func (n *Node) rollouts(*http.Request, []byte) (any, error) {
 	var published []api.Document
-	n.machine.read(func(l *list.List) {
+	n.fsm.read(func(l *list.List) {
 		for _, d := range l.Documents() {
 			if one, _ := l.Document(d.Service); one.Region == d.Region {
 				published = append(published, one)
@@ -130,7 +130,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
-	return api.Rollouts{Region: n.c.Region, Rollouts: n.acks.rollouts(n.now(), published)}, nil
+	return api.Rollouts{Region: n.config.Region, Rollouts: n.acks.rollouts(n.now(), published)}, nil
 }
--- a/internal/registry/follower_test.go
+++ b/internal/registry/follower_test.go
@@ -10,9 +10,9 @@
 // The whole list of another region is asked for at first, after what was not taken in, and after a silence in which the other could
 // have been put back; else what changed.
 func TestWhatIsAskedOfAnotherRegion(t *testing.T) {
-	n := &Node{start: time.Now().Add(-time.Hour), machine: &stateMachine{list: list.New(list.CompactionWindow)}}
-	n.machine.list.Apply(list.Command{Op: list.ReplicateRegion, Region: "south", Chunk: &list.Chunk{Region: "north", To: 7, Last: true}})
-	f := &follower{n: n, region: "north"}
+	n := &Node{start: time.Now().Add(-time.Hour), fsm: &stateMachine{list: list.New(list.CompactionWindow)}}
+	n.fsm.list.Apply(list.Command{Op: list.ReplicateRegion, Region: "south", Chunk: &list.Chunk{Region: "north", To: 7, Last: true}})
+	f := &follower{node: n, region: "north"}
 	for i, step := range []struct {
 		do   func()
 		want int64
@@ -30,7 +30,7 @@
 			t.Errorf("step %d: from %d, want %d", i, f.nextRevision(), step.want)
 		}
 	}
-	if f.recordSync(false, "", ""); f.sync.Anomaly != "" || f.sync.Rejected != "" {
-		t.Errorf("%q, %q", f.sync.Anomaly, f.sync.Rejected)
+	if f.recordSync(false, "", ""); f.syncState.Anomaly != "" || f.syncState.Rejected != "" {
+		t.Errorf("%q, %q", f.syncState.Anomaly, f.syncState.Rejected)
 	}
 }
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -8,7 +8,7 @@
 	"mosslead/internal/registry/list"
 )
 
-const maxClaim = 4 << 10 // bytes of a claim
+const maxClaimBody = 4 << 10 // bytes of a claim
 
 var schemaFeatures = map[int]string{list.LeadershipSchema: "duties", list.DocumentSchema: "settings and other regions"}
 
@@ -19,7 +19,7 @@
 		return nil
 	}
 	ok := false
-	n.machine.read(func(l *list.List) { ok = len(names) > 0 && l.Understands(schema, names) })
+	n.fsm.read(func(l *list.List) { ok = len(names) > 0 && l.Understands(schema, names) })
 	if !ok {
 		return api.Errorf(api.CodeOlderReplica, "a replica of the quorum knows of no %s, or has not said yet that it does", schemaFeatures[schema])
 	}
@@ -47,9 +47,9 @@
 	}
 }
 
-// claim decodes a claim to a leadership.
-func claim(r *http.Request, body []byte, held bool) (c api.LeadershipClaim, err error) {
-	if err := read(body, &c); err != nil {
+// decodeClaim decodes a claim to a leadership.
+func decodeClaim(r *http.Request, body []byte, held bool) (c api.LeadershipClaim, err error) {
+	if err := decodeBody(body, &c); err != nil {
 		return c, err
 	}
 	if name := r.PathValue("name"); c.Name == "" {
@@ -63,7 +63,7 @@
 // acquireLeadership grants a leadership that nobody holds, or whose lease has expired; otherwise the grant names the holder
 // and when to retry. Rejections bypass the log: one by a deposed leader does no harm.
 func (n *Node) acquireLeadership(r *http.Request, body []byte) (any, error) {
-	c, err := claim(r, body, false)
+	c, err := decodeClaim(r, body, false)
 	if err != nil {
 		return nil, err
 	}
@@ -72,11 +72,11 @@
 	}
 	var d list.Leadership
 	var held bool
-	n.machine.read(func(l *list.List) { d, held = l.Leadership(c.Name) })
+	n.fsm.read(func(l *list.List) { d, held = l.Leadership(c.Name) })
 	n.mu.Lock()
 	if !n.leading {
 		n.mu.Unlock()
-		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
 	over, after, change := n.leaderships.Decide(n.now(), d, held, c)
 	n.mu.Unlock()
@@ -90,9 +90,9 @@
 
 // changeLeadership renews or releases; a claim without a valid lease changes nothing, and the grant names the
 // holder.
-func (n *Node) changeLeadership(op string) work {
+func (n *Node) changeLeadership(op string) handler {
 	return func(r *http.Request, body []byte) (any, error) {
-		c, err := claim(r, body, true)
+		c, err := decodeClaim(r, body, true)
 		if err != nil {
 			return nil, err
 		}
@@ -125,7 +125,7 @@
 
 func (n *Node) listLeaderships(*http.Request, []byte) (any, error) {
 	all := api.Leaderships{Leaderships: []api.LeadershipGrant{}}
-	n.machine.read(func(l *list.List) {
+	n.fsm.read(func(l *list.List) {
 		for _, d := range l.Leaderships() {
 			all.Leaderships = append(all.Leaderships, d.Grant())
 		}
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -28,21 +28,21 @@
 const (
 	leaseCheckInterval = 100 * time.Millisecond
 	// time between two checks above which this process was stopped, not the servers
-	processStall = 10 * leaseCheckInterval
+	stallThreshold = 10 * leaseCheckInterval
 	// number of leases below which the service is never suspected
-	minSilent = 3
+	minSuspicious = 3
 )
 
-// lead starts with the leases of a list, all of them renewed.
-func (l *leaseTable) lead(now time.Duration, records []api.Record) {
+// reset starts with the leases of a list, all of them renewed.
+func (l *leaseTable) reset(now time.Duration, records []api.Record) {
 	l.byName, l.checkedAt, l.preserving, l.overruled = map[string]serverLease{}, now, false, false
 	for _, r := range records {
-		l.registered(now, r)
+		l.update(now, r)
 	}
 }
 
-// registered renews the lease of a record, or ends it.
-func (l *leaseTable) registered(now time.Duration, r api.Record) {
+// update renews the lease of a record, or ends it.
+func (l *leaseTable) update(now time.Duration, r api.Record) {
 	if r.ServerStatus == api.Removed || r.LeaseMs == 0 {
 		delete(l.byName, r.Name)
 		return
@@ -62,8 +62,8 @@
 	return true
 }
 
-// silent returns the servers whose leases have expired, in order.
-func (l *leaseTable) silent(now time.Duration) []string {
+// expiredNames returns the servers whose leases have expired, in order.
+func (l *leaseTable) expiredNames(now time.Duration) []string {
 	var names []string
 	for name, x := range l.byName {
 		if now > x.expiresAt {
@@ -77,15 +77,15 @@
 // expire returns the leases whose entries are to be removed. If too many expired within grace of each other, the fault is
 // assumed to be the service's, and no entry is removed until heartbeats return or an operator overrules.
 func (l *leaseTable) expire(now time.Duration) (ended []api.Heartbeat) {
-	if gap := now - l.checkedAt; gap > processStall { // heartbeats could not be received meanwhile
+	if gap := now - l.checkedAt; gap > stallThreshold { // heartbeats could not be received meanwhile
 		for name, x := range l.byName {
 			x.expiresAt += gap
 			l.byName[name] = x
 		}
 	}
 	l.checkedAt = now
-	silent := l.silent(now)
-	l.preserving = len(silent) >= minSilent && float64(len(silent)) > l.preserveFraction*float64(len(l.byName)) && !l.overruled
+	silent := l.expiredNames(now)
+	l.preserving = len(silent) >= minSuspicious && float64(len(silent)) > l.preserveFraction*float64(len(l.byName)) && !l.overruled
 	if len(silent) == 0 {
 		l.overruled = false
 	}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -28,13 +28,13 @@
 	}
 	gauge("entries", "Entries in the list.", func() float64 { return float64(n.Status().Endpoints) })
 	gauge("version", "Version of the list.", func() float64 { return float64(n.Status().Revision) })
-	gauge("watchers", "Open watches.", func() float64 { return float64(n.watches.watching()) })
+	gauge("watchers", "Open watches.", func() float64 { return float64(n.watches.activeCount()) })
 	gauge("stale_seconds", "The list here may be so old.", func() float64 { return float64(n.Status().StalenessMs) / 1000 })
-	gauge("leader", "1 on the replica that leads.", func() float64 { return bit(n.leads()) })
+	gauge("leader", "1 on the replica that leads.", func() float64 { return bit(n.isLeader()) })
 	gauge("epoch", "Term of the log.", func() float64 { return float64(n.Status().Term) })
 	gauge("silent_leases", "Servers whose lease has lapsed, as the leader knows.", func() float64 { return float64(len(n.Status().ExpiredLeases)) })
 	gauge("preserving", "1 while entries are kept since too many leases lapsed at once.", func() float64 { return bit(n.Status().Preserving) })
-	ln, err := net.Listen("tcp", n.c.Metrics)
+	ln, err := net.Listen("tcp", n.config.Metrics)
 	if err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -33,22 +33,22 @@
 
 const (
 	raftWriteTimeout  = 2 * time.Second // for a command to be committed
-	freshEvery        = 200 * time.Millisecond
+	freshnessInterval = 200 * time.Millisecond
 	retainedSnapshots = 2
 	raftTimeout       = 2 * time.Second
 )
 
 // Node is one replica. Run must be called once; all other methods are safe for concurrent use while it runs.
 type Node struct {
-	c       *Config
-	log     *slog.Logger
-	box     *durable.SnapshotFile // identity
-	lock    *durable.DirLock
-	me      api.Replica
-	machine *stateMachine
-	watches *watches
-	client  *http.Client // to other replicas
-	start   time.Time
+	config       *Config
+	log          *slog.Logger
+	identityFile *durable.SnapshotFile // identity
+	lock         *durable.DirLock
+	self         api.Replica
+	fsm          *stateMachine
+	watches      *watches
+	client       *http.Client // to other replicas
+	start        time.Time
 
 	raft atomic.Pointer[raft.Raft] // nil until the replica has joined the quorum
 
@@ -71,23 +71,23 @@
 
 // Open opens a replica. It fails if its directory can't be used, or is locked by another process.
 func Open(c *Config, log *slog.Logger) (*Node, error) {
-	n := &Node{c: c, log: log, start: time.Now(), machine: &stateMachine{list: list.New(list.CompactionWindow), uncheckedRegions: c.Breaks == faultRollback}}
+	n := &Node{config: c, log: log, start: time.Now(), fsm: &stateMachine{list: list.New(list.CompactionWindow), uncheckedRegions: c.Breaks == faultRollback}}
 	n.leases = leaseTable{grace: c.Grace.Duration, preserveFraction: c.Preserve}
-	n.machine.onEntries, n.machine.onLeadership = n.touched, n.onLeadership
-	n.watches = newWatches(n.machine, c.Watchers, c.Region, n.freshEnough)
+	n.fsm.onEntries, n.fsm.onLeadership = n.onEntries, n.onLeadership
+	n.watches = newWatches(n.fsm, c.Watchers, c.Region, n.checkFreshness)
 	n.client = &http.Client{Timeout: raftTimeout + raftWriteTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	self := c.self()
-	n.me = api.Replica{Name: c.Name, Raft: self.Raft, API: self.API, DiskID: rand.Text(), StartCount: 1, Schema: list.Schema}
+	n.self = api.Replica{Name: c.Name, Raft: self.Raft, API: self.API, DiskID: rand.Text(), StartCount: 1, Schema: list.Schema}
 	if c.Dev {
 		return n, nil
 	}
-	return n, n.identify()
+	return n, n.loadIdentity()
 }
 
-// identify reads the identity of this replica, and counts the start.
-func (n *Node) identify() error {
-	dir := filepath.Join(n.c.Dir, "identity")
+// loadIdentity reads the identity of this replica, and counts the start.
+func (n *Node) loadIdentity() error {
+	dir := filepath.Join(n.config.Dir, "identity")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("dir: %w", err)
 	}
@@ -96,33 +96,33 @@
 		return fmt.Errorf("dir: %w", err)
 	}
 	n.lock = lock
-	n.box = durable.NewSnapshotFile(durable.OS(dir), "identity", 4096)
-	text, damages, err := n.box.Read()
+	n.identityFile = durable.NewSnapshotFile(durable.OS(dir), "identity", 4096)
+	text, damages, err := n.identityFile.Read()
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
 	for _, d := range damages {
 		n.log.Warn("damaged", "component", "registry", "file", d.File, "err", d.Err)
 	}
-	known := identity{Disk: n.me.DiskID}
+	known := identity{Disk: n.self.DiskID}
 	if text != nil {
 		if err := json.Unmarshal(text, &known); err != nil {
 			return fmt.Errorf("identity: %w", err)
 		}
 	}
-	n.me.DiskID, n.me.StartCount = known.Disk, known.Starts+1
-	return n.remember(known.Formed)
+	n.self.DiskID, n.self.StartCount = known.Disk, known.Starts+1
+	return n.saveIdentity(known.Formed)
 }
 
-func (n *Node) remember(formed bool) error {
-	if n.c.Dev {
+func (n *Node) saveIdentity(formed bool) error {
+	if n.config.Dev {
 		return nil
 	}
-	text, err := json.Marshal(identity{n.me.DiskID, n.me.StartCount, formed})
+	text, err := json.Marshal(identity{n.self.DiskID, n.self.StartCount, formed})
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
-	if err := n.box.Write(text); err != nil {
+	if err := n.identityFile.Write(text); err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
 	return nil
@@ -132,7 +132,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ln, err := net.Listen("tcp", n.c.Listen)
+	ln, err := net.Listen("tcp", n.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -144,8 +144,8 @@
 			cancel(err)
 		}
 	})
-	n.log.Info("serving", "component", "registry", "node", n.me.Name, "address", ln.Addr().String(), "starts", n.me.StartCount)
-	if n.c.Metrics != "" {
+	n.log.Info("serving", "component", "registry", "node", n.self.Name, "address", ln.Addr().String(), "starts", n.self.StartCount)
+	if n.config.Metrics != "" {
 		stop, err := n.serveMetrics(&running)
 		if err != nil {
 			cancel(err)
@@ -172,7 +172,7 @@
 
 // participate joins the quorum, runs raft, and follows changes of the leader until ctx ends.
 func (n *Node) participate(ctx context.Context) error {
-	form, err := n.form(ctx)
+	form, err := n.joinQuorum(ctx)
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 		return err
 	}
 	defer stop()
-	if err := n.remember(true); err != nil {
+	if err := n.saveIdentity(true); err != nil {
 		return err
 	}
 	n.raft.Store(r)
@@ -198,64 +198,64 @@
 	for {
 		select {
 		case <-ctx.Done():
-			if r.State() == raft.Leader && !n.c.Dev { // so that the others need not wait for the election time-out
+			if r.State() == raft.Leader && !n.config.Dev { // so that the others need not wait for the election time-out
 				_ = r.LeadershipTransfer().Error()
 			}
 			return nil
 		case leads := <-r.LeaderCh():
-			n.leadNoMore()
+			n.stopLeading()
 			stopFollowing()
 			stopFollowing = func() {}
-			n.lead(r, leads)
-			if n.leads() {
+			n.onLeaderChange(r, leads)
+			if n.isLeader() {
 				stopFollowing = n.followRegions(ctx)
 			}
 		}
 	}
 }
 
-func (n *Node) leadNoMore() {
+func (n *Node) stopLeading() {
 	n.mu.Lock()
 	n.leading = false
 	n.mu.Unlock()
 }
 
-// lead starts or stops the leader's work.
-func (n *Node) lead(r *raft.Raft, leads bool) {
-	n.leadNoMore()
+// onLeaderChange starts or stops the leader's work.
+func (n *Node) onLeaderChange(r *raft.Raft, leads bool) {
+	n.stopLeading()
 	if !leads {
-		n.log.Info("leadership lost", "component", "registry", "node", n.me.Name)
+		n.log.Info("leadership lost", "component", "registry", "node", n.self.Name)
 		return
 	}
 	if err := r.Barrier(raftTimeout).Error(); err != nil {
-		n.log.Warn("leadership not taken up", "component", "registry", "node", n.me.Name, "err", err)
+		n.log.Warn("leadership not taken up", "component", "registry", "node", n.self.Name, "err", err)
 		// Nothing would retry while this replica leads; another leader can.
 		_ = r.LeadershipTransfer().Error()
 		return
 	}
 	var records []api.Record
 	var leaderships []list.Leadership
-	n.machine.read(func(l *list.List) { records, leaderships = l.Records(), l.Leaderships() })
+	n.fsm.read(func(l *list.List) { records, leaderships = l.Records(), l.Leaderships() })
 	n.mu.Lock()
 	n.leading = true
 	n.leaderships.Lead(n.now(), leaderships)
-	n.leases.lead(n.now(), records)
-	n.acks.lead()
+	n.leases.reset(n.now(), records)
+	n.acks.reset()
 	n.mu.Unlock()
-	n.log.Info("leadership acquired", "component", "registry", "node", n.me.Name, "epoch", r.CurrentTerm(), "entries", len(records))
+	n.log.Info("leadership acquired", "component", "registry", "node", n.self.Name, "epoch", r.CurrentTerm(), "entries", len(records))
 }
 
 // announce records this start in the list, so that a restored copy of the disk is recognised.
 func (n *Node) announce(ctx context.Context) {
-	for n.members()[n.me.Name] != n.me {
-		err := error(errStarting)
-		if n.leads() {
-			err = n.joined(n.me)
-		} else if at, ok := n.leaderAPI(); ok {
-			err = n.call(ctx, http.MethodPost, at+"/v1/announce", n.me, nil)
+	for n.members()[n.self.Name] != n.self {
+		err := error(errNotJoined)
+		if n.isLeader() {
+			err = n.applyAddReplica(n.self)
+		} else if at, ok := n.leaderURL(); ok {
+			err = n.call(ctx, http.MethodPost, at+"/v1/announce", n.self, nil)
 		}
 		if err != nil {
-			n.log.Debug("replica not registered yet", "component", "registry", "node", n.me.Name, "err", err)
+			n.log.Debug("replica not registered yet", "component", "registry", "node", n.self.Name, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -265,32 +265,32 @@
 	}
 }
 
-func (n *Node) joined(m api.Replica) error {
+func (n *Node) applyAddReplica(m api.Replica) error {
 	_, err := n.apply(list.Command{Op: list.AddReplica, Replica: &m})
 	return err
 }
 
-func (n *Node) parted(name string) error {
+func (n *Node) applyRemoveReplica(name string) error {
 	_, err := n.apply(list.Command{Op: list.RemoveReplica, Name: name})
 	return err
 }
 
-// leaderAPI returns the URL of the leader's API; false if no leader is known.
-func (n *Node) leaderAPI() (string, bool) {
+// leaderURL returns the URL of the leader's API; false if no leader is known.
+func (n *Node) leaderURL() (string, bool) {
 	r := n.raft.Load()
 	if r == nil {
 		return "", false
 	}
 	_, id := r.LeaderWithID()
-	if id == "" || string(id) == n.me.Name {
+	if id == "" || string(id) == n.self.Name {
 		return "", false
 	}
 	if m, ok := n.members()[string(id)]; ok {
-		return n.apiOf(m.Name, m.API), true
+		return n.apiURL(m.Name, m.API), true
 	}
-	for _, p := range n.c.Peers {
+	for _, p := range n.config.Peers {
 		if p.Name == string(id) {
-			return n.apiOf(p.Name, p.API), true
+			return n.apiURL(p.Name, p.API), true
 		}
 	}
 	return "", false
@@ -299,16 +299,16 @@
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
 func (n *Node) members() (m map[string]api.Replica) {
-	n.machine.read(func(l *list.List) { m = l.Replicas() })
+	n.fsm.read(func(l *list.List) { m = l.Replicas() })
 	return m
 }
 
-// touched updates leases and watches after a committed command.
-func (n *Node) touched(now []api.Record) {
+// onEntries updates leases and watches after a committed command.
+func (n *Node) onEntries(now []api.Record) {
 	n.mu.Lock()
 	if n.leading {
 		for _, r := range now {
-			n.leases.registered(n.now(), r)
+			n.leases.update(n.now(), r)
 		}
 	}
 	n.mu.Unlock()
@@ -319,20 +319,20 @@
 // before it learns the commit index. So nothing is fresh until this start itself (see announce), which the quorum commits
 // after everything earlier, is in the list, or until a leader has applied all earlier commits.
 func (n *Node) trackFreshness(ctx context.Context, r *raft.Raft) {
-	tick := time.NewTicker(freshEvery)
+	tick := time.NewTicker(freshnessInterval)
 	defer tick.Stop()
 	known := false // this start is in the list
 	for {
 		began := n.now()
 		switch r.State() {
 		case raft.Leader:
-			if n.leads() && r.VerifyLeader().Error() == nil {
+			if n.isLeader() && r.VerifyLeader().Error() == nil {
 				n.freshAt.Store(int64(began))
 			}
 		case raft.Follower:
 			if !known {
-				m := n.members()[n.me.Name]
-				known = m.DiskID == n.me.DiskID && m.StartCount == n.me.StartCount
+				m := n.members()[n.self.Name]
+				known = m.DiskID == n.self.DiskID && m.StartCount == n.self.StartCount
 			}
 			if at := r.LastContact(); known && !at.IsZero() && r.AppliedIndex() >= r.CommitIndex() {
 				n.freshAt.Store(int64(at.Sub(n.start)))
@@ -346,13 +346,13 @@
 	}
 }
 
-// freshEnough returns an error if the list may be older than MaxStaleness.
-func (n *Node) freshEnough() error {
-	if n.c.Breaks == faultStaleRead {
+// checkFreshness returns an error if the list may be older than MaxStaleness.
+func (n *Node) checkFreshness() error {
+	if n.config.Breaks == faultStaleRead {
 		return nil
 	}
 	at := time.Duration(n.freshAt.Load())
-	if old := n.now() - at; at == 0 || old > n.c.MaxStaleness.Duration {
+	if old := n.now() - at; at == 0 || old > n.config.MaxStaleness.Duration {
 		return api.Errorf(api.CodeStale, "no contact with a quorum for %s", old.Round(time.Millisecond))
 	}
 	return nil
@@ -379,28 +379,28 @@
 		}
 		n.mu.Unlock()
 		if holding != was {
-			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.me.Name, "holding", holding)
+			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.self.Name, "holding", holding)
 		}
 		if len(ended) > 0 {
 			if _, err := n.apply(list.Command{Op: list.Expire, Expired: ended}); err != nil {
-				n.log.Warn("expired endpoints not removed", "component", "registry", "node", n.me.Name, "err", err)
+				n.log.Warn("expired endpoints not removed", "component", "registry", "node", n.self.Name, "err", err)
 			}
 		}
 		if len(idle) > 0 {
 			if _, err := n.applyLeadership(list.Command{Op: list.ForgetLeaderships, ExpiredTerms: idle}); err != nil {
-				n.log.Warn("expired leaderships not removed", "component", "registry", "node", n.me.Name, "err", err)
+				n.log.Warn("expired leaderships not removed", "component", "registry", "node", n.self.Name, "err", err)
 			}
 		}
 	}
 }
 
-var errStarting = api.Errorf(api.CodeNoLeader, "this replica does not take part yet")
+var errNotJoined = api.Errorf(api.CodeNoLeader, "this replica does not take part yet")
 
 // apply commits a command, as the leader, and returns its result.
 func (n *Node) apply(c list.Command) (list.Result, error) {
 	r := n.raft.Load()
 	if r == nil {
-		return list.Result{}, errStarting
+		return list.Result{}, errNotJoined
 	}
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -421,13 +421,13 @@
 	return result, nil
 }
 
-// consistent blocks until all earlier commits are applied here and a quorum has confirmed that this replica leads.
-func (n *Node) consistent() error {
+// barrier blocks until all earlier commits are applied here and a quorum has confirmed that this replica leads.
+func (n *Node) barrier() error {
 	r := n.raft.Load()
 	if r == nil {
-		return errStarting
+		return errNotJoined
 	}
-	if n.c.Breaks == faultStaleRead {
+	if n.config.Breaks == faultStaleRead {
 		return nil
 	}
 	if err := r.Barrier(raftWriteTimeout).Error(); err != nil {
@@ -436,7 +436,7 @@
 	return nil
 }
 
-func (n *Node) leads() bool {
+func (n *Node) isLeader() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.leading
--- a/internal/registry/plays_test.go
+++ b/internal/registry/plays_test.go
@@ -19,8 +19,8 @@
 )
 
 var (
-	plays    = flag.Int("plays", 1, "how many histories of documents are played and judged, at least 1")
-	playSeed = flag.Uint64("playseed", 1, "seed of the first history of documents")
+	historyCount = flag.Int("plays", 1, "how many histories of documents are played and judged, at least 1")
+	historySeed  = flag.Uint64("playseed", 1, "seed of the first history of documents")
 )
 
 // fleet is two regions of real replicas; south follows north over links, and north south.
@@ -32,7 +32,7 @@
 
 func newFleet(t *testing.T, north, south int, breaks string) *fleet {
 	t.Helper()
-	f := &fleet{t: t, north: layOut(t, north), south: layOut(t, south)}
+	f := &fleet{t: t, north: configureQuorum(t, north), south: configureQuorum(t, south)}
 	at := func(q *quorum) (all []string) {
 		for _, p := range q.peers {
 			all = append(all, p["api"].(string))
@@ -41,7 +41,7 @@
 	}
 	var over []string
 	for i, target := range at(f.north) {
-		l, err := relay.New("south", fmt.Sprint("north ", i), address(t), target, nil)
+		l, err := relay.New("south", fmt.Sprint("north ", i), unusedAddress(t), target, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +52,7 @@
 		return []map[string]any{{"region": region, "api": at}}
 	}
 	for i := range north {
-		f.north.start(fmt.Sprint("r", i), f.inNorth(follow("south", at(f.south))))
+		f.north.start(fmt.Sprint("r", i), f.northConfig(follow("south", at(f.south))))
 	}
 	for i := range south {
 		more := map[string]any{"region": "south", "follow": follow("north", over)}
@@ -61,16 +61,16 @@
 		}
 		f.south.start(fmt.Sprint("r", i), more)
 	}
-	f.north.serving(north)
-	f.south.serving(south)
+	f.north.waitServing(north)
+	f.south.waitServing(south)
 	return f
 }
 
-func (f *fleet) inNorth(follow []map[string]any) map[string]any {
+func (f *fleet) northConfig(follow []map[string]any) map[string]any {
 	return map[string]any{"region": "north", "follow": follow}
 }
 
-func (f *fleet) southAt() (all []string) {
+func (f *fleet) southAddresses() (all []string) {
 	for _, p := range f.south.peers {
 		all = append(all, p["api"].(string))
 	}
@@ -80,10 +80,10 @@
 // restart starts one of north's replicas again.
 func (f *fleet) restart(name string) {
 	f.t.Helper()
-	f.north.start(name, f.inNorth([]map[string]any{{"region": "south", "api": f.southAt()}}))
+	f.north.start(name, f.northConfig([]map[string]any{{"region": "south", "api": f.southAddresses()}}))
 }
 
-func (f *fleet) cut(s relay.State) {
+func (f *fleet) setLinks(s relay.State) {
 	f.t.Helper()
 	for _, l := range f.links {
 		if err := l.Set(s); err != nil {
@@ -92,9 +92,9 @@
 	}
 }
 
-// write begins to write documents in north, and to listen in both regions.
-func (f *fleet) write(ctx context.Context, seed uint64) *history.Run {
-	s := history.Spec{Callers: 4, Names: 2, Seed: seed, Documents: true, Followers: f.southAt()}
+// startHistory begins to write documents in north, and to listen in both regions.
+func (f *fleet) startHistory(ctx context.Context, seed uint64) *history.Run {
+	s := history.Spec{Callers: 4, Names: 2, Seed: seed, Documents: true, Followers: f.southAddresses()}
 	for _, p := range f.north.peers {
 		s.Replicas = append(s.Replicas, p["api"].(string))
 	}
@@ -102,18 +102,18 @@
 	return history.Start(ctx, s)
 }
 
-// caughtUp waits until south has the settings that north has.
-func (f *fleet) caughtUp() time.Duration {
+// waitForReplication waits until south has the settings that north has.
+func (f *fleet) waitForReplication() time.Duration {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), 20*time.Second)
 	defer cancel()
 	begun := time.Now()
 	for {
-		north, err := f.north.all.Documents(ctx, true)
+		north, err := f.north.client.Documents(ctx, true)
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		south, err := f.south.all.Documents(ctx, true)
+		south, err := f.south.client.Documents(ctx, true)
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -127,10 +127,10 @@
 	}
 }
 
-// befall has one thing after another happen, as the seed draws them, and ends with all in order.
-func (f *fleet) befall(rng *rand.Rand) (what []string) {
+// injectFaults has one thing after another happen, as the seed draws them, and ends with all in order.
+func (f *fleet) injectFaults(rng *rand.Rand) (what []string) {
 	signal := func(q *quorum, name string, s syscall.Signal) {
-		if err := q.run[name].Signal(s); err != nil {
+		if err := q.processes[name].Signal(s); err != nil {
 			f.t.Fatal(err)
 		}
 	}
@@ -140,35 +140,35 @@
 		switch rng.IntN(6) {
 		case 0:
 			what = append(what, "south cut off")
-			f.cut(relay.State{Reset: true})
+			f.setLinks(relay.State{Reset: true})
 			rest(300, 1500)
-			f.cut(relay.State{})
+			f.setLinks(relay.State{})
 		case 1:
 			what = append(what, "south hears nothing")
-			f.cut(relay.State{SilentBack: true})
+			f.setLinks(relay.State{SilentBack: true})
 			rest(300, 3500)
-			f.cut(relay.State{})
+			f.setLinks(relay.State{})
 		case 2:
 			what = append(what, "slow and lossy")
-			f.cut(relay.State{Delay: 100 * time.Millisecond, Loss: 0.05, Chop: 512})
+			f.setLinks(relay.State{Delay: 100 * time.Millisecond, Loss: 0.05, Chop: 512})
 			rest(300, 1500)
-			f.cut(relay.State{})
+			f.setLinks(relay.State{})
 		case 3:
 			what = append(what, "north's leader killed")
-			name := f.north.serving(len(f.north.peers))
+			name := f.north.waitServing(len(f.north.peers))
 			f.north.kill(name)
 			rest(50, 800)
 			f.restart(name)
-			f.north.serving(len(f.north.peers))
+			f.north.waitServing(len(f.north.peers))
 		case 4:
 			what = append(what, "north's leader stopped")
-			name := f.north.serving(len(f.north.peers))
+			name := f.north.waitServing(len(f.north.peers))
 			signal(f.north, name, syscall.SIGSTOP)
 			rest(300, 2000)
 			signal(f.north, name, syscall.SIGCONT)
 		case 5:
 			what = append(what, "south's leader stopped")
-			name := f.south.serving(len(f.south.peers))
+			name := f.south.waitServing(len(f.south.peers))
 			signal(f.south, name, syscall.SIGSTOP)
 			rest(300, 2000)
 			signal(f.south, name, syscall.SIGCONT)
@@ -182,16 +182,16 @@
 // have been done one after another, no replica ever tells an older version after a newer, or one that nobody put, and the other region
 // has what the owner has soon after. More plays: go test -run TestHistoriesOfDocuments -plays 40 -timeout 30m.
 func TestHistoriesOfDocuments(t *testing.T) {
-	for i := range max(1, *plays) {
-		seed := *playSeed + uint64(i)
+	for i := range max(1, *historyCount) {
+		seed := *historySeed + uint64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			f := newFleet(t, 3, 3, "")
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			run := f.write(ctx, seed)
-			what := f.befall(rand.New(rand.NewPCG(seed, 28)))
+			run := f.startHistory(ctx, seed)
+			what := f.injectFaults(rand.New(rand.NewPCG(seed, 28)))
 			stop()
-			took := f.caughtUp()
+			took := f.waitForReplication()
 			found, n := run.EndDocuments()
 			t.Logf("%v: %d calls, %d without an answer, %d told, %d watches; caught up in %v", what, n.Calls, n.Unknown, n.Messages, n.Restarts, took.Round(time.Millisecond))
 			if took > 7*time.Second {
@@ -216,23 +216,23 @@
 			f := newFleet(t, 1, 1, breaks)
 			q, old := f.north, filepath.Join(f.north.dir, "old")
 			disk := filepath.Join(q.dir, "r0")
-			version := put(t, q.all, "h-0", 0, 0)
-			f.caughtUp()
+			version := put(t, q.client, "h-0", 0, 0)
+			f.waitForReplication()
 			q.kill("r0")
 			if err := os.CopyFS(old, os.DirFS(disk)); err != nil {
 				t.Fatal(err)
 			}
 			f.restart("r0")
-			q.serving(1)
+			q.waitServing(1)
 
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			listens := history.Start(ctx, history.Spec{Names: 1, Documents: true, Followers: f.southAt()})
+			listens := history.Start(ctx, history.Spec{Names: 1, Documents: true, Followers: f.southAddresses()})
 			highest := version
 			for n := range 9 {
-				highest = put(t, q.all, "h-0", 1+n, highest)
+				highest = put(t, q.client, "h-0", 1+n, highest)
 			}
-			f.caughtUp()
+			f.waitForReplication()
 			q.kill("r0")
 			if err := os.RemoveAll(disk); err != nil {
 				t.Fatal(err)
@@ -241,9 +241,9 @@
 				t.Fatal(err)
 			}
 			f.restart("r0")
-			q.serving(1)
+			q.waitServing(1)
 			if breaks == "" {
-				f.south.until("south says that north went back", func(all map[string]api.Status) bool {
+				f.south.waitForStatus("south says that north went back", func(all map[string]api.Status) bool {
 					for _, s := range all {
 						if len(s.Replication) == 1 && strings.Contains(s.Replication[0].RejectedReason, "goes back") && s.Replication[0].SeenRevision >= highest {
 							return true
@@ -251,14 +251,14 @@
 					}
 					return false
 				})
-				if d, err := f.south.all.Document(ctx, "h-0", 0, true); err != nil || d.Revision != highest {
+				if d, err := f.south.client.Document(ctx, "h-0", 0, true); err != nil || d.Revision != highest {
 					t.Errorf("south has %+v, %v; %d was seen", d, err, highest)
 				}
 				for n := 20; version <= highest; n++ {
-					version = put(t, q.all, "h-0", n, version)
+					version = put(t, q.client, "h-0", n, version)
 				}
 			}
-			f.caughtUp()
+			f.waitForReplication()
 			stop()
 			found, n := listens.EndDocuments()
 			back := 0
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -26,11 +26,11 @@
 	"mosslead/internal/registry/registrytest"
 )
 
-const asReplica = "TEST_REPLICA"
+const replicaEnv = "TEST_REPLICA"
 
 // TestMain lets this binary be a replica: a process of its own.
 func TestMain(m *testing.M) {
-	if path := os.Getenv(asReplica); path != "" {
+	if path := os.Getenv(replicaEnv); path != "" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
 		c, err := registry.LoadConfig(path)
@@ -51,15 +51,15 @@
 
 // quorum is replicas that are processes.
 type quorum struct {
-	t     *testing.T
-	dir   string
-	peers []map[string]any
-	run   map[string]*proc.Child
-	all   *client.Client
+	t         *testing.T
+	dir       string
+	peers     []map[string]any
+	processes map[string]*proc.Child
+	client    *client.Client
 }
 
-// address is one that nobody else on this machine has: a replica that restarts has to find its own again.
-func address(t *testing.T) string {
+// unusedAddress is one that nobody else on this machine has: a replica that restarts has to find its own again.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	at, err := loopback.Address()
 	if err != nil {
@@ -70,31 +70,31 @@
 
 func newQuorum(t *testing.T, n int) *quorum {
 	t.Helper()
-	q := layOut(t, n)
+	q := configureQuorum(t, n)
 	for i := range n {
 		q.start(fmt.Sprint("r", i), nil)
 	}
-	q.serving(n)
+	q.waitServing(n)
 	return q
 }
 
-// layOut is a quorum of which nobody runs yet.
-func layOut(t *testing.T, n int) *quorum {
+// configureQuorum is a quorum of which nobody runs yet.
+func configureQuorum(t *testing.T, n int) *quorum {
 	t.Helper()
-	q := &quorum{t: t, dir: t.TempDir(), run: map[string]*proc.Child{}}
+	q := &quorum{t: t, dir: t.TempDir(), processes: map[string]*proc.Child{}}
 	var at []string
 	for i := range n {
-		q.peers = append(q.peers, map[string]any{"name": fmt.Sprint("r", i), "raft": address(t), "api": address(t)})
+		q.peers = append(q.peers, map[string]any{"name": fmt.Sprint("r", i), "raft": unusedAddress(t), "api": unusedAddress(t)})
 		at = append(at, q.peers[i]["api"].(string))
 	}
-	q.all = client.New(at)
+	q.client = client.New(at)
 	t.Cleanup(func() {
-		q.all.Close()
-		for _, c := range q.run {
+		q.client.Close()
+		for _, c := range q.processes {
 			_ = c.Kill()
 		}
 		if t.Failed() {
-			for name := range q.run {
+			for name := range q.processes {
 				text, _ := os.ReadFile(filepath.Join(q.dir, name+".log"))
 				t.Logf("%s:\n%s", name, text)
 			}
@@ -122,27 +122,27 @@
 	if err != nil {
 		q.t.Fatal(err)
 	}
-	child, err := proc.Start(proc.Spec{Name: name, Path: self, Env: []string{asReplica + "=" + path}, Dir: q.dir, LogFile: filepath.Join(q.dir, name+".log")})
+	child, err := proc.Start(proc.Spec{Name: name, Path: self, Env: []string{replicaEnv + "=" + path}, Dir: q.dir, LogFile: filepath.Join(q.dir, name+".log")})
 	if err != nil {
 		q.t.Fatal(err)
 	}
-	q.run[name] = child
+	q.processes[name] = child
 }
 
 func (q *quorum) kill(name string) {
 	q.t.Helper()
-	if err := q.run[name].Kill(); err != nil {
+	if err := q.processes[name].Kill(); err != nil {
 		q.t.Fatal(err)
 	}
 }
 
-// until waits for what a status must say.
-func (q *quorum) until(what string, is func(map[string]api.Status) bool) map[string]api.Status {
+// waitForStatus waits for what a status must say.
+func (q *quorum) waitForStatus(what string, is func(map[string]api.Status) bool) map[string]api.Status {
 	q.t.Helper()
 	ctx, cancel := context.WithTimeout(q.t.Context(), 20*time.Second)
 	defer cancel()
 	for {
-		reported, _ := q.all.Status(ctx)
+		reported, _ := q.client.Status(ctx)
 		if is(reported) {
 			return reported
 		}
@@ -153,10 +153,10 @@
 	}
 }
 
-func (q *quorum) serving(n int) string {
+func (q *quorum) waitServing(n int) string {
 	q.t.Helper()
 	leader := ""
-	q.until(fmt.Sprintf("%d serve", n), func(reported map[string]api.Status) bool {
+	q.waitForStatus(fmt.Sprintf("%d serve", n), func(reported map[string]api.Status) bool {
 		serving, known := 0, true
 		for _, s := range reported {
 			if s.Leader != "" && s.StalenessMs >= 0 && s.StalenessMs < 1000 && len(s.Members) >= n {
@@ -174,7 +174,7 @@
 	q.t.Helper()
 	ctx, cancel := context.WithTimeout(q.t.Context(), 10*time.Second)
 	defer cancel()
-	if _, err := q.all.Register(ctx, name, api.Registration{Address: "127.0.0.1:1", Weight: 1}); err != nil {
+	if _, err := q.client.Register(ctx, name, api.Registration{Address: "127.0.0.1:1", Weight: 1}); err != nil {
 		q.t.Fatalf("registering %s: %v", name, err)
 	}
 }
@@ -187,7 +187,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		q.all.Watch(ctx, nil, client.Watcher{Apply: func(l api.WatchEvent) error { got <- l; return nil }, OnError: func(string, error) {}})
+		q.client.Watch(ctx, nil, client.Watcher{Apply: func(l api.WatchEvent) error { got <- l; return nil }, OnError: func(string, error) {}})
 	}()
 	defer func() { stop(); <-ended }()
 	hears := func(name string) {
@@ -209,19 +209,19 @@
 	q.register("before")
 	hears("before")
 
-	leader := q.serving(3)
+	leader := q.waitServing(3)
 	q.kill(leader)
 	q.register("without the leader")
 	hears("without the leader")
 	q.start(leader, nil)
-	q.serving(3)
+	q.waitServing(3)
 
 	follower := "r0"
-	if q.serving(3) == follower {
+	if q.waitServing(3) == follower {
 		follower = "r1"
 	}
 	disk := func() api.Replica {
-		s := q.until("a status", func(s map[string]api.Status) bool { return len(s) == 3 })
+		s := q.waitForStatus("a status", func(s map[string]api.Status) bool { return len(s) == 3 })
 		for _, x := range s {
 			return x.Members[follower]
 		}
@@ -238,7 +238,7 @@
 	}
 	q.register("while a disk is lost")
 	q.start(follower, nil)
-	q.serving(3)
+	q.waitServing(3)
 	if now := disk(); now.DiskID == was.DiskID {
 		t.Errorf("an empty disk is taken for the one that was lost: %+v", now)
 	}
@@ -254,7 +254,7 @@
 	}
 	q.register("while a disk is old")
 	q.start(follower, nil)
-	q.serving(3)
+	q.waitServing(3)
 	aside, err := filepath.Glob(filepath.Join(q.dir, follower, "aside-*"))
 	if err != nil || len(aside) != 1 {
 		t.Errorf("the old copy was not set aside: %v, %v", aside, err)
@@ -265,9 +265,9 @@
 func TestReplicasComeAndGoAtRunTime(t *testing.T) {
 	q := newQuorum(t, 3)
 	ctx := t.Context()
-	m := api.Replica{Name: "r9", Raft: address(t), API: address(t)}
+	m := api.Replica{Name: "r9", Raft: unusedAddress(t), API: unusedAddress(t)}
 	q.start("r9", map[string]any{"join": true, "listen": m.API, "raft_bind": m.Raft})
-	q.until("four", func(reported map[string]api.Status) bool {
+	q.waitForStatus("four", func(reported map[string]api.Status) bool {
 		for _, s := range reported {
 			if len(s.Voters) != 4 || len(s.Members) != 4 {
 				return false
@@ -281,46 +281,46 @@
 	if all, err := own.Records(ctx, true); err != nil || len(all.Records) != 1 {
 		t.Errorf("the new replica says %+v, %v", all, err)
 	}
-	if err := q.all.Remove(ctx, "r9"); err != nil {
+	if err := q.client.Remove(ctx, "r9"); err != nil {
 		t.Fatal(err)
 	}
-	if err := q.all.Remove(ctx, "r9"); !api.IsCode(err, api.CodeNotFound) {
+	if err := q.client.Remove(ctx, "r9"); !api.IsCode(err, api.CodeNotFound) {
 		t.Errorf("removed twice: %v", err)
 	}
 
-	text, err := q.all.Backup(ctx)
+	text, err := q.client.Backup(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, _ := q.all.Records(ctx, true)
+	before, _ := q.client.Records(ctx, true)
 	q.register("after the backup")
-	if err := q.all.Restore(ctx, text); err != nil {
+	if err := q.client.Restore(ctx, text); err != nil {
 		t.Fatal(err)
 	}
-	after, err := q.all.Records(ctx, true)
+	after, err := q.client.Records(ctx, true)
 	if err != nil || len(after.Records) != 1 || after.Revision <= before.Revision+1 {
 		t.Errorf("after a restore: %+v, %v", after, err)
 	}
 	torn := bytes.Replace(text, []byte(`127.0.0.1:1`), []byte(`127.0.0.1:2`), 1)
-	if err := q.all.Restore(ctx, torn); !api.IsCode(err, api.CodeBadRequest) {
+	if err := q.client.Restore(ctx, torn); !api.IsCode(err, api.CodeBadRequest) {
 		t.Errorf("a damaged backup: %v", err)
 	}
 }
 
-// dev is one replica in this process.
-func dev(t *testing.T) string {
+// startDevReplica is one replica in this process.
+func startDevReplica(t *testing.T) string {
 	t.Helper()
-	at := address(t)
+	at := unusedAddress(t)
 	registrytest.Start(t, registry.Dev(at))
 	c := client.New([]string{at})
 	defer c.Close()
-	q := &quorum{t: t, all: c}
-	q.serving(1)
+	q := &quorum{t: t, client: c}
+	q.waitServing(1)
 	return at
 }
 
 func TestBadCallsGetOneClearAnswer(t *testing.T) {
-	at := dev(t)
+	at := startDevReplica(t)
 	huge := `{"address":"` + strings.Repeat("x", 2<<20)
 	for _, x := range []struct {
 		method, path, body string
@@ -393,14 +393,14 @@
 	}
 	take := func(holder string) api.LeadershipGrant {
 		return change(holder+" takes", func(ctx context.Context) (api.LeadershipGrant, error) {
-			return q.all.AcquireLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: holder, LeaseMs: 1500})
+			return q.client.AcquireLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: holder, LeaseMs: 1500})
 		})
 	}
 	first := take("a")
 	if first.Holder != "a" || first.Epoch == 0 {
 		t.Fatalf("got %+v", first)
 	}
-	leader := q.serving(3)
+	leader := q.waitServing(3)
 	q.kill(leader)
 	if g := take("b"); g.Holder != "a" || g.Epoch != first.Epoch || g.RetryAfterMs <= 0 {
 		t.Errorf("a new leader gives away what is held: %+v", g)
@@ -416,7 +416,7 @@
 		t.Errorf("after %+v: %+v", first, second)
 	}
 	late := change("a renews", func(ctx context.Context) (api.LeadershipGrant, error) {
-		return q.all.RenewLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: "a", LeaseMs: 1500, Epoch: first.Epoch})
+		return q.client.RenewLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: "a", LeaseMs: 1500, Epoch: first.Epoch})
 	})
 	if late.HeldBy("a", 0) {
 		t.Errorf("renewed under an old epoch: %+v", late)
@@ -431,7 +431,7 @@
 	for i := range entries {
 		q.register(fmt.Sprint("u", i))
 	}
-	leader, name := q.serving(3), "r0"
+	leader, name := q.waitServing(3), "r0"
 	if leader == name {
 		name = "r1"
 	}
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -13,8 +13,8 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// raftParts are the stores and the transport of raft.
-type raftParts struct {
+// raftBackend are the stores and the transport of raft.
+type raftBackend struct {
 	logs      raft.LogStore
 	stable    raft.StableStore
 	snapshots raft.SnapshotStore
@@ -22,7 +22,7 @@
 	closers   []io.Closer
 }
 
-func (p *raftParts) close() {
+func (p *raftBackend) close() {
 	for _, x := range p.closers {
 		_ = x.Close()
 	}
@@ -31,12 +31,12 @@
 // startRaft starts raft, from the directory or in memory. form, if not empty, is the quorum to form.
 func (n *Node) startRaft(ctx context.Context, form []raft.Server) (r *raft.Raft, stop func(), err error) {
 	c := n.raftConfig()
-	parts, err := n.raftParts(ctx, c)
+	parts, err := n.openRaftBackend(ctx, c)
 	if err == nil && len(form) > 0 {
 		err = parts.bootstrap(c, form)
 	}
 	if err == nil {
-		r, err = raft.NewRaft(c, n.machine, parts.logs, parts.stable, parts.snapshots, parts.transport)
+		r, err = raft.NewRaft(c, n.fsm, parts.logs, parts.stable, parts.snapshots, parts.transport)
 		if err != nil {
 			err = fmt.Errorf("log: %w", err)
 		}
@@ -50,44 +50,44 @@
 
 func (n *Node) raftConfig() *raft.Config {
 	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(n.me.Name)
-	c.HeartbeatTimeout, c.ElectionTimeout = n.c.Heartbeat.Duration, n.c.Heartbeat.Duration
-	c.LeaderLeaseTimeout, c.CommitTimeout = n.c.Heartbeat.Duration/2, 10*time.Millisecond
+	c.LocalID = raft.ServerID(n.self.Name)
+	c.HeartbeatTimeout, c.ElectionTimeout = n.config.Heartbeat.Duration, n.config.Heartbeat.Duration
+	c.LeaderLeaseTimeout, c.CommitTimeout = n.config.Heartbeat.Duration/2, 10*time.Millisecond
 	c.Logger = hclog.New(&hclog.LoggerOptions{Output: io.Discard})
 	return c
 }
 
-// raftParts opens the stores and the transport. After an error the returned parts hold those to be closed.
-func (n *Node) raftParts(ctx context.Context, c *raft.Config) (*raftParts, error) {
-	p := &raftParts{}
-	if n.c.Dev {
+// openRaftBackend opens the stores and the transport. After an error the returned parts hold those to be closed.
+func (n *Node) openRaftBackend(ctx context.Context, c *raft.Config) (*raftBackend, error) {
+	p := &raftBackend{}
+	if n.config.Dev {
 		store := raft.NewInmemStore()
 		p.logs, p.stable, p.snapshots = store, store, raft.NewInmemSnapshotStore()
 		_, p.transport = raft.NewInmemTransport("dev")
 		return p, nil
 	}
-	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(n.c.Dir, "log.bolt"), MsgpackUseNewTimeFormat: true})
+	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(n.config.Dir, "log.bolt"), MsgpackUseNewTimeFormat: true})
 	if err != nil {
 		return p, fmt.Errorf("log: %w", err)
 	}
 	p.closers = append(p.closers, store)
 	p.logs, p.stable = store, retryingStore{store, ctx, n.log}
-	if p.snapshots, err = raft.NewFileSnapshotStoreWithLogger(n.c.Dir, retainedSnapshots, c.Logger); err != nil {
+	if p.snapshots, err = raft.NewFileSnapshotStoreWithLogger(n.config.Dir, retainedSnapshots, c.Logger); err != nil {
 		return p, fmt.Errorf("snapshots: %w", err)
 	}
-	stream, err := listen(n.c.RaftBind, n.me.Raft)
+	stream, err := listenRaft(n.config.RaftBind, n.self.Raft)
 	if err != nil {
 		return p, fmt.Errorf("raft_bind: %w", err)
 	}
 	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 4, Timeout: raftTimeout,
-		Logger: c.Logger, ServerAddressProvider: dialer(n.c.Dial), MsgpackUseNewTimeFormat: true})
+		Logger: c.Logger, ServerAddressProvider: addressOverrides(n.config.Dial), MsgpackUseNewTimeFormat: true})
 	p.closers = append(p.closers, transport)
 	p.transport = transport
 	return p, nil
 }
 
 // bootstrap forms the quorum, unless the log holds one.
-func (p *raftParts) bootstrap(c *raft.Config, form []raft.Server) error {
+func (p *raftBackend) bootstrap(c *raft.Config, form []raft.Server) error {
 	has, err := raft.HasExistingState(p.logs, p.stable, p.snapshots)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
@@ -103,7 +103,7 @@
 
 // shutdown stops raft, and then closes its parts. If raft waits for a failing disk, it is left as it is, since the process
 // is about to end.
-func shutdown(r *raft.Raft, parts *raftParts) {
+func shutdown(r *raft.Raft, parts *raftBackend) {
 	ended := make(chan struct{})
 	go func() {
 		_ = r.Shutdown().Error()
@@ -119,10 +119,10 @@
 // stream implements raft.StreamLayer over TCP, with the address announced to others.
 type stream struct {
 	net.Listener
-	known raft.ServerAddress
+	advertised raft.ServerAddress
 }
 
-func listen(bind, known string) (*stream, error) {
+func listenRaft(bind, known string) (*stream, error) {
 	ln, err := net.Listen("tcp", bind)
 	if err != nil {
 		return nil, err
@@ -136,19 +136,19 @@
 }
 
 // Addr implements raft.StreamLayer.
-func (s *stream) Addr() net.Addr { return known(s.known) }
+func (s *stream) Addr() net.Addr { return tcpAddr(s.advertised) }
 
-type known string
+type tcpAddr string
 
 // Network implements net.Addr.
-func (known) Network() string  { return "tcp" }
-func (k known) String() string { return string(k) }
+func (tcpAddr) Network() string  { return "tcp" }
+func (k tcpAddr) String() string { return string(k) }
 
-// dialer resolves the addresses of other replicas.
-type dialer map[string]Peer
+// addressOverrides resolves the addresses of other replicas.
+type addressOverrides map[string]Peer
 
 // ServerAddr implements raft.ServerAddressProvider.
-func (d dialer) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+func (d addressOverrides) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if p, ok := d[string(id)]; ok && p.Raft != "" {
 		return raft.ServerAddress(p.Raft), nil
 	}
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -22,25 +22,25 @@
 
 // follower replicates one other region while this replica leads. The goroutine of run owns it.
 type follower struct {
-	n      *Node
+	node   *Node
 	region string
 	client *client.Client
 
 	mu        sync.Mutex
 	lastHeard time.Duration // when the region last sent anything; 0: never since this replica leads
-	sync      federation.SyncState
+	syncState federation.SyncState
 }
 
 // followRegions starts replicating the other regions. stop ends that, and blocks until it has ended.
 func (n *Node) followRegions(ctx context.Context) (stop func()) {
-	if len(n.c.Follow) == 0 {
+	if len(n.config.Follow) == 0 {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	var running sync.WaitGroup
 	all := map[string]*follower{}
-	for _, c := range n.c.Follow {
-		f := &follower{n: n, region: c.Region, client: client.New(c.API)}
+	for _, c := range n.config.Follow {
+		f := &follower{node: n, region: c.Region, client: client.New(c.API)}
 		all[c.Region] = f
 		running.Go(func() { f.run(ctx) })
 	}
@@ -63,7 +63,7 @@
 		Apply: func(l api.WatchEvent) error { return f.apply(ctx, l) },
 		OnError: func(at string, why error) {
 			if ctx.Err() == nil {
-				f.n.log.Warn("region replication interrupted", "component", "registry", "node", f.n.me.Name, "region", f.region, "at", at, "err", why)
+				f.node.log.Warn("region replication interrupted", "component", "registry", "node", f.node.self.Name, "region", f.region, "at", at, "err", why)
 			}
 		},
 	}, f.onHeard)
@@ -72,18 +72,18 @@
 func (f *follower) onHeard() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lastHeard = f.n.now()
+	f.lastHeard = f.node.now()
 }
 
 // nextRevision returns the revision from which changes are requested; -1 for the full list.
 func (f *follower) nextRevision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sync.NextRevision(f.n.replicated(f.region).Revision, f.n.now()-f.lastHeard >= resyncAfter)
+	return f.syncState.NextRevision(f.node.replicatedRevisions(f.region).Revision, f.node.now()-f.lastHeard >= resyncAfter)
 }
 
-func (n *Node) replicated(region string) (h list.Replicated) {
-	n.machine.read(func(l *list.List) { h = l.Replicated(region) })
+func (n *Node) replicatedRevisions(region string) (h list.Replicated) {
+	n.fsm.read(func(l *list.List) { h = l.Replicated(region) })
 	return list.Replicated{Revision: h.Revision, SeenRevision: h.SeenRevision} // the rest may change once the lock is released
 }
 
@@ -92,9 +92,9 @@
 func (f *follower) apply(ctx context.Context, l api.WatchEvent) error {
 	var chunks []list.Chunk
 	var anomaly, rejected string
-	f.n.machine.read(func(of *list.List) {
+	f.node.fsm.read(func(of *list.List) {
 		replicated := of.Replicated(f.region)
-		if f.n.c.Breaks == faultRollback {
+		if f.node.config.Breaks == faultRollback {
 			replicated.SeenRevision, replicated.Documents = 0, nil
 		}
 		chunks, anomaly, rejected = federation.Chunks(f.region, replicated, l)
@@ -107,7 +107,7 @@
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		if _, err := f.n.documentCommand(list.Command{Op: list.ReplicateRegion, Chunk: &p}); err != nil {
+		if _, err := f.node.applyDocument(list.Command{Op: list.ReplicateRegion, Chunk: &p}); err != nil {
 			f.recordSync(l.Snapshot, "", err.Error())
 			return fmt.Errorf("version %d, piece %d of %d: %w", p.To, p.Part+1, len(chunks), err)
 		}
@@ -120,20 +120,20 @@
 func (f *follower) recordSync(snapshot bool, anomaly, rejected string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sync.Record(snapshot, anomaly, rejected)
+	f.syncState.Record(snapshot, anomaly, rejected)
 }
 
 // replication returns how far other regions are replicated; nil unless this replica leads.
 func (n *Node) replication() (all []api.ReplicationStatus) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.c.Follow {
+	for _, c := range n.config.Follow {
 		f := n.followers[c.Region]
 		if f == nil {
 			continue
 		}
 		x := api.ReplicationStatus{Region: c.Region, AgeMs: -1}
-		n.machine.read(func(l *list.List) {
+		n.fsm.read(func(l *list.List) {
 			h := l.Replicated(c.Region)
 			x.Revision, x.SeenRevision, x.Endpoints = h.Revision, h.SeenRevision, len(h.Entries)
 		})
@@ -141,9 +141,9 @@
 		if f.lastHeard > 0 {
 			x.AgeMs = (n.now() - f.lastHeard).Milliseconds()
 		}
-		x.RejectedReason = f.sync.Rejected
+		x.RejectedReason = f.syncState.Rejected
 		if x.RejectedReason == "" {
-			x.RejectedReason = f.sync.Anomaly
+			x.RejectedReason = f.syncState.Anomaly
 		}
 		f.mu.Unlock()
 		all = append(all, x)
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	maxBody    = 1 << 20  // bytes of a call; enough to renew 10,000 leases
-	maxRestore = 64 << 20 // bytes of a backup, and of a forwarded answer
-	forwarded  = "X-Registry-Forwarded"
+	maxBody         = 1 << 20  // bytes of a call; enough to renew 10,000 leases
+	maxRestore      = 64 << 20 // bytes of a backup, and of a forwarded answer
+	forwardedHeader = "X-Registry-Forwarded"
 )
 
 // server serves calls. Any replica whose list is fresh enough serves reads of it; all other calls are served by the leader,
@@ -30,30 +30,30 @@
 func (n *Node) server(ctx context.Context) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", n.targets)
-	mux.HandleFunc("GET /v1/identity", n.identityOf)
+	mux.HandleFunc("GET /v1/identity", n.serveIdentity)
 	mux.HandleFunc("GET /v1/status", n.status)
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("GET /readyz", n.readyz)
-	mux.HandleFunc("GET /v1/entries", n.either(n.entries))
-	mux.HandleFunc("GET /v1/entries/{name}", n.either(n.entry))
+	mux.HandleFunc("GET /v1/entries", n.onAnyReplica(n.entries))
+	mux.HandleFunc("GET /v1/entries/{name}", n.onAnyReplica(n.entry))
 	mux.HandleFunc("PUT /v1/entries/{name}", n.onLeader(maxBody, n.register))
 	for _, op := range []string{list.Drain, list.Deregister, list.SetAdminState} {
-		mux.HandleFunc("POST /v1/entries/{name}/"+op, n.onLeader(maxBody, n.change(op)))
+		mux.HandleFunc("POST /v1/entries/{name}/"+op, n.onLeader(maxBody, n.changeEntry(op)))
 	}
 	mux.HandleFunc("POST /v1/renew", n.onLeader(maxBody, n.renew))
-	mux.HandleFunc("GET /v1/duties", n.either(n.listLeaderships))
-	mux.HandleFunc("POST /v1/duties/{name}/take", n.onLeader(maxClaim, n.acquireLeadership))
-	mux.HandleFunc("POST /v1/duties/{name}/renew", n.onLeader(maxClaim, n.changeLeadership(list.RenewLeadership)))
-	mux.HandleFunc("POST /v1/duties/{name}/release", n.onLeader(maxClaim, n.changeLeadership(list.ReleaseLeadership)))
-	mux.HandleFunc("GET /v1/settings", n.either(n.documents))
-	mux.HandleFunc("GET /v1/settings/{service}", n.either(n.document))
-	mux.HandleFunc("GET /v1/settings/{service}/versions/{version}", n.either(n.document))
+	mux.HandleFunc("GET /v1/duties", n.onAnyReplica(n.listLeaderships))
+	mux.HandleFunc("POST /v1/duties/{name}/take", n.onLeader(maxClaimBody, n.acquireLeadership))
+	mux.HandleFunc("POST /v1/duties/{name}/renew", n.onLeader(maxClaimBody, n.changeLeadership(list.RenewLeadership)))
+	mux.HandleFunc("POST /v1/duties/{name}/release", n.onLeader(maxClaimBody, n.changeLeadership(list.ReleaseLeadership)))
+	mux.HandleFunc("GET /v1/settings", n.onAnyReplica(n.documents))
+	mux.HandleFunc("GET /v1/settings/{service}", n.onAnyReplica(n.document))
+	mux.HandleFunc("GET /v1/settings/{service}/versions/{version}", n.onAnyReplica(n.document))
 	mux.HandleFunc("PUT /v1/settings/{service}", n.onLeader(maxBody, n.putSettings))
 	mux.HandleFunc("POST /v1/settings/{service}/delete", n.onLeader(maxBody, n.deleteSettings))
-	mux.HandleFunc("POST /v1/acks", n.onLeader(maxBody, n.acknowledged))
+	mux.HandleFunc("POST /v1/acks", n.onLeader(maxBody, n.recordAcks))
 	mux.HandleFunc("GET /v1/rollouts", n.onLeader(maxBody, n.rollouts))
 	mux.HandleFunc("POST /v1/overrule", n.onLeader(maxBody, n.overrule))
-	mux.HandleFunc("POST /v1/announce", n.onLeader(maxBody, n.announced))
+	mux.HandleFunc("POST /v1/announce", n.onLeader(maxBody, n.recordAnnouncement))
 	mux.HandleFunc("POST /v1/replicas", n.onLeader(maxBody, n.addReplica))
 	mux.HandleFunc("DELETE /v1/replicas/{name}", n.onLeader(maxBody, n.removeReplica))
 	mux.HandleFunc("GET /v1/backup", n.onLeader(maxBody, n.backup))
@@ -62,44 +62,44 @@
 		MaxHeaderBytes: 16 << 10, BaseContext: func(net.Listener) context.Context { return ctx }}
 }
 
-// work serves a call whose body has been read: it returns the answer, or an error.
-type work func(r *http.Request, body []byte) (any, error)
+// handler serves a call whose body has been read: it returns the answer, or an error.
+type handler func(r *http.Request, body []byte) (any, error)
 
 // onLeader serves a call here if this replica leads, and otherwise forwards it to the leader.
-func (n *Node) onLeader(limit int64, do work) http.HandlerFunc {
+func (n *Node) onLeader(limit int64, do handler) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, limit))
 		if err != nil {
 			writeError(rw, api.Errorf(api.CodeBadRequest, "%v", err))
 			return
 		}
-		if n.leads() {
+		if n.isLeader() {
 			writeAnswer(rw, r, body, do)
 			return
 		}
-		at, ok := n.leaderAPI()
-		if !ok || r.Header.Get(forwarded) != "" {
-			writeError(rw, api.Errorf(api.CodeNoLeader, "%s knows of no leader", n.me.Name))
+		at, ok := n.leaderURL()
+		if !ok || r.Header.Get(forwardedHeader) != "" {
+			writeError(rw, api.Errorf(api.CodeNoLeader, "%s knows of no leader", n.self.Name))
 			return
 		}
 		n.forward(rw, r, at, body)
 	}
 }
 
-// either serves a read here, or on the leader if the caller requires a linearizable read.
-func (n *Node) either(do work) http.HandlerFunc {
+// onAnyReplica serves a read here, or on the leader if the caller requires a linearizable read.
+func (n *Node) onAnyReplica(do handler) http.HandlerFunc {
 	sure := n.onLeader(maxBody, func(r *http.Request, body []byte) (any, error) {
-		if err := n.consistent(); err != nil {
+		if err := n.barrier(); err != nil {
 			return nil, err
 		}
 		return do(r, body)
 	})
 	return func(rw http.ResponseWriter, r *http.Request) {
-		if r.FormValue("consistent") != "" && n.c.Breaks != faultStaleRead {
+		if r.FormValue("consistent") != "" && n.config.Breaks != faultStaleRead {
 			sure(rw, r)
 			return
 		}
-		if err := n.freshEnough(); err != nil {
+		if err := n.checkFreshness(); err != nil {
 			writeError(rw, err)
 			return
 		}
@@ -113,7 +113,7 @@
 		writeError(rw, api.Errorf(api.CodeBadRequest, "%v", err))
 		return
 	}
-	req.Header.Set(forwarded, n.me.Name)
+	req.Header.Set(forwardedHeader, n.self.Name)
 	resp, err := n.client.Do(req)
 	if err != nil {
 		code := api.CodeOutcomeUnknown
@@ -135,7 +135,7 @@
 	_, _ = rw.Write(text)
 }
 
-func writeAnswer(rw http.ResponseWriter, r *http.Request, body []byte, do work) {
+func writeAnswer(rw http.ResponseWriter, r *http.Request, body []byte, do handler) {
 	x, err := do(r, body)
 	if err != nil {
 		writeError(rw, err)
@@ -150,7 +150,7 @@
 	_, _ = rw.Write(append(text, '\n'))
 }
 
-var statusOf = map[string]int{api.CodeBadRequest: http.StatusBadRequest, api.CodeOlderIncarnation: http.StatusConflict, api.CodeConflict: http.StatusConflict,
+var statusByCode = map[string]int{api.CodeBadRequest: http.StatusBadRequest, api.CodeOlderIncarnation: http.StatusConflict, api.CodeConflict: http.StatusConflict,
 	api.CodeNotFound: http.StatusNotFound, api.CodeFull: http.StatusServiceUnavailable, api.CodeNoLeader: http.StatusServiceUnavailable,
 	api.CodeStale: http.StatusServiceUnavailable, api.CodeOutcomeUnknown: http.StatusGatewayTimeout,
 	api.CodeOlderReplica: http.StatusServiceUnavailable}
@@ -162,12 +162,12 @@
 	}
 	text, _ := json.Marshal(f) // can't fail for two strings
 	rw.Header().Set("Content-Type", "application/json")
-	rw.WriteHeader(statusOf[f.Code])
+	rw.WriteHeader(statusByCode[f.Code])
 	_, _ = rw.Write(append(text, '\n'))
 }
 
-// read decodes a body. Unknown fields are errors, so that a request that is not fully understood does not seem to succeed.
-func read(body []byte, into any) error {
+// decodeBody decodes a body. Unknown fields are errors, so that a request that is not fully understood does not seem to succeed.
+func decodeBody(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -184,50 +184,50 @@
 		n.watches.serve(rw, r)
 		return
 	}
-	if err := n.freshEnough(); err != nil {
+	if err := n.checkFreshness(); err != nil {
 		writeError(rw, err)
 		return
 	}
 	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) {
 		var l api.WatchEvent
-		n.machine.read(func(of *list.List) { l = of.Full() })
+		n.fsm.read(func(of *list.List) { l = of.Full() })
 		return l, nil
 	})
 }
 
 func (n *Node) entries(*http.Request, []byte) (any, error) {
 	var all api.Records
-	n.machine.read(func(l *list.List) { all = api.Records{Revision: l.Revision(), Records: l.Records()} })
+	n.fsm.read(func(l *list.List) { all = api.Records{Revision: l.Revision(), Records: l.Records()} })
 	return all, nil
 }
 
 func (n *Node) entry(r *http.Request, _ []byte) (any, error) {
 	var x api.Record
-	n.machine.read(func(l *list.List) { x, _ = l.Get(r.PathValue("name")) })
+	n.fsm.read(func(l *list.List) { x, _ = l.Get(r.PathValue("name")) })
 	return x, nil
 }
 
-func (n *Node) done(c list.Command) (any, error) {
+func (n *Node) applyWrite(c list.Command) (any, error) {
 	result, err := n.apply(c)
 	return api.WriteResult{Revision: result.Revision}, err
 }
 
 func (n *Node) register(r *http.Request, body []byte) (any, error) {
 	g := api.Registration{Weight: 1}
-	if err := read(body, &g); err != nil {
+	if err := decodeBody(body, &g); err != nil {
 		return nil, err
 	}
 	if err := g.Check(r.PathValue("name")); err != nil {
 		return nil, err
 	}
-	return n.done(list.Command{Op: list.Register, Name: r.PathValue("name"), Registration: &g, IfRevision: g.IfRevision})
+	return n.applyWrite(list.Command{Op: list.Register, Name: r.PathValue("name"), Registration: &g, IfRevision: g.IfRevision})
 }
 
-func (n *Node) change(op string) work {
+func (n *Node) changeEntry(op string) handler {
 	return func(r *http.Request, body []byte) (any, error) {
 		var change api.StateChange
 		if len(body) > 0 {
-			if err := read(body, &change); err != nil {
+			if err := decodeBody(body, &change); err != nil {
 				return nil, err
 			}
 		}
@@ -238,20 +238,20 @@
 		case op == list.SetAdminState && change.AdminState != api.AdminNone && change.AdminState != api.AdminDrain && change.AdminState != api.AdminBan:
 			return nil, api.Errorf(api.CodeBadRequest, "hand: drain, ban or nothing, not %.40q", change.AdminState)
 		}
-		return n.done(list.Command{Op: op, Name: name, Incarnation: change.Incarnation, AdminState: change.AdminState, IfRevision: change.IfRevision})
+		return n.applyWrite(list.Command{Op: op, Name: name, Incarnation: change.Incarnation, AdminState: change.AdminState, IfRevision: change.IfRevision})
 	}
 }
 
 func (n *Node) renew(_ *http.Request, body []byte) (any, error) {
 	var change api.Heartbeats
-	if err := read(body, &change); err != nil {
+	if err := decodeBody(body, &change); err != nil {
 		return nil, err
 	}
 	expired := []string{}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
 	now := n.now()
 	for _, x := range change.Heartbeats {
@@ -266,7 +266,7 @@
 func (n *Node) overrule(*http.Request, []byte) (any, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	silent := n.leases.silent(n.now())
+	silent := n.leases.expiredNames(n.now())
 	if !n.leases.preserving {
 		return nil, api.Errorf(api.CodeConflict, "there is nothing to overrule")
 	}
@@ -274,9 +274,9 @@
 	return api.HeartbeatResult{Expired: silent}, nil
 }
 
-func (n *Node) identityOf(rw http.ResponseWriter, r *http.Request) {
+func (n *Node) serveIdentity(rw http.ResponseWriter, r *http.Request) {
 	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) {
-		id := api.Identity{Replica: n.me, Formed: n.raft.Load() != nil, Members: n.members()}
+		id := api.Identity{Replica: n.self, Formed: n.raft.Load() != nil, Members: n.members()}
 		for _, name := range n.voterNames() {
 			if _, ok := id.Members[name]; !ok {
 				id.Members[name] = api.Replica{Name: name} // it has never been announced
@@ -292,15 +292,15 @@
 
 // Status returns the state of this replica, and of the service as far as known here.
 func (n *Node) Status() api.Status {
-	s := api.Status{Replica: n.me, State: "starting", Members: n.members(), Voters: n.voterNames(), Watchers: n.watches.watching(), StalenessMs: -1,
-		Region: n.c.Region}
+	s := api.Status{Replica: n.self, State: "starting", Members: n.members(), Voters: n.voterNames(), Watchers: n.watches.activeCount(), StalenessMs: -1,
+		Region: n.config.Region}
 	if at := time.Duration(n.freshAt.Load()); at > 0 {
 		s.StalenessMs = (n.now() - at).Milliseconds()
 	}
-	n.machine.read(func(l *list.List) { s.Revision, s.Endpoints = l.Revision(), l.Len() })
+	n.fsm.read(func(l *list.List) { s.Revision, s.Endpoints = l.Revision(), l.Len() })
 	n.mu.Lock()
 	if n.leading {
-		s.Preserving, s.ExpiredLeases = n.leases.preserving, n.leases.silent(n.now())
+		s.Preserving, s.ExpiredLeases = n.leases.preserving, n.leases.expiredNames(n.now())
 	}
 	n.mu.Unlock()
 	s.Replication = n.replication()
@@ -323,25 +323,25 @@
 
 // readyz reports whether this replica serves lists.
 func (n *Node) readyz(rw http.ResponseWriter, _ *http.Request) {
-	if err := n.freshEnough(); err != nil {
+	if err := n.checkFreshness(); err != nil {
 		writeError(rw, err)
 	}
 }
 
-func (n *Node) announced(_ *http.Request, body []byte) (any, error) {
+func (n *Node) recordAnnouncement(_ *http.Request, body []byte) (any, error) {
 	var m api.Replica
-	if err := read(body, &m); err != nil {
+	if err := decodeBody(body, &m); err != nil {
 		return nil, err
 	}
 	if known, there := n.members()[m.Name]; there && known.DiskID != m.DiskID {
 		return nil, api.Errorf(api.CodeConflict, "%s is known with another disk", m.Name)
 	}
-	return struct{}{}, n.joined(m)
+	return struct{}{}, n.applyAddReplica(m)
 }
 
 func (n *Node) addReplica(_ *http.Request, body []byte) (any, error) {
 	var m api.Replica
-	if err := read(body, &m); err != nil {
+	if err := decodeBody(body, &m); err != nil {
 		return nil, err
 	}
 	if m.Name == "" || len(m.Name) > api.MaxName || !api.IsAddress(m.Raft) || !api.IsAddress(m.API) {
@@ -411,10 +411,10 @@
 }
 
 func (n *Node) backup(*http.Request, []byte) (any, error) {
-	if err := n.consistent(); err != nil {
+	if err := n.barrier(); err != nil {
 		return nil, err
 	}
-	state := n.machine.state()
+	state := n.fsm.state()
 	text, err := json.Marshal(state)
 	if err != nil {
 		return nil, err
@@ -432,7 +432,7 @@
 	}
 	c := list.Command{Op: list.Restore, State: s}
 	if s.Schema() >= list.DocumentSchema {
-		c.Region = n.c.Region
+		c.Region = n.config.Region
 	}
-	return n.done(c)
+	return n.applyWrite(c)
 }
--- a/internal/registry/settings_test.go
+++ b/internal/registry/settings_test.go
@@ -14,14 +14,14 @@
 	"mosslead/internal/registry/client"
 )
 
-// bare is a watch as it is on the wire.
-type bare struct {
+// rawWatch is a watch as it is on the wire.
+type rawWatch struct {
 	t     *testing.T
 	lines chan string
 }
 
-// watchBare opens a watch; its empty lines are left out.
-func watchBare(t *testing.T, at, query string) *bare {
+// openRawWatch opens a watch; its empty lines are left out.
+func openRawWatch(t *testing.T, at, query string) *rawWatch {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+at+"/api/targets?watch=1&"+query, nil)
 	if err != nil {
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bare{t, make(chan string, 64)}
+	b := &rawWatch{t, make(chan string, 64)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -46,7 +46,7 @@
 	return b
 }
 
-func (b *bare) next() string {
+func (b *rawWatch) next() string {
 	b.t.Helper()
 	select {
 	case l := <-b.lines:
@@ -57,14 +57,14 @@
 	}
 }
 
-// form is settings that a sidecar would take in, unlike any with another number.
-func form(n int) string {
+// settingsJSON is settings that a sidecar would take in, unlike any with another number.
+func settingsJSON(n int) string {
 	return fmt.Sprintf(`{"Classes":[{"Name":"read","Semantics":"retryable","DeadlineMs":%d}]}`, 100+n)
 }
 
 // The lines of a watch: those who ask for no settings read what they always read, byte for byte.
 func TestSettingsOnAWatch(t *testing.T) {
-	at := dev(t)
+	at := startDevReplica(t)
 	c := client.New([]string{at})
 	defer c.Close()
 	ctx := t.Context()
@@ -84,37 +84,37 @@
 		t.Fatalf("version %d", v)
 	}
 	const entry = `{"name":"u","address":"127.0.0.1:1","zone":"","type":"","group":0,"status":"Ready","weight":1,"since_ms":0}`
-	plain := watchBare(t, at, "from=-1")
-	orders := watchBare(t, at, "from=-1&service=orders&held=")
-	own := watchBare(t, at, "from=-1&own=1")
-	for _, b := range []*bare{plain, orders, own} {
+	plain := openRawWatch(t, at, "from=-1")
+	orders := openRawWatch(t, at, "from=-1&service=orders&held=")
+	own := openRawWatch(t, at, "from=-1&own=1")
+	for _, b := range []*rawWatch{plain, orders, own} {
 		if got, want := b.next(), `{"index":1,"snapshot":true,"endpoints":[`+entry+`]}`; got != want {
 			t.Errorf("got %s\nwant %s", got, want)
 		}
 	}
-	put("other", form(0), 0) // told by itself, since changes that come together are told together
-	if got, want := own.next(), `{"index":2,"snapshot":false,"endpoints":[],"documents":[{"service":"other","version":2,"schema":1,"settings":`+form(0)+`}]}`; got != want {
+	put("other", settingsJSON(0), 0) // told by itself, since changes that come together are told together
+	if got, want := own.next(), `{"index":2,"snapshot":false,"endpoints":[],"documents":[{"service":"other","version":2,"schema":1,"settings":`+settingsJSON(0)+`}]}`; got != want {
 		t.Errorf("got %s\nwant %s", got, want)
 	}
-	put("orders", form(0), 0)
-	if got, want := orders.next(), `{"index":3,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":3,"schema":1,"settings":`+form(0)+`}]}`; got != want {
+	put("orders", settingsJSON(0), 0)
+	if got, want := orders.next(), `{"index":3,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":3,"schema":1,"settings":`+settingsJSON(0)+`}]}`; got != want {
 		t.Errorf("got %s\nwant %s", got, want)
 	}
 	// Someone who holds it is told nothing of it, and someone who holds another is told at once.
-	holds := watchBare(t, at, "from=3&service=orders&held="+"@3")
-	old := watchBare(t, at, "from=3&service=orders&held=north@9")
+	holds := openRawWatch(t, at, "from=3&service=orders&held="+"@3")
+	old := openRawWatch(t, at, "from=3&service=orders&held=north@9")
 	if got := old.next(); !strings.Contains(got, `"documents":[{"service":"orders","version":3`) {
 		t.Errorf("one that holds another region's gets %s", got)
 	}
 	must(c.Drain(ctx, "u", api.StateChange{}))
 	drained := `{"index":4,"snapshot":false,"endpoints":[` + strings.Replace(entry, "Ready", "Terminating", 1) + `]}`
-	for _, b := range []*bare{plain, holds, old} {
+	for _, b := range []*rawWatch{plain, holds, old} {
 		if got := b.next(); got != drained {
 			t.Errorf("got %s\nwant %s", got, drained)
 		}
 	}
 	must(c.Delete(ctx, "orders", 3))
-	for _, b := range []*bare{holds, old} {
+	for _, b := range []*rawWatch{holds, old} {
 		if got, want := b.next(), `{"index":5,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":5,"schema":0,"deleted":true}]}`; got != want {
 			t.Errorf("got %s\nwant %s", got, want)
 		}
@@ -126,22 +126,22 @@
 		on   *int64
 		code string
 	}{
-		{form(0), nil, api.CodeBadRequest},
+		{settingsJSON(0), nil, api.CodeBadRequest},
 		{`{"classes":[]}`, &zero, api.CodeBadRequest},
 		{`[]`, &zero, api.CodeBadRequest},
-		{form(0), &[]int64{4}[0], api.CodeConflict},
+		{settingsJSON(0), &[]int64{4}[0], api.CodeConflict},
 	} {
 		if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(x.text), IfRevision: x.on}); !api.IsCode(err, x.code) {
 			t.Errorf("%s: %v, want %s", x.text, err, x.code)
 		}
 	}
-	if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 99, Settings: json.RawMessage(form(0)), IfRevision: &zero}); !api.IsCode(err, api.CodeBadRequest) {
+	if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 99, Settings: json.RawMessage(settingsJSON(0)), IfRevision: &zero}); !api.IsCode(err, api.CodeBadRequest) {
 		t.Errorf("of a later schema: %v", err)
 	}
-	if v := put("orders", form(0), 0); v != 6 {
+	if v := put("orders", settingsJSON(0), 0); v != 6 {
 		t.Errorf("put again after it was deleted: version %d", v)
 	}
-	if d, err := c.Document(ctx, "orders", 3, true); err != nil || d.Revision != 3 || string(d.Settings) != form(0) {
+	if d, err := c.Document(ctx, "orders", 3, true); err != nil || d.Revision != 3 || string(d.Settings) != settingsJSON(0) {
 		t.Errorf("version 3: %+v, %v", d, err)
 	}
 	if _, err := c.Document(ctx, "orders", 4, true); !api.IsCode(err, api.CodeNotFound) {
@@ -175,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := put("late", form(0), 0)
+	late := put("late", settingsJSON(0), 0)
 	if err := c.Restore(ctx, backup); err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 // Guards against a replica that is behind by a moment telling an older list to a watcher who comes from one that was ahead: it waits
 // for the version that the watcher has. Where that never comes, the watcher gets the whole list all the same.
 func TestAWatcherWhoIsAheadIsNotToldAnOlderList(t *testing.T) {
-	at := dev(t)
+	at := startDevReplica(t)
 	c := client.New([]string{at})
 	defer c.Close()
 	register := func(name string) {
@@ -204,9 +204,9 @@
 	}
 	register("u1")
 	ahead := make(chan string, 1)
-	go func() { ahead <- watchBare(t, at, "from=2").next() }() // a watch's head comes once it is known what to tell
+	go func() { ahead <- openRawWatch(t, at, "from=2").next() }() // a watch's head comes once it is known what to tell
 	far := make(chan string, 1)
-	go func() { far <- watchBare(t, at, "from=900").next() }()
+	go func() { far <- openRawWatch(t, at, "from=900").next() }()
 	select {
 	case got := <-ahead:
 		t.Fatalf("told %s", got)
@@ -224,12 +224,12 @@
 
 // While a replica of the quorum runs an earlier program, settings are not taken in; what that program knows goes on.
 func TestSettingsBesideAnEarlierReplica(t *testing.T) {
-	at := dev(t)
+	at := startDevReplica(t)
 	c := client.New([]string{at})
 	defer c.Close()
 	ctx := t.Context()
 	zero := int64(0)
-	was := (&quorum{t: t, all: c}).until("it said what it understands", func(reported map[string]api.Status) bool {
+	was := (&quorum{t: t, client: c}).waitForStatus("it said what it understands", func(reported map[string]api.Status) bool {
 		return reported[at].Members["dev"].Schema == 3
 	})[at].Replica
 	announce := func(schema int) {
@@ -247,7 +247,7 @@
 		_ = resp.Body.Close()
 	}
 	put := func() error {
-		_, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(form(0)), IfRevision: &zero})
+		_, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(settingsJSON(0)), IfRevision: &zero})
 		return err
 	}
 	announce(2)
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -34,18 +34,18 @@
 
 // watches notifies all watchers of changes: one goroutine wakes them, and each writes for itself. Safe for concurrent use.
 type watches struct {
-	m      *stateMachine
-	max    int
-	region string       // as sent to watchers that request own entries only
-	fresh  func() error // returns an error if the list is too old to be served
+	fsm            *stateMachine
+	limit          int
+	region         string       // as sent to watchers that request own entries only
+	checkFreshness func() error // returns an error if the list is too old to be served
 
-	mu           sync.Mutex
-	count        int
-	published    int64                   // revision up to which watchers are notified
-	changed      chan struct{}           // closed when there is a change
-	lines        map[lineKey]encodedLine // up to published
-	publishTimer *time.Timer             // of the next publication, if one is due
-	last         time.Time
+	mu                sync.Mutex
+	active            int
+	publishedRevision int64                   // revision up to which watchers are notified
+	changed           chan struct{}           // closed when there is a change
+	lines             map[lineKey]encodedLine // up to published
+	publishTimer      *time.Timer             // of the next publication, if one is due
+	publishedAt       time.Time
 }
 
 // lineKey names a line that several watchers may be sent.
@@ -63,14 +63,14 @@
 
 // watchState is what a watcher requests, and what it has been sent.
 type watchState struct {
-	from     int64
+	revision int64
 	own      bool
 	service  string // whose settings are requested; empty: none
 	settings string // which settings it has, as REGION@VERSION; empty: none
 }
 
 func newWatches(m *stateMachine, limit int, region string, fresh func() error) *watches {
-	return &watches{m: m, max: limit, region: region, fresh: fresh, changed: make(chan struct{}), lines: map[lineKey]encodedLine{}}
+	return &watches{fsm: m, limit: limit, region: region, checkFreshness: fresh, changed: make(chan struct{}), lines: map[lineKey]encodedLine{}}
 }
 
 // notify records that the list has changed. Watchers are notified after a delay that grows with their number.
@@ -80,15 +80,15 @@
 	if w.publishTimer != nil {
 		return
 	}
-	pace := min(time.Duration(w.count)*pacePerWatcher, maxPace)
-	w.publishTimer = time.AfterFunc(max(0, pace-time.Since(w.last)), w.publish)
+	pace := min(time.Duration(w.active)*pacePerWatcher, maxPace)
+	w.publishTimer = time.AfterFunc(max(0, pace-time.Since(w.publishedAt)), w.publish)
 }
 
 func (w *watches) publish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.publishTimer, w.last = nil, time.Now()
-	w.m.read(func(l *list.List) { w.published = l.Revision() })
+	w.publishTimer, w.publishedAt = nil, time.Now()
+	w.fsm.read(func(l *list.List) { w.publishedRevision = l.Revision() })
 	clear(w.lines)
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -97,19 +97,19 @@
 // fullList is the revision of every watcher that needs the full list, so that they share one line.
 const fullList = -1
 
-// line returns what is to be sent to a watcher, nil for nothing, the state of the watcher after that, and a channel that is
+// nextLine returns what is to be sent to a watcher, nil for nothing, the state of the watcher after that, and a channel that is
 // closed on the next change. first tells that the watcher has been sent nothing yet.
-func (w *watches) line(has watchState, first bool) (text []byte, then watchState, next <-chan struct{}, err error) {
+func (w *watches) nextLine(has watchState, first bool) (text []byte, then watchState, next <-chan struct{}, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	next = w.changed
-	if has.from == w.published && (!first || has.service == "") {
+	if has.revision == w.publishedRevision && (!first || has.service == "") {
 		return nil, has, next, nil
 	}
 	var l api.WatchEvent
-	of := lineKey{from: has.from, own: has.own}
+	of := lineKey{from: has.revision, own: has.own}
 	then = has
-	w.m.read(func(x *list.List) {
+	w.fsm.read(func(x *list.List) {
 		if !x.Remembers(of.from) {
 			of.from = fullList
 		}
@@ -140,19 +140,19 @@
 		}
 	})
 	if text != nil {
-		then.from = w.published
+		then.revision = w.publishedRevision
 		return text, then, next, nil
 	}
-	then.from = l.Revision
+	then.revision = l.Revision
 	if !l.Snapshot && len(l.Endpoints) == 0 && len(l.Documents) == 0 { // nothing, or only changes that have been reverted
-		then.from = max(has.from, l.Revision)
+		then.revision = max(has.revision, l.Revision)
 		return nil, then, next, nil
 	}
 	if text, err = json.Marshal(l); err != nil {
 		return nil, has, next, fmt.Errorf("wording a change: %w", err)
 	}
 	text = append(text, '\n')
-	if l.Revision == w.published && len(w.lines) < maxCachedLines {
+	if l.Revision == w.publishedRevision && len(w.lines) < maxCachedLines {
 		w.lines[of] = encodedLine{text, then.settings}
 	}
 	return text, then, next, nil
@@ -169,7 +169,7 @@
 		writeError(rw, api.Errorf(api.CodeBadRequest, "from: a whole number, not %.40q", r.FormValue("from")))
 		return
 	}
-	has := watchState{from: from, own: r.FormValue("own") != "", service: r.FormValue("service"), settings: r.FormValue("held")}
+	has := watchState{revision: from, own: r.FormValue("own") != "", service: r.FormValue("service"), settings: r.FormValue("held")}
 	if len(has.service) > api.MaxName || has.own && has.service != "" {
 		writeError(rw, api.Errorf(api.CodeBadRequest, "service: at most %d bytes, and not with own", api.MaxName))
 		return
@@ -177,24 +177,24 @@
 	if !has.own { // another region handles an older revision itself
 		w.catchUp(r.Context(), from)
 	}
-	if err := w.fresh(); err != nil {
+	if err := w.checkFreshness(); err != nil {
 		writeError(rw, err)
 		return
 	}
 	w.mu.Lock()
-	full := w.count >= w.max
+	full := w.active >= w.limit
 	if !full {
-		w.count++
+		w.active++
 	}
 	w.mu.Unlock()
 	if full {
 		rw.Header().Set("Retry-After", "1")
-		writeError(rw, api.Errorf(api.CodeFull, "%d watches", w.max))
+		writeError(rw, api.Errorf(api.CodeFull, "%d watches", w.limit))
 		return
 	}
 	defer func() {
 		w.mu.Lock()
-		w.count--
+		w.active--
 		w.mu.Unlock()
 	}()
 	conn, buffers, err := http.NewResponseController(rw).Hijack()
@@ -207,7 +207,7 @@
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	w.follow(conn, has, r.Context().Done())
+	w.sendChanges(conn, has, r.Context().Done())
 }
 
 // catchUp blocks until a revision is published here, or for catchUpTimeout. Without it, a watcher that comes from a replica
@@ -217,7 +217,7 @@
 	defer late.Stop()
 	for {
 		w.mu.Lock()
-		published, next := w.published, w.changed
+		published, next := w.publishedRevision, w.changed
 		w.mu.Unlock()
 		if from <= published {
 			return
@@ -232,28 +232,28 @@
 	}
 }
 
-const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\nTrailer: " +
+const watchResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\nTrailer: " +
 	endTrailer + "\r\nConnection: close\r\n\r\n"
 
 // endTrailer is the trailer with the reason for which a watch was ended.
 const endTrailer = "X-Registry-End"
 
-var errWatchOver = errors.New("this replica stops")
+var errStopping = errors.New("this replica stops")
 
-// follow sends changes until the watcher disconnects, or the list here is too old to be served.
-func (w *watches) follow(conn net.Conn, has watchState, over <-chan struct{}) {
+// sendChanges sends changes until the watcher disconnects, or the list here is too old to be served.
+func (w *watches) sendChanges(conn net.Conn, has watchState, over <-chan struct{}) {
 	out := chunkWriter{conn}
-	if !out.write([]byte(watchHead), false) {
+	if !out.write([]byte(watchResponseHead), false) {
 		return
 	}
 	idle := time.NewTimer(keepaliveInterval)
 	defer idle.Stop()
 	for first := true; ; first = false {
-		if err := w.fresh(); err != nil {
+		if err := w.checkFreshness(); err != nil {
 			out.end(err)
 			return
 		}
-		text, then, next, err := w.line(has, first)
+		text, then, next, err := w.nextLine(has, first)
 		if err != nil {
 			out.end(err)
 			return
@@ -278,7 +278,7 @@
 			}
 			idle.Reset(keepaliveInterval)
 		case <-over:
-			out.end(errWatchOver)
+			out.end(errStopping)
 			return
 		}
 	}
@@ -306,8 +306,8 @@
 	_ = w.Flush()
 }
 
-func (w *watches) watching() int {
+func (w *watches) activeCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.count
+	return w.active
 }
