--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -30,7 +30,7 @@
 	// time between two checks above which this process was stopped, not the servers
 	stallThreshold = 10 * leaseCheckInterval
 	// number of leases below which the service is never suspected
-	minSuspicious = 3
+	minExpiredToPreserve = 3
 )
 
 // reset starts with the leases of a list, all of them renewed.
@@ -85,7 +85,7 @@
 	}
 	l.checkedAt = now
 	silent := l.expiredNames(now)
-	l.preserving = len(silent) >= minSuspicious && float64(len(silent)) > l.preserveFraction*float64(len(l.byName)) && !l.overruled
+	l.preserving = len(silent) >= minExpiredToPreserve && float64(len(silent)) > l.preserveFraction*float64(len(l.byName)) && !l.overruled
 	if len(silent) == 0 {
 		l.overruled = false
 	}
