--- a/internal/registry/config_test.go
+++ b/internal/registry/config_test.go
@@ -13,7 +13,7 @@
 	follow := func(region, api string) string {
 		return "[[follow]]\nregion = \"" + region + "\"\napi = [" + api + "]\n"
 	}
-	for _, x := range []struct{ name, top, tables, wrong string }{
+	for _, test := range []struct{ name, top, tables, wantErr string }{
 		{"one region", "", "", ""},
 		{"two", "region = \"south\"\n", follow("north", `"127.0.0.1:3", "127.0.0.1:4"`), ""},
 		{"a region without others", "region = \"south\"\n", "", ""},
@@ -25,15 +25,15 @@
 		{"no address", "region = \"south\"\n", follow("north", `"north"`), `host:port, not "north"`},
 		{"unknown key", "region = \"south\"\n", follow("north", `"127.0.0.1:3"`) + "name = \"n\"\n", "unknown key follow.name"},
 		{"a long name", "region = \"" + strings.Repeat("r", 65) + "\"\n", "", "at most 64"},
-		{"too many", "region = \"south\"\n", strings.Repeat(follow("north", `"127.0.0.1:3"`), MaxFollow+1), "are the most"},
+		{"too many", "region = \"south\"\n", strings.Repeat(follow("north", `"127.0.0.1:3"`), MaxFollow+1), "at most 15 are allowed"},
 	} {
 		path := filepath.Join(t.TempDir(), "replica.toml")
-		if err := os.WriteFile(path, []byte(base+x.top+replica+x.tables), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(base+test.top+replica+test.tables), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		_, err := LoadConfig(path)
-		if (x.wrong == "") != (err == nil) || err != nil && (!strings.Contains(err.Error(), x.wrong) || !strings.Contains(err.Error(), path)) {
-			t.Errorf("%s: %v, want %q", x.name, err, x.wrong)
+		if (test.wantErr == "") != (err == nil) || err != nil && (!strings.Contains(err.Error(), test.wantErr) || !strings.Contains(err.Error(), path)) {
+			t.Errorf("%s: got error %v, want one with %q and the path", test.name, err, test.wantErr)
 		}
 	}
 }
--- a/internal/registry/documents.go
+++ b/internal/registry/documents.go
@@ -10,7 +10,7 @@
 	"mosslead/internal/settings"
 )
 
-// applyDocument applies a command of schema 3 through the log.
+// applyDocument commits a command on documents, which all replicas must understand (schema 3).
 func (n *Node) applyDocument(c list.Command) (list.Result, error) {
 	if err := n.requireSchema(list.DocumentSchema); err != nil {
 		return list.Result{}, err
@@ -21,35 +21,36 @@
 
 // putSettings changes the settings of a service, if a sidecar would accept them.
 func (n *Node) putSettings(r *http.Request, body []byte) (any, error) {
-	var p api.PutRequest
+	var request api.PutRequest
 	service := r.PathValue("service")
-	if err := decodeBody(body, &p); err != nil {
+	if err := decodeBody(body, &request); err != nil {
 		return nil, err
 	}
-	if err := p.Check(service); err != nil {
+	if err := request.Check(service); err != nil {
 		return nil, err
 	}
-	if _, err := settings.Check(p.Schema, p.Settings); err != nil {
+	if _, err := settings.Check(request.Schema, request.Settings); err != nil {
 		return nil, api.Errorf(api.CodeBadRequest, "settings: %v", err)
 	}
-	return n.writeDocument(list.Command{Op: list.PutDocument, Name: service, IfRevision: p.IfRevision, Document: &api.Document{Service: service, Schema: p.Schema, Settings: p.Settings}})
+	return n.writeDocument(list.Command{Op: list.PutDocument, Name: service, IfRevision: request.IfRevision, Document: &api.Document{Service: service, Schema: request.Schema, Settings: request.Settings}})
 }
 
 func (n *Node) deleteSettings(r *http.Request, body []byte) (any, error) {
-	var p api.PutRequest
+	var request api.PutRequest
 	service := r.PathValue("service")
-	if err := decodeBody(body, &p); err != nil {
+	if err := decodeBody(body, &request); err != nil {
 		return nil, err
 	}
 	switch {
 	case len(service) > api.MaxName:
 		return nil, api.Errorf(api.CodeBadRequest, "service: at most %d bytes", api.MaxName)
-	case p.IfRevision == nil || *p.IfRevision < 0:
+	case request.IfRevision == nil || *request.IfRevision < 0:
 		return nil, api.Errorf(api.CodeBadRequest, "if_version: the version that is to be deleted")
 	}
-	return n.writeDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: p.IfRevision})
+	return n.writeDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: request.IfRevision})
 }
 
+// writeDocument commits a command on a document, and returns the new revision.
 func (n *Node) writeDocument(c list.Command) (any, error) {
 	result, err := n.applyDocument(c)
 	return api.WriteResult{Revision: result.Revision}, err
@@ -92,7 +93,7 @@
 	return nil, api.Errorf(api.CodeNotFound, "settings of %s", service)
 }
 
-// recordAcks handles the acknowledgements of sidecars.
+// recordAcks stores the acknowledgements of sidecars.
 func (n *Node) recordAcks(_ *http.Request, body []byte) (any, error) {
 	var reported api.Acks
 	if err := decodeBody(body, &reported); err != nil {
@@ -122,8 +123,8 @@
 	var published []api.Document
 	n.fsm.read(func(l *list.List) {
 		for _, d := range l.Documents() {
-			if one, _ := l.Document(d.Service); one.Region == d.Region {
-				published = append(published, one)
+			if sent, _ := l.Document(d.Service); sent.Region == d.Region {
+				published = append(published, sent)
 			}
 		}
 	})
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -19,39 +19,39 @@
 
 const (
 	identityRetryInterval = 300 * time.Millisecond
-	// identityTimeout is how long a replica that belonged to the quorum looks for others that know of a newer disk or start
-	// of it, before it continues with its own data: all may have been down.
+	// identityTimeout is how long a replica that belonged to the quorum waits for the others to answer whether they know a newer
+	// disk or start of it. Then it continues with its own data, since all replicas may have been down.
 	identityTimeout = time.Second
 )
 
-// joinQuorum decides how this replica joins. It returns the quorum to form, or none.
+// joinQuorum makes this replica join the quorum. It returns the servers of the quorum if it is to be formed, otherwise nil.
 //
-// A quorum is formed once, and only when all of its replicas report that they belong to none, so that one that lost its
-// disk does not form a second quorum. If others know this replica with another disk, or with more starts than its own disk
+// A quorum is formed once, and only when all of its replicas report that they belong to none, so that a replica that lost
+// its disk does not form a second quorum. If others know this replica with another disk, or with more starts than its own disk
 // has recorded (a restored copy), its data is quarantined and it joins as a new replica: a forgotten vote could undo
 // committed entries.
 func (n *Node) joinQuorum(ctx context.Context) ([]raft.Server, error) {
 	if n.config.Dev {
 		return []raft.Server{{ID: raft.ServerID(n.self.Name), Address: "dev"}}, nil
 	}
-	formed := n.wasInQuorum()
-	for begun := time.Now(); ctx.Err() == nil; {
+	wasMember := n.wasInQuorum()
+	for started := time.Now(); ctx.Err() == nil; {
 		answered, known, err := n.queryIdentities(ctx)
 		switch {
-		case known != nil && known.DiskID == "" && !formed: // the others have just formed it
+		case known != nil && known.DiskID == "" && !wasMember: // the others have just formed the quorum
 			return n.initialServers(), nil
 		case known != nil && (known.DiskID == "" || known.DiskID == n.self.DiskID && n.self.StartCount > known.StartCount):
-			return nil, nil // the others know this disk, and no newer start
+			return nil, nil // the others know this disk, and no later start
 		case known != nil:
 			if err = n.rejoin(ctx, *known); err == nil {
 				return nil, nil
 			}
 			n.log.Warn("join rejected", "component", "registry", "node", n.self.Name, "err", err)
-		case formed && (answered == len(n.others()) || time.Since(begun) > identityTimeout):
+		case wasMember && (answered == len(n.others()) || time.Since(started) > identityTimeout):
 			return nil, nil
-		case !formed && !n.config.Join && answered == len(n.others()) && err == nil:
+		case !wasMember && !n.config.Join && answered == len(n.others()) && err == nil:
 			return n.initialServers(), nil
-		case !formed && n.config.Join && answered > 0:
+		case !wasMember && n.config.Join && answered > 0:
 			if err = n.requestJoin(ctx); err == nil {
 				return nil, nil
 			}
@@ -65,10 +65,11 @@
 	return nil, nil
 }
 
+// wasInQuorum reports whether the stored identity says that this replica has belonged to the quorum.
 func (n *Node) wasInQuorum() bool {
 	text, _, err := n.identityFile.Read()
-	var known identity
-	return err == nil && json.Unmarshal(text, &known) == nil && known.Formed
+	var stored identity
+	return err == nil && json.Unmarshal(text, &stored) == nil && stored.Formed
 }
 
 // others returns the other configured replicas.
@@ -84,10 +85,10 @@
 }
 
 // errNotMember is returned if others belong to a quorum without this replica.
-var errNotMember = errors.New("there is a quorum, and it does not know this replica")
+var errNotMember = errors.New("there is a quorum that does not include this replica")
 
-// queryIdentities requests the identities of the others. known is what a formed quorum knows of this replica, as reported
-// with the highest number of starts.
+// queryIdentities requests the identities of the others, and returns how many answered. known is this replica as members of
+// a formed quorum know it, with the highest start count that any of them reports; nil if none knows it.
 func (n *Node) queryIdentities(ctx context.Context) (answered int, known *api.Replica, err error) {
 	for _, p := range n.others() {
 		var id api.Identity
@@ -107,7 +108,7 @@
 	return answered, known, err
 }
 
-// rejoin quarantines the data of this replica, and requests to be removed and added again.
+// rejoin moves the data of this replica aside, and requests that the quorum removes this replica and adds it again.
 func (n *Node) rejoin(ctx context.Context, known api.Replica) error {
 	n.log.Warn("disk unknown to the quorum, rejoining as a new replica", "component", "registry", "node", n.self.Name,
 		"starts", n.self.StartCount, "known_starts", known.StartCount)
@@ -130,9 +131,9 @@
 	return n.requestJoin(ctx)
 }
 
-// requestJoin requests any of the others to add this replica.
+// requestJoin asks the others in turn to add this replica, until one succeeds.
 func (n *Node) requestJoin(ctx context.Context) error {
-	err := errors.New("nobody to ask")
+	err := errors.New("no other replica is configured")
 	for _, p := range n.others() {
 		if err = n.call(ctx, http.MethodPost, n.apiURL(p.Name, p.API)+"/v1/replicas", n.self, nil); err == nil {
 			return nil
@@ -141,25 +142,25 @@
 	return err
 }
 
-// apiURL returns the URL of a replica's API, as reached from here.
-func (n *Node) apiURL(name, known string) string {
+// apiURL returns the URL at which this replica reaches another one's API. address is used unless Config.Dial overrides it.
+func (n *Node) apiURL(name, address string) string {
 	if p, ok := n.config.Dial[name]; ok && p.API != "" {
-		known = p.API
+		address = p.API
 	}
-	return "http://" + known
+	return "http://" + address
 }
 
-// call sends a request to another replica.
-func (n *Node) call(ctx context.Context, method, url string, change, answer any) error {
-	var body io.Reader
-	if change != nil {
-		text, err := json.Marshal(change)
+// call sends a request to another replica, and decodes the response into result. body is encoded as JSON unless it is nil.
+func (n *Node) call(ctx context.Context, method, url string, body, result any) error {
+	var reader io.Reader
+	if body != nil {
+		text, err := json.Marshal(body)
 		if err != nil {
 			return err
 		}
-		body = bytes.NewReader(text)
+		reader = bytes.NewReader(text)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, body)
+	req, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
 		return err
 	}
@@ -168,7 +169,7 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return api.ReadAnswer(resp, answer)
+	return api.ReadAnswer(resp, result)
 }
 
 // admitReplica adds a replica as the leader, or changes its address or disk.
@@ -177,14 +178,14 @@
 	if r == nil {
 		return errNotJoined
 	}
-	known, there := n.members()[m.Name]
-	if there && known.DiskID != "" && known.DiskID != m.DiskID || there && m.StartCount < known.StartCount {
+	known, exists := n.members()[m.Name]
+	if exists && known.DiskID != "" && known.DiskID != m.DiskID || exists && m.StartCount < known.StartCount {
 		if n.voterCount() == 1 {
 			return api.Errorf(api.CodeConflict, "%s is the only replica", m.Name)
 		}
 	}
-	// Removed first, so that the quorum never counts votes of a lost disk.
-	if there {
+	// A replica that is already a member is removed first, so that the quorum never counts votes of a lost disk.
+	if exists {
 		if err := r.RemoveServer(raft.ServerID(m.Name), 0, raftTimeout).Error(); err != nil {
 			return api.Errorf(api.CodeNoLeader, "%v", err)
 		}
@@ -204,7 +205,7 @@
 	if r == nil {
 		return errNotJoined
 	}
-	if _, there := n.members()[name]; !there {
+	if _, exists := n.members()[name]; !exists {
 		return api.Errorf(api.CodeNotFound, "replica %s", name)
 	}
 	if n.voterCount() == 1 {
@@ -226,11 +227,11 @@
 	if r == nil {
 		return nil
 	}
-	f := r.GetConfiguration()
-	if f.Error() != nil {
+	future := r.GetConfiguration()
+	if future.Error() != nil {
 		return nil
 	}
-	for _, s := range f.Configuration().Servers {
+	for _, s := range future.Configuration().Servers {
 		if s.Suffrage == raft.Voter {
 			names = append(names, string(s.ID))
 		}
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -12,12 +12,12 @@
 	"mosslead/internal/registry/list"
 )
 
-// stateMachine holds the list that the log produces. It implements raft.FSM, and is safe for concurrent readers.
+// stateMachine holds the list that results from the log. It implements raft.FSM, and is safe for concurrent readers.
 type stateMachine struct {
 	mu           sync.RWMutex
 	list         *list.List
-	onEntries    func(records []api.Record) // called after a command with the present entries, without mu
-	onLeadership func(r list.Result)        // called after a command on leaderships, or one that voids them, without mu
+	onEntries    func(records []api.Record) // called without mu after a command, with the records that it may have changed
+	onLeadership func(r list.Result)        // called without mu after a command on leaderships, or one that voids them
 
 	uncheckedRegions bool // see faultRollback
 }
@@ -25,7 +25,7 @@
 // Apply implements raft.FSM: it applies a committed command.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	var c list.Command
-	if err := json.Unmarshal(l.Data, &c); err != nil { // of a newer version of the program
+	if err := json.Unmarshal(l.Data, &c); err != nil { // written by a newer version of the program
 		return list.Result{Err: api.Errorf(api.CodeBadRequest, "log entry %d: %v", l.Index, err)}
 	}
 	c.Index = l.Index
@@ -34,29 +34,29 @@
 		m.list.SkipRegionChecks()
 	}
 	result := m.list.Apply(c)
-	var now []api.Record
+	var changed []api.Record
 	switch c.Op {
-	case list.AcquireLeadership, list.RenewLeadership, list.ReleaseLeadership, list.ForgetLeaderships, list.PutDocument, list.DeleteDocument, list.ReplicateRegion: // no own entry changes
+	case list.AcquireLeadership, list.RenewLeadership, list.ReleaseLeadership, list.ForgetLeaderships, list.PutDocument, list.DeleteDocument, list.ReplicateRegion: // these change no entry of this region
 	case list.Restore:
-		now = m.list.Records()
+		changed = m.list.Records()
 	case list.Expire:
-		for _, x := range c.Expired {
-			r, _ := m.list.Get(x.Name)
-			now = append(now, r)
+		for _, heartbeat := range c.Expired {
+			r, _ := m.list.Get(heartbeat.Name)
+			changed = append(changed, r)
 		}
 	default:
-		r, there := m.list.Get(c.Name)
-		if !there {
+		r, exists := m.list.Get(c.Name)
+		if !exists {
 			r.ServerStatus = api.Removed
 		}
-		now = append(now, r)
+		changed = append(changed, r)
 	}
 	m.mu.Unlock()
 	switch {
 	case result.Leadership.Name != "" || result.LeadershipsVoid || c.Op == list.ForgetLeaderships:
 		m.onLeadership(result)
 	case result.Err == nil:
-		m.onEntries(now)
+		m.onEntries(changed)
 	}
 	return result
 }
@@ -85,9 +85,9 @@
 	}
 	m.mu.Lock()
 	m.list = list.Load(s, list.CompactionWindow)
-	now := m.list.Records()
+	records := m.list.Records()
 	m.mu.Unlock()
-	m.onEntries(now)
+	m.onEntries(records)
 	return nil
 }
 
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -6,7 +6,8 @@
 	"mosslead/internal/golden"
 )
 
-// A replica reads the identity that an earlier version wrote, and operators restore earlier backups.
+// Guards the encoded names of stored data: a replica reads the identity that an earlier version wrote, and operators restore
+// backups of earlier versions.
 func TestStoredFormsKeepTheirKeys(t *testing.T) {
 	golden.JSON(t, "stored", &identity{}, &Backup{})
 }
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -8,8 +8,9 @@
 	"mosslead/internal/registry/list"
 )
 
-const maxClaimBody = 4 << 10 // bytes of a claim
+const maxClaimBody = 4 << 10 // bytes of a request body with a claim
 
+// schemaFeatures says, for error messages, what a schema added.
 var schemaFeatures = map[int]string{list.LeadershipSchema: "duties", list.DocumentSchema: "settings and other regions"}
 
 // requireSchema returns an error unless all replicas of the quorum understand a schema: one that does not would diverge.
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// applyLeadership applies a command of schema 2 through the log.
+// applyLeadership commits a command on leaderships, which all replicas must understand (schema 2).
 func (n *Node) applyLeadership(c list.Command) (list.Result, error) {
 	if err := n.requireSchema(list.LeadershipSchema); err != nil {
 		return list.Result{}, err
@@ -47,7 +48,7 @@
 	}
 }
 
-// decodeClaim decodes a claim to a leadership.
+// decodeClaim decodes and checks a claim to a leadership. held means that the claim renews or releases one.
 func decodeClaim(r *http.Request, body []byte, held bool) (c api.LeadershipClaim, err error) {
 	if err := decodeBody(body, &c); err != nil {
 		return c, err
@@ -61,7 +62,7 @@
 }
 
 // acquireLeadership grants a leadership that nobody holds, or whose lease has expired; otherwise the grant names the holder
-// and when to retry. Rejections bypass the log: one by a deposed leader does no harm.
+// and when to retry. A rejection is not written to the log, since one by a deposed leader does no harm.
 func (n *Node) acquireLeadership(r *http.Request, body []byte) (any, error) {
 	c, err := decodeClaim(r, body, false)
 	if err != nil {
@@ -70,26 +71,26 @@
 	if err := n.requireSchema(list.LeadershipSchema); err != nil {
 		return nil, err
 	}
-	var d list.Leadership
+	var leadership list.Leadership
 	var held bool
-	n.fsm.read(func(l *list.List) { d, held = l.Leadership(c.Name) })
+	n.fsm.read(func(l *list.List) { leadership, held = l.Leadership(c.Name) })
 	n.mu.Lock()
 	if !n.leading {
 		n.mu.Unlock()
 		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
-	over, after, change := n.leaderships.Decide(n.now(), d, held, c)
+	expiredTerm, retryAfter, acquire := n.leaderships.Decide(n.now(), leadership, held, c)
 	n.mu.Unlock()
-	if !change {
-		g := d.Grant()
-		g.RetryAfterMs = after.Milliseconds()
+	if !acquire {
+		g := leadership.Grant()
+		g.RetryAfterMs = retryAfter.Milliseconds()
 		return g, nil
 	}
-	return n.applyClaim(list.Command{Op: list.AcquireLeadership, Claim: &list.LeadershipClaim{LeadershipClaim: c, ExpiredTerm: over}})
+	return n.applyClaim(list.Command{Op: list.AcquireLeadership, Claim: &list.LeadershipClaim{LeadershipClaim: c, ExpiredTerm: expiredTerm}})
 }
 
-// changeLeadership renews or releases; a claim without a valid lease changes nothing, and the grant names the
-// holder.
+// changeLeadership returns a handler that renews or releases a leadership. A claim without a valid lease changes nothing, and
+// the grant names the holder.
 func (n *Node) changeLeadership(op string) handler {
 	return func(r *http.Request, body []byte) (any, error) {
 		c, err := decodeClaim(r, body, true)
@@ -107,7 +108,7 @@
 	case api.IsCode(err, api.CodeConflict):
 		g := result.Leadership.Grant()
 		g.Name = c.Claim.Name
-		if c.Op == list.AcquireLeadership { // another candidate was first
+		if c.Op == list.AcquireLeadership { // the claim of another candidate was committed first
 			g.RetryAfterMs = (500 * time.Millisecond).Milliseconds()
 		}
 		return g, nil
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -8,15 +8,15 @@
 )
 
 // leaseTable holds the leases of registered servers, in the leader's memory only: heartbeats bypass the log, and a new leader
-// renews all leases, so that a lost one only makes a lease last longer. Times are on the monotonic clock. Not safe for
-// concurrent use.
+// renews all leases, so that heartbeats lost with the old leader only make leases last longer. Times are on the monotonic
+// clock. Not safe for concurrent use.
 type leaseTable struct {
 	grace            time.Duration // between a lease's end and the removal of its entry
-	preserveFraction float64       // of leases expired at once above which the service itself is suspected
+	preserveFraction float64       // fraction of leases expired at once above which entries are preserved
 	byName           map[string]serverLease
-	checkedAt        time.Duration
-	preserving       bool
-	overruled        bool
+	checkedAt        time.Duration // time of the latest call of expire
+	preserving       bool          // entries with expired leases are preserved
+	overruled        bool          // an operator has decided that preserved entries are to be removed
 }
 
 type serverLease struct {
@@ -27,13 +27,13 @@
 
 const (
 	leaseCheckInterval = 100 * time.Millisecond
-	// time between two checks above which this process was stopped, not the servers
+	// stallThreshold is the time between two checks above which this process was stopped, not the servers.
 	stallThreshold = 10 * leaseCheckInterval
-	// number of leases below which the service is never suspected
+	// minExpiredToPreserve is the number of expired leases below which entries are never preserved.
 	minExpiredToPreserve = 3
 )
 
-// reset starts with the leases of a list, all of them renewed.
+// reset replaces all leases with those of the records, each of them renewed.
 func (l *leaseTable) reset(now time.Duration, records []api.Record) {
 	l.byName, l.checkedAt, l.preserving, l.overruled = map[string]serverLease{}, now, false, false
 	for _, r := range records {
@@ -41,7 +41,7 @@
 	}
 }
 
-// update renews the lease of a record, or ends it.
+// update renews the lease of a record, or deletes it if the server was removed or has no lease.
 func (l *leaseTable) update(now time.Duration, r api.Record) {
 	if r.ServerStatus == api.Removed || r.LeaseMs == 0 {
 		delete(l.byName, r.Name)
@@ -51,22 +51,22 @@
 	l.byName[r.Name] = serverLease{r.Incarnation, length, now + length}
 }
 
-// renew renews a lease; it returns false if there is none.
-func (l *leaseTable) renew(now time.Duration, x api.Heartbeat) bool {
-	had, ok := l.byName[x.Name]
-	if !ok || had.incarnation != x.Incarnation {
+// renew renews a lease. It returns false if that incarnation has none.
+func (l *leaseTable) renew(now time.Duration, heartbeat api.Heartbeat) bool {
+	lease, ok := l.byName[heartbeat.Name]
+	if !ok || lease.incarnation != heartbeat.Incarnation {
 		return false
 	}
-	had.expiresAt = now + had.length
-	l.byName[x.Name] = had
+	lease.expiresAt = now + lease.length
+	l.byName[heartbeat.Name] = lease
 	return true
 }
 
-// expiredNames returns the servers whose leases have expired, in order.
+// expiredNames returns the names of the servers whose leases have expired, sorted.
 func (l *leaseTable) expiredNames(now time.Duration) []string {
 	var names []string
-	for name, x := range l.byName {
-		if now > x.expiresAt {
+	for name, lease := range l.byName {
+		if now > lease.expiresAt {
 			names = append(names, name)
 		}
 	}
@@ -76,26 +76,26 @@
 
 // expire returns the leases whose entries are to be removed. If too many expired within grace of each other, the fault is
 // assumed to be the service's, and no entry is removed until heartbeats return or an operator overrules.
-func (l *leaseTable) expire(now time.Duration) (ended []api.Heartbeat) {
+func (l *leaseTable) expire(now time.Duration) (toRemove []api.Heartbeat) {
 	if gap := now - l.checkedAt; gap > stallThreshold { // heartbeats could not be received meanwhile
-		for name, x := range l.byName {
-			x.expiresAt += gap
-			l.byName[name] = x
+		for name, lease := range l.byName {
+			lease.expiresAt += gap
+			l.byName[name] = lease
 		}
 	}
 	l.checkedAt = now
-	silent := l.expiredNames(now)
-	l.preserving = len(silent) >= minExpiredToPreserve && float64(len(silent)) > l.preserveFraction*float64(len(l.byName)) && !l.overruled
-	if len(silent) == 0 {
+	expired := l.expiredNames(now)
+	l.preserving = len(expired) >= minExpiredToPreserve && float64(len(expired)) > l.preserveFraction*float64(len(l.byName)) && !l.overruled
+	if len(expired) == 0 {
 		l.overruled = false
 	}
 	if l.preserving {
 		return nil
 	}
-	for _, name := range silent {
-		if x := l.byName[name]; now > x.expiresAt+l.grace {
-			ended = append(ended, api.Heartbeat{Name: name, Incarnation: x.incarnation})
+	for _, name := range expired {
+		if lease := l.byName[name]; now > lease.expiresAt+l.grace {
+			toRemove = append(toRemove, api.Heartbeat{Name: name, Incarnation: lease.incarnation})
 		}
 	}
-	return ended
+	return toRemove
 }
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -1,9 +1,9 @@
 // Package registry implements a replica of the list service.
 //
 // node.go runs the replica, raft.go its replicated log, and forming.go how it joins the quorum. fsm.go applies the log to
-// the list, leases.go holds the leases of servers, watches.go sends changes to watchers, and server.go serves calls; those
-// on leaderships are in leadership.go, on settings in documents.go, and the sidecars' acknowledgements of settings in
-// acks.go. regions.go replicates other regions.
+// the list, leases.go holds the leases of servers, watches.go sends changes to watchers, and server.go serves calls. The
+// handlers of calls on leaderships are in leadership.go, those on settings in documents.go. acks.go stores the sidecars'
+// acknowledgements of settings, and regions.go replicates other regions.
 package registry
 
 import (
@@ -32,37 +32,37 @@
 )
 
 const (
-	raftWriteTimeout  = 2 * time.Second // for a command to be committed
-	freshnessInterval = 200 * time.Millisecond
+	raftWriteTimeout  = 2 * time.Second        // for raft to accept a command, not to commit it
+	freshnessInterval = 200 * time.Millisecond // between two updates of freshAt
 	retainedSnapshots = 2
-	raftTimeout       = 2 * time.Second
+	raftTimeout       = 2 * time.Second // for other calls of raft, and to other replicas
 )
 
 // Node is one replica. Run must be called once; all other methods are safe for concurrent use while it runs.
 type Node struct {
 	config       *Config
 	log          *slog.Logger
-	identityFile *durable.SnapshotFile // identity
+	identityFile *durable.SnapshotFile // stores an identity
 	lock         *durable.DirLock
 	self         api.Replica
 	fsm          *stateMachine
 	watches      *watches
-	client       *http.Client // to other replicas
-	start        time.Time
+	client       *http.Client // for calls to other replicas
+	start        time.Time    // origin of the times here
 
 	raft atomic.Pointer[raft.Raft] // nil until the replica has joined the quorum
 
 	mu          sync.Mutex
 	leases      leaseTable
-	leaderships leasetable.Table // of leaderships
+	leaderships leasetable.Table // leases of leaderships
 	acks        acks
-	followers   map[string]*follower // of other regions, by name; while this replica leads
-	leading     bool                 // it is the leader, and all earlier commits are applied here
+	followers   map[string]*follower // by region; nil unless this replica leads
+	leading     bool                 // this replica is the leader, and has applied all earlier commits
 
-	freshAt atomic.Int64 // time since the start at which the list was last known to be fresh
+	freshAt atomic.Int64 // time since start at which the list was last known to be fresh; 0 if it never was
 }
 
-// identity is what a replica stores about itself.
+// identity is what a replica stores about itself. Formed means that it has belonged to the quorum.
 type identity struct {
 	Disk   string `json:"disk"`
 	Starts int64  `json:"starts"`
@@ -85,7 +85,7 @@
 	return n, n.loadIdentity()
 }
 
-// loadIdentity reads the identity of this replica, and counts the start.
+// loadIdentity locks the directory, reads the identity of this replica, and stores it with this start counted.
 func (n *Node) loadIdentity() error {
 	dir := filepath.Join(n.config.Dir, "identity")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -102,16 +102,16 @@
 		return fmt.Errorf("identity: %w", err)
 	}
 	for _, d := range damages {
-		n.log.Warn("damaged", "component", "registry", "file", d.File, "err", d.Err)
+		n.log.Warn("identity file damaged", "component", "registry", "file", d.File, "err", d.Err)
 	}
-	known := identity{Disk: n.self.DiskID}
+	stored := identity{Disk: n.self.DiskID}
 	if text != nil {
-		if err := json.Unmarshal(text, &known); err != nil {
+		if err := json.Unmarshal(text, &stored); err != nil {
 			return fmt.Errorf("identity: %w", err)
 		}
 	}
-	n.self.DiskID, n.self.StartCount = known.Disk, known.Starts+1
-	return n.saveIdentity(known.Formed)
+	n.self.DiskID, n.self.StartCount = stored.Disk, stored.Starts+1
+	return n.saveIdentity(stored.Formed)
 }
 
 func (n *Node) saveIdentity(formed bool) error {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Run serves until ctx ends, and then returns.
+// Run runs the replica until ctx ends, and then returns nil; it returns an error if the replica fails before that.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -136,7 +136,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	signal.Ignore(syscall.SIGXFSZ) // a write beyond a limit of file size fails, and must not end the process
+	signal.Ignore(syscall.SIGXFSZ) // a write beyond the limit of file size must fail without ending the process
 	server := n.server(ctx)
 	var running sync.WaitGroup
 	running.Go(func() {
@@ -172,14 +172,14 @@
 
 // participate joins the quorum, runs raft, and follows changes of the leader until ctx ends.
 func (n *Node) participate(ctx context.Context) error {
-	form, err := n.joinQuorum(ctx)
+	servers, err := n.joinQuorum(ctx)
 	if err != nil {
 		return err
 	}
 	if ctx.Err() != nil {
 		return nil
 	}
-	r, stop, err := n.startRaft(ctx, form)
+	r, stop, err := n.startRaft(ctx, servers)
 	if err != nil {
 		return err
 	}
@@ -188,17 +188,17 @@
 		return err
 	}
 	n.raft.Store(r)
-	var following sync.WaitGroup
-	defer following.Wait()
-	following.Go(func() { n.trackFreshness(ctx, r) })
-	following.Go(func() { n.expireLeases(ctx, r) })
-	following.Go(func() { n.announce(ctx) })
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	tasks.Go(func() { n.trackFreshness(ctx, r) })
+	tasks.Go(func() { n.expireLeases(ctx, r) })
+	tasks.Go(func() { n.announce(ctx) })
 	stopFollowing := func() {}
 	defer func() { stopFollowing() }()
 	for {
 		select {
 		case <-ctx.Done():
-			if r.State() == raft.Leader && !n.config.Dev { // so that the others need not wait for the election time-out
+			if r.State() == raft.Leader && !n.config.Dev { // the others then need not wait for the election time-out
 				_ = r.LeadershipTransfer().Error()
 			}
 			return nil
@@ -220,7 +220,7 @@
 	n.mu.Unlock()
 }
 
-// onLeaderChange starts or stops the leader's work.
+// onLeaderChange starts the leader's work if this replica has become the leader, and otherwise ends it.
 func (n *Node) onLeaderChange(r *raft.Raft, leads bool) {
 	n.stopLeading()
 	if !leads {
@@ -229,7 +229,7 @@
 	}
 	if err := r.Barrier(raftTimeout).Error(); err != nil {
 		n.log.Warn("leadership not taken up", "component", "registry", "node", n.self.Name, "err", err)
-		// Nothing would retry while this replica leads; another leader can.
+		// This replica would not retry as long as it is the leader, so another one has to become the leader.
 		_ = r.LeadershipTransfer().Error()
 		return
 	}
@@ -251,8 +251,8 @@
 		err := error(errNotJoined)
 		if n.isLeader() {
 			err = n.applyAddReplica(n.self)
-		} else if at, ok := n.leaderURL(); ok {
-			err = n.call(ctx, http.MethodPost, at+"/v1/announce", n.self, nil)
+		} else if url, ok := n.leaderURL(); ok {
+			err = n.call(ctx, http.MethodPost, url+"/v1/announce", n.self, nil)
 		}
 		if err != nil {
 			n.log.Debug("replica not registered yet", "component", "registry", "node", n.self.Name, "err", err)
@@ -265,17 +265,19 @@
 	}
 }
 
+// applyAddReplica commits a replica, or its changed data, to the list.
 func (n *Node) applyAddReplica(m api.Replica) error {
 	_, err := n.apply(list.Command{Op: list.AddReplica, Replica: &m})
 	return err
 }
 
+// applyRemoveReplica commits the removal of a replica from the list.
 func (n *Node) applyRemoveReplica(name string) error {
 	_, err := n.apply(list.Command{Op: list.RemoveReplica, Name: name})
 	return err
 }
 
-// leaderURL returns the URL of the leader's API; false if no leader is known.
+// leaderURL returns the URL of the leader's API. It returns false if no other replica is known to lead.
 func (n *Node) leaderURL() (string, bool) {
 	r := n.raft.Load()
 	if r == nil {
@@ -296,6 +298,7 @@
 	return "", false
 }
 
+// now returns the time since start.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
 func (n *Node) members() (m map[string]api.Replica) {
@@ -303,11 +306,11 @@
 	return m
 }
 
-// onEntries updates leases and watches after a committed command.
-func (n *Node) onEntries(now []api.Record) {
+// onEntries updates leases and watches after a command, with the records that it may have changed.
+func (n *Node) onEntries(records []api.Record) {
 	n.mu.Lock()
 	if n.leading {
-		for _, r := range now {
+		for _, r := range records {
 			n.leases.update(n.now(), r)
 		}
 	}
@@ -315,27 +318,27 @@
 	n.watches.notify()
 }
 
-// trackFreshness records how old the list here may be. At the start the log holds an old list, and raft learns of a leader
-// before it learns the commit index. So nothing is fresh until this start itself (see announce), which the quorum commits
-// after everything earlier, is in the list, or until a leader has applied all earlier commits.
+// trackFreshness records when the list here was last known to be fresh. After a start the log holds an old list, and raft
+// learns of a leader before it learns the commit index. So the list is not fresh until it contains this start itself (see
+// announce), which the quorum commits after everything earlier, or until this replica leads and has applied all earlier commits.
 func (n *Node) trackFreshness(ctx context.Context, r *raft.Raft) {
 	tick := time.NewTicker(freshnessInterval)
 	defer tick.Stop()
-	known := false // this start is in the list
+	announced := false // whether this start is in the list
 	for {
-		began := n.now()
+		checkedAt := n.now()
 		switch r.State() {
 		case raft.Leader:
 			if n.isLeader() && r.VerifyLeader().Error() == nil {
-				n.freshAt.Store(int64(began))
+				n.freshAt.Store(int64(checkedAt))
 			}
 		case raft.Follower:
-			if !known {
+			if !announced {
 				m := n.members()[n.self.Name]
-				known = m.DiskID == n.self.DiskID && m.StartCount == n.self.StartCount
+				announced = m.DiskID == n.self.DiskID && m.StartCount == n.self.StartCount
 			}
-			if at := r.LastContact(); known && !at.IsZero() && r.AppliedIndex() >= r.CommitIndex() {
-				n.freshAt.Store(int64(at.Sub(n.start)))
+			if lastContact := r.LastContact(); announced && !lastContact.IsZero() && r.AppliedIndex() >= r.CommitIndex() {
+				n.freshAt.Store(int64(lastContact.Sub(n.start)))
 			}
 		}
 		select {
@@ -351,9 +354,9 @@
 	if n.config.Breaks == faultStaleRead {
 		return nil
 	}
-	at := time.Duration(n.freshAt.Load())
-	if old := n.now() - at; at == 0 || old > n.config.MaxStaleness.Duration {
-		return api.Errorf(api.CodeStale, "no contact with a quorum for %s", old.Round(time.Millisecond))
+	freshAt := time.Duration(n.freshAt.Load())
+	if age := n.now() - freshAt; freshAt == 0 || age > n.config.MaxStaleness.Duration {
+		return api.Errorf(api.CodeStale, "no contact with a quorum for %s", age.Round(time.Millisecond))
 	}
 	return nil
 }
@@ -369,25 +372,25 @@
 		case <-tick.C:
 		}
 		n.mu.Lock()
-		var ended []api.Heartbeat
-		var idle []list.LeaseTerm
-		was, holding := n.leases.preserving, false
+		var expired []api.Heartbeat
+		var idleTerms []list.LeaseTerm
+		wasPreserving, preserving := n.leases.preserving, false
 		if n.leading {
-			ended = n.leases.expire(n.now())
-			holding = n.leases.preserving
-			idle = n.leaderships.Expired(n.now())
+			expired = n.leases.expire(n.now())
+			preserving = n.leases.preserving
+			idleTerms = n.leaderships.Expired(n.now())
 		}
 		n.mu.Unlock()
-		if holding != was {
-			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.self.Name, "holding", holding)
+		if preserving != wasPreserving {
+			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.self.Name, "holding", preserving)
 		}
-		if len(ended) > 0 {
-			if _, err := n.apply(list.Command{Op: list.Expire, Expired: ended}); err != nil {
+		if len(expired) > 0 {
+			if _, err := n.apply(list.Command{Op: list.Expire, Expired: expired}); err != nil {
 				n.log.Warn("expired endpoints not removed", "component", "registry", "node", n.self.Name, "err", err)
 			}
 		}
-		if len(idle) > 0 {
-			if _, err := n.applyLeadership(list.Command{Op: list.ForgetLeaderships, ExpiredTerms: idle}); err != nil {
+		if len(idleTerms) > 0 {
+			if _, err := n.applyLeadership(list.Command{Op: list.ForgetLeaderships, ExpiredTerms: idleTerms}); err != nil {
 				n.log.Warn("expired leaderships not removed", "component", "registry", "node", n.self.Name, "err", err)
 			}
 		}
@@ -406,15 +409,15 @@
 	if err != nil {
 		return list.Result{}, fmt.Errorf("command: %w", err)
 	}
-	f := r.Apply(text, raftWriteTimeout)
-	switch err := f.Error(); {
+	future := r.Apply(text, raftWriteTimeout)
+	switch err := future.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return list.Result{}, api.Errorf(api.CodeNoLeader, "%v", err) // not appended to the log
 	default:
 		return list.Result{}, api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
-	result := f.Response().(list.Result)
+	result := future.Response().(list.Result)
 	if result.Err != nil {
 		return result, result.Err
 	}
@@ -436,6 +439,7 @@
 	return nil
 }
 
+// isLeader reports whether this replica is the leader and has applied all earlier commits.
 func (n *Node) isLeader() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -13,7 +13,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// raftBackend are the stores and the transport of raft.
+// raftBackend holds the stores and the transport that raft uses.
 type raftBackend struct {
 	logs      raft.LogStore
 	stable    raft.StableStore
@@ -22,30 +22,31 @@
 	closers   []io.Closer
 }
 
-func (p *raftBackend) close() {
-	for _, x := range p.closers {
-		_ = x.Close()
+func (b *raftBackend) close() {
+	for _, closer := range b.closers {
+		_ = closer.Close()
 	}
 }
 
-// startRaft starts raft, from the directory or in memory. form, if not empty, is the quorum to form.
-func (n *Node) startRaft(ctx context.Context, form []raft.Server) (r *raft.Raft, stop func(), err error) {
+// startRaft starts raft, with its stores in the directory or in memory. It forms a quorum of servers unless they are empty.
+// stop ends raft.
+func (n *Node) startRaft(ctx context.Context, servers []raft.Server) (r *raft.Raft, stop func(), err error) {
 	c := n.raftConfig()
-	parts, err := n.openRaftBackend(ctx, c)
-	if err == nil && len(form) > 0 {
-		err = parts.bootstrap(c, form)
+	backend, err := n.openRaftBackend(ctx, c)
+	if err == nil && len(servers) > 0 {
+		err = backend.bootstrap(c, servers)
 	}
 	if err == nil {
-		r, err = raft.NewRaft(c, n.fsm, parts.logs, parts.stable, parts.snapshots, parts.transport)
+		r, err = raft.NewRaft(c, n.fsm, backend.logs, backend.stable, backend.snapshots, backend.transport)
 		if err != nil {
 			err = fmt.Errorf("log: %w", err)
 		}
 	}
 	if err != nil {
-		parts.close()
-		return nil, parts.close, err
+		backend.close()
+		return nil, backend.close, err
 	}
-	return r, func() { shutdown(r, parts) }, nil
+	return r, func() { shutdown(r, backend) }, nil
 }
 
 func (n *Node) raftConfig() *raft.Config {
@@ -57,77 +58,78 @@
 	return c
 }
 
-// openRaftBackend opens the stores and the transport. After an error the returned parts hold those to be closed.
+// openRaftBackend opens the stores and the transport. After an error the returned backend holds what the caller has to close.
 func (n *Node) openRaftBackend(ctx context.Context, c *raft.Config) (*raftBackend, error) {
-	p := &raftBackend{}
+	b := &raftBackend{}
 	if n.config.Dev {
 		store := raft.NewInmemStore()
-		p.logs, p.stable, p.snapshots = store, store, raft.NewInmemSnapshotStore()
-		_, p.transport = raft.NewInmemTransport("dev")
-		return p, nil
+		b.logs, b.stable, b.snapshots = store, store, raft.NewInmemSnapshotStore()
+		_, b.transport = raft.NewInmemTransport("dev")
+		return b, nil
 	}
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(n.config.Dir, "log.bolt"), MsgpackUseNewTimeFormat: true})
 	if err != nil {
-		return p, fmt.Errorf("log: %w", err)
+		return b, fmt.Errorf("log: %w", err)
 	}
-	p.closers = append(p.closers, store)
-	p.logs, p.stable = store, retryingStore{store, ctx, n.log}
-	if p.snapshots, err = raft.NewFileSnapshotStoreWithLogger(n.config.Dir, retainedSnapshots, c.Logger); err != nil {
-		return p, fmt.Errorf("snapshots: %w", err)
+	b.closers = append(b.closers, store)
+	b.logs, b.stable = store, retryingStore{store, ctx, n.log}
+	if b.snapshots, err = raft.NewFileSnapshotStoreWithLogger(n.config.Dir, retainedSnapshots, c.Logger); err != nil {
+		return b, fmt.Errorf("snapshots: %w", err)
 	}
 	stream, err := listenRaft(n.config.RaftBind, n.self.Raft)
 	if err != nil {
-		return p, fmt.Errorf("raft_bind: %w", err)
+		return b, fmt.Errorf("raft_bind: %w", err)
 	}
 	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 4, Timeout: raftTimeout,
 		Logger: c.Logger, ServerAddressProvider: addressOverrides(n.config.Dial), MsgpackUseNewTimeFormat: true})
-	p.closers = append(p.closers, transport)
-	p.transport = transport
-	return p, nil
+	b.closers = append(b.closers, transport)
+	b.transport = transport
+	return b, nil
 }
 
-// bootstrap forms the quorum, unless the log holds one.
-func (p *raftBackend) bootstrap(c *raft.Config, form []raft.Server) error {
-	has, err := raft.HasExistingState(p.logs, p.stable, p.snapshots)
+// bootstrap forms a quorum of servers, unless the stores hold one already.
+func (b *raftBackend) bootstrap(c *raft.Config, servers []raft.Server) error {
+	exists, err := raft.HasExistingState(b.logs, b.stable, b.snapshots)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	if has {
+	if exists {
 		return nil
 	}
-	if err := raft.BootstrapCluster(c, p.logs, p.stable, p.snapshots, p.transport, raft.Configuration{Servers: form}); err != nil {
+	if err := raft.BootstrapCluster(c, b.logs, b.stable, b.snapshots, b.transport, raft.Configuration{Servers: servers}); err != nil {
 		return fmt.Errorf("forming a quorum: %w", err)
 	}
 	return nil
 }
 
-// shutdown stops raft, and then closes its parts. If raft waits for a failing disk, it is left as it is, since the process
-// is about to end.
-func shutdown(r *raft.Raft, parts *raftBackend) {
-	ended := make(chan struct{})
+// shutdown stops raft, and then closes its backend. If raft does not stop in time, since it waits for a failing disk, the
+// backend stays open: the process is about to end.
+func shutdown(r *raft.Raft, backend *raftBackend) {
+	stopped := make(chan struct{})
 	go func() {
 		_ = r.Shutdown().Error()
-		close(ended)
+		close(stopped)
 	}()
 	select {
-	case <-ended:
-		parts.close()
+	case <-stopped:
+		backend.close()
 	case <-time.After(raftTimeout):
 	}
 }
 
-// stream implements raft.StreamLayer over TCP, with the address announced to others.
+// stream implements raft.StreamLayer over TCP. Its address is the one announced to other replicas.
 type stream struct {
 	net.Listener
 	advertised raft.ServerAddress
 }
 
-func listenRaft(bind, known string) (*stream, error) {
+// listenRaft listens at bind, and returns a stream with the advertised address.
+func listenRaft(bind, advertised string) (*stream, error) {
 	ln, err := net.Listen("tcp", bind)
 	if err != nil {
 		return nil, err
 	}
-	return &stream{ln, raft.ServerAddress(known)}, nil
+	return &stream{ln, raft.ServerAddress(advertised)}, nil
 }
 
 // Dial implements raft.StreamLayer.
@@ -138,19 +140,20 @@
 // Addr implements raft.StreamLayer.
 func (s *stream) Addr() net.Addr { return tcpAddr(s.advertised) }
 
+// tcpAddr is the TCP address of a replica. It implements net.Addr.
 type tcpAddr string
 
 // Network implements net.Addr.
 func (tcpAddr) Network() string  { return "tcp" }
-func (k tcpAddr) String() string { return string(k) }
+func (a tcpAddr) String() string { return string(a) }
 
-// addressOverrides resolves the addresses of other replicas.
+// addressOverrides holds the addresses of Config.Dial, by replica name. It implements raft.ServerAddressProvider.
 type addressOverrides map[string]Peer
 
 // ServerAddr implements raft.ServerAddressProvider.
-func (d addressOverrides) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	if p, ok := d[string(id)]; ok && p.Raft != "" {
+func (o addressOverrides) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+	if p, ok := o[string(id)]; ok && p.Raft != "" {
 		return raft.ServerAddress(p.Raft), nil
 	}
-	return "", fmt.Errorf("no address of its own for %s", id) // the announced address is used
+	return "", fmt.Errorf("no override of the address of %s", id) // raft then uses the announced address
 }
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -13,46 +13,46 @@
 	"mosslead/internal/registry/list"
 )
 
-// resyncAfter is how long another region may be silent before its full list is requested instead of the changes: meanwhile
-// it may have been restored from an old copy and have reached a revision that hides it.
+// resyncAfter is how long another region may be silent before its full list is requested instead of the changes: in that time
+// it may have been restored from an old copy, and its revision may have grown so far again that the restore can't be seen.
 const resyncAfter = 10 * time.Second
 
 // errNotLeader is returned once this replica no longer leads.
-var errNotLeader = errors.New("this replica leads no more")
+var errNotLeader = errors.New("this replica is no longer the leader")
 
-// follower replicates one other region while this replica leads. The goroutine of run owns it.
+// follower replicates one other region while this replica leads. The fields below mu are shared with replication.
 type follower struct {
 	node   *Node
 	region string
 	client *client.Client
 
 	mu        sync.Mutex
-	lastHeard time.Duration // when the region last sent anything; 0: never since this replica leads
+	lastHeard time.Duration // when the region last sent anything; 0 if it has not since this replica leads
 	syncState federation.SyncState
 }
 
-// followRegions starts replicating the other regions. stop ends that, and blocks until it has ended.
+// followRegions starts the replication of the other regions. stop ends it, and blocks until it has ended.
 func (n *Node) followRegions(ctx context.Context) (stop func()) {
 	if len(n.config.Follow) == 0 {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	var running sync.WaitGroup
-	all := map[string]*follower{}
+	var tasks sync.WaitGroup
+	followers := map[string]*follower{}
 	for _, c := range n.config.Follow {
 		f := &follower{node: n, region: c.Region, client: client.New(c.API)}
-		all[c.Region] = f
-		running.Go(func() { f.run(ctx) })
+		followers[c.Region] = f
+		tasks.Go(func() { f.run(ctx) })
 	}
 	n.mu.Lock()
-	n.followers = all
+	n.followers = followers
 	n.mu.Unlock()
 	return func() {
 		n.mu.Lock()
 		n.followers = nil
 		n.mu.Unlock()
 		cancel(errNotLeader)
-		running.Wait()
+		tasks.Wait()
 	}
 }
 
@@ -60,59 +60,61 @@
 func (f *follower) run(ctx context.Context) {
 	defer f.client.Close()
 	f.client.Region(ctx, f.nextRevision, client.Watcher{
-		Apply: func(l api.WatchEvent) error { return f.apply(ctx, l) },
-		OnError: func(at string, why error) {
+		Apply: func(event api.WatchEvent) error { return f.apply(ctx, event) },
+		OnError: func(address string, err error) {
 			if ctx.Err() == nil {
-				f.node.log.Warn("region replication interrupted", "component", "registry", "node", f.node.self.Name, "region", f.region, "at", at, "err", why)
+				f.node.log.Warn("region replication interrupted", "component", "registry", "node", f.node.self.Name, "region", f.region, "at", address, "err", err)
 			}
 		},
 	}, f.onHeard)
 }
 
+// onHeard records that the region has sent something.
 func (f *follower) onHeard() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastHeard = f.node.now()
 }
 
-// nextRevision returns the revision from which changes are requested; -1 for the full list.
+// nextRevision returns the revision from which changes are requested, or -1 to request the full list.
 func (f *follower) nextRevision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.syncState.NextRevision(f.node.replicatedRevisions(f.region).Revision, f.node.now()-f.lastHeard >= resyncAfter)
 }
 
-func (n *Node) replicatedRevisions(region string) (h list.Replicated) {
-	n.fsm.read(func(l *list.List) { h = l.Replicated(region) })
-	return list.Replicated{Revision: h.Revision, SeenRevision: h.SeenRevision} // the rest may change once the lock is released
+// replicatedRevisions returns the revisions up to which a region is replicated, and was seen.
+func (n *Node) replicatedRevisions(region string) (replicated list.Replicated) {
+	n.fsm.read(func(l *list.List) { replicated = l.Replicated(region) })
+	return list.Replicated{Revision: replicated.Revision, SeenRevision: replicated.SeenRevision} // the maps may change once the lock is released
 }
 
 // apply replicates an event of the other region through the log. An error ends the watch, and the next one starts from
-// what is replicated by then.
-func (f *follower) apply(ctx context.Context, l api.WatchEvent) error {
+// the revision that is replicated by then.
+func (f *follower) apply(ctx context.Context, event api.WatchEvent) error {
 	var chunks []list.Chunk
 	var anomaly, rejected string
-	f.node.fsm.read(func(of *list.List) {
-		replicated := of.Replicated(f.region)
+	f.node.fsm.read(func(l *list.List) {
+		replicated := l.Replicated(f.region)
 		if f.node.config.Breaks == faultRollback {
 			replicated.SeenRevision, replicated.Documents = 0, nil
 		}
-		chunks, anomaly, rejected = federation.Chunks(f.region, replicated, l)
+		chunks, anomaly, rejected = federation.Chunks(f.region, replicated, event)
 	})
 	if rejected != "" {
-		f.recordSync(l.Snapshot, "", rejected)
+		f.recordSync(event.Snapshot, "", rejected)
 		return fmt.Errorf("set aside: %s", rejected)
 	}
-	for _, p := range chunks {
+	for _, chunk := range chunks {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		if _, err := f.node.applyDocument(list.Command{Op: list.ReplicateRegion, Chunk: &p}); err != nil {
-			f.recordSync(l.Snapshot, "", err.Error())
-			return fmt.Errorf("version %d, piece %d of %d: %w", p.To, p.Part+1, len(chunks), err)
+		if _, err := f.node.applyDocument(list.Command{Op: list.ReplicateRegion, Chunk: &chunk}); err != nil {
+			f.recordSync(event.Snapshot, "", err.Error())
+			return fmt.Errorf("version %d, chunk %d of %d: %w", chunk.To, chunk.Part+1, len(chunks), err)
 		}
 	}
-	f.recordSync(l.Snapshot, anomaly, "")
+	f.recordSync(event.Snapshot, anomaly, "")
 	return nil
 }
 
@@ -123,8 +125,8 @@
 	f.syncState.Record(snapshot, anomaly, rejected)
 }
 
-// replication returns how far other regions are replicated; nil unless this replica leads.
-func (n *Node) replication() (all []api.ReplicationStatus) {
+// replication returns how far the other regions are replicated, or nil unless this replica leads.
+func (n *Node) replication() (statuses []api.ReplicationStatus) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.config.Follow {
@@ -132,21 +134,21 @@
 		if f == nil {
 			continue
 		}
-		x := api.ReplicationStatus{Region: c.Region, AgeMs: -1}
+		status := api.ReplicationStatus{Region: c.Region, AgeMs: -1}
 		n.fsm.read(func(l *list.List) {
-			h := l.Replicated(c.Region)
-			x.Revision, x.SeenRevision, x.Endpoints = h.Revision, h.SeenRevision, len(h.Entries)
+			replicated := l.Replicated(c.Region)
+			status.Revision, status.SeenRevision, status.Endpoints = replicated.Revision, replicated.SeenRevision, len(replicated.Entries)
 		})
 		f.mu.Lock()
 		if f.lastHeard > 0 {
-			x.AgeMs = (n.now() - f.lastHeard).Milliseconds()
+			status.AgeMs = (n.now() - f.lastHeard).Milliseconds()
 		}
-		x.RejectedReason = f.syncState.Rejected
-		if x.RejectedReason == "" {
-			x.RejectedReason = f.syncState.Anomaly
+		status.RejectedReason = f.syncState.Rejected
+		if status.RejectedReason == "" {
+			status.RejectedReason = f.syncState.Anomaly
 		}
 		f.mu.Unlock()
-		all = append(all, x)
+		statuses = append(statuses, status)
 	}
-	return all
+	return statuses
 }
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -20,29 +20,30 @@
 }
 
 // Set implements raft.StableStore. It returns once the value is written.
-func (p retryingStore) Set(key, value []byte) error {
-	return p.retry(func() error { return p.StableStore.Set(key, value) })
+func (s retryingStore) Set(key, value []byte) error {
+	return s.retry(func() error { return s.StableStore.Set(key, value) })
 }
 
 // SetUint64 implements raft.StableStore. It returns once the value is written.
-func (p retryingStore) SetUint64(key []byte, value uint64) error {
-	return p.retry(func() error { return p.StableStore.SetUint64(key, value) })
+func (s retryingStore) SetUint64(key []byte, value uint64) error {
+	return s.retry(func() error { return s.StableStore.SetUint64(key, value) })
 }
 
-func (p retryingStore) retry(write func() error) error {
+// retry calls write until it succeeds.
+func (s retryingStore) retry(write func() error) error {
 	err := write()
 	if err == nil {
 		return nil
 	}
-	p.log.Warn("raft vote not written, replica waits", "component", "registry", "err", err)
+	s.log.Warn("raft vote not written, replica waits", "component", "registry", "err", err)
 	for {
 		select {
-		case <-p.ctx.Done():
+		case <-s.ctx.Done():
 			select {} // the process is ending, and must not continue without the write
 		case <-time.After(storeRetryInterval):
 		}
 		if write() == nil {
-			p.log.Info("raft vote written, replica continues", "component", "registry")
+			s.log.Info("raft vote written, replica continues", "component", "registry")
 			return nil
 		}
 	}
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	maxBody         = 1 << 20  // bytes of a call; enough to renew 10,000 leases
-	maxRestore      = 64 << 20 // bytes of a backup, and of a forwarded answer
-	forwardedHeader = "X-Registry-Forwarded"
+	maxBody         = 1 << 20                // bytes of a request body; enough to renew 10,000 leases
+	maxRestore      = 64 << 20               // bytes of a backup, and of the response to a forwarded call
+	forwardedHeader = "X-Registry-Forwarded" // on calls that another replica has forwarded
 )
 
 // server serves calls. Any replica whose list is fresh enough serves reads of it; all other calls are served by the leader,
-// to which other replicas forward them, once.
+// to which the other replicas forward them; a forwarded call is not forwarded again.
 func (n *Node) server(ctx context.Context) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", n.targets)
@@ -62,11 +62,12 @@
 		MaxHeaderBytes: 16 << 10, BaseContext: func(net.Listener) context.Context { return ctx }}
 }
 
-// handler serves a call whose body has been read: it returns the answer, or an error.
+// handler serves a call whose body has been read. It returns the value to respond with, or an error.
 type handler func(r *http.Request, body []byte) (any, error)
 
-// onLeader serves a call here if this replica leads, and otherwise forwards it to the leader.
-func (n *Node) onLeader(limit int64, do handler) http.HandlerFunc {
+// onLeader serves a call here if this replica leads, and otherwise forwards it to the leader. limit is the
+// maximum size of the body in bytes.
+func (n *Node) onLeader(limit int64, handle handler) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, limit))
 		if err != nil {
@@ -74,41 +75,42 @@
 			return
 		}
 		if n.isLeader() {
-			writeAnswer(rw, r, body, do)
+			writeAnswer(rw, r, body, handle)
 			return
 		}
-		at, ok := n.leaderURL()
+		url, ok := n.leaderURL()
 		if !ok || r.Header.Get(forwardedHeader) != "" {
 			writeError(rw, api.Errorf(api.CodeNoLeader, "%s knows of no leader", n.self.Name))
 			return
 		}
-		n.forward(rw, r, at, body)
+		n.forward(rw, r, url, body)
 	}
 }
 
 // onAnyReplica serves a read here, or on the leader if the caller requires a linearizable read.
-func (n *Node) onAnyReplica(do handler) http.HandlerFunc {
-	sure := n.onLeader(maxBody, func(r *http.Request, body []byte) (any, error) {
+func (n *Node) onAnyReplica(handle handler) http.HandlerFunc {
+	linearizable := n.onLeader(maxBody, func(r *http.Request, body []byte) (any, error) {
 		if err := n.barrier(); err != nil {
 			return nil, err
 		}
-		return do(r, body)
+		return handle(r, body)
 	})
 	return func(rw http.ResponseWriter, r *http.Request) {
 		if r.FormValue("consistent") != "" && n.config.Breaks != faultStaleRead {
-			sure(rw, r)
+			linearizable(rw, r)
 			return
 		}
 		if err := n.checkFreshness(); err != nil {
 			writeError(rw, err)
 			return
 		}
-		writeAnswer(rw, r, nil, do)
+		writeAnswer(rw, r, nil, handle)
 	}
 }
 
-func (n *Node) forward(rw http.ResponseWriter, r *http.Request, at string, body []byte) {
-	req, err := http.NewRequestWithContext(r.Context(), r.Method, at+r.URL.RequestURI(), bytes.NewReader(body))
+// forward sends a call to the replica at url, and its response to the caller.
+func (n *Node) forward(rw http.ResponseWriter, r *http.Request, url string, body []byte) {
+	req, err := http.NewRequestWithContext(r.Context(), r.Method, url+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		writeError(rw, api.Errorf(api.CodeBadRequest, "%v", err))
 		return
@@ -117,8 +119,8 @@
 	resp, err := n.client.Do(req)
 	if err != nil {
 		code := api.CodeOutcomeUnknown
-		var dial *net.OpError
-		if errors.As(err, &dial) && dial.Op == "dial" { // never sent
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" { // the call was never sent
 			code = api.CodeNoLeader
 		}
 		writeError(rw, api.Errorf(code, "%v", err))
@@ -135,13 +137,13 @@
 	_, _ = rw.Write(text)
 }
 
-func writeAnswer(rw http.ResponseWriter, r *http.Request, body []byte, do handler) {
-	x, err := do(r, body)
+func writeAnswer(rw http.ResponseWriter, r *http.Request, body []byte, handle handler) {
+	answer, err := handle(r, body)
 	if err != nil {
 		writeError(rw, err)
 		return
 	}
-	text, err := json.Marshal(x)
+	text, err := json.Marshal(answer)
 	if err != nil {
 		writeError(rw, err)
 		return
@@ -155,30 +157,32 @@
 	api.CodeStale: http.StatusServiceUnavailable, api.CodeOutcomeUnknown: http.StatusGatewayTimeout,
 	api.CodeOlderReplica: http.StatusServiceUnavailable}
 
+// writeError writes an error as JSON. One without a code is written with CodeOutcomeUnknown.
 func writeError(rw http.ResponseWriter, err error) {
-	var f *api.Error
-	if !errors.As(err, &f) {
-		f = api.Errorf(api.CodeOutcomeUnknown, "%v", err)
+	var apiErr *api.Error
+	if !errors.As(err, &apiErr) {
+		apiErr = api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
-	text, _ := json.Marshal(f) // can't fail for two strings
+	text, _ := json.Marshal(apiErr) // can't fail for two strings
 	rw.Header().Set("Content-Type", "application/json")
-	rw.WriteHeader(statusByCode[f.Code])
+	rw.WriteHeader(statusByCode[apiErr.Code])
 	_, _ = rw.Write(append(text, '\n'))
 }
 
 // decodeBody decodes a body. Unknown fields are errors, so that a request that is not fully understood does not seem to succeed.
 func decodeBody(body []byte, into any) error {
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return api.Errorf(api.CodeBadRequest, "%v", err)
 	}
-	if d.More() {
+	if decoder.More() {
 		return api.Errorf(api.CodeBadRequest, "more than one value")
 	}
 	return nil
 }
 
+// targets serves the full list to sidecars, or a watch of it.
 func (n *Node) targets(rw http.ResponseWriter, r *http.Request) {
 	if r.FormValue("watch") != "" {
 		n.watches.serve(rw, r)
@@ -189,9 +193,9 @@
 		return
 	}
 	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) {
-		var l api.WatchEvent
-		n.fsm.read(func(of *list.List) { l = of.Full() })
-		return l, nil
+		var event api.WatchEvent
+		n.fsm.read(func(l *list.List) { event = l.Full() })
+		return event, nil
 	})
 }
 
@@ -202,27 +206,29 @@
 }
 
 func (n *Node) entry(r *http.Request, _ []byte) (any, error) {
-	var x api.Record
-	n.fsm.read(func(l *list.List) { x, _ = l.Get(r.PathValue("name")) })
-	return x, nil
+	var record api.Record
+	n.fsm.read(func(l *list.List) { record, _ = l.Get(r.PathValue("name")) })
+	return record, nil
 }
 
+// applyWrite commits a command, and returns the new revision.
 func (n *Node) applyWrite(c list.Command) (any, error) {
 	result, err := n.apply(c)
 	return api.WriteResult{Revision: result.Revision}, err
 }
 
 func (n *Node) register(r *http.Request, body []byte) (any, error) {
-	g := api.Registration{Weight: 1}
-	if err := decodeBody(body, &g); err != nil {
+	registration := api.Registration{Weight: 1}
+	if err := decodeBody(body, &registration); err != nil {
 		return nil, err
 	}
-	if err := g.Check(r.PathValue("name")); err != nil {
+	if err := registration.Check(r.PathValue("name")); err != nil {
 		return nil, err
 	}
-	return n.applyWrite(list.Command{Op: list.Register, Name: r.PathValue("name"), Registration: &g, IfRevision: g.IfRevision})
+	return n.applyWrite(list.Command{Op: list.Register, Name: r.PathValue("name"), Registration: &registration, IfRevision: registration.IfRevision})
 }
 
+// changeEntry returns a handler that applies op to an entry.
 func (n *Node) changeEntry(op string) handler {
 	return func(r *http.Request, body []byte) (any, error) {
 		var change api.StateChange
@@ -242,9 +248,10 @@
 	}
 }
 
+// renew renews leases, and returns the names of those that have none.
 func (n *Node) renew(_ *http.Request, body []byte) (any, error) {
-	var change api.Heartbeats
-	if err := decodeBody(body, &change); err != nil {
+	var heartbeats api.Heartbeats
+	if err := decodeBody(body, &heartbeats); err != nil {
 		return nil, err
 	}
 	expired := []string{}
@@ -254,32 +261,33 @@
 		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
 	now := n.now()
-	for _, x := range change.Heartbeats {
-		if !n.leases.renew(now, x) {
-			expired = append(expired, x.Name)
+	for _, heartbeat := range heartbeats.Heartbeats {
+		if !n.leases.renew(now, heartbeat) {
+			expired = append(expired, heartbeat.Name)
 		}
 	}
 	return api.HeartbeatResult{Expired: expired}, nil
 }
 
-// overrule removes the entries with expired leases that are preserved because too many expired at once.
+// overrule has the entries removed that are preserved because too many leases expired at once.
 func (n *Node) overrule(*http.Request, []byte) (any, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	silent := n.leases.expiredNames(n.now())
+	expired := n.leases.expiredNames(n.now())
 	if !n.leases.preserving {
 		return nil, api.Errorf(api.CodeConflict, "there is nothing to overrule")
 	}
 	n.leases.overruled = true
-	return api.HeartbeatResult{Expired: silent}, nil
+	return api.HeartbeatResult{Expired: expired}, nil
 }
 
+// serveIdentity serves the identity of this replica, and what it knows of the members of the quorum.
 func (n *Node) serveIdentity(rw http.ResponseWriter, r *http.Request) {
 	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) {
 		id := api.Identity{Replica: n.self, Formed: n.raft.Load() != nil, Members: n.members()}
 		for _, name := range n.voterNames() {
 			if _, ok := id.Members[name]; !ok {
-				id.Members[name] = api.Replica{Name: name} // it has never been announced
+				id.Members[name] = api.Replica{Name: name} // the voter has never been announced
 			}
 		}
 		return id, nil
@@ -294,8 +302,8 @@
 func (n *Node) Status() api.Status {
 	s := api.Status{Replica: n.self, State: "starting", Members: n.members(), Voters: n.voterNames(), Watchers: n.watches.activeCount(), StalenessMs: -1,
 		Region: n.config.Region}
-	if at := time.Duration(n.freshAt.Load()); at > 0 {
-		s.StalenessMs = (n.now() - at).Milliseconds()
+	if freshAt := time.Duration(n.freshAt.Load()); freshAt > 0 {
+		s.StalenessMs = (n.now() - freshAt).Milliseconds()
 	}
 	n.fsm.read(func(l *list.List) { s.Revision, s.Endpoints = l.Revision(), l.Len() })
 	n.mu.Lock()
@@ -328,12 +336,13 @@
 	}
 }
 
+// recordAnnouncement commits the start of a replica to the list.
 func (n *Node) recordAnnouncement(_ *http.Request, body []byte) (any, error) {
 	var m api.Replica
 	if err := decodeBody(body, &m); err != nil {
 		return nil, err
 	}
-	if known, there := n.members()[m.Name]; there && known.DiskID != m.DiskID {
+	if known, exists := n.members()[m.Name]; exists && known.DiskID != m.DiskID {
 		return nil, api.Errorf(api.CodeConflict, "%s is known with another disk", m.Name)
 	}
 	return struct{}{}, n.applyAddReplica(m)
@@ -394,8 +403,8 @@
 			return nil, fmt.Errorf("backup: document %d is none", i)
 		}
 	}
-	for i, o := range s.Regions {
-		if o.Name == "" || i > 0 && o.Name <= s.Regions[i-1].Name || o.Revision > o.SeenRevision {
+	for i, region := range s.Regions {
+		if region.Name == "" || i > 0 && region.Name <= s.Regions[i-1].Name || region.Revision > region.SeenRevision {
 			return nil, fmt.Errorf("backup: region %d is none", i)
 		}
 	}
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -18,62 +18,64 @@
 
 const (
 	keepaliveInterval = 2 * time.Second
-	// writeTimeout is how long a watcher may read nothing before its watch is ended. It returns with its revision and is sent
-	// the changes since, or the full list, so that nothing is queued for it and nothing skipped.
+	// writeTimeout is how long a watcher may read nothing before its watch is ended. It reconnects with its revision and is sent
+	// the changes since then, or the full list, so that nothing needs to be queued for it and nothing is skipped.
 	writeTimeout = 5 * time.Second
-	// pacePerWatcher is about the processor time to notify one watcher; changes within the time that notifying all of them
-	// takes are sent together.
+	// pacePerWatcher is about the processor time that it takes to notify one watcher. Changes within the time that it takes to
+	// notify all watchers are sent together.
 	pacePerWatcher = 8 * time.Microsecond
 	maxPace        = 100 * time.Millisecond
 	maxCachedLines = 64
-	// catchUpTimeout is how long a watcher with a revision that this replica lacks waits for it. A replica in contact with its
-	// leader lacks it for milliseconds; after the time-out a watcher with the revision of another service, or of lost data,
-	// is sent the full list. It is below the client's callTimeout, within which a watch has to be established.
+	// catchUpTimeout is how long a watcher waits if it has a revision that this replica has not reached. A replica in contact
+	// with its leader reaches it within milliseconds. After the time-out the revision is assumed to be of another service or of
+	// lost data, and the watcher is sent the full list. The time-out is below the client's callTimeout, within which a watch has
+	// to be established.
 	catchUpTimeout = time.Second
 )
 
-// watches notifies all watchers of changes: one goroutine wakes them, and each writes for itself. Safe for concurrent use.
+// watches notifies all watchers of changes: publish wakes them, and the goroutine of each watch writes to its connection. Safe
+// for concurrent use.
 type watches struct {
 	fsm            *stateMachine
-	limit          int
-	region         string       // as sent to watchers that request own entries only
+	limit          int          // maximum number of open watches
+	region         string       // this region, as sent to watchers that request own entries only
 	checkFreshness func() error // returns an error if the list is too old to be served
 
 	mu                sync.Mutex
-	active            int
+	active            int                     // number of open watches
 	publishedRevision int64                   // revision up to which watchers are notified
-	changed           chan struct{}           // closed when there is a change
-	lines             map[lineKey]encodedLine // up to published
-	publishTimer      *time.Timer             // of the next publication, if one is due
+	changed           chan struct{}           // closed and replaced at each publication
+	lines             map[lineKey]encodedLine // lines that several watchers are sent, up to publishedRevision
+	publishTimer      *time.Timer             // of the next publication; nil if none is due
 	publishedAt       time.Time
 }
 
-// lineKey names a line that several watchers may be sent.
+// lineKey identifies a line that several watchers may be sent.
 type lineKey struct {
-	from    int64  // the revision before the line
-	own     bool   // only what this region writes
-	service string // with the settings of this service; empty: without any
+	from    int64  // the revision of the watchers before the line, or fullList
+	own     bool   // only entries and documents that this region owns
+	service string // the service whose settings the line contains; empty if it contains none
 }
 
-// encodedLine is an encoded line, with the identifier of the settings in it.
+// encodedLine is an encoded line, with the identifier (REGION@VERSION) of the settings in it.
 type encodedLine struct {
 	text     []byte
 	settings string
 }
 
-// watchState is what a watcher requests, and what it has been sent.
+// watchState holds what a watcher requests, and what it has been sent.
 type watchState struct {
 	revision int64
 	own      bool
-	service  string // whose settings are requested; empty: none
-	settings string // which settings it has, as REGION@VERSION; empty: none
+	service  string // whose settings are requested; empty if none are
+	settings string // identifies the settings that it has, as REGION@VERSION; empty if it has none
 }
 
-func newWatches(m *stateMachine, limit int, region string, fresh func() error) *watches {
-	return &watches{fsm: m, limit: limit, region: region, checkFreshness: fresh, changed: make(chan struct{}), lines: map[lineKey]encodedLine{}}
+func newWatches(fsm *stateMachine, limit int, region string, checkFreshness func() error) *watches {
+	return &watches{fsm: fsm, limit: limit, region: region, checkFreshness: checkFreshness, changed: make(chan struct{}), lines: map[lineKey]encodedLine{}}
 }
 
-// notify records that the list has changed. Watchers are notified after a delay that grows with their number.
+// notify schedules a publication after the list has changed. The delay grows with the number of watchers.
 func (w *watches) notify() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,6 +86,7 @@
 	w.publishTimer = time.AfterFunc(max(0, pace-time.Since(w.publishedAt)), w.publish)
 }
 
+// publish wakes all watchers, to send them the changes up to the present revision.
 func (w *watches) publish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,72 +97,72 @@
 	w.changed = make(chan struct{})
 }
 
-// fullList is the revision of every watcher that needs the full list, so that they share one line.
+// fullList takes the place of the revision of every watcher that needs the full list, so that they share one line.
 const fullList = -1
 
-// nextLine returns what is to be sent to a watcher, nil for nothing, the state of the watcher after that, and a channel that is
-// closed on the next change. first tells that the watcher has been sent nothing yet.
-func (w *watches) nextLine(has watchState, first bool) (text []byte, then watchState, next <-chan struct{}, err error) {
+// nextLine returns the line to send to a watcher (nil if there is none), the state of the watcher after that, and a channel that
+// is closed at the next publication. first means that the watcher has been sent nothing yet.
+func (w *watches) nextLine(state watchState, first bool) (text []byte, newState watchState, changed <-chan struct{}, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	next = w.changed
-	if has.revision == w.publishedRevision && (!first || has.service == "") {
-		return nil, has, next, nil
+	changed = w.changed
+	if state.revision == w.publishedRevision && (!first || state.service == "") {
+		return nil, state, changed, nil
 	}
-	var l api.WatchEvent
-	of := lineKey{from: has.revision, own: has.own}
-	then = has
-	w.fsm.read(func(x *list.List) {
-		if !x.Remembers(of.from) {
-			of.from = fullList
+	var event api.WatchEvent
+	key := lineKey{from: state.revision, own: state.own}
+	newState = state
+	w.fsm.read(func(l *list.List) {
+		if !l.Remembers(key.from) {
+			key.from = fullList
 		}
 		var settings api.Document
-		sent := has.settings
-		if has.service != "" {
-			if d, found := x.Document(has.service); found {
-				if sent = fmt.Sprintf("%s@%d", d.Region, d.Revision); sent != has.settings {
-					of.service, settings = has.service, d
+		settingsID := state.settings
+		if state.service != "" {
+			if d, found := l.Document(state.service); found {
+				if settingsID = fmt.Sprintf("%s@%d", d.Region, d.Revision); settingsID != state.settings {
+					key.service, settings = state.service, d
 				}
 			}
 		}
-		if known := w.lines[of]; known.text != nil { // the list may already be newer
-			if text = known.text; of.service != "" {
-				then.settings = known.settings
+		if cached := w.lines[key]; cached.text != nil { // the list may already be newer than the line
+			if text = cached.text; key.service != "" {
+				newState.settings = cached.settings
 			}
 			return
 		}
-		then.settings = sent
-		if of.own {
-			l = x.OwnChangesSince(of.from)
-			l.Region = w.region
+		newState.settings = settingsID
+		if key.own {
+			event = l.OwnChangesSince(key.from)
+			event.Region = w.region
 		} else {
-			l = x.ChangesSince(of.from)
+			event = l.ChangesSince(key.from)
 		}
-		if of.service != "" {
-			l.Documents = []api.Document{settings}
+		if key.service != "" {
+			event.Documents = []api.Document{settings}
 		}
 	})
 	if text != nil {
-		then.revision = w.publishedRevision
-		return text, then, next, nil
+		newState.revision = w.publishedRevision
+		return text, newState, changed, nil
 	}
-	then.revision = l.Revision
-	if !l.Snapshot && len(l.Endpoints) == 0 && len(l.Documents) == 0 { // nothing, or only changes that have been reverted
-		then.revision = max(has.revision, l.Revision)
-		return nil, then, next, nil
+	newState.revision = event.Revision
+	if !event.Snapshot && len(event.Endpoints) == 0 && len(event.Documents) == 0 { // there is no change, or changes have been reverted
+		newState.revision = max(state.revision, event.Revision)
+		return nil, newState, changed, nil
 	}
-	if text, err = json.Marshal(l); err != nil {
-		return nil, has, next, fmt.Errorf("wording a change: %w", err)
+	if text, err = json.Marshal(event); err != nil {
+		return nil, state, changed, fmt.Errorf("wording a change: %w", err)
 	}
 	text = append(text, '\n')
-	if l.Revision == w.publishedRevision && len(w.lines) < maxCachedLines {
-		w.lines[of] = encodedLine{text, then.settings}
+	if event.Revision == w.publishedRevision && len(w.lines) < maxCachedLines {
+		w.lines[key] = encodedLine{text, newState.settings}
 	}
-	return text, then, next, nil
+	return text, newState, changed, nil
 }
 
-// serve serves one watch until it ends. It hijacks the connection, so that ten thousand idle watches don't hold the buffers of
-// a request each.
+// serve serves one watch until it ends. It hijacks the connection, so that the buffers of a request are not kept for each of ten
+// thousand idle watches.
 func (w *watches) serve(rw http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	if r.FormValue("from") == "" {
@@ -169,12 +172,12 @@
 		writeError(rw, api.Errorf(api.CodeBadRequest, "from: a whole number, not %.40q", r.FormValue("from")))
 		return
 	}
-	has := watchState{revision: from, own: r.FormValue("own") != "", service: r.FormValue("service"), settings: r.FormValue("held")}
-	if len(has.service) > api.MaxName || has.own && has.service != "" {
+	state := watchState{revision: from, own: r.FormValue("own") != "", service: r.FormValue("service"), settings: r.FormValue("held")}
+	if len(state.service) > api.MaxName || state.own && state.service != "" {
 		writeError(rw, api.Errorf(api.CodeBadRequest, "service: at most %d bytes, and not with own", api.MaxName))
 		return
 	}
-	if !has.own { // another region handles an older revision itself
+	if !state.own { // another region handles a list of an older revision itself
 		w.catchUp(r.Context(), from)
 	}
 	if err := w.checkFreshness(); err != nil {
@@ -182,12 +185,12 @@
 		return
 	}
 	w.mu.Lock()
-	full := w.active >= w.limit
-	if !full {
+	atLimit := w.active >= w.limit
+	if !atLimit {
 		w.active++
 	}
 	w.mu.Unlock()
-	if full {
+	if atLimit {
 		rw.Header().Set("Retry-After", "1")
 		writeError(rw, api.Errorf(api.CodeFull, "%d watches", w.limit))
 		return
@@ -203,28 +206,28 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	if buffers.Reader.Buffered() > 0 { // a second request, behind one without an end
+	if buffers.Reader.Buffered() > 0 { // a pipelined second request: the response to the first one has no end
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	w.sendChanges(conn, has, r.Context().Done())
+	w.sendChanges(conn, state, r.Context().Done())
 }
 
-// catchUp blocks until a revision is published here, or for catchUpTimeout. Without it, a watcher that comes from a replica
-// that is slightly ahead would be sent an older full list, and go back.
+// catchUp blocks until a revision is published here, at most for catchUpTimeout. Without it, a watcher that comes from a replica
+// that is slightly ahead would be sent an older full list, and go back to it.
 func (w *watches) catchUp(ctx context.Context, from int64) {
-	late := time.NewTimer(catchUpTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(catchUpTimeout)
+	defer timeout.Stop()
 	for {
 		w.mu.Lock()
-		published, next := w.publishedRevision, w.changed
+		publishedRevision, changed := w.publishedRevision, w.changed
 		w.mu.Unlock()
-		if from <= published {
+		if from <= publishedRevision {
 			return
 		}
 		select {
-		case <-next:
-		case <-late.C:
+		case <-changed:
+		case <-timeout.C:
 			return
 		case <-ctx.Done():
 			return
@@ -235,49 +238,49 @@
 const watchResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\nTrailer: " +
 	endTrailer + "\r\nConnection: close\r\n\r\n"
 
-// endTrailer is the trailer with the reason for which a watch was ended.
+// endTrailer is the trailer with the reason why a watch was ended.
 const endTrailer = "X-Registry-End"
 
 var errStopping = errors.New("this replica stops")
 
-// sendChanges sends changes until the watcher disconnects, or the list here is too old to be served.
-func (w *watches) sendChanges(conn net.Conn, has watchState, over <-chan struct{}) {
+// sendChanges sends changes until the watcher disconnects, the list here is too old to be served, or stop is closed.
+func (w *watches) sendChanges(conn net.Conn, state watchState, stop <-chan struct{}) {
 	out := chunkWriter{conn}
 	if !out.write([]byte(watchResponseHead), false) {
 		return
 	}
-	idle := time.NewTimer(keepaliveInterval)
-	defer idle.Stop()
+	keepalive := time.NewTimer(keepaliveInterval)
+	defer keepalive.Stop()
 	for first := true; ; first = false {
 		if err := w.checkFreshness(); err != nil {
 			out.end(err)
 			return
 		}
-		text, then, next, err := w.nextLine(has, first)
+		text, newState, changed, err := w.nextLine(state, first)
 		if err != nil {
 			out.end(err)
 			return
 		}
-		has = then
+		state = newState
 		switch {
 		case text != nil:
 			if !out.write(text, true) {
 				return
 			}
-			idle.Reset(keepaliveInterval)
+			keepalive.Reset(keepaliveInterval)
 		case first:
-			if !out.write([]byte("\n"), true) { // shows that the watch is established
+			if !out.write([]byte("\n"), true) { // the line shows that the watch is established
 				return
 			}
 		}
 		select {
-		case <-next:
-		case <-idle.C:
+		case <-changed:
+		case <-keepalive.C:
 			if !out.write([]byte("\n"), true) {
 				return
 			}
-			idle.Reset(keepaliveInterval)
-		case <-over:
+			keepalive.Reset(keepaliveInterval)
+		case <-stop:
 			out.end(errStopping)
 			return
 		}
@@ -287,9 +290,10 @@
 // chunkWriter writes a response in chunked encoding.
 type chunkWriter struct{ conn net.Conn }
 
-func (c chunkWriter) write(text []byte, framed bool) bool {
+// write writes text, as a chunk if chunked is set. It returns false if that fails.
+func (c chunkWriter) write(text []byte, chunked bool) bool {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if !framed {
+	if !chunked {
 		_, err := c.conn.Write(text)
 		return err == nil
 	}
@@ -299,10 +303,10 @@
 }
 
 // end ends the response, with the reason in the trailer.
-func (c chunkWriter) end(why error) {
+func (c chunkWriter) end(reason error) {
 	w := bufio.NewWriter(c.conn)
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, _ = fmt.Fprintf(w, "0\r\n%s: %.200q\r\n\r\n", endTrailer, why.Error())
+	_, _ = fmt.Fprintf(w, "0\r\n%s: %.200q\r\n\r\n", endTrailer, reason.Error())
 	_ = w.Flush()
 }
 
