--- a/internal/registry/leasetable/table.go
+++ b/internal/registry/leasetable/table.go
@@ -1,10 +1,10 @@
-// Package leasetable holds, at the leader of the list service, how long leaderships are held by its clock,
-// and when those that wait are to ask again. It is pure: times are passed in, monotonic from any origin. What
-// it decides is a proposal; the replicated log decides (list.AcquireLeadership).
+// Package leasetable records, at the leader of the list service, until when leaderships are held by the leader's
+// clock, and when waiting candidates are to ask again. It is pure: times are passed in, monotonic from any
+// origin. What it decides is a proposal; the replicated log decides (list.AcquireLeadership).
 //
-// An expiry is decided when somebody claims the leadership, and enters the log with that claim as a
-// compare-and-set on the term that has expired. So an expiry that nobody waits for costs no log entry, and a
-// leader that was deposed meanwhile can end nothing: the term that it names is no longer the present one, or
+// An expiry is decided when a candidate claims the leadership, and enters the log with that claim as a
+// compare-and-set on the term that has expired. So an expiry that no candidate waits for costs no log entry, and
+// a leader that was deposed meanwhile can't end a term: the term that it names is no longer the present one, or
 // its command is not committed.
 package leasetable
 
@@ -17,15 +17,15 @@
 	"mosslead/internal/registry/list"
 )
 
-// The pace of those that wait: a leadership costs the service at most one request each RetrySpacing while it
-// is held, whatever their number.
+// Limits of the requests of waiting candidates: a leadership costs the service at most one request per
+// RetrySpacing while it is held, if no more than MaxRetryAfter/RetrySpacing candidates wait.
 const (
-	RetrySpacing    = 100 * time.Millisecond // between two that are told to come back
-	MinRetryAfter   = 500 * time.Millisecond // one that was rejected comes back after this, or at the lease's end
-	MaxRetryAfter   = time.Minute            // and after this at the latest
-	HandoverMargin  = 100                    // fitness by which one has to be better than the holder for the holder to be told
-	WaitingTime     = 2 * MinRetryAfter      // one that waits is known for this long after it was last rejected
-	ReservationTime = 700 * time.Millisecond // a released leadership is reserved this long for the one that the holder was told of
+	RetrySpacing    = 100 * time.Millisecond // between the retries of two candidates
+	MinRetryAfter   = 500 * time.Millisecond // earliest retry of a rejected candidate, unless the lease ends before that
+	MaxRetryAfter   = time.Minute            // latest retry of a rejected candidate
+	HandoverMargin  = 100                    // fitness by which a candidate must exceed the holder for the holder to be told
+	WaitingTime     = 2 * MinRetryAfter      // a candidate counts as waiting for this long after its last rejection
+	ReservationTime = 700 * time.Millisecond // a released leadership is reserved this long for the candidate that the holder was told of
 	IdleTime        = 10 * time.Second       // an expired leadership that nobody claims is forgotten after this
 )
 
@@ -33,21 +33,21 @@
 // Not safe for concurrent use.
 type Table struct {
 	entries      map[string]*entry
-	blockedUntil time.Duration // until then nothing is granted that nobody is known to hold
+	blockedUntil time.Duration // until then no leadership is granted whose holder is not known
 }
 
 type entry struct {
-	list.LeaseTerm                 // Epoch 0: nobody holds it, as far as is known here
-	expiresAt        time.Duration // of the lease
+	list.LeaseTerm                 // Epoch is 0 if no holder is known here
+	expiresAt        time.Duration // end of the lease
 	fitness          float64       // of the holder, as last reported
-	lastRetryAt      time.Duration // when the last of those that wait was told to come back
-	candidate        string        // the fittest of those that wait
+	lastRetryAt      time.Duration // latest time at which a candidate was told to retry
+	candidate        string        // the fittest waiting candidate; empty if none is known
 	candidateFitness float64
-	candidateSeenAt  time.Duration
-	reservedUntil    time.Duration // for the one that waits
+	candidateSeenAt  time.Duration // time of its latest claim
+	reservedUntil    time.Duration // until then only the candidate is granted the leadership
 }
 
-// Lead begins with the leaderships of the list, each with its full time again: an election only makes a lease
+// Lead starts with the leaderships of the list, each with its full lease again: an election only makes a lease
 // longer.
 func (t *Table) Lead(now time.Duration, leaderships []list.Leadership) {
 	*t = Table{entries: map[string]*entry{}}
@@ -56,47 +56,47 @@
 	}
 }
 
-// Committed takes in a leadership as the log has just made it. Its holder sent the claim earlier, so its own
-// count of the lease ends before the one here.
+// Committed applies a leadership that the log has just committed. Its holder sent the claim earlier, so the lease
+// ends by the holder's own clock before it ends here.
 func (t *Table) Committed(now time.Duration, d list.Leadership) {
-	x := t.entry(d.Name)
+	e := t.entry(d.Name)
 	if d.Holder == "" {
-		if x.Epoch != 0 && x.hasFitterCandidate(now) {
-			x.reservedUntil = now + ReservationTime
+		if e.Epoch != 0 && e.hasFitterCandidate(now) {
+			e.reservedUntil = now + ReservationTime
 		}
-		x.LeaseTerm = list.LeaseTerm{}
+		e.LeaseTerm = list.LeaseTerm{}
 		return
 	}
-	if x.Epoch != d.Epoch {
-		x.expiresAt, x.candidate, x.reservedUntil = 0, "", 0
+	if e.Epoch != d.Epoch {
+		e.expiresAt, e.candidate, e.reservedUntil = 0, "", 0
 	}
-	x.LeaseTerm = d.LeaseTerm
-	x.expiresAt = max(x.expiresAt, now+time.Duration(d.LeaseMs)*time.Millisecond)
+	e.LeaseTerm = d.LeaseTerm
+	e.expiresAt = max(e.expiresAt, now+time.Duration(d.LeaseMs)*time.Millisecond)
 }
 
 func (t *Table) entry(name string) *entry {
-	x := t.entries[name]
-	if x == nil {
-		x = &entry{}
-		t.entries[name] = x
+	e := t.entries[name]
+	if e == nil {
+		e = &entry{}
+		t.entries[name] = e
 	}
-	return x
+	return e
 }
 
-// Invalidate is called when the list has lost who holds what. For the longest lease nobody gets a leadership
-// that somebody may still hold. A leader that fails in that time takes the wait with it; epochs are what is
-// left then.
+// Invalidate is called when the list has lost who holds the leaderships. For the duration of the longest lease
+// nobody is granted a leadership that somebody may still hold. If the leader fails in that time, the next one
+// does not wait, and only epochs protect from two holders.
 func (t *Table) Invalidate(now time.Duration) {
 	t.entries = map[string]*entry{}
 	t.blockedUntil = now + api.MaxLeadershipLeaseMs*time.Millisecond
 }
 
-// Decide tells whether a claim is worth a command: then over, which may be nil, is the term that it ends.
-// Otherwise after is when the claimant is to ask again. d is the leadership by the list here, and isHeld
-// whether somebody has it.
-func (t *Table) Decide(now time.Duration, d list.Leadership, isHeld bool, c api.LeadershipClaim) (over *list.LeaseTerm, after time.Duration, acquire bool) {
-	x := t.entry(c.Name)
-	if isHeld && x.LeaseTerm != d.LeaseTerm {
+// Decide reports whether a claim is to be proposed to the log. If so, expired is the term that the claim ends, or
+// nil if it ends none; otherwise retryAfter is how long the claimant is to wait before it asks again. d is the
+// leadership in the list here, and isHeld whether somebody holds it.
+func (t *Table) Decide(now time.Duration, d list.Leadership, isHeld bool, c api.LeadershipClaim) (expired *list.LeaseTerm, retryAfter time.Duration, acquire bool) {
+	e := t.entry(c.Name)
+	if isHeld && e.LeaseTerm != d.LeaseTerm {
 		t.Committed(now, d)
 	}
 	switch {
@@ -104,48 +104,48 @@
 		return nil, 0, true
 	case !isHeld && now < t.blockedUntil:
 		return nil, max(min(t.blockedUntil-now, MaxRetryAfter), MinRetryAfter), false
-	case (!isHeld || now >= x.expiresAt) && (now >= x.reservedUntil || x.candidate == c.Holder):
+	case (!isHeld || now >= e.expiresAt) && (now >= e.reservedUntil || e.candidate == c.Holder):
 		if isHeld {
-			over = &d.LeaseTerm
+			expired = &d.LeaseTerm
 		}
-		return over, 0, true
+		return expired, 0, true
 	}
-	if now >= x.candidateSeenAt+WaitingTime || c.Fitness > x.candidateFitness || x.candidate == c.Holder {
-		x.candidate, x.candidateFitness, x.candidateSeenAt = c.Holder, c.Fitness, now
+	if now >= e.candidateSeenAt+WaitingTime || c.Fitness > e.candidateFitness || e.candidate == c.Holder {
+		e.candidate, e.candidateFitness, e.candidateSeenAt = c.Holder, c.Fitness, now
 	}
-	if x.candidate == c.Holder && x.hasFitterCandidate(now) {
-		return nil, MinRetryAfter, false // the holder may hand over to it at any time
+	if e.candidate == c.Holder && e.hasFitterCandidate(now) {
+		return nil, MinRetryAfter, false // the holder may release the leadership for it at any time
 	}
-	// One that the holder stopped renewing is claimed at its lease's end.
-	soonest := max(RetrySpacing, min(MinRetryAfter, x.expiresAt-now))
-	x.lastRetryAt = min(max(now+soonest, x.lastRetryAt+RetrySpacing), now+MaxRetryAfter)
-	return nil, x.lastRetryAt - now, false
+	// If the holder has stopped renewing, a candidate retries at the end of the lease.
+	earliest := max(RetrySpacing, min(MinRetryAfter, e.expiresAt-now))
+	e.lastRetryAt = min(max(now+earliest, e.lastRetryAt+RetrySpacing), now+MaxRetryAfter)
+	return nil, e.lastRetryAt - now, false
 }
 
-// Renewed notes a holder's fitness, and returns the fitness of the one that waits if it is better by
-// HandoverMargin; 0: none is.
+// Renewed records a holder's fitness, and returns the fitness of the fittest waiting candidate if that exceeds it
+// by HandoverMargin, otherwise 0.
 func (t *Table) Renewed(now time.Duration, c api.LeadershipClaim) (better float64) {
-	x := t.entry(c.Name)
-	x.fitness = c.Fitness
-	if x.hasFitterCandidate(now) {
-		return x.candidateFitness
+	e := t.entry(c.Name)
+	e.fitness = c.Fitness
+	if e.hasFitterCandidate(now) {
+		return e.candidateFitness
 	}
 	return 0
 }
 
-// hasFitterCandidate tells whether one that waits is fitter than the holder by HandoverMargin.
-func (x *entry) hasFitterCandidate(now time.Duration) bool {
-	return x.candidate != "" && now < x.candidateSeenAt+WaitingTime && x.candidateFitness >= x.fitness+HandoverMargin
+// hasFitterCandidate reports whether a waiting candidate is fitter than the holder by HandoverMargin.
+func (e *entry) hasFitterCandidate(now time.Duration) bool {
+	return e.candidate != "" && now < e.candidateSeenAt+WaitingTime && e.candidateFitness >= e.fitness+HandoverMargin
 }
 
-// Expired returns the terms that have been over for IdleTime, by name, and forgets leaderships that nobody
+// Expired returns the terms that ended more than IdleTime ago, sorted by name, and forgets leaderships that nobody
 // holds or claims.
 func (t *Table) Expired(now time.Duration) (idle []list.LeaseTerm) {
-	for name, x := range t.entries {
+	for name, e := range t.entries {
 		switch {
-		case x.Epoch != 0 && now > x.expiresAt+IdleTime:
-			idle = append(idle, x.LeaseTerm)
-		case x.Epoch == 0 && now > max(x.candidateSeenAt, x.lastRetryAt)+IdleTime:
+		case e.Epoch != 0 && now > e.expiresAt+IdleTime:
+			idle = append(idle, e.LeaseTerm)
+		case e.Epoch == 0 && now > max(e.candidateSeenAt, e.lastRetryAt)+IdleTime:
 			delete(t.entries, name)
 		}
 	}
@@ -161,31 +161,31 @@
 // Clone returns a copy in the same state.
 func (t *Table) Clone() Table {
 	c := Table{entries: map[string]*entry{}, blockedUntil: t.blockedUntil}
-	for name, x := range t.entries {
-		same := *x
-		c.entries[name] = &same
+	for name, e := range t.entries {
+		copied := *e
+		c.entries[name] = &copied
 	}
 	return c
 }
 
-// AppendKey appends all that the future of a leadership may depend on, for state exploration: times from now
-// on, epochs and renewals relative to the leadership's, and nothing for what is over.
+// AppendKey appends everything that the future of a leadership may depend on, for state exploration: times relative
+// to now, epochs and renewals relative to the leadership's, and nothing for a candidate that no longer counts.
 func (t *Table) AppendKey(b []byte, now time.Duration, d list.Leadership) []byte {
-	x := t.entries[d.Name]
-	if x == nil {
+	e := t.entries[d.Name]
+	if e == nil {
 		return append(b, 0)
 	}
-	put := func(at time.Duration) { b = binary.AppendVarint(b, int64(max(0, at-now))) }
-	b = binary.AppendVarint(append(b, 1), int64(d.Epoch-x.Epoch))
-	b = binary.AppendVarint(b, int64(d.Renewals-x.Renewals))
-	b = binary.AppendVarint(b, int64(1000*x.fitness))
-	put(x.expiresAt)
-	put(x.lastRetryAt)
-	put(t.blockedUntil)
-	if now < max(x.candidateSeenAt+WaitingTime, x.reservedUntil) {
-		b = binary.AppendVarint(append(b, x.candidate...), int64(1000*x.candidateFitness))
-		put(x.candidateSeenAt + WaitingTime)
-		put(x.reservedUntil)
+	appendTime := func(at time.Duration) { b = binary.AppendVarint(b, int64(max(0, at-now))) }
+	b = binary.AppendVarint(append(b, 1), int64(d.Epoch-e.Epoch))
+	b = binary.AppendVarint(b, int64(d.Renewals-e.Renewals))
+	b = binary.AppendVarint(b, int64(1000*e.fitness))
+	appendTime(e.expiresAt)
+	appendTime(e.lastRetryAt)
+	appendTime(t.blockedUntil)
+	if now < max(e.candidateSeenAt+WaitingTime, e.reservedUntil) {
+		b = binary.AppendVarint(append(b, e.candidate...), int64(1000*e.candidateFitness))
+		appendTime(e.candidateSeenAt + WaitingTime)
+		appendTime(e.reservedUntil)
 	}
 	return b
 }
