--- a/internal/registry/acks_test.go
+++ b/internal/registry/acks_test.go
@@ -7,47 +7,47 @@
 	"mosslead/internal/registry/api"
 )
 
-// Each sidecar that was heard is counted once, by what it last said, and those in whom a document is not in force are named; how long one
-// was not heard is the service's word alone.
+// Checks that a rollout counts each sidecar once, by its latest acknowledgement, and lists those at which the document is not in force.
+// The time for which a sidecar has been silent is measured by the service, and not taken from the sidecar.
 func TestRolloutsCountEachSidecarOnce(t *testing.T) {
 	var a acks
 	a.reset()
-	say := func(at time.Duration, x api.Ack) {
+	record := func(at time.Duration, ack api.Ack) {
 		t.Helper()
-		x.Service, x.SilentMs = "orders", 5
-		if !a.record(at, x) {
-			t.Fatal("no room")
+		ack.Service, ack.SilentMs = "orders", 5
+		if !a.record(at, ack) {
+			t.Fatalf("record of %+v: got false, want true", ack)
 		}
 	}
-	say(0, api.Ack{Node: "gone", Region: "south", Revision: 4})
-	say(0, api.Ack{Node: "good", Region: "south", Revision: 3})
-	for node, x := range map[string]api.Ack{"good": {Revision: 4}, "behind": {Revision: 3}, "rejects": {Revision: 3, RejectedRevision: 4, Reason: "no"},
+	record(0, api.Ack{Node: "gone", Region: "south", Revision: 4})
+	record(0, api.Ack{Node: "good", Region: "south", Revision: 3})
+	for node, ack := range map[string]api.Ack{"good": {Revision: 4}, "behind": {Revision: 3}, "rejects": {Revision: 3, RejectedRevision: 4, Reason: "no"},
 		"rejected before": {Revision: 2, RejectedRevision: 3, Reason: "no"}, "has none": {}} {
-		x.Node = node
-		if x.Revision > 0 {
-			x.Region = "south"
+		ack.Node = node
+		if ack.Revision > 0 {
+			ack.Region = "south"
 		}
-		say(time.Minute, x)
+		record(time.Minute, ack)
 	}
-	say(time.Minute, api.Ack{Node: "another region's", Region: "north", Revision: 4})
+	record(time.Minute, api.Ack{Node: "another region's", Region: "north", Revision: 4})
 	document := api.Document{Service: "orders", Region: "south", Revision: 4, Settings: []byte("{}")}
-	r := a.rollouts(time.Minute+time.Second, []api.Document{document, {Service: "fares", Revision: 1}})
-	if len(r) != 2 || r[1].InForce+r[1].Behind+r[1].Rejected+r[1].Silent+len(r[1].NotInForce) != 0 {
-		t.Fatalf("%+v", r)
+	rollouts := a.rollouts(time.Minute+time.Second, []api.Document{document, {Service: "fares", Revision: 1}})
+	if len(rollouts) != 2 || rollouts[1].InForce+rollouts[1].Behind+rollouts[1].Rejected+rollouts[1].Silent+len(rollouts[1].NotInForce) != 0 {
+		t.Fatalf("got %+v, want 2 rollouts, the second without sidecars", rollouts)
 	}
-	if o := r[0]; o.InForce != 1 || o.Behind != 4 || o.Rejected != 1 || o.Silent != 1 || len(o.NotInForce) != 6 || o.Settings != nil {
-		t.Errorf("%+v", o)
+	if got := rollouts[0]; got.InForce != 1 || got.Behind != 4 || got.Rejected != 1 || got.Silent != 1 || len(got.NotInForce) != 6 || got.Settings != nil {
+		t.Errorf("got %+v, want 1 in force, 4 behind, 1 rejected, 1 silent, 6 listed as not in force, and no settings", got)
 	}
-	for _, x := range r[0].NotInForce {
-		if silent := map[string]int64{"gone": 61_000}[x.Node]; x.SilentMs != silent {
-			t.Errorf("%+v: silent for %d ms", x, silent)
+	for _, ack := range rollouts[0].NotInForce {
+		if want := map[string]int64{"gone": 61_000}[ack.Node]; ack.SilentMs != want {
+			t.Errorf("%+v: got silent for %d ms, want %d ms", ack, ack.SilentMs, want)
 		}
 	}
 	document.Deleted = true
-	if o := a.rollouts(time.Minute, []api.Document{document})[0]; o.InForce != 3 { // without settings; and at that version
-		t.Errorf("deleted: %+v", o)
+	if got := a.rollouts(time.Minute, []api.Document{document})[0]; got.InForce != 3 { // the sidecars without settings from the service, and those at that version
+		t.Errorf("deleted document: got %+v, want 3 in force", got)
 	}
-	if o := a.rollouts(ackLifetime+time.Second, []api.Document{document})[0]; o.InForce+o.Behind+o.Rejected != 0 || o.Silent != 6 {
-		t.Errorf("after a while: %+v", o)
+	if got := a.rollouts(ackLifetime+time.Second, []api.Document{document})[0]; got.InForce+got.Behind+got.Rejected != 0 || got.Silent != 6 {
+		t.Errorf("after %v: got %+v, want all 6 remaining sidecars silent", ackLifetime+time.Second, got)
 	}
 }
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -9,36 +9,37 @@
 	"mosslead/internal/registry/api"
 )
 
-func newRecords(n int) (all []api.Record) {
+func newRecords(n int) (records []api.Record) {
 	for i := range n {
-		all = append(all, api.Record{Endpoint: api.Endpoint{Name: fmt.Sprint("u", i)}, LeaseMs: 1000, ServerStatus: api.Ready, Incarnation: 1})
+		records = append(records, api.Record{Endpoint: api.Endpoint{Name: fmt.Sprint("u", i)}, LeaseMs: 1000, ServerStatus: api.Ready, Incarnation: 1})
 	}
-	return all
+	return records
 }
 
-// advance lets time pass while all but the silent ones renew, and gives whose entries ended.
-func advance(l *leaseTable, from, to time.Duration, n int, silent map[int]bool) (ended []string) {
+// advance runs the checks of a period in which all n servers but the silent ones renew their leases. It returns the names of the
+// servers whose entries were to be removed, sorted.
+func advance(l *leaseTable, from, to time.Duration, n int, silent map[int]bool) (removed []string) {
 	for now := from; now < to; now += leaseCheckInterval {
 		for i := range n {
 			if !silent[i] {
 				l.renew(now, api.Heartbeat{Name: fmt.Sprint("u", i), Incarnation: 1})
 			}
 		}
-		for _, x := range l.expire(now) {
-			ended = append(ended, x.Name)
-			delete(l.byName, x.Name)
+		for _, heartbeat := range l.expire(now) {
+			removed = append(removed, heartbeat.Name)
+			delete(l.byName, heartbeat.Name)
 		}
 	}
-	slices.Sort(ended)
-	return ended
+	slices.Sort(removed)
+	return removed
 }
 
 func TestLeases(t *testing.T) {
 	s := time.Second
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		silent []int
-		play   func(l *leaseTable, silent map[int]bool) []string
+		run    func(l *leaseTable, silent map[int]bool) []string
 		want   []string
 	}{
 		{"one falls silent", []int{3}, func(l *leaseTable, silent map[int]bool) []string { return advance(l, 0, 3*s, 10, silent) }, []string{"u3"}},
@@ -68,11 +69,11 @@
 		l := &leaseTable{grace: 500 * time.Millisecond, preserveFraction: 0.2}
 		l.reset(0, newRecords(10))
 		silent := map[int]bool{}
-		for _, i := range x.silent {
+		for _, i := range test.silent {
 			silent[i] = true
 		}
-		if got := x.play(l, silent); !slices.Equal(got, x.want) {
-			t.Errorf("%s: %v ended, want %v", x.name, got, x.want)
+		if got := test.run(l, silent); !slices.Equal(got, test.want) {
+			t.Errorf("%s: got %v removed, want %v", test.name, got, test.want)
 		}
 	}
 }
@@ -81,6 +82,6 @@
 	l := &leaseTable{}
 	l.reset(0, newRecords(1))
 	if l.renew(0, api.Heartbeat{Name: "u0", Incarnation: 2}) || l.renew(0, api.Heartbeat{Name: "u1", Incarnation: 1}) {
-		t.Error("renewed what it does not know")
+		t.Error("renewing the lease of another incarnation or of an unknown server: got true, want false")
 	}
 }
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -26,9 +26,10 @@
 	"mosslead/internal/registry/registrytest"
 )
 
+// replicaEnv is the environment variable with the path of a configuration. If it is set, this binary runs as that replica.
 const replicaEnv = "TEST_REPLICA"
 
-// TestMain lets this binary be a replica: a process of its own.
+// TestMain runs this binary as a replica if replicaEnv is set, and otherwise the tests.
 func TestMain(m *testing.M) {
 	if path := os.Getenv(replicaEnv); path != "" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -49,7 +50,7 @@
 	os.Exit(m.Run())
 }
 
-// quorum is replicas that are processes.
+// quorum is a set of replicas that run as processes.
 type quorum struct {
 	t         *testing.T
 	dir       string
@@ -58,14 +59,14 @@
 	client    *client.Client
 }
 
-// unusedAddress is one that nobody else on this machine has: a replica that restarts has to find its own again.
+// unusedAddress returns an address that no other process on this machine uses, so that it is still free when a replica restarts.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
-	at, err := loopback.Address()
+	address, err := loopback.Address()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return at
+	return address
 }
 
 func newQuorum(t *testing.T, n int) *quorum {
@@ -78,16 +79,16 @@
 	return q
 }
 
-// configureQuorum is a quorum of which nobody runs yet.
+// configureQuorum returns a quorum of n replicas, none of which runs yet.
 func configureQuorum(t *testing.T, n int) *quorum {
 	t.Helper()
 	q := &quorum{t: t, dir: t.TempDir(), processes: map[string]*proc.Child{}}
-	var at []string
+	var addresses []string
 	for i := range n {
 		q.peers = append(q.peers, map[string]any{"name": fmt.Sprint("r", i), "raft": unusedAddress(t), "api": unusedAddress(t)})
-		at = append(at, q.peers[i]["api"].(string))
+		addresses = append(addresses, q.peers[i]["api"].(string))
 	}
-	q.client = client.New(at)
+	q.client = client.New(addresses)
 	t.Cleanup(func() {
 		q.client.Close()
 		for _, c := range q.processes {
@@ -103,7 +104,7 @@
 	return q
 }
 
-// start starts a replica; more are keys of its configuration.
+// start starts a replica. more holds additional keys of its configuration.
 func (q *quorum) start(name string, more map[string]any) {
 	q.t.Helper()
 	c := map[string]any{"name": name, "dir": filepath.Join(q.dir, name), "replica": q.peers, "grace": "200ms"}
@@ -136,29 +137,30 @@
 	}
 }
 
-// waitForStatus waits for what a status must say.
-func (q *quorum) waitForStatus(what string, is func(map[string]api.Status) bool) map[string]api.Status {
+// waitForStatus waits until matches returns true for the statuses of the replicas, and returns them. what describes the condition.
+func (q *quorum) waitForStatus(what string, matches func(map[string]api.Status) bool) map[string]api.Status {
 	q.t.Helper()
 	ctx, cancel := context.WithTimeout(q.t.Context(), 20*time.Second)
 	defer cancel()
 	for {
-		reported, _ := q.client.Status(ctx)
-		if is(reported) {
-			return reported
+		statuses, _ := q.client.Status(ctx)
+		if matches(statuses) {
+			return statuses
 		}
 		if ctx.Err() != nil {
-			q.t.Fatalf("never: %s; last %+v", what, reported)
+			q.t.Fatalf("timed out waiting for %q: got statuses %+v", what, statuses)
 		}
-		time.Sleep(20 * time.Millisecond) // between two looks
+		time.Sleep(20 * time.Millisecond) // between two requests
 	}
 }
 
+// waitServing waits until n replicas serve fresh lists, and returns the name of the leader.
 func (q *quorum) waitServing(n int) string {
 	q.t.Helper()
 	leader := ""
-	q.waitForStatus(fmt.Sprintf("%d serve", n), func(reported map[string]api.Status) bool {
+	q.waitForStatus(fmt.Sprintf("%d replicas serve", n), func(statuses map[string]api.Status) bool {
 		serving, known := 0, true
-		for _, s := range reported {
+		for _, s := range statuses {
 			if s.Leader != "" && s.StalenessMs >= 0 && s.StalenessMs < 1000 && len(s.Members) >= n {
 				serving++
 				known = known && s.Members[s.Replica.Name] == s.Replica
@@ -179,40 +181,41 @@
 	}
 }
 
-// A watcher sees every change through the death of the leader, the loss of a disk, and an old copy of one.
+// Checks that a watcher is sent every change while the leader is killed, a replica loses its disk, and an old copy of that disk is
+// restored.
 func TestQuorumOfProcessesLosesItsMembersOneByOne(t *testing.T) {
 	q := newQuorum(t, 3)
-	got := make(chan api.WatchEvent, 64)
+	events := make(chan api.WatchEvent, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		q.client.Watch(ctx, nil, client.Watcher{Apply: func(l api.WatchEvent) error { got <- l; return nil }, OnError: func(string, error) {}})
+		q.client.Watch(ctx, nil, client.Watcher{Apply: func(event api.WatchEvent) error { events <- event; return nil }, OnError: func(string, error) {}})
 	}()
 	defer func() { stop(); <-ended }()
-	hears := func(name string) {
+	waitForEntry := func(name string) {
 		t.Helper()
-		late := time.After(15 * time.Second)
+		timeout := time.After(15 * time.Second)
 		for {
 			select {
-			case l := <-got:
-				for _, e := range l.Endpoints {
-					if e.Name == name {
+			case event := <-events:
+				for _, endpoint := range event.Endpoints {
+					if endpoint.Name == name {
 						return
 					}
 				}
-			case <-late:
-				t.Fatalf("the watcher never heard of %s", name)
+			case <-timeout:
+				t.Fatalf("timed out: the watcher was not sent entry %q", name)
 			}
 		}
 	}
 	q.register("before")
-	hears("before")
+	waitForEntry("before")
 
 	leader := q.waitServing(3)
 	q.kill(leader)
 	q.register("without the leader")
-	hears("without the leader")
+	waitForEntry("without the leader")
 	q.start(leader, nil)
 	q.waitServing(3)
 
@@ -220,17 +223,17 @@
 	if q.waitServing(3) == follower {
 		follower = "r1"
 	}
-	disk := func() api.Replica {
-		s := q.waitForStatus("a status", func(s map[string]api.Status) bool { return len(s) == 3 })
-		for _, x := range s {
-			return x.Members[follower]
+	followerReplica := func() api.Replica {
+		statuses := q.waitForStatus("three statuses", func(statuses map[string]api.Status) bool { return len(statuses) == 3 })
+		for _, status := range statuses {
+			return status.Members[follower]
 		}
 		return api.Replica{}
 	}
-	was := disk()
-	old := filepath.Join(q.dir, "old")
+	before := followerReplica()
+	diskCopy := filepath.Join(q.dir, "old")
 	q.kill(follower)
-	if err := os.CopyFS(old, os.DirFS(filepath.Join(q.dir, follower))); err != nil {
+	if err := os.CopyFS(diskCopy, os.DirFS(filepath.Join(q.dir, follower))); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(filepath.Join(q.dir, follower)); err != nil {
@@ -239,17 +242,17 @@
 	q.register("while a disk is lost")
 	q.start(follower, nil)
 	q.waitServing(3)
-	if now := disk(); now.DiskID == was.DiskID {
-		t.Errorf("an empty disk is taken for the one that was lost: %+v", now)
+	if after := followerReplica(); after.DiskID == before.DiskID {
+		t.Errorf("after the loss of a disk: got replica %+v, want a disk ID other than %q", after, before.DiskID)
 	}
-	hears("while a disk is lost")
+	waitForEntry("while a disk is lost")
 
-	// The copy of before is an older disk than the others remember.
+	// The restored copy of the disk is older than the one that the others know.
 	q.kill(follower)
 	if err := os.RemoveAll(filepath.Join(q.dir, follower)); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(old, filepath.Join(q.dir, follower)); err != nil {
+	if err := os.Rename(diskCopy, filepath.Join(q.dir, follower)); err != nil {
 		t.Fatal(err)
 	}
 	q.register("while a disk is old")
@@ -257,9 +260,9 @@
 	q.waitServing(3)
 	aside, err := filepath.Glob(filepath.Join(q.dir, follower, "aside-*"))
 	if err != nil || len(aside) != 1 {
-		t.Errorf("the old copy was not set aside: %v, %v", aside, err)
+		t.Errorf("got directories %v, error %v, want one directory with the old copy", aside, err)
 	}
-	hears("while a disk is old")
+	waitForEntry("while a disk is old")
 }
 
 func TestReplicasComeAndGoAtRunTime(t *testing.T) {
@@ -267,62 +270,62 @@
 	ctx := t.Context()
 	m := api.Replica{Name: "r9", Raft: unusedAddress(t), API: unusedAddress(t)}
 	q.start("r9", map[string]any{"join": true, "listen": m.API, "raft_bind": m.Raft})
-	q.waitForStatus("four", func(reported map[string]api.Status) bool {
-		for _, s := range reported {
+	q.waitForStatus("three statuses with four voters", func(statuses map[string]api.Status) bool {
+		for _, s := range statuses {
 			if len(s.Voters) != 4 || len(s.Members) != 4 {
 				return false
 			}
 		}
-		return len(reported) == 3
+		return len(statuses) == 3
 	})
 	q.register("one")
-	own := client.New([]string{m.API})
-	defer own.Close()
-	if all, err := own.Records(ctx, true); err != nil || len(all.Records) != 1 {
-		t.Errorf("the new replica says %+v, %v", all, err)
+	newClient := client.New([]string{m.API})
+	defer newClient.Close()
+	if records, err := newClient.Records(ctx, true); err != nil || len(records.Records) != 1 {
+		t.Errorf("records of the new replica: got %+v, error %v, want one record", records, err)
 	}
 	if err := q.client.Remove(ctx, "r9"); err != nil {
 		t.Fatal(err)
 	}
 	if err := q.client.Remove(ctx, "r9"); !api.IsCode(err, api.CodeNotFound) {
-		t.Errorf("removed twice: %v", err)
+		t.Errorf("second removal: got error %v, want code %s", err, api.CodeNotFound)
 	}
 
-	text, err := q.client.Backup(ctx)
+	backup, err := q.client.Backup(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before, _ := q.client.Records(ctx, true)
 	q.register("after the backup")
-	if err := q.client.Restore(ctx, text); err != nil {
+	if err := q.client.Restore(ctx, backup); err != nil {
 		t.Fatal(err)
 	}
 	after, err := q.client.Records(ctx, true)
 	if err != nil || len(after.Records) != 1 || after.Revision <= before.Revision+1 {
-		t.Errorf("after a restore: %+v, %v", after, err)
+		t.Errorf("after a restore: got %+v, error %v, want one record and a version above %d", after, err, before.Revision+1)
 	}
-	torn := bytes.Replace(text, []byte(`127.0.0.1:1`), []byte(`127.0.0.1:2`), 1)
-	if err := q.client.Restore(ctx, torn); !api.IsCode(err, api.CodeBadRequest) {
-		t.Errorf("a damaged backup: %v", err)
+	damaged := bytes.Replace(backup, []byte(`127.0.0.1:1`), []byte(`127.0.0.1:2`), 1)
+	if err := q.client.Restore(ctx, damaged); !api.IsCode(err, api.CodeBadRequest) {
+		t.Errorf("restoring a damaged backup: got error %v, want code %s", err, api.CodeBadRequest)
 	}
 }
 
-// startDevReplica is one replica in this process.
+// startDevReplica starts a single replica in this process, and returns its address.
 func startDevReplica(t *testing.T) string {
 	t.Helper()
-	at := unusedAddress(t)
-	registrytest.Start(t, registry.Dev(at))
-	c := client.New([]string{at})
+	address := unusedAddress(t)
+	registrytest.Start(t, registry.Dev(address))
+	c := client.New([]string{address})
 	defer c.Close()
 	q := &quorum{t: t, client: c}
 	q.waitServing(1)
-	return at
+	return address
 }
 
 func TestBadCallsGetOneClearAnswer(t *testing.T) {
-	at := startDevReplica(t)
+	address := startDevReplica(t)
 	huge := `{"address":"` + strings.Repeat("x", 2<<20)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		method, path, body string
 		status             int
 	}{
@@ -353,78 +356,78 @@
 		{"GET", "/nothing", ``, 404},
 		{"GET", "/readyz", ``, 200},
 	} {
-		req, err := http.NewRequestWithContext(t.Context(), x.method, "http://"+at+x.path, strings.NewReader(x.body))
+		req, err := http.NewRequestWithContext(t.Context(), test.method, "http://"+address+test.path, strings.NewReader(test.body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			t.Fatalf("%s %.40s: %v", x.method, x.path, err)
+			t.Fatalf("%s %.40s: %v", test.method, test.path, err)
 		}
 		text, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
-		if resp.StatusCode != x.status || err != nil {
-			t.Errorf("%s %.40s %.60q: %s %.100s, want %d", x.method, x.path, x.body, resp.Status, text, x.status)
+		if resp.StatusCode != test.status || err != nil {
+			t.Errorf("%s %.40s %.60q: got %s %.100s, want %d", test.method, test.path, test.body, resp.Status, text, test.status)
 		}
-		var f api.Error
-		if resp.StatusCode >= 400 && x.path != "/nothing" && !strings.HasSuffix(x.path, "/steal") && (json.Unmarshal(text, &f) != nil || f.Text == "" || len(text) > 1000) {
-			t.Errorf("%s %.40s: not one clear answer: %.200s", x.method, x.path, text)
+		var apiErr api.Error
+		if resp.StatusCode >= 400 && test.path != "/nothing" && !strings.HasSuffix(test.path, "/steal") && (json.Unmarshal(text, &apiErr) != nil || apiErr.Text == "" || len(text) > 1000) {
+			t.Errorf("%s %.40s: got body %.200s of %d bytes, want a JSON error with a text, of at most 1000 bytes", test.method, test.path, text, len(text))
 		}
 	}
 }
 
-// A leadership outlives the leader that gave it, with the full lease again; who comes after its end gets it under a higher epoch,
-// and whoever held it is told so.
+// Checks that a leadership remains held when the leader of the service that granted it is killed, with its full lease again. After
+// the end of the lease another candidate acquires it under a higher epoch, and the former holder can't renew it.
 func TestADutyOutlivesTheLeader(t *testing.T) {
 	q := newQuorum(t, 3)
-	change := func(what string, do func(ctx context.Context) (api.LeadershipGrant, error)) (g api.LeadershipGrant) {
+	retry := func(what string, call func(ctx context.Context) (api.LeadershipGrant, error)) (g api.LeadershipGrant) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(t.Context(), 15*time.Second)
 		defer cancel()
 		for err := error(context.Canceled); err != nil; {
-			if g, err = do(ctx); ctx.Err() != nil {
+			if g, err = call(ctx); ctx.Err() != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 			if err != nil {
-				time.Sleep(10 * time.Millisecond) // between two tries
+				time.Sleep(10 * time.Millisecond) // between two attempts
 			}
 		}
 		return g
 	}
-	take := func(holder string) api.LeadershipGrant {
-		return change(holder+" takes", func(ctx context.Context) (api.LeadershipGrant, error) {
+	acquire := func(holder string) api.LeadershipGrant {
+		return retry(holder+" claims", func(ctx context.Context) (api.LeadershipGrant, error) {
 			return q.client.AcquireLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: holder, LeaseMs: 1500})
 		})
 	}
-	first := take("a")
+	first := acquire("a")
 	if first.Holder != "a" || first.Epoch == 0 {
-		t.Fatalf("got %+v", first)
+		t.Fatalf("first claim of a: got %+v, want holder a and an epoch", first)
 	}
 	leader := q.waitServing(3)
 	q.kill(leader)
-	if g := take("b"); g.Holder != "a" || g.Epoch != first.Epoch || g.RetryAfterMs <= 0 {
-		t.Errorf("a new leader gives away what is held: %+v", g)
+	if g := acquire("b"); g.Holder != "a" || g.Epoch != first.Epoch || g.RetryAfterMs <= 0 {
+		t.Errorf("claim of b while a holds the leadership: got %+v, want holder a, epoch %d and a retry time", g, first.Epoch)
 	}
-	if g := take("a"); g.Epoch != first.Epoch {
-		t.Errorf("the holder asks again and gets %+v", g)
+	if g := acquire("a"); g.Epoch != first.Epoch {
+		t.Errorf("repeated claim of the holder: got %+v, want epoch %d", g, first.Epoch)
 	}
 	var second api.LeadershipGrant
 	for second.Holder != "b" {
-		second = take("b")
+		second = acquire("b")
 	}
 	if second.Epoch <= first.Epoch {
-		t.Errorf("after %+v: %+v", first, second)
+		t.Errorf("claim of b after the lease: got %+v, want an epoch above %d", second, first.Epoch)
 	}
-	late := change("a renews", func(ctx context.Context) (api.LeadershipGrant, error) {
+	renewed := retry("a renews", func(ctx context.Context) (api.LeadershipGrant, error) {
 		return q.client.RenewLeadership(ctx, api.LeadershipClaim{Name: "digest/cebu", Holder: "a", LeaseMs: 1500, Epoch: first.Epoch})
 	})
-	if late.HeldBy("a", 0) {
-		t.Errorf("renewed under an old epoch: %+v", late)
+	if renewed.HeldBy("a", 0) {
+		t.Errorf("renewal by a under its old epoch: got %+v, want another holder", renewed)
 	}
 }
 
-// A replica that starts again tells no list before it has all that was committed until then: what its own log holds is the list of
-// before, and it hears from the leader that there is one before it hears how much of that is committed.
+// Checks that a replica that starts again serves no list before it has applied all that was committed until then. Its log holds an
+// older list, and it learns of the leader before it learns the commit index.
 func TestAReplicaThatStartsAgainTellsNothingOld(t *testing.T) {
 	q := newQuorum(t, 3)
 	const entries = 200
@@ -435,10 +438,10 @@
 	if leader == name {
 		name = "r1"
 	}
-	at := ""
+	address := ""
 	for _, p := range q.peers {
 		if p["name"] == name {
-			at = p["api"].(string)
+			address = p["api"].(string)
 		}
 	}
 	for range 3 {
@@ -446,25 +449,25 @@
 		q.start(name, nil)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		for {
-			var l api.WatchEvent
-			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/api/targets", nil)
+			var event api.WatchEvent
+			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/targets", nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			resp, err := http.DefaultClient.Do(req)
 			if ctx.Err() != nil {
-				t.Fatal("it never tells a list")
+				t.Fatalf("timed out waiting for a list of %s: last error %v", name, err)
 			}
 			if err != nil {
-				continue // it does not listen yet
+				continue // the replica does not listen yet
 			}
-			err = api.ReadAnswer(resp, &l)
+			err = api.ReadAnswer(resp, &event)
 			_ = resp.Body.Close()
 			if api.IsCode(err, api.CodeStale) {
 				continue
 			}
-			if err != nil || len(l.Endpoints) != entries {
-				t.Errorf("its first list has %d entries of %d, %v", len(l.Endpoints), entries, err)
+			if err != nil || len(event.Endpoints) != entries {
+				t.Errorf("first list of %s: got %d entries, error %v, want %d entries", name, len(event.Endpoints), err, entries)
 			}
 			break
 		}
--- a/internal/registry/regions_test.go
+++ b/internal/registry/regions_test.go
@@ -14,27 +14,27 @@
 	"mosslead/internal/registry/registrytest"
 )
 
-// twoRegions are north and south, one replica in memory each, that follow each other over links.
+// twoRegions is the regions north and south, each a single replica in memory, that replicate each other over links.
 type twoRegions struct {
 	t         *testing.T
 	addresses map[string]string
 	clients   map[string]*client.Client
-	links     map[string]*relay.Link // by who follows over it
+	links     map[string]*relay.Link // by the region that replicates over the link
 }
 
 func newTwoRegions(t *testing.T) *twoRegions {
 	t.Helper()
 	r := &twoRegions{t: t, addresses: map[string]string{"north": unusedAddress(t), "south": unusedAddress(t)}, clients: map[string]*client.Client{}, links: map[string]*relay.Link{}}
 	for name, other := range map[string]string{"north": "south", "south": "north"} {
-		l, err := relay.New(name, other, unusedAddress(t), r.addresses[other], nil)
+		link, err := relay.New(name, other, unusedAddress(t), r.addresses[other], nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(l.Close)
+		t.Cleanup(link.Close)
 		c := registry.Dev(r.addresses[name])
-		c.Region, c.Follow = name, []registry.FollowedRegion{{Region: other, API: []string{l.Address()}}}
+		c.Region, c.Follow = name, []registry.FollowedRegion{{Region: other, API: []string{link.Address()}}}
 		registrytest.Start(t, c)
-		r.links[name], r.clients[name] = l, client.New([]string{r.addresses[name]})
+		r.links[name], r.clients[name] = link, client.New([]string{r.addresses[name]})
 		t.Cleanup(r.clients[name].Close)
 	}
 	for _, c := range r.clients {
@@ -52,46 +52,47 @@
 	}
 }
 
-func (r *twoRegions) put(region, service string, n int, on int64) int64 {
+func (r *twoRegions) put(region, service string, n int, ifVersion int64) int64 {
 	r.t.Helper()
-	return put(r.t, r.clients[region], service, n, on)
+	return put(r.t, r.clients[region], service, n, ifVersion)
 }
 
-// put writes the form of settings with that number.
-func put(t *testing.T, c *client.Client, service string, n int, on int64) int64 {
+// put writes the settings with number n, if the present version is ifVersion, and returns the new version.
+func put(t *testing.T, c *client.Client, service string, n int, ifVersion int64) int64 {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	for {
-		v, err := c.Put(ctx, service, api.PutRequest{Schema: 1, Settings: json.RawMessage(settingsJSON(n)), IfRevision: &on})
-		if api.IsCode(err, api.CodeOlderReplica) && ctx.Err() == nil { // it has not said yet what it understands
-			time.Sleep(10 * time.Millisecond) // between two tries
+		version, err := c.Put(ctx, service, api.PutRequest{Schema: 1, Settings: json.RawMessage(settingsJSON(n)), IfRevision: &ifVersion})
+		if api.IsCode(err, api.CodeOlderReplica) && ctx.Err() == nil { // the replica has not announced its schema yet
+			time.Sleep(10 * time.Millisecond) // between two attempts
 			continue
 		}
 		if err != nil {
-			t.Fatalf("put: %v", err)
+			t.Fatalf("put of settings of %s: %v", service, err)
 		}
-		return v
+		return version
 	}
 }
 
-// waitForReplicationStatus waits for what a region says of the other one.
-func (r *twoRegions) waitForReplicationStatus(region, what string, is func(api.ReplicationStatus) bool) {
+// waitForReplicationStatus waits until matches returns true for the status of the replication in a region. what describes the
+// condition.
+func (r *twoRegions) waitForReplicationStatus(region, what string, matches func(api.ReplicationStatus) bool) {
 	r.t.Helper()
-	(&quorum{t: r.t, client: r.clients[region]}).waitForStatus(what, func(reported map[string]api.Status) bool {
-		s := reported[r.addresses[region]]
-		return len(s.Replication) == 1 && s.Region == region && is(s.Replication[0])
+	(&quorum{t: r.t, client: r.clients[region]}).waitForStatus(what, func(statuses map[string]api.Status) bool {
+		status := statuses[r.addresses[region]]
+		return len(status.Replication) == 1 && status.Region == region && matches(status.Replication[0])
 	})
 }
 
-// waitForLine reads a watch until a line holds all of the words.
-func (b *rawWatch) waitForLine(words ...string) string {
-	b.t.Helper()
+// waitForLine reads a watch until a line contains all of the words, and returns the line.
+func (w *rawWatch) waitForLine(words ...string) string {
+	w.t.Helper()
 	for {
-		line := b.next()
+		line := w.next()
 		all := true
-		for _, w := range words {
-			all = all && strings.Contains(line, w)
+		for _, word := range words {
+			all = all && strings.Contains(line, word)
 		}
 		if all {
 			return line
@@ -99,8 +100,8 @@
 	}
 }
 
-// Two regions: what one writes is told by the other; cut off, each goes on by itself with what it had of the other; healed, each has
-// what the other did, deletions too, and the owner of settings alone may write them.
+// Checks that two regions replicate each other. While they are disconnected, each continues with what it has of the other; once they
+// are connected again, each catches up with the other's changes, including deletions. Only the owner of settings may write them.
 func TestRegionsFollowEachOther(t *testing.T) {
 	r := newTwoRegions(t)
 	ctx := t.Context()
@@ -108,22 +109,22 @@
 	list := openRawWatch(t, r.addresses["south"], "from=-1&service=orders&held=")
 	r.register("north", "n1")
 	first := r.put("north", "orders", 1, 0)
-	gone := r.put("north", "gone", 1, 0)
+	goneVersion := r.put("north", "gone", 1, 0)
 	list.waitForLine(`"name":"n1"`)
 	orders := openRawWatch(t, r.addresses["south"], "from=-1&service=orders&held=")
 	deleted := openRawWatch(t, r.addresses["south"], "from=-1&service=gone&held=")
 	orders.waitForLine(`"region":"north"`, settingsJSON(1))
 	deleted.waitForLine(`"region":"north"`, settingsJSON(1))
 	if _, err := r.clients["south"].Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(settingsJSON(3)), IfRevision: &first}); !api.IsCode(err, api.CodeConflict) || !strings.Contains(err.Error(), "region north") {
-		t.Errorf("a put to the region that does not own them: %v", err)
+		t.Errorf("put to the region that does not own the settings: got error %v, want code %s that names region north", err, api.CodeConflict)
 	}
-	r.waitForReplicationStatus("south", "all of north is in", func(f api.ReplicationStatus) bool {
-		return f.Region == "north" && f.Revision >= gone && f.SeenRevision == f.Revision && f.AgeMs >= 0 && f.Endpoints == 1 && f.RejectedReason == ""
+	r.waitForReplicationStatus("south", "south has replicated all of north", func(status api.ReplicationStatus) bool {
+		return status.Region == "north" && status.Revision >= goneVersion && status.SeenRevision == status.Revision && status.AgeMs >= 0 && status.Endpoints == 1 && status.RejectedReason == ""
 	})
 
-	// South hears nothing of what it asks north, and nothing fails; north's calls are refused.
-	for by, state := range map[string]relay.State{"south": {SilentForth: true, SilentBack: true}, "north": {Reset: true}} {
-		if err := r.links[by].Set(state); err != nil {
+	// South receives nothing from north, without an error. North's calls to south are refused.
+	for region, state := range map[string]relay.State{"south": {SilentForth: true, SilentBack: true}, "north": {Reset: true}} {
+		if err := r.links[region].Set(state); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -140,42 +141,42 @@
 	if err := r.clients["north"].Leave(ctx, "n1", api.StateChange{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.clients["north"].Delete(ctx, "gone", gone); err != nil {
+	if _, err := r.clients["north"].Delete(ctx, "gone", goneVersion); err != nil {
 		t.Fatal(err)
 	}
-	bad := r.put("north", "orders", 2, first)
-	repaired := r.put("north", "orders", 4, bad)
-	r.put("south", "late", 5, 0) // both, while neither hears of the other
+	second := r.put("north", "orders", 2, first)
+	repaired := r.put("north", "orders", 4, second)
+	r.put("south", "late", 5, 0) // both regions put the same settings while they are disconnected
 	r.put("north", "late", 6, 0)
 	list.waitForLine(`"name":"dies"`, `"Gone"`)
-	r.waitForReplicationStatus("south", "north is unheard", func(f api.ReplicationStatus) bool { return f.AgeMs > 2500 })
-	whole := openRawWatch(t, r.addresses["south"], "from=-1")
-	if line := whole.next(); !strings.Contains(line, `"name":"n1"`) || strings.Contains(line, `"name":"n2"`) {
-		t.Errorf("cut off, south tells %s", line)
+	r.waitForReplicationStatus("south", "south has received nothing from north", func(status api.ReplicationStatus) bool { return status.AgeMs > 2500 })
+	full := openRawWatch(t, r.addresses["south"], "from=-1")
+	if line := full.next(); !strings.Contains(line, `"name":"n1"`) || strings.Contains(line, `"name":"n2"`) {
+		t.Errorf("list of south while disconnected: got %s, want n1 and not n2", line)
 	}
 
 	late := openRawWatch(t, r.addresses["south"], "from=-1&service=late&held=")
 	late.waitForLine(`"region":"south"`, settingsJSON(5))
-	healed := time.Now()
-	for _, l := range r.links {
-		if err := l.Set(relay.State{}); err != nil {
+	reconnected := time.Now()
+	for _, link := range r.links {
+		if err := link.Set(relay.State{}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	orders.waitForLine(`"documents"`, settingsJSON(4))
 	deleted.waitForLine(`"deleted":true`)
 	late.waitForLine(`"region":"north"`, settingsJSON(6))
-	took := time.Since(healed)
-	t.Logf("in force in south %v after the heal", took.Round(time.Millisecond))
+	took := time.Since(reconnected)
+	t.Logf("south caught up %v after the reconnection", took.Round(time.Millisecond))
 	if took > 7*time.Second {
-		t.Errorf("in force in south %v after the heal", took)
+		t.Errorf("south caught up %v after the reconnection, want at most %v", took, 7*time.Second)
 	}
-	whole.waitForLine(`"name":"n1"`, `"Gone"`)
-	r.waitForReplicationStatus("south", "north is followed again", func(f api.ReplicationStatus) bool {
-		return f.Revision >= repaired && f.RejectedReason == "" && f.AgeMs < 2500
+	full.waitForLine(`"name":"n1"`, `"Gone"`)
+	r.waitForReplicationStatus("south", "south replicates north again", func(status api.ReplicationStatus) bool {
+		return status.Revision >= repaired && status.RejectedReason == "" && status.AgeMs < 2500
 	})
-	r.waitForReplicationStatus("north", "south is followed again", func(f api.ReplicationStatus) bool { return f.Endpoints == 2 && f.RejectedReason == "" })
-	if all, err := r.clients["north"].Documents(ctx, true); err != nil || len(all.Documents) != 4 { // late twice
-		t.Errorf("north lists %+v, %v", all, err)
+	r.waitForReplicationStatus("north", "north replicates south again", func(status api.ReplicationStatus) bool { return status.Endpoints == 2 && status.RejectedReason == "" })
+	if all, err := r.clients["north"].Documents(ctx, true); err != nil || len(all.Documents) != 4 { // late is listed for both regions
+		t.Errorf("documents of north: got %+v, error %v, want 4", all, err)
 	}
 }
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -10,8 +10,8 @@
 	"mosslead/internal/registry"
 )
 
-// Start opens and runs a replica, without a log. stop ends it, and fails the test if the replica ended with an error; it may
-// be called more than once, and is called when the test ends.
+// Start opens and runs a replica that writes no log lines. stop ends it, and fails the test if the replica returned an error. It
+// may be called more than once, and is called when the test ends.
 func Start(t testing.TB, c *registry.Config) (node *registry.Node, stop func()) {
 	t.Helper()
 	node, err := registry.Open(c, slog.New(slog.DiscardHandler))
@@ -24,7 +24,7 @@
 	stop = sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Error("replica ended with an error:", err)
 		}
 	})
 	t.Cleanup(stop)
--- a/internal/registry/settings_test.go
+++ b/internal/registry/settings_test.go
@@ -14,16 +14,16 @@
 	"mosslead/internal/registry/client"
 )
 
-// rawWatch is a watch as it is on the wire.
+// rawWatch reads the lines of a watch as they are sent.
 type rawWatch struct {
 	t     *testing.T
 	lines chan string
 }
 
-// openRawWatch opens a watch; its empty lines are left out.
-func openRawWatch(t *testing.T, at, query string) *rawWatch {
+// openRawWatch opens a watch. Empty lines are skipped.
+func openRawWatch(t *testing.T, address, query string) *rawWatch {
 	t.Helper()
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+at+"/api/targets?watch=1&"+query, nil)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/api/targets?watch=1&"+query, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,44 +31,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &rawWatch{t, make(chan string, 64)}
+	w := &rawWatch{t, make(chan string, 64)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		in := bufio.NewScanner(resp.Body)
-		for in.Scan() {
-			if len(bytes.TrimSpace(in.Bytes())) > 0 {
-				b.lines <- in.Text()
+		scanner := bufio.NewScanner(resp.Body)
+		for scanner.Scan() {
+			if len(bytes.TrimSpace(scanner.Bytes())) > 0 {
+				w.lines <- scanner.Text()
 			}
 		}
 	}()
 	t.Cleanup(func() { _ = resp.Body.Close(); <-ended })
-	return b
+	return w
 }
 
-func (b *rawWatch) next() string {
-	b.t.Helper()
+func (w *rawWatch) next() string {
+	w.t.Helper()
 	select {
-	case l := <-b.lines:
-		return l
+	case line := <-w.lines:
+		return line
 	case <-time.After(10 * time.Second):
-		b.t.Fatal("no line")
+		w.t.Fatal("timed out after 10 s waiting for a line of the watch")
 		return ""
 	}
 }
 
-// settingsJSON is settings that a sidecar would take in, unlike any with another number.
+// settingsJSON returns settings that a sidecar accepts, different for each n.
 func settingsJSON(n int) string {
 	return fmt.Sprintf(`{"Classes":[{"Name":"read","Semantics":"retryable","DeadlineMs":%d}]}`, 100+n)
 }
 
-// The lines of a watch: those who ask for no settings read what they always read, byte for byte.
+// Checks the lines of a watch byte for byte. A watcher that requests no settings is sent the same lines as before there were settings.
 func TestSettingsOnAWatch(t *testing.T) {
-	at := startDevReplica(t)
-	c := client.New([]string{at})
+	address := startDevReplica(t)
+	c := client.New([]string{address})
 	defer c.Close()
 	ctx := t.Context()
-	must := func(version int64, err error) int64 {
+	requireVersion := func(version int64, err error) int64 {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
@@ -76,23 +76,23 @@
 		return version
 	}
 	zero := int64(0)
-	put := func(service, text string, on int64) int64 {
+	put := func(service, text string, ifVersion int64) int64 {
 		t.Helper()
-		return must(c.Put(ctx, service, api.PutRequest{Schema: 1, Settings: json.RawMessage(text), IfRevision: &on}))
+		return requireVersion(c.Put(ctx, service, api.PutRequest{Schema: 1, Settings: json.RawMessage(text), IfRevision: &ifVersion}))
 	}
-	if v := must(c.Register(ctx, "u", api.Registration{Address: "127.0.0.1:1", Weight: 1})); v != 1 {
-		t.Fatalf("version %d", v)
+	if v := requireVersion(c.Register(ctx, "u", api.Registration{Address: "127.0.0.1:1", Weight: 1})); v != 1 {
+		t.Fatalf("version after the registration: got %d, want 1", v)
 	}
 	const entry = `{"name":"u","address":"127.0.0.1:1","zone":"","type":"","group":0,"status":"Ready","weight":1,"since_ms":0}`
-	plain := openRawWatch(t, at, "from=-1")
-	orders := openRawWatch(t, at, "from=-1&service=orders&held=")
-	own := openRawWatch(t, at, "from=-1&own=1")
-	for _, b := range []*rawWatch{plain, orders, own} {
-		if got, want := b.next(), `{"index":1,"snapshot":true,"endpoints":[`+entry+`]}`; got != want {
+	plain := openRawWatch(t, address, "from=-1")
+	orders := openRawWatch(t, address, "from=-1&service=orders&held=")
+	own := openRawWatch(t, address, "from=-1&own=1")
+	for _, watch := range []*rawWatch{plain, orders, own} {
+		if got, want := watch.next(), `{"index":1,"snapshot":true,"endpoints":[`+entry+`]}`; got != want {
 			t.Errorf("got %s\nwant %s", got, want)
 		}
 	}
-	put("other", settingsJSON(0), 0) // told by itself, since changes that come together are told together
+	put("other", settingsJSON(0), 0) // a change that is received on its own, since changes that come together are sent together
 	if got, want := own.next(), `{"index":2,"snapshot":false,"endpoints":[],"documents":[{"service":"other","version":2,"schema":1,"settings":`+settingsJSON(0)+`}]}`; got != want {
 		t.Errorf("got %s\nwant %s", got, want)
 	}
@@ -100,58 +100,58 @@
 	if got, want := orders.next(), `{"index":3,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":3,"schema":1,"settings":`+settingsJSON(0)+`}]}`; got != want {
 		t.Errorf("got %s\nwant %s", got, want)
 	}
-	// Someone who holds it is told nothing of it, and someone who holds another is told at once.
-	holds := openRawWatch(t, at, "from=3&service=orders&held="+"@3")
-	old := openRawWatch(t, at, "from=3&service=orders&held=north@9")
-	if got := old.next(); !strings.Contains(got, `"documents":[{"service":"orders","version":3`) {
-		t.Errorf("one that holds another region's gets %s", got)
+	// A watcher that has the settings is not sent them again, and one that has others is sent them at once.
+	current := openRawWatch(t, address, "from=3&service=orders&held="+"@3")
+	other := openRawWatch(t, address, "from=3&service=orders&held=north@9")
+	if got := other.next(); !strings.Contains(got, `"documents":[{"service":"orders","version":3`) {
+		t.Errorf("watcher with the settings of another region: got %s, want version 3 of the settings of orders", got)
 	}
-	must(c.Drain(ctx, "u", api.StateChange{}))
+	requireVersion(c.Drain(ctx, "u", api.StateChange{}))
 	drained := `{"index":4,"snapshot":false,"endpoints":[` + strings.Replace(entry, "Ready", "Terminating", 1) + `]}`
-	for _, b := range []*rawWatch{plain, holds, old} {
-		if got := b.next(); got != drained {
+	for _, watch := range []*rawWatch{plain, current, other} {
+		if got := watch.next(); got != drained {
 			t.Errorf("got %s\nwant %s", got, drained)
 		}
 	}
-	must(c.Delete(ctx, "orders", 3))
-	for _, b := range []*rawWatch{holds, old} {
-		if got, want := b.next(), `{"index":5,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":5,"schema":0,"deleted":true}]}`; got != want {
+	requireVersion(c.Delete(ctx, "orders", 3))
+	for _, watch := range []*rawWatch{current, other} {
+		if got, want := watch.next(), `{"index":5,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":5,"schema":0,"deleted":true}]}`; got != want {
 			t.Errorf("got %s\nwant %s", got, want)
 		}
 	}
 
-	// What is refused changes nothing, and says why.
-	for _, x := range []struct {
-		text string
-		on   *int64
-		code string
+	// Rejected writes change nothing, and their code says why.
+	for _, test := range []struct {
+		text      string
+		ifVersion *int64
+		code      string
 	}{
 		{settingsJSON(0), nil, api.CodeBadRequest},
 		{`{"classes":[]}`, &zero, api.CodeBadRequest},
 		{`[]`, &zero, api.CodeBadRequest},
 		{settingsJSON(0), &[]int64{4}[0], api.CodeConflict},
 	} {
-		if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(x.text), IfRevision: x.on}); !api.IsCode(err, x.code) {
-			t.Errorf("%s: %v, want %s", x.text, err, x.code)
+		if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(test.text), IfRevision: test.ifVersion}); !api.IsCode(err, test.code) {
+			t.Errorf("put of %s: got error %v, want code %s", test.text, err, test.code)
 		}
 	}
 	if _, err := c.Put(ctx, "orders", api.PutRequest{Schema: 99, Settings: json.RawMessage(settingsJSON(0)), IfRevision: &zero}); !api.IsCode(err, api.CodeBadRequest) {
-		t.Errorf("of a later schema: %v", err)
+		t.Errorf("put with schema 99: got error %v, want code %s", err, api.CodeBadRequest)
 	}
 	if v := put("orders", settingsJSON(0), 0); v != 6 {
-		t.Errorf("put again after it was deleted: version %d", v)
+		t.Errorf("put after the deletion: got version %d, want 6", v)
 	}
 	if d, err := c.Document(ctx, "orders", 3, true); err != nil || d.Revision != 3 || string(d.Settings) != settingsJSON(0) {
-		t.Errorf("version 3: %+v, %v", d, err)
+		t.Errorf("version 3: got %+v, error %v, want the first settings", d, err)
 	}
 	if _, err := c.Document(ctx, "orders", 4, true); !api.IsCode(err, api.CodeNotFound) {
-		t.Errorf("version 4: %v", err)
+		t.Errorf("version 4: got error %v, want code %s", err, api.CodeNotFound)
 	}
 	if all, err := c.Documents(ctx, false); err != nil || len(all.Documents) != 2 || all.Documents[0].Revision != 6 || all.Documents[0].Settings != nil {
-		t.Errorf("all: %+v, %v", all, err)
+		t.Errorf("all documents: got %+v, error %v, want 2 without settings, the first at version 6", all, err)
 	}
 	if _, err := c.Delete(ctx, "nobody's", 3); !api.IsCode(err, api.CodeNotFound) {
-		t.Errorf("deleting what is not there: %v", err)
+		t.Errorf("deleting absent settings: got error %v, want code %s", err, api.CodeNotFound)
 	}
 
 	reported := []api.Ack{{Node: "a", Service: "orders", Revision: 6}, {Node: "b", Service: "orders", Revision: 3},
@@ -161,16 +161,16 @@
 	}
 	all, err := c.Rollouts(ctx)
 	if err != nil || len(all.Rollouts) != 2 {
-		t.Fatalf("%+v, %v", all, err)
+		t.Fatalf("rollouts: got %+v, error %v, want 2", all, err)
 	}
 	if r := all.Rollouts[0]; r.InForce != 1 || r.Behind != 1 || r.Rejected != 1 || r.Silent != 0 || len(r.NotInForce) != 2 || r.NotInForce[0].Node != "c" || r.Settings != nil {
-		t.Errorf("%+v", r)
+		t.Errorf("rollout of orders: got %+v, want 1 in force, 1 behind, 1 rejected, and c first of 2 listed as not in force", r)
 	}
 	if err := c.Acknowledge(ctx, []api.Ack{{Node: "a"}}); !api.IsCode(err, api.CodeBadRequest) {
-		t.Errorf("a word on nothing: %v", err)
+		t.Errorf("acknowledgement without a service: got error %v, want code %s", err, api.CodeBadRequest)
 	}
 
-	// A backup from now goes in after a change: all documents come back under versions that are new.
+	// A backup is restored after another change: all documents are restored under new versions.
 	backup, err := c.Backup(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -181,20 +181,20 @@
 	}
 	restored, err := c.Documents(ctx, true)
 	if err != nil || len(restored.Documents) != 3 {
-		t.Fatalf("%+v, %v", restored, err)
+		t.Fatalf("documents after the restore: got %+v, error %v, want 3", restored, err)
 	}
 	for _, d := range restored.Documents {
 		if d.Revision <= late || d.Deleted != (d.Service == "late") {
-			t.Errorf("restored: %+v", d)
+			t.Errorf("restored document: got %+v, want a version above %d, and only late deleted", d, late)
 		}
 	}
 }
 
-// Guards against a replica that is behind by a moment telling an older list to a watcher who comes from one that was ahead: it waits
-// for the version that the watcher has. Where that never comes, the watcher gets the whole list all the same.
+// Guards against a replica that sends an older list to a watcher that comes from a replica slightly ahead: the replica first waits for
+// the version that the watcher has. If it does not reach that version in time, the watcher is sent the full list.
 func TestAWatcherWhoIsAheadIsNotToldAnOlderList(t *testing.T) {
-	at := startDevReplica(t)
-	c := client.New([]string{at})
+	address := startDevReplica(t)
+	c := client.New([]string{address})
 	defer c.Close()
 	register := func(name string) {
 		t.Helper()
@@ -204,45 +204,46 @@
 	}
 	register("u1")
 	ahead := make(chan string, 1)
-	go func() { ahead <- openRawWatch(t, at, "from=2").next() }() // a watch's head comes once it is known what to tell
-	far := make(chan string, 1)
-	go func() { far <- openRawWatch(t, at, "from=900").next() }()
+	go func() { ahead <- openRawWatch(t, address, "from=2").next() }() // the response begins once the replica has stopped waiting for the version
+	unreached := make(chan string, 1)
+	go func() { unreached <- openRawWatch(t, address, "from=900").next() }()
 	select {
 	case got := <-ahead:
-		t.Fatalf("told %s", got)
-	case <-time.After(200 * time.Millisecond): // so long it has been heard, and waits
+		t.Fatalf("watcher that is ahead: got %s, want nothing yet", got)
+	case <-time.After(200 * time.Millisecond): // enough for the replica to receive the request and wait
 	}
 	register("u2")
 	register("u3")
 	if got := <-ahead; !strings.Contains(got, `{"index":3,"snapshot":false`) || strings.Contains(got, `"u1"`) {
-		t.Errorf("one that was ahead is told %s", got)
+		t.Errorf("watcher that was ahead: got %s, want changes up to version 3, without u1", got)
 	}
-	if got := <-far; !strings.Contains(got, `{"index":3,"snapshot":true`) {
-		t.Errorf("one with a version from elsewhere is told %s", got)
+	if got := <-unreached; !strings.Contains(got, `{"index":3,"snapshot":true`) {
+		t.Errorf("watcher with a version that is not reached: got %s, want the full list at version 3", got)
 	}
 }
 
-// While a replica of the quorum runs an earlier program, settings are not taken in; what that program knows goes on.
+// Checks that settings are rejected while a replica of the quorum runs an earlier version of the program, and that leaderships, which
+// that version knows, still work.
 func TestSettingsBesideAnEarlierReplica(t *testing.T) {
-	at := startDevReplica(t)
-	c := client.New([]string{at})
+	address := startDevReplica(t)
+	c := client.New([]string{address})
 	defer c.Close()
 	ctx := t.Context()
 	zero := int64(0)
-	was := (&quorum{t: t, client: c}).waitForStatus("it said what it understands", func(reported map[string]api.Status) bool {
-		return reported[at].Members["dev"].Schema == 3
-	})[at].Replica
+	self := (&quorum{t: t, client: c}).waitForStatus("the replica has announced schema 3", func(statuses map[string]api.Status) bool {
+		return statuses[address].Members["dev"].Schema == 3
+	})[address].Replica
 	announce := func(schema int) {
 		t.Helper()
-		m := was
-		m.Schema = schema
-		text, err := json.Marshal(m)
+		replica := self
+		replica.Schema = schema
+		text, err := json.Marshal(replica)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.Post("http://"+at+"/v1/announce", "application/json", bytes.NewReader(text))
+		resp, err := http.Post("http://"+address+"/v1/announce", "application/json", bytes.NewReader(text))
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatal(resp, err)
+			t.Fatalf("announcing schema %d: got response %v, error %v, want status 200", schema, resp, err)
 		}
 		_ = resp.Body.Close()
 	}
@@ -252,16 +253,16 @@
 	}
 	announce(2)
 	if err := put(); !api.IsCode(err, api.CodeOlderReplica) || !strings.Contains(err.Error(), "settings") {
-		t.Errorf("beside schema 2: %v", err)
+		t.Errorf("put beside a replica with schema 2: got error %v, want code %s that names settings", err, api.CodeOlderReplica)
 	}
 	if g, err := c.AcquireLeadership(ctx, api.LeadershipClaim{Name: "d", Holder: "h", LeaseMs: 1000}); err != nil || g.Holder != "h" {
-		t.Errorf("a duty beside schema 2: %+v, %v", g, err)
+		t.Errorf("claim beside a replica with schema 2: got %+v, error %v, want holder h", g, err)
 	}
 	if all, err := c.Documents(ctx, true); err != nil || len(all.Documents) != 0 {
-		t.Errorf("%+v, %v", all, err)
+		t.Errorf("documents: got %+v, error %v, want none", all, err)
 	}
 	announce(3)
 	if err := put(); err != nil {
-		t.Errorf("once all speak schema 3: %v", err)
+		t.Errorf("put once all replicas have schema 3: %v", err)
 	}
 }
