--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -152,7 +152,6 @@
 // MaxFollow is the largest number of regions to follow.
 const MaxFollow = 15
 
-// completeFollow returns an error if the list of other regions is invalid.
 func (c *Config) completeFollow() error {
 	if len(c.Follow) > MaxFollow {
 		return fmt.Errorf("follow: %d regions are listed, at most %d are allowed", len(c.Follow), MaxFollow)
--- a/internal/registry/documents.go
+++ b/internal/registry/documents.go
@@ -50,7 +50,6 @@
 	return n.writeDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: request.IfRevision})
 }
 
-// writeDocument commits a command on a document, and returns the new revision.
 func (n *Node) writeDocument(c list.Command) (any, error) {
 	result, err := n.applyDocument(c)
 	return api.WriteResult{Revision: result.Revision}, err
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -87,8 +87,8 @@
 // errNotMember is returned if others belong to a quorum without this replica.
 var errNotMember = errors.New("there is a quorum that does not include this replica")
 
-// queryIdentities requests the identities of the others, and returns how many answered. known is this replica as members of
-// a formed quorum know it, with the highest start count that any of them reports; nil if none knows it.
+// queryIdentities requests the identities of the others. known is this replica as members of a formed quorum know it, with the
+// highest start count that they report; nil if none of them knows it.
 func (n *Node) queryIdentities(ctx context.Context) (answered int, known *api.Replica, err error) {
 	for _, p := range n.others() {
 		var id api.Identity
@@ -108,7 +108,7 @@
 	return answered, known, err
 }
 
-// rejoin moves the data of this replica aside, and requests that the quorum removes this replica and adds it again.
+// rejoin quarantines the data of this replica, and requests that the quorum removes it and adds it again.
 func (n *Node) rejoin(ctx context.Context, known api.Replica) error {
 	n.log.Warn("disk unknown to the quorum, rejoining as a new replica", "component", "registry", "node", n.self.Name,
 		"starts", n.self.StartCount, "known_starts", known.StartCount)
@@ -150,7 +150,7 @@
 	return "http://" + address
 }
 
-// call sends a request to another replica, and decodes the response into result. body is encoded as JSON unless it is nil.
+// call sends a request to another replica, and decodes the response into result. body is nil if there is none.
 func (n *Node) call(ctx context.Context, method, url string, body, result any) error {
 	var reader io.Reader
 	if body != nil {
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -15,8 +15,8 @@
 	preserveFraction float64       // fraction of leases expired at once above which entries are preserved
 	byName           map[string]serverLease
 	checkedAt        time.Duration // time of the latest call of expire
-	preserving       bool          // entries with expired leases are preserved
-	overruled        bool          // an operator has decided that preserved entries are to be removed
+	preserving       bool
+	overruled        bool // an operator has decided that preserved entries are to be removed
 }
 
 type serverLease struct {
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -85,7 +85,7 @@
 	return n, n.loadIdentity()
 }
 
-// loadIdentity locks the directory, reads the identity of this replica, and stores it with this start counted.
+// loadIdentity locks the directory, reads the identity of this replica, and counts this start.
 func (n *Node) loadIdentity() error {
 	dir := filepath.Join(n.config.Dir, "identity")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Run runs the replica until ctx ends, and then returns nil; it returns an error if the replica fails before that.
+// Run runs the replica until ctx ends, and then returns nil. An earlier failure is returned as an error.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -229,7 +229,7 @@
 	}
 	if err := r.Barrier(raftTimeout).Error(); err != nil {
 		n.log.Warn("leadership not taken up", "component", "registry", "node", n.self.Name, "err", err)
-		// This replica would not retry as long as it is the leader, so another one has to become the leader.
+		// This replica would not retry while it stays the leader, so another one has to take over.
 		_ = r.LeadershipTransfer().Error()
 		return
 	}
@@ -265,13 +265,11 @@
 	}
 }
 
-// applyAddReplica commits a replica, or its changed data, to the list.
 func (n *Node) applyAddReplica(m api.Replica) error {
 	_, err := n.apply(list.Command{Op: list.AddReplica, Replica: &m})
 	return err
 }
 
-// applyRemoveReplica commits the removal of a replica from the list.
 func (n *Node) applyRemoveReplica(name string) error {
 	_, err := n.apply(list.Command{Op: list.RemoveReplica, Name: name})
 	return err
@@ -306,7 +304,7 @@
 	return m
 }
 
-// onEntries updates leases and watches after a command, with the records that it may have changed.
+// onEntries updates leases and watches after a command that may have changed the records.
 func (n *Node) onEntries(records []api.Record) {
 	n.mu.Lock()
 	if n.leading {
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -26,7 +26,7 @@
 	"mosslead/internal/registry/registrytest"
 )
 
-// replicaEnv is the environment variable with the path of a configuration. If it is set, this binary runs as that replica.
+// replicaEnv names the environment variable with the path of the configuration of a replica.
 const replicaEnv = "TEST_REPLICA"
 
 // TestMain runs this binary as a replica if replicaEnv is set, and otherwise the tests.
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// startRaft starts raft, with its stores in the directory or in memory. It forms a quorum of servers unless they are empty.
+// startRaft starts raft, with its stores in the directory or in memory. It forms a quorum of servers if there are any.
 // stop ends raft.
 func (n *Node) startRaft(ctx context.Context, servers []raft.Server) (r *raft.Raft, stop func(), err error) {
 	c := n.raftConfig()
@@ -123,7 +123,6 @@
 	advertised raft.ServerAddress
 }
 
-// listenRaft listens at bind, and returns a stream with the advertised address.
 func listenRaft(bind, advertised string) (*stream, error) {
 	ln, err := net.Listen("tcp", bind)
 	if err != nil {
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -69,7 +69,6 @@
 	}, f.onHeard)
 }
 
-// onHeard records that the region has sent something.
 func (f *follower) onHeard() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,7 +82,6 @@
 	return f.syncState.NextRevision(f.node.replicatedRevisions(f.region).Revision, f.node.now()-f.lastHeard >= resyncAfter)
 }
 
-// replicatedRevisions returns the revisions up to which a region is replicated, and was seen.
 func (n *Node) replicatedRevisions(region string) (replicated list.Replicated) {
 	n.fsm.read(func(l *list.List) { replicated = l.Replicated(region) })
 	return list.Replicated{Revision: replicated.Revision, SeenRevision: replicated.SeenRevision} // the maps may change once the lock is released
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -29,7 +29,6 @@
 	return s.retry(func() error { return s.StableStore.SetUint64(key, value) })
 }
 
-// retry calls write until it succeeds.
 func (s retryingStore) retry(write func() error) error {
 	err := write()
 	if err == nil {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -26,7 +26,7 @@
 )
 
 // server serves calls. Any replica whose list is fresh enough serves reads of it; all other calls are served by the leader,
-// to which the other replicas forward them; a forwarded call is not forwarded again.
+// to which other replicas forward them. A forwarded call is not forwarded again.
 func (n *Node) server(ctx context.Context) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", n.targets)
@@ -65,8 +65,7 @@
 // handler serves a call whose body has been read. It returns the value to respond with, or an error.
 type handler func(r *http.Request, body []byte) (any, error)
 
-// onLeader serves a call here if this replica leads, and otherwise forwards it to the leader. limit is the
-// maximum size of the body in bytes.
+// onLeader serves a call here if this replica leads, and otherwise forwards it to the leader. A body has at most limit bytes.
 func (n *Node) onLeader(limit int64, handle handler) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, limit))
@@ -108,7 +107,6 @@
 	}
 }
 
-// forward sends a call to the replica at url, and its response to the caller.
 func (n *Node) forward(rw http.ResponseWriter, r *http.Request, url string, body []byte) {
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, url+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
@@ -182,7 +180,6 @@
 	return nil
 }
 
-// targets serves the full list to sidecars, or a watch of it.
 func (n *Node) targets(rw http.ResponseWriter, r *http.Request) {
 	if r.FormValue("watch") != "" {
 		n.watches.serve(rw, r)
@@ -211,7 +208,6 @@
 	return record, nil
 }
 
-// applyWrite commits a command, and returns the new revision.
 func (n *Node) applyWrite(c list.Command) (any, error) {
 	result, err := n.apply(c)
 	return api.WriteResult{Revision: result.Revision}, err
@@ -228,7 +224,6 @@
 	return n.applyWrite(list.Command{Op: list.Register, Name: r.PathValue("name"), Registration: &registration, IfRevision: registration.IfRevision})
 }
 
-// changeEntry returns a handler that applies op to an entry.
 func (n *Node) changeEntry(op string) handler {
 	return func(r *http.Request, body []byte) (any, error) {
 		var change api.StateChange
@@ -248,7 +243,6 @@
 	}
 }
 
-// renew renews leases, and returns the names of those that have none.
 func (n *Node) renew(_ *http.Request, body []byte) (any, error) {
 	var heartbeats api.Heartbeats
 	if err := decodeBody(body, &heartbeats); err != nil {
@@ -281,7 +275,6 @@
 	return api.HeartbeatResult{Expired: expired}, nil
 }
 
-// serveIdentity serves the identity of this replica, and what it knows of the members of the quorum.
 func (n *Node) serveIdentity(rw http.ResponseWriter, r *http.Request) {
 	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) {
 		id := api.Identity{Replica: n.self, Formed: n.raft.Load() != nil, Members: n.members()}
@@ -336,7 +329,6 @@
 	}
 }
 
-// recordAnnouncement commits the start of a replica to the list.
 func (n *Node) recordAnnouncement(_ *http.Request, body []byte) (any, error) {
 	var m api.Replica
 	if err := decodeBody(body, &m); err != nil {
