--- a/internal/registry/documents.go
+++ b/internal/registry/documents.go
@@ -10,55 +10,55 @@
 	"mosslead/internal/settings"
 )
 
-// documentCommand applies a command of schema 3 through the log.
-func (n *Node) documentCommand(c list.Command) (list.Result, error) {
+// applyDocument commits a command on documents, which all replicas must understand (schema 3).
+func (n *Node) applyDocument(c list.Command) (list.Result, error) {
 	if err := n.requireSchema(list.DocumentSchema); err != nil {
 		return list.Result{}, err
 	}
-	c.Region = n.c.Region
+	c.Region = n.config.Region
 	return n.apply(c)
 }
 
 // putSettings changes the settings of a service, if a sidecar would accept them.
 func (n *Node) putSettings(r *http.Request, body []byte) (any, error) {
-	var p api.PutRequest
+	var request api.PutRequest
 	service := r.PathValue("service")
-	if err := read(body, &p); err != nil {
+	if err := decodeBody(body, &request); err != nil {
 		return nil, err
 	}
-	if err := p.Check(service); err != nil {
+	if err := request.Check(service); err != nil {
 		return nil, err
 	}
-	if _, err := settings.Check(p.Schema, p.Settings); err != nil {
+	if _, err := settings.Check(request.Schema, request.Settings); err != nil {
 		return nil, api.Errorf(api.CodeBadRequest, "settings: %v", err)
 	}
-	return n.applyDocument(list.Command{Op: list.PutDocument, Name: service, IfRevision: p.IfRevision, Document: &api.Document{Service: service, Schema: p.Schema, Settings: p.Settings}})
+	return n.writeDocument(list.Command{Op: list.PutDocument, Name: service, IfRevision: request.IfRevision, Document: &api.Document{Service: service, Schema: request.Schema, Settings: request.Settings}})
 }
 
 func (n *Node) deleteSettings(r *http.Request, body []byte) (any, error) {
-	var p api.PutRequest
+	var request api.PutRequest
 	service := r.PathValue("service")
-	if err := read(body, &p); err != nil {
+	if err := decodeBody(body, &request); err != nil {
 		return nil, err
 	}
 	switch {
 	case len(service) > api.MaxName:
 		return nil, api.Errorf(api.CodeBadRequest, "service: at most %d bytes", api.MaxName)
-	case p.IfRevision == nil || *p.IfRevision < 0:
+	case request.IfRevision == nil || *request.IfRevision < 0:
 		return nil, api.Errorf(api.CodeBadRequest, "if_version: the version that is to be deleted")
 	}
-	return n.applyDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: p.IfRevision})
+	return n.writeDocument(list.Command{Op: list.DeleteDocument, Name: service, IfRevision: request.IfRevision})
 }
 
-func (n *Node) applyDocument(c list.Command) (any, error) {
-	result, err := n.documentCommand(c)
+func (n *Node) writeDocument(c list.Command) (any, error) {
+	result, err := n.applyDocument(c)
 	return api.WriteResult{Revision: result.Revision}, err
 }
 
 // documents serves all documents, without their settings.
 func (n *Node) documents(*http.Request, []byte) (any, error) {
 	var all api.Documents
-	n.machine.read(func(l *list.List) { all = api.Documents{Revision: l.Revision(), Documents: l.Documents()} })
+	n.fsm.read(func(l *list.List) { all = api.Documents{Revision: l.Revision(), Documents: l.Documents()} })
 	for i := range all.Documents {
 		all.Documents[i].Settings = nil
 	}
@@ -76,7 +76,7 @@
 	}
 	var d api.Document
 	var found bool
-	n.machine.read(func(l *list.List) {
+	n.fsm.read(func(l *list.List) {
 		if version > 0 {
 			d, found = l.DocumentAt(service, version)
 		} else if d, found = l.Document(service); d.Region == l.Region() {
@@ -92,10 +92,10 @@
 	return nil, api.Errorf(api.CodeNotFound, "settings of %s", service)
 }
 
-// acknowledged handles the acknowledgements of sidecars.
-func (n *Node) acknowledged(_ *http.Request, body []byte) (any, error) {
+// recordAcks stores the acknowledgements of sidecars.
+func (n *Node) recordAcks(_ *http.Request, body []byte) (any, error) {
 	var reported api.Acks
-	if err := read(body, &reported); err != nil {
+	if err := decodeBody(body, &reported); err != nil {
 		return nil, err
 	}
 	for i, a := range reported.Acks {
@@ -106,7 +106,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
 	now := n.now()
 	for _, a := range reported.Acks {
@@ -120,17 +120,17 @@
 // rollouts serves the rollout of each document that sidecars are sent.
 func (n *Node) rollouts(*http.Request, []byte) (any, error) {
 	var published []api.Document
-	n.machine.read(func(l *list.List) {
+	n.fsm.read(func(l *list.List) {
 		for _, d := range l.Documents() {
-			if one, _ := l.Document(d.Service); one.Region == d.Region {
-				published = append(published, one)
+			if sent, _ := l.Document(d.Service); sent.Region == d.Region {
+				published = append(published, sent)
 			}
 		}
 	})
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leading {
-		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.me.Name)
+		return nil, api.Errorf(api.CodeNoLeader, "%s leads no more", n.self.Name)
 	}
-	return api.Rollouts{Region: n.c.Region, Rollouts: n.acks.rollouts(n.now(), published)}, nil
+	return api.Rollouts{Region: n.config.Region, Rollouts: n.acks.rollouts(n.now(), published)}, nil
 }
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -1,9 +1,9 @@
 // Package registry implements a replica of the list service.
 //
 // node.go runs the replica, raft.go its replicated log, and forming.go how it joins the quorum. fsm.go applies the log to
-// the list, leases.go holds the leases of servers, watches.go sends changes to watchers, and server.go serves calls; those
-// on leaderships are in leadership.go, on settings in documents.go, and the sidecars' acknowledgements of settings in
-// acks.go. regions.go replicates other regions.
+// the list, leases.go holds the leases of servers, watches.go sends changes to watchers, and server.go serves calls. The
+// handlers of calls on leaderships are in leadership.go, those on settings in documents.go. acks.go stores the sidecars'
+// acknowledgements of settings, and regions.go replicates other regions.
 package registry
 
 import (
@@ -32,37 +32,37 @@
 )
 
 const (
-	raftWriteTimeout  = 2 * time.Second // for a command to be committed
-	freshEvery        = 200 * time.Millisecond
+	raftWriteTimeout  = 2 * time.Second        // for raft to accept a command, not to commit it
+	freshnessInterval = 200 * time.Millisecond // between two updates of freshAt
 	retainedSnapshots = 2
-	raftTimeout       = 2 * time.Second
+	raftTimeout       = 2 * time.Second // for other calls of raft, and to other replicas
 )
 
 // Node is one replica. Run must be called once; all other methods are safe for concurrent use while it runs.
 type Node struct {
-	c       *Config
-	log     *slog.Logger
-	box     *durable.SnapshotFile // identity
-	lock    *durable.DirLock
-	me      api.Replica
-	machine *stateMachine
-	watches *watches
-	client  *http.Client // to other replicas
-	start   time.Time
+	config       *Config
+	log          *slog.Logger
+	identityFile *durable.SnapshotFile // stores an identity
+	lock         *durable.DirLock
+	self         api.Replica
+	fsm          *stateMachine
+	watches      *watches
+	client       *http.Client // for calls to other replicas
+	start        time.Time    // origin of the times here
 
 	raft atomic.Pointer[raft.Raft] // nil until the replica has joined the quorum
 
 	mu          sync.Mutex
 	leases      leaseTable
-	leaderships leasetable.Table // of leaderships
+	leaderships leasetable.Table // leases of leaderships
 	acks        acks
-	followers   map[string]*follower // of other regions, by name; while this replica leads
-	leading     bool                 // it is the leader, and all earlier commits are applied here
+	followers   map[string]*follower // by region; nil unless this replica leads
+	leading     bool                 // this replica is the leader, and has applied all earlier commits
 
-	freshAt atomic.Int64 // time since the start at which the list was last known to be fresh
+	freshAt atomic.Int64 // time since start at which the list was last known to be fresh; 0 if it never was
 }
 
-// identity is what a replica stores about itself.
+// identity is what a replica stores about itself. Formed means that it has belonged to the quorum.
 type identity struct {
 	Disk   string `json:"disk"`
 	Starts int64  `json:"starts"`
@@ -71,23 +71,23 @@
 
 // Open opens a replica. It fails if its directory can't be used, or is locked by another process.
 func Open(c *Config, log *slog.Logger) (*Node, error) {
-	n := &Node{c: c, log: log, start: time.Now(), machine: &stateMachine{list: list.New(list.CompactionWindow), uncheckedRegions: c.Breaks == faultRollback}}
+	n := &Node{config: c, log: log, start: time.Now(), fsm: &stateMachine{list: list.New(list.CompactionWindow), uncheckedRegions: c.Breaks == faultRollback}}
 	n.leases = leaseTable{grace: c.Grace.Duration, preserveFraction: c.Preserve}
-	n.machine.onEntries, n.machine.onLeadership = n.touched, n.onLeadership
-	n.watches = newWatches(n.machine, c.Watchers, c.Region, n.freshEnough)
+	n.fsm.onEntries, n.fsm.onLeadership = n.onEntries, n.onLeadership
+	n.watches = newWatches(n.fsm, c.Watchers, c.Region, n.checkFreshness)
 	n.client = &http.Client{Timeout: raftTimeout + raftWriteTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	self := c.self()
-	n.me = api.Replica{Name: c.Name, Raft: self.Raft, API: self.API, DiskID: rand.Text(), StartCount: 1, Schema: list.Schema}
+	n.self = api.Replica{Name: c.Name, Raft: self.Raft, API: self.API, DiskID: rand.Text(), StartCount: 1, Schema: list.Schema}
 	if c.Dev {
 		return n, nil
 	}
-	return n, n.identify()
+	return n, n.loadIdentity()
 }
 
-// identify reads the identity of this replica, and counts the start.
-func (n *Node) identify() error {
-	dir := filepath.Join(n.c.Dir, "identity")
+// loadIdentity locks the directory, reads the identity of this replica, and counts this start.
+func (n *Node) loadIdentity() error {
+	dir := filepath.Join(n.config.Dir, "identity")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("dir: %w", err)
 	}
@@ -96,47 +96,47 @@
 		return fmt.Errorf("dir: %w", err)
 	}
 	n.lock = lock
-	n.box = durable.NewSnapshotFile(durable.OS(dir), "identity", 4096)
-	text, damages, err := n.box.Read()
+	n.identityFile = durable.NewSnapshotFile(durable.OS(dir), "identity", 4096)
+	text, damages, err := n.identityFile.Read()
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
 	for _, d := range damages {
-		n.log.Warn("damaged", "component", "registry", "file", d.File, "err", d.Err)
+		n.log.Warn("identity file damaged", "component", "registry", "file", d.File, "err", d.Err)
 	}
-	known := identity{Disk: n.me.DiskID}
+	stored := identity{Disk: n.self.DiskID}
 	if text != nil {
-		if err := json.Unmarshal(text, &known); err != nil {
+		if err := json.Unmarshal(text, &stored); err != nil {
 			return fmt.Errorf("identity: %w", err)
 		}
 	}
-	n.me.DiskID, n.me.StartCount = known.Disk, known.Starts+1
-	return n.remember(known.Formed)
+	n.self.DiskID, n.self.StartCount = stored.Disk, stored.Starts+1
+	return n.saveIdentity(stored.Formed)
 }
 
-func (n *Node) remember(formed bool) error {
-	if n.c.Dev {
+func (n *Node) saveIdentity(formed bool) error {
+	if n.config.Dev {
 		return nil
 	}
-	text, err := json.Marshal(identity{n.me.DiskID, n.me.StartCount, formed})
+	text, err := json.Marshal(identity{n.self.DiskID, n.self.StartCount, formed})
 	if err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
-	if err := n.box.Write(text); err != nil {
+	if err := n.identityFile.Write(text); err != nil {
 		return fmt.Errorf("identity: %w", err)
 	}
 	return nil
 }
 
-// Run serves until ctx ends, and then returns.
+// Run runs the replica until ctx ends, and then returns nil. An earlier failure is returned as an error.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ln, err := net.Listen("tcp", n.c.Listen)
+	ln, err := net.Listen("tcp", n.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	signal.Ignore(syscall.SIGXFSZ) // a write beyond a limit of file size fails, and must not end the process
+	signal.Ignore(syscall.SIGXFSZ) // a write beyond the limit of file size must fail without ending the process
 	server := n.server(ctx)
 	var running sync.WaitGroup
 	running.Go(func() {
@@ -144,8 +144,8 @@
 			cancel(err)
 		}
 	})
-	n.log.Info("serving", "component", "registry", "node", n.me.Name, "address", ln.Addr().String(), "starts", n.me.StartCount)
-	if n.c.Metrics != "" {
+	n.log.Info("serving", "component", "registry", "node", n.self.Name, "address", ln.Addr().String(), "starts", n.self.StartCount)
+	if n.config.Metrics != "" {
 		stop, err := n.serveMetrics(&running)
 		if err != nil {
 			cancel(err)
@@ -172,90 +172,90 @@
 
 // participate joins the quorum, runs raft, and follows changes of the leader until ctx ends.
 func (n *Node) participate(ctx context.Context) error {
-	form, err := n.form(ctx)
+	servers, err := n.joinQuorum(ctx)
 	if err != nil {
 		return err
 	}
 	if ctx.Err() != nil {
 		return nil
 	}
-	r, stop, err := n.startRaft(ctx, form)
+	r, stop, err := n.startRaft(ctx, servers)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	if err := n.remember(true); err != nil {
+	if err := n.saveIdentity(true); err != nil {
 		return err
 	}
 	n.raft.Store(r)
-	var following sync.WaitGroup
-	defer following.Wait()
-	following.Go(func() { n.trackFreshness(ctx, r) })
-	following.Go(func() { n.expireLeases(ctx, r) })
-	following.Go(func() { n.announce(ctx) })
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	tasks.Go(func() { n.trackFreshness(ctx, r) })
+	tasks.Go(func() { n.expireLeases(ctx, r) })
+	tasks.Go(func() { n.announce(ctx) })
 	stopFollowing := func() {}
 	defer func() { stopFollowing() }()
 	for {
 		select {
 		case <-ctx.Done():
-			if r.State() == raft.Leader && !n.c.Dev { // so that the others need not wait for the election time-out
+			if r.State() == raft.Leader && !n.config.Dev { // the others then need not wait for the election time-out
 				_ = r.LeadershipTransfer().Error()
 			}
 			return nil
 		case leads := <-r.LeaderCh():
-			n.leadNoMore()
+			n.stopLeading()
 			stopFollowing()
 			stopFollowing = func() {}
-			n.lead(r, leads)
-			if n.leads() {
+			n.onLeaderChange(r, leads)
+			if n.isLeader() {
 				stopFollowing = n.followRegions(ctx)
 			}
 		}
 	}
 }
 
-func (n *Node) leadNoMore() {
+func (n *Node) stopLeading() {
 	n.mu.Lock()
 	n.leading = false
 	n.mu.Unlock()
 }
 
-// lead starts or stops the leader's work.
-func (n *Node) lead(r *raft.Raft, leads bool) {
-	n.leadNoMore()
+// onLeaderChange starts the leader's work if this replica has become the leader, and otherwise ends it.
+func (n *Node) onLeaderChange(r *raft.Raft, leads bool) {
+	n.stopLeading()
 	if !leads {
-		n.log.Info("leadership lost", "component", "registry", "node", n.me.Name)
+		n.log.Info("leadership lost", "component", "registry", "node", n.self.Name)
 		return
 	}
 	if err := r.Barrier(raftTimeout).Error(); err != nil {
-		n.log.Warn("leadership not taken up", "component", "registry", "node", n.me.Name, "err", err)
-		// Nothing would retry while this replica leads; another leader can.
+		n.log.Warn("leadership not taken up", "component", "registry", "node", n.self.Name, "err", err)
+		// This replica would not retry while it stays the leader, so another one has to take over.
 		_ = r.LeadershipTransfer().Error()
 		return
 	}
 	var records []api.Record
 	var leaderships []list.Leadership
-	n.machine.read(func(l *list.List) { records, leaderships = l.Records(), l.Leaderships() })
+	n.fsm.read(func(l *list.List) { records, leaderships = l.Records(), l.Leaderships() })
 	n.mu.Lock()
 	n.leading = true
 	n.leaderships.Lead(n.now(), leaderships)
-	n.leases.lead(n.now(), records)
-	n.acks.lead()
+	n.leases.reset(n.now(), records)
+	n.acks.reset()
 	n.mu.Unlock()
-	n.log.Info("leadership acquired", "component", "registry", "node", n.me.Name, "epoch", r.CurrentTerm(), "entries", len(records))
+	n.log.Info("leadership acquired", "component", "registry", "node", n.self.Name, "epoch", r.CurrentTerm(), "entries", len(records))
 }
 
 // announce records this start in the list, so that a restored copy of the disk is recognised.
 func (n *Node) announce(ctx context.Context) {
-	for n.members()[n.me.Name] != n.me {
-		err := error(errStarting)
-		if n.leads() {
-			err = n.joined(n.me)
-		} else if at, ok := n.leaderAPI(); ok {
-			err = n.call(ctx, http.MethodPost, at+"/v1/announce", n.me, nil)
+	for n.members()[n.self.Name] != n.self {
+		err := error(errNotJoined)
+		if n.isLeader() {
+			err = n.applyAddReplica(n.self)
+		} else if url, ok := n.leaderURL(); ok {
+			err = n.call(ctx, http.MethodPost, url+"/v1/announce", n.self, nil)
 		}
 		if err != nil {
-			n.log.Debug("replica not registered yet", "component", "registry", "node", n.me.Name, "err", err)
+			n.log.Debug("replica not registered yet", "component", "registry", "node", n.self.Name, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -265,77 +265,78 @@
 	}
 }
 
-func (n *Node) joined(m api.Replica) error {
+func (n *Node) applyAddReplica(m api.Replica) error {
 	_, err := n.apply(list.Command{Op: list.AddReplica, Replica: &m})
 	return err
 }
 
-func (n *Node) parted(name string) error {
+func (n *Node) applyRemoveReplica(name string) error {
 	_, err := n.apply(list.Command{Op: list.RemoveReplica, Name: name})
 	return err
 }
 
-// leaderAPI returns the URL of the leader's API; false if no leader is known.
-func (n *Node) leaderAPI() (string, bool) {
+// leaderURL returns the URL of the leader's API. It returns false if no other replica is known to lead.
+func (n *Node) leaderURL() (string, bool) {
 	r := n.raft.Load()
 	if r == nil {
 		return "", false
 	}
 	_, id := r.LeaderWithID()
-	if id == "" || string(id) == n.me.Name {
+	if id == "" || string(id) == n.self.Name {
 		return "", false
 	}
 	if m, ok := n.members()[string(id)]; ok {
-		return n.apiOf(m.Name, m.API), true
+		return n.apiURL(m.Name, m.API), true
 	}
-	for _, p := range n.c.Peers {
+	for _, p := range n.config.Peers {
 		if p.Name == string(id) {
-			return n.apiOf(p.Name, p.API), true
+			return n.apiURL(p.Name, p.API), true
 		}
 	}
 	return "", false
 }
 
+// now returns the time since start.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
 func (n *Node) members() (m map[string]api.Replica) {
-	n.machine.read(func(l *list.List) { m = l.Replicas() })
+	n.fsm.read(func(l *list.List) { m = l.Replicas() })
 	return m
 }
 
-// touched updates leases and watches after a committed command.
-func (n *Node) touched(now []api.Record) {
+// onEntries updates leases and watches after a command that may have changed the records.
+func (n *Node) onEntries(records []api.Record) {
 	n.mu.Lock()
 	if n.leading {
-		for _, r := range now {
-			n.leases.registered(n.now(), r)
+		for _, r := range records {
+			n.leases.update(n.now(), r)
 		}
 	}
 	n.mu.Unlock()
 	n.watches.notify()
 }
 
-// trackFreshness records how old the list here may be. At the start the log holds an old list, and raft learns of a leader
-// before it learns the commit index. So nothing is fresh until this start itself (see announce), which the quorum commits
-// after everything earlier, is in the list, or until a leader has applied all earlier commits.
+// trackFreshness records when the list here was last known to be fresh. After a start the log holds an old list, and raft
+// learns of a leader before it learns the commit index. So the list is not fresh until it contains this start itself (see
+// announce), which the quorum commits after everything earlier, or until this replica leads and has applied all earlier commits.
 func (n *Node) trackFreshness(ctx context.Context, r *raft.Raft) {
-	tick := time.NewTicker(freshEvery)
+	tick := time.NewTicker(freshnessInterval)
 	defer tick.Stop()
-	known := false // this start is in the list
+	announced := false // whether this start is in the list
 	for {
-		began := n.now()
+		checkedAt := n.now()
 		switch r.State() {
 		case raft.Leader:
-			if n.leads() && r.VerifyLeader().Error() == nil {
-				n.freshAt.Store(int64(began))
+			if n.isLeader() && r.VerifyLeader().Error() == nil {
+				n.freshAt.Store(int64(checkedAt))
 			}
 		case raft.Follower:
-			if !known {
-				m := n.members()[n.me.Name]
-				known = m.DiskID == n.me.DiskID && m.StartCount == n.me.StartCount
+			if !announced {
+				m := n.members()[n.self.Name]
+				announced = m.DiskID == n.self.DiskID && m.StartCount == n.self.StartCount
 			}
-			if at := r.LastContact(); known && !at.IsZero() && r.AppliedIndex() >= r.CommitIndex() {
-				n.freshAt.Store(int64(at.Sub(n.start)))
+			if lastContact := r.LastContact(); announced && !lastContact.IsZero() && r.AppliedIndex() >= r.CommitIndex() {
+				n.freshAt.Store(int64(lastContact.Sub(n.start)))
 			}
 		}
 		select {
@@ -346,14 +347,14 @@
 	}
 }
 
-// freshEnough returns an error if the list may be older than MaxStaleness.
-func (n *Node) freshEnough() error {
-	if n.c.Breaks == faultStaleRead {
+// checkFreshness returns an error if the list may be older than MaxStaleness.
+func (n *Node) checkFreshness() error {
+	if n.config.Breaks == faultStaleRead {
 		return nil
 	}
-	at := time.Duration(n.freshAt.Load())
-	if old := n.now() - at; at == 0 || old > n.c.MaxStaleness.Duration {
-		return api.Errorf(api.CodeStale, "no contact with a quorum for %s", old.Round(time.Millisecond))
+	freshAt := time.Duration(n.freshAt.Load())
+	if age := n.now() - freshAt; freshAt == 0 || age > n.config.MaxStaleness.Duration {
+		return api.Errorf(api.CodeStale, "no contact with a quorum for %s", age.Round(time.Millisecond))
 	}
 	return nil
 }
@@ -369,65 +370,65 @@
 		case <-tick.C:
 		}
 		n.mu.Lock()
-		var ended []api.Heartbeat
-		var idle []list.LeaseTerm
-		was, holding := n.leases.preserving, false
+		var expired []api.Heartbeat
+		var idleTerms []list.LeaseTerm
+		wasPreserving, preserving := n.leases.preserving, false
 		if n.leading {
-			ended = n.leases.expire(n.now())
-			holding = n.leases.preserving
-			idle = n.leaderships.Expired(n.now())
+			expired = n.leases.expire(n.now())
+			preserving = n.leases.preserving
+			idleTerms = n.leaderships.Expired(n.now())
 		}
 		n.mu.Unlock()
-		if holding != was {
-			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.me.Name, "holding", holding)
+		if preserving != wasPreserving {
+			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.self.Name, "holding", preserving)
 		}
-		if len(ended) > 0 {
-			if _, err := n.apply(list.Command{Op: list.Expire, Expired: ended}); err != nil {
-				n.log.Warn("expired endpoints not removed", "component", "registry", "node", n.me.Name, "err", err)
+		if len(expired) > 0 {
+			if _, err := n.apply(list.Command{Op: list.Expire, Expired: expired}); err != nil {
+				n.log.Warn("expired endpoints not removed", "component", "registry", "node", n.self.Name, "err", err)
 			}
 		}
-		if len(idle) > 0 {
-			if _, err := n.applyLeadership(list.Command{Op: list.ForgetLeaderships, ExpiredTerms: idle}); err != nil {
-				n.log.Warn("expired leaderships not removed", "component", "registry", "node", n.me.Name, "err", err)
+		if len(idleTerms) > 0 {
+			if _, err := n.applyLeadership(list.Command{Op: list.ForgetLeaderships, ExpiredTerms: idleTerms}); err != nil {
+				n.log.Warn("expired leaderships not removed", "component", "registry", "node", n.self.Name, "err", err)
 			}
 		}
 	}
 }
 
-var errStarting = api.Errorf(api.CodeNoLeader, "this replica does not take part yet")
+var errNotJoined = api.Errorf(api.CodeNoLeader, "this replica does not take part yet")
 
 // apply commits a command, as the leader, and returns its result.
 func (n *Node) apply(c list.Command) (list.Result, error) {
 	r := n.raft.Load()
 	if r == nil {
-		return list.Result{}, errStarting
+		return list.Result{}, errNotJoined
 	}
 	text, err := json.Marshal(c)
 	if err != nil {
 		return list.Result{}, fmt.Errorf("command: %w", err)
 	}
-	f := r.Apply(text, raftWriteTimeout)
-	switch err := f.Error(); {
+	future := r.Apply(text, raftWriteTimeout)
+	switch err := future.Error(); {
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return list.Result{}, api.Errorf(api.CodeNoLeader, "%v", err) // not appended to the log
 	default:
 		return list.Result{}, api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
-	result := f.Response().(list.Result)
+	result := future.Response().(list.Result)
 	if result.Err != nil {
 		return result, result.Err
 	}
 	return result, nil
 }
 
-// consistent blocks until all earlier commits are applied here and a quorum has confirmed that this replica leads.
-func (n *Node) consistent() error {
+// barrier blocks until all earlier commits are applied here and a quorum has confirmed that this replica leads.
+func (n *Node) barrier() error {
 	r := n.raft.Load()
 	if r == nil {
-		return errStarting
+		return errNotJoined
 	}
-	if n.c.Breaks == faultStaleRead {
+	if n.config.Breaks == faultStaleRead {
 		return nil
 	}
 	if err := r.Barrier(raftWriteTimeout).Error(); err != nil {
@@ -436,7 +437,8 @@
 	return nil
 }
 
-func (n *Node) leads() bool {
+// isLeader reports whether this replica is the leader and has applied all earlier commits.
+func (n *Node) isLeader() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.leading
