--- a/cmd/mosslead-sidecar/descriptors_test.go
+++ b/cmd/mosslead-sidecar/descriptors_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// own is what README states a process keeps beside clients and upstreams, and what an admin port adds.
-const own, ownDoor = 32, 14
+// reservedDescriptors is what README states a process keeps beside clients and upstreams, and what an admin port adds.
+const reservedDescriptors, adminDescriptors = 32, 14
 
 // descriptors counts those that a process has open.
 func descriptors(t *testing.T, pid int) int {
@@ -54,8 +54,8 @@
 	return l.Addr().String(), calls, returns
 }
 
-// holding is an upstream that answers nothing, or what it is told.
-func holding(t *testing.T, answer string) string {
+// startUpstream is an upstream that answers nothing, or what it is told.
+func startUpstream(t *testing.T, answer string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", freeAddress(t))
 	if err != nil {
@@ -90,13 +90,13 @@
 // within a second of discovery's return; who is let in beside requests that hung is the balancer's matter.
 func TestIdleClientsTakeEveryDescriptor(t *testing.T) {
 	for name, hanging := range map[string]bool{"with requests that hang": true, "alone": false} {
-		t.Run(name, func(t *testing.T) { idleClients(t, hanging) })
+		t.Run(name, func(t *testing.T) { testIdleClients(t, hanging) })
 	}
 }
 
-func idleClients(t *testing.T, hanging bool) {
+func testIdleClients(t *testing.T, hanging bool) {
 	const limit = 256
-	hangs, serves := holding(t, ""), holding(t, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
+	hangs, serves := startUpstream(t, ""), startUpstream(t, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 	entry := `{"name":%q,"address":%q,"status":"Ready"}`
 	discovery, calls, back := silentDiscovery(t, `{"index":2,"snapshot":true,"endpoints":[`+fmt.Sprintf(entry, "serves", serves)+`]}`)
 	var known []string
@@ -110,7 +110,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var said logText
+	var said logBuffer
 	cmd := startMain(t, path, address, &said)
 	wait := func(what string, ok func() bool) {
 		t.Helper()
@@ -131,7 +131,7 @@
 	http.DefaultClient.CloseIdleConnections()
 	most := descriptors(t, cmd.Process.Pid)
 	t.Logf("%d descriptors without clients", most)
-	if most > own+ownDoor {
+	if most > reservedDescriptors+adminDescriptors {
 		t.Errorf("%d descriptors without clients, more than are set aside", most)
 	}
 
@@ -170,7 +170,7 @@
 	reloads := 0
 	// Two seconds at the least; a busy machine may need more until all is taken that is lent.
 	begun := time.Now()
-	all := func() bool { return !hanging || most >= limit-own }
+	all := func() bool { return !hanging || most >= limit-reservedDescriptors }
 	for ; time.Since(begun) < 2*time.Second || !all() && time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
 		if n := descriptors(t, cmd.Process.Pid); n > most {
 			most = n
@@ -188,7 +188,7 @@
 	if !all() {
 		t.Errorf("%d descriptors at the most: not all were taken that are lent", most)
 	}
-	if log := said.String(); strings.Contains(log, keeps) || strings.Contains(log, "too many open files") {
+	if log := said.String(); strings.Contains(log, reloadRejected) || strings.Contains(log, "too many open files") {
 		t.Errorf("short of descriptors: %s", log)
 	}
 	if hanging {
@@ -215,5 +215,5 @@
 		t.Errorf("served %v after discovery's return", took)
 	}
 	idle()
-	term(t, cmd)
+	terminate(t, cmd)
 }
--- a/cmd/mosslead-sidecar/main_test.go
+++ b/cmd/mosslead-sidecar/main_test.go
@@ -31,14 +31,14 @@
 const settings = `{"Discovery":"ask","TickMs":5,"Classes":[{"Name":"search","Semantics":"retryable",
 	"AimMs":1000,"DeadlineMs":2000}]}`
 
-// hosts counts the hosts that tests took.
-var hosts atomic.Int64
+// lastHost counts the hosts that tests took.
+var lastHost atomic.Int64
 
 // freeAddress is one on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	// A host of its own: at a shared one another test, or a client's end of a connection, may get the port meanwhile.
-	n, pid := hosts.Add(1), os.Getpid()
+	n, pid := lastHost.Add(1), os.Getpid()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid%250, pid/250%250, 1+n%250))
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	}
 }
 
-func term(t *testing.T, cmd *exec.Cmd) {
+func terminate(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	address, path := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, address, "127.0.0.1:1", settings)
 	for range 2 {
-		term(t, startMain(t, path, address, os.Stderr))
+		terminate(t, startMain(t, path, address, os.Stderr))
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	pushed := strings.Replace(settings, `"ask"`, `"push"`, 1)
 	writeConfig(t, path, address, discovery("the old one"), pushed)
-	var stderr logText
+	var stderr logBuffer
 	cmd := startMain(t, path, address, &stderr)
 	wait("the old one")
 	hup := func() {
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	hup()
-	for end := time.Now().Add(20 * time.Second); !strings.Contains(stderr.String(), keeps); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !strings.Contains(stderr.String(), reloadRejected); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the unusable file is not named: %q", stderr.String())
 		}
@@ -152,24 +152,24 @@
 	writeConfig(t, path, address, discovery("the last one"), pushed)
 	hup()
 	wait("the last one")
-	term(t, cmd)
+	terminate(t, cmd)
 }
 
-const keeps = `"msg":"reload rejected, configuration unchanged"`
+const reloadRejected = `"msg":"reload rejected, configuration unchanged"`
 
-// logText is a log that is read while it is written.
-type logText struct {
+// logBuffer is a log that is read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/cmd/mosslead-sidecar/upgrade_test.go
+++ b/cmd/mosslead-sidecar/upgrade_test.go
@@ -15,8 +15,8 @@
 	"mosslead/internal/statestore"
 )
 
-// ask makes a call at an admin port, and gives its first line; empty: nobody answers.
-func ask(address, line string) string {
+// adminCall makes a call at an admin port, and gives its first line; empty: nobody answers.
+func adminCall(address, line string) string {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return ""
@@ -30,12 +30,12 @@
 	return strings.TrimSpace(answer)
 }
 
-// until makes a call again until its answer is yes.
-func until(t *testing.T, address, line string) {
+// awaitYes makes a call again until its answer is yes.
+func awaitYes(t *testing.T, address, line string) {
 	t.Helper()
 	last := ""
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if last = ask(address, line); last == "YES" {
+		if last = adminCall(address, line); last == "YES" {
 			return
 		}
 	}
@@ -80,21 +80,21 @@
 				return cmd, door
 			}
 			old, oldDoor := begin()
-			until(t, oldDoor, "READY")
-			until(t, oldDoor, "DISABLE a")
+			awaitYes(t, oldDoor, "READY")
+			awaitYes(t, oldDoor, "DISABLE a")
 			fresh, freshDoor := begin()
 			time.Sleep(after) // the moment that is tried; whichever it is, what follows has to hold
 			if err := old.Process.Kill(); err != nil {
 				t.Fatal(err)
 			}
 			_ = old.Wait() // it was killed
-			until(t, freshDoor, "READY")
-			until(t, freshDoor, "DISABLE b")
+			awaitYes(t, freshDoor, "READY")
+			awaitYes(t, freshDoor, "DISABLE b")
 			k, err := statestore.New(kept, "n1").Load(time.Now())
 			if err != nil || len(k.Corruptions) > 0 || k.Bans["a"] == "" || k.Bans["b"] == "" {
 				t.Errorf("on disk: %v, %v, %v", k.Bans, k.Corruptions, err)
 			}
-			term(t, fresh)
+			terminate(t, fresh)
 			if k, err := statestore.New(kept, "n1").Load(time.Now()); err != nil || k.Crashed || len(k.Bans) != 2 {
 				t.Errorf("after the new one's end: crashed %v, bans %v, %v", k.Crashed, k.Bans, err)
 			}
--- a/internal/sidecar/acks.go
+++ b/internal/sidecar/acks.go
@@ -72,9 +72,9 @@
 			continue
 		}
 		if failing = err != nil; failing {
-			logWarning(ofSettings, "settings acknowledgement failed, settings stay in force", err)
+			logWarning(componentSettings, "settings acknowledgement failed, settings stay in force", err)
 		} else {
-			logAttrs(slog.LevelInfo, ofSettings, "settings acknowledged again")
+			logAttrs(slog.LevelInfo, componentSettings, "settings acknowledged again")
 		}
 	}
 }
--- a/internal/sidecar/acks_test.go
+++ b/internal/sidecar/acks_test.go
@@ -131,7 +131,7 @@
 // Guards against what is new and not asked for: without a service the calls, the goroutines, the figures, the disk and the word to the next
 // process are those of before.
 func TestWithoutAServiceNothingIsNew(t *testing.T) {
-	u := newUpstream(t, says(ok200("done")))
+	u := newUpstream(t, respondWith(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	for _, addresses := range []string{svc.address, svc.address + "," + strings.Replace(svc.address, "127.0.0.1", "127.0.0.3", 1)} {
 		c := testConfig(t, addresses, entry("s", u.address, "Ready"))
@@ -146,7 +146,7 @@
 		if text := goroutines(); strings.Contains(text, "acknowledge") || strings.Contains(text, "(*settingsFollower)") {
 			t.Errorf("goroutines of a service: %s", text)
 		}
-		if figures := r.call(t, "STATS\n"); strings.Contains(figures, "settings_version") || strings.Contains(figures, "list_version") {
+		if figures := r.adminCall(t, "STATS\n"); strings.Contains(figures, "settings_version") || strings.Contains(figures, "list_version") {
 			t.Errorf("figures %s", figures)
 		}
 		r.stop()
@@ -158,7 +158,7 @@
 			t.Errorf("acknowledged %+v", last)
 		}
 	}
-	text, err := json.Marshal(handoverState{List: parsed(t, list(1, true)), Banned: []string{"a"}})
+	text, err := json.Marshal(handoverState{List: mustParseListing(t, list(1, true)), Banned: []string{"a"}})
 	if want := `{"List":{"index":1,"snapshot":true,"endpoints":[]},"Banned":["a"]}`; err != nil || string(text) != want {
 		t.Errorf("tells the next process %s, not %s", text, want)
 	}
@@ -166,7 +166,7 @@
 	before := len(svc.requests())
 	r := start(t, ofService(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
 	eventually(t, "goroutines of a service", func() bool { return strings.Contains(goroutines(), "(*settingsFollower).acknowledge") })
-	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.settings_version:") {
+	if figures := r.adminCall(t, "STATS\n"); !strings.Contains(figures, "gw.settings_version:") {
 		t.Errorf("figures %s", figures)
 	}
 	eventually(t, "a watch of the service", func() bool { return len(svc.requests()) > before })
@@ -203,7 +203,7 @@
 		}
 	}
 	none, err := ParseConfig([]byte(strings.Replace(good, `"service":"orders",`, ``, 1)))
-	if err != nil || none.replaces(c) == nil {
+	if err != nil || none.checkReplaces(c) == nil {
 		t.Errorf("a file without the service takes the place of one with it: %v", err)
 	}
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// call makes one call of operators and brings all of its answer.
-func (r *running) call(t *testing.T, line string) string {
+// adminCall makes one call of operators and brings all of its answer.
+func (r *testSidecar) adminCall(t *testing.T, line string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.ops.Addr().String())
 	if err != nil {
@@ -31,23 +31,23 @@
 	return string(text)
 }
 
-// withDoor is a running sidecar with an admin port, over upstreams of these names that answer with theirs.
-func withDoor(t *testing.T, names ...string) (*running, map[string]*fakeUpstream) {
+// startWithAdminPort is a running sidecar with an admin port, over upstreams of these names that answer with theirs.
+func startWithAdminPort(t *testing.T, names ...string) (*testSidecar, map[string]*fakeUpstream) {
 	t.Helper()
 	ups := map[string]*fakeUpstream{}
 	var entries []string
 	for _, name := range names {
-		ups[name] = newUpstream(t, says(ok200(name)))
+		ups[name] = newUpstream(t, respondWith(ok200(name)))
 		entries = append(entries, entry(name, ups[name].address, "Ready"))
 	}
-	c := testConfig(t, quiet(t).address, entries...)
+	c := testConfig(t, quietDiscovery(t).address, entries...)
 	c.Ops = "127.0.0.1:0"
 	return start(t, c, "127.0.0.1:0"), ups
 }
 
 // Guards against calls that crash, hang or are taken for another: each gets a YES or a NO with a reason.
 func TestDoorCalls(t *testing.T) {
-	r, _ := withDoor(t, "s", "other")
+	r, _ := startWithAdminPort(t, "s", "other")
 	for _, c := range []struct{ line, want string }{
 		{"READY\n", "YES"}, {"READY\r\n", "YES"}, {"READY now\n", "NO READY"}, {"PEERS\n", "NO this sidecar shares nothing"}, {"\n", "NO the line is empty"},
 		{"DISABLE\n", "NO DISABLE takes one id"}, {"DISABLE s other\n", "NO DISABLE takes"}, {"DISABLE nobody\n", "NO no upstream"},
@@ -55,7 +55,7 @@
 		{"GET / HTTP/1.1\r\n\r\n", "NO no such call"}, {strings.Repeat("x", 4*maxAdminLine), "NO the line is too long"},
 		{"DISABLE s\n", "YES"}, {"DISABLE s\n", "YES"}, {"ENABLE s\n", "YES"}, {"ENABLE s\n", "YES"},
 	} {
-		if got := r.call(t, c.line); !strings.HasPrefix(got, c.want) || strings.Count(got, "\n") != 1 {
+		if got := r.adminCall(t, c.line); !strings.HasPrefix(got, c.want) || strings.Count(got, "\n") != 1 {
 			t.Errorf("%.40q: %q, want %s", c.line, got, c.want)
 		}
 	}
@@ -79,14 +79,14 @@
 // brokenConn reads from elsewhere.
 type brokenConn struct {
 	net.Conn
-	from io.Reader
+	reader io.Reader
 }
 
-func (c *brokenConn) Read(p []byte) (int, error) { return c.from.Read(p) }
+func (c *brokenConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
 // Guards against callers that hold the admin port shut by sending nothing: the oldest of them is evicted.
 func TestSilentCallersGiveWay(t *testing.T) {
-	r, _ := withDoor(t, "s")
+	r, _ := startWithAdminPort(t, "s")
 	var silent []net.Conn
 	for range 2 * maxAdminConns {
 		conn, err := net.Dial("tcp", r.ops.Addr().String())
@@ -96,7 +96,7 @@
 		defer func() { _ = conn.Close() }()
 		silent = append(silent, conn)
 	}
-	if got := r.call(t, "READY\n"); got != "YES\n" {
+	if got := r.adminCall(t, "READY\n"); got != "YES\n" {
 		t.Errorf("beside silent callers: %q", got)
 	}
 	_ = silent[0].SetReadDeadline(time.Now().Add(testTimeout))
@@ -108,9 +108,9 @@
 // Guards against work to an upstream that operators took out, whatever lists say; against requests that wait where all
 // are out; and against one that stays out when it was called back once.
 func TestDisableAndEnable(t *testing.T) {
-	r, ups := withDoor(t, "a", "b")
+	r, ups := startWithAdminPort(t, "a", "b")
 	for _, call := range []string{"DISABLE a\n", "DISABLE a\n"} {
-		if got := r.call(t, call); got != "YES\n" {
+		if got := r.adminCall(t, call); got != "YES\n" {
 			t.Fatalf("%s: %q", call, got)
 		}
 	}
@@ -119,7 +119,7 @@
 			t.Fatalf("with a out: %s %q", resp.Status, text)
 		}
 	}
-	if got := r.call(t, "DISABLE b\n"); got != "YES\n" {
+	if got := r.adminCall(t, "DISABLE b\n"); got != "YES\n" {
 		t.Fatal(got)
 	}
 	begun := time.Now()
@@ -129,7 +129,7 @@
 	if elapsed := time.Since(begun); elapsed > 2*time.Second { // its client would wait for 9
 		t.Errorf("with all out: answered after %v", elapsed)
 	}
-	if got := r.call(t, "ENABLE a\n"); got != "YES\n" {
+	if got := r.adminCall(t, "ENABLE a\n"); got != "YES\n" {
 		t.Fatal(got)
 	}
 	if resp, text := r.do(t, request(t, r.address, "confirm", "")); resp.StatusCode != 200 || text != "a" {
@@ -143,13 +143,13 @@
 // Guards against a send that was decided on before the ban: it is stopped at its write.
 func TestBanHoldsAtTheWrite(t *testing.T) {
 	d := newEndpointDirectory(newClock(), func(string) {})
-	d.apply(parsed(t, list(1, true, entry("s", "127.0.0.1:1", "Ready"))))
+	d.apply(mustParseListing(t, list(1, true, entry("s", "127.0.0.1:1", "Ready"))))
 	at, _ := d.address("s")
 	if !d.ban("s", false) || d.ready("s", at) {
 		t.Fatal("banned, and still ready")
 	}
-	d.apply(parsed(t, list(2, true)))
-	d.apply(parsed(t, list(3, false, entry("s", "127.0.0.1:1", "Ready"))))
+	d.apply(mustParseListing(t, list(2, true)))
+	d.apply(mustParseListing(t, list(3, false, entry("s", "127.0.0.1:1", "Ready"))))
 	if d.ready("s", at) {
 		t.Error("a list lifted the ban")
 	}
@@ -164,11 +164,11 @@
 // Guards against figures that do not add up: each request counts once, under its class and end, and an attempt once it
 // was written.
 func TestFigures(t *testing.T) {
-	r, _ := withDoor(t, "s")
+	r, _ := startWithAdminPort(t, "s")
 	for range 3 {
 		r.do(t, request(t, r.address, "search", ""))
 	}
-	r.call(t, "DISABLE s\n")
+	r.adminCall(t, "DISABLE s\n")
 	r.do(t, request(t, r.address, "confirm", ""))
 	want := "gw.success.confirm:0|c\ngw.overload.confirm:1|c\ngw.error.confirm:0|c\n" +
 		"gw.success.record:0|c\ngw.overload.record:0|c\ngw.error.record:0|c\n" +
@@ -176,7 +176,7 @@
 		"gw.dispatches:3|c\ngw.concurrent:0|g\ngw.targets:1|g\ngw.targets_disabled:1|g\n" +
 		"gw.reload_success:0|c\ngw.reload_failure:0|c\nEND\n"
 	got := ""
-	eventually(t, "true figures", func() bool { got = r.call(t, "STATS\n"); return got == want || t.Failed() })
+	eventually(t, "true figures", func() bool { got = r.adminCall(t, "STATS\n"); return got == want || t.Failed() })
 }
 
 // Guards against an admin port where none is configured, and against one at a place that is none.
@@ -197,7 +197,7 @@
 
 // Guards against a caller that ends its sending in place of the line's end.
 func TestDoorTakesALineWithoutItsEnd(t *testing.T) {
-	r, _ := withDoor(t, "s")
+	r, _ := startWithAdminPort(t, "s")
 	conn, err := net.Dial("tcp", r.ops.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/bans.go
+++ b/internal/sidecar/bans.go
@@ -14,7 +14,7 @@
 	if !p.upstreams.directory.ban(id, cleared) {
 		return fmt.Errorf("no upstream is called %s", quoteShort(id))
 	}
-	err := confirm(p.upstreams.directory, p.loop, id, cleared)
+	err := confirm(p.upstreams.directory, p.dispatcher, id, cleared)
 	persisted := false
 	if err == nil && p.handsOver {
 		persisted, err = p.handover.relayBan(banMessage{ID: id, Cleared: cleared, Writes: p.persister.writesNow()}, p.upstreams.directory.bans())
@@ -27,7 +27,7 @@
 
 // banned applies a ban relayed by the other process, and reports whether it is on disk.
 func (p *process) banned(b banMessage) (persisted bool, err error) {
-	if err := confirm(p.upstreams.directory, p.loop, b.ID, b.Cleared); err != nil {
+	if err := confirm(p.upstreams.directory, p.dispatcher, b.ID, b.Cleared); err != nil {
 		return false, fmt.Errorf("%s: %w", quoteShort(b.ID), err)
 	}
 	return p.persister.accept(b.ID, b.Cleared, b.Writes)
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -16,11 +16,11 @@
 // Guards against large bodies that are held whole, or changed: they pass in chunks and with a length, both ways.
 func TestLargeBodiesPass(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 64<<10) // 1 MiB
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		_, err := io.WriteString(c, ok200(g.body))
 		return err == nil
 	})
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	for _, chunked := range []bool{false, true} {
 		eventually(t, "a connection is used again, once it has rested", func() bool {
 			req := request(t, r.address, "confirm", body)
@@ -33,7 +33,7 @@
 			time.Sleep(minIdleBeforeReuse)
 			all := s.requests()
 			last := len(all) - 1
-			return slices.ContainsFunc(all[:last], func(g got) bool { return g.conn == all[last].conn })
+			return slices.ContainsFunc(all[:last], func(g receivedRequest) bool { return g.conn == all[last].conn })
 		})
 	}
 }
@@ -41,8 +41,8 @@
 // Guards against chunks that are rejected, or passed on with what belongs to the client's connection: extensions and
 // trailers end here, and what is small goes on with its length.
 func TestChunkedRequest(t *testing.T) {
-	s := newUpstream(t, says(ok200("done")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("done")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
@@ -84,8 +84,8 @@
 
 // Guards against half a body that an upstream takes for a request: where the client breaks off, the upstream sees no end.
 func TestBodyBrokenOffGoesNowhere(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	for _, framing := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"} {
 		before := s.opened.Load()
 		conn, err := net.Dial("tcp", r.address)
@@ -124,7 +124,7 @@
 			_ = c.Close()
 		}
 	}()
-	r := start(t, testConfig(t, quiet(t).address, entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
 	resp, _ := r.do(t, request(t, r.address, "confirm", strings.Repeat("x", 4<<20)))
 	if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
@@ -141,7 +141,7 @@
 	} {
 		for _, complete := range []bool{true, false} {
 			release := make(chan struct{})
-			s := newUpstream(t, func(conn net.Conn, _ got) bool {
+			s := newUpstream(t, func(conn net.Conn, _ receivedRequest) bool {
 				size := 1000000
 				if c.end != "" {
 					size = 0x40000
@@ -154,7 +154,7 @@
 				_, err := io.WriteString(conn, strings.Repeat("b", size/2)+c.end)
 				return err == nil
 			})
-			r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+			r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 			resp, err := r.client.Do(request(t, r.address, "confirm", ""))
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
@@ -184,11 +184,11 @@
 	if got := b.reserve(maxRetainedBytes); got != 60<<10 {
 		t.Errorf("given back, %d", got)
 	}
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		_, err := io.WriteString(c, ok200(g.body))
 		return err == nil
 	})
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	c.Limits.MemoryMB = 0 // for what is kept, too
 	r := start(t, c, "127.0.0.1:0")
 	body := strings.Repeat("x", 50000)
@@ -228,7 +228,7 @@
 // Guards against a budget that shrinks with each request until nothing is kept any more.
 func TestBudgetComesBack(t *testing.T) {
 	for _, size := range []int{0, 3, 5000, maxRetainedBytes, 3 * maxRetainedBytes} {
-		s := newUpstream(t, says(ok200(strings.Repeat("x", size))))
+		s := newUpstream(t, respondWith(ok200(strings.Repeat("x", size))))
 		u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 		left := func() int64 {
 			u.budget.mu.Lock()
@@ -260,7 +260,7 @@
 // Guards against a client that stops reading its answer and holds the upstream's connection, or other requests, with it.
 func TestClientThatStopsReadingEndsItsOwnRequest(t *testing.T) {
 	large := ok200(strings.Repeat("x", maxBodyBytes)) // more than sockets hold
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		text := ok200("small")
 		if strings.HasPrefix(g.target, "/confirm/") {
 			text = large
@@ -268,7 +268,7 @@
 		_, err := io.WriteString(c, text)
 		return err == nil
 	})
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	resp, err := r.client.Do(request(t, r.address, "confirm", "")) // and its body is left unread
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -68,7 +68,7 @@
 			return nil, err
 		case !errors.Is(err, os.ErrDeadlineExceeded): // pause and finish set deadlines
 			if !failing {
-				logWarning(ofClients, "accepting a connection failed", err)
+				logWarning(componentClients, "accepting a connection failed", err)
 			}
 			failing = true
 			c.onAcceptError(begun)
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -15,7 +15,7 @@
 // closed with bytes unread is reset.
 func TestErrorIsReadBeforeTheClose(t *testing.T) {
 	t.Parallel()
-	s := newUpstream(t, says(ok200("")))
+	s := newUpstream(t, respondWith(ok200("")))
 	r := rigOf(t, s)
 	much := strings.Repeat("GET /search/1 HTTP/1.1\r\nHost: s\r\n\r\n", 1000)
 	for name, text := range map[string]string{
@@ -92,14 +92,14 @@
 // and its client is served on a new one.
 func TestRequestAtTheMomentOfTheClose(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(r *running){
-		"SIGTERM": func(r *running) { r.stop() },
-		"room":    func(r *running) { dialRaw(t, r.address).send(text("confirm")) }, // held
+	for name, end := range map[string]func(r *testSidecar){
+		"SIGTERM": func(r *testSidecar) { r.stop() },
+		"room":    func(r *testSidecar) { dialRaw(t, r.address).send(text("confirm")) }, // held
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, _ := pendingUpstream(t)
-			c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+			c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 			c.Limits.Sockets = fixedSockets + 2*2
 			crossing := text("search")
 			var p *rawClient
@@ -111,7 +111,7 @@
 					crossed.Store(true)
 				}
 			}}
-			r := startOn(t, c, l, "")
+			r := startOnListener(t, c, l, "")
 			eventually(t, "ready", func() bool {
 				resp, err := r.client.Get("http://" + r.address + "/-/ready")
 				if err == nil {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -43,10 +43,10 @@
 }
 
 const (
-	minSockets     = 64 // fewer leave no room for clients and upstreams beside the fixed descriptors
-	minMemoryMB    = 16
-	connectDefault = time.Second      // where the settings name no connect timeout
-	connIdleShort  = 10 * time.Second // where they name no idle time
+	minSockets            = 64 // fewer leave no room for clients and upstreams beside the fixed descriptors
+	minMemoryMB           = 16
+	defaultConnectTimeout = time.Second      // where the settings name no connect timeout
+	defaultConnIdle       = 10 * time.Second // where they name no idle time
 )
 
 // LoadConfig reads the configuration file.
@@ -143,7 +143,7 @@
 		if a.key == "ops" && a.address == "" {
 			continue // no admin port
 		}
-		for _, one := range addressesOf(a.key, a.address) {
+		for _, one := range splitAddresses(a.key, a.address) {
 			if err := checkAddress(one); err != nil {
 				return fmt.Errorf("%s: %w", a.key, err)
 			}
@@ -187,10 +187,10 @@
 func (c *Config) withDefaults(s wire.Settings) wire.Settings {
 	s.ShareEvidence = c.Peers != nil
 	if s.ConnectTimeout == 0 {
-		s.ConnectTimeout = connectDefault
+		s.ConnectTimeout = defaultConnectTimeout
 	}
 	if s.ConnIdle <= 0 {
-		s.ConnIdle = connIdleShort
+		s.ConnIdle = defaultConnIdle
 	}
 	return s
 }
@@ -233,16 +233,16 @@
 	return nil
 }
 
-// replaces tells why a file that was read anew can't take the place of the one in use: a key is gone.
-func (c *Config) replaces(old *Config) error {
+// checkReplaces tells why a file that was read anew can't take the place of the one in use: a key is gone.
+func (c *Config) checkReplaces(old *Config) error {
 	if key := c.keys.Lacks(old.keys, "known"); key != "" {
 		return fmt.Errorf("lacks %s", key)
 	}
 	return nil
 }
 
-// addressesOf takes a key's value apart: only discovery may be at several addresses, as replicas of a list service are.
-func addressesOf(key, value string) []string {
+// splitAddresses takes a key's value apart: only discovery may be at several addresses, as replicas of a list service are.
+func splitAddresses(key, value string) []string {
 	if key != "discovery" {
 		return []string{value}
 	}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -136,15 +136,15 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		delete(fresh.keys, "known")
-		switch err := fresh.replaces(old); {
+		switch err := fresh.checkReplaces(old); {
 		case c.lacks == "" && err != nil:
 			t.Errorf("%s: refused: %v", name, err)
 		case c.lacks != "" && (err == nil || err.Error() != "lacks "+c.lacks):
 			t.Errorf("%s: error %v, want lacks %s", name, err, c.lacks)
 		}
 	}
-	if none, err := otherConfig(strings.Replace(otherSettings, `{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``, 1)); err != nil || old.replaces(none) != nil {
-		t.Errorf("tenants that come: %v, %v", err, old.replaces(none))
+	if none, err := otherConfig(strings.Replace(otherSettings, `{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``, 1)); err != nil || old.checkReplaces(none) != nil {
+		t.Errorf("tenants that come: %v, %v", err, old.checkReplaces(none))
 	}
 }
 
@@ -153,20 +153,20 @@
 func TestAnotherCustomerIsServed(t *testing.T) {
 	limit := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { debug.SetMemoryLimit(limit) })
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		switch {
 		case strings.HasSuffix(g.target, "hang"):
-			return silent(c, g)
+			return neverRespond(c, g)
 		case strings.HasSuffix(g.target, "error"):
-			return says("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")(c, g)
+			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")(c, g)
 		}
-		return says(ok200("done"))(c, g)
+		return respondWith(ok200("done"))(c, g)
 	})
 	settings := strings.NewReplacer(`{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``, `"AimMs":250.0`, `"AimMs":5000.0`,
 		`"AimMs":750.0`, `"AimMs":7500.0`, `"DeadlineMs":500.0`, `"DeadlineMs":5000.0`).Replace(otherSettings) // a slow machine has time
 	c, err := parseConfig(fmt.Appendf(nil, `{"name":"n3","listen":"127.0.0.4:9000","discovery":%q,"seed":"8c",
 		"limits":{"cores":0.05,"memory_mb":32.0,"sockets":256.0},"known":%s,"settings":%s}`,
-		quiet(t).address, `{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"`+s.address+`","status":"Ready"}]}`, settings))
+		quietDiscovery(t).address, `{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"`+s.address+`","status":"Ready"}]}`, settings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -67,8 +67,8 @@
 	} {
 		for _, class := range []string{"search", "confirm"} {
 			t.Run(name+" "+class, func(t *testing.T) {
-				s := newUpstream(t, says(ok200("")))
-				c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+				s := newUpstream(t, respondWith(ok200("")))
+				c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 				c.Settings.Cancellation = false
 				g := newGate(c, s.address)
 				r := start(t, c, "127.0.0.1:0")
@@ -100,8 +100,8 @@
 		"a body that is not read": {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000d7\r\nContent-Length: 300000\r\n\r\n", strings.Repeat("x", 200<<10)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newUpstream(t, silent)
-			conf := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+			s := newUpstream(t, neverRespond)
+			conf := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 			conf.Ops = "127.0.0.1:0"
 			g := newGate(conf, s.address) // never comes up
 			r := start(t, conf, "127.0.0.1:0")
@@ -115,7 +115,7 @@
 				p.send(c.more)
 			}
 			_ = p.Close()
-			eventually(t, "the request is over", func() bool { return strings.Contains(r.call(t, "STATS\n"), "gw.concurrent:0|g") })
+			eventually(t, "the request is over", func() bool { return strings.Contains(r.adminCall(t, "STATS\n"), "gw.concurrent:0|g") })
 			if n := s.opened.Load(); n != 0 {
 				t.Errorf("%d connections", n)
 			}
@@ -129,14 +129,14 @@
 	for name, late := range map[string]bool{"in time": false, "too late": true} {
 		t.Run(name, func(t *testing.T) {
 			var n atomic.Int32
-			s := newUpstream(t, func(c net.Conn, _ got) bool {
+			s := newUpstream(t, func(c net.Conn, _ receivedRequest) bool {
 				if n.Add(1) == 1 {
 					return false // it may have run
 				}
 				_, err := io.WriteString(c, ok200("again"))
 				return err == nil
 			})
-			c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+			c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 			const window = time.Second
 			for i := range c.Settings.Classes {
 				if c.Settings.Classes[i].Idempotency == balancer.IdempotentByKey {
@@ -145,7 +145,7 @@
 			}
 			g := newGate(c, s.address)
 			r := start(t, c, "127.0.0.1:0")
-			end := r.later(request(t, r.address, "record", ""))
+			end := r.doAsync(request(t, r.address, "record", ""))
 			wait(t, "the first attempt", g.dials)
 			g.opens <- struct{}{}
 			wait(t, "the second attempt", g.dials)
@@ -169,7 +169,7 @@
 // later, when the next request may be on its way already.
 func TestASecondAnswerIsNobodys(t *testing.T) {
 	next := make(chan struct{})
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		_, err := io.WriteString(c, ok200("for "+g.body))
 		if g.body == "1" {
 			select {
@@ -271,7 +271,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := make(chan net.Conn, 8)
-			s := newUpstream(t, func(c net.Conn, g got) bool {
+			s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 				conns <- c
 				_, err := io.WriteString(c, ok200("for "+g.body))
 				return err == nil
@@ -325,7 +325,7 @@
 		})
 	})
 	t.Run("a flood", func(t *testing.T) {
-		s := newUpstream(t, func(c net.Conn, _ got) bool {
+		s := newUpstream(t, func(c net.Conn, _ receivedRequest) bool {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for part := "10000\r\n" + strings.Repeat("x", 1<<16) + "\r\n"; err == nil; {
 				_, err = io.WriteString(c, part)
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -223,11 +223,11 @@
 // logStats logs the counts since the call before.
 func (l *dispatcher) logStats() {
 	now := l.stats.snapshot()
-	logAttrs(slog.LevelInfo, ofCounts, "counts", append(now.since(&l.lastLogged), l.counts.attempts(),
+	logAttrs(slog.LevelInfo, componentCounts, "counts", append(now.since(&l.lastLogged), l.counts.attr(),
 		slog.Int("in_flight", len(l.inFlight)), l.connectionStats())...)
 	l.lastLogged = now
 	if len(l.counts.upstreams) > 0 {
-		logAttrs(slog.LevelInfo, ofCounts, "by upstream", slog.String("upstreams", l.counts.byUpstream(l.zone)))
+		logAttrs(slog.LevelInfo, componentCounts, "by upstream", slog.String("upstreams", l.counts.describeByUpstream(l.zone)))
 	}
 	l.counts = newAttemptCounts()
 	l.sharing.logStats()
@@ -339,7 +339,7 @@
 	a.cancel(nil)
 	a.endedAt = e.at
 	a.reply = attemptReply{result: e.reply.result, use: e.reply.use, err: e.reply.err, abandon: e.reply.abandon}
-	l.counts.ended(a.upstream, e.reply.result, e.at-a.sentAt)
+	l.counts.add(a.upstream, e.reply.result, e.at-a.sentAt)
 	if e.reply.result == balancer.OK && !l.answer(id, answer{kind: served, reply: e.reply}) {
 		e.reply.drop()
 	}
@@ -403,7 +403,7 @@
 	case balancer.ReportEvidence:
 		l.sharing.report(a)
 	case balancer.Log:
-		logAttrs(slog.LevelInfo, ofDecisions, a.Text, a.Attrs...)
+		logAttrs(slog.LevelInfo, componentDecisions, a.Text, a.Attrs...)
 	}
 }
 
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -23,7 +23,7 @@
 func (p *process) drain(srv *http.Server) error {
 	begun := time.Now()
 	p.draining.Store(true)
-	p.loop.sharing.releaseLeaderships()
+	p.dispatcher.sharing.releaseLeaderships()
 	replaced := p.server.stopping.Swap(true)
 	p.conns.lingering.Store(true)
 	p.handover.returnClients()
@@ -33,8 +33,8 @@
 	}
 	killAfter := min(longest, maxDrainTime) + drainMargin
 	last := time.AfterFunc(killAfter, func() {
-		p.loop.sharing.abort()
-		p.loop.enqueue(abort{})
+		p.dispatcher.sharing.abort()
+		p.dispatcher.enqueue(abort{})
 	})
 	defer last.Stop()
 	if replaced || p.conns.isPaused() {
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -18,7 +18,7 @@
 func pendingUpstream(t *testing.T) (s *fakeUpstream, release func()) {
 	t.Helper()
 	free := make(chan struct{})
-	s = newUpstream(t, func(c net.Conn, g got) bool {
+	s = newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		if !strings.HasPrefix(g.target, "/search") {
 			<-free
 		}
@@ -91,12 +91,12 @@
 	}
 }
 
-func rigOf(t *testing.T, s *fakeUpstream) *running {
+func rigOf(t *testing.T, s *fakeUpstream) *testSidecar {
 	t.Helper()
-	return start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	return start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 }
 
-func term(r *running) time.Time {
+func term(r *testSidecar) time.Time {
 	r.stop()
 	return time.Now()
 }
@@ -146,7 +146,7 @@
 func TestTermWithHalfAnAnswer(t *testing.T) {
 	t.Parallel()
 	rest := make(chan struct{})
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		if strings.HasPrefix(g.target, "/search") {
 			_, err := io.WriteString(c, ok200("done"))
 			return err == nil
@@ -177,7 +177,7 @@
 func TestTermWithAFullHouse(t *testing.T) {
 	t.Parallel()
 	s, release := pendingUpstream(t)
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	const bound = 3
 	c.Limits.Sockets = fixedSockets + 2*bound
 	r := start(t, c, "127.0.0.1:0")
@@ -207,7 +207,7 @@
 func TestTermWithHalfABody(t *testing.T) {
 	t.Parallel()
 	s, _ := pendingUpstream(t)
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].Deadline = 400 * time.Millisecond
 	}
@@ -278,7 +278,7 @@
 	t.Parallel()
 	const bound, peers = 4, 110
 	s, _ := pendingUpstream(t)
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	c.Limits.Sockets = fixedSockets + 2*bound
 	r := start(t, c, "127.0.0.1:0")
 	r.client.CloseIdleConnections()
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -42,11 +42,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newUpstream(t, func(c net.Conn, _ got) bool {
+			s := newUpstream(t, func(c net.Conn, _ receivedRequest) bool {
 				_, err := io.WriteString(c, ok200("done"))
 				return err == nil
 			})
-			c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+			c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 			c.Limits.Sockets = fixedSockets + 2*bound
 			r := start(t, c, "127.0.0.1:0")
 			var all sync.WaitGroup
@@ -99,8 +99,8 @@
 func TestFloodDoesNotDelayClients(t *testing.T) {
 	t.Parallel()
 	const bound = 8
-	s := newUpstream(t, says(ok200("done")))
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	s := newUpstream(t, respondWith(ok200("done")))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	c.Limits.Sockets = fixedSockets + 2*bound
 	r := start(t, c, "127.0.0.1:0")
 	r.client.CloseIdleConnections()
@@ -311,14 +311,14 @@
 					if ctx.Err() != nil {
 						return
 					}
-					_, _ = fmt.Fprintln(w, list(2, true, entry("serves", up2, "Ready")))
+					_, _ = fmt.Fprintln(w, list(2, true, entry("serves", upstream2Address, "Ready")))
 					_ = http.NewResponseController(w).Flush()
 				case <-r.Context().Done():
 					return
 				}
 			}
 		})
-		c := testConfig(t, "10.0.0.9:7000", entry("hangs", up1, "Ready"))
+		c := testConfig(t, "10.0.0.9:7000", entry("hangs", upstream1Address, "Ready"))
 		c.Limits.Sockets, c.Settings.MustSubscribe = fixedSockets+2*bound, false
 		c.dial = host.Dial
 		l, err := host.Listen(9000)
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -36,15 +36,15 @@
 // brings it home.
 func TestWhatComesOfAForwardedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer func(net.Conn, got) bool
+		answer func(net.Conn, receivedRequest) bool
 		kind   answerKind
 		done   bool
 	}{
-		"served":                      {says(ok200("yes")), served, true},
-		"refused unbegun":             {says("HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), 0, false},
-		"refused after it began":      {says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), failed, true},
-		"killed after the last byte":  {func(net.Conn, got) bool { return false }, failed, true},
-		"silent until its time is up": {silent, failed, true},
+		"served":                      {respondWith(ok200("yes")), served, true},
+		"refused unbegun":             {respondWith("HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), 0, false},
+		"refused after it began":      {respondWith("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), failed, true},
+		"killed after the last byte":  {func(net.Conn, receivedRequest) bool { return false }, failed, true},
+		"silent until its time is up": {neverRespond, failed, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer := newUpstream(t, c.answer)
@@ -77,8 +77,8 @@
 }
 
 func TestAPeerTakesOneHop(t *testing.T) {
-	up := newUpstream(t, says(ok200("yes")))
-	c := testConfig(t, quiet(t).address, entry("s-1", up.address, "Ready"))
+	up := newUpstream(t, respondWith(ok200("yes")))
+	c := testConfig(t, quietDiscovery(t).address, entry("s-1", up.address, "Ready"))
 	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: freeAddress(t), Zone: "a"}
 	c.Settings.ShareEvidence = true
 	r := start(t, c, "127.0.0.1:0")
@@ -109,7 +109,7 @@
 // A second request of an id that is with a peer is told so, and begins nowhere; one that comes after its end is another.
 func TestAnIDThatIsWithAPeerIsInHand(t *testing.T) {
 	release := make(chan struct{})
-	peer := newUpstream(t, func(c net.Conn, g got) bool { <-release; return says(ok200("peer"))(c, g) })
+	peer := newUpstream(t, func(c net.Conn, g receivedRequest) bool { <-release; return respondWith(ok200("peer"))(c, g) })
 	f, clk := pressedBeside(t, peer.address)
 	s := &server{clock: clk, failures: newLimitedLog(maxFailureLines), stats: newStats(), budget: f.pool.budget, forwards: f, post: func(any) bool {
 		t.Error("begun at home")
@@ -126,14 +126,14 @@
 	}}
 	go func() { _ = srv.Serve(conns) }() // until Close
 	t.Cleanup(func() { _ = srv.Close() })
-	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}}
+	r := &testSidecar{address: l.Addr().String(), client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}}
 	t.Cleanup(r.client.CloseIdleConnections)
 	same := func() *http.Request {
 		req := request(t, r.address, "confirm", "x")
 		req.Header.Set("X-Request-ID", "the same")
 		return req
 	}
-	first := r.later(same())
+	first := r.doAsync(same())
 	eventually(t, "it is with the peer", func() bool { return len(peer.requests()) == 1 })
 	if resp, body := r.do(t, same()); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the second: %d %s", resp.StatusCode, body)
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -13,8 +13,8 @@
 // Guards against requests that stand inside the body of another: where two readers may disagree on where a
 // request ends, it is rejected, nothing of it goes upstream, and nothing after it is read.
 func TestNothingInsideABodyIsARequest(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	const inner = "POST /confirm/2 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000f2\r\nContent-Length: 0\r\n\r\n"
 	const rest = "Host: s\r\nX-Request-ID: 00000000000000f1\r\n"
 	for name, c := range map[string]struct{ text, want string }{
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -98,7 +98,7 @@
 		case m.Ban != nil:
 			persisted, err := l.ban(*m.Ban)
 			if err != nil { // without an Ack the other process does not confirm it either
-				logWarning(ofHandover, "ban from the other process not applied", err)
+				logWarning(componentHandover, "ban from the other process not applied", err)
 				continue
 			}
 			if err := l.send(handoverMessage{Ack: m.Ban.Number, Persisted: persisted}); err != nil {
@@ -200,14 +200,14 @@
 		_ = conn.Close()
 	}
 	if !errors.Is(err, os.ErrNotExist) {
-		logWarning(ofHandover, "no predecessor found, starting alone", err)
+		logWarning(componentHandover, "no predecessor found, starting alone", err)
 	}
 	text, err := os.ReadFile(filepath.Join(h.dir, bansName))
 	if err == nil {
 		err = json.Unmarshal(text, &s.Banned)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		logWarning(ofHandover, "file of bans not usable", err)
+		logWarning(componentHandover, "file of bans not usable", err)
 	}
 	return s
 }
@@ -227,7 +227,7 @@
 				once.Do(func() { close(h.yielded) })
 			}
 		})
-		logWarning(ofHandover, "predecessor disconnected", err)
+		logWarning(componentHandover, "predecessor disconnected", err)
 		_ = l.conn.Close()
 		h.forget(l)
 		h.limitBeside(nil)
@@ -242,7 +242,7 @@
 	h.mu.Unlock()
 	if l != nil {
 		if err := l.send(handoverMessage{Ready: true}); err != nil {
-			logWarning(ofHandover, "readiness not sent to the predecessor", err)
+			logWarning(componentHandover, "readiness not sent to the predecessor", err)
 		}
 	}
 	select {
@@ -297,7 +297,7 @@
 		return
 	}
 	h.sendState(l) // after replaceOther, so that a ban from now on is relayed
-	logAttrs(slog.LevelInfo, ofHandover, "successor connected")
+	logAttrs(slog.LevelInfo, componentHandover, "successor connected")
 	h.halveMemory(true)
 	defer h.halveMemory(false)
 	ready, returned, err := h.followSuccessor(l)
@@ -310,7 +310,7 @@
 	if closed {
 		return
 	}
-	logWarning(ofHandover, "successor disconnected", err)
+	logWarning(componentHandover, "successor disconnected", err)
 	switch {
 	case returned:
 		h.limitBeside(nil)
@@ -337,7 +337,7 @@
 		err = l.send(handoverMessage{State: &s})
 	}
 	if err != nil {
-		logWarning(ofHandover, "state not sent to the successor", err)
+		logWarning(componentHandover, "state not sent to the successor", err)
 	}
 }
 
@@ -361,7 +361,7 @@
 			close(yielded)
 		case m.Returning && ready && !returned:
 			returned = true
-			logAttrs(slog.LevelInfo, ofHandover, "successor is ending, accepting clients again")
+			logAttrs(slog.LevelInfo, componentHandover, "successor is ending, accepting clients again")
 			h.resume()
 		case m.Uses != nil && returned:
 			h.limitBeside(m.Uses)
@@ -400,7 +400,7 @@
 		return
 	}
 	if err := l.send(handoverMessage{Returning: true}); err != nil {
-		logWarning(ofHandover, "clients not returned to the predecessor", err)
+		logWarning(componentHandover, "clients not returned to the predecessor", err)
 		return
 	}
 	go h.reportUse(l, h.closedCh)
@@ -427,7 +427,7 @@
 		}
 	}
 	if err != nil {
-		logWarning(ofHandover, "file of bans not written", err)
+		logWarning(componentHandover, "file of bans not written", err)
 	}
 	h.mu.Lock()
 	l := h.other
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -38,15 +38,15 @@
 }
 
 func twoUpstreams(t *testing.T) (*Config, *fakeUpstream) {
-	a, b := newUpstream(t, says(ok200("a"))), newUpstream(t, says(ok200("b")))
-	c := testConfig(t, quiet(t).address, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
+	a, b := newUpstream(t, respondWith(ok200("a"))), newUpstream(t, respondWith(ok200("b")))
+	c := testConfig(t, quietDiscovery(t).address, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
 	c.Ops = "127.0.0.1:0"
 	return c, b
 }
 
-func (r *running) awaitReady(t *testing.T, want string) {
+func (r *testSidecar) awaitReady(t *testing.T, want string) {
 	t.Helper()
-	eventually(t, "READY "+want, func() bool { return strings.HasPrefix(r.call(t, "READY\n"), want) })
+	eventually(t, "READY "+want, func() bool { return strings.HasPrefix(r.adminCall(t, "READY\n"), want) })
 }
 
 // Guards against an upgrade that loses requests, bans or connections: the new process takes clients when it is ready, the
@@ -54,16 +54,16 @@
 func TestUpgrade(t *testing.T) {
 	tmp, listeners := t.TempDir(), passed(t, 2)
 	c, b := twoUpstreams(t)
-	old := startOn(t, c, listeners[0], tmp)
+	old := startOnListener(t, c, listeners[0], tmp)
 	old.awaitReady(t, "YES")
 	eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
-	if got := old.call(t, "DISABLE b\n"); got != "YES\n" {
+	if got := old.adminCall(t, "DISABLE b\n"); got != "YES\n" {
 		t.Fatal(got)
 	}
 	if resp, _ := old.do(t, request(t, old.address, "confirm", "")); resp.Close {
 		t.Error("a connection ended without an upgrade")
 	}
-	fresh := startOn(t, c, listeners[1], tmp)
+	fresh := startOnListener(t, c, listeners[1], tmp)
 	fresh.awaitReady(t, "YES")
 	old.awaitReady(t, "NO")
 	if resp, text := old.do(t, request(t, old.address, "confirm", "")); !resp.Close || text != "a" {
@@ -75,18 +75,18 @@
 		}
 	}
 	for _, call := range []struct {
-		on   *running
+		on   *testSidecar
 		line string
 	}{{old, "ENABLE b\n"}, {fresh, "DISABLE b\n"}, {fresh, "ENABLE b\n"}, {old, "DISABLE b\n"}} {
-		if got := call.on.call(t, call.line); got != "YES\n" {
+		if got := call.on.adminCall(t, call.line); got != "YES\n" {
 			t.Errorf("%s: %q", call.line, got)
 		}
 		want := "targets_disabled:1|g"
 		if strings.HasPrefix(call.line, "ENABLE") {
 			want = "targets_disabled:0|g"
 		}
-		for _, r := range []*running{old, fresh} {
-			eventually(t, call.line+" in both", func() bool { return strings.Contains(r.call(t, "STATS\n"), want) })
+		for _, r := range []*testSidecar{old, fresh} {
+			eventually(t, call.line+" in both", func() bool { return strings.Contains(r.adminCall(t, "STATS\n"), want) })
 		}
 	}
 	old.stop()
@@ -97,7 +97,7 @@
 	if resp, text := fresh.do(t, request(t, fresh.address, "confirm", "")); text != "a" {
 		t.Errorf("afterwards: %s %q", resp.Status, text)
 	}
-	if got := fresh.call(t, "DISABLE nobody\n"); !strings.HasPrefix(got, "NO ") {
+	if got := fresh.adminCall(t, "DISABLE nobody\n"); !strings.HasPrefix(got, "NO ") {
 		t.Error(got)
 	}
 	if n := len(b.requests()); n != 0 {
@@ -109,7 +109,7 @@
 func TestNewProcessDies(t *testing.T) {
 	tmp, listeners := t.TempDir(), passed(t, 1)
 	c, _ := twoUpstreams(t)
-	old := startOn(t, c, listeners[0], tmp)
+	old := startOnListener(t, c, listeners[0], tmp)
 	old.awaitReady(t, "YES")
 	for _, ready := range []bool{false, true} {
 		var conn net.Conn
@@ -148,12 +148,12 @@
 	for _, tookOver := range []bool{false, true} {
 		tmp, listeners := t.TempDir(), passed(t, 2)
 		s, release := pendingUpstream(t)
-		c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+		c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 		c.Ops = "127.0.0.1:0"
-		old := startOn(t, c, listeners[0], tmp)
+		old := startOnListener(t, c, listeners[0], tmp)
 		old.awaitReady(t, "YES")
 		eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
-		fresh := startOn(t, c, listeners[1], tmp)
+		fresh := startOnListener(t, c, listeners[1], tmp)
 		if tookOver {
 			fresh.awaitReady(t, "YES")
 			old.awaitReady(t, "NO")
@@ -198,9 +198,9 @@
 			}
 		}
 		config, _ := twoUpstreams(t)
-		r := startOn(t, config, passed(t, 1)[0], tmp)
+		r := startOnListener(t, config, passed(t, 1)[0], tmp)
 		r.awaitReady(t, "YES")
-		if got := r.call(t, "STATS\n"); !strings.Contains(got, c.want) {
+		if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, c.want) {
 			t.Errorf("%s: %s", name, got)
 		}
 	}
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -38,12 +38,12 @@
 		stop()
 		return err
 	}
-	p.loop.attempt = func(context.Context, string, *clientRequest, time.Duration) attemptReply {
+	p.dispatcher.attempt = func(context.Context, string, *clientRequest, time.Duration) attemptReply {
 		return attemptReply{result: balancer.NotSent, err: errors.New("nobody sends through a hollow sidecar")}
 	}
-	p.watch.report = h.wrapReport(p)
-	if p.service != nil && h.OnSettings != nil {
-		p.service.onJudged = func(d api.Document, rejected error) { h.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
+	p.watcher.report = h.wrapReport(p)
+	if p.follower != nil && h.OnSettings != nil {
+		p.follower.onJudged = func(d api.Document, rejected error) { h.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
 	}
 	known, _, err := p.restore()
 	if err != nil {
@@ -51,7 +51,7 @@
 		return err
 	}
 	if c.Peers != nil {
-		if p.loop.sharing, err = newSharing(c, p.upstreams.directory, p.loop.clock, program()); err != nil {
+		if p.dispatcher.sharing, err = newSharing(c, p.upstreams.directory, p.dispatcher.clock, programVersion()); err != nil {
 			stop()
 			if p.persister != nil {
 				p.persister.release(false)
@@ -62,32 +62,32 @@
 	p.connectPersister()
 	var parts sync.WaitGroup
 	over := make(chan struct{})
-	parts.Go(func() { p.loop.run(known) })
-	parts.Go(func() { p.watch.run(running, c.Settings.MustSubscribe) })
+	parts.Go(func() { p.dispatcher.run(known) })
+	parts.Go(func() { p.watcher.run(running, c.Settings.MustSubscribe) })
 	if p.persister != nil {
 		parts.Go(p.restoreSnapshot)
 		parts.Go(func() { p.useSuspectList(running) })
 	}
 	parts.Go(func() { p.persister.run(over) })
-	parts.Go(func() { p.service.acknowledge(running, p.watch.source) })
+	parts.Go(func() { p.follower.acknowledge(running, p.watcher.source) })
 	for ctx.Err() == nil {
 		select {
-		case <-p.service.pending():
-			p.applyDocument(p.loop.enqueueUrgent)
+		case <-p.follower.pending():
+			p.applyDocument(p.dispatcher.enqueueUrgent)
 		case <-ctx.Done():
 		}
 	}
 	p.persister.end(over)
-	p.loop.sharing.close()
+	p.dispatcher.sharing.close()
 	stop()
 	parts.Wait()
-	p.watch.client.CloseIdleConnections()
+	p.watcher.client.CloseIdleConnections()
 	return nil
 }
 
 // wrapReport returns the report function of the watcher, which reports to the dispatcher and then to the observer.
 func (h HollowObserver) wrapReport(p *process) func(balancer.EndpointUpdate) {
-	report, states := p.watch.report, map[string]string{}
+	report, states := p.watcher.report, map[string]string{}
 	return func(m balancer.EndpointUpdate) {
 		report(m)
 		if m.Endpoints == nil || m.Kind != balancer.Delta && m.Kind != balancer.FullState { // not a message: a watch was established or failed
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -100,7 +100,7 @@
 
 // Guards against a hollow sidecar that shares without an end, or that listens for requests which it has nobody to send.
 func TestHollowShares(t *testing.T) {
-	d := quiet(t)
+	d := quietDiscovery(t)
 	before := goleak.IgnoreCurrent()
 	c := testConfig(t, d.address)
 	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: d.address, Zone: "a"} // taken: whoever listens there fails
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -26,15 +26,15 @@
 
 // Components of log lines.
 const (
-	ofRequests  = "requests"
-	ofClients   = "clients"
-	ofCounts    = "counts"
-	ofDiscovery = "discovery"
-	ofHandover  = "handover"
-	ofReload    = "reload"
-	ofDecisions = "decisions"
-	ofState     = "state"
-	ofSettings  = "settings"
+	componentRequests  = "requests"
+	componentClients   = "clients"
+	componentCounts    = "counts"
+	componentDiscovery = "discovery"
+	componentHandover  = "handover"
+	componentReload    = "reload"
+	componentDecisions = "decisions"
+	componentState     = "state"
+	componentSettings  = "settings"
 )
 
 // logAttrs logs a line of a component.
@@ -67,7 +67,7 @@
 	if dropped := l.dropped.Swap(0); dropped > 0 {
 		all = append(all, slog.Int64("left_out", dropped))
 	}
-	logAttrs(slog.LevelWarn, ofRequests, text, all...)
+	logAttrs(slog.LevelWarn, componentRequests, text, all...)
 }
 
 // quoteShort quotes and shortens text sent by a peer.
@@ -102,13 +102,13 @@
 			s.WriteString("; ")
 		}
 		if a.endedAt == 0 {
-			fmt.Fprintf(&s, "%s out for %v", a.upstream, ms(now-a.sentAt))
+			fmt.Fprintf(&s, "%s out for %v", a.upstream, roundForLog(now-a.sentAt))
 			continue
 		}
 		fmt.Fprintf(&s, "%s %s in %v, use %d of its connection", a.upstream, resultNames[a.reply.result],
-			ms(a.endedAt-a.sentAt), a.reply.use.nth)
+			roundForLog(a.endedAt-a.sentAt), a.reply.use.nth)
 		if a.reply.use.nth > 1 {
-			fmt.Fprintf(&s, " after %v idle", ms(a.reply.use.idle))
+			fmt.Fprintf(&s, " after %v idle", roundForLog(a.reply.use.idle))
 		}
 		if a.reply.err != nil {
 			fmt.Fprintf(&s, ": %s", quoteShort(a.reply.err.Error()))
@@ -117,17 +117,17 @@
 	return s.String()
 }
 
-func ms(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
+func roundForLog(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
 
 // attrs returns the log attributes of a request.
 func (f *inFlightRequest) attrs(now time.Duration) []slog.Attr {
 	return []slog.Attr{slog.String("request", truncate(f.request.id)), slog.String("class", f.request.class),
-		millis("after_ms", now-f.acceptedAt), slog.Int64("body", f.request.body.length), slog.String("attempts", f.describeAttempts(now))}
+		millisecondsAttr("after_ms", now-f.acceptedAt), slog.Int64("body", f.request.body.length), slog.String("attempts", f.describeAttempts(now))}
 }
 
-// millis returns a duration in milliseconds as a log attribute.
-func millis(key string, d time.Duration) slog.Attr {
-	return slog.Float64(key, float64(ms(d).Microseconds())/1e3)
+// millisecondsAttr returns a duration in milliseconds as a log attribute.
+func millisecondsAttr(key string, d time.Duration) slog.Attr {
+	return slog.Float64(key, float64(roundForLog(d).Microseconds())/1e3)
 }
 
 // attemptCounts counts the results of attempts since the last line of statistics. The dispatcher owns it; for requests, see
@@ -139,16 +139,16 @@
 
 // upstreamCounts counts the results of the attempts at one upstream.
 type upstreamCounts struct {
-	ok, bad   int
-	totalTime time.Duration // of all that were served
+	served, unserved int
+	totalTime        time.Duration // of all that were served
 }
 
 func newAttemptCounts() attemptCounts {
 	return attemptCounts{results: map[balancer.Result]int{}, upstreams: map[string]*upstreamCounts{}}
 }
 
-// ended counts an attempt; for its upstream only if it was sent.
-func (c *attemptCounts) ended(upstream string, res balancer.Result, elapsed time.Duration) {
+// add counts an attempt; for its upstream only if it was sent.
+func (c *attemptCounts) add(upstream string, res balancer.Result, elapsed time.Duration) {
 	c.results[res]++
 	if res == balancer.NotSent {
 		return
@@ -159,32 +159,32 @@
 		c.upstreams[upstream] = u
 	}
 	if res == balancer.OK {
-		u.ok++
+		u.served++
 		u.totalTime += elapsed
 	} else {
-		u.bad++
+		u.unserved++
 	}
 }
 
-// byUpstream describes the attempts at each upstream: the number served, their mean time, and the number not served.
-func (c *attemptCounts) byUpstream(zone func(upstream string) string) string {
+// describeByUpstream describes the attempts at each upstream: the number served, their mean time, and the number not served.
+func (c *attemptCounts) describeByUpstream(zone func(upstream string) string) string {
 	var s strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(c.upstreams)) {
 		u := c.upstreams[name]
-		fmt.Fprintf(&s, "%s@%s %d", name, zone(name), u.ok)
-		if u.ok > 0 {
-			fmt.Fprintf(&s, " in %dms", (u.totalTime / time.Duration(u.ok)).Milliseconds())
+		fmt.Fprintf(&s, "%s@%s %d", name, zone(name), u.served)
+		if u.served > 0 {
+			fmt.Fprintf(&s, " in %dms", (u.totalTime / time.Duration(u.served)).Milliseconds())
 		}
-		if u.bad > 0 {
-			fmt.Fprintf(&s, " bad %d", u.bad)
+		if u.unserved > 0 {
+			fmt.Fprintf(&s, " bad %d", u.unserved)
 		}
 		s.WriteString(", ")
 	}
 	return strings.TrimSuffix(s.String(), ", ")
 }
 
-// attempts returns the number of attempts with each result, as a log attribute.
-func (c *attemptCounts) attempts() slog.Attr {
+// attr returns the number of attempts with each result, as a log attribute.
+func (c *attemptCounts) attr() slog.Attr {
 	var each []any
 	for result := balancer.OK; result <= balancer.NotSent; result++ {
 		each = append(each, slog.Int(resultNames[result], c.results[result]))
--- a/internal/sidecar/logging_test.go
+++ b/internal/sidecar/logging_test.go
@@ -10,12 +10,12 @@
 // The line by upstream adds up what ended there; what was never sent does not count.
 func TestCountsByUpstream(t *testing.T) {
 	c := newAttemptCounts()
-	c.ended("b", balancer.OK, 10*time.Millisecond)
-	c.ended("b", balancer.OK, 30*time.Millisecond)
-	c.ended("b", balancer.ServerError, time.Millisecond)
-	c.ended("a", balancer.Timeout, time.Second)
-	c.ended("c", balancer.NotSent, 0)
-	got := c.byUpstream(func(name string) string { return "z" + name })
+	c.add("b", balancer.OK, 10*time.Millisecond)
+	c.add("b", balancer.OK, 30*time.Millisecond)
+	c.add("b", balancer.ServerError, time.Millisecond)
+	c.add("a", balancer.Timeout, time.Second)
+	c.add("c", balancer.NotSent, 0)
+	got := c.describeByUpstream(func(name string) string { return "z" + name })
 	if want := "a@za 0 bad 1, b@zb 2 in 20ms bad 1"; got != want {
 		t.Errorf("worded as %q, want %q", got, want)
 	}
--- a/internal/sidecar/orders_discovery_test.go
+++ b/internal/sidecar/orders_discovery_test.go
@@ -182,7 +182,7 @@
 		text = list(w.index, true, lines...) + "\n"
 	}
 	w.mu.Unlock()
-	_, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n", opens, len(text), text)
+	_, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n", watchResponseHead, len(text), text)
 	<-c.turn
 	if err == nil {
 		d.announce(c, missed)
@@ -217,7 +217,7 @@
 		since = e.since.UnixMilli()
 	}
 	return fmt.Sprintf(`{"name":"up-%d","address":%q,"zone":%q,"type":"m","group":0,"status":%q,"weight":3,"since_ms":%d}`,
-		i+1, [2]string{up1, up2}[i], zone, e.status, since)
+		i+1, [2]string{upstream1Address, upstream2Address}[i], zone, e.status, since)
 }
 
 // change has discovery know of something new.
--- a/internal/sidecar/orders_planted_test.go
+++ b/internal/sidecar/orders_planted_test.go
@@ -56,7 +56,7 @@
 }{
 	{"each attempt goes out twice", "both at once", plant{toUpstream: func(w *world, c net.Conn) net.Conn {
 		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
-			if to := map[string]string{up1: up2, up2: up1}[c.RemoteAddr().String()]; isHead(p) {
+			if to := map[string]string{upstream1Address: upstream2Address, upstream2Address: upstream1Address}[c.RemoteAddr().String()]; isHead(p) {
 				copied := bytes.Clone(p)
 				go func() {
 					if other, err := w.sidecar.Dial(w.ctx, "tcp", to); err == nil {
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -166,7 +166,7 @@
 // dial is the sidecar's way out.
 func (w *world) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	wrap := w.plant.toDiscovery
-	if address == up1 || address == up2 {
+	if address == upstream1Address || address == upstream2Address {
 		wrap = w.plant.toUpstream
 	}
 	c, err := w.sidecar.Dial(ctx, network, address)
--- a/internal/sidecar/persister.go
+++ b/internal/sidecar/persister.go
@@ -65,7 +65,9 @@
 func newStatePersister(store *statestore.Store) *statePersister {
 	return &statePersister{store: store, startedAt: time.Now(), shouldWrite: make(chan bool, 1), ended: make(chan struct{}), writing: make(chan struct{}),
 		slots: make(chan struct{}, maxWaitingBans), clearedBans: map[string]bool{},
-		log: func(level slog.Level, text string, err error) { logAttrs(level, ofState, text, slog.Any("err", err)) }}
+		log: func(level slog.Level, text string, err error) {
+			logAttrs(level, componentState, text, slog.Any("err", err))
+		}}
 }
 
 // openState reads the state that a sidecar starts with. With alone, a lock held by another process is an error; else it is
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -17,12 +17,12 @@
 // withState is a configuration with a state directory and an admin port, over a discovery without news.
 func withState(t *testing.T, dir string, known ...string) *Config {
 	t.Helper()
-	c := testConfig(t, quiet(t).address, known...)
+	c := testConfig(t, quietDiscovery(t).address, known...)
 	c.State, c.Ops = dir, "127.0.0.1:0"
 	return c
 }
 
-func (r *running) get(t *testing.T) (status int, body string) {
+func (r *testSidecar) get(t *testing.T) (status int, body string) {
 	t.Helper()
 	resp, body := r.do(t, request(t, r.address, "search", ""))
 	return resp.StatusCode, body
@@ -56,10 +56,10 @@
 // Guards against a ban undone by a crash: what got its YES holds in the process that starts from what is on disk then.
 func TestBanOutlivesACrash(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up, other := newUpstream(t, says(ok200("s"))), newUpstream(t, says(ok200("other")))
+	up, other := newUpstream(t, respondWith(ok200("s"))), newUpstream(t, respondWith(ok200("other")))
 	entries := []string{entry("s", up.address, "Ready"), entry("other", other.address, "Ready")}
 	first := start(t, withState(t, dir, entries...), "127.0.0.1:0")
-	if got := first.call(t, "DISABLE s\n"); got != "YES\n" {
+	if got := first.adminCall(t, "DISABLE s\n"); got != "YES\n" {
 		t.Fatalf("DISABLE: %q", got)
 	}
 	left := crash(t, dir)
@@ -69,7 +69,7 @@
 			t.Fatalf("served by %q", body)
 		}
 	}
-	if got := second.call(t, "ENABLE s\n"); got != "YES\n" {
+	if got := second.adminCall(t, "ENABLE s\n"); got != "YES\n" {
 		t.Errorf("ENABLE: %q", got)
 	}
 	if k, err := statestore.New(left, "n1").Load(time.Now()); err != nil || len(k.Bans) != 0 {
@@ -80,7 +80,7 @@
 // Guards against a start that waits for discovery though the list is on disk: it is ready with that, and says so.
 func TestStartsWithThePersistedListWhileDiscoveryIsSilent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	s := lockHolder(t, dir)
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	if err := errors.Join(s.WriteList("127.0.0.1:1", []byte(text), time.Now().Add(-time.Minute)), s.Release(true)); err != nil {
@@ -93,7 +93,7 @@
 	if status, body := r.get(t); status != 200 || body != "s" {
 		t.Errorf("served %d %q", status, body)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g\n") || !strings.Contains(got, "gw.list_age_ms:6") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g\n") || !strings.Contains(got, "gw.list_age_ms:6") {
 		t.Errorf("figures: %s", got)
 	}
 }
@@ -136,25 +136,25 @@
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // no directory can be made there
 		t.Fatal(err)
 	}
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	r := start(t, withState(t, dir, entry("s", up.address, "Ready")), "127.0.0.1:0")
 	if status, _ := r.get(t); status != 200 {
 		t.Errorf("status %d", status)
 	}
-	if got := r.call(t, "DISABLE s\n"); !strings.HasPrefix(got, "NO nothing can be written now") {
+	if got := r.adminCall(t, "DISABLE s\n"); !strings.HasPrefix(got, "NO nothing can be written now") {
 		t.Errorf("DISABLE: %q", got)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:1|g\n") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:1|g\n") {
 		t.Errorf("figures: %s", got)
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a ban on disk", func() bool { return r.call(t, "DISABLE s\n") == "YES\n" })
+	eventually(t, "a ban on disk", func() bool { return r.adminCall(t, "DISABLE s\n") == "YES\n" })
 	if k, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || len(k.Bans) != 1 {
 		t.Errorf("on disk: %v, %v", k.Bans, err)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:0|g\n") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:0|g\n") {
 		t.Errorf("figures: %s", got)
 	}
 }
@@ -162,7 +162,7 @@
 // SIGTERM leaves a clean mark, and the list with the snapshot.
 func TestOrderlyEndIsMarked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	r := start(t, withState(t, dir, entry("s", up.address, "Ready")), "127.0.0.1:0")
 	if status, _ := r.get(t); status != 200 {
 		t.Fatalf("status %d", status)
@@ -181,7 +181,7 @@
 // After a crash loop the list is set aside, and taken all the same where nobody tells another one.
 func TestListOfACrashLoopIsTheLastResort(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	for range 3 {
 		s := lockHolder(t, dir)
@@ -202,7 +202,7 @@
 		t.Fatal(err)
 	}
 	begun := time.Now()
-	r := startOn(t, c, l, "")
+	r := startOnListener(t, c, l, "")
 	r.awaitReady(t, "YES")
 	if elapsed := time.Since(begun); elapsed < suspectListDelay {
 		t.Errorf("ready after %v, with a list that was set aside", elapsed)
@@ -210,7 +210,7 @@
 	if status, body := r.get(t); status != 200 || body != "s" {
 		t.Errorf("served %d %q", status, body)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g") {
 		t.Errorf("figures: %s", got)
 	}
 }
--- a/internal/sidecar/pressure.go
+++ b/internal/sidecar/pressure.go
@@ -122,17 +122,17 @@
 func (p *process) sample(late time.Duration) message.Pressure {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
-	delay := max(time.Duration(p.loop.heartbeat.delay.Load()), late)
+	delay := max(time.Duration(p.dispatcher.heartbeat.delay.Load()), late)
 	select {
-	case p.loop.events <- heartbeat{time.Now()}:
+	case p.dispatcher.events <- heartbeat{time.Now()}:
 	default: // the queue of the loop is full
 		delay = pressureInterval
 	}
 	return message.Pressure{CPU: float64(delay) / float64(delay+halfDelay),
 		Sockets:  float64(p.conns.count()+p.upstreams.count()) / float64(2*p.maxConns),
 		Heap:     float64(heap[0].Value.Uint64()) / float64(debug.SetMemoryLimit(-1)),
-		InFlight: math.Float64frombits(p.loop.heartbeat.inFlight.Load()),
-		Site:     math.Float64frombits(p.loop.heartbeat.site.Load())}
+		InFlight: math.Float64frombits(p.dispatcher.heartbeat.inFlight.Load()),
+		Site:     math.Float64frombits(p.dispatcher.heartbeat.site.Load())}
 }
 
 // queryPressure asks some peers for their pressure. Pressure is not broadcast: among 300 sidecars that would cost more than
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -22,7 +22,7 @@
 	if err := p.assemble(stop); err != nil {
 		return nil, err
 	}
-	up, l := p.upstreams, p.loop
+	up, l := p.upstreams, p.dispatcher
 	l.attempt, l.connectionStats = up.attempt, up.connectionStats
 	classes := l.classes
 	up.dispatched = l.stats.countDispatched
@@ -34,7 +34,7 @@
 	p.server.classes.Store(&classes)
 	p.conns = newClientConns(listener, p.maxConns)
 	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, ban: p.banned,
-		yield: p.yield, resume: p.resume, limitBeside: p.limitBeside,
+		yield: p.yield, resume: p.resume, limitBeside: p.shareLimits,
 		use: func() connectionUse { return connectionUse{p.conns.count(), up.count()} }}
 	p.limitMemory(false)
 	return p, nil
@@ -84,8 +84,8 @@
 	l.subscribe, l.zone = w.subscribe, up.directory.zone
 	l.classes = classTable(c.Settings.Settings)
 	l.stats.addClasses(slices.Collect(maps.Keys(l.classes)))
-	p.upstreams, p.loop, p.watch, p.service = up, l, w, newSettingsFollower(c)
-	w.service = p.service
+	p.upstreams, p.dispatcher, p.watcher, p.follower = up, l, w, newSettingsFollower(c)
+	w.service = p.follower
 	return nil
 }
 
@@ -94,7 +94,7 @@
 // snapshot, which only improves decisions. Without an endpoint it is ready after readyWithoutListAfter: requests then wait
 // in the balancer for a list until just before their deadlines, as discovery may return at any moment.
 func (p *process) ready() bool {
-	return p.accepting.Load() && p.loop.ready.Load() && (!p.upstreams.directory.empty() || p.loop.clock.now()-clockStart >= readyWithoutListAfter)
+	return p.accepting.Load() && p.dispatcher.ready.Load() && (!p.upstreams.directory.empty() || p.dispatcher.clock.now()-clockStart >= readyWithoutListAfter)
 }
 
 // limitMemory limits the heap, to half while two processes share the limit.
@@ -109,17 +109,17 @@
 // handoverState returns the state for a successor.
 func (p *process) handoverState() handoverState {
 	s := handoverState{List: p.upstreams.directory.full(), Banned: p.upstreams.directory.bans()}
-	if p.service != nil {
-		s.Settings, _ = p.service.persisted()
+	if p.follower != nil {
+		s.Settings, _ = p.follower.persisted()
 	}
-	if snapshot, ok := p.loop.snapshot(); ok { // else the successor starts without it
+	if snapshot, ok := p.dispatcher.snapshot(); ok { // else the successor starts without it
 		s.Snapshot = &snapshot
 	}
 	return s
 }
 
-// limitBeside sets the limits of connections to what the other process leaves; nil: there is none.
-func (p *process) limitBeside(others *connectionUse) {
+// shareLimits sets the limits of connections to what the other process leaves; nil: there is none.
+func (p *process) shareLimits(others *connectionUse) {
 	p.limitMemory(others != nil)
 	if others == nil {
 		others = &connectionUse{}
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -11,7 +11,7 @@
 // has servers that drain: it is ready all the same, holds what comes, refuses it in its time, and serves once discovery speaks.
 func TestReadyWithoutAServer(t *testing.T) {
 	t.Parallel()
-	s := newUpstream(t, says(ok200("done")))
+	s := newUpstream(t, respondWith(ok200("done")))
 	silentOne := func(back <-chan struct{}) string { // answers no call before it is back
 		return newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 			select {
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			back := make(chan struct{})
-			r := startOn(t, testConfig(t, c.discovery(back), c.known...), listenAt(t), "")
+			r := startOnListener(t, testConfig(t, c.discovery(back), c.known...), listenAt(t), "")
 			begun := time.Now()
 			status := func() int {
 				resp, err := r.client.Get("http://" + r.address + "/-/ready")
@@ -64,7 +64,7 @@
 			if !c.returns {
 				return
 			}
-			pending := r.later(request(t, r.address, "search", ""))
+			pending := r.doAsync(request(t, r.address, "search", ""))
 			close(back)
 			if got := <-pending; got != "200 done" {
 				t.Errorf("what was held as discovery came back: %s", got)
@@ -76,7 +76,7 @@
 // Guards against a start that waits where there is a list, however old and whatever discovery does.
 func TestReadyAtOnceWithAnOldList(t *testing.T) {
 	t.Parallel()
-	s := newUpstream(t, says(ok200("done")))
+	s := newUpstream(t, respondWith(ok200("done")))
 	for name, discovery := range map[string]string{"down": "127.0.0.1:1", "silent": newDiscovery(t,
 		func(_ int, _ func(string), done <-chan struct{}) { <-done }).address} {
 		begun := time.Now()
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -12,22 +12,22 @@
 func (p *process) reload(r Reload) {
 	file := r.Config
 	if r.Err == nil {
-		r.Err = file.replaces(p.config)
+		r.Err = file.checkReplaces(p.config)
 	}
 	if r.Err == nil {
-		r.Config, r.Err = p.service.overlay(file)
+		r.Config, r.Err = p.follower.overlay(file)
 	}
-	p.loop.stats.countReload(r.Err == nil)
+	p.dispatcher.stats.countReload(r.Err == nil)
 	if r.Err != nil {
-		logWarning(ofReload, "reload rejected, configuration unchanged", r.Err)
+		logWarning(componentReload, "reload rejected, configuration unchanged", r.Err)
 		return
 	}
 	p.config = r.Config
-	classes := p.applySettings(p.loop.enqueueUrgent)
-	logAttrs(slog.LevelInfo, ofReload, "taken", slog.Any("classes", slices.Sorted(maps.Keys(classes))), slog.String("discovery", p.config.Discovery))
-	p.watch.move(p.config.Discovery)
-	if p.service != nil {
-		p.service.file = file
+	classes := p.applySettings(p.dispatcher.enqueueUrgent)
+	logAttrs(slog.LevelInfo, componentReload, "taken", slog.Any("classes", slices.Sorted(maps.Keys(classes))), slog.String("discovery", p.config.Discovery))
+	p.watcher.move(p.config.Discovery)
+	if p.follower != nil {
+		p.follower.file = file
 	}
 }
 
@@ -38,7 +38,7 @@
 	post(fresh)
 	<-fresh.done // the balancer first: it must know every class that the table admits
 	classes := classTable(p.config.Settings.Settings)
-	p.loop.stats.addClasses(slices.Collect(maps.Keys(classes)))
+	p.dispatcher.stats.addClasses(slices.Collect(maps.Keys(classes)))
 	p.upstreams.updateSettings(p.config.Settings)
 	p.server.classes.Store(&classes)
 	return classes
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -18,7 +18,7 @@
 func (w *watcher) follow(ctx context.Context, addresses string) {
 	all, err := client.Addresses(addresses)
 	if err != nil { // the configuration was checked
-		logWarning(ofDiscovery, "list service addresses not usable", err)
+		logWarning(componentDiscovery, "list service addresses not usable", err)
 		<-ctx.Done()
 		return
 	}
@@ -46,7 +46,7 @@
 		},
 		OnEstablished: func() { w.report(balancer.EndpointUpdate{Kind: balancer.Delta}) },
 		OnError: func(at string, why error) {
-			logAttrs(slog.LevelWarn, ofDiscovery, "watch ended", slog.String("peer", at), slog.Any("err", why))
+			logAttrs(slog.LevelWarn, componentDiscovery, "watch ended", slog.String("peer", at), slog.Any("err", why))
 		},
 	})
 }
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -36,13 +36,13 @@
 	}
 	for _, id := range banned {
 		p.upstreams.directory.setBan(id, false)
-		p.loop.handle(balancer.Ban{Upstream: id})
+		p.dispatcher.handle(balancer.Ban{Upstream: id})
 	}
 	if first != nil {
 		known = p.upstreams.directory.apply(first)
-		p.watch.index = 0
+		p.watcher.index = 0
 		if source == p.config.Discovery { // another discovery's revisions can't be compared
-			p.watch.index = *first.Revision
+			p.watcher.index = *first.Revision
 		}
 	}
 	p.restoreDocument(settings)
@@ -58,14 +58,14 @@
 		l, err := parseListing(k.Listing)
 		switch {
 		case err != nil:
-			logWarning(ofState, "persisted endpoint list not usable", err)
+			logWarning(componentState, "persisted endpoint list not usable", err)
 		case configured == nil || k.Source == p.config.Discovery && *l.Revision >= *configured.Revision:
 			first, source = l, k.Source
 			p.cachedList.Store(k)
-			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millis("list_age_ms", since(k.SavedMs)))
+			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millisecondsAttr("list_age_ms", since(k.SavedMs)))
 		}
 	}
-	logAttrs(slog.LevelInfo, ofState, "persisted state loaded", attrs...)
+	logAttrs(slog.LevelInfo, componentState, "persisted state loaded", attrs...)
 	return first, source
 }
 
@@ -84,17 +84,17 @@
 	}
 	age := since(k.Snapshot.SavedMs)
 	k.Snapshot.Balancer.Age(age, k.Crashed)
-	logAttrs(slog.LevelInfo, ofState, "snapshot restored", slog.Int("upstreams", len(k.Snapshot.Balancer.Endpoints)), millis("age_ms", age))
-	p.loop.enqueueUrgent(k.Snapshot.Balancer)
+	logAttrs(slog.LevelInfo, componentState, "snapshot restored", slog.Int("upstreams", len(k.Snapshot.Balancer.Endpoints)), millisecondsAttr("age_ms", age))
+	p.dispatcher.enqueueUrgent(k.Snapshot.Balancer)
 }
 
 // logLoaded logs which parts of the state were not used.
 func logLoaded(k statestore.Loaded) {
 	for _, d := range k.Corruptions {
-		logAttrs(slog.LevelWarn, ofState, "damaged", slog.String("file", d.File), slog.Int64("byte", d.At), slog.Bool("torn", d.Torn), slog.Any("err", d.Err))
+		logAttrs(slog.LevelWarn, componentState, "damaged", slog.String("file", d.File), slog.Int64("byte", d.At), slog.Bool("torn", d.Torn), slog.Any("err", d.Err))
 	}
 	for _, text := range k.Notes {
-		logAttrs(slog.LevelWarn, ofState, "not used", slog.String("err", text))
+		logAttrs(slog.LevelWarn, componentState, "not used", slog.String("err", text))
 	}
 }
 
@@ -125,11 +125,11 @@
 	if err != nil || !p.upstreams.directory.empty() || p.listReceived.Load() {
 		return
 	}
-	logAttrs(slog.LevelWarn, ofState, "no endpoint list received, using the one that was set aside", slog.Int("upstreams", len(l.Endpoints)))
+	logAttrs(slog.LevelWarn, componentState, "no endpoint list received, using the one that was set aside", slog.Int("upstreams", len(l.Endpoints)))
 	p.cachedList.Store(p.loaded.SuspectList)
 	known := p.upstreams.directory.apply(l)
 	known.Kind = balancer.Cached
-	p.loop.enqueueUpdate(known)
+	p.dispatcher.enqueueUpdate(known)
 }
 
 // connectPersister connects the state persister with the sources of what it writes.
@@ -140,7 +140,7 @@
 	p.persister.bans = p.upstreams.directory.bans
 	p.persister.adoptBan = func(id string) {
 		p.upstreams.directory.setBan(id, false)
-		go p.loop.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // returns once the dispatcher has stopped at the latest
+		go p.dispatcher.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // returns once the dispatcher has stopped at the latest
 	}
 	p.persister.list = func() (string, *listing) { // a nil list: there is none to write
 		if !p.listReceived.Load() && p.cachedList.Load() != nil {
@@ -150,15 +150,15 @@
 		if len(l.Endpoints) == 0 {
 			return "", nil
 		}
-		return p.watch.source(), l
+		return p.watcher.source(), l
 	}
-	if p.service != nil {
-		p.persister.settings = p.service.persisted
+	if p.follower != nil {
+		p.persister.settings = p.follower.persisted
 	}
 	p.persister.snapshot = func() (balancer.Snapshot, bool) {
-		if !p.loop.ready.Load() {
+		if !p.dispatcher.ready.Load() {
 			return balancer.Snapshot{}, false
 		}
-		return p.loop.snapshot()
+		return p.dispatcher.snapshot()
 	}
 }
--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// got is a request as an upstream read it.
-type got struct {
+// receivedRequest is a request as an upstream read it.
+type receivedRequest struct {
 	method, target string
 	header         http.Header
 	body           string
@@ -40,22 +40,22 @@
 // ends the connection with a reset.
 type fakeUpstream struct {
 	address string
-	answer  func(w net.Conn, g got) bool
+	answer  func(w net.Conn, g receivedRequest) bool
 	opened  atomic.Int32
 	closed  atomic.Int32
 
-	mu  sync.Mutex
-	got []got
-	lst net.Listener
+	mu       sync.Mutex
+	received []receivedRequest
+	listener net.Listener
 }
 
-func newUpstream(t *testing.T, answer func(net.Conn, got) bool) *fakeUpstream {
+func newUpstream(t *testing.T, answer func(net.Conn, receivedRequest) bool) *fakeUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &fakeUpstream{address: l.Addr().String(), answer: answer, lst: l}
+	u := &fakeUpstream{address: l.Addr().String(), answer: answer, listener: l}
 	var wg sync.WaitGroup
 	var conns sync.Map
 	wg.Add(1)
@@ -96,9 +96,9 @@
 		if err != nil {
 			return
 		}
-		g := got{req.Method, req.RequestURI, req.Header, string(body), n}
+		g := receivedRequest{req.Method, req.RequestURI, req.Header, string(body), n}
 		u.mu.Lock()
-		u.got = append(u.got, g)
+		u.received = append(u.received, g)
 		u.mu.Unlock()
 		if !u.answer(c, g) {
 			_ = c.(*net.TCPConn).SetLinger(0)
@@ -107,15 +107,15 @@
 	}
 }
 
-func (u *fakeUpstream) requests() []got {
+func (u *fakeUpstream) requests() []receivedRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]got(nil), u.got...)
+	return append([]receivedRequest(nil), u.received...)
 }
 
-// says answers every request with the same text.
-func says(text string) func(net.Conn, got) bool {
-	return func(c net.Conn, _ got) bool {
+// respondWith answers every request with the same text.
+func respondWith(text string) func(net.Conn, receivedRequest) bool {
+	return func(c net.Conn, _ receivedRequest) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
@@ -125,8 +125,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// silent holds every request until the client ends the connection.
-func silent(c net.Conn, _ got) bool {
+// neverRespond holds every request until the client ends the connection.
+func neverRespond(c net.Conn, _ receivedRequest) bool {
 	_, _ = c.Read(make([]byte, 1))
 	return true
 }
@@ -171,8 +171,8 @@
 	return append([]string(nil), d.froms...)
 }
 
-// quiet is a discovery without news.
-func quiet(t *testing.T) *fakeDiscovery {
+// quietDiscovery is a discovery without news.
+func quietDiscovery(t *testing.T) *fakeDiscovery {
 	return newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(`{"index":1,"snapshot":false,"endpoints":[]}`)
 		for {
@@ -216,8 +216,8 @@
 	return c
 }
 
-// running is a whole sidecar in this process.
-type running struct {
+// testSidecar is a whole sidecar in this process.
+type testSidecar struct {
 	address string
 	stop    context.CancelFunc // as SIGTERM
 	ended   chan struct{}
@@ -228,13 +228,13 @@
 	tmp     string       // where processes of a sidecar meet; empty: nowhere
 }
 
-func start(t *testing.T, c *Config, listen string) *running {
+func start(t *testing.T, c *Config, listen string) *testSidecar {
 	t.Helper()
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := startOn(t, c, l, "")
+	r := startOnListener(t, c, l, "")
 	eventually(t, "ready", func() bool {
 		resp, err := r.client.Get("http://" + r.address + "/-/ready")
 		if err != nil {
@@ -246,12 +246,12 @@
 	return r
 }
 
-// startOn is start on a listener that is there, for a process that finds others in tmp. It does not wait.
-func startOn(t *testing.T, c *Config, l net.Listener, tmp string) *running {
+// startOnListener is start on a listener that is there, for a process that finds others in tmp. It does not wait.
+func startOnListener(t *testing.T, c *Config, l net.Listener, tmp string) *testSidecar {
 	t.Helper()
 	var err error
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
+	r := &testSidecar{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
 		client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}, reloads: make(chan Reload), tmp: tmp}
 	if c.Ops != "" {
 		if r.ops, err = net.Listen("tcp", c.Ops); err != nil {
@@ -292,7 +292,7 @@
 	return req
 }
 
-func (r *running) do(t *testing.T, req *http.Request) (*http.Response, string) {
+func (r *testSidecar) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
 	if err != nil {
@@ -306,8 +306,8 @@
 	return resp, string(body)
 }
 
-// later sends a request and brings its status and body once it is answered.
-func (r *running) later(req *http.Request) <-chan string {
+// doAsync sends a request and brings its status and body once it is answered.
+func (r *testSidecar) doAsync(req *http.Request) <-chan string {
 	end := make(chan string, 1)
 	go func() {
 		resp, err := r.client.Do(req)
@@ -326,7 +326,7 @@
 	return end
 }
 
-func parsed(t *testing.T, text string) *listing {
+func mustParseListing(t *testing.T, text string) *listing {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
 		t.Fatalf("not JSON: %s", text)
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -20,9 +20,9 @@
 // Guards against answers that no upstream made, and refusals without the advice when to come back.
 func TestServedUnchanged(t *testing.T) {
 	body := "\x00\xff answer\r\n"
-	s := newUpstream(t, says("HTTP/1.1 200 OK\r\nContent-Type: application/x-seat\r\n"+
+	s := newUpstream(t, respondWith("HTTP/1.1 200 OK\r\nContent-Type: application/x-seat\r\n"+
 		"Content-Encoding: x-seat\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 11\r\n\r\n"+body))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	for _, class := range []string{"search", "record", "confirm"} {
 		resp, text := r.do(t, request(t, r.address, class, ""))
 		if resp.StatusCode != 200 || text != body || resp.Header.Get("Content-Type") != "application/x-seat" {
@@ -38,8 +38,8 @@
 // Guards against an unsafe request that runs twice, and against a refusal for one that may have run: it is
 // sent once, and its failure is told at once.
 func TestUnsafeThatMayHaveRunFailsAtOnce(t *testing.T) {
-	s := newUpstream(t, func(net.Conn, got) bool { return false })
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, func(net.Conn, receivedRequest) bool { return false })
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	begun := time.Now()
 	resp, _ := r.do(t, request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
@@ -56,8 +56,8 @@
 // Guards against failures where a refusal is safe: what was rejected never ran. The balancer's advice goes
 // to the client with its decimals.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
-	s := newUpstream(t, says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	resp, _ := r.do(t, request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1.5" {
 		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
@@ -70,8 +70,8 @@
 // Guards against the library's answers and panics for what clients may send wrongly. None may be taken for a
 // refusal, and none reaches an upstream.
 func TestMalformedRequests(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	const id = "X-Request-ID: 9b1f03aa5c7e2d41\r\n"
 	for name, c := range map[string]struct{ head, want string }{
 		"no id":            {"GET /search/1 HTTP/1.1\r\nHost: s\r\n", "400"},
@@ -123,8 +123,8 @@
 // whatever time they state. Each gets an error or a close in time; the limit of 3 s is checked by the deadline
 // that is set, and here only that it comes long before the time they state.
 func TestPeersThatDoNotFinish(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	const head = "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Timeout: 60000m\r\n"
 	var peers sync.WaitGroup
 	for name, text := range map[string]string{"nothing": "", "part of a head": head,
@@ -214,8 +214,8 @@
 
 // Guards against a connection that just ends where an answer is owed: also one whose time is up on arrival.
 func TestExpiredOnArrivalIsAnswered(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	req := request(t, r.address, "search", "")
 	req.Header.Set("X-Timeout", "0m")
 	if resp, _ := r.do(t, req); resp.StatusCode != http.StatusServiceUnavailable {
@@ -230,14 +230,14 @@
 // the balancer ignores it.
 func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
-	s := newUpstream(t, func(c net.Conn, _ got) bool {
+	s := newUpstream(t, func(c net.Conn, _ receivedRequest) bool {
 		<-release
 		_, err := io.WriteString(c, ok200("once"))
 		return err == nil
 	})
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	first := request(t, r.address, "confirm", "")
-	end := r.later(first)
+	end := r.doAsync(first)
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 	again := request(t, r.address, "confirm", "")
 	again.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
@@ -287,8 +287,8 @@
 // Guards against too many descriptors: at the limit a connection between requests is evicted to a new one, or else one that
 // has sent half a head.
 func TestClientConnectionLimit(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	s := newUpstream(t, respondWith(ok200("")))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	c.Limits.Sockets = fixedSockets + 2*3
 	r := start(t, c, "127.0.0.1:0")
 	begun := time.Now()
@@ -316,16 +316,16 @@
 // use old ones, and what was taken is finished. Then the address is free for the next process.
 func TestStopFinishesWhatWasTaken(t *testing.T) {
 	release := make(chan struct{})
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		if strings.HasPrefix(g.target, "/confirm") {
 			<-release
 		}
 		_, err := io.WriteString(c, ok200("done"))
 		return err == nil
 	})
-	d := quiet(t)
+	d := quietDiscovery(t)
 	r := start(t, testConfig(t, d.address, entry("s", s.address, "Ready")), "127.0.0.1:0")
-	taken := r.later(request(t, r.address, "confirm", ""))
+	taken := r.doAsync(request(t, r.address, "confirm", ""))
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 	r.stop()
 	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
@@ -356,9 +356,9 @@
 
 // Guards against requests that SIGKILL finds unanswered: what can't be finished by then is failed before.
 func TestStopFailsWhatCannotBeFinished(t *testing.T) {
-	s := newUpstream(t, silent)
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
-	taken := r.later(request(t, r.address, "confirm", ""))
+	s := newUpstream(t, neverRespond)
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	taken := r.doAsync(request(t, r.address, "confirm", ""))
 	eventually(t, "request at the upstream", func() bool { return len(s.requests()) == 1 })
 	r.stop()
 	if got := <-taken; !strings.HasPrefix(got, "502 ") {
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		if ignored, seen := s.accept(d); ignored != "" {
-			logAttrs(slog.LevelWarn, ofSettings, ignored, attrsOf(d, slog.Int64("seen", seen))...)
+			logAttrs(slog.LevelWarn, componentSettings, ignored, attrsOf(d, slog.Int64("seen", seen))...)
 		}
 	}
 }
@@ -176,11 +176,11 @@
 	wake(s.changed)
 	switch {
 	case rejected != nil:
-		logAttrs(slog.LevelWarn, ofSettings, "settings rejected, earlier ones stay in force", attrsOf(d, slog.Any("err", rejected))...)
+		logAttrs(slog.LevelWarn, componentSettings, "settings rejected, earlier ones stay in force", attrsOf(d, slog.Any("err", rejected))...)
 	case d.Deleted:
-		logAttrs(slog.LevelInfo, ofSettings, "settings deleted, those of the file are in force", attrsOf(d)...)
+		logAttrs(slog.LevelInfo, componentSettings, "settings deleted, those of the file are in force", attrsOf(d)...)
 	default:
-		logAttrs(slog.LevelInfo, ofSettings, "in force", attrsOf(d)...)
+		logAttrs(slog.LevelInfo, componentSettings, "in force", attrsOf(d)...)
 	}
 	if s.onJudged != nil {
 		s.onJudged(d, rejected)
@@ -242,22 +242,22 @@
 
 // applyDocument applies the newest document, completely or not at all; post hands the settings to the balancer.
 func (p *process) applyDocument(post func(any)) {
-	d, any := p.service.nextDocument()
+	d, any := p.follower.nextDocument()
 	if !any {
 		return
 	}
-	c, err := p.service.file.withDocument(d)
+	c, err := p.follower.file.withDocument(d)
 	if err == nil {
 		p.config = c
 		p.applySettings(post)
 	}
-	p.service.judge(d, err)
+	p.follower.judge(d, err)
 }
 
 // restoreDocument starts with the settings that the previous process had in force, from that process or from the disk. It is
 // called before anything runs.
 func (p *process) restoreDocument(before *statestore.Settings) {
-	if p.service == nil {
+	if p.follower == nil {
 		return
 	}
 	if before == nil {
@@ -266,10 +266,10 @@
 	if before == nil {
 		return
 	}
-	if before.Service != p.service.name {
-		logWarning(ofSettings, "persisted settings not used", fmt.Errorf("it is of service %s", quoteShort(before.Service)))
+	if before.Service != p.follower.name {
+		logWarning(componentSettings, "persisted settings not used", fmt.Errorf("it is of service %s", quoteShort(before.Service)))
 		return
 	}
-	p.service.restore(before)
-	p.applyDocument(p.loop.onUrgent)
+	p.follower.restore(before)
+	p.applyDocument(p.dispatcher.onUrgent)
 }
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -46,7 +46,7 @@
 	}
 	inForce := func(r api.Rollout) bool { return r.InForce == 2 && r.Behind+r.Rejected+r.Silent == 0 }
 
-	u := newUpstream(t, says(ok200("done")))
+	u := newUpstream(t, respondWith(ok200("done")))
 	first := put(testSettings, 0)
 	own := ofService(t, at, entry("s", u.address, "Ready"))
 	own.Name = "n2"
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -19,7 +19,7 @@
 // Guards against settings that cost a request or a connection, that are taken in part, or that do not last: under load documents come, are
 // rejected, repaired, overtaken by an old one and deleted, with a SIGHUP between, while what is open stays open.
 func TestSettingsOfTheServiceUnderLoad(t *testing.T) {
-	u := newUpstream(t, says(ok200("done")))
+	u := newUpstream(t, respondWith(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	r := start(t, ofService(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
 	ctx, stop := context.WithCancel(t.Context())
@@ -28,7 +28,7 @@
 	for range 4 {
 		load.Go(func() {
 			for ctx.Err() == nil {
-				if got := <-r.later(request(t, r.address, "confirm", "")); got == "200 done" {
+				if got := <-r.doAsync(request(t, r.address, "confirm", "")); got == "200 done" {
 					served.Add(1)
 				} else {
 					bad.Add(1)
@@ -90,7 +90,7 @@
 	if !checkReady(200)() {
 		t.Error("a file's settings are above the document's")
 	}
-	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.reload_success:1|c") || !strings.Contains(figures, "gw.settings_version:9|g") ||
+	if figures := r.adminCall(t, "STATS\n"); !strings.Contains(figures, "gw.reload_success:1|c") || !strings.Contains(figures, "gw.settings_version:9|g") ||
 		!strings.Contains(figures, "gw.list_version:") {
 		t.Errorf("figures %s", figures)
 	}
@@ -315,24 +315,24 @@
 	if err := p.assemble(stop); err != nil {
 		t.Fatal(err)
 	}
-	p.loop.attempt = func(context.Context, string, *clientRequest, time.Duration) attemptReply {
+	p.dispatcher.attempt = func(context.Context, string, *clientRequest, time.Duration) attemptReply {
 		return attemptReply{result: balancer.OK}
 	}
 	known, _, err := p.restore()
 	if err != nil {
 		t.Fatal(err)
 	}
-	go p.loop.run(known)
+	go p.dispatcher.run(known)
 	for i := range 20 {
-		r := p.loop.newRequest(fmt.Sprint(i), "search")
+		r := p.dispatcher.newRequest(fmt.Sprint(i), "search")
 		r.settings = p.config.Settings.Classes[0]
-		p.loop.enqueue(requestArrived{r})
+		p.dispatcher.enqueue(requestArrived{r})
 		if a := <-r.answer; a.kind != served {
 			t.Fatalf("answered %+v", a)
 		}
 	}
 	snapshot := func() (balancer.EndpointSnapshot, float64) {
-		l, ok := p.loop.snapshot()
+		l, ok := p.dispatcher.snapshot()
 		if !ok || l.Endpoints["s"].PeakEWMA == 0 {
 			t.Fatalf("learnt %+v, %v", l, ok)
 		}
@@ -343,8 +343,8 @@
 	before, mean := snapshot()
 	d := document(2, probing)
 	d.Service, d.Schema = "orders", 1
-	p.service.onDocuments([]api.Document{d})
-	p.applyDocument(p.loop.enqueueUrgent)
+	p.follower.onDocuments([]api.Document{d})
+	p.applyDocument(p.dispatcher.enqueueUrgent)
 	if len(p.config.Settings.Classes) != 4 {
 		t.Error("not taken in")
 	}
@@ -356,21 +356,21 @@
 // Guards against an upgrade after which the new process begins with its file's settings: it has those in force, the list service being down.
 func TestUpgradeBeginsWithTheSettingsInForce(t *testing.T) {
 	tmp, listeners := t.TempDir(), passed(t, 2)
-	u := newUpstream(t, says(ok200("done")))
+	u := newUpstream(t, respondWith(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	c := ofService(t, svc.address, entry("s", u.address, "Ready"))
-	old := startOn(t, c, listeners[0], tmp)
+	old := startOnListener(t, c, listeners[0], tmp)
 	svc.announce(document(7, probing))
-	inForce := func(r *running) func() bool {
-		return func() bool { return strings.Contains(r.call(t, "STATS\n"), "gw.settings_version:7|g\n") }
+	inForce := func(r *testSidecar) func() bool {
+		return func() bool { return strings.Contains(r.adminCall(t, "STATS\n"), "gw.settings_version:7|g\n") }
 	}
 	eventually(t, "the settings in the old process", inForce(old))
 	eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
 	_ = svc.srv.Close()
-	fresh := startOn(t, c, listeners[1], tmp)
+	fresh := startOnListener(t, c, listeners[1], tmp)
 	fresh.awaitReady(t, "YES")
 	if !inForce(fresh)() {
-		t.Errorf("figures %s", fresh.call(t, "STATS\n"))
+		t.Errorf("figures %s", fresh.adminCall(t, "STATS\n"))
 	}
 	if resp, _ := fresh.do(t, request(t, fresh.address, "probe", "")); resp.StatusCode != 200 {
 		t.Errorf("a class of the settings: %s", resp.Status)
--- a/internal/sidecar/settingsupdate_test.go
+++ b/internal/sidecar/settingsupdate_test.go
@@ -21,13 +21,13 @@
 // class, and a file with anything wrong changes nothing.
 func TestRetune(t *testing.T) {
 	release := make(chan struct{})
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		if strings.HasPrefix(g.target, "/record/") {
 			<-release
 		}
-		return says(ok200("done"))(c, g)
+		return respondWith(ok200("done"))(c, g)
 	})
-	d := quiet(t)
+	d := quietDiscovery(t)
 	read := func(settings string) (*Config, error) {
 		return parseConfig([]byte(configText(d.address, s.address, settings)))
 	}
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	r := start(t, c, "127.0.0.1:0")
-	open := r.later(request(t, r.address, "record", ""))
+	open := r.doAsync(request(t, r.address, "record", ""))
 	eventually(t, "the request at the upstream", func() bool { return len(s.requests()) == 1 })
 
 	more := strings.Replace(testSettings, `{"Name":"search"`, moreSettings, 1)
@@ -79,7 +79,7 @@
 		t.Errorf("open under the class that was dropped: %s", got)
 	}
 	eventually(t, "counts", func() bool {
-		figures := r.call(t, "STATS\n")
+		figures := r.adminCall(t, "STATS\n")
 		return strings.Contains(figures, "gw.reload_success:1|c") && strings.Contains(figures, "gw.reload_failure:9|c") &&
 			strings.Contains(figures, "gw.success.probe:") && strings.Contains(figures, "gw.success.record:1|c")
 	})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -84,12 +84,12 @@
 type process struct {
 	config       *Config // in use; reload changes it
 	upstreams    *upstreamPool
-	loop         *dispatcher
-	watch        *watcher
+	dispatcher   *dispatcher
+	watcher      *watcher
 	server       *server
 	conns        *clientConns
 	handover     *handover
-	service      *settingsFollower               // nil: the settings of the file are in force
+	follower     *settingsFollower               // nil: the settings of the file are in force
 	persister    *statePersister                 // nil: no state is stored
 	loaded       statestore.Loaded               // persisted state at the start
 	cachedList   atomic.Pointer[statestore.List] // the list from disk, if one is used
@@ -123,22 +123,22 @@
 		p.conns.pause(true)
 	}
 	if snapshot != nil {
-		p.loop.enqueueUrgent(*snapshot) // does not block: the queue is empty
+		p.dispatcher.enqueueUrgent(*snapshot) // does not block: the queue is empty
 	}
 	if c.Peers != nil {
-		if p.loop.sharing, err = newSharing(c, p.upstreams.directory, p.loop.clock, program()); err != nil {
+		if p.dispatcher.sharing, err = newSharing(c, p.upstreams.directory, p.dispatcher.clock, programVersion()); err != nil {
 			return err
 		}
-		defer p.loop.sharing.close()
+		defer p.dispatcher.sharing.close()
 	}
-	go p.loop.run(known)
-	go p.watch.run(running, c.Settings.MustSubscribe)
+	go p.dispatcher.run(known)
+	go p.watcher.run(running, c.Settings.MustSubscribe)
 	p.handover.join()
 	defer p.handover.close()
 	defer p.startPersister(running, !waits)()
-	if p.service != nil {
-		p.service.muted = p.server.stopping.Load // then the other process of the upgrade acknowledges
-		go p.service.acknowledge(running, p.watch.source)
+	if p.follower != nil {
+		p.follower.muted = p.server.stopping.Load // then the other process of the upgrade acknowledges
+		go p.follower.acknowledge(running, p.watcher.source)
 	}
 	if ops != nil {
 		admin := p.newAdminServer(ops)
@@ -146,7 +146,7 @@
 		defer admin.close()
 	}
 	srv := p.newHTTPServer()
-	p.loop.sharing.startForwarding(p)
+	p.dispatcher.sharing.startForwarding(p)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(p.conns) }()
 	go p.startAccepting(running, waits)
@@ -156,8 +156,8 @@
 			return fmt.Errorf("serving: %w", err)
 		case r := <-reloads:
 			p.reload(r)
-		case <-p.service.pending():
-			p.applyDocument(p.loop.enqueueUrgent)
+		case <-p.follower.pending():
+			p.applyDocument(p.dispatcher.enqueueUrgent)
 		case <-ctx.Done():
 		}
 	}
@@ -182,10 +182,10 @@
 	d := newAdminServer(listener)
 	d.ready = func() bool { return p.server.ready() && !p.server.stopping.Load() }
 	d.stats = func() string {
-		now := p.loop.stats.snapshot()
-		return now.lines() + p.persister.lines(p.usesCachedList()) + p.loop.sharing.lines() + p.service.lines(p.upstreams.directory)
+		now := p.dispatcher.stats.snapshot()
+		return now.lines() + p.persister.lines(p.usesCachedList()) + p.dispatcher.sharing.lines() + p.follower.lines(p.upstreams.directory)
 	}
-	d.peers = p.loop.sharing.describe
+	d.peers = p.dispatcher.sharing.describe
 	d.ban = p.ban
 	return d
 }
@@ -202,7 +202,7 @@
 // startAccepting starts accepting clients; with waits, once this process can serve and the predecessor has yielded. Then it
 // waits for a successor.
 func (p *process) startAccepting(running context.Context, waits bool) {
-	for waits && (p.upstreams.directory.empty() || !p.loop.ready.Load()) && running.Err() == nil {
+	for waits && (p.upstreams.directory.empty() || !p.dispatcher.ready.Load()) && running.Err() == nil {
 		time.Sleep(startPollInterval)
 	}
 	if waits && !p.draining.Load() {
@@ -214,12 +214,12 @@
 		return
 	}
 	if err := p.handover.serve(); err != nil {
-		logWarning(ofHandover, "hand-over socket not available", err)
+		logWarning(componentHandover, "hand-over socket not available", err)
 	}
 }
 
-// program returns the version of this program.
-func program() string {
+// programVersion returns the version of this program.
+func programVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
 	}
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -31,7 +31,7 @@
 
 func newStats() *stats { return &stats{current: statsSnapshot{classes: map[string]outcomes{}}} }
 
-func (s *stats) change(f func(*statsSnapshot)) {
+func (s *stats) update(f func(*statsSnapshot)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.current)
@@ -47,12 +47,12 @@
 
 // begin counts a request as accepted and in progress.
 func (s *stats) begin() {
-	s.change(func(f *statsSnapshot) { f.accepted++; f.concurrent++ })
+	s.update(func(f *statsSnapshot) { f.accepted++; f.concurrent++ })
 }
 
 // end counts the answer to a request, once for each begin.
 func (s *stats) end(class string, how answerKind) {
-	s.change(func(f *statsSnapshot) {
+	s.update(func(f *statsSnapshot) {
 		f.concurrent--
 		c := f.classes[class]
 		switch how {
@@ -71,7 +71,7 @@
 
 // addClasses adds classes, which are then listed even without requests.
 func (s *stats) addClasses(classes []string) {
-	s.change(func(f *statsSnapshot) {
+	s.update(func(f *statsSnapshot) {
 		for _, class := range classes {
 			if _, counted := f.classes[class]; !counted {
 				f.classes[class] = outcomes{}
@@ -81,11 +81,11 @@
 }
 
 func (s *stats) countDispatched() {
-	s.change(func(f *statsSnapshot) { f.dispatches++ })
+	s.update(func(f *statsSnapshot) { f.dispatches++ })
 }
 
 func (s *stats) countReload(taken bool) {
-	s.change(func(f *statsSnapshot) {
+	s.update(func(f *statsSnapshot) {
 		if taken {
 			f.reloadsApplied++
 		} else {
@@ -95,7 +95,7 @@
 }
 
 func (s *stats) setEndpoints(targets, avoided int) {
-	s.change(func(f *statsSnapshot) { f.targets, f.unavailable = int64(targets), int64(avoided) })
+	s.update(func(f *statsSnapshot) { f.targets, f.unavailable = int64(targets), int64(avoided) })
 }
 
 // total returns the sum over the classes.
--- a/internal/sidecar/transcript_test.go
+++ b/internal/sidecar/transcript_test.go
@@ -15,20 +15,20 @@
 	"mosslead/internal/lab/transcript/approve"
 )
 
-// exchange is what one script plays in: sidecars in a bubble, with a client, two upstreams and discovery.
-type exchange struct {
+// transcriptTest is what one script plays in: sidecars in a bubble, with a client, two upstreams and discovery.
+type transcriptTest struct {
 	*testing.T
 	ctx            context.Context
 	net            *memnet.Network
 	record         transcript.Transcript
 	client         *memnet.Host
-	up             [2]*memnet.Host
+	upstreams      [2]*memnet.Host
 	calls, watches transcript.Calls // what upstreams got, and discovery
 }
 
-// inBubble is a sidecar of an exchange.
-type inBubble struct {
-	x       *exchange
+// simulatedSidecar is a sidecar of an exchange.
+type simulatedSidecar struct {
+	tt      *transcriptTest
 	address string
 	stop    context.CancelFunc // as SIGTERM
 	reloads chan Reload
@@ -36,229 +36,229 @@
 }
 
 const (
-	discoveryAt = "10.0.0.9:7000"
-	up1, up2    = "10.0.0.11:8000", "10.0.0.12:8000"
+	discoveryAddress                   = "10.0.0.9:7000"
+	upstream1Address, upstream2Address = "10.0.0.11:8000", "10.0.0.12:8000"
 
-	aSearch  = "GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Timeout: 900m\r\n\r\n"
-	aConfirm = "POST /confirm/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d42\r\nX-Timeout: 900m\r\nContent-Length: 6\r\n\r\nseat 4"
-	opens    = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	searchRequest     = "GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Timeout: 900m\r\n\r\n"
+	confirmRequest    = "POST /confirm/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 9b1f03aa5c7e2d42\r\nX-Timeout: 900m\r\nContent-Length: 6\r\n\r\nseat 4"
+	watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
 
 // start runs a sidecar with a list from its configuration, and opens its watch, which has no news.
-func (x *exchange) start(known ...string) *inBubble {
-	s := x.run("sidecar", "10.0.0.1", known...)
-	s.follow("\n")
+func (tt *transcriptTest) start(known ...string) *simulatedSidecar {
+	s := tt.run("sidecar", "10.0.0.1", known...)
+	s.openWatch("\n")
 	time.Sleep(50 * time.Millisecond)
-	x.record.Begin()
+	tt.record.Begin()
 	return s
 }
 
-func (x *exchange) run(name, ip string, known ...string) *inBubble {
-	host := x.net.Host(name, ip, 0)
+func (tt *transcriptTest) run(name, ip string, known ...string) *simulatedSidecar {
+	host := tt.net.Host(name, ip, 0)
 	l, err := host.Listen(9000)
-	x.must(err)
-	c := testConfig(x.T, discoveryAt, known...)
+	tt.check(err)
+	c := testConfig(tt.T, discoveryAddress, known...)
 	c.dial = host.Dial
-	ctx, stop := context.WithCancel(x.ctx)
-	s := &inBubble{x: x, address: l.Addr().String(), stop: stop, reloads: make(chan Reload)}
+	ctx, stop := context.WithCancel(tt.ctx)
+	s := &simulatedSidecar{tt: tt, address: l.Addr().String(), stop: stop, reloads: make(chan Reload)}
 	ended := make(chan error, 1)
 	go func() { ended <- serve(ctx, c, l, nil, "", s.reloads) }()
-	x.Cleanup(func() {
+	tt.Cleanup(func() {
 		stop()
-		x.must(<-ended)
+		tt.check(<-ended)
 	})
 	return s
 }
 
-// follow opens the watch that the sidecar asks for next, with a first message.
-func (s *inBubble) follow(first string) {
-	s.x.Helper()
-	s.watch = s.x.next(s.x.watches)
-	s.x.must(s.watch.Say(opens))
-	s.x.must(s.watch.Chunk(first))
+// openWatch opens the watch that the sidecar asks for next, with a first message.
+func (s *simulatedSidecar) openWatch(first string) {
+	s.tt.Helper()
+	s.watch = s.tt.nextCall(s.tt.watches)
+	s.tt.check(s.watch.Say(watchResponseHead))
+	s.tt.check(s.watch.Chunk(first))
 }
 
-func (x *exchange) must(err error) {
-	x.Helper()
+func (tt *transcriptTest) check(err error) {
+	tt.Helper()
 	if err != nil {
-		x.Error(err)
+		tt.Error(err)
 	}
 }
 
-func (x *exchange) next(calls transcript.Calls) transcript.Call {
-	x.Helper()
+func (tt *transcriptTest) nextCall(calls transcript.Calls) transcript.Call {
+	tt.Helper()
 	c, err := calls.Next()
 	if err != nil {
-		x.Fatal(err)
+		tt.Fatal(err)
 	}
 	return c
 }
 
 // request sends a request from a client on a connection of its own.
-func (x *exchange) request(s *inBubble, text string) *transcript.Line {
-	x.Helper()
-	c, err := transcript.Connect(x.ctx, x.client, s.address)
+func (tt *transcriptTest) request(s *simulatedSidecar, text string) *transcript.Line {
+	tt.Helper()
+	c, err := transcript.Connect(tt.ctx, tt.client, s.address)
 	if err != nil {
-		x.Fatal(err)
+		tt.Fatal(err)
 	}
-	x.must(c.Say(text))
+	tt.check(c.Say(text))
 	return c
 }
 
-// gets waits for a client's answer, and what comes right after it.
-func (x *exchange) gets(c *transcript.Line, want int) {
-	x.Helper()
+// expectStatus waits for a client's answer, and what comes right after it.
+func (tt *transcriptTest) expectStatus(c *transcript.Line, want int) {
+	tt.Helper()
 	if status, err := c.Answer(); status != want || err != nil {
-		x.Errorf("answered %d, %v; want %d", status, err, want)
+		tt.Errorf("answered %d, %v; want %d", status, err, want)
 	}
 	time.Sleep(20 * time.Millisecond)
 }
 
-var approved = []struct {
-	name, shows string // shows is the line that it is about
-	script      func(*exchange)
+var transcriptTests = []struct {
+	name, keyLine string // keyLine is the line that it is about
+	script        func(*transcriptTest)
 }{
-	{"ordinary", "7 sidecar > up-1 sends", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.request(s, aSearch)
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(c, 200)
-		x.must(c.Say(aSearch)) // on the connections that there are
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(c, 200)
+	{"ordinary", "7 sidecar > up-1 sends", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"))
+		c := tt.request(s, searchRequest)
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(c, 200)
+		tt.check(c.Say(searchRequest)) // on the connections that there are
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(c, 200)
 	}},
-	{"retry-after-connect-failure", "up-2 > sidecar refuses", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"), entry("up-2", up2, "Ready"))
-		x.up[1].Kill()
-		c := x.request(s, strings.Replace(aConfirm, "900m", "9000m", 1)) // time for two
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(c, 200)
+	{"retry-after-connect-failure", "up-2 > sidecar refuses", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"), entry("up-2", upstream2Address, "Ready"))
+		tt.upstreams[1].Kill()
+		c := tt.request(s, strings.Replace(confirmRequest, "900m", "9000m", 1)) // time for two
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(c, 200)
 	}},
-	{"unsafe-after-reset", "> sidecar resets", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"), entry("up-2", up2, "Ready"))
-		c := x.request(s, aConfirm)
-		x.next(x.calls).Reset()
-		x.gets(c, 502)
+	{"unsafe-after-reset", "> sidecar resets", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"), entry("up-2", upstream2Address, "Ready"))
+		c := tt.request(s, confirmRequest)
+		tt.nextCall(tt.calls).Reset()
+		tt.expectStatus(c, 502)
 	}},
-	{"refused", "503 Service Unavailable", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.request(s, aConfirm)
-		x.must(x.next(x.calls).Say("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
-		x.gets(c, 503)
+	{"refused", "503 Service Unavailable", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"))
+		c := tt.request(s, confirmRequest)
+		tt.check(tt.nextCall(tt.calls).Say("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
+		tt.expectStatus(c, 503)
 	}},
-	{"given-up", "502 Bad Gateway", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.request(s, aConfirm)
-		x.next(x.calls)
-		x.gets(c, 502)
+	{"given-up", "502 Bad Gateway", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"))
+		c := tt.request(s, confirmRequest)
+		tt.nextCall(tt.calls)
+		tt.expectStatus(c, 502)
 		time.Sleep(time.Second)
 	}},
-	{"client-gone", "client > sidecar closes", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.request(s, aSearch)
-		pending := x.next(x.calls)
-		x.must(c.Close())
+	{"client-gone", "client > sidecar closes", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"))
+		c := tt.request(s, searchRequest)
+		pending := tt.nextCall(tt.calls)
+		tt.check(c.Close())
 		time.Sleep(20 * time.Millisecond)
-		x.must(pending.Say(ok200("for nobody"))) // the next request comes on the connection that waited for it, once that has rested
+		tt.check(pending.Say(ok200("for nobody"))) // the next request comes on the connection that waited for it, once that has rested
 		time.Sleep(20 * time.Millisecond)
-		c = x.request(s, aConfirm)
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(c, 200)
+		c = tt.request(s, confirmRequest)
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(c, 200)
 	}},
-	{"silent-watch", "sidecar > discovery (2) connects", func(x *exchange) {
-		x.record.Begin()
-		s := x.run("sidecar", "10.0.0.1", entry("up-1", up1, "Ready"))
-		s.follow(list(2, false, entry("up-2", up2, "Ready")) + "\n")
-		s.follow("\n")
+	{"silent-watch", "sidecar > discovery (2) connects", func(tt *transcriptTest) {
+		tt.record.Begin()
+		s := tt.run("sidecar", "10.0.0.1", entry("up-1", upstream1Address, "Ready"))
+		s.openWatch(list(2, false, entry("up-2", upstream2Address, "Ready")) + "\n")
+		s.openWatch("\n")
 		time.Sleep(20 * time.Millisecond)
 	}},
-	{"moved-discovery", "sidecar > new discovery connects", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"))
-		x.must(transcript.Serve(x.ctx, x.net.Host("new discovery", "10.0.0.8", time.Millisecond), 7000, x.watches))
-		c := testConfig(x.T, "10.0.0.8:7000", entry("up-1", up1, "Ready"))
+	{"moved-discovery", "sidecar > new discovery connects", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"))
+		tt.check(transcript.Serve(tt.ctx, tt.net.Host("new discovery", "10.0.0.8", time.Millisecond), 7000, tt.watches))
+		c := testConfig(tt.T, "10.0.0.8:7000", entry("up-1", upstream1Address, "Ready"))
 		s.reloads <- Reload{Config: c}
-		s.follow(list(1, true, entry("up-2", up2, "Ready")) + "\n")
+		s.openWatch(list(1, true, entry("up-2", upstream2Address, "Ready")) + "\n")
 		time.Sleep(20 * time.Millisecond)
-		in := x.request(s, aSearch)
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(in, 200)
+		in := tt.request(s, searchRequest)
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(in, 200)
 	}},
-	{"terminated", "sidecar > client (3) ends its sending", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"))
-		quiet, busy := x.request(s, aSearch), x.request(s, aConfirm)
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(quiet, 200)
-		pending := x.next(x.calls)
-		_, err := transcript.Connect(x.ctx, x.client, s.address)
-		x.must(err)
+	{"terminated", "sidecar > client (3) ends its sending", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"))
+		quiet, busy := tt.request(s, searchRequest), tt.request(s, confirmRequest)
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(quiet, 200)
+		pending := tt.nextCall(tt.calls)
+		_, err := transcript.Connect(tt.ctx, tt.client, s.address)
+		tt.check(err)
 		s.stop()
 		time.Sleep(100 * time.Millisecond)
-		x.must(quiet.Say(aSearch)) // it stayed open
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(quiet, 200)
-		x.must(pending.Say(ok200("ok")))
-		x.gets(busy, 200)
+		tt.check(quiet.Say(searchRequest)) // it stayed open
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(quiet, 200)
+		tt.check(pending.Say(ok200("ok")))
+		tt.expectStatus(busy, 200)
 		time.Sleep(400 * time.Millisecond)
 	}},
-	{"drain-during-attempt", "sidecar > up-1 closes", func(x *exchange) {
-		s := x.start(entry("up-1", up1, "Ready"))
-		c := x.request(s, aSearch)
-		pending := x.next(x.calls)
-		x.must(s.watch.Chunk(list(2, false, entry("up-1", up1, "Terminating"), entry("up-2", up2, "Ready")) + "\n"))
+	{"drain-during-attempt", "sidecar > up-1 closes", func(tt *transcriptTest) {
+		s := tt.start(entry("up-1", upstream1Address, "Ready"))
+		c := tt.request(s, searchRequest)
+		pending := tt.nextCall(tt.calls)
+		tt.check(s.watch.Chunk(list(2, false, entry("up-1", upstream1Address, "Terminating"), entry("up-2", upstream2Address, "Ready")) + "\n"))
 		time.Sleep(20 * time.Millisecond)
-		x.must(pending.Say(ok200("ok")))
-		x.gets(c, 200)
-		x.must(c.Say(aSearch))
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(c, 200)
+		tt.check(pending.Say(ok200("ok")))
+		tt.expectStatus(c, 200)
+		tt.check(c.Say(searchRequest))
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(c, 200)
 	}},
-	{"old-list", "sidecar > up-1 closes", func(x *exchange) {
-		x.record.Begin()
-		s := x.run("sidecar", "10.0.0.1", entry("up-1", up1, "Ready"))
+	{"old-list", "sidecar > up-1 closes", func(tt *transcriptTest) {
+		tt.record.Begin()
+		s := tt.run("sidecar", "10.0.0.1", entry("up-1", upstream1Address, "Ready"))
 		time.Sleep(10 * time.Millisecond)
-		c := x.request(s, aSearch) // before discovery has said anything
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(c, 200)
-		s.follow(list(7, true, entry("up-2", up2, "Ready")) + "\n")
+		c := tt.request(s, searchRequest) // before discovery has said anything
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(c, 200)
+		s.openWatch(list(7, true, entry("up-2", upstream2Address, "Ready")) + "\n")
 		time.Sleep(20 * time.Millisecond)
-		x.must(c.Say(aSearch))
-		x.must(x.next(x.calls).Say(ok200("ok")))
-		x.gets(c, 200)
+		tt.check(c.Say(searchRequest))
+		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
+		tt.expectStatus(c, 200)
 	}},
-	{"indented-list", `"index": 2`, func(x *exchange) {
-		x.record.Begin()
-		s := x.run("sidecar", "10.0.0.1", entry("up-1", up1, "Ready"))
+	{"indented-list", `"index": 2`, func(tt *transcriptTest) {
+		tt.record.Begin()
+		s := tt.run("sidecar", "10.0.0.1", entry("up-1", upstream1Address, "Ready"))
 		var text bytes.Buffer
-		x.must(json.Indent(&text, []byte(list(2, true, entry("up-2", up2, "Ready"))), "", " "))
-		s.follow(text.String() + "\n")
+		tt.check(json.Indent(&text, []byte(list(2, true, entry("up-2", upstream2Address, "Ready"))), "", " "))
+		s.openWatch(text.String() + "\n")
 		time.Sleep(20 * time.Millisecond)
 	}},
 }
 
 // Guards against any change of what goes over the wire that nobody has looked at: approve it with -update.
 func TestApprovedTranscripts(t *testing.T) {
-	for _, a := range approved {
+	for _, a := range transcriptTests {
 		t.Run(a.name, func(t *testing.T) {
 			text := ""
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				x := &exchange{T: t, ctx: ctx, calls: transcript.NewCalls(), watches: transcript.NewCalls()}
-				x.net = memnet.New(x.record.Take)
+				tt := &transcriptTest{T: t, ctx: ctx, calls: transcript.NewCalls(), watches: transcript.NewCalls()}
+				tt.net = memnet.New(tt.record.Take)
 				t.Cleanup(func() {
 					cancel()
-					x.net.Close()
+					tt.net.Close()
 				})
-				x.client = x.net.Host("client", "10.0.0.2", time.Millisecond)
+				tt.client = tt.net.Host("client", "10.0.0.2", time.Millisecond)
 				for i, name := range []string{"up-1", "up-2"} {
-					x.up[i] = x.net.Host(name, fmt.Sprint("10.0.0.1", i+1), time.Duration(2+i)*time.Millisecond)
-					x.must(transcript.Serve(ctx, x.up[i], 8000, x.calls))
+					tt.upstreams[i] = tt.net.Host(name, fmt.Sprint("10.0.0.1", i+1), time.Duration(2+i)*time.Millisecond)
+					tt.check(transcript.Serve(ctx, tt.upstreams[i], 8000, tt.calls))
 				}
-				x.must(transcript.Serve(ctx, x.net.Host("discovery", "10.0.0.9", time.Millisecond), 7000, x.watches))
-				a.script(x)
-				x.record.Stop()
-				text = x.record.Text()
+				tt.check(transcript.Serve(ctx, tt.net.Host("discovery", "10.0.0.9", time.Millisecond), 7000, tt.watches))
+				a.script(tt)
+				tt.record.Stop()
+				text = tt.record.Text()
 			})
-			approve.Text(t, a.name, a.shows, text)
+			approve.Text(t, a.name, a.keyLine, text)
 		})
 	}
 }
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -69,7 +69,7 @@
 		if err := transcript.Serve(t.Context(), far, 8000, calls); err != nil {
 			t.Fatal(err)
 		}
-		u := testUpstreams(t, 4, entry("s", up1, "Ready"))
+		u := testUpstreams(t, 4, entry("s", upstream1Address, "Ready"))
 		u.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := near.Dial(ctx, network, address)
 			return slowWrites{c}, err
@@ -106,37 +106,37 @@
 	_ = refusal.Close()
 	for _, c := range []struct {
 		name   string
-		answer func(net.Conn, got) bool
+		answer func(net.Conn, receivedRequest) bool
 		want   balancer.Result
 	}{
-		{"served", says(ok200("body")), balancer.OK},
-		{"empty body", says(ok200("")), balancer.OK},
-		{"chunked", says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), balancer.OK},
-		{"error", says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"redirect", says("HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"request rejected before admission", says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
-		{"turned away late", says("HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
-		{"503 without the mark", says("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"500 with the mark", says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"reset", func(net.Conn, got) bool { return false }, balancer.Reset},
-		{"garbage", says("\x00\x01 no HTTP\r\n\r\n"), balancer.Reset},
-		{"truncated", func(c net.Conn, _ got) bool {
+		{"served", respondWith(ok200("body")), balancer.OK},
+		{"empty body", respondWith(ok200("")), balancer.OK},
+		{"chunked", respondWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), balancer.OK},
+		{"error", respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"redirect", respondWith("HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"request rejected before admission", respondWith("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
+		{"turned away late", respondWith("HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
+		{"503 without the mark", respondWith("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"500 with the mark", respondWith("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"reset", func(net.Conn, receivedRequest) bool { return false }, balancer.Reset},
+		{"garbage", respondWith("\x00\x01 no HTTP\r\n\r\n"), balancer.Reset},
+		{"truncated", func(c net.Conn, _ receivedRequest) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			return false
 		}, balancer.Reset},
-		{"delimited by the end", func(c net.Conn, _ got) bool {
+		{"delimited by the end", func(c net.Conn, _ receivedRequest) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nwhole")
 			_ = c.Close()
 			return true
 		}, balancer.OK},
-		{"delimited by a reset", func(c net.Conn, _ got) bool {
+		{"delimited by a reset", func(c net.Conn, _ receivedRequest) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf?")
 			return false
 		}, balancer.Reset},
-		{"large", says(ok200(strings.Repeat("x", maxRetainedBytes+1))), balancer.OK},
-		{"another protocol", says("HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n"),
+		{"large", respondWith(ok200(strings.Repeat("x", maxRetainedBytes+1))), balancer.OK},
+		{"another protocol", respondWith("HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n"),
 			balancer.ServerError},
-		{"headers too large", says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeader) + "\r\n\r\n"), balancer.Reset},
+		{"headers too large", respondWith("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeader) + "\r\n\r\n"), balancer.Reset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newUpstream(t, c.answer)
@@ -163,7 +163,7 @@
 // connection end.
 func TestTimeoutAndCancelCloseTheConnection(t *testing.T) {
 	for _, want := range []balancer.Result{balancer.Timeout, balancer.Cancelled} {
-		s := newUpstream(t, silent)
+		s := newUpstream(t, neverRespond)
 		u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 		ctx, cancel := context.WithCancel(context.Background())
 		if want == balancer.Timeout {
@@ -208,7 +208,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			release := make(chan struct{})
-			s := newUpstream(t, func(w net.Conn, g got) bool {
+			s := newUpstream(t, func(w net.Conn, g receivedRequest) bool {
 				if g.body == "first" {
 					<-release
 				}
@@ -281,7 +281,7 @@
 
 // Guards against connections that wait for ever, and against too many of them: they are evicted at the limit.
 func TestLateAnswerIsNotWaitedForLong(t *testing.T) {
-	a, b := newUpstream(t, silent), newUpstream(t, says(ok200("")))
+	a, b := newUpstream(t, neverRespond), newUpstream(t, respondWith(ok200("")))
 	u := testUpstreams(t, 1, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
 	late := func() {
 		t.Helper()
@@ -332,13 +332,13 @@
 // Guards against sends to an upstream that drains: the news came between the decision and the write.
 func TestDrainIsCheckedAtTheWrite(t *testing.T) {
 	for _, status := range []string{"Terminating", "Gone"} {
-		s := newUpstream(t, says(ok200("")))
+		s := newUpstream(t, respondWith(ok200("")))
 		u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 		c, err := u.connect(t.Context(), "s", endpointAddress{address: s.address})
 		if err != nil {
 			t.Fatal(err)
 		}
-		u.directory.apply(parsed(t, list(2, false, entry("s", s.address, status))))
+		u.directory.apply(mustParseListing(t, list(2, false, entry("s", s.address, status))))
 		if rep, _ := u.roundTrip(t.Context(), c, testRequest("GET", "")); rep.result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.result)
 		}
@@ -354,7 +354,7 @@
 
 // Guards against changed requests: upstreams drop repeats and count copies by what stands in them.
 func TestRequestGoesOnUnchanged(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
+	s := newUpstream(t, respondWith(ok200("")))
 	u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -376,7 +376,7 @@
 // or is about to close.
 func TestPool(t *testing.T) {
 	n, pooled := atomic.Int32{}, make(chan struct{})
-	s := newUpstream(t, func(c net.Conn, _ got) bool {
+	s := newUpstream(t, func(c net.Conn, _ receivedRequest) bool {
 		_, _ = io.WriteString(c, ok200(""))
 		if n.Add(1) != 3 {
 			return true
@@ -416,14 +416,14 @@
 	// Gone: the pool goes too.
 	u.times.idle = time.Hour
 	send(balancer.OK)
-	u.directory.apply(parsed(t, list(2, false, entry("s", s.address, "Gone"))))
+	u.directory.apply(mustParseListing(t, list(2, false, entry("s", s.address, "Gone"))))
 	eventually(t, "pool dropped", func() bool { return s.closed.Load() == 3 })
 
 	// Back at another address: no connection to the old one is used.
-	u.directory.apply(parsed(t, list(3, false, entry("s", s.address, "Ready"))))
+	u.directory.apply(mustParseListing(t, list(3, false, entry("s", s.address, "Ready"))))
 	send(balancer.OK)
-	moved := newUpstream(t, says(ok200("")))
-	u.directory.apply(parsed(t, list(4, false, entry("s", moved.address, "Ready"))))
+	moved := newUpstream(t, respondWith(ok200("")))
+	u.directory.apply(mustParseListing(t, list(4, false, entry("s", moved.address, "Ready"))))
 	eventually(t, "old address dropped", func() bool { return s.closed.Load() == 4 })
 	send(balancer.OK)
 	if len(moved.requests()) != 1 {
@@ -432,7 +432,7 @@
 
 	// A new process at the same address: connections to the old one are dead, if silently.
 	again := strings.Replace(entry("s", moved.address, "Ready"), `"since_ms":0`, `"since_ms":1000`, 1)
-	u.directory.apply(parsed(t, list(5, false, again)))
+	u.directory.apply(mustParseListing(t, list(5, false, again)))
 	eventually(t, "old process dropped", func() bool { return moved.closed.Load() == 1 })
 }
 
@@ -440,7 +440,7 @@
 // on a connection that it reuses, makes an attempt that nobody decided on.
 func TestBrokenRequestIsNotSentAgain(t *testing.T) {
 	n := atomic.Int32{}
-	s := newUpstream(t, func(c net.Conn, _ got) bool {
+	s := newUpstream(t, func(c net.Conn, _ receivedRequest) bool {
 		if n.Add(1) > 1 {
 			return false
 		}
@@ -462,7 +462,7 @@
 // Guards against too many descriptors: at the limit the least useful idle connection is evicted, and where
 // all are busy an attempt ends as one that was never sent, which says nothing of its upstream.
 func TestConnectionLimit(t *testing.T) {
-	a, b := newUpstream(t, says(ok200(""))), newUpstream(t, silent)
+	a, b := newUpstream(t, respondWith(ok200(""))), newUpstream(t, neverRespond)
 	u := testUpstreams(t, 1, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
 	if rep := u.attempt(t.Context(), "a", testRequest("GET", ""), 0); rep.result != balancer.OK {
 		t.Fatalf("result %d", rep.result)
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -162,7 +162,7 @@
 		Address: func() string {
 			at := w.source()
 			if at != last && last != "" {
-				logWarning(ofDiscovery, "watch continues at another address", errMoved)
+				logWarning(componentDiscovery, "watch continues at another address", errMoved)
 				wait = baseRewatchDelay
 			}
 			last = at
@@ -182,7 +182,7 @@
 			wait = baseRewatchDelay
 			w.report(balancer.EndpointUpdate{Kind: balancer.Delta})
 		},
-		OnError: func(_ string, why error) { logWarning(ofDiscovery, "watch ended", why) },
+		OnError: func(_ string, why error) { logWarning(componentDiscovery, "watch ended", why) },
 		Wait: func() time.Duration {
 			now := wait
 			wait = min(2*wait, maxRewatchDelay)
@@ -193,6 +193,6 @@
 		f.Step, f.MaxCalls = subscribeStep, subscribeCalls
 	}
 	if err := f.Follow(ctx); errors.Is(err, errMoved) {
-		logWarning(ofDiscovery, "watch ended", err)
+		logWarning(componentDiscovery, "watch ended", err)
 	}
 }
