--- a/cmd/mosslead-sidecar/descriptors_test.go
+++ b/cmd/mosslead-sidecar/descriptors_test.go
@@ -17,28 +17,29 @@
 	"time"
 )
 
-// reservedDescriptors is what README states a process keeps beside clients and upstreams, and what an admin port adds.
+// reservedDescriptors is the number of descriptors that a process keeps beside those of clients and upstreams, according to
+// README; adminDescriptors is the number that an operators' port adds.
 const reservedDescriptors, adminDescriptors = 32, 14
 
-// descriptors counts those that a process has open.
+// descriptors returns the number of file descriptors that a process has open.
 func descriptors(t *testing.T, pid int) int {
 	t.Helper()
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(all)
+	return len(entries)
 }
 
-// silentDiscovery takes calls and answers none before it is back; then it tells each of them the list.
-func silentDiscovery(t *testing.T, list string) (address string, calls *atomic.Int32, back func()) {
+// silentDiscovery starts a discovery that answers no call before resume is called. Then it sends list to every call.
+func silentDiscovery(t *testing.T, list string) (address string, calls *atomic.Int32, resume func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", freeAddress(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls = &atomic.Int32{}
-	ctx, returns := context.WithCancel(context.Background())
+	ctx, resume := context.WithCancel(context.Background())
 	srv := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		select {
@@ -50,11 +51,11 @@
 		}
 	})}
 	go func() { _ = srv.Serve(l) }()
-	t.Cleanup(func() { returns(); _ = srv.Close() })
-	return l.Addr().String(), calls, returns
+	t.Cleanup(func() { resume(); _ = srv.Close() })
+	return l.Addr().String(), calls, resume
 }
 
-// startUpstream is an upstream that answers nothing, or what it is told.
+// startUpstream starts an upstream that writes answer for each request; with an empty answer, its requests hang.
 func startUpstream(t *testing.T, answer string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", freeAddress(t))
@@ -68,7 +69,7 @@
 			if err != nil {
 				return
 			}
-			go func() { // ends with the connection
+			go func() { // ends when the connection does
 				defer func() { _ = c.Close() }()
 				for r := bufio.NewReader(c); ; {
 					if _, err := http.ReadRequest(r); err != nil {
@@ -84,10 +85,11 @@
 	return l.Addr().String()
 }
 
-// Guards against a process without a descriptor for what it needs: idle clients take all that they can get while discovery is
-// silent and operators stand in their door. With more requests that hang than clients may have, it stays within its limit, what it
-// sets aside for itself is enough, and SIGHUP finds a descriptor for the file. With idle clients alone, one that comes is served
-// within a second of discovery's return; who is let in beside requests that hung is the balancer's matter.
+// Guards against a process that lacks descriptors because idle clients take all that they can get, while discovery is silent and
+// operators hold connections open. If also more requests hang than there are descriptors for clients, the process stays within
+// its limit, the descriptors that it reserves for itself are enough, and SIGHUP can open the file. With idle clients alone, a new
+// client is served within a second after discovery answers again. With requests that hang this is not tested, because then the
+// balancer decides which requests are admitted.
 func TestIdleClientsTakeEveryDescriptor(t *testing.T) {
 	for name, hanging := range map[string]bool{"with requests that hang": true, "alone": false} {
 		t.Run(name, func(t *testing.T) { testIdleClients(t, hanging) })
@@ -96,82 +98,82 @@
 
 func testIdleClients(t *testing.T, hanging bool) {
 	const limit = 256
-	hangs, serves := startUpstream(t, ""), startUpstream(t, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
+	hangingUpstream, servingUpstream := startUpstream(t, ""), startUpstream(t, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
 	entry := `{"name":%q,"address":%q,"status":"Ready"}`
-	discovery, calls, back := silentDiscovery(t, `{"index":2,"snapshot":true,"endpoints":[`+fmt.Sprintf(entry, "serves", serves)+`]}`)
+	discovery, calls, resume := silentDiscovery(t, `{"index":2,"snapshot":true,"endpoints":[`+fmt.Sprintf(entry, "serves", servingUpstream)+`]}`)
 	var known []string
-	for i := range 100 { // so many that they are not left out too soon for connections to them to take all there are, too
-		known = append(known, fmt.Sprintf(entry, fmt.Sprint("hangs-", i), hangs))
+	for i := range 100 { // enough that connections to them take all descriptors for upstreams before the balancer stops using them
+		known = append(known, fmt.Sprintf(entry, fmt.Sprint("hangs-", i), hangingUpstream))
 	}
-	address, door, path := freeAddress(t), freeAddress(t), filepath.Join(t.TempDir(), "config.json")
+	address, adminAddress, path := freeAddress(t), freeAddress(t), filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"ops":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":%d},
-		"known":{"index":1,"snapshot":true,"endpoints":[%s]},"settings":%s}`, address, door, discovery, limit,
+		"known":{"index":1,"snapshot":true,"endpoints":[%s]},"settings":%s}`, address, adminAddress, discovery, limit,
 		strings.Join(known, ","), strings.Replace(settings, `"ask"`, `"push"`, 1))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var said logBuffer
-	cmd := startMain(t, path, address, &said)
+	var stderr logBuffer
+	cmd := startMain(t, path, address, &stderr)
 	wait := func(what string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("waited in vain: %s", what)
+		for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("not within 20s: %s", what)
 			}
 		}
 	}
 	for range 12 {
-		c, err := net.Dial("tcp", door)
+		c, err := net.Dial("tcp", adminAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
 	}
-	wait("two watches and a third in place of one", func() bool { return calls.Load() >= 3 })
+	wait("two watches, and a third that replaces one of them", func() bool { return calls.Load() >= 3 })
 	http.DefaultClient.CloseIdleConnections()
 	most := descriptors(t, cmd.Process.Pid)
 	t.Logf("%d descriptors without clients", most)
 	if most > reservedDescriptors+adminDescriptors {
-		t.Errorf("%d descriptors without clients, more than are set aside", most)
+		t.Errorf("without clients: got %d descriptors, want at most the %d reserved", most, reservedDescriptors+adminDescriptors)
 	}
 
-	// again has each of n clients connect again for as long as it is to.
-	again := func(n int, each func(c net.Conn)) (end func()) {
-		done, stop := context.WithCancel(context.Background())
-		var all sync.WaitGroup
+	// connectRepeatedly starts n clients, each of which connects again and again and calls use, until stop is called.
+	connectRepeatedly := func(n int, use func(c net.Conn)) (stop func()) {
+		ctx, cancel := context.WithCancel(context.Background())
+		var clients sync.WaitGroup
 		for range n {
-			all.Go(func() {
-				for done.Err() == nil {
-					if c, err := (&net.Dialer{}).DialContext(done, "tcp", address); err == nil {
-						over := context.AfterFunc(done, func() { _ = c.Close() })
-						each(c)
-						over()
+			clients.Go(func() {
+				for ctx.Err() == nil {
+					if c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address); err == nil {
+						cancelClose := context.AfterFunc(ctx, func() { _ = c.Close() })
+						use(c)
+						cancelClose()
 						_ = c.Close()
 					}
-					select { // else they would take the processors, too
-					case <-done.Done():
+					select { // without a pause the clients would use too much CPU
+					case <-ctx.Done():
 					case <-time.After(20 * time.Millisecond):
 					}
 				}
 			})
 		}
-		return func() { stop(); all.Wait() }
+		return func() { cancel(); clients.Wait() }
 	}
-	idle := again(300, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // until it is ended
-	defer idle()
+	stopIdle := connectRepeatedly(300, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // each holds its connection until it is closed
+	defer stopIdle()
 	var ids atomic.Int64
 	if hanging {
-		hang := again(limit/2, func(c net.Conn) {
+		stopHanging := connectRepeatedly(limit/2, func(c net.Conn) {
 			_, _ = fmt.Fprintf(c, "GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 1500m\r\n\r\n", ids.Add(1))
 			_, _ = bufio.NewReader(c).ReadString('\n')
 		})
-		defer hang()
+		defer stopHanging()
 	}
 	reloads := 0
-	// Two seconds at the least; a busy machine may need more until all is taken that is lent.
+	// This takes at least two seconds; a busy machine may need longer until all available descriptors are taken.
 	begun := time.Now()
-	all := func() bool { return !hanging || most >= limit-reservedDescriptors }
-	for ; time.Since(begun) < 2*time.Second || !all() && time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
+	allTaken := func() bool { return !hanging || most >= limit-reservedDescriptors }
+	for ; time.Since(begun) < 2*time.Second || !allTaken() && time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
 		if n := descriptors(t, cmd.Process.Pid); n > most {
 			most = n
 		}
@@ -181,39 +183,40 @@
 			}
 		}
 	}
-	t.Logf("%d descriptors at the most", most)
+	t.Logf("at most %d descriptors", most)
 	if most > limit {
-		t.Errorf("%d descriptors, %d are allowed", most, limit)
+		t.Errorf("got %d descriptors, want at most %d", most, limit)
 	}
-	if !all() {
-		t.Errorf("%d descriptors at the most: not all were taken that are lent", most)
+	if !allTaken() {
+		t.Errorf("got at most %d descriptors, want at least %d: all that are not reserved", most, limit-reservedDescriptors)
 	}
-	if log := said.String(); strings.Contains(log, reloadRejected) || strings.Contains(log, "too many open files") {
-		t.Errorf("short of descriptors: %s", log)
+	if log := stderr.String(); strings.Contains(log, reloadRejected) || strings.Contains(log, "too many open files") {
+		t.Errorf("got log %s, want no rejected reload and no lack of descriptors", log)
 	}
 	if hanging {
 		return
 	}
-	returned := time.Now()
-	back()
-	wait("served", func() bool {
+	resumedAt := time.Now()
+	resume()
+	wait("a request is served", func() bool {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		_ = c.SetDeadline(time.Now().Add(5 * time.Second)) // a read shows it
+		_ = c.SetDeadline(time.Now().Add(5 * time.Second)) // if this fails, the read fails too
 		_, _ = fmt.Fprintf(c, "GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: %016x\r\nX-Timeout: 1500m\r\n\r\n", ids.Add(1))
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		return strings.HasPrefix(line, "HTTP/1.1 200")
 	})
-	took := time.Since(returned)
-	t.Logf("served %v after discovery's return", took)
-	// A second is owed, which sidecar's TestIdleClientsDelayNobody holds to on a fake clock. Here a busy machine may be late by two:
-	// a request that overtakes the list goes to an upstream that hangs, and to the other one a second later.
-	if took > time.Second+2*time.Second {
-		t.Errorf("served %v after discovery's return", took)
-	}
-	idle()
+	elapsed := time.Since(resumedAt)
+	t.Logf("served %v after discovery answered again", elapsed)
+	// The limit is one second, which TestIdleClientsDelayNobody of package sidecar checks on a fake clock. Here two more seconds are
+	// allowed for a busy machine: a request that comes before the list goes to an upstream that hangs, and to the other upstream
+	// a second later.
+	if elapsed > time.Second+2*time.Second {
+		t.Errorf("served %v after discovery answered again, want at most 3s", elapsed)
+	}
+	stopIdle()
 	terminate(t, cmd)
 }
--- a/cmd/mosslead-sidecar/main.go
+++ b/cmd/mosslead-sidecar/main.go
@@ -1,5 +1,5 @@
 // Command mosslead-sidecar is the sidecar: it reads its configuration from the file that GW_CONFIG names, and serves
-// until SIGTERM or SIGINT. On SIGHUP it reads the file again and takes over its settings and the address of discovery.
+// until SIGTERM or SIGINT. On SIGHUP it reads the file again and applies its settings and the address of discovery.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	slog.SetDefault(slog.New(handler(os.Stderr)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one that is waiting stands for any that follow
+	hup := make(chan os.Signal, 1) // one pending signal is enough for all that follow
 	signal.Notify(hup, syscall.SIGHUP)
 	path := os.Getenv("GW_CONFIG")
 	c, err := sidecar.LoadConfig(path)
@@ -36,16 +36,16 @@
 	return sidecar.Run(ctx, c, reloads)
 }
 
-// handler words the log: as text for a person at a terminal, else as JSON.
-func handler(to *os.File) slog.Handler {
-	if info, err := to.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
-		return slog.NewTextHandler(to, nil)
+// handler returns the handler for log lines: text if w is a terminal, otherwise JSON.
+func handler(w *os.File) slog.Handler {
+	if info, err := w.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
+		return slog.NewTextHandler(w, nil)
 	}
-	return slog.NewJSONHandler(to, nil)
+	return slog.NewJSONHandler(w, nil)
 }
 
-// reload hands on the configuration each time that hup asks for it, until ctx ends.
-func reload(ctx context.Context, hup <-chan os.Signal, path string, to chan<- sidecar.Reload) {
+// reload reads the configuration at each signal from hup and sends it to reloads, until ctx ends.
+func reload(ctx context.Context, hup <-chan os.Signal, path string, reloads chan<- sidecar.Reload) {
 	for {
 		select {
 		case <-hup:
@@ -54,7 +54,7 @@
 		}
 		c, err := sidecar.LoadConfig(path)
 		select {
-		case to <- sidecar.Reload{Config: c, Err: err}:
+		case reloads <- sidecar.Reload{Config: c, Err: err}:
 		case <-ctx.Done():
 			return
 		}
--- a/cmd/mosslead-sidecar/main_test.go
+++ b/cmd/mosslead-sidecar/main_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// TestMain runs the program itself where a test asks for it.
+// TestMain runs the program instead of the tests if a test started this process for that.
 func TestMain(m *testing.M) {
 	if os.Getenv("ORCHIDDRIFT_MAIN") == "1" {
 		main()
@@ -31,13 +31,13 @@
 const settings = `{"Discovery":"ask","TickMs":5,"Classes":[{"Name":"search","Semantics":"retryable",
 	"AimMs":1000,"DeadlineMs":2000}]}`
 
-// lastHost counts the hosts that tests took.
+// lastHost is the number of the last host that a test used.
 var lastHost atomic.Int64
 
-// freeAddress is one on which nothing listens.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	// A host of its own: at a shared one another test, or a client's end of a connection, may get the port meanwhile.
+	// Each address has its own host: on a shared host, another test or an outgoing connection could get the port meanwhile.
 	n, pid := lastHost.Add(1), os.Getpid()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid%250, pid/250%250, 1+n%250))
 	if err != nil {
@@ -47,6 +47,7 @@
 	return l.Addr().String()
 }
 
+// writeConfig writes a configuration file.
 func writeConfig(t *testing.T, path, listen, discovery, settings string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1f",
@@ -57,7 +58,7 @@
 	}
 }
 
-// startMain runs the program until it is ready.
+// startMain starts the program, and waits until it is ready.
 func startMain(t *testing.T, path, address string, stderr io.Writer) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -67,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = cmd.Process.Kill() }) // only if the test ends early
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		resp, err := http.Get("http://" + address + "/-/ready")
 		if err == nil {
 			_ = resp.Body.Close()
@@ -75,24 +76,25 @@
 				return cmd
 			}
 		}
-		if time.Now().After(end) {
-			t.Fatalf("never ready: %v", err)
+		if time.Now().After(deadline) {
+			t.Fatalf("not ready within 20s, last error %v", err)
 		}
 	}
 }
 
+// terminate sends SIGTERM to the program, and waits until it ends with exit code 0.
 func terminate(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("SIGTERM ended it with %v", err)
+		t.Errorf("after SIGTERM: got %v, want exit code 0", err)
 	}
 }
 
-// Guards against a planned restart that looks like a crash: SIGTERM ends the program with 0. Its address is free
-// again at once.
+// Guards against a planned restart that looks like a crash: after SIGTERM the program ends with exit code 0, and its address is
+// free again at once.
 func TestTermEndsWithZero(t *testing.T) {
 	address, path := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, address, "127.0.0.1:1", settings)
@@ -101,14 +103,14 @@
 	}
 }
 
-// Guards against a reload that ends the program, or goes by a file that can't be used: SIGHUP moves the watch to
-// where the file says that discovery is, and what is wrong with a file is logged.
+// Guards against a reload that ends the program or applies an unusable file: SIGHUP moves the watch to the file's address of
+// discovery, and an error in the file is logged.
 func TestHupMovesTheWatch(t *testing.T) {
 	address, path := freeAddress(t), filepath.Join(t.TempDir(), "config.json")
-	asked := make(chan string, 64)
+	watches := make(chan string, 64)
 	discovery := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- name
+			watches <- name
 			_, _ = fmt.Fprintln(w, `{"index":2,"snapshot":false,"endpoints":[]}`)
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
@@ -119,16 +121,16 @@
 	wait := func(want string) {
 		t.Helper()
 		select {
-		case got := <-asked:
+		case got := <-watches:
 			if got != want {
-				t.Fatalf("%s was asked, not %s", got, want)
+				t.Fatalf("got a watch at %s, want one at %s", got, want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%s was never asked", want)
+			t.Fatalf("got no watch at %s within 20s", want)
 		}
 	}
-	pushed := strings.Replace(settings, `"ask"`, `"push"`, 1)
-	writeConfig(t, path, address, discovery("the old one"), pushed)
+	pushSettings := strings.Replace(settings, `"ask"`, `"push"`, 1)
+	writeConfig(t, path, address, discovery("the old one"), pushSettings)
 	var stderr logBuffer
 	cmd := startMain(t, path, address, &stderr)
 	wait("the old one")
@@ -137,19 +139,19 @@
 			t.Fatal(err)
 		}
 	}
-	writeConfig(t, path, address, discovery("the new one"), pushed)
+	writeConfig(t, path, address, discovery("the new one"), pushSettings)
 	hup()
 	wait("the new one")
 	if err := os.WriteFile(path, []byte(`{"name":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	hup()
-	for end := time.Now().Add(20 * time.Second); !strings.Contains(stderr.String(), reloadRejected); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("the unusable file is not named: %q", stderr.String())
+	for deadline := time.Now().Add(20 * time.Second); !strings.Contains(stderr.String(), reloadRejected); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("got log %q, want a line with %s", stderr.String(), reloadRejected)
 		}
 	}
-	writeConfig(t, path, address, discovery("the last one"), pushed)
+	writeConfig(t, path, address, discovery("the last one"), pushSettings)
 	hup()
 	wait("the last one")
 	terminate(t, cmd)
@@ -157,25 +159,25 @@
 
 const reloadRejected = `"msg":"reload rejected, configuration unchanged"`
 
-// logBuffer is a log that is read while it is written.
+// logBuffer is a buffer for a log, which can be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
+func (b *logBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
+func (b *logBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
 
-// Guards against a start that fails without saying why, or seems to succeed.
+// Guards against a start with a malformed configuration that seems to succeed, or fails without a reason.
 func TestMalformedConfigIsOneLineAndNonZero(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(bad, []byte(`{"name":"n1","listen":"nowhere"}`), 0o600); err != nil {
@@ -189,10 +191,10 @@
 		err := cmd.Run()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-			t.Errorf("%q: ended with %v", path, err)
+			t.Errorf("configuration %q: got %v, want exit code 1", path, err)
 		}
 		if text := stderr.String(); !strings.HasPrefix(text, "mosslead-sidecar: ") || strings.Count(text, "\n") != 1 {
-			t.Errorf("%q: said %q", path, text)
+			t.Errorf("configuration %q: got output %q, want one line that begins with mosslead-sidecar:", path, text)
 		}
 	}
 }
--- a/cmd/mosslead-sidecar/restart_test.go
+++ b/cmd/mosslead-sidecar/restart_test.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// Guards against a fleet that is not ready while discovery is out: many processes that start at once, whose list is empty or only
-// has a server that drains, and whose discovery is down or silent. Nine in ten are owed within 10 s.
+// Guards against processes that do not become ready while discovery is down or does not answer, if many start at once with a
+// list that is empty or has only a draining upstream. Nine in ten must be ready within 10 s.
 func TestManyRestartAtOnce(t *testing.T) {
 	t.Parallel()
-	const many = 20
+	const count = 20
 	silent, _, _ := silentDiscovery(t, "")
 	draining := `{"name":"s","address":"127.0.0.1:1","status":"Terminating"}`
 	dir := t.TempDir()
 	begun := time.Now()
-	ready := make(chan bool, many)
-	var all []*exec.Cmd
-	for i := range many {
+	ready := make(chan bool, count)
+	var cmds []*exec.Cmd
+	for i := range count {
 		known, discovery := []string{"", draining}[i%2], []string{"127.0.0.1:1", silent}[i/2%2]
 		address, path := freeAddress(t), filepath.Join(dir, fmt.Sprint(i))
 		text := fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":0.5,"memory_mb":32,"sockets":256},
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = cmd.Process.Kill() }) // only if the test ends early
-		all = append(all, cmd)
+		cmds = append(cmds, cmd)
 		go func() { // ends after 10 s at the latest
 			client := &http.Client{Timeout: time.Second}
 			defer client.CloseIdleConnections()
@@ -55,23 +55,23 @@
 		}()
 	}
 	n := 0
-	for range many {
+	for range count {
 		if <-ready {
 			n++
 		}
 	}
-	if n < many*9/10 {
-		t.Errorf("%d of %d are ready after 10 s", n, many)
+	if n < count*9/10 {
+		t.Errorf("after 10 s: got %d of %d processes ready, want %d", n, count, count*9/10)
 	}
-	t.Logf("%d of %d ready after %v", n, many, time.Since(begun))
-	for _, cmd := range all {
+	t.Logf("%d of %d ready after %v", n, count, time.Since(begun))
+	for _, cmd := range cmds {
 		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Error(err)
 		}
 	}
-	for _, cmd := range all {
+	for _, cmd := range cmds {
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("SIGTERM ended it with %v", err)
+			t.Errorf("after SIGTERM: got %v, want exit code 0", err)
 		}
 	}
 }
--- a/cmd/mosslead-sidecar/upgrade_test.go
+++ b/cmd/mosslead-sidecar/upgrade_test.go
@@ -15,35 +15,35 @@
 	"mosslead/internal/statestore"
 )
 
-// adminCall makes a call at an admin port, and gives its first line; empty: nobody answers.
+// adminCall makes a call on an operators' port and returns the first line of the answer, or "" if there is none.
 func adminCall(address, line string) string {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return ""
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(2 * time.Second)) // where it fails, so does what follows
+	_ = c.SetDeadline(time.Now().Add(2 * time.Second)) // if this fails, the write and the read fail too
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return ""
 	}
-	answer, _ := bufio.NewReader(c).ReadString('\n') // half an answer is none
+	answer, _ := bufio.NewReader(c).ReadString('\n') // an incomplete line counts as no answer
 	return strings.TrimSpace(answer)
 }
 
-// awaitYes makes a call again until its answer is yes.
+// awaitYes repeats a call until its answer is YES.
 func awaitYes(t *testing.T, address, line string) {
 	t.Helper()
 	last := ""
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if last = adminCall(address, line); last == "YES" {
 			return
 		}
 	}
-	t.Fatalf("%s: never yes, at last %q", line, last)
+	t.Fatalf("call %s: got %q after 20s, want YES", line, last)
 }
 
-// Guards against two processes that write, or none: the old process of an upgrade is killed at any moment of it, and the
-// new one takes the writing up, with every ban that got its yes from either.
+// Guards against an upgrade after which two processes write state, or none: the old process is killed at any moment of the
+// upgrade, and the new one then writes state, with every ban that either process answered with YES.
 func TestStateInAnUpgradeKilledAtAnyMoment(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 6 * time.Millisecond, 10 * time.Millisecond,
 		15 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond} {
@@ -67,36 +67,36 @@
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			kept := filepath.Join(dir, "state")
-			begin := func() (*exec.Cmd, string) {
-				door := freeAddress(t)
+			stateDir := filepath.Join(dir, "state")
+			startProcess := func() (*exec.Cmd, string) {
+				adminAddress := freeAddress(t)
 				cmd := exec.Command(os.Args[0])
-				cmd.Env = append(os.Environ(), "ORCHIDDRIFT_MAIN=1", "GW_CONFIG="+path, "GW_OPS="+door, "GW_STATE="+kept, "GW_PASSED_SOCKET=3", "TMPDIR="+dir)
+				cmd.Env = append(os.Environ(), "ORCHIDDRIFT_MAIN=1", "GW_CONFIG="+path, "GW_OPS="+adminAddress, "GW_STATE="+stateDir, "GW_PASSED_SOCKET=3", "TMPDIR="+dir)
 				cmd.ExtraFiles = []*os.File{socket}
 				if err := cmd.Start(); err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { _ = cmd.Process.Kill() }) // only if the test ends early
-				return cmd, door
+				return cmd, adminAddress
 			}
-			old, oldDoor := begin()
-			awaitYes(t, oldDoor, "READY")
-			awaitYes(t, oldDoor, "DISABLE a")
-			fresh, freshDoor := begin()
-			time.Sleep(after) // the moment that is tried; whichever it is, what follows has to hold
-			if err := old.Process.Kill(); err != nil {
+			oldProcess, oldAdmin := startProcess()
+			awaitYes(t, oldAdmin, "READY")
+			awaitYes(t, oldAdmin, "DISABLE a")
+			newProcess, newAdmin := startProcess()
+			time.Sleep(after) // the checks below must hold for every delay
+			if err := oldProcess.Process.Kill(); err != nil {
 				t.Fatal(err)
 			}
-			_ = old.Wait() // it was killed
-			awaitYes(t, freshDoor, "READY")
-			awaitYes(t, freshDoor, "DISABLE b")
-			k, err := statestore.New(kept, "n1").Load(time.Now())
-			if err != nil || len(k.Corruptions) > 0 || k.Bans["a"] == "" || k.Bans["b"] == "" {
-				t.Errorf("on disk: %v, %v, %v", k.Bans, k.Corruptions, err)
+			_ = oldProcess.Wait() // reports that it was killed
+			awaitYes(t, newAdmin, "READY")
+			awaitYes(t, newAdmin, "DISABLE b")
+			loaded, err := statestore.New(stateDir, "n1").Load(time.Now())
+			if err != nil || len(loaded.Corruptions) > 0 || loaded.Bans["a"] == "" || loaded.Bans["b"] == "" {
+				t.Errorf("on disk: got bans %v, corruptions %v, error %v; want bans of a and b, and no corruptions", loaded.Bans, loaded.Corruptions, err)
 			}
-			terminate(t, fresh)
-			if k, err := statestore.New(kept, "n1").Load(time.Now()); err != nil || k.Crashed || len(k.Bans) != 2 {
-				t.Errorf("after the new one's end: crashed %v, bans %v, %v", k.Crashed, k.Bans, err)
+			terminate(t, newProcess)
+			if loaded, err := statestore.New(stateDir, "n1").Load(time.Now()); err != nil || loaded.Crashed || len(loaded.Bans) != 2 {
+				t.Errorf("after the new process ended: got crashed %v, bans %v, error %v; want a clean end and two bans", loaded.Crashed, loaded.Bans, err)
 			}
 		})
 	}
--- a/cmd/mosslead-simadapter/main.go
+++ b/cmd/mosslead-simadapter/main.go
@@ -1,4 +1,5 @@
-// Command mosslead-simadapter runs the decisions of package balancer on the simulator's wire: standard input to standard output.
+// Command mosslead-simadapter connects package balancer to the simulator: it reads events from standard input and writes
+// actions to standard output.
 package main
 
 import (
--- a/cmd/mosslead/main.go
+++ b/cmd/mosslead/main.go
@@ -1,4 +1,4 @@
-// Command mosslead is everything around the sidecar: the laboratory, and later the control plane.
+// Command mosslead runs the list service, the operators' commands for it, and the laboratory.
 package main
 
 import (
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	maxAdminConns       = 12                     // callers at once; their file descriptors are reserved
-	maxAdminLine        = 512                    // bytes of a call
-	adminReadTimeout    = 5 * time.Second        // for the line of a call
-	adminWriteTimeout   = time.Second            // for the answer
+	maxAdminConns       = 12                     // simultaneous connections; their file descriptors are reserved
+	maxAdminLine        = 512                    // length of a call in bytes
+	adminReadTimeout    = 5 * time.Second        // for reading the line of a call
+	adminWriteTimeout   = time.Second            // for writing the answer
 	adminTimeout        = 500 * time.Millisecond // for the dispatcher to apply a ban: a call must be answered within 1 s
-	adminLinger         = 100 * time.Millisecond // for bytes still in flight, so that a reset does not lose the answer
-	acceptRetryInterval = 20 * time.Millisecond  // after a failed accept, as for lack of file descriptors
+	adminLinger         = 100 * time.Millisecond // for reading bytes in flight: closing before that sends a reset, which can lose the answer
+	acceptRetryInterval = 20 * time.Millisecond  // after a failed accept, for example for lack of file descriptors
 )
 
 // adminServer serves the operators' port: one call per connection, one line per call.
@@ -33,17 +33,17 @@
 	mu      sync.Mutex
 	waiting []net.Conn // connections whose line has not arrived, the oldest first
 	running sync.WaitGroup
-	slots   chan struct{} // one for each caller
+	slots   chan struct{} // holds one value for each open connection
 }
 
 func newAdminServer(l net.Listener) *adminServer {
 	return &adminServer{listener: l, slots: make(chan struct{}, maxAdminConns)}
 }
 
-// run serves callers until close.
-func (d *adminServer) run() {
+// run accepts connections and serves their calls until close.
+func (s *adminServer) run() {
 	for {
-		c, err := d.listener.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -52,70 +52,71 @@
 			continue
 		}
 		select {
-		case d.slots <- struct{}{}:
-		default: // full: the caller that has waited for longest is evicted
-			d.mu.Lock()
-			if len(d.waiting) > 0 {
-				_ = d.waiting[0].Close()
-				d.waiting = slices.Delete(d.waiting, 0, 1)
+		case s.slots <- struct{}{}:
+		default: // all slots are in use: the connection that has waited longest for its line is closed
+			s.mu.Lock()
+			if len(s.waiting) > 0 {
+				_ = s.waiting[0].Close()
+				s.waiting = slices.Delete(s.waiting, 0, 1)
 			}
-			d.mu.Unlock()
-			d.slots <- struct{}{} // the other calls are answered within adminTimeout
+			s.mu.Unlock()
+			s.slots <- struct{}{} // if none was waiting, the calls in progress are answered within adminTimeout
 		}
-		d.mu.Lock()
-		d.waiting = append(d.waiting, c)
-		d.mu.Unlock()
-		d.running.Add(1)
+		s.mu.Lock()
+		s.waiting = append(s.waiting, c)
+		s.mu.Unlock()
+		s.running.Add(1)
 		go func() {
-			defer d.running.Done()
-			defer func() { <-d.slots }()
+			defer s.running.Done()
+			defer func() { <-s.slots }()
 			defer func() { _ = c.Close() }()
-			d.serve(c)
+			s.serve(c)
 		}()
 	}
 }
 
-// close closes the listener and the connections of all callers.
-func (d *adminServer) close() {
-	_ = d.listener.Close()
-	d.mu.Lock()
-	for _, c := range d.waiting {
+// close closes the listener and the connections whose line has not arrived, and waits for the calls in progress.
+func (s *adminServer) close() {
+	_ = s.listener.Close()
+	s.mu.Lock()
+	for _, c := range s.waiting {
 		_ = c.Close()
 	}
-	d.mu.Unlock()
-	d.running.Wait()
+	s.mu.Unlock()
+	s.running.Wait()
 }
 
-func (d *adminServer) serve(c net.Conn) {
-	// It fails on a closed connection only, as the read then does.
+// serve answers the call of one connection.
+func (s *adminServer) serve(c net.Conn) {
+	// SetReadDeadline fails only on a closed connection, on which the read then fails too.
 	_ = c.SetReadDeadline(time.Now().Add(adminReadTimeout))
 	in := bufio.NewScanner(c)
 	in.Buffer(make([]byte, maxAdminLine), maxAdminLine)
-	came := in.Scan() // also true for the part of a line before an error
-	d.mu.Lock()
-	d.waiting = slices.DeleteFunc(d.waiting, func(x net.Conn) bool { return x == c })
-	d.mu.Unlock()
+	ok := in.Scan() // also true for the part of a line before an error
+	s.mu.Lock()
+	s.waiting = slices.DeleteFunc(s.waiting, func(x net.Conn) bool { return x == c })
+	s.mu.Unlock()
 	var answer string
 	switch {
 	case errors.Is(in.Err(), bufio.ErrTooLong):
 		answer = "NO the line is too long\n"
-	case in.Err() != nil || !came:
+	case in.Err() != nil || !ok:
 		answer = "NO a call is one line, and none came\n"
-	default: // also if the caller closed its sending side after the line
-		answer = d.handle(in.Text())
+	default: // also if the caller closed its sending side instead of sending a newline
+		answer = s.handle(in.Text())
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(adminWriteTimeout))
 	if _, err := io.WriteString(c, answer); err != nil {
 		return // the caller has disconnected
 	}
-	if half, ok := c.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+	if conn, ok := c.(interface{ CloseWrite() error }); ok && conn.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(adminLinger))
 		_, _ = io.CopyN(io.Discard, c, 16*maxAdminLine)
 	}
 }
 
 // handle returns the answer to one line.
-func (d *adminServer) handle(line string) string {
+func (s *adminServer) handle(line string) string {
 	fields := strings.Fields(line)
 	if len(fields) == 0 {
 		return "NO the line is empty\n"
@@ -127,12 +128,12 @@
 			return fmt.Sprintf("NO %s takes nothing more\n", name)
 		}
 		if name == "PEERS" {
-			return d.peers()
+			return s.peers()
 		}
 		if name == "STATS" {
-			return d.stats() + "END\n"
+			return s.stats() + "END\n"
 		}
-		if !d.ready() {
+		if !s.ready() {
 			return "NO this process takes no clients\n"
 		}
 		return "YES\n"
@@ -140,7 +141,7 @@
 		if len(args) != 1 {
 			return fmt.Sprintf("NO %s takes one id\n", name)
 		}
-		if err := d.ban(args[0], name == "ENABLE"); err != nil {
+		if err := s.ban(args[0], name == "ENABLE"); err != nil {
 			return fmt.Sprintf("NO %v\n", err)
 		}
 		return "YES\n"
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -17,25 +17,25 @@
 	"mosslead/internal/wire"
 )
 
-// Config is what the platform tells one sidecar.
+// Config is the configuration of one sidecar.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Discovery string
-	Ops       string // where operators connect; empty: nowhere
-	State     string // directory of what outlives the process; empty: nothing does
-	Service   string // whose settings the list service tells; empty: those of the file are in force
+	Listen    string // address for clients
+	Discovery string // address of discovery, or several separated by commas
+	Ops       string // address for operators; empty if there is no operators' port
+	State     string // directory of the state that outlives the process; empty if none is stored
+	Service   string // service whose settings the list service provides; empty if those of the file are in force
 	Seed      uint64
 	Limits    Limits
-	Peers     *Peers   // nil: the sidecar shares nothing
-	Known     *listing // the list of upstreams as last held; nil: none
+	Peers     *Peers   // nil if the sidecar shares nothing
+	Known     *listing // last known list of upstreams; nil if there is none
 	Settings  wire.Settings
 
-	keys settings.Keys // that the file holds
+	keys settings.Keys // keys that the file holds
 	dial dialer        // nil outside tests
 }
 
-// Limits is what the platform allows the process.
+// Limits holds the resources that the platform allows the process.
 type Limits struct {
 	Cores    float64
 	MemoryMB float64
@@ -45,11 +45,11 @@
 const (
 	minSockets            = 64 // fewer leave no room for clients and upstreams beside the fixed descriptors
 	minMemoryMB           = 16
-	defaultConnectTimeout = time.Second      // where the settings name no connect timeout
-	defaultConnIdle       = 10 * time.Second // where they name no idle time
+	defaultConnectTimeout = time.Second      // if the settings have no connect timeout
+	defaultConnIdle       = 10 * time.Second // if the settings have no idle time
 )
 
-// LoadConfig reads the configuration file.
+// LoadConfig reads the configuration file at path. GW_OPS and GW_STATE take precedence over its keys ops and state.
 func LoadConfig(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("GW_CONFIG is not set")
@@ -62,22 +62,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if own := os.Getenv("GW_OPS"); own != "" { // each process of an upgrade has its own; the file may be shared
-		if err := checkAddress(own); err != nil {
+	if ops := os.Getenv("GW_OPS"); ops != "" { // both processes of an upgrade may use one file, but each needs its own port
+		if err := checkAddress(ops); err != nil {
 			return nil, fmt.Errorf("GW_OPS: %w", err)
 		}
-		c.Ops = own
+		c.Ops = ops
 	}
-	if own := os.Getenv("GW_STATE"); own != "" {
-		c.State = own
+	if state := os.Getenv("GW_STATE"); state != "" {
+		c.State = state
 	}
 	return c, nil
 }
 
-// ParseConfig reads a configuration that is in no file.
+// ParseConfig parses the text of a configuration file.
 func ParseConfig(text []byte) (*Config, error) { return parseConfig(text) }
 
-// configFile is the form of the configuration file.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name, Listen, Discovery, Seed string
 	Ops, State, Service           string
@@ -85,20 +85,20 @@
 	Limits                        *struct {
 		Cores    float64
 		MemoryMB float64 `json:"memory_mb"`
-		Sockets  float64 // some write whole numbers with a fraction of 0
+		Sockets  float64 // not an int: some files have whole numbers with a fraction of 0
 	}
 	Known    json.RawMessage
 	Settings json.RawMessage
 }
 
-// parseConfig checks everything that a sidecar relies on, the balancer's settings too: what is wrong must
-// show at the start and not under traffic.
+// parseConfig parses and checks everything that a sidecar relies on, including the balancer's settings, so that an error
+// shows at the start and not under traffic.
 func parseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, settings.Located(text, text, err)
 	}
-	keys, err := settings.KeysOf(text, "known") // its entries hold what they need to
+	keys, err := settings.KeysOf(text, "known") // without the keys of its entries, which parseListing checks
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	read, err := settings.Read(text, file.Settings)
+	parsed, err := settings.Read(text, file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -133,18 +133,18 @@
 			return nil, fmt.Errorf("peers: %w", err)
 		}
 	}
-	c.Settings = c.withDefaults(read)
+	c.Settings = c.withDefaults(parsed)
 	return c, nil
 }
 
-// checkAddresses checks where the sidecar listens, and where discovery is.
+// checkAddresses checks the addresses on which the sidecar listens, and those of discovery.
 func (c *Config) checkAddresses() error {
 	for _, a := range []struct{ key, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"ops", c.Ops}} {
 		if a.key == "ops" && a.address == "" {
-			continue // no admin port
+			continue // there is no operators' port
 		}
-		for _, one := range splitAddresses(a.key, a.address) {
-			if err := checkAddress(one); err != nil {
+		for _, address := range splitAddresses(a.key, a.address) {
+			if err := checkAddress(address); err != nil {
 				return fmt.Errorf("%s: %w", a.key, err)
 			}
 		}
@@ -155,18 +155,18 @@
 // checkService checks the name of the service whose settings are followed, if there is one.
 func (c *Config) checkService() error {
 	if c.keys["service"] && (c.Service == "" || len(c.Service) > api.MaxName) {
-		return fmt.Errorf("service: 1 to %d bytes, or no such key", api.MaxName)
+		return fmt.Errorf("service: the name must have 1 to %d bytes; to follow no service, leave out the key", api.MaxName)
 	}
 	if c.Service == "" {
 		return nil
 	}
 	if _, err := client.Addresses(c.Discovery); err != nil {
-		return fmt.Errorf("discovery: with service it is a list service, at one address or several: %w", err)
+		return fmt.Errorf("discovery: with the key service it must be the address of a list service, or several: %w", err)
 	}
 	return nil
 }
 
-// limits are what the platform allows the process.
+// limits returns the limits of the process, and an error if they are missing or too low.
 func (f *configFile) limits() (Limits, error) {
 	if f.Limits == nil {
 		return Limits{}, errors.New("limits: missing")
@@ -183,7 +183,7 @@
 	return l, nil
 }
 
-// withDefaults fills in what a sidecar does where the settings say nothing.
+// withDefaults returns s with defaults in place of missing values.
 func (c *Config) withDefaults(s wire.Settings) wire.Settings {
 	s.ShareEvidence = c.Peers != nil
 	if s.ConnectTimeout == 0 {
@@ -195,7 +195,7 @@
 	return s
 }
 
-// check names the key that can't be used.
+// check returns an error that names the first key with an unusable value.
 func (p *Peers) check() error {
 	if err := checkAddress(p.Address); err != nil {
 		return fmt.Errorf("address: %w", err)
@@ -217,15 +217,15 @@
 	}
 	if p.ForwardAs != "" {
 		if p.Forward == "" {
-			return errors.New("forward_advertise: goes with forward")
+			return errors.New("forward_advertise: the key forward is missing")
 		}
 		if err := checkAddress(p.ForwardAs); err != nil {
 			return fmt.Errorf("forward_advertise: %w", err)
 		}
 	}
 	if p.Service != "" {
-		for one := range strings.SplitSeq(p.Service, ",") {
-			if err := checkAddress(one); err != nil {
+		for address := range strings.SplitSeq(p.Service, ",") {
+			if err := checkAddress(address); err != nil {
 				return fmt.Errorf("service: %w", err)
 			}
 		}
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// checkReplaces tells why a file that was read anew can't take the place of the one in use: a key is gone.
+// checkReplaces returns an error if c lacks a key of old, the configuration in use, and so cannot replace it.
 func (c *Config) checkReplaces(old *Config) error {
 	if key := c.keys.Lacks(old.keys, "known"); key != "" {
 		return fmt.Errorf("lacks %s", key)
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// splitAddresses takes a key's value apart: only discovery may be at several addresses, as replicas of a list service are.
+// splitAddresses returns the addresses in a key's value. Only discovery may have several, those of a list service's replicas.
 func splitAddresses(key, value string) []string {
 	if key != "discovery" {
 		return []string{value}
@@ -254,7 +254,7 @@
 	if err != nil {
 		return err
 	}
-	if net.ParseIP(host) == nil { // there is no DNS, and an empty host would listen everywhere
+	if net.ParseIP(host) == nil { // there is no DNS, and with an empty host the sidecar would listen on all interfaces
 		return fmt.Errorf("%q: the host is not an IP address", address)
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -12,7 +12,7 @@
 	"mosslead/balancer"
 )
 
-// Guards against a sidecar that starts with what it can't use, and finds out under traffic.
+// Guards against a sidecar that starts with an unusable configuration, and fails under traffic.
 func TestConfig(t *testing.T) {
 	good := fmt.Sprintf(`{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 		"unknown":true,"limits":{"cores":0.5,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
@@ -23,7 +23,7 @@
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || *c.Known.Revision != 41 ||
 		c.Settings.ConnIdle != 15*time.Second || c.Settings.ConnectTimeout != 2*time.Second {
-		t.Errorf("read as %+v", c)
+		t.Errorf("got %+v, want the values of the file", c)
 	}
 	for name, change := range map[string][2]string{
 		"no JSON: line 1, column 2":       {`{"name"`, `{name`},
@@ -45,14 +45,14 @@
 	} {
 		text := strings.Replace(good, change[0], change[1], 1)
 		if text == good {
-			t.Fatalf("%s: nothing changed", name)
+			t.Fatalf("%s: the configuration does not contain %s", name, change[0])
 		}
 		if _, err := parseConfig([]byte(text)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: got error %v, want an error of one line", name, err)
 		} else if _, where, found := strings.Cut(name, ": "); found {
-			for _, fields := range strings.Fields(where) {
-				if !strings.Contains(err.Error(), fields) {
-					t.Errorf("%s: error %v", name, err)
+			for _, word := range strings.Fields(where) {
+				if !strings.Contains(err.Error(), word) {
+					t.Errorf("%s: got error %v, want one that contains %q", name, err, word)
 				}
 			}
 		}
@@ -73,8 +73,8 @@
 		"limits":{"cores":0.05,"memory_mb":32.0,"sockets":256.0},"known":%s,"settings":%s}`, list(41, true), settings))
 }
 
-// Guards against a start that is refused for a customer whose settings look otherwise: whole numbers with a fraction, no
-// zones, an aim beyond the deadline, limits at the low end, messages of a group where no group is asked.
+// Guards against rejecting settings of a customer that look different: whole numbers with a fraction, no zones, an aim
+// beyond the deadline, the lowest limits, and information on message families that nothing reads.
 func TestConfigOfAnotherCustomer(t *testing.T) {
 	c, err := otherConfig(otherSettings)
 	if err != nil {
@@ -83,34 +83,34 @@
 	s := c.Settings
 	if c.Limits != (Limits{0.05, 32, 256}) || s.FleetSize != 30 || s.MaxAttempts != 1 || s.Cancellation || s.Hedging || s.MustSubscribe ||
 		s.MaxRetryAfter != 0 || s.ConnIdle < 24*365*time.Hour || s.ConnectTimeout != 200*time.Millisecond || s.WeightByWork || s.Zone != "" {
-		t.Errorf("read as %+v, %+v", c.Limits, s)
+		t.Errorf("got limits %+v and settings %+v, want the values of the file", c.Limits, s)
 	}
 	if k := s.Classes[1]; k.Idempotency != balancer.IdempotentByKey || k.KeyScope != balancer.KeyScopeCell || k.DedupWindow != 300500*time.Microsecond || k.Deadline != 6*time.Second {
-		t.Errorf("keyed class read as %+v", k)
+		t.Errorf("class with keys: got %+v, want the values of the file", k)
 	}
 	for name, change := range map[string][2]string{
-		"half an attempt":      {`"SendCap":1.0`, `"SendCap":0.5`},
-		"fewer than none":      {`"Balancers":30.0`, `"Balancers":-1e300`},
-		"a keyed class's word": {`"KeyScope":"cell"`, `"KeyScope":"none"`},
-		"its window":           {`"DedupWindowMs":300.5`, `"DedupWindowMs":-1`},
-		"an endless number":    {`"AimMs":250.0`, `"AimMs":1e999`},
-		"a share above 1":      {`"Fraction":1.0`, `"Fraction":1.5`},
-		"a name twice":         {`"Name":"paid"`, `"Name":"slow"`},
+		"SendCap below 1":      {`"SendCap":1.0`, `"SendCap":0.5`},
+		"negative fleet":       {`"Balancers":30.0`, `"Balancers":-1e300`},
+		"keys without a scope": {`"KeyScope":"cell"`, `"KeyScope":"none"`},
+		"keys without window":  {`"DedupWindowMs":300.5`, `"DedupWindowMs":-1`},
+		"an infinite number":   {`"AimMs":250.0`, `"AimMs":1e999`},
+		"a fraction above 1":   {`"Fraction":1.0`, `"Fraction":1.5`},
+		"a duplicate name":     {`"Name":"paid"`, `"Name":"slow"`},
 		"classes as an object": {`"Classes":[`, `"Classes":{"a":[`},
 		"null classes":         {`"Classes":[`, `"Classes":null,"Others":[`},
 	} {
 		text := strings.Replace(otherSettings, change[0], change[1], 1)
 		if text == otherSettings {
-			t.Fatalf("%s: nothing changed", name)
+			t.Fatalf("%s: the settings do not contain %s", name, change[0])
 		}
 		if _, err := otherConfig(text); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: got error %v, want an error of one line", name, err)
 		}
 	}
 }
 
-// Guards against a reload that is refused for what is no limit and no price: the list of the start, keys that nothing
-// reads or that may be absent, and those of tenants where there are none any more.
+// Guards against rejecting a reload for a missing key that is not required: the list of upstreams, keys that nothing reads or
+// that are optional, and the keys of tenants if there are no tenants any more.
 func TestReloadMayLackWhatNothingReads(t *testing.T) {
 	old, err := otherConfig(otherSettings)
 	if err != nil {
@@ -120,16 +120,16 @@
 		change [2]string
 		lacks  string
 	}{
-		"the same":           {},
-		"a key never read":   {[2]string{`"FamilyInfo":{"WarmKeys":true},`, ``}, ""},
-		"a price never read": {[2]string{`,"Waste":0.2`, ``}, ""},
-		"a stretch":          {[2]string{`"AimStretch":2,`, ``}, ""},
-		"no tenants":         {[2]string{`{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``}, ""},
-		"a tenant's share":   {[2]string{`"Fraction":1.0,`, ``}, "settings.Tenants.Fraction"},
-		"tenants at all":     {[2]string{`"Tenants"`, `"Tenant"`}, "settings.Tenants"},
-		"a price":            {[2]string{`"CrossZone":0.15,`, ``}, "settings.Prices.CrossZone"},
-		"a limit":            {[2]string{`"RetryAfter":true,`, ``}, "settings.Limits.RetryAfter"},
-		"one class's aim":    {[2]string{`"AimMs":250.0,`, ``}, "settings.Classes.AimMs"},
+		"no change":           {},
+		"a key never read":    {[2]string{`"FamilyInfo":{"WarmKeys":true},`, ``}, ""},
+		"a price never read":  {[2]string{`,"Waste":0.2`, ``}, ""},
+		"an AimStretch":       {[2]string{`"AimStretch":2,`, ``}, ""},
+		"no tenants":          {[2]string{`{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``}, ""},
+		"a tenant's fraction": {[2]string{`"Fraction":1.0,`, ``}, "settings.Tenants.Fraction"},
+		"the key Tenants":     {[2]string{`"Tenants"`, `"Tenant"`}, "settings.Tenants"},
+		"a price":             {[2]string{`"CrossZone":0.15,`, ``}, "settings.Prices.CrossZone"},
+		"a limit":             {[2]string{`"RetryAfter":true,`, ``}, "settings.Limits.RetryAfter"},
+		"AimMs of one class":  {[2]string{`"AimMs":250.0,`, ``}, "settings.Classes.AimMs"},
 	} {
 		fresh, err := otherConfig(strings.Replace(otherSettings, c.change[0], c.change[1], 1))
 		if err != nil {
@@ -138,32 +138,33 @@
 		delete(fresh.keys, "known")
 		switch err := fresh.checkReplaces(old); {
 		case c.lacks == "" && err != nil:
-			t.Errorf("%s: refused: %v", name, err)
+			t.Errorf("without %s: got error %v, want none", name, err)
 		case c.lacks != "" && (err == nil || err.Error() != "lacks "+c.lacks):
-			t.Errorf("%s: error %v, want lacks %s", name, err, c.lacks)
+			t.Errorf("without %s: got error %v, want lacks %s", name, err, c.lacks)
 		}
 	}
-	if none, err := otherConfig(strings.Replace(otherSettings, `{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``, 1)); err != nil || old.checkReplaces(none) != nil {
-		t.Errorf("tenants that come: %v, %v", err, old.checkReplaces(none))
+	if noTenants, err := otherConfig(strings.Replace(otherSettings, `{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``, 1)); err != nil || old.checkReplaces(noTenants) != nil {
+		t.Errorf("tenants that a reload adds: got errors %v and %v, want none", err, old.checkReplaces(noTenants))
 	}
 }
 
-// Guards against a sidecar that reads such settings and can't serve under them: one attempt, none to be cancelled, no zone and
-// no tenant, the fewest descriptors and the least memory. What hangs is answered in time, and as the class's effect demands.
+// Guards against a sidecar that reads such settings and can't serve under them: one attempt, no cancellation, no zone, no
+// tenant, the fewest descriptors and the least memory. A request that hangs is answered in time, and as its class's semantics
+// demand.
 func TestAnotherCustomerIsServed(t *testing.T) {
 	limit := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { debug.SetMemoryLimit(limit) })
-	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
+	s := newUpstream(t, func(c net.Conn, r receivedRequest) bool {
 		switch {
-		case strings.HasSuffix(g.target, "hang"):
-			return neverRespond(c, g)
-		case strings.HasSuffix(g.target, "error"):
-			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")(c, g)
+		case strings.HasSuffix(r.target, "hang"):
+			return neverRespond(c, r)
+		case strings.HasSuffix(r.target, "error"):
+			return respondWith("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")(c, r)
 		}
-		return respondWith(ok200("done"))(c, g)
+		return respondWith(ok200("done"))(c, r)
 	})
 	settings := strings.NewReplacer(`{"Name":"only","Fraction":1.0,"QuotaRps":97.0}`, ``, `"AimMs":250.0`, `"AimMs":5000.0`,
-		`"AimMs":750.0`, `"AimMs":7500.0`, `"DeadlineMs":500.0`, `"DeadlineMs":5000.0`).Replace(otherSettings) // a slow machine has time
+		`"AimMs":750.0`, `"AimMs":7500.0`, `"DeadlineMs":500.0`, `"DeadlineMs":5000.0`).Replace(otherSettings) // long enough for a slow machine
 	c, err := parseConfig(fmt.Appendf(nil, `{"name":"n3","listen":"127.0.0.4:9000","discovery":%q,"seed":"8c",
 		"limits":{"cores":0.05,"memory_mb":32.0,"sockets":256.0},"known":%s,"settings":%s}`,
 		quietDiscovery(t).address, `{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"`+s.address+`","status":"Ready"}]}`, settings))
@@ -171,7 +172,7 @@
 		t.Fatal(err)
 	}
 	r := start(t, c, "127.0.0.1:0")
-	command := func(method, class, path string) *http.Request {
+	newRequest := func(method, class, path string) *http.Request {
 		req := request(t, r.address, class, "")
 		req.Method, req.URL.Path = method, "/"+class+"/"+path
 		req.Header.Set("X-Timeout", "1000m")
@@ -181,20 +182,20 @@
 	}
 	for class, method := range map[string]string{"slow": http.MethodGet, "paid": http.MethodPost} {
 		for range 3 {
-			if resp, body := r.do(t, command(method, class, "x")); resp.StatusCode != 200 || body != "done" {
-				t.Fatalf("%s: %s %q", class, resp.Status, body)
+			if resp, body := r.do(t, newRequest(method, class, "x")); resp.StatusCode != 200 || body != "done" {
+				t.Fatalf("class %s: got %s %q, want 200 \"done\"", class, resp.Status, body)
 			}
 		}
 		for _, fault := range []string{"error", "hang"} {
-			began := time.Now()
-			resp, _ := r.do(t, command(method, class, fault))
+			sentAt := time.Now()
+			resp, _ := r.do(t, newRequest(method, class, fault))
 			refusal := resp.StatusCode == 429 || resp.StatusCode == 503
-			if elapsed := time.Since(began); elapsed > 4*time.Second || resp.StatusCode < 400 || refusal != (class == "slow") {
-				t.Errorf("%s, %s: %s after %v", class, fault, resp.Status, elapsed)
+			if elapsed := time.Since(sentAt); elapsed > 4*time.Second || resp.StatusCode < 400 || refusal != (class == "slow") {
+				t.Errorf("class %s, upstream fault %s: got %s after %v, want an error within 4s, 429 or 503 only for class slow", class, fault, resp.Status, elapsed)
 			}
 		}
 	}
 	if n := len(s.requests()); n != 10 {
-		t.Errorf("%d requests reached the upstream, want 10: one attempt each", n)
+		t.Errorf("%d requests reached the upstream, want 10, one attempt each", n)
 	}
 }
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -9,13 +9,13 @@
 	"mosslead/internal/golden"
 )
 
-// In an upgrade the old and the new version talk over the link of the hand-over.
+// Guards against a change of the hand-over messages, over which the old and the new version talk in an upgrade.
 func TestHandoverMessagesKeepTheirForm(t *testing.T) {
 	golden.JSON(t, "handover", &handoverMessage{}, &handoverState{}, &connectionUse{}, &banMessage{})
 	golden.Equal(t, "handover-files", fmt.Sprintln(linkName, bansName))
 }
 
-// The keys of the configuration file are the platform's. Each is read into the field that it stands for.
+// Guards against a change of the configuration file's keys, which the platform writes. Each is read into its own field.
 func TestConfigKeepsItsKeys(t *testing.T) {
 	c, err := parseConfig(fmt.Appendf(nil, `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 		"ops":"127.0.0.4:9001","state":"/state","service":"orders","limits":{"cores":0.5,"memory_mb":192,"sockets":1024},
@@ -29,10 +29,10 @@
 	golden.Equal(t, "config", golden.Values(c)+"\n")
 }
 
-// Operators' tools read the figures by their names.
+// Guards against a change of the names in STATS, by which operators' tools read the figures.
 func TestFiguresKeepTheirNames(t *testing.T) {
-	f := statsSnapshot{classes: map[string]outcomes{"a": {served: 1, rejected: 2, failed: 3}}, accepted: 4, disconnected: 5, dispatches: 6, concurrent: 7, targets: 8,
+	s := statsSnapshot{classes: map[string]outcomes{"a": {served: 1, rejected: 2, failed: 3}}, accepted: 4, disconnected: 5, dispatches: 6, concurrent: 7, targets: 8,
 		unavailable: 9, reloadsApplied: 10, reloadsRejected: 11}
-	k := &statePersister{failing: errors.New("full"), errors: 12}
-	golden.Equal(t, "figures", f.lines()+k.lines(true, 13*time.Millisecond))
+	p := &statePersister{failing: errors.New("full"), errors: 12}
+	golden.Equal(t, "figures", s.lines()+p.lines(true, 13*time.Millisecond))
 }
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -15,16 +15,16 @@
 	"mosslead/balancer"
 )
 
-// Log lines on single requests: one for each that failed or was late, with all its attempts and their connections, and one
-// for each that was rejected unread. Their rate is limited, so that logging does not use the CPU that an overload lacks.
+// A request that failed or was late is logged in one line, with all its attempts and their connections, and so is a request
+// that was rejected unread. The rate of these lines is limited, so that logging does not use CPU that is short in an overload.
 
 const (
-	maxFailureLines = 20  // per second, and in a burst
-	maxLateLines    = 2   // the same, on requests that were served late
-	maxQuotedBytes  = 160 // of text sent by a peer
+	maxFailureLines = 20  // lines on failed requests per second, and in one burst
+	maxLateLines    = 2   // the same for requests that were served late
+	maxQuotedBytes  = 160 // maximum length of text from a peer in a log line
 )
 
-// Components of log lines.
+// Values of the log attribute "component".
 const (
 	componentRequests  = "requests"
 	componentClients   = "clients"
@@ -37,7 +37,7 @@
 	componentSettings  = "settings"
 )
 
-// logAttrs logs a line of a component.
+// logAttrs logs a line of a component with attributes.
 func logAttrs(level slog.Level, component, text string, attrs ...slog.Attr) {
 	slog.LogAttrs(context.Background(), level, text, append([]slog.Attr{slog.String("component", component)}, attrs...)...)
 }
@@ -47,7 +47,7 @@
 	logAttrs(slog.LevelWarn, component, text, slog.Any("err", err))
 }
 
-// limitedLog limits the rate of log lines, and counts those left out. Safe for concurrent use.
+// limitedLog limits the rate of log lines, and counts the lines that it drops. It is safe for concurrent use.
 type limitedLog struct {
 	limit   *rate.Limiter
 	dropped atomic.Int64
@@ -70,10 +70,10 @@
 	logAttrs(slog.LevelWarn, componentRequests, text, all...)
 }
 
-// quoteShort quotes and shortens text sent by a peer.
+// quoteShort shortens and quotes text sent by a peer.
 func quoteShort(s string) string { return fmt.Sprintf("%q", truncate(s)) }
 
-// truncate shortens text sent by a peer, for an attribute, which slog quotes.
+// truncate shortens text sent by a peer. It leaves the quoting to slog, which quotes attributes.
 func truncate(s string) string {
 	if len(s) > maxQuotedBytes {
 		s = s[:maxQuotedBytes] + "..."
@@ -88,9 +88,9 @@
 var answerNames = map[answerKind]string{served: "answered late", rejected: "rejected", failed: "failed",
 	duplicate: "duplicate"}
 
-// connUse is how an attempt's connection had been used before.
+// connUse describes how the connection of an attempt was used before.
 type connUse struct {
-	nth  int           // number of the request on its connection, from 1; 0: there was no connection
+	nth  int           // number of the request on its connection, from 1; 0 if there was no connection
 	idle time.Duration // since the previous request
 }
 
@@ -117,6 +117,7 @@
 	return s.String()
 }
 
+// roundForLog rounds a duration to tenths of a millisecond.
 func roundForLog(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
 
 // attrs returns the log attributes of a request.
@@ -130,24 +131,24 @@
 	return slog.Float64(key, float64(roundForLog(d).Microseconds())/1e3)
 }
 
-// attemptCounts counts the results of attempts since the last line of statistics. The dispatcher owns it; for requests, see
-// stats.
+// attemptCounts counts the results of attempts since the last log line of statistics. Only the goroutine of the dispatcher
+// uses it. Requests are counted by stats.
 type attemptCounts struct {
 	results   map[balancer.Result]int
-	upstreams map[string]*upstreamCounts // those with an attempt that ended
+	upstreams map[string]*upstreamCounts // by name; only upstreams with an attempt that ended
 }
 
 // upstreamCounts counts the results of the attempts at one upstream.
 type upstreamCounts struct {
 	served, unserved int
-	totalTime        time.Duration // of all that were served
+	totalTime        time.Duration // of the served attempts
 }
 
 func newAttemptCounts() attemptCounts {
 	return attemptCounts{results: map[balancer.Result]int{}, upstreams: map[string]*upstreamCounts{}}
 }
 
-// add counts an attempt; for its upstream only if it was sent.
+// add counts an attempt that ended. Under its upstream it counts only if it was sent.
 func (c *attemptCounts) add(upstream string, res balancer.Result, elapsed time.Duration) {
 	c.results[res]++
 	if res == balancer.NotSent {
@@ -185,9 +186,9 @@
 
 // attr returns the number of attempts with each result, as a log attribute.
 func (c *attemptCounts) attr() slog.Attr {
-	var each []any
+	var counts []any
 	for result := balancer.OK; result <= balancer.NotSent; result++ {
-		each = append(each, slog.Int(resultNames[result], c.results[result]))
+		counts = append(counts, slog.Int(resultNames[result], c.results[result]))
 	}
-	return slog.Group("attempts", each...)
+	return slog.Group("attempts", counts...)
 }
--- a/internal/sidecar/logging_test.go
+++ b/internal/sidecar/logging_test.go
@@ -7,7 +7,7 @@
 	"mosslead/balancer"
 )
 
-// The line by upstream adds up what ended there; what was never sent does not count.
+// The description by upstream adds up the attempts that ended; an attempt that was never sent does not count.
 func TestCountsByUpstream(t *testing.T) {
 	c := newAttemptCounts()
 	c.add("b", balancer.OK, 10*time.Millisecond)
@@ -17,6 +17,6 @@
 	c.add("c", balancer.NotSent, 0)
 	got := c.describeByUpstream(func(name string) string { return "z" + name })
 	if want := "a@za 0 bad 1, b@zb 2 in 20ms bad 1"; got != want {
-		t.Errorf("worded as %q, want %q", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -10,41 +10,41 @@
 	"mosslead/balancer"
 )
 
-// newProcess assembles the parts of a process that serves clients; nothing runs yet. admin tells whether it has an
-// operators' port, tmp is the directory of hand-overs, "" for none.
+// newProcess assembles the parts of a process that serves clients, and starts none of them. admin says whether the process
+// has an operators' port. tmp is the directory for the sockets of hand-overs, "" if there are no hand-overs.
 func newProcess(c *Config, listener net.Listener, admin bool, tmp string, stop <-chan struct{}) (*process, error) {
 	reserved := reservedSockets(c, admin, tmp != "")
-	if atLeast := reserved + 2*minConns; c.Limits.Sockets < atLeast {
-		return nil, fmt.Errorf("limits: sockets: %d is under %d, which is what this configuration needs", c.Limits.Sockets, atLeast)
+	if required := reserved + 2*minConns; c.Limits.Sockets < required {
+		return nil, fmt.Errorf("limits: sockets: %d is under %d, which is what this configuration needs", c.Limits.Sockets, required)
 	}
 	p := &process{config: c, maxConns: (c.Limits.Sockets - reserved) / 2, handsOver: tmp != "",
 		maxHeapBytes: c.Limits.MemoryMB * heapFraction * (1 << 20)}
 	if err := p.assemble(stop); err != nil {
 		return nil, err
 	}
-	up, l := p.upstreams, p.dispatcher
-	l.attempt, l.connectionStats = up.attempt, up.connectionStats
-	classes := l.classes
-	up.dispatched = l.stats.countDispatched
+	pool, d := p.upstreams, p.dispatcher
+	d.attempt, d.connectionStats = pool.attempt, pool.connectionStats
+	classes := d.classes
+	pool.dispatched = d.stats.countDispatched
 	if admin {
-		l.onEjected = func(ejected []string) { l.stats.setEndpoints(up.directory.countUnavailable(ejected)) }
+		d.onEjected = func(ejected []string) { d.stats.setEndpoints(pool.directory.countUnavailable(ejected)) }
 	}
-	p.server = &server{clock: l.clock, post: l.enqueue, stop: stop, failures: l.failures, stats: l.stats, budget: up.budget,
-		ready: p.ready, hasEndpoints: func() bool { return !up.directory.empty() }}
+	p.server = &server{clock: d.clock, post: d.enqueue, stop: stop, failures: d.failures, stats: d.stats, budget: pool.budget,
+		ready: p.ready, hasEndpoints: func() bool { return !pool.directory.empty() }}
 	p.server.classes.Store(&classes)
 	p.conns = newClientConns(listener, p.maxConns)
 	p.handover = &handover{dir: tmp, yielded: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, ban: p.banned,
 		yield: p.yield, resume: p.resume, limitBeside: p.shareLimits,
-		use: func() connectionUse { return connectionUse{p.conns.count(), up.count()} }}
+		use: func() connectionUse { return connectionUse{p.conns.count(), pool.count()} }}
 	p.limitMemory(false)
 	return p, nil
 }
 
-// reservedSockets returns how many file descriptors a configuration needs beside those of clients and upstreams.
+// reservedSockets returns the number of file descriptors that a configuration needs beside those for clients and upstreams.
 func reservedSockets(c *Config, admin, handsOver bool) int {
 	n := fixedSockets
 	if admin {
-		n += maxAdminConns + 2 // the listener, and a caller that replaces another
+		n += maxAdminConns + 2 // the listener, and a new connection while an older one is evicted
 	}
 	if c.State != "" {
 		n += stateSockets
@@ -64,8 +64,8 @@
 	return n
 }
 
-// assemble assembles the parts that decide and that follow discovery, which a process without clients has as well; nothing
-// runs yet.
+// assemble assembles the parts that make decisions and follow discovery, which a process without clients has as well. It
+// starts none of them.
 func (p *process) assemble(stop <-chan struct{}) error {
 	c := p.config
 	b, err := balancer.New(c.Settings.Settings, c.Seed)
@@ -73,31 +73,31 @@
 		return err
 	}
 	clk := newClock()
-	up := newUpstreamPool(c, clk, p.maxConns)
-	l := newDispatcher(b, clk, stop)
-	w := newWatcher(c, up.directory, func(m balancer.EndpointUpdate) {
+	pool := newUpstreamPool(c, clk, p.maxConns)
+	d := newDispatcher(b, clk, stop)
+	w := newWatcher(c, pool.directory, func(m balancer.EndpointUpdate) {
 		if m.Kind == balancer.Delta || m.Kind == balancer.FullState {
 			p.listReceived.Store(true)
 		}
-		l.enqueueUpdate(m)
+		d.enqueueUpdate(m)
 	})
-	l.subscribe, l.zone = w.subscribe, up.directory.zone
-	l.classes = classTable(c.Settings.Settings)
-	l.stats.addClasses(slices.Collect(maps.Keys(l.classes)))
-	p.upstreams, p.dispatcher, p.watcher, p.follower = up, l, w, newSettingsFollower(c)
+	d.subscribe, d.zone = w.subscribe, pool.directory.zone
+	d.classes = classTable(c.Settings.Settings)
+	d.stats.addClasses(slices.Collect(maps.Keys(d.classes)))
+	p.upstreams, p.dispatcher, p.watcher, p.follower = pool, d, w, newSettingsFollower(c)
 	w.service = p.follower
 	return nil
 }
 
 // ready reports whether the process is ready for clients: it accepts them, the balancer has the last known list, and an
-// endpoint is ready. It does not wait for discovery, since the last known list serves while that is down, nor for the
+// endpoint is ready. It does not wait for discovery, since the last known list is used while discovery is down, nor for the
 // snapshot, which only improves decisions. Without an endpoint it is ready after readyWithoutListAfter: requests then wait
 // in the balancer for a list until just before their deadlines, as discovery may return at any moment.
 func (p *process) ready() bool {
 	return p.accepting.Load() && p.dispatcher.ready.Load() && (!p.upstreams.directory.empty() || p.dispatcher.clock.now()-clockStart >= readyWithoutListAfter)
 }
 
-// limitMemory limits the heap, to half while two processes share the limit.
+// limitMemory limits the heap to maxHeapBytes, or to half of it if another process shares the limit.
 func (p *process) limitMemory(shared bool) {
 	limit := p.maxHeapBytes
 	if shared {
@@ -112,13 +112,13 @@
 	if p.follower != nil {
 		s.Settings, _ = p.follower.persisted()
 	}
-	if snapshot, ok := p.dispatcher.snapshot(); ok { // else the successor starts without it
+	if snapshot, ok := p.dispatcher.snapshot(); ok { // otherwise the successor starts without a snapshot
 		s.Snapshot = &snapshot
 	}
 	return s
 }
 
-// shareLimits sets the limits of connections to what the other process leaves; nil: there is none.
+// shareLimits limits memory and connections to what another process beside this one leaves. others is nil if there is none.
 func (p *process) shareLimits(others *connectionUse) {
 	p.limitMemory(others != nil)
 	if others == nil {
@@ -128,7 +128,7 @@
 	p.upstreams.limit(p.maxConns - others.Upstreams)
 }
 
-// yield stops accepting clients, for a successor that does.
+// yield stops accepting clients and writing state, because a successor takes over.
 func (p *process) yield() {
 	p.server.stopping.Store(true)
 	p.conns.pause(true)
@@ -138,7 +138,7 @@
 	p.persister.setWriting(false)
 }
 
-// resume accepts clients again, unless the process is draining.
+// resume accepts clients and writes state again, unless the process is draining.
 func (p *process) resume() {
 	if p.draining.Load() {
 		return
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -31,12 +31,12 @@
 	}
 }
 
-// applySettings puts the settings of the configuration in use into force, and returns the table of classes; post hands the
-// balancer its part. No connection is closed, and no statistics are lost.
+// applySettings puts the settings of the configuration in use into force, and returns the classes by name. post sends a
+// command to the dispatcher. No connection is closed, and no statistics are lost.
 func (p *process) applySettings(post func(any)) map[string]balancer.Class {
-	fresh := settingsCommand{p.config.Settings.Settings, make(chan struct{})}
-	post(fresh)
-	<-fresh.done // the balancer first: it must know every class that the table admits
+	command := settingsCommand{p.config.Settings.Settings, make(chan struct{})}
+	post(command)
+	<-command.done // the balancer must know every class before the server admits requests of it
 	classes := classTable(p.config.Settings.Settings)
 	p.dispatcher.stats.addClasses(slices.Collect(maps.Keys(classes)))
 	p.upstreams.updateSettings(p.config.Settings)
--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -16,31 +16,32 @@
 	"time"
 )
 
-// timeout bounds every wait of the tests; on a good run none comes near it.
+// testTimeout limits every wait in the tests. In a run without failures the waits are far shorter.
 const testTimeout = 20 * time.Second
 
+// eventually waits until ok returns true, and fails the test if that takes longer than testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+	for deadline := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// receivedRequest is a request as an upstream read it.
+// receivedRequest is a request that an upstream has read.
 type receivedRequest struct {
 	method, target string
 	header         http.Header
 	body           string
-	conn           int // which connection brought it
+	conn           int // number of the connection, from 1
 }
 
-// fakeUpstream reads requests and answers each with what answer writes to the connection. Answering false
-// ends the connection with a reset.
+// fakeUpstream reads requests and calls answer for each, which writes the response to the connection. If answer returns
+// false, the connection is reset.
 type fakeUpstream struct {
 	address string
-	answer  func(w net.Conn, g receivedRequest) bool
+	answer  func(w net.Conn, r receivedRequest) bool
 	opened  atomic.Int32
 	closed  atomic.Int32
 
@@ -49,6 +50,7 @@
 	listener net.Listener
 }
 
+// newUpstream starts a fakeUpstream, which ends with the test.
 func newUpstream(t *testing.T, answer func(net.Conn, receivedRequest) bool) *fakeUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,9 +88,9 @@
 }
 
 func (u *fakeUpstream) serve(c net.Conn, n int) {
-	r := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		req, err := http.ReadRequest(r)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -96,11 +98,11 @@
 		if err != nil {
 			return
 		}
-		g := receivedRequest{req.Method, req.RequestURI, req.Header, string(body), n}
+		r := receivedRequest{req.Method, req.RequestURI, req.Header, string(body), n}
 		u.mu.Lock()
-		u.received = append(u.received, g)
+		u.received = append(u.received, r)
 		u.mu.Unlock()
-		if !u.answer(c, g) {
+		if !u.answer(c, r) {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return
 		}
@@ -113,7 +115,7 @@
 	return append([]receivedRequest(nil), u.received...)
 }
 
-// respondWith answers every request with the same text.
+// respondWith returns an answer function that writes the same text for every request.
 func respondWith(text string) func(net.Conn, receivedRequest) bool {
 	return func(c net.Conn, _ receivedRequest) bool {
 		_, err := io.WriteString(c, text)
@@ -125,19 +127,21 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// neverRespond holds every request until the client ends the connection.
+// neverRespond is an answer function that writes nothing, and waits until the client ends the connection.
 func neverRespond(c net.Conn, _ receivedRequest) bool {
 	_, _ = c.Read(make([]byte, 1))
 	return true
 }
 
-// fakeDiscovery serves watches. Each runs script with its number, from 1, and what it asked for.
+// fakeDiscovery serves watches, and records where each asked to start.
 type fakeDiscovery struct {
 	address string
 	mu      sync.Mutex
-	froms   []string
+	froms   []string // parameter "from" of each watch
 }
 
+// newDiscovery starts a fakeDiscovery, which ends with the test. For each watch it calls script with the number of the watch,
+// from 1; send writes a line to the watch, and done is closed when the watch ends.
 func newDiscovery(t testing.TB, script func(n int, send func(string), done <-chan struct{})) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{}
@@ -153,7 +157,7 @@
 		n := len(d.froms)
 		d.mu.Unlock()
 		ctx, end := context.WithCancel(r.Context())
-		defer end()
+		defer cancel()
 		defer context.AfterFunc(stop, end)()
 		script(n, func(line string) {
 			_, _ = io.WriteString(w, line+"\n")
@@ -171,7 +175,7 @@
 	return append([]string(nil), d.froms...)
 }
 
-// quietDiscovery is a discovery without news.
+// quietDiscovery starts a discovery whose lists have no changes.
 func quietDiscovery(t *testing.T) *fakeDiscovery {
 	return newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(`{"index":1,"snapshot":false,"endpoints":[]}`)
@@ -186,11 +190,13 @@
 	})
 }
 
+// entry returns the JSON of an endpoint.
 func entry(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":0,"status":%q,"weight":3,"since_ms":0}`,
 		name, address, status)
 }
 
+// list returns the JSON of an endpoint list.
 func list(index int, snapshot bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 }
@@ -216,18 +222,19 @@
 	return c
 }
 
-// testSidecar is a whole sidecar in this process.
+// testSidecar is a complete sidecar that runs in the test's process.
 type testSidecar struct {
 	address string
-	stop    context.CancelFunc // as SIGTERM
+	stop    context.CancelFunc // has the effect of SIGTERM
 	ended   chan struct{}
 	err     error
 	client  *http.Client
 	reloads chan Reload
-	ops     net.Listener // nil: no door
-	tmp     string       // where processes of a sidecar meet; empty: nowhere
+	ops     net.Listener // nil if there is no operators' port
+	tmp     string       // directory for hand-overs between processes; empty if there are none
 }
 
+// start starts a sidecar on an address, and waits until it is ready.
 func start(t *testing.T, c *Config, listen string) *testSidecar {
 	t.Helper()
 	l, err := net.Listen("tcp", listen)
@@ -246,7 +253,8 @@
 	return r
 }
 
-// startOnListener is start on a listener that is there, for a process that finds others in tmp. It does not wait.
+// startOnListener starts a sidecar on a listener, with hand-overs in tmp if that is not empty. It does not wait until the
+// sidecar is ready.
 func startOnListener(t *testing.T, c *Config, l net.Listener, tmp string) *testSidecar {
 	t.Helper()
 	var err error
@@ -272,7 +280,7 @@
 
 var lastID atomic.Int64
 
-// request is a well-formed request of a class.
+// request returns a well-formed request of a class.
 func request(t *testing.T, address, class, body string) *http.Request {
 	t.Helper()
 	method := http.MethodPost
@@ -292,6 +300,7 @@
 	return req
 }
 
+// do sends a request and returns the response and its body.
 func (r *testSidecar) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
@@ -306,26 +315,27 @@
 	return resp, string(body)
 }
 
-// doAsync sends a request and brings its status and body once it is answered.
+// doAsync sends a request. Once it is answered, the returned channel gets the status and body, or the error.
 func (r *testSidecar) doAsync(req *http.Request) <-chan string {
-	end := make(chan string, 1)
+	result := make(chan string, 1)
 	go func() {
 		resp, err := r.client.Do(req)
 		if err != nil {
-			end <- err.Error()
+			result <- err.Error()
 			return
 		}
 		defer func() { _ = resp.Body.Close() }()
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
-			end <- err.Error()
+			result <- err.Error()
 			return
 		}
-		end <- fmt.Sprint(resp.StatusCode, " ", string(body))
+		result <- fmt.Sprint(resp.StatusCode, " ", string(body))
 	}()
-	return end
+	return result
 }
 
+// mustParseListing parses an endpoint list, and fails the test if it is malformed.
 func mustParseListing(t *testing.T, text string) *listing {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -9,7 +9,7 @@
 // sidecar.go runs the parts that process.go assembles, reload.go and bans.go change them while they run, and drain.go ends
 // them. handover.go passes clients to the next process of an upgrade, persister.go and restore.go write and read the state
 // that outlives the process, admin.go is the operators' port, settingsfollower.go follows the settings of a service, and
-// sharing.go with breakers.go, leaderships.go, forwarder.go and pressure.go is what sidecars do together.
+// sharing.go, breakers.go, leaderships.go, forwarder.go and pressure.go implement the cooperation of sidecars.
 package sidecar
 
 import (
@@ -32,14 +32,14 @@
 const (
 	fixedSockets = 32   // file descriptors other than those of clients and upstreams
 	heapFraction = 0.75 // of the memory limit, for the heap
-	// requestTimeout is how long after connecting a client may take for a complete request. It must have an answer or a
+	// requestTimeout is how long after connecting a client may take for a complete request. A client must get an answer or a
 	// close within 3 s, and a connection without a request may be closed after 2 s.
 	requestTimeout    = 2500 * time.Millisecond
 	clientIdleTimeout = 2 * time.Minute
-	closableAfter     = 2 * time.Second      // without a request, after which a connection may be closed
+	closableAfter     = 2 * time.Second      // time without a request after which a connection may be closed
 	startPollInterval = 5 * time.Millisecond // between a new process's checks whether it can accept clients
 	// readyWithoutListAfter is how long a process without a list reports that it is not ready. It is enough for three calls
-	// to discovery, of which one that hangs is followed by another after 1.25 s. Nine in ten processes must be ready within
+	// to discovery: a call that hangs is followed by another after 1.25 s. Nine in ten processes must be ready within
 	// 10 s, even if discovery is down for longer.
 	readyWithoutListAfter = 3 * time.Second
 	// minConns is the fewest connections to clients, and to upstreams: one for a request, and one for the next client.
@@ -54,11 +54,11 @@
 
 // Run serves clients until ctx ends, then finishes the accepted requests and returns. Of a configuration from reloads it
 // applies the settings and the address of discovery; other changes take effect at the next start. Run changes process-wide
-// limits, so that it must be called only once per process.
+// limits, so it must be called only once per process.
 func Run(ctx context.Context, c *Config, reloads <-chan Reload) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	if c.State != "" {
-		signal.Ignore(syscall.SIGXFSZ) // a write beyond a limit of file size fails, and must not end the process
+		signal.Ignore(syscall.SIGXFSZ) // a write beyond the file size limit then fails and does not end the process
 	}
 	listener, err := passedListener()
 	if err != nil {
@@ -89,28 +89,28 @@
 	server       *server
 	conns        *clientConns
 	handover     *handover
-	follower     *settingsFollower               // nil: the settings of the file are in force
-	persister    *statePersister                 // nil: no state is stored
-	loaded       statestore.Loaded               // persisted state at the start
+	follower     *settingsFollower               // nil if the settings of the file are in force
+	persister    *statePersister                 // nil if no state is stored
+	loaded       statestore.Loaded               // state that was read from disk at the start
 	cachedList   atomic.Pointer[statestore.List] // the list from disk, if one is used
 	maxConns     int                             // to clients, and likewise to upstreams
-	handsOver    bool                            // the platform passes the listener: upgrades are possible
-	maxHeapBytes float64                         // without another process beside this one
-	listReceived atomic.Bool                     // since the start
+	handsOver    bool                            // the platform passes the listener, so that upgrades are possible
+	maxHeapBytes float64                         // heap limit while no other process runs beside this one
+	listReceived atomic.Bool                     // discovery has sent a list since the start
 	accepting    atomic.Bool                     // clients are accepted: at once, or once the predecessor has yielded
 	draining     atomic.Bool                     // SIGTERM has been received
 }
 
-// serve is Run with its listeners, which it closes; ops may be nil. With tmp, the clients' listener is shared with the
-// predecessor and the successor, whose sockets are in that directory.
+// serve implements Run on the given listeners, which it closes; ops is nil if there is no operators' port. If tmp is not
+// empty, the clients' listener is shared with the predecessor and the successor, whose sockets are in that directory.
 func serve(ctx context.Context, c *Config, listener, ops net.Listener, tmp string, reloads <-chan Reload) error {
 	defer func() { _ = listener.Close() }()
 	if ops != nil {
 		defer func() { _ = ops.Close() }()
 	}
-	running, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	p, err := newProcess(c, listener, ops != nil, tmp, running.Done())
+	p, err := newProcess(c, listener, ops != nil, tmp, runCtx.Done())
 	if err != nil {
 		return err
 	}
@@ -118,8 +118,8 @@
 	if err != nil {
 		return err
 	}
-	waits := p.handover.other != nil
-	if waits {
+	hasPredecessor := p.handover.other != nil
+	if hasPredecessor {
 		p.conns.pause(true)
 	}
 	if snapshot != nil {
@@ -132,13 +132,13 @@
 		defer p.dispatcher.sharing.close()
 	}
 	go p.dispatcher.run(known)
-	go p.watcher.run(running, c.Settings.MustSubscribe)
+	go p.watcher.run(runCtx, c.Settings.MustSubscribe)
 	p.handover.join()
 	defer p.handover.close()
-	defer p.startPersister(running, !waits)()
+	defer p.startPersister(runCtx, !hasPredecessor)()
 	if p.follower != nil {
 		p.follower.muted = p.server.stopping.Load // then the other process of the upgrade acknowledges
-		go p.follower.acknowledge(running, p.watcher.source)
+		go p.follower.acknowledge(runCtx, p.watcher.source)
 	}
 	if ops != nil {
 		admin := p.newAdminServer(ops)
@@ -149,7 +149,7 @@
 	p.dispatcher.sharing.startForwarding(p)
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(p.conns) }()
-	go p.startAccepting(running, waits)
+	go p.startAccepting(runCtx, hasPredecessor)
 	for ctx.Err() == nil {
 		select {
 		case err := <-ended:
@@ -164,30 +164,30 @@
 	return p.drain(srv)
 }
 
-// startPersister starts writing state. With first, for a process without a predecessor, it also restores the snapshot. stop
-// ends the writing, and blocks until it has ended.
-func (p *process) startPersister(running context.Context, first bool) (stop func()) {
-	over := make(chan struct{})
+// startPersister starts writing state. If this is the first process, without a predecessor, it also restores the snapshot.
+// The returned function ends the writing, and waits until it has ended.
+func (p *process) startPersister(ctx context.Context, first bool) (stop func()) {
+	done := make(chan struct{})
 	p.connectPersister()
 	if p.persister != nil && first {
 		go p.restoreSnapshot()
-		go p.useSuspectList(running)
+		go p.useSuspectList(ctx)
 	}
-	go p.persister.run(over)
-	return func() { p.persister.end(over) }
+	go p.persister.run(done)
+	return func() { p.persister.end(done) }
 }
 
 // newAdminServer returns the server of the operators' port.
 func (p *process) newAdminServer(listener net.Listener) *adminServer {
-	d := newAdminServer(listener)
-	d.ready = func() bool { return p.server.ready() && !p.server.stopping.Load() }
-	d.stats = func() string {
-		now := p.dispatcher.stats.snapshot()
-		return now.lines() + p.persister.lines(p.usesCachedList()) + p.dispatcher.sharing.lines() + p.follower.lines(p.upstreams.directory)
-	}
-	d.peers = p.dispatcher.sharing.describe
-	d.ban = p.ban
-	return d
+	s := newAdminServer(listener)
+	s.ready = func() bool { return p.server.ready() && !p.server.stopping.Load() }
+	s.stats = func() string {
+		snapshot := p.dispatcher.stats.snapshot()
+		return snapshot.lines() + p.persister.lines(p.usesCachedList()) + p.dispatcher.sharing.lines() + p.follower.lines(p.upstreams.directory)
+	}
+	s.peers = p.dispatcher.sharing.describe
+	s.ban = p.ban
+	return s
 }
 
 // newHTTPServer returns the server of the clients' connections.
@@ -199,18 +199,18 @@
 		}}
 }
 
-// startAccepting starts accepting clients; with waits, once this process can serve and the predecessor has yielded. Then it
-// waits for a successor.
-func (p *process) startAccepting(running context.Context, waits bool) {
-	for waits && (p.upstreams.directory.empty() || !p.dispatcher.ready.Load()) && running.Err() == nil {
+// startAccepting starts accepting clients: at once, or with a predecessor as soon as this process can serve and the
+// predecessor has yielded. Then it waits for a successor.
+func (p *process) startAccepting(ctx context.Context, hasPredecessor bool) {
+	for hasPredecessor && (p.upstreams.directory.empty() || !p.dispatcher.ready.Load()) && ctx.Err() == nil {
 		time.Sleep(startPollInterval)
 	}
-	if waits && !p.draining.Load() {
+	if hasPredecessor && !p.draining.Load() {
 		p.handover.awaitYield()
 		p.conns.pause(false)
 	}
 	p.accepting.Store(true)
-	if !p.handsOver || p.draining.Load() { // a process that drains hands nothing over
+	if !p.handsOver || p.draining.Load() { // a draining process hands nothing over
 		return
 	}
 	if err := p.handover.serve(); err != nil {
@@ -218,7 +218,7 @@
 	}
 }
 
-// programVersion returns the version of this program.
+// programVersion returns the version of this program, "" if the build did not record it.
 func programVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// stats counts requests since the start of the process, for the operators' port and the log. Safe for concurrent use.
+// stats counts requests since the start of the process, for the operators' port and the log. It is safe for concurrent use.
 type stats struct {
 	mu      sync.Mutex
 	current statsSnapshot
@@ -17,12 +17,12 @@
 
 // statsSnapshot is a consistent copy of stats.
 type statsSnapshot struct {
-	classes                         map[string]outcomes // the configured ones, and others with requests
-	accepted, disconnected          int64               // disconnected: the client left before the answer
+	classes                         map[string]outcomes // by name: the configured classes, and others with requests
+	accepted, disconnected          int64               // requests; disconnected: the client closed its connection before the answer
 	dispatches                      int64               // attempts that were written completely
 	concurrent                      int64               // requests in progress
 	targets                         int64               // listed upstreams
-	unavailable                     int64               // of those, banned by an operator or ejected
+	unavailable                     int64               // listed upstreams that an operator banned or that are ejected
 	reloadsApplied, reloadsRejected int64               // configurations applied and rejected
 }
 
@@ -31,6 +31,7 @@
 
 func newStats() *stats { return &stats{current: statsSnapshot{classes: map[string]outcomes{}}} }
 
+// update calls f with the current counts while it holds the lock.
 func (s *stats) update(f func(*statsSnapshot)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,97 +41,99 @@
 func (s *stats) snapshot() statsSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.current
-	now.classes = maps.Clone(s.current.classes)
-	return now
+	clone := s.current
+	clone.classes = maps.Clone(s.current.classes)
+	return clone
 }
 
 // begin counts a request as accepted and in progress.
 func (s *stats) begin() {
-	s.update(func(f *statsSnapshot) { f.accepted++; f.concurrent++ })
+	s.update(func(current *statsSnapshot) { current.accepted++; current.concurrent++ })
 }
 
 // end counts the answer to a request, once for each begin.
-func (s *stats) end(class string, how answerKind) {
-	s.update(func(f *statsSnapshot) {
-		f.concurrent--
-		c := f.classes[class]
-		switch how {
+func (s *stats) end(class string, kind answerKind) {
+	s.update(func(current *statsSnapshot) {
+		current.concurrent--
+		c := current.classes[class]
+		switch kind {
 		case served:
 			c.served++
 		case rejected:
 			c.rejected++
 		case clientGone:
-			f.disconnected++
+			current.disconnected++
 		default:
 			c.failed++
 		}
-		f.classes[class] = c
+		current.classes[class] = c
 	})
 }
 
 // addClasses adds classes, which are then listed even without requests.
 func (s *stats) addClasses(classes []string) {
-	s.update(func(f *statsSnapshot) {
+	s.update(func(current *statsSnapshot) {
 		for _, class := range classes {
-			if _, counted := f.classes[class]; !counted {
-				f.classes[class] = outcomes{}
+			if _, counted := current.classes[class]; !counted {
+				current.classes[class] = outcomes{}
 			}
 		}
 	})
 }
 
 func (s *stats) countDispatched() {
-	s.update(func(f *statsSnapshot) { f.dispatches++ })
+	s.update(func(current *statsSnapshot) { current.dispatches++ })
 }
 
-func (s *stats) countReload(taken bool) {
-	s.update(func(f *statsSnapshot) {
-		if taken {
-			f.reloadsApplied++
+func (s *stats) countReload(applied bool) {
+	s.update(func(current *statsSnapshot) {
+		if applied {
+			current.reloadsApplied++
 		} else {
-			f.reloadsRejected++
+			current.reloadsRejected++
 		}
 	})
 }
 
-func (s *stats) setEndpoints(targets, avoided int) {
-	s.update(func(f *statsSnapshot) { f.targets, f.unavailable = int64(targets), int64(avoided) })
+func (s *stats) setEndpoints(targets, unavailable int) {
+	s.update(func(current *statsSnapshot) {
+		current.targets, current.unavailable = int64(targets), int64(unavailable)
+	})
 }
 
-// total returns the sum over the classes.
-func (f *statsSnapshot) total() (t outcomes) {
-	for _, c := range f.classes {
-		t.served += c.served
-		t.rejected += c.rejected
-		t.failed += c.failed
+// total returns the outcomes of all classes together.
+func (s *statsSnapshot) total() (sum outcomes) {
+	for _, c := range s.classes {
+		sum.served += c.served
+		sum.rejected += c.rejected
+		sum.failed += c.failed
 	}
-	return t
+	return sum
 }
 
 // since returns the counts since an earlier snapshot, as log attributes.
-func (f *statsSnapshot) since(before *statsSnapshot) []slog.Attr {
-	now, then := f.total(), before.total()
-	return []slog.Attr{slog.Int64("accepted", f.accepted-before.accepted), slog.Int64("served", now.served-then.served),
-		slog.Int64("rejected", now.rejected-then.rejected), slog.Int64("failed", now.failed-then.failed), slog.Int64("disconnected", f.disconnected-before.disconnected)}
+func (s *statsSnapshot) since(before *statsSnapshot) []slog.Attr {
+	total, earlier := s.total(), before.total()
+	return []slog.Attr{slog.Int64("accepted", s.accepted-before.accepted), slog.Int64("served", total.served-earlier.served),
+		slog.Int64("rejected", total.rejected-earlier.rejected), slog.Int64("failed", total.failed-earlier.failed), slog.Int64("disconnected", s.disconnected-before.disconnected)}
 }
 
-// lines returns the figures for operators, in the format of their protocol.
-func (f *statsSnapshot) lines() string {
-	var s strings.Builder
-	counter := func(name string, n int64) { fmt.Fprintf(&s, "gw.%s:%d|c\n", name, n) }
-	gauge := func(name string, n int64) { fmt.Fprintf(&s, "gw.%s:%d|g\n", name, n) }
-	for _, class := range slices.Sorted(maps.Keys(f.classes)) {
-		c := f.classes[class]
+// lines returns the counts in the format of the operators' call STATS.
+func (s *statsSnapshot) lines() string {
+	var text strings.Builder
+	counter := func(name string, n int64) { fmt.Fprintf(&text, "gw.%s:%d|c\n", name, n) }
+	gauge := func(name string, n int64) { fmt.Fprintf(&text, "gw.%s:%d|g\n", name, n) }
+	for _, class := range slices.Sorted(maps.Keys(s.classes)) {
+		c := s.classes[class]
 		counter("success."+class, c.served)
 		counter("overload."+class, c.rejected)
 		counter("error."+class, c.failed)
 	}
-	counter("dispatches", f.dispatches)
-	gauge("concurrent", f.concurrent)
-	gauge("targets", f.targets)
-	gauge("targets_disabled", f.unavailable)
-	counter("reload_success", f.reloadsApplied)
-	counter("reload_failure", f.reloadsRejected)
-	return s.String()
+	counter("dispatches", s.dispatches)
+	gauge("concurrent", s.concurrent)
+	gauge("targets", s.targets)
+	gauge("targets_disabled", s.unavailable)
+	counter("reload_success", s.reloadsApplied)
+	counter("reload_failure", s.reloadsRejected)
+	return text.String()
 }
--- a/internal/sidecar/transcript_test.go
+++ b/internal/sidecar/transcript_test.go
@@ -15,7 +15,8 @@
 	"mosslead/internal/lab/transcript/approve"
 )
 
-// transcriptTest is what one script plays in: sidecars in a bubble, with a client, two upstreams and discovery.
+// transcriptTest is the environment of one script: sidecars, a client, two upstreams and discovery on a simulated network
+// and clock.
 type transcriptTest struct {
 	*testing.T
 	ctx            context.Context
@@ -23,16 +24,16 @@
 	record         transcript.Transcript
 	client         *memnet.Host
 	upstreams      [2]*memnet.Host
-	calls, watches transcript.Calls // what upstreams got, and discovery
+	calls, watches transcript.Calls // requests that upstreams received, and watches that discovery received
 }
 
-// simulatedSidecar is a sidecar of an exchange.
+// simulatedSidecar is a sidecar of a transcriptTest.
 type simulatedSidecar struct {
 	tt      *transcriptTest
 	address string
-	stop    context.CancelFunc // as SIGTERM
+	stop    context.CancelFunc // has the effect of SIGTERM
 	reloads chan Reload
-	watch   transcript.Call // the last one that discovery got
+	watch   transcript.Call // the last watch that discovery received
 }
 
 const (
@@ -44,7 +45,7 @@
 	watchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
 
-// start runs a sidecar with a list from its configuration, and opens its watch, which has no news.
+// start runs a sidecar with a list from its configuration, and opens its watch without a change of the list.
 func (tt *transcriptTest) start(known ...string) *simulatedSidecar {
 	s := tt.run("sidecar", "10.0.0.1", known...)
 	s.openWatch("\n")
@@ -53,6 +54,7 @@
 	return s
 }
 
+// run starts a sidecar on a new host, and stops it when the test ends.
 func (tt *transcriptTest) run(name, ip string, known ...string) *simulatedSidecar {
 	host := tt.net.Host(name, ip, 0)
 	l, err := host.Listen(9000)
@@ -70,7 +72,7 @@
 	return s
 }
 
-// openWatch opens the watch that the sidecar asks for next, with a first message.
+// openWatch answers the next watch of the sidecar, with a first message.
 func (s *simulatedSidecar) openWatch(first string) {
 	s.tt.Helper()
 	s.watch = s.tt.nextCall(s.tt.watches)
@@ -105,17 +107,17 @@
 	return c
 }
 
-// expectStatus waits for a client's answer, and what comes right after it.
+// expectStatus waits for the answer to a client, compares its status, and then waits for what follows it.
 func (tt *transcriptTest) expectStatus(c *transcript.Line, want int) {
 	tt.Helper()
 	if status, err := c.Answer(); status != want || err != nil {
-		tt.Errorf("answered %d, %v; want %d", status, err, want)
+		tt.Errorf("got status %d, error %v; want %d", status, err, want)
 	}
 	time.Sleep(20 * time.Millisecond)
 }
 
 var transcriptTests = []struct {
-	name, keyLine string // keyLine is the line that it is about
+	name, keyLine string // keyLine is part of a line that the transcript must contain
 	script        func(*transcriptTest)
 }{
 	{"ordinary", "7 sidecar > up-1 sends", func(tt *transcriptTest) {
@@ -123,14 +125,14 @@
 		c := tt.request(s, searchRequest)
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
 		tt.expectStatus(c, 200)
-		tt.check(c.Say(searchRequest)) // on the connections that there are
+		tt.check(c.Say(searchRequest)) // on the existing connections
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
 		tt.expectStatus(c, 200)
 	}},
 	{"retry-after-connect-failure", "up-2 > sidecar refuses", func(tt *transcriptTest) {
 		s := tt.start(entry("up-1", upstream1Address, "Ready"), entry("up-2", upstream2Address, "Ready"))
 		tt.upstreams[1].Kill()
-		c := tt.request(s, strings.Replace(confirmRequest, "900m", "9000m", 1)) // time for two
+		c := tt.request(s, strings.Replace(confirmRequest, "900m", "9000m", 1)) // enough for two attempts
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
 		tt.expectStatus(c, 200)
 	}},
@@ -159,7 +161,7 @@
 		pending := tt.nextCall(tt.calls)
 		tt.check(c.Close())
 		time.Sleep(20 * time.Millisecond)
-		tt.check(pending.Say(ok200("for nobody"))) // the next request comes on the connection that waited for it, once that has rested
+		tt.check(pending.Say(ok200("for nobody"))) // the next request uses this connection, which has then been idle for minIdleBeforeReuse
 		time.Sleep(20 * time.Millisecond)
 		c = tt.request(s, confirmRequest)
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
@@ -179,9 +181,9 @@
 		s.reloads <- Reload{Config: c}
 		s.openWatch(list(1, true, entry("up-2", upstream2Address, "Ready")) + "\n")
 		time.Sleep(20 * time.Millisecond)
-		in := tt.request(s, searchRequest)
+		clientConn := tt.request(s, searchRequest)
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
-		tt.expectStatus(in, 200)
+		tt.expectStatus(clientConn, 200)
 	}},
 	{"terminated", "sidecar > client (3) ends its sending", func(tt *transcriptTest) {
 		s := tt.start(entry("up-1", upstream1Address, "Ready"))
@@ -193,7 +195,7 @@
 		tt.check(err)
 		s.stop()
 		time.Sleep(100 * time.Millisecond)
-		tt.check(quiet.Say(searchRequest)) // it stayed open
+		tt.check(quiet.Say(searchRequest)) // the idle connection stayed open
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
 		tt.expectStatus(quiet, 200)
 		tt.check(pending.Say(ok200("ok")))
@@ -216,7 +218,7 @@
 		tt.record.Begin()
 		s := tt.run("sidecar", "10.0.0.1", entry("up-1", upstream1Address, "Ready"))
 		time.Sleep(10 * time.Millisecond)
-		c := tt.request(s, searchRequest) // before discovery has said anything
+		c := tt.request(s, searchRequest) // before discovery has sent a list
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
 		tt.expectStatus(c, 200)
 		s.openWatch(list(7, true, entry("up-2", upstream2Address, "Ready")) + "\n")
@@ -235,10 +237,10 @@
 	}},
 }
 
-// Guards against any change of what goes over the wire that nobody has looked at: approve it with -update.
+// Guards against unreviewed changes of what goes over the wire. After a review, approve them with -update.
 func TestApprovedTranscripts(t *testing.T) {
-	for _, a := range transcriptTests {
-		t.Run(a.name, func(t *testing.T) {
+	for _, test := range transcriptTests {
+		t.Run(test.name, func(t *testing.T) {
 			text := ""
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
@@ -254,11 +256,11 @@
 					tt.check(transcript.Serve(ctx, tt.upstreams[i], 8000, tt.calls))
 				}
 				tt.check(transcript.Serve(ctx, tt.net.Host("discovery", "10.0.0.9", time.Millisecond), 7000, tt.watches))
-				a.script(tt)
+				test.script(tt)
 				tt.record.Stop()
 				text = tt.record.Text()
 			})
-			approve.Text(t, a.name, a.keyLine, text)
+			approve.Text(t, test.name, test.keyLine, text)
 		})
 	}
 }
