--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -157,7 +157,7 @@
 		n := len(d.froms)
 		d.mu.Unlock()
 		ctx, end := context.WithCancel(r.Context())
-		defer cancel()
+		defer end()
 		defer context.AfterFunc(stop, end)()
 		script(n, func(line string) {
 			_, _ = io.WriteString(w, line+"\n")
