--- a/internal/sidecar/acks_test.go
+++ b/internal/sidecar/acks_test.go
@@ -132,7 +132,7 @@
 // Guards against effects of following settings in a sidecar without a service: its calls, goroutines, lines of STATS, files and
 // hand-over state are those of a sidecar that can't follow settings.
 func TestWithoutAServiceNothingIsNew(t *testing.T) {
-	u := newUpstream(t, says(ok200("done")))
+	u := newUpstream(t, respondWith(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
 	for _, addresses := range []string{svc.address, svc.address + "," + strings.Replace(svc.address, "127.0.0.1", "127.0.0.3", 1)} {
 		c := testConfig(t, addresses, entry("s", u.address, "Ready"))
@@ -147,7 +147,7 @@
 		if text := goroutineStacks(); strings.Contains(text, "acknowledge") || strings.Contains(text, "(*settingsFollower)") {
 			t.Errorf("got goroutines of a settingsFollower, want none: %s", text)
 		}
-		if figures := r.call(t, "STATS\n"); strings.Contains(figures, "settings_version") || strings.Contains(figures, "list_version") {
+		if figures := r.adminCall(t, "STATS\n"); strings.Contains(figures, "settings_version") || strings.Contains(figures, "list_version") {
 			t.Errorf("got STATS %s, want no settings_version and no list_version", figures)
 		}
 		r.stop()
@@ -159,7 +159,7 @@
 			t.Errorf("got acknowledgement %+v, want none", last)
 		}
 	}
-	text, err := json.Marshal(handoverState{List: parsed(t, list(1, true)), Banned: []string{"a"}})
+	text, err := json.Marshal(handoverState{List: mustParseListing(t, list(1, true)), Banned: []string{"a"}})
 	if want := `{"List":{"index":1,"snapshot":true,"endpoints":[]},"Banned":["a"]}`; err != nil || string(text) != want {
 		t.Errorf("got hand-over state %s, %v, want %s", text, err, want)
 	}
@@ -167,7 +167,7 @@
 	before := len(svc.requests())
 	r := start(t, ordersConfig(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
 	eventually(t, "goroutines of a service", func() bool { return strings.Contains(goroutineStacks(), "(*settingsFollower).acknowledge") })
-	if figures := r.call(t, "STATS\n"); !strings.Contains(figures, "gw.settings_version:") {
+	if figures := r.adminCall(t, "STATS\n"); !strings.Contains(figures, "gw.settings_version:") {
 		t.Errorf("got STATS %s, want gw.settings_version", figures)
 	}
 	eventually(t, "a watch of the service", func() bool { return len(svc.requests()) > before })
@@ -204,7 +204,7 @@
 		}
 	}
 	withoutService, err := ParseConfig([]byte(strings.Replace(valid, `"service":"orders",`, ``, 1)))
-	if err != nil || withoutService.replaces(c) == nil {
+	if err != nil || withoutService.checkReplaces(c) == nil {
 		t.Errorf("got error %v, and that a file without the service can replace one with it, want none, and that it can't", err)
 	}
 }
--- a/internal/sidecar/bans.go
+++ b/internal/sidecar/bans.go
@@ -14,7 +14,7 @@
 	if !p.upstreams.directory.ban(id, cleared) {
 		return fmt.Errorf("no upstream is called %s", quoteShort(id))
 	}
-	err := applyBan(p.upstreams.directory, p.loop, id, cleared)
+	err := applyBan(p.upstreams.directory, p.dispatcher, id, cleared)
 	persisted := false
 	if err == nil && p.handsOver {
 		persisted, err = p.handover.relayBan(banMessage{ID: id, Cleared: cleared, Writes: p.persister.writesNow()}, p.upstreams.directory.bans())
@@ -27,7 +27,7 @@
 
 // applyRelayedBan applies a ban relayed by the other process, and reports whether it is on disk.
 func (p *process) applyRelayedBan(message banMessage) (persisted bool, err error) {
-	if err := applyBan(p.upstreams.directory, p.loop, message.ID, message.Cleared); err != nil {
+	if err := applyBan(p.upstreams.directory, p.dispatcher, message.ID, message.Cleared); err != nil {
 		return false, fmt.Errorf("%s: %w", quoteShort(message.ID), err)
 	}
 	return p.persister.acceptRelayedBan(message.ID, message.Cleared, message.Writes)
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -17,11 +17,11 @@
 // directions, in chunks and with a length.
 func TestLargeBodiesPass(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 64<<10) // 1 MiB
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		_, err := io.WriteString(c, ok200(g.body))
 		return err == nil
 	})
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	for _, chunked := range []bool{false, true} {
 		eventually(t, "reuse of a connection after minIdleBeforeReuse", func() bool {
 			req := request(t, r.address, "confirm", body)
@@ -34,7 +34,7 @@
 			time.Sleep(minIdleBeforeReuse)
 			all := s.requests()
 			last := len(all) - 1
-			return slices.ContainsFunc(all[:last], func(g got) bool { return g.conn == all[last].conn })
+			return slices.ContainsFunc(all[:last], func(g receivedRequest) bool { return g.conn == all[last].conn })
 		})
 	}
 }
@@ -42,8 +42,8 @@
 // Guards against chunked requests that are rejected, or forwarded with parts that belong to the client's connection: chunk
 // extensions and trailers are dropped, and a small body is sent with its length.
 func TestChunkedRequest(t *testing.T) {
-	s := newUpstream(t, says(ok200("done")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("done")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		t.Fatal(err)
@@ -85,8 +85,8 @@
 
 // Guards against half a body that an upstream takes for a whole one: if the client breaks off, the upstream sees no end.
 func TestBodyBrokenOffGoesNowhere(t *testing.T) {
-	s := newUpstream(t, says(ok200("")))
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	s := newUpstream(t, respondWith(ok200("")))
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	for _, framing := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"} {
 		before := s.opened.Load()
 		conn, err := net.Dial("tcp", r.address)
@@ -125,7 +125,7 @@
 			_ = c.Close()
 		}
 	}()
-	r := start(t, testConfig(t, quiet(t).address, entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
 	resp, _ := r.do(t, request(t, r.address, "confirm", strings.Repeat("x", 4<<20)))
 	if resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("got %s with close %v, want 503 with close true", resp.Status, resp.Close)
@@ -142,7 +142,7 @@
 	} {
 		for _, complete := range []bool{true, false} {
 			release := make(chan struct{})
-			s := newUpstream(t, func(conn net.Conn, _ got) bool {
+			s := newUpstream(t, func(conn net.Conn, _ receivedRequest) bool {
 				size := 1000000
 				if c.end != "" {
 					size = 0x40000
@@ -155,7 +155,7 @@
 				_, err := io.WriteString(conn, strings.Repeat("b", size/2)+c.end)
 				return err == nil
 			})
-			r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+			r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 			resp, err := r.client.Do(request(t, r.address, "confirm", ""))
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
@@ -185,11 +185,11 @@
 	if got := b.reserve(maxRetainedBytes); got != 60<<10 {
 		t.Errorf("reservation after a release: got %d bytes, want %d", got, 60<<10)
 	}
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		_, err := io.WriteString(c, ok200(g.body))
 		return err == nil
 	})
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	c.Limits.MemoryMB = 0 // so the budget is 0
 	r := start(t, c, "127.0.0.1:0")
 	body := strings.Repeat("x", 50000)
@@ -229,7 +229,7 @@
 // Guards against a budget that shrinks with each request until nothing is retained any more.
 func TestBudgetComesBack(t *testing.T) {
 	for _, size := range []int{0, 3, 5000, maxRetainedBytes, 3 * maxRetainedBytes} {
-		s := newUpstream(t, says(ok200(strings.Repeat("x", size))))
+		s := newUpstream(t, respondWith(ok200(strings.Repeat("x", size))))
 		u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 		available := func() int64 {
 			u.budget.mu.Lock()
@@ -261,7 +261,7 @@
 // Guards against a client that stops reading its answer and thereby blocks the upstream's connection, or other requests.
 func TestClientThatStopsReadingEndsItsOwnRequest(t *testing.T) {
 	large := ok200(strings.Repeat("x", maxBodyBytes)) // more than the socket buffers hold
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		text := ok200("small")
 		if strings.HasPrefix(g.target, "/confirm/") {
 			text = large
@@ -269,7 +269,7 @@
 		_, err := io.WriteString(c, text)
 		return err == nil
 	})
-	r := start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 	resp, err := r.client.Do(request(t, r.address, "confirm", "")) // its body stays unread
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -223,11 +223,11 @@
 // logStats logs the counts since the previous call.
 func (d *dispatcher) logStats() {
 	now := d.stats.snapshot()
-	logAttrs(slog.LevelInfo, ofCounts, "counts", append(now.since(&d.lastLogged), d.counts.attempts(),
+	logAttrs(slog.LevelInfo, componentCounts, "counts", append(now.since(&d.lastLogged), d.counts.attr(),
 		slog.Int("in_flight", len(d.inFlight)), d.connectionStats())...)
 	d.lastLogged = now
 	if len(d.counts.upstreams) > 0 {
-		logAttrs(slog.LevelInfo, ofCounts, "by upstream", slog.String("upstreams", d.counts.byUpstream(d.zone)))
+		logAttrs(slog.LevelInfo, componentCounts, "by upstream", slog.String("upstreams", d.counts.describeByUpstream(d.zone)))
 	}
 	d.counts = newAttemptCounts()
 	d.sharing.logStats()
@@ -339,7 +339,7 @@
 	a.cancel(nil)
 	a.endedAt = e.at
 	a.reply = attemptReply{result: e.reply.result, use: e.reply.use, err: e.reply.err, abandon: e.reply.abandon}
-	d.counts.ended(a.upstream, e.reply.result, e.at-a.sentAt)
+	d.counts.add(a.upstream, e.reply.result, e.at-a.sentAt)
 	if e.reply.result == balancer.OK && !d.answer(id, answer{kind: served, reply: e.reply}) {
 		e.reply.drop()
 	}
@@ -403,7 +403,7 @@
 	case balancer.ReportEvidence:
 		d.sharing.report(a)
 	case balancer.Log:
-		logAttrs(slog.LevelInfo, ofDecisions, a.Text, a.Attrs...)
+		logAttrs(slog.LevelInfo, componentDecisions, a.Text, a.Attrs...)
 	}
 }
 
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -18,7 +18,7 @@
 func pendingUpstream(t *testing.T) (s *fakeUpstream, release func()) {
 	t.Helper()
 	released := make(chan struct{})
-	s = newUpstream(t, func(c net.Conn, g got) bool {
+	s = newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		if !strings.HasPrefix(g.target, "/search") {
 			<-released
 		}
@@ -92,13 +92,13 @@
 }
 
 // startWithUpstream starts a sidecar whose list has one upstream.
-func startWithUpstream(t *testing.T, s *fakeUpstream) *running {
+func startWithUpstream(t *testing.T, s *fakeUpstream) *testSidecar {
 	t.Helper()
-	return start(t, testConfig(t, quiet(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
+	return start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 }
 
 // sendSIGTERM stops the sidecar as SIGTERM does, and returns the time.
-func sendSIGTERM(r *running) time.Time {
+func sendSIGTERM(r *testSidecar) time.Time {
 	r.stop()
 	return time.Now()
 }
@@ -148,7 +148,7 @@
 func TestTermWithHalfAnAnswer(t *testing.T) {
 	t.Parallel()
 	rest := make(chan struct{})
-	s := newUpstream(t, func(c net.Conn, g got) bool {
+	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		if strings.HasPrefix(g.target, "/search") {
 			_, err := io.WriteString(c, ok200("done"))
 			return err == nil
@@ -179,7 +179,7 @@
 func TestTermWithAFullHouse(t *testing.T) {
 	t.Parallel()
 	s, release := pendingUpstream(t)
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	const bound = 3
 	c.Limits.Sockets = fixedSockets + 2*bound
 	r := start(t, c, "127.0.0.1:0")
@@ -210,7 +210,7 @@
 func TestTermWithHalfABody(t *testing.T) {
 	t.Parallel()
 	s, _ := pendingUpstream(t)
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].Deadline = 400 * time.Millisecond
 	}
@@ -281,7 +281,7 @@
 	t.Parallel()
 	const bound, peers = 4, 110
 	s, _ := pendingUpstream(t)
-	c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
+	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
 	c.Limits.Sockets = fixedSockets + 2*bound
 	r := start(t, c, "127.0.0.1:0")
 	r.client.CloseIdleConnections()
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -36,15 +36,15 @@
 // only if the peer answers that it has not begun it, or can't be reached.
 func TestWhatComesOfAForwardedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer func(net.Conn, got) bool
+		answer func(net.Conn, receivedRequest) bool
 		kind   answerKind
 		done   bool
 	}{
-		"served":                     {says(ok200("yes")), served, true},
-		"refused before it began":    {says("HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), 0, false},
-		"refused after it began":     {says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), failed, true},
-		"killed after the last byte": {func(net.Conn, got) bool { return false }, failed, true},
-		"silent until the deadline":  {silent, failed, true},
+		"served":                     {respondWith(ok200("yes")), served, true},
+		"refused before it began":    {respondWith("HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), 0, false},
+		"refused after it began":     {respondWith("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), failed, true},
+		"killed after the last byte": {func(net.Conn, receivedRequest) bool { return false }, failed, true},
+		"silent until the deadline":  {neverRespond, failed, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer := newUpstream(t, c.answer)
@@ -78,8 +78,8 @@
 
 // Guards against requests that are forwarded more than once, and against a hop header that a client sets or an upstream gets.
 func TestAPeerTakesOneHop(t *testing.T) {
-	up := newUpstream(t, says(ok200("yes")))
-	c := testConfig(t, quiet(t).address, entry("s-1", up.address, "Ready"))
+	up := newUpstream(t, respondWith(ok200("yes")))
+	c := testConfig(t, quietDiscovery(t).address, entry("s-1", up.address, "Ready"))
 	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: freeAddress(t), Zone: "a"}
 	c.Settings.ShareEvidence = true
 	r := start(t, c, "127.0.0.1:0")
@@ -111,7 +111,7 @@
 // the first, a request with the same id is a new one.
 func TestAnIDThatIsWithAPeerIsInHand(t *testing.T) {
 	release := make(chan struct{})
-	peer := newUpstream(t, func(c net.Conn, g got) bool { <-release; return says(ok200("peer"))(c, g) })
+	peer := newUpstream(t, func(c net.Conn, g receivedRequest) bool { <-release; return respondWith(ok200("peer"))(c, g) })
 	f, clk := forwarderUnderPressure(t, peer.address)
 	s := &server{clock: clk, failures: newLimitedLog(maxFailureLines), stats: newStats(), budget: f.pool.budget, forwarder: f, post: func(any) bool {
 		t.Error("the request was handled by the sidecar itself, want it forwarded")
@@ -128,14 +128,14 @@
 	}}
 	go func() { _ = srv.Serve(conns) }() // ends with Close
 	t.Cleanup(func() { _ = srv.Close() })
-	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}}
+	r := &testSidecar{address: l.Addr().String(), client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}}
 	t.Cleanup(r.client.CloseIdleConnections)
 	sameID := func() *http.Request {
 		req := request(t, r.address, "confirm", "x")
 		req.Header.Set("X-Request-ID", "the same")
 		return req
 	}
-	first := r.later(sameID())
+	first := r.doAsync(sameID())
 	eventually(t, "the request is at the peer", func() bool { return len(peer.requests()) == 1 })
 	if resp, body := r.do(t, sameID()); resp.StatusCode != http.StatusConflict {
 		t.Errorf("second request: got status %d, body %s; want status 409", resp.StatusCode, body)
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -38,12 +38,12 @@
 		stop()
 		return err
 	}
-	p.loop.attempt = func(context.Context, string, *clientRequest, time.Duration) attemptReply {
+	p.dispatcher.attempt = func(context.Context, string, *clientRequest, time.Duration) attemptReply {
 		return attemptReply{result: balancer.NotSent, err: errors.New("a hollow sidecar sends no requests")}
 	}
-	p.watch.report = o.wrapReport(p)
-	if p.service != nil && o.OnSettings != nil {
-		p.service.onOutcome = func(d api.Document, rejected error) { o.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
+	p.watcher.report = o.wrapReport(p)
+	if p.follower != nil && o.OnSettings != nil {
+		p.follower.onOutcome = func(d api.Document, rejected error) { o.OnSettings(d.Region, d.Revision, rejected, time.Now()) }
 	}
 	list, _, err := p.restore()
 	if err != nil {
@@ -51,7 +51,7 @@
 		return err
 	}
 	if c.Peers != nil {
-		if p.loop.sharing, err = newSharing(c, p.upstreams.directory, p.loop.clock, program()); err != nil {
+		if p.dispatcher.sharing, err = newSharing(c, p.upstreams.directory, p.dispatcher.clock, programVersion()); err != nil {
 			stop()
 			if p.persister != nil {
 				p.persister.release(false)
@@ -62,32 +62,32 @@
 	p.connectPersister()
 	var parts sync.WaitGroup
 	stopPersister := make(chan struct{})
-	parts.Go(func() { p.loop.run(list) })
-	parts.Go(func() { p.watch.run(running, c.Settings.MustSubscribe) })
+	parts.Go(func() { p.dispatcher.run(list) })
+	parts.Go(func() { p.watcher.run(running, c.Settings.MustSubscribe) })
 	if p.persister != nil {
 		parts.Go(p.restoreSnapshot)
 		parts.Go(func() { p.useSuspectList(running) })
 	}
 	parts.Go(func() { p.persister.run(stopPersister) })
-	parts.Go(func() { p.service.acknowledge(running, p.watch.source) })
+	parts.Go(func() { p.follower.acknowledge(running, p.watcher.source) })
 	for ctx.Err() == nil {
 		select {
-		case <-p.service.pending():
-			p.applyDocument(p.loop.enqueueUrgent)
+		case <-p.follower.pending():
+			p.applyDocument(p.dispatcher.enqueueUrgent)
 		case <-ctx.Done():
 		}
 	}
 	p.persister.stopAndWait(stopPersister)
-	p.loop.sharing.close()
+	p.dispatcher.sharing.close()
 	stop()
 	parts.Wait()
-	p.watch.client.CloseIdleConnections()
+	p.watcher.client.CloseIdleConnections()
 	return nil
 }
 
 // wrapReport returns a report function for the watcher, which reports to the dispatcher and then to the observer.
 func (o HollowObserver) wrapReport(p *process) func(balancer.EndpointUpdate) {
-	report, states := p.watch.report, map[string]string{}
+	report, states := p.watcher.report, map[string]string{}
 	return func(m balancer.EndpointUpdate) {
 		report(m)
 		if m.Endpoints == nil || m.Kind != balancer.Delta && m.Kind != balancer.FullState { // a watch was established or failed: no message of discovery
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -100,7 +100,7 @@
 
 // Guards against a hollow sidecar that does not end its sharing, or that listens for forwarded requests.
 func TestHollowShares(t *testing.T) {
-	d := quiet(t)
+	d := quietDiscovery(t)
 	before := goleak.IgnoreCurrent()
 	c := testConfig(t, d.address)
 	c.Peers = &Peers{Address: "127.0.0.1:0", Forward: d.address, Zone: "a"} // Forward is in use: listening there fails
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -17,12 +17,12 @@
 // withState returns a configuration with a state directory, an operators' port and a discovery that sends no changes.
 func withState(t *testing.T, dir string, known ...string) *Config {
 	t.Helper()
-	c := testConfig(t, quiet(t).address, known...)
+	c := testConfig(t, quietDiscovery(t).address, known...)
 	c.State, c.Ops = dir, "127.0.0.1:0"
 	return c
 }
 
-func (r *running) get(t *testing.T) (status int, body string) {
+func (r *testSidecar) get(t *testing.T) (status int, body string) {
 	t.Helper()
 	resp, body := r.do(t, request(t, r.address, "search", ""))
 	return resp.StatusCode, body
@@ -57,10 +57,10 @@
 // was on disk then.
 func TestBanOutlivesACrash(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up, other := newUpstream(t, says(ok200("s"))), newUpstream(t, says(ok200("other")))
+	up, other := newUpstream(t, respondWith(ok200("s"))), newUpstream(t, respondWith(ok200("other")))
 	entries := []string{entry("s", up.address, "Ready"), entry("other", other.address, "Ready")}
 	first := start(t, withState(t, dir, entries...), "127.0.0.1:0")
-	if got := first.call(t, "DISABLE s\n"); got != "YES\n" {
+	if got := first.adminCall(t, "DISABLE s\n"); got != "YES\n" {
 		t.Fatalf("DISABLE: got %q, want YES", got)
 	}
 	crashed := copyState(t, dir)
@@ -70,7 +70,7 @@
 			t.Fatalf("served by %q, want other", body)
 		}
 	}
-	if got := second.call(t, "ENABLE s\n"); got != "YES\n" {
+	if got := second.adminCall(t, "ENABLE s\n"); got != "YES\n" {
 		t.Errorf("ENABLE: got %q, want YES", got)
 	}
 	if loaded, err := statestore.New(crashed, "n1").Load(time.Now()); err != nil || len(loaded.Bans) != 0 {
@@ -82,7 +82,7 @@
 // STATS shows its use.
 func TestStartsWithThePersistedListWhileDiscoveryIsSilent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	s := lockHolder(t, dir)
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	if err := errors.Join(s.WriteList("127.0.0.1:1", []byte(text), time.Now().Add(-time.Minute)), s.Release(true)); err != nil {
@@ -95,7 +95,7 @@
 	if status, body := r.get(t); status != 200 || body != "s" {
 		t.Errorf("got %d %q, want 200 \"s\"", status, body)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g\n") || !strings.Contains(got, "gw.list_age_ms:6") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g\n") || !strings.Contains(got, "gw.list_age_ms:6") {
 		t.Errorf("got STATS %s, want gw.list_kept:1|g and gw.list_age_ms:6...", got)
 	}
 }
@@ -140,25 +140,25 @@
 	if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file, so that no directory can be created there
 		t.Fatal(err)
 	}
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	r := start(t, withState(t, dir, entry("s", up.address, "Ready")), "127.0.0.1:0")
 	if status, _ := r.get(t); status != 200 {
 		t.Errorf("got status %d, want 200", status)
 	}
-	if got := r.call(t, "DISABLE s\n"); !strings.HasPrefix(got, "NO nothing can be written now") {
+	if got := r.adminCall(t, "DISABLE s\n"); !strings.HasPrefix(got, "NO nothing can be written now") {
 		t.Errorf("DISABLE: got %q, want NO nothing can be written now", got)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:1|g\n") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:1|g\n") {
 		t.Errorf("got STATS %s, want gw.state_failing:1|g", got)
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a ban on disk", func() bool { return r.call(t, "DISABLE s\n") == "YES\n" })
+	eventually(t, "a ban on disk", func() bool { return r.adminCall(t, "DISABLE s\n") == "YES\n" })
 	if loaded, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || len(loaded.Bans) != 1 {
 		t.Errorf("on disk: got bans %v, %v, want 1", loaded.Bans, err)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:0|g\n") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:0|g\n") {
 		t.Errorf("got STATS %s, want gw.state_failing:0|g", got)
 	}
 }
@@ -166,7 +166,7 @@
 // Guards against an end by SIGTERM that leaves the state marked as crashed, or without the list and the snapshot.
 func TestOrderlyEndIsMarked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	r := start(t, withState(t, dir, entry("s", up.address, "Ready")), "127.0.0.1:0")
 	if status, _ := r.get(t); status != 200 {
 		t.Fatalf("got status %d, want 200", status)
@@ -186,7 +186,7 @@
 // is received.
 func TestListOfACrashLoopIsTheLastResort(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	up := newUpstream(t, says(ok200("s")))
+	up := newUpstream(t, respondWith(ok200("s")))
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	for range 3 {
 		s := lockHolder(t, dir)
@@ -207,7 +207,7 @@
 		t.Fatal(err)
 	}
 	begun := time.Now()
-	r := startOn(t, c, l, "")
+	r := startOnListener(t, c, l, "")
 	r.awaitReady(t, "YES")
 	if elapsed := time.Since(begun); elapsed < suspectListDelay {
 		t.Errorf("got ready after %v with a quarantined list, want at least %v", elapsed, suspectListDelay)
@@ -215,7 +215,7 @@
 	if status, body := r.get(t); status != 200 || body != "s" {
 		t.Errorf("got %d %q, want 200 \"s\"", status, body)
 	}
-	if got := r.call(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g") {
+	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.list_kept:1|g") {
 		t.Errorf("got STATS %s, want gw.list_kept:1|g", got)
 	}
 }
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -18,7 +18,7 @@
 func (w *watcher) follow(ctx context.Context, addresses string) {
 	replicas, err := client.Addresses(addresses)
 	if err != nil { // can't happen, since the configuration was checked
-		logWarning(ofDiscovery, "list service addresses not usable", err)
+		logWarning(componentDiscovery, "list service addresses not usable", err)
 		<-ctx.Done()
 		return
 	}
@@ -46,7 +46,7 @@
 		},
 		OnEstablished: func() { w.report(balancer.EndpointUpdate{Kind: balancer.Delta}) },
 		OnError: func(replica string, err error) {
-			logAttrs(slog.LevelWarn, ofDiscovery, "watch ended", slog.String("peer", replica), slog.Any("err", err))
+			logAttrs(slog.LevelWarn, componentDiscovery, "watch ended", slog.String("peer", replica), slog.Any("err", err))
 		},
 	})
 }
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -36,13 +36,13 @@
 	}
 	for _, id := range banned {
 		p.upstreams.directory.setBan(id, false)
-		p.loop.handle(balancer.Ban{Upstream: id})
+		p.dispatcher.handle(balancer.Ban{Upstream: id})
 	}
 	if initial != nil {
 		known = p.upstreams.directory.apply(initial)
-		p.watch.revision = 0
+		p.watcher.revision = 0
 		if source == p.config.Discovery { // another discovery's revisions can't be compared
-			p.watch.revision = *initial.Revision
+			p.watcher.revision = *initial.Revision
 		}
 	}
 	p.restoreDocument(settings)
@@ -58,14 +58,14 @@
 		l, err := parseListing(persisted.Listing)
 		switch {
 		case err != nil:
-			logWarning(ofState, "persisted endpoint list not usable", err)
+			logWarning(componentState, "persisted endpoint list not usable", err)
 		case configured == nil || persisted.Source == p.config.Discovery && *l.Revision >= *configured.Revision:
 			chosen, source = l, persisted.Source
 			p.cachedList.Store(persisted)
-			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millis("list_age_ms", ageOf(persisted.SavedMs)))
+			attrs = append(attrs, slog.Int("upstreams", len(l.Endpoints)), millisecondsAttr("list_age_ms", ageOf(persisted.SavedMs)))
 		}
 	}
-	logAttrs(slog.LevelInfo, ofState, "persisted state loaded", attrs...)
+	logAttrs(slog.LevelInfo, componentState, "persisted state loaded", attrs...)
 	return chosen, source
 }
 
@@ -84,17 +84,17 @@
 	}
 	age := ageOf(loaded.Snapshot.SavedMs)
 	loaded.Snapshot.Balancer.Age(age, loaded.Crashed)
-	logAttrs(slog.LevelInfo, ofState, "snapshot restored", slog.Int("upstreams", len(loaded.Snapshot.Balancer.Endpoints)), millis("age_ms", age))
-	p.loop.enqueueUrgent(loaded.Snapshot.Balancer)
+	logAttrs(slog.LevelInfo, componentState, "snapshot restored", slog.Int("upstreams", len(loaded.Snapshot.Balancer.Endpoints)), millisecondsAttr("age_ms", age))
+	p.dispatcher.enqueueUrgent(loaded.Snapshot.Balancer)
 }
 
 // logLoaded logs which parts of the persisted state were not used.
 func logLoaded(loaded statestore.Loaded) {
 	for _, damage := range loaded.Corruptions {
-		logAttrs(slog.LevelWarn, ofState, "damaged", slog.String("file", damage.File), slog.Int64("byte", damage.At), slog.Bool("torn", damage.Torn), slog.Any("err", damage.Err))
+		logAttrs(slog.LevelWarn, componentState, "damaged", slog.String("file", damage.File), slog.Int64("byte", damage.At), slog.Bool("torn", damage.Torn), slog.Any("err", damage.Err))
 	}
 	for _, text := range loaded.Notes {
-		logAttrs(slog.LevelWarn, ofState, "persisted state not used", slog.String("err", text))
+		logAttrs(slog.LevelWarn, componentState, "persisted state not used", slog.String("err", text))
 	}
 }
 
@@ -125,11 +125,11 @@
 	if err != nil || !p.upstreams.directory.empty() || p.listReceived.Load() {
 		return
 	}
-	logAttrs(slog.LevelWarn, ofState, "no endpoint list received, using the one that was set aside", slog.Int("upstreams", len(l.Endpoints)))
+	logAttrs(slog.LevelWarn, componentState, "no endpoint list received, using the one that was set aside", slog.Int("upstreams", len(l.Endpoints)))
 	p.cachedList.Store(p.loaded.SuspectList)
 	known := p.upstreams.directory.apply(l)
 	known.Kind = balancer.Cached
-	p.loop.enqueueUpdate(known)
+	p.dispatcher.enqueueUpdate(known)
 }
 
 // connectPersister sets the functions from which the state persister gets what it writes.
@@ -140,7 +140,7 @@
 	p.persister.bans = p.upstreams.directory.bans
 	p.persister.adoptBan = func(id string) {
 		p.upstreams.directory.setBan(id, false)
-		go p.loop.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // returns at the latest once the dispatcher has stopped
+		go p.dispatcher.enqueueUrgent(banCommand{balancer.Ban{Upstream: id}, make(chan struct{})}) // returns at the latest once the dispatcher has stopped
 	}
 	p.persister.list = func() (string, *listing) { // returns a nil list if there is none to write
 		if !p.listReceived.Load() && p.cachedList.Load() != nil {
@@ -150,15 +150,15 @@
 		if len(l.Endpoints) == 0 {
 			return "", nil
 		}
-		return p.watch.source(), l
+		return p.watcher.source(), l
 	}
-	if p.service != nil {
-		p.persister.settings = p.service.persisted
+	if p.follower != nil {
+		p.persister.settings = p.follower.persisted
 	}
 	p.persister.snapshot = func() (balancer.Snapshot, bool) {
-		if !p.loop.ready.Load() {
+		if !p.dispatcher.ready.Load() {
 			return balancer.Snapshot{}, false
 		}
-		return p.loop.snapshot()
+		return p.dispatcher.snapshot()
 	}
 }
--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -16,46 +16,48 @@
 	"time"
 )
 
-// timeout bounds every wait of the tests; on a good run none comes near it.
+// testTimeout limits every wait in the tests. In a run without failures the waits are far shorter.
 const testTimeout = 20 * time.Second
 
+// eventually waits until ok returns true, and fails the test if that takes longer than testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+	for deadline := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// got is a request as an upstream read it.
-type got struct {
+// receivedRequest is a request that an upstream has read.
+type receivedRequest struct {
 	method, target string
 	header         http.Header
 	body           string
-	conn           int // which connection brought it
+	conn           int // number of the connection, from 1
 }
 
-// fakeUpstream reads requests and answers each with what answer writes to the connection. Answering false
-// ends the connection with a reset.
+// fakeUpstream reads requests and calls answer for each, which writes the response to the connection. If answer returns
+// false, the connection is reset.
 type fakeUpstream struct {
 	address string
-	answer  func(w net.Conn, g got) bool
+	answer  func(w net.Conn, r receivedRequest) bool
 	opened  atomic.Int32
 	closed  atomic.Int32
 
-	mu  sync.Mutex
-	got []got
-	lst net.Listener
+	mu       sync.Mutex
+	received []receivedRequest
+	listener net.Listener
 }
 
-func newUpstream(t *testing.T, answer func(net.Conn, got) bool) *fakeUpstream {
+// newUpstream starts a fakeUpstream, which ends with the test.
+func newUpstream(t *testing.T, answer func(net.Conn, receivedRequest) bool) *fakeUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &fakeUpstream{address: l.Addr().String(), answer: answer, lst: l}
+	u := &fakeUpstream{address: l.Addr().String(), answer: answer, listener: l}
 	var wg sync.WaitGroup
 	var conns sync.Map
 	wg.Add(1)
@@ -86,9 +88,9 @@
 }
 
 func (u *fakeUpstream) serve(c net.Conn, n int) {
-	r := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		req, err := http.ReadRequest(r)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -96,26 +98,26 @@
 		if err != nil {
 			return
 		}
-		g := got{req.Method, req.RequestURI, req.Header, string(body), n}
+		r := receivedRequest{req.Method, req.RequestURI, req.Header, string(body), n}
 		u.mu.Lock()
-		u.got = append(u.got, g)
+		u.received = append(u.received, r)
 		u.mu.Unlock()
-		if !u.answer(c, g) {
+		if !u.answer(c, r) {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return
 		}
 	}
 }
 
-func (u *fakeUpstream) requests() []got {
+func (u *fakeUpstream) requests() []receivedRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]got(nil), u.got...)
+	return append([]receivedRequest(nil), u.received...)
 }
 
-// says answers every request with the same text.
-func says(text string) func(net.Conn, got) bool {
-	return func(c net.Conn, _ got) bool {
+// respondWith returns an answer function that writes the same text for every request.
+func respondWith(text string) func(net.Conn, receivedRequest) bool {
+	return func(c net.Conn, _ receivedRequest) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
@@ -125,19 +127,21 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// silent holds every request until the client ends the connection.
-func silent(c net.Conn, _ got) bool {
+// neverRespond is an answer function that writes nothing, and waits until the client ends the connection.
+func neverRespond(c net.Conn, _ receivedRequest) bool {
 	_, _ = c.Read(make([]byte, 1))
 	return true
 }
 
-// fakeDiscovery serves watches. Each runs script with its number, from 1, and what it asked for.
+// fakeDiscovery serves watches, and records where each asked to start.
 type fakeDiscovery struct {
 	address string
 	mu      sync.Mutex
-	froms   []string
+	froms   []string // parameter "from" of each watch
 }
 
+// newDiscovery starts a fakeDiscovery, which ends with the test. For each watch it calls script with the number of the watch,
+// from 1; send writes a line to the watch, and done is closed when the watch ends.
 func newDiscovery(t testing.TB, script func(n int, send func(string), done <-chan struct{})) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{}
@@ -171,8 +175,8 @@
 	return append([]string(nil), d.froms...)
 }
 
-// quiet is a discovery without news.
-func quiet(t *testing.T) *fakeDiscovery {
+// quietDiscovery starts a discovery whose lists have no changes.
+func quietDiscovery(t *testing.T) *fakeDiscovery {
 	return newDiscovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(`{"index":1,"snapshot":false,"endpoints":[]}`)
 		for {
@@ -186,11 +190,13 @@
 	})
 }
 
+// entry returns the JSON of an endpoint.
 func entry(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":0,"status":%q,"weight":3,"since_ms":0}`,
 		name, address, status)
 }
 
+// list returns the JSON of an endpoint list.
 func list(index int, snapshot bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 }
@@ -216,25 +222,26 @@
 	return c
 }
 
-// running is a whole sidecar in this process.
-type running struct {
+// testSidecar is a complete sidecar that runs in the test's process.
+type testSidecar struct {
 	address string
-	stop    context.CancelFunc // as SIGTERM
+	stop    context.CancelFunc // has the effect of SIGTERM
 	ended   chan struct{}
 	err     error
 	client  *http.Client
 	reloads chan Reload
-	ops     net.Listener // nil: no door
-	tmp     string       // where processes of a sidecar meet; empty: nowhere
+	ops     net.Listener // nil if there is no operators' port
+	tmp     string       // directory for hand-overs between processes; empty if there are none
 }
 
-func start(t *testing.T, c *Config, listen string) *running {
+// start starts a sidecar on an address, and waits until it is ready.
+func start(t *testing.T, c *Config, listen string) *testSidecar {
 	t.Helper()
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := startOn(t, c, l, "")
+	r := startOnListener(t, c, l, "")
 	eventually(t, "ready", func() bool {
 		resp, err := r.client.Get("http://" + r.address + "/-/ready")
 		if err != nil {
@@ -246,12 +253,13 @@
 	return r
 }
 
-// startOn is start on a listener that is there, for a process that finds others in tmp. It does not wait.
-func startOn(t *testing.T, c *Config, l net.Listener, tmp string) *running {
+// startOnListener starts a sidecar on a listener, with hand-overs in tmp if that is not empty. It does not wait until the
+// sidecar is ready.
+func startOnListener(t *testing.T, c *Config, l net.Listener, tmp string) *testSidecar {
 	t.Helper()
 	var err error
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
+	r := &testSidecar{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
 		client: &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}, reloads: make(chan Reload), tmp: tmp}
 	if c.Ops != "" {
 		if r.ops, err = net.Listen("tcp", c.Ops); err != nil {
@@ -272,7 +280,7 @@
 
 var lastID atomic.Int64
 
-// request is a well-formed request of a class.
+// request returns a well-formed request of a class.
 func request(t *testing.T, address, class, body string) *http.Request {
 	t.Helper()
 	method := http.MethodPost
@@ -292,7 +300,8 @@
 	return req
 }
 
-func (r *running) do(t *testing.T, req *http.Request) (*http.Response, string) {
+// do sends a request and returns the response and its body.
+func (r *testSidecar) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
 	if err != nil {
@@ -306,27 +315,28 @@
 	return resp, string(body)
 }
 
-// later sends a request and brings its status and body once it is answered.
-func (r *running) later(req *http.Request) <-chan string {
-	end := make(chan string, 1)
+// doAsync sends a request. Once it is answered, the returned channel gets the status and body, or the error.
+func (r *testSidecar) doAsync(req *http.Request) <-chan string {
+	result := make(chan string, 1)
 	go func() {
 		resp, err := r.client.Do(req)
 		if err != nil {
-			end <- err.Error()
+			result <- err.Error()
 			return
 		}
 		defer func() { _ = resp.Body.Close() }()
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
-			end <- err.Error()
+			result <- err.Error()
 			return
 		}
-		end <- fmt.Sprint(resp.StatusCode, " ", string(body))
+		result <- fmt.Sprint(resp.StatusCode, " ", string(body))
 	}()
-	return end
+	return result
 }
 
-func parsed(t *testing.T, text string) *listing {
+// mustParseListing parses an endpoint list, and fails the test if it is malformed.
+func mustParseListing(t *testing.T, text string) *listing {
 	t.Helper()
 	if !json.Valid([]byte(text)) {
 		t.Fatalf("not JSON: %s", text)
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		if ignored, seen := s.receive(d); ignored != "" {
-			logAttrs(slog.LevelWarn, ofSettings, ignored, documentAttrs(d, slog.Int64("seen", seen))...)
+			logAttrs(slog.LevelWarn, componentSettings, ignored, documentAttrs(d, slog.Int64("seen", seen))...)
 		}
 	}
 }
@@ -178,11 +178,11 @@
 	wake(s.changed)
 	switch {
 	case rejected != nil:
-		logAttrs(slog.LevelWarn, ofSettings, "settings rejected, earlier ones stay in force", documentAttrs(d, slog.Any("err", rejected))...)
+		logAttrs(slog.LevelWarn, componentSettings, "settings rejected, earlier ones stay in force", documentAttrs(d, slog.Any("err", rejected))...)
 	case d.Deleted:
-		logAttrs(slog.LevelInfo, ofSettings, "settings deleted, those of the file are in force", documentAttrs(d)...)
+		logAttrs(slog.LevelInfo, componentSettings, "settings deleted, those of the file are in force", documentAttrs(d)...)
 	default:
-		logAttrs(slog.LevelInfo, ofSettings, "in force", documentAttrs(d)...)
+		logAttrs(slog.LevelInfo, componentSettings, "in force", documentAttrs(d)...)
 	}
 	if s.onOutcome != nil {
 		s.onOutcome(d, rejected)
@@ -244,22 +244,22 @@
 
 // applyDocument applies the newest document, completely or not at all; post sends the settings to the balancer.
 func (p *process) applyDocument(post func(any)) {
-	d, ok := p.service.nextDocument()
+	d, ok := p.follower.nextDocument()
 	if !ok {
 		return
 	}
-	c, err := p.service.fileConfig.withDocument(d)
+	c, err := p.follower.fileConfig.withDocument(d)
 	if err == nil {
 		p.config = c
 		p.applySettings(post)
 	}
-	p.service.recordOutcome(d, err)
+	p.follower.recordOutcome(d, err)
 }
 
 // restoreDocument applies the settings that the previous process had in force, from that process or from the disk. It is
 // called before any goroutine of the process runs.
 func (p *process) restoreDocument(persisted *statestore.Settings) {
-	if p.service == nil {
+	if p.follower == nil {
 		return
 	}
 	if persisted == nil {
@@ -268,10 +268,10 @@
 	if persisted == nil {
 		return
 	}
-	if persisted.Service != p.service.service {
-		logWarning(ofSettings, "persisted settings not used", fmt.Errorf("they are of service %s", quoteShort(persisted.Service)))
+	if persisted.Service != p.follower.service {
+		logWarning(componentSettings, "persisted settings not used", fmt.Errorf("they are of service %s", quoteShort(persisted.Service)))
 		return
 	}
-	p.service.restore(persisted)
-	p.applyDocument(p.loop.onUrgent)
+	p.follower.restore(persisted)
+	p.applyDocument(p.dispatcher.onUrgent)
 }
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -47,7 +47,7 @@
 	}
 	inForce := func(r api.Rollout) bool { return r.InForce == 2 && r.Behind+r.Rejected+r.Silent == 0 }
 
-	u := newUpstream(t, says(ok200("done")))
+	u := newUpstream(t, respondWith(ok200("done")))
 	first := put(testSettings, 0)
 	config := ordersConfig(t, address, entry("s", u.address, "Ready"))
 	config.Name = "n2"
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -162,7 +162,7 @@
 		Address: func() string {
 			address := w.source()
 			if address != lastAddress && lastAddress != "" {
-				logWarning(ofDiscovery, "watch continues at another address", errMoved)
+				logWarning(componentDiscovery, "watch continues at another address", errMoved)
 				delay = baseRewatchDelay
 			}
 			lastAddress = address
@@ -182,7 +182,7 @@
 			delay = baseRewatchDelay
 			w.report(balancer.EndpointUpdate{Kind: balancer.Delta})
 		},
-		OnError: func(_ string, err error) { logWarning(ofDiscovery, "watch ended", err) },
+		OnError: func(_ string, err error) { logWarning(componentDiscovery, "watch ended", err) },
 		Wait: func() time.Duration {
 			current := delay
 			delay = min(2*delay, maxRewatchDelay)
@@ -193,6 +193,6 @@
 		f.Step, f.MaxCalls = subscribeStep, subscribeCalls
 	}
 	if err := f.Follow(ctx); errors.Is(err, errMoved) {
-		logWarning(ofDiscovery, "watch ended", err)
+		logWarning(componentDiscovery, "watch ended", err)
 	}
 }
