--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -10,45 +10,45 @@
 // Guards against work for an upstream that operators took out, whatever lists say meanwhile.
 func TestBanOutlastsLists(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.do(Ban{Upstream: "u0"}) // before the first list, as in an upgrade
+	r.handle(Ban{Upstream: "u0"}) // before the first list, as in an upgrade
 	for round, kind := range []UpdateKind{FullState, Delta, FullState} {
-		r.list(kind, Endpoint{Upstream: "u0", Zone: "a", StartedAt: time.Duration(round) * time.Second}, Endpoint{Upstream: "u1", Zone: "a"})
+		r.updateEndpoints(kind, Endpoint{Upstream: "u0", Zone: "a", StartedAt: time.Duration(round) * time.Second}, Endpoint{Upstream: "u1", Zone: "a"})
 		for i := range 20 {
 			id := fmt.Sprint(round, "-", i)
-			if to := r.wantSend(r.request(id, "c", time.Second)); to != "u1" {
+			if to := r.wantAttempt(r.request(id, "c", time.Second)); to != "u1" {
 				t.Fatalf("round %d: sent to %s", round, to)
 			}
-			r.result(id, 0, OK, 20*ms)
+			r.endAttempt(id, 0, OK, 20*ms)
 		}
-		r.list(Delta, Endpoint{Upstream: "u0", State: Removed})
+		r.updateEndpoints(Delta, Endpoint{Upstream: "u0", State: Removed})
 	}
 }
 
 // Guards against requests that wait for what operators took out: with all out, they are refused at once.
 func TestAllBannedIsRejectedAtOnce(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(2)
-	r.do(Ban{Upstream: "u0"})
-	r.do(Ban{Upstream: "u1"})
-	r.wantFinal(r.request("1", "c", time.Second), Reject)
+	r.setEndpoints(2)
+	r.handle(Ban{Upstream: "u0"})
+	r.handle(Ban{Upstream: "u1"})
+	r.wantFinalAnswer(r.request("1", "c", time.Second), Reject)
 }
 
 // Guards against an upstream that stays unused when it is called back, and against one that is pushed over: it gets its
 // first request soon, though idle ones look faster, and then no more than its slow-start budget.
 func TestClearedBanBeginsSlowStartAndGetsWork(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(12)
+	r.setEndpoints(12)
 	for i := range 200 { // estimates, and a rate
 		id := fmt.Sprint("w", i)
-		r.wantSend(r.request(id, "c", time.Second))
-		r.pass(10 * ms)
-		r.result(id, 0, OK, 10*ms)
+		r.wantAttempt(r.request(id, "c", time.Second))
+		r.advance(10 * ms)
+		r.endAttempt(id, 0, OK, 10*ms)
 	}
-	r.do(Ban{Upstream: "u3"})
-	r.do(Ban{Upstream: "u3"})
-	r.pass(time.Second)
-	r.do(Ban{Upstream: "u3", Cleared: true})
-	if to := r.wantSend(r.request("first", "c", time.Second)); to != "u3" {
+	r.handle(Ban{Upstream: "u3"})
+	r.handle(Ban{Upstream: "u3"})
+	r.advance(time.Second)
+	r.handle(Ban{Upstream: "u3", Cleared: true})
+	if to := r.wantAttempt(r.request("first", "c", time.Second)); to != "u3" {
 		t.Errorf("the first request went to %s", to)
 	}
 	if u := r.b.endpoints.byID["u3"]; !u.slowStart.active || u.slowStart.startedAt != r.now {
@@ -56,14 +56,14 @@
 	}
 	// Discovery tells of the restart later: cold from the call still, as what runs now began before.
 	at := r.now
-	r.pass(100 * ms)
-	r.list(Delta, Endpoint{Upstream: "u3", Zone: "a", StartedAt: at - 500*ms})
+	r.advance(100 * ms)
+	r.updateEndpoints(Delta, Endpoint{Upstream: "u3", Zone: "a", StartedAt: at - 500*ms})
 	if u := r.b.endpoints.byID["u3"]; !u.slowStart.active || u.slowStart.startedAt != at {
 		t.Error("warm too early")
 	}
 	n := 0
 	for i := range 100 {
-		if r.wantSend(r.request(fmt.Sprint("x", i), "c", time.Second)) == "u3" {
+		if r.wantAttempt(r.request(fmt.Sprint("x", i), "c", time.Second)) == "u3" {
 			n++
 		}
 	}
@@ -93,25 +93,25 @@
 			for u := range 40 {
 				list = append(list, Endpoint{Upstream: fmt.Sprint(u), Zone: string(rune('a' + u%4))})
 			}
-			all[i].list(FullState, list...)
+			all[i].updateEndpoints(FullState, list...)
 			for at := 20 * time.Second; at < time.Minute; at += 100 * ms {
 				b.admission.offered.add(c.perSec/10, at)
 			}
-			all[i].do(Ban{Upstream: "5"})
-			all[i].do(Ban{Upstream: "5", Cleared: true})
+			all[i].handle(Ban{Upstream: "5"})
+			all[i].handle(Ban{Upstream: "5", Cleared: true})
 		}
 		got, first := 0, 0
 		for k := range int(c.perSec) {
 			for i, r := range all {
 				r.now = time.Minute + time.Duration(k+1)*time.Second/time.Duration(c.perSec+1)
 				id := fmt.Sprint(k)
-				if r.wantSend(r.request(id, "c", time.Second)) == "5" {
+				if r.wantAttempt(r.request(id, "c", time.Second)) == "5" {
 					if got++; k == 0 {
 						first++
 					}
 				}
 				r.now += 10 * ms
-				r.result(id, 0, OK, 10*ms)
+				r.endAttempt(id, 0, OK, 10*ms)
 				all[i] = r
 			}
 		}
--- a/balancer/body_test.go
+++ b/balancer/body_test.go
@@ -9,26 +9,26 @@
 // last byte.
 func TestOpenRequestsTimeBeginsWithItsBodysEnd(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(2)
-	to := r.wantSend(r.do(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
-	r.wantNothing(r.pass(20 * time.Second)) // it comes slowly; its client waits all the same
+	r.setEndpoints(2)
+	to := r.wantAttempt(r.handle(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
+	r.wantNothing(r.advance(20 * time.Second)) // it comes slowly; its client waits all the same
 	if r.b.admission.inFlight != 0 {
 		t.Errorf("%d in hand", r.b.admission.inFlight)
 	}
-	if x, y := r.b.cost(r.b.endpoints.byID[to]), r.b.cost(r.b.endpoints.byID[other(to)]); x > 2.1*y { // pending, and no slower
+	if x, y := r.b.cost(r.b.endpoints.byID[to]), r.b.cost(r.b.endpoints.byID[otherEndpoint(to)]); x > 2.1*y { // pending, and no slower
 		t.Errorf("its upstream looks slow: load %v, the other's %v", x, y)
 	}
-	r.wantNothing(r.do(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second}))
+	r.wantNothing(r.handle(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second}))
 	if r.b.admission.inFlight != 1 {
 		t.Errorf("%d in hand", r.b.admission.inFlight)
 	}
-	r.wantNothing(r.result("1", 0, OK, 20*ms))
+	r.wantNothing(r.endAttempt("1", 0, OK, 20*ms))
 	if r.b.admission.inFlight != 0 || len(r.b.requests) != 0 {
 		t.Error("not forgotten")
 	}
 }
 
-func other(id string) string {
+func otherEndpoint(id string) string {
 	if id == "u0" {
 		return "u1"
 	}
@@ -38,11 +38,11 @@
 // Guards against an open request that is never answered, once its body has come.
 func TestOpenRequestEndsInTime(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(1)
-	r.wantSend(r.do(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
-	r.pass(5 * time.Second)
-	r.do(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second})
-	if f := finals(r.pass(time.Second)); len(f) != 1 {
+	r.setEndpoints(1)
+	r.wantAttempt(r.handle(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
+	r.advance(5 * time.Second)
+	r.handle(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second})
+	if f := finalAnswers(r.advance(time.Second)); len(f) != 1 {
 		t.Errorf("answers %+v", f)
 	}
 }
@@ -52,9 +52,9 @@
 	s := testSettings()
 	s.Classes[0].Idempotency = NotIdempotent
 	r := newRig(t, s)
-	r.fleet(2)
-	r.wantSend(r.do(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
-	r.wantFinal(r.do(AttemptEnded{ID: "1", Result: ConnectFailed, Elapsed: ms, BodyConsumed: true}), Reject)
-	r.wantSend(r.do(Request{ID: "2", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
-	r.wantSend(r.do(AttemptEnded{ID: "2", Result: ConnectFailed, Elapsed: ms})) // nothing was taken from it yet
+	r.setEndpoints(2)
+	r.wantAttempt(r.handle(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
+	r.wantFinalAnswer(r.handle(AttemptEnded{ID: "1", Result: ConnectFailed, Elapsed: ms, BodyConsumed: true}), Reject)
+	r.wantAttempt(r.handle(Request{ID: "2", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
+	r.wantAttempt(r.handle(AttemptEnded{ID: "2", Result: ConnectFailed, Elapsed: ms})) // nothing was taken from it yet
 }
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -10,21 +10,21 @@
 // shrinks, and a budget that is a part of it would shrink too.
 func TestSlowStartHoldsWhileLoadIsShed(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(6)
+	r.setEndpoints(6)
 	for i := range 600 {
 		id := fmt.Sprint(i)
-		r.wantSend(r.request(id, "c", time.Second))
-		r.pass(5 * ms)
-		r.result(id, 0, OK, 10*ms)
+		r.wantAttempt(r.request(id, "c", time.Second))
+		r.advance(5 * ms)
+		r.endAttempt(id, 0, OK, 10*ms)
 	}
 	budget := func() float64 {
-		r.list(Delta, Endpoint{Upstream: "cold", Zone: "a", StartedAt: r.now})
+		r.updateEndpoints(Delta, Endpoint{Upstream: "cold", Zone: "a", StartedAt: r.now})
 		u := r.b.endpoints.byID["cold"]
 		u.slowStart.tokens, u.slowStart.refilledAt = 0, r.now
 		r.now += 200 * ms
 		r.b.now = r.now
 		r.b.slowStartAllows(u)
-		r.list(Delta, Endpoint{Upstream: "cold", Zone: "a", State: Removed})
+		r.updateEndpoints(Delta, Endpoint{Upstream: "cold", Zone: "a", State: Removed})
 		return u.slowStart.tokens
 	}
 	before := budget()
@@ -45,16 +45,16 @@
 	s := testSettings()
 	s.MaxAttempts = 1
 	r := newRig(t, s)
-	r.fleet(12)
+	r.setEndpoints(12)
 	for i := range 36 {
 		r.request(fmt.Sprint(i), "c", 30*time.Second)
 	}
-	r.pass(150 * ms)
+	r.advance(150 * ms)
 	if p := r.b.pressure(); p > 1 { // 6 in flight for each, over both sidecars, and no attempt told of a crowd
 		t.Errorf("pressure %.2f with all in use", p)
 	}
 	for i := range 4 {
-		r.do(Ban{Upstream: fmt.Sprint("u", i)})
+		r.handle(Ban{Upstream: fmt.Sprint("u", i)})
 	}
 	if p := r.b.pressure(); p <= 1 { // 9, and none served
 		t.Errorf("pressure %.2f with a third banned", p)
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 // The estimate by an operator: decay 1 s, so w = 1/2 after 693.147... ms.
 func TestEstimate(t *testing.T) {
@@ -54,14 +54,14 @@
 		{ConnectFailed, 70 * ms, 0.070},
 	} {
 		r := newRig(t, testSettings())
-		r.fleet(1)
-		r.wantSend(r.request("1", "c", time.Second))
+		r.setEndpoints(1)
+		r.wantAttempt(r.request("1", "c", time.Second))
 		r.now += 60 * time.Second // the seed's projection is nothing by now
 		u := r.b.endpoints.order[0]
 		a := u.inFlight[0]
 		r.b.now = r.now
 		r.b.observeAttempt(a, c.res, c.elapsed)
-		if !near(u.latency.value, c.want) {
+		if !almostEqual(u.latency.value, c.want) {
 			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, u.latency.value, c.want)
 		}
 	}
@@ -71,7 +71,7 @@
 func TestSeed(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.b.latency.fleetMean = 0.033
-	r.fleet(1)
+	r.setEndpoints(1)
 	if got := r.b.endpoints.order[0].latency; got.value != 0.033 || got.at != r.now {
 		t.Errorf("seed %+v", got)
 	}
@@ -80,20 +80,20 @@
 // load is latency x (pending+1).
 func TestLoad(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(1)
+	r.setEndpoints(1)
 	u := r.b.endpoints.order[0]
 	u.latency = peakEWMA{0.04, r.now}
 	r.b.now = r.now
-	if got := r.b.cost(u); !near(got, 0.04) {
+	if got := r.b.cost(u); !almostEqual(got, 0.04) {
 		t.Errorf("idle: %v", got)
 	}
 	r.b.startAttempt(&request{id: "x", class: r.b.classes["c"], work: 1, expiresAt: r.now + time.Second}, u)
-	if got := r.b.cost(u); !near(got, 0.08) {
+	if got := r.b.cost(u); !almostEqual(got, 0.08) {
 		t.Errorf("one pending: %v", got)
 	}
 	// A hung attempt's age is a lower bound of the latency.
 	r.b.now += 100 * ms
-	if got := r.b.cost(u); !near(got, 0.2) {
+	if got := r.b.cost(u); !almostEqual(got, 0.2) {
 		t.Errorf("one pending for 100 ms: %v", got)
 	}
 }
@@ -101,10 +101,10 @@
 // An idle estimate tends to the mean of all, not to zero: idleness is not speed.
 func TestIdleEstimateTendsToMean(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(2)
+	r.setEndpoints(2)
 	r.b.endpoints.order[0].latency = peakEWMA{0.5, r.now}
 	r.b.now = r.now + time.Hour
-	if got := r.b.cost(r.b.endpoints.order[0]); !near(got, r.b.latency.fleetMean) {
+	if got := r.b.cost(r.b.endpoints.order[0]); !almostEqual(got, r.b.latency.fleetMean) {
 		t.Errorf("idle for long: %v, want the mean %v", got, r.b.latency.fleetMean)
 	}
 }
@@ -112,7 +112,7 @@
 // Of two ready upstreams the one with the lower load is picked, every time.
 func TestPickTakesLowerOfTwo(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(2)
+	r.setEndpoints(2)
 	r.b.endpoints.byID["u0"].latency = peakEWMA{0.02, r.now}
 	r.b.endpoints.byID["u1"].latency = peakEWMA{0.05, r.now}
 	r.b.now = r.now
@@ -121,7 +121,7 @@
 		if i == 5 {
 			break // a tie
 		}
-		got = r.wantSend(r.request(string(rune('a'+i)), "c", time.Second))
+		got = r.wantAttempt(r.request(string(rune('a'+i)), "c", time.Second))
 		if got != want {
 			t.Fatalf("pick %d: %s, want %s", i, got, want)
 		}
@@ -131,7 +131,7 @@
 // Both of the pair are drawn at random: over many picks each upstream is compared, and the worst never wins.
 func TestPairIsRandomAndDistinct(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(4)
+	r.setEndpoints(4)
 	for i := range r.b.endpoints.order {
 		r.b.endpoints.byID[fmt.Sprint("u", i)].latency = peakEWMA{0.01 * float64(i+1), r.now}
 	}
@@ -159,14 +159,14 @@
 			t.Fatal(err)
 		}
 		r := &rig{t: t, b: b, now: time.Minute}
-		r.fleet(fleet)
+		r.setEndpoints(fleet)
 		met := map[string]bool{}
 		for n := range 60 { // one request a second
 			id := fmt.Sprint(n)
-			u := r.wantSend(r.request(id, "c", time.Second))
+			u := r.wantAttempt(r.request(id, "c", time.Second))
 			met[u] = true
-			r.result(id, 0, OK, 20*ms)
-			r.pass(time.Second)
+			r.endAttempt(id, 0, OK, 20*ms)
+			r.advance(time.Second)
 		}
 		if len(met) > minSubset+2 {
 			t.Fatalf("one request a second met %d upstreams", len(met))
@@ -181,23 +181,23 @@
 		}
 	}
 	r := newRig(t, testSettings())
-	r.fleet(fleet)
+	r.setEndpoints(fleet)
 	for _, u := range r.b.endpoints.order[:minSubset] {
 		u.health.ejectedUntil = r.now + time.Hour
 	}
-	r.wantSend(r.request("x", "c", time.Second))
+	r.wantAttempt(r.request("x", "c", time.Second))
 }
 
 // A busy sidecar hears from all often enough, and uses all.
 func TestBusySidecarUsesAll(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) { // times differ, as they do in service
+	w := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) { // times differ, as they do in service
 		return OK, time.Duration(10+rng.IntN(20)) * ms
 	})
-	w.fleet(30)
-	w.play(5*time.Second, 100)
-	if len(w.sends) != 30 {
-		t.Errorf("100 requests a second met %d of 30 upstreams", len(w.sends))
+	w.setEndpoints(30)
+	w.run(5*time.Second, 100)
+	if len(w.sentTo) != 30 {
+		t.Errorf("100 requests a second met %d of 30 upstreams", len(w.sentTo))
 	}
 }
 
@@ -212,10 +212,10 @@
 		{20, 3, 5},   // 5 of 80 for each of 60
 		{100, 9, 14}, // half an aim of 200 ms
 	} {
-		w := newWorld(t, s, fine)
-		w.fleet(fleet)
-		w.play(20*time.Second, c.perSec)
-		if met := len(w.sends); met < c.least || met > c.most {
+		w := newFakeFleet(t, s, okAfter20ms)
+		w.setEndpoints(fleet)
+		w.run(20*time.Second, c.perSec)
+		if met := len(w.sentTo); met < c.least || met > c.most {
 			t.Errorf("%d requests a second met %d upstreams, want %d to %d", c.perSec, met, c.least, c.most)
 		}
 	}
@@ -224,15 +224,15 @@
 // An upstream never heard of counts as its kind of machine does, not as the fleet: kinds differ in speed threefold.
 func TestUnheardUpstreamCountsAsItsKind(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.list(FullState, Endpoint{Upstream: "f0", Machine: "fast"}, Endpoint{Upstream: "s0", Machine: "slow"})
+	r.updateEndpoints(FullState, Endpoint{Upstream: "f0", Machine: "fast"}, Endpoint{Upstream: "s0", Machine: "slow"})
 	for i := range 200 {
 		id := fmt.Sprint(i)
-		elapsed := map[string]time.Duration{"f0": 20 * ms, "s0": 80 * ms}[r.wantSend(r.request(id, "c", time.Second))]
+		elapsed := map[string]time.Duration{"f0": 20 * ms, "s0": 80 * ms}[r.wantAttempt(r.request(id, "c", time.Second))]
 		r.now += elapsed
-		r.result(id, 0, OK, elapsed)
+		r.endAttempt(id, 0, OK, elapsed)
 		r.now += 10 * time.Second
 	}
-	r.list(Delta, Endpoint{Upstream: "f1", Machine: "fast"}, Endpoint{Upstream: "s1", Machine: "slow"})
+	r.updateEndpoints(Delta, Endpoint{Upstream: "f1", Machine: "fast"}, Endpoint{Upstream: "s1", Machine: "slow"})
 	if f, s := r.b.cost(r.b.endpoints.byID["f1"]), r.b.cost(r.b.endpoints.byID["s1"]); s < 2*f {
 		t.Errorf("new and unheard: fast %.3f, slow %.3f", f, s)
 	}
@@ -245,9 +245,9 @@
 	for i := range 1000 {
 		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 	}
-	r.list(FullState, list...)
+	r.updateEndpoints(FullState, list...)
 	clear(r.b.endpoints.order[100:]) // a look at one of them panics
-	r.wantSend(r.request("1", "c", time.Second))
+	r.wantAttempt(r.request("1", "c", time.Second))
 }
 
 // In a large fleet upstreams that answer alike get work by their stated size; a weight that is none counts as 1. In a
@@ -257,11 +257,11 @@
 		s := testSettings()
 		s.FleetSize = sidecars
 		rng := rand.New(rand.NewPCG(1, 1))
-		w := newWorld(t, s, func(string) (Result, time.Duration) { return OK, time.Duration(15+rng.IntN(10)) * ms })
-		w.list(FullState, Endpoint{Upstream: "large", Weight: 9}, Endpoint{Upstream: "none"}, Endpoint{Upstream: "odd", Weight: -2},
+		w := newFakeFleet(t, s, func(string) (Result, time.Duration) { return OK, time.Duration(15+rng.IntN(10)) * ms })
+		w.updateEndpoints(FullState, Endpoint{Upstream: "large", Weight: 9}, Endpoint{Upstream: "none"}, Endpoint{Upstream: "odd", Weight: -2},
 			Endpoint{Upstream: "small", Weight: 1})
-		w.play(20*time.Second, 100)
-		return float64(w.sends["large"]) / 2000
+		w.run(20*time.Second, 100)
+		return float64(w.sentTo["large"]) / 2000
 	}
 	if few, many := fraction(2), fraction(80); few > 0.29 || many < 0.32 {
 		t.Errorf("the one of size 9 beside three of size 1 got %.2f from one of 2, %.2f from one of 80", few, many)
@@ -278,16 +278,16 @@
 		s := testSettings()
 		s.FleetSize, s.Hedging = c.sidecars, false // a copy would answer in place of the slow one
 		slow, rng := "", rand.New(rand.NewPCG(1, 1))
-		w := newWorld(t, s, func(u string) (Result, time.Duration) {
+		w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 			if u == slow {
 				return OK, 150 * ms
 			}
 			return OK, time.Duration(10+rng.IntN(20)) * ms
 		})
-		w.fleet(20)
-		w.play(10*time.Second, 40)
+		w.setEndpoints(20)
+		w.run(10*time.Second, 40)
 		slow = w.b.endpoints.order[0].id
-		w.play(20*time.Second, 40)
+		w.run(20*time.Second, 40)
 		if at := slices.IndexFunc(w.b.endpoints.order, func(u *endpoint) bool { return u.id == slow }); len(w.b.endpoints.order) != 20 ||
 			at < 0 || c.leaves != (at >= w.b.subsetSize()) {
 			t.Errorf("%d sidecars, %d listed: the slow one is at %d, %d are in use", c.sidecars, len(w.b.endpoints.order), at,
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -8,109 +8,109 @@
 	"time"
 )
 
-// world answers attempts as a script says, tick by tick: a table of what each upstream does, no model of a server.
-type world struct {
+// fakeFleet answers attempts as a script says, tick by tick: a table of what each upstream does, no model of a server.
+type fakeFleet struct {
 	*rig
-	reply func(u string) (Result, time.Duration) // and after how long; a negative time: no answer ever
-	out   []flying
-	sends map[string]int
-	ended map[ActionKind]int
-	ok    int
-	n     int
+	reply        func(u string) (Result, time.Duration) // and after how long; a negative time: no answer ever
+	pending      []pendingAttempt
+	sentTo       map[string]int
+	finalAnswers map[ActionKind]int
+	succeeded    int
+	requests     int
 }
 
-type flying struct {
-	a    Action
-	n    int
-	sent time.Duration
-	at   time.Duration
-	res  Result
+type pendingAttempt struct {
+	action Action
+	number int
+	sentAt time.Duration
+	endsAt time.Duration
+	result Result
 }
 
-func newWorld(t *testing.T, s Settings, reply func(string) (Result, time.Duration)) *world {
-	return &world{rig: newRig(t, s), reply: reply, sends: map[string]int{}, ended: map[ActionKind]int{}}
+func newFakeFleet(t *testing.T, s Settings, reply func(string) (Result, time.Duration)) *fakeFleet {
+	return &fakeFleet{rig: newRig(t, s), reply: reply, sentTo: map[string]int{}, finalAnswers: map[ActionKind]int{}}
 }
 
-func (w *world) apply(actions []Action, attempts map[string]int) {
+func (w *fakeFleet) apply(actions []Action, attempts map[string]int) {
 	for _, a := range actions {
 		switch a.Kind {
 		case StartAttempt:
 			res, d := w.reply(a.Upstream)
-			f := flying{a: a, n: attempts[a.ID], sent: w.now, at: w.now + d, res: res}
+			f := pendingAttempt{action: a, number: attempts[a.ID], sentAt: w.now, endsAt: w.now + d, result: res}
 			if d < 0 || d > a.Timeout {
-				f.at, f.res = w.now+a.Timeout, Timeout
+				f.endsAt, f.result = w.now+a.Timeout, Timeout
 			}
 			attempts[a.ID]++
-			w.sends[a.Upstream]++
-			w.out = append(w.out, f)
+			w.sentTo[a.Upstream]++
+			w.pending = append(w.pending, f)
 		case CancelAttempt:
-			for i := range w.out {
-				if w.out[i].a.ID == a.ID && w.out[i].n == a.Attempt {
-					w.out[i].at, w.out[i].res = w.now, Cancelled
+			for i := range w.pending {
+				if w.pending[i].action.ID == a.ID && w.pending[i].number == a.Attempt {
+					w.pending[i].endsAt, w.pending[i].result = w.now, Cancelled
 				}
 			}
 		case Reject, Fail:
-			w.ended[a.Kind]++
+			w.finalAnswers[a.Kind]++
 		}
 	}
 }
 
-// play runs for d with perSec requests a second, spread evenly.
-func (w *world) play(d time.Duration, perSec int) {
+// run runs for d with perSec requests a second, spread evenly.
+func (w *fakeFleet) run(d time.Duration, perSec int) {
 	attempts := map[string]int{}
 	tick := w.b.settings.Tick
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
-		w.apply(w.do(TimerFired{}), attempts)
+		w.apply(w.handle(TimerFired{}), attempts)
 		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
-			w.n++
-			w.apply(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.settings.Classes[0].Name,
+			w.requests++
+			w.apply(w.handle(Request{ID: fmt.Sprint("r", w.requests), Class: w.b.settings.Classes[0].Name,
 				ExpiresAt: w.now + w.b.settings.Classes[0].Deadline}), attempts)
 		}
-		for i := 0; i < len(w.out); i++ {
-			f := w.out[i]
-			if f.at > w.now {
+		for i := 0; i < len(w.pending); i++ {
+			f := w.pending[i]
+			if f.endsAt > w.now {
 				continue
 			}
-			w.out = slices.Delete(w.out, i, i+1)
+			w.pending = slices.Delete(w.pending, i, i+1)
 			i--
-			if f.res == OK {
-				w.ok++
+			if f.result == OK {
+				w.succeeded++
 			}
-			w.apply(w.do(AttemptEnded{ID: f.a.ID, Attempt: f.n, Result: f.res, Elapsed: w.now - f.sent,
-				Final: f.res == OK}), attempts)
+			w.apply(w.handle(AttemptEnded{ID: f.action.ID, Attempt: f.number, Result: f.result, Elapsed: w.now - f.sentAt,
+				Final: f.result == OK}), attempts)
 		}
 	}
 }
 
-func (w *world) logged(text string) bool {
+func (w *fakeFleet) logged(text string) bool {
 	return slices.ContainsFunc(w.logs, func(l string) bool { return strings.Contains(l, text) })
 }
 
-func fine(string) (Result, time.Duration) { return OK, 20 * ms }
+func okAfter20ms(string) (Result, time.Duration) { return OK, 20 * ms }
 
 // A crashed upstream refuses at once and so looks fast; it must not draw picks. It comes back by single probes.
 func TestCrashedUpstreamDrawsNoPicks(t *testing.T) {
 	down := true
-	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
+	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" && down {
 			return ConnectFailed, 0
 		}
 		return OK, 20 * ms
 	})
-	w.fleet(5)
-	w.play(10*time.Second, 100)
-	if w.sends["u0"] > 10 {
-		t.Errorf("%d attempts on the crashed upstream", w.sends["u0"])
+	w.setEndpoints(5)
+	w.run(10*time.Second, 100)
+	if w.sentTo["u0"] > 10 {
+		t.Errorf("%d attempts on the crashed upstream", w.sentTo["u0"])
 	}
-	if w.ended[Reject]+w.ended[Fail] > 0 {
-		t.Errorf("requests lost with four upstreams fine: %v", w.ended)
+	if w.finalAnswers[Reject]+w.finalAnswers[Fail] > 0 {
+		t.Errorf("requests lost with four upstreams fine: %v", w.finalAnswers)
 	}
 	down = false
-	w.play(10*time.Second, 100)
-	if w.sends["u0"] < 50 || !w.logged("endpoint ejected upstream=u0") || !w.logged("endpoint reinstated upstream=u0") {
-		t.Errorf("not back: %d attempts, log %q", w.sends["u0"], w.logs)
+	w.run(10*time.Second, 100)
+	if w.sentTo["u0"] < 50 || !w.logged("endpoint ejected upstream=u0") || !w.logged("endpoint reinstated upstream=u0") {
+		t.Errorf("not back: %d attempts, log %q", w.sentTo["u0"], w.logs)
 	}
 }
 
@@ -119,65 +119,65 @@
 	for _, hedges := range []bool{true, false} {
 		s := testSettings()
 		s.Hedging = hedges
-		w := newWorld(t, s, func(u string) (Result, time.Duration) {
+		w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 			if u == "u0" {
 				return OK, -1
 			}
 			return OK, 20 * ms
 		})
-		w.fleet(5)
-		w.play(10*time.Second, 100)
-		if w.sends["u0"] > 60 || w.ok < 950 {
-			t.Errorf("copies %v: %d attempts on the hung upstream, %d of %d served", hedges, w.sends["u0"], w.ok, w.n)
+		w.setEndpoints(5)
+		w.run(10*time.Second, 100)
+		if w.sentTo["u0"] > 60 || w.succeeded < 950 {
+			t.Errorf("copies %v: %d attempts on the hung upstream, %d of %d served", hedges, w.sentTo["u0"], w.succeeded, w.requests)
 		}
 	}
 }
 
 // A pause shorter than any health check: copies save what waits there.
 func TestPauseIsCoveredByHedging(t *testing.T) {
-	var w *world
-	w = newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
+	var w *fakeFleet
+	w = newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if phase := w.now % (2 * time.Second); u == "u0" && phase < 300*ms {
 			return OK, 300*ms - phase + 20*ms
 		}
 		return OK, 20 * ms
 	})
-	w.fleet(4)
-	w.play(20*time.Second, 100)
-	if float64(w.ok) < 0.99*float64(w.n-5) {
-		t.Errorf("%d of %d served", w.ok, w.n)
+	w.setEndpoints(4)
+	w.run(20*time.Second, 100)
+	if float64(w.succeeded) < 0.99*float64(w.requests-5) {
+		t.Errorf("%d of %d served", w.succeeded, w.requests)
 	}
 }
 
 // A slow upstream gets less, and no more than moves.
 func TestSlowUpstreamGetsLess(t *testing.T) {
-	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
+	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return OK, 120 * ms
 		}
 		return OK, 20 * ms
 	})
-	w.fleet(4)
-	w.play(10*time.Second, 100)
-	if w.sends["u0"] > w.sends["u1"]/2 {
-		t.Errorf("slow %d, others %d", w.sends["u0"], w.sends["u1"])
+	w.setEndpoints(4)
+	w.run(10*time.Second, 100)
+	if w.sentTo["u0"] > w.sentTo["u1"]/2 {
+		t.Errorf("slow %d, others %d", w.sentTo["u0"], w.sentTo["u1"])
 	}
 }
 
 // A costly request does not make its upstream look slow: samples are normalised by hints.
 func TestCostlyRequestIsNoSlowUpstream(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(1)
+	r.setEndpoints(1)
 	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
 		id := fmt.Sprint(i)
-		r.do(Request{ID: id, Class: "c", ExpiresAt: r.now + time.Second, CostHint: 20 * ms})
-		r.result(id, 0, OK, 20*ms)
+		r.handle(Request{ID: id, Class: "c", ExpiresAt: r.now + time.Second, CostHint: 20 * ms})
+		r.endAttempt(id, 0, OK, 20*ms)
 		r.now += 10 * ms
 	}
 	before := r.b.endpoints.order[0].latency.value
-	r.do(Request{ID: "big", Class: "c", ExpiresAt: r.now + time.Second, CostHint: 120 * ms})
+	r.handle(Request{ID: "big", Class: "c", ExpiresAt: r.now + time.Second, CostHint: 120 * ms})
 	r.now += 10 * ms
-	r.result("big", 0, OK, 120*ms)
+	r.endAttempt("big", 0, OK, 120*ms)
 	if after := r.b.endpoints.order[0].latency.value; after > 1.5*before {
 		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
 	}
@@ -187,38 +187,38 @@
 // late, also with a slow upstream on top, and shedding ends with its cause.
 func TestOverloadIsShedEarlyAndEnds(t *testing.T) {
 	latency := 20 * ms
-	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
+	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return OK, 2 * latency
 		}
 		return OK, latency
 	})
-	w.fleet(4)
-	w.play(5*time.Second, 200)
-	if w.ended[Reject] > 10 {
-		t.Errorf("%d refused in calm", w.ended[Reject])
+	w.setEndpoints(4)
+	w.run(5*time.Second, 200)
+	if w.finalAnswers[Reject] > 10 {
+		t.Errorf("%d refused in calm", w.finalAnswers[Reject])
 	}
 	latency = 250 * ms
-	w.play(2*time.Second, 200)
-	sent, n := w.attempts(), w.n
-	w.play(3*time.Second, 200)
-	if got := w.attempts() - sent; got > (w.n-n)*3/10 {
-		t.Errorf("%d attempts for %d requests that cannot be served", got, w.n-n)
+	w.run(2*time.Second, 200)
+	sent, n := w.totalAttempts(), w.requests
+	w.run(3*time.Second, 200)
+	if got := w.totalAttempts() - sent; got > (w.requests-n)*3/10 {
+		t.Errorf("%d attempts for %d requests that cannot be served", got, w.requests-n)
 	}
 	latency = 20 * ms
-	w.play(3*time.Second, 200)
-	ok, n := w.ok, w.n
-	w.play(3*time.Second, 200)
-	if got := w.ok - ok; float64(got) < 0.95*float64(w.n-n) {
-		t.Errorf("%d of %d served after the overload", got, w.n-n)
+	w.run(3*time.Second, 200)
+	ok, n := w.succeeded, w.requests
+	w.run(3*time.Second, 200)
+	if got := w.succeeded - ok; float64(got) < 0.95*float64(w.requests-n) {
+		t.Errorf("%d of %d served after the overload", got, w.requests-n)
 	}
 	if !w.logged("load shedding started") || !w.logged("load shedding ended") {
 		t.Errorf("log %q", w.logs)
 	}
 }
 
-func (w *world) attempts() (n int) {
-	for _, k := range w.sends {
+func (w *fakeFleet) totalAttempts() (n int) {
+	for _, k := range w.sentTo {
 		n += k
 	}
 	return n
@@ -226,17 +226,17 @@
 
 // A crash during a deploy: half the fleet cold, one dead; the cold stay within their budget.
 func TestCrashDuringDeploy(t *testing.T) {
-	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
+	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return Reset, 5 * ms
 		}
 		return OK, 20 * ms
 	})
-	w.fleet(8)
-	w.reply, w.logs = fine, nil
-	w.play(10*time.Second, 200)
+	w.setEndpoints(8)
+	w.reply, w.logs = okAfter20ms, nil
+	w.run(10*time.Second, 200)
 	for i := range 4 {
-		w.list(Delta, Endpoint{Upstream: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
+		w.updateEndpoints(Delta, Endpoint{Upstream: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
 	}
 	w.reply = func(u string) (Result, time.Duration) {
 		if u == "u0" {
@@ -244,15 +244,15 @@
 		}
 		return OK, 20 * ms
 	}
-	clear(w.sends)
-	ok, n := w.ok, w.n
-	w.play(2*time.Second, 200)
-	if got := w.ok - ok; float64(got) < 0.95*float64(w.n-n) {
-		t.Errorf("%d of %d served", got, w.n-n)
+	clear(w.sentTo)
+	ok, n := w.succeeded, w.requests
+	w.run(2*time.Second, 200)
+	if got := w.succeeded - ok; float64(got) < 0.95*float64(w.requests-n) {
+		t.Errorf("%d of %d served", got, w.requests-n)
 	}
 	for i := 4; i < 8; i++ {
 		// The fall rule: 3 times 0.2 to 0.36 of the capacity; 25 a second each is the mean load.
-		if got := w.sends[fmt.Sprint("u", i)]; got > 40 {
+		if got := w.sentTo[fmt.Sprint("u", i)]; got > 40 {
 			t.Errorf("u%d, cold: %d in 2 s", i, got)
 		}
 	}
@@ -263,15 +263,15 @@
 // connection is.
 func TestBrokenConnectionsAreNoDeadUpstream(t *testing.T) {
 	n := 0
-	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) {
+	w := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) {
 		if n++; n%8 == 0 {
 			return Reset, ms
 		}
 		return OK, 20 * ms
 	})
-	w.fleet(12)
-	w.play(10*time.Second, 200)
-	if got := w.ejected(); got > 5 {
+	w.setEndpoints(12)
+	w.run(10*time.Second, 200)
+	if got := w.ejections(); got > 5 {
 		t.Errorf("%d ejections, of upstreams that answer seven of eight: %q", got, w.logs)
 	}
 	w.reply = func(u string) (Result, time.Duration) {
@@ -280,14 +280,14 @@
 		}
 		return OK, 20 * ms
 	}
-	w.logs, w.sends["u0"] = nil, 0
-	w.play(4*time.Second, 200)
-	if got := w.ejected(); got != 1 || w.sends["u0"] > 20 {
-		t.Errorf("%d ejections and %d attempts, where one upstream of twelve breaks every connection", got, w.sends["u0"])
+	w.logs, w.sentTo["u0"] = nil, 0
+	w.run(4*time.Second, 200)
+	if got := w.ejections(); got != 1 || w.sentTo["u0"] > 20 {
+		t.Errorf("%d ejections and %d attempts, where one upstream of twelve breaks every connection", got, w.sentTo["u0"])
 	}
 }
 
-func (w *world) ejected() (n int) {
+func (w *fakeFleet) ejections() (n int) {
 	for _, l := range w.logs {
 		if strings.HasPrefix(l, "endpoint ejected upstream=") {
 			n++
@@ -302,21 +302,21 @@
 	s := testSettings()
 	s.Hedging = false
 	n, every := 0, 0
-	w := newWorld(t, s, func(string) (Result, time.Duration) {
+	w := newFakeFleet(t, s, func(string) (Result, time.Duration) {
 		if n++; every > 0 && n%every == 0 {
 			return OK, -1
 		}
 		return OK, 60 * ms
 	})
-	w.fleet(12)
-	w.play(3*time.Second, 300)
+	w.setEndpoints(12)
+	w.run(3*time.Second, 300)
 	every = 1
-	w.play(300*ms, 300)
+	w.run(300*ms, 300)
 	every = 10
-	w.play(2*time.Second, 300)
-	ok, polls := w.ok, w.n
-	w.play(4*time.Second, 300)
-	if got, of := w.ok-ok, w.n-polls; float64(got) < 0.75*float64(of) {
+	w.run(2*time.Second, 300)
+	ok, polls := w.succeeded, w.requests
+	w.run(4*time.Second, 300)
+	if got, of := w.succeeded-ok, w.requests-polls; float64(got) < 0.75*float64(of) {
 		t.Errorf("%d of %d served, where nine of ten answers come at once", got, of)
 	}
 }
@@ -326,21 +326,21 @@
 	s := testSettings()
 	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // it is worth waiting for after its objective
 	r := newRig(t, s)
-	r.fleet(1)
-	r.wantSend(r.request("lost", "c", time.Second))
+	r.setEndpoints(1)
+	r.wantAttempt(r.request("lost", "c", time.Second))
 	r.now += 350 * ms
-	r.wantSend(r.request("later", "c", time.Second))
+	r.wantAttempt(r.request("later", "c", time.Second))
 	r.now += 20 * ms
-	r.result("later", 0, OK, 20*ms)
-	r.pass(150 * ms)
+	r.endAttempt("later", 0, OK, 20*ms)
+	r.advance(150 * ms)
 	if r.b.admission.stalled != 1 {
 		t.Fatalf("%d lost, where one was overtaken by more than an aim and a half", r.b.admission.stalled)
 	}
-	r.wantSend(r.result("lost", 0, Reset, 500*ms))
+	r.wantAttempt(r.endAttempt("lost", 0, Reset, 500*ms))
 	if r.b.admission.stalled != 0 {
 		t.Errorf("%d lost after it was sent again", r.b.admission.stalled)
 	}
-	r.pass(time.Second)
+	r.advance(time.Second)
 	if r.b.admission.stalled != 0 || r.b.admission.inFlight != 0 {
 		t.Errorf("%d lost, %d in hand after all has ended", r.b.admission.stalled, r.b.admission.inFlight)
 	}
@@ -351,7 +351,7 @@
 	s := testSettings()
 	s.MustSubscribe = true
 	cut := false
-	w := newWorld(t, s, func(u string) (Result, time.Duration) {
+	w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 		if cut && u > "u3" {
 			return ConnectFailed, 200 * ms
 		}
@@ -361,26 +361,26 @@
 	for i := range 8 {
 		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
 	}
-	w.list(Cached, list...)
-	w.list(Delta)
-	w.play(5*time.Second, 100)
+	w.updateEndpoints(Cached, list...)
+	w.updateEndpoints(Delta)
+	w.run(5*time.Second, 100)
 	cut = true
-	w.do(EndpointUpdate{Kind: WatchFailed})
-	w.play(3*time.Second, 100)
-	ok, n := w.ok, w.n
-	clear(w.sends)
-	w.play(10*time.Second, 100)
-	if got := w.ok - ok; float64(got) < 0.97*float64(w.n-n) {
-		t.Errorf("%d of %d served in the cut", got, w.n-n)
-	}
-	if far := w.sends["u4"] + w.sends["u5"] + w.sends["u6"] + w.sends["u7"]; far > 60 {
+	w.handle(EndpointUpdate{Kind: WatchFailed})
+	w.run(3*time.Second, 100)
+	ok, n := w.succeeded, w.requests
+	clear(w.sentTo)
+	w.run(10*time.Second, 100)
+	if got := w.succeeded - ok; float64(got) < 0.97*float64(w.requests-n) {
+		t.Errorf("%d of %d served in the cut", got, w.requests-n)
+	}
+	if far := w.sentTo["u4"] + w.sentTo["u5"] + w.sentTo["u6"] + w.sentTo["u7"]; far > 60 {
 		t.Errorf("%d attempts over the cut", far)
 	}
 	cut = false
-	w.play(10*time.Second, 100)
-	clear(w.sends)
-	w.play(5*time.Second, 100)
-	if far := w.sends["u4"] + w.sends["u5"] + w.sends["u6"] + w.sends["u7"]; far < 100 {
+	w.run(10*time.Second, 100)
+	clear(w.sentTo)
+	w.run(5*time.Second, 100)
+	if far := w.sentTo["u4"] + w.sentTo["u5"] + w.sentTo["u6"] + w.sentTo["u7"]; far < 100 {
 		t.Errorf("%d attempts to the zone after the cut", far)
 	}
 }
@@ -390,22 +390,22 @@
 	s := testSettings()
 	s.CrossZoneCost = 0.2
 	slow := false
-	w := newWorld(t, s, func(u string) (Result, time.Duration) {
+	w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 		if slow && u < "u2" {
 			return OK, 190 * ms
 		}
 		return OK, 20 * ms
 	})
-	w.list(FullState, Endpoint{Upstream: "u0", Zone: "a"}, Endpoint{Upstream: "u1", Zone: "a"}, Endpoint{Upstream: "u2", Zone: "b"},
+	w.updateEndpoints(FullState, Endpoint{Upstream: "u0", Zone: "a"}, Endpoint{Upstream: "u1", Zone: "a"}, Endpoint{Upstream: "u2", Zone: "b"},
 		Endpoint{Upstream: "u3", Zone: "b"})
-	w.play(5*time.Second, 50)
-	if far := w.sends["u2"] + w.sends["u3"]; far > 25 {
-		t.Errorf("%d of %d crossed while home was fine", far, w.n)
+	w.run(5*time.Second, 50)
+	if far := w.sentTo["u2"] + w.sentTo["u3"]; far > 25 {
+		t.Errorf("%d of %d crossed while home was fine", far, w.requests)
 	}
 	slow = true
-	clear(w.sends)
-	w.play(5*time.Second, 50)
-	if far := w.sends["u2"] + w.sends["u3"]; far < 60 {
+	clear(w.sentTo)
+	w.run(5*time.Second, 50)
+	if far := w.sentTo["u2"] + w.sentTo["u3"]; far < 60 {
 		t.Errorf("%d of 250 crossed while home was slow", far)
 	}
 }
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -50,31 +50,31 @@
 // With nothing set but a class, a request is sent and answered.
 func TestBareSettings(t *testing.T) {
 	r := newRig(t, Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}})
-	r.fleet(1)
-	r.wantSend(r.request("1", "c", time.Second))
-	r.wantNothing(r.result("1", 0, OK, 10*ms))
-	r.wantNothing(r.pass(2 * time.Second))
+	r.setEndpoints(1)
+	r.wantAttempt(r.request("1", "c", time.Second))
+	r.wantNothing(r.endAttempt("1", 0, OK, 10*ms))
+	r.wantNothing(r.advance(2 * time.Second))
 }
 
 func TestInvalidInputIsHarmless(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.list(FullState) // empty list
-	r.wantFinal(r.request("?", "no such class", time.Second), Reject)
-	r.fleet(1)
-	r.wantSend(r.request("1", "c", time.Second))
+	r.updateEndpoints(FullState) // empty list
+	r.wantFinalAnswer(r.request("?", "no such class", time.Second), Reject)
+	r.setEndpoints(1)
+	r.wantAttempt(r.request("1", "c", time.Second))
 	r.wantNothing(r.request("1", "c", time.Second)) // the same id again
-	r.wantNothing(r.result("1", 5, OK, 10*ms))      // no such attempt
-	r.wantNothing(r.result("1", -1, OK, 10*ms))
-	r.wantNothing(r.result("1", 0, OK, 10*ms))
-	r.wantNothing(r.result("1", 0, Reset, 10*ms)) // late repeat
-	r.wantNothing(r.do(ClientDisconnected{ID: "1"}))
+	r.wantNothing(r.endAttempt("1", 5, OK, 10*ms))  // no such attempt
+	r.wantNothing(r.endAttempt("1", -1, OK, 10*ms))
+	r.wantNothing(r.endAttempt("1", 0, OK, 10*ms))
+	r.wantNothing(r.endAttempt("1", 0, Reset, 10*ms)) // late repeat
+	r.wantNothing(r.handle(ClientDisconnected{ID: "1"}))
 	r.now -= time.Second // a clock that steps back counts as one that stands
-	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", ExpiresAt: r.now + 3*time.Second}))
-	r.wantNothing(r.do(ClientDisconnected{ID: "2"}))
-	r.wantNothing(r.result("2", 0, OK, 10*ms))
+	r.wantAttempt(r.handle(Request{ID: "2", Class: "c", Tenant: "stranger", ExpiresAt: r.now + 3*time.Second}))
+	r.wantNothing(r.handle(ClientDisconnected{ID: "2"}))
+	r.wantNothing(r.endAttempt("2", 0, OK, 10*ms))
 	actions := r.request("3", "c", -time.Second) // its time is over already
-	actions = append(actions, r.pass(time.Second+20*ms)...)
-	if len(finals(actions)) != 1 || len(kinds(actions, StartAttempt)) != 0 {
+	actions = append(actions, r.advance(time.Second+20*ms)...)
+	if len(finalAnswers(actions)) != 1 || len(actionsOfKind(actions, StartAttempt)) != 0 {
 		t.Errorf("overdue request: %+v", actions)
 	}
 }
@@ -82,15 +82,15 @@
 // What is finished or gone is let go.
 func TestForgets(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(3)
+	r.setEndpoints(3)
 	for i := range 1000 {
 		id := time.Duration(i).String()
 		r.request(id, "c", time.Second)
-		r.result(id, 0, OK, 10*ms)
-		r.pass(5 * ms)
+		r.endAttempt(id, 0, OK, 10*ms)
+		r.advance(5 * ms)
 	}
-	r.list(FullState, Endpoint{Upstream: "new"})
-	r.pass(2 * time.Second)
+	r.updateEndpoints(FullState, Endpoint{Upstream: "new"})
+	r.advance(2 * time.Second)
 	if len(r.b.requests) != 0 || len(r.b.endpoints.byID) != 1 || len(r.b.endpoints.order) != 1 || r.b.timers.Len() != 0 {
 		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.requests), len(r.b.endpoints.byID), len(r.b.endpoints.order),
 			r.b.timers.Len())
@@ -101,14 +101,14 @@
 func TestDeterministic(t *testing.T) {
 	play := func() (all []Action) {
 		r := newRig(t, testSettings())
-		r.fleet(8)
+		r.setEndpoints(8)
 		for i := range 300 {
 			id := time.Duration(i).String()
 			all = append(all, r.request(id, "c", time.Second)...)
 			if i%3 == 0 {
-				all = append(all, r.result(id, 0, Result(i/3%7), 20*ms)...)
+				all = append(all, r.endAttempt(id, 0, Result(i/3%7), 20*ms)...)
 			}
-			all = append(all, r.pass(5*ms)...)
+			all = append(all, r.advance(5*ms)...)
 		}
 		return all
 	}
@@ -127,14 +127,14 @@
 func TestRepeatedListChangesNothing(t *testing.T) {
 	r := newRig(t, testSettings())
 	entries := []Endpoint{{Upstream: "a", Machine: "m"}, {Upstream: "b", Machine: "m"}}
-	r.list(FullState, entries...)
-	r.wantSend(r.request("1", "c", time.Second))
+	r.updateEndpoints(FullState, entries...)
+	r.wantAttempt(r.request("1", "c", time.Second))
 	r.now += 50 * ms
-	r.result("1", 0, OK, 50*ms)
+	r.endAttempt("1", 0, OK, 50*ms)
 	before := []*endpoint{r.b.endpoints.order[0], r.b.endpoints.order[1]}
 	known := []endpoint{*before[0], *before[1]}
-	r.list(FullState, entries...)
-	r.list(Cached, entries...)
+	r.updateEndpoints(FullState, entries...)
+	r.updateEndpoints(Cached, entries...)
 	for i, u := range before {
 		if r.b.endpoints.order[i] != u || u.latency != known[i].latency || u.slowStart.active || u.health.lastAnswerAt != known[i].health.lastAnswerAt {
 			t.Errorf("changed: %+v, was %+v", *r.b.endpoints.order[i], known[i])
--- a/balancer/layout_test.go
+++ b/balancer/layout_test.go
@@ -21,7 +21,7 @@
 
 // The decisions are read at night. Each file holds one of them and stays short, so do its functions and lines.
 func TestFilesStayShort(t *testing.T) {
-	for _, name := range sources(t) {
+	for _, name := range sourceFiles(t) {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
@@ -35,11 +35,11 @@
 				t.Errorf("%s:%d: %d characters, %d at most", name, i+1, n, maxLineLength)
 			}
 		}
-		checkFunctions(t, name, text)
+		checkFunctionLengths(t, name, text)
 	}
 }
 
-func checkFunctions(t *testing.T, name string, text []byte) {
+func checkFunctionLengths(t *testing.T, name string, text []byte) {
 	t.Helper()
 	set := token.NewFileSet()
 	file, err := parser.ParseFile(set, name, text, 0)
@@ -72,7 +72,7 @@
 		named = append(named, strings.TrimPrefix(string(f[1]), "balancer/"))
 	}
 	slices.Sort(named)
-	want := slices.DeleteFunc(sources(t), func(name string) bool {
+	want := slices.DeleteFunc(sourceFiles(t), func(name string) bool {
 		return slices.Contains([]string{"actions.go", "events.go", "settings.go", "views.go"}, name)
 	})
 	if !slices.Equal(named, want) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// sources are the package's files, without tests, sorted.
-func sources(t *testing.T) []string {
+// sourceFiles are the package's files, without tests, sorted.
+func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
 	if err != nil {
--- a/balancer/peerverdict_test.go
+++ b/balancer/peerverdict_test.go
@@ -8,57 +8,57 @@
 	"pgregory.net/rapid"
 )
 
-// sharingRig has n upstreams in the home zone (four: its whole subset), a class c and a class d, and hears of others.
-func sharingRig(t *testing.T, n int) *rig {
+// newSharingRig has n upstreams in the home zone (four: its whole subset), a class c and a class d, and hears of others.
+func newSharingRig(t *testing.T, n int) *rig {
 	s := testSettings()
 	s.ShareEvidence = true
 	s.Classes = append(s.Classes, Class{Name: "d", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
 		Class{Name: "unsafe", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, Idempotency: NotIdempotent})
 	r := newRig(t, s)
-	r.fleet(n)
+	r.setEndpoints(n)
 	return r
 }
 
-func (r *rig) verdict(u, class string, attempts ProbeOwner, fraction float64) {
-	r.do(PeerVerdict{Upstream: u, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: fraction, Probes: attempts})
+func (r *rig) applyVerdict(u, class string, attempts ProbeOwner, fraction float64) {
+	r.handle(PeerVerdict{Upstream: u, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: fraction, Probes: attempts})
 }
 
-// serve sends n requests of a class one after another, 10 ms apart and 20 to 80 ms each, and tells how many attempts each upstream got and what was
+// sendRequests sends n requests of a class one after another, 10 ms apart and 20 to 80 ms each, and tells how many attempts each upstream got and what was
 // reported.
-func (r *rig) serve(n int, class string, reply func(u string) Result) (sends map[string]int, reports []Action) {
+func (r *rig) sendRequests(n int, class string, reply func(u string) Result) (sends map[string]int, reports []Action) {
 	sends = map[string]int{}
 	for i := range n {
 		r.now += 10 * ms
 		id := fmt.Sprint(class, r.now, i)
 		actions := r.request(id, class, time.Second)
 		for k := 0; ; k++ {
-			reports = append(reports, kinds(actions, ReportEvidence)...)
-			s := kinds(actions, StartAttempt)
+			reports = append(reports, actionsOfKind(actions, ReportEvidence)...)
+			s := actionsOfKind(actions, StartAttempt)
 			if len(s) == 0 {
 				break
 			}
 			sends[s[0].Upstream]++
 			usedFraction := time.Duration(20+(37*len(r.b.endpoints.order)+53*i+int(r.now/ms))%60) * ms
 			r.now += usedFraction
-			actions = r.result(id, k, reply(s[0].Upstream), usedFraction)
+			actions = r.endAttempt(id, k, reply(s[0].Upstream), usedFraction)
 		}
 	}
 	return sends, reports
 }
 
-func good(string) Result { return OK }
+func alwaysOK(string) Result { return OK }
 
 func TestVerdictExcludesForItsTime(t *testing.T) {
-	r := sharingRig(t, 4)
+	r := newSharingRig(t, 4)
 	before := r.b.endpoints.byID["u0"].latency
-	r.verdict("u0", "", ProbeByEach, 0)
-	if sends, _ := r.serve(200, "c", good); sends["u0"] != 0 || len(sends) != 3 {
+	r.applyVerdict("u0", "", ProbeByEach, 0)
+	if sends, _ := r.sendRequests(200, "c", alwaysOK); sends["u0"] != 0 || len(sends) != 3 {
 		t.Errorf("sent %v", sends)
 	}
 	if r.b.endpoints.byID["u0"].latency != before {
 		t.Error("hearsay changed an estimate")
 	}
-	r.do(PeerVerdict{Upstream: "u0"})
+	r.handle(PeerVerdict{Upstream: "u0"})
 	probe := &request{class: r.b.classes["c"]}
 	for _, back := range []time.Duration{100 * ms, 900 * ms} {
 		excluded := 0
@@ -73,7 +73,7 @@
 		}
 	}
 	r.now += reinstatementTime
-	if sends, _ := r.serve(200, "c", good); sends["u0"] < 10 {
+	if sends, _ := r.sendRequests(200, "c", alwaysOK); sends["u0"] < 10 {
 		t.Errorf("not back: sent %v", sends)
 	}
 }
@@ -81,29 +81,29 @@
 // Hearsay of a class leaves the others; of another life it is nothing; a restart voids it; an own success since outranks it,
 // and is told.
 func TestVerdictOfOneClassOrIncarnation(t *testing.T) {
-	r := sharingRig(t, 4)
-	r.verdict("u0", "c", ProbeByEach, 0)
-	if sends, _ := r.serve(100, "c", good); sends["u0"] != 0 {
+	r := newSharingRig(t, 4)
+	r.applyVerdict("u0", "c", ProbeByEach, 0)
+	if sends, _ := r.sendRequests(100, "c", alwaysOK); sends["u0"] != 0 {
 		t.Errorf("c: sent %v", sends)
 	}
-	if sends, _ := r.serve(100, "d", good); sends["u0"] == 0 {
+	if sends, _ := r.sendRequests(100, "d", alwaysOK); sends["u0"] == 0 {
 		t.Errorf("d: sent %v", sends)
 	}
-	r.do(PeerVerdict{Upstream: "u1", StartedAt: time.Second, Until: r.now + time.Minute, Since: r.now})
-	r.verdict("u2", "", ProbeByEach, 0)
-	r.list(Delta, Endpoint{Upstream: "u2", Zone: "a", StartedAt: r.now - 50*time.Second})
-	if sends, _ := r.serve(100, "d", good); sends["u1"] == 0 || sends["u2"] == 0 {
+	r.handle(PeerVerdict{Upstream: "u1", StartedAt: time.Second, Until: r.now + time.Minute, Since: r.now})
+	r.applyVerdict("u2", "", ProbeByEach, 0)
+	r.updateEndpoints(Delta, Endpoint{Upstream: "u2", Zone: "a", StartedAt: r.now - 50*time.Second})
+	if sends, _ := r.sendRequests(100, "d", alwaysOK); sends["u1"] == 0 || sends["u2"] == 0 {
 		t.Errorf("sent %v", sends)
 	}
-	r.do(PeerVerdict{Upstream: "u3", Until: r.now + time.Minute, Since: r.now - time.Second})
-	if sends, _ := r.serve(100, "d", good); sends["u3"] == 0 {
+	r.handle(PeerVerdict{Upstream: "u3", Until: r.now + time.Minute, Since: r.now - time.Second})
+	if sends, _ := r.sendRequests(100, "d", alwaysOK); sends["u3"] == 0 {
 		t.Error("an own success since did not outrank what was said")
 	}
 	r.request("flying", "d", time.Second)
 	u := r.b.requests["flying"].attempts[0].endpoint
-	r.do(PeerVerdict{Upstream: u.id, Until: r.now + time.Minute, Since: r.now - ms})
+	r.handle(PeerVerdict{Upstream: u.id, Until: r.now + time.Minute, Since: r.now - ms})
 	r.now += 5 * ms
-	if rep := kinds(r.result("flying", 0, OK, 5*ms), ReportEvidence); len(rep) != 1 || rep[0].Evidence != EvidenceNone || rep[0].Count != 1 {
+	if rep := actionsOfKind(r.endAttempt("flying", 0, OK, 5*ms), ReportEvidence); len(rep) != 1 || rep[0].Evidence != EvidenceNone || rep[0].Count != 1 {
 		t.Errorf("its success was told as %+v", rep)
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -10,43 +10,43 @@
 
 // The four rules, checked on the stream of actions under random legal events. This knows nothing of the balancer.
 
-type sent struct {
-	upstream, zone string
-	cell           int
-	at, limit      time.Duration
-	out, mayRun    bool
+type checkedAttempt struct {
+	upstream, zone      string
+	cell                int
+	sentAt, deadline    time.Duration
+	pending, mayHaveRun bool
 }
 
-type promisedAnswer struct {
+type checkedRequest struct {
 	class        Class
-	expires      time.Duration
-	attempts     []*sent
+	expiresAt    time.Duration
+	attempts     []*checkedAttempt
 	answers      int
-	ended        bool // an end was reported or given
+	done         bool // an end was reported or given
 	disconnected bool
 }
 
-type referee struct {
-	t      *testing.T
-	s      Settings
-	now    time.Duration
-	reqs   map[string]*promisedAnswer
-	order  []string
-	active map[string]Endpoint
-	timers []time.Duration
+type ruleChecker struct {
+	t        *testing.T
+	settings Settings
+	now      time.Duration
+	requests map[string]*checkedRequest
+	openIDs  []string
+	active   map[string]Endpoint
+	timers   []time.Duration
 }
 
-func (f *referee) action(a Action) {
+func (f *ruleChecker) checkAction(a Action) {
 	f.t.Helper()
-	q := f.reqs[a.ID]
+	q := f.requests[a.ID]
 	if q == nil && a.Kind <= Fail {
 		f.t.Fatalf("action for unknown request: %+v", a)
 	}
 	switch a.Kind {
 	case StartAttempt:
-		f.send(a, q)
+		f.checkAttempt(a, q)
 	case CancelAttempt:
-		if !f.s.Cancellation {
+		if !f.settings.Cancellation {
 			f.t.Fatal("cancel is not allowed")
 		}
 		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
@@ -54,52 +54,52 @@
 		}
 	case Reject, Fail:
 		if a.Kind == Reject && (q.class.Idempotency != Idempotent && (q.class.Idempotency != IdempotentByKey || q.class.KeyScope != KeyScopeAll)) &&
-			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
+			slices.ContainsFunc(q.attempts, func(x *checkedAttempt) bool { return x.mayHaveRun }) {
 			f.t.Fatalf("refused %s, which may have run", a.ID)
 		}
-		if q.ended {
+		if q.done {
 			f.t.Fatalf("second answer to %s", a.ID)
 		}
-		q.answers, q.ended = q.answers+1, true
+		q.answers, q.done = q.answers+1, true
 	case SetTimer:
 		f.timers = append(f.timers, a.At)
 	}
 }
 
-func (f *referee) send(a Action, q *promisedAnswer) {
+func (f *ruleChecker) checkAttempt(a Action, q *checkedRequest) {
 	f.t.Helper()
 	m, listed := f.active[a.Upstream]
 	switch {
-	case q.ended:
+	case q.done:
 		f.t.Fatalf("%s: attempt after its end", a.ID)
-	case f.now >= q.expires:
+	case f.now >= q.expiresAt:
 		f.t.Fatalf("%s: attempt after its time", a.ID)
 	case !listed:
 		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Upstream)
-	case len(q.attempts) >= f.s.MaxAttempts:
-		f.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, f.s.MaxAttempts)
+	case len(q.attempts) >= f.settings.MaxAttempts:
+		f.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, f.settings.MaxAttempts)
 	}
 	for _, x := range q.attempts {
-		if x.out && !f.s.Hedging {
+		if x.pending && !f.settings.Hedging {
 			f.t.Fatalf("%s: two attempts out", a.ID)
 		}
-		if !x.mayRun {
+		if !x.mayHaveRun {
 			continue
 		}
 		c := q.class
 		if c.Idempotency == NotIdempotent {
 			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
 		}
-		if c.Idempotency == IdempotentByKey && (f.now-x.at > c.DedupWindow || c.KeyScope == KeyScopeZone && x.zone != m.Zone ||
+		if c.Idempotency == IdempotentByKey && (f.now-x.sentAt > c.DedupWindow || c.KeyScope == KeyScopeZone && x.zone != m.Zone ||
 			c.KeyScope == KeyScopeCell && x.cell != m.Cell) {
 			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
 		}
 	}
-	limit := q.expires
+	limit := q.expiresAt
 	if a.Timeout != 0 {
 		limit = min(limit, f.now+a.Timeout)
 	}
-	q.attempts = append(q.attempts, &sent{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
+	q.attempts = append(q.attempts, &checkedAttempt{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
 }
 
 func randomSettings(g *rand.Rand) Settings {
@@ -133,42 +133,42 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*promisedAnswer{}, active: map[string]Endpoint{}}
+		f := &ruleChecker{t: t, settings: s, now: time.Hour, requests: map[string]*checkedRequest{}, active: map[string]Endpoint{}}
 		deal := func(e Event) {
 			for _, a := range b.Handle(f.now, e, nil) {
-				f.action(a)
+				f.checkAction(a)
 			}
 		}
-		run(f, g, deal, 1200)
+		runRandomEvents(f, g, deal, 1200)
 		if n := len(b.requests); n != 0 {
 			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
 		}
 	}
 }
 
-// run plays ticks with random events, then lets all that is open end.
-func run(f *referee, g *rand.Rand, deal func(Event), ticks int) {
+// runRandomEvents plays ticks with random events, then lets all that is open end.
+func runRandomEvents(f *ruleChecker, g *rand.Rand, deal func(Event), ticks int) {
 	deal(EndpointUpdate{Kind: Cached})
 	for i := range ticks + 1000 {
-		f.now += f.s.Tick + time.Duration(g.IntN(2000))*time.Microsecond
+		f.now += f.settings.Tick + time.Duration(g.IntN(2000))*time.Microsecond
 		if i < ticks {
-			f.randomList(g, deal)
+			f.sendRandomUpdate(g, deal)
 			for range g.IntN(4) {
-				f.randomRequest(g, deal, i)
+				f.sendRandomRequest(g, deal, i)
 			}
-			f.noise(g, deal)
+			f.sendIrrelevantEvents(g, deal)
 		}
-		f.timersDue(deal)
-		f.outcomes(g, deal)
+		f.fireTimers(deal)
+		f.endRandomAttempts(g, deal)
 	}
-	for id, q := range f.reqs {
-		if !q.ended {
+	for id, q := range f.requests {
+		if !q.done {
 			f.t.Fatalf("%s never answered", id)
 		}
 	}
 }
 
-func (f *referee) randomList(g *rand.Rand, deal func(Event)) {
+func (f *ruleChecker) sendRandomUpdate(g *rand.Rand, deal func(Event)) {
 	if g.IntN(20) > 0 {
 		return
 	}
@@ -200,22 +200,22 @@
 	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
-func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
-	c := f.s.Classes[g.IntN(len(f.s.Classes))]
+func (f *ruleChecker) sendRandomRequest(g *rand.Rand, deal func(Event), i int) {
+	c := f.settings.Classes[g.IntN(len(f.settings.Classes))]
 	id := fmt.Sprint(i, "-", g.Uint32())
-	q := &promisedAnswer{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
-	f.reqs[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expires,
+	q := &checkedRequest{class: c, expiresAt: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
+	f.requests[id], f.openIDs = q, append(f.openIDs, id)
+	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expiresAt,
 		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
-	if g.IntN(50) == 0 && !q.ended {
-		q.ended, q.disconnected = true, true
+	if g.IntN(50) == 0 && !q.done {
+		q.done, q.disconnected = true, true
 		deal(ClientDisconnected{ID: id})
 	}
 }
 
-// noise is what must change nothing: strangers, repeats, stale timers, messages, and for the rules what others say.
-func (f *referee) noise(g *rand.Rand, deal func(Event)) {
-	if f.s.ShareEvidence && g.IntN(10) == 0 {
+// sendIrrelevantEvents is what must change nothing: strangers, repeats, stale timers, messages, and for the rules what others say.
+func (f *ruleChecker) sendIrrelevantEvents(g *rand.Rand, deal func(Event)) {
+	if f.settings.ShareEvidence && g.IntN(10) == 0 {
 		m := f.active[fmt.Sprint("u", g.IntN(10))]
 		deal(PeerVerdict{Upstream: m.Upstream, StartedAt: m.StartedAt, Until: f.now + time.Duration(g.IntN(3000))*ms, Since: f.now,
 			PassFraction: float64(g.IntN(3)) / 2, Probes: ProbeOwner(g.IntN(3)), ProbeSucceeded: g.IntN(2) == 0})
@@ -224,9 +224,9 @@
 	case 0:
 		deal(AttemptEnded{ID: "nobody", Result: OK, Final: true})
 	case 1:
-		if n := len(f.order); n > 0 {
-			id := f.order[g.IntN(n)]
-			deal(AttemptEnded{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
+		if n := len(f.openIDs); n > 0 {
+			id := f.openIDs[g.IntN(n)]
+			deal(AttemptEnded{ID: id, Attempt: len(f.requests[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
 		}
 	case 2:
 		deal(TimerFired{})
@@ -236,7 +236,7 @@
 	}
 }
 
-func (f *referee) timersDue(deal func(Event)) {
+func (f *ruleChecker) fireTimers(deal func(Event)) {
 	due := 0
 	f.timers = slices.DeleteFunc(f.timers, func(at time.Duration) bool {
 		if at <= f.now {
@@ -249,35 +249,35 @@
 	}
 }
 
-func (f *referee) outcomes(g *rand.Rand, deal func(Event)) {
-	for _, id := range f.order {
-		q := f.reqs[id]
+func (f *ruleChecker) endRandomAttempts(g *rand.Rand, deal func(Event)) {
+	for _, id := range f.openIDs {
+		q := f.requests[id]
 		for n := 0; n < len(q.attempts); n++ {
 			x := q.attempts[n]
-			if !x.out || f.now < x.limit && g.IntN(12) > 0 {
+			if !x.pending || f.now < x.deadline && g.IntN(12) > 0 {
 				continue
 			}
 			res := Result(g.IntN(int(NotSent) + 1))
-			if f.now >= x.limit {
+			if f.now >= x.deadline {
 				res = Timeout
 			}
-			x.out = false
-			x.mayRun = res != Overloaded && res != ConnectFailed && res != NotSent
+			x.pending = false
+			x.mayHaveRun = res != Overloaded && res != ConnectFailed && res != NotSent
 			if res == OK {
-				q.ended = true
+				q.done = true
 			}
-			e := AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Final: q.ended}
+			e := AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.sentAt, Final: q.done}
 			deal(e)
 			if g.IntN(10) == 0 {
 				deal(e) // the same again
 			}
 		}
-		if !q.ended && f.now > q.expires+20*ms {
-			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.expires)
+		if !q.done && f.now > q.expiresAt+20*ms {
+			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.expiresAt)
 		}
 	}
-	f.order = slices.DeleteFunc(f.order, func(id string) bool {
-		q := f.reqs[id]
-		return q.ended && !slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.out })
+	f.openIDs = slices.DeleteFunc(f.openIDs, func(id string) bool {
+		q := f.requests[id]
+		return q.done && !slices.ContainsFunc(q.attempts, func(x *checkedAttempt) bool { return x.pending })
 	})
 }
--- a/balancer/rejection_test.go
+++ b/balancer/rejection_test.go
@@ -16,19 +16,19 @@
 	}
 	const takes = 60 * ms // a third of the objective, with several in flight everywhere
 	r := newRig(t, testSettings())
-	r.fleet(4)
+	r.setEndpoints(4)
 	var busy []out
 	sent, rejected := 0, 0
 	for i := range 400 {
 		for len(busy) > 0 && busy[0].due <= r.now {
-			r.result(busy[0].id, busy[0].n, OK, takes)
+			r.endAttempt(busy[0].id, busy[0].n, OK, takes)
 			busy = busy[1:]
 		}
 		id := fmt.Sprint(i)
 		actions := r.request(id, "c", time.Second)
 		for n := 0; ; n++ {
-			rejected += len(kinds(actions, Reject))
-			to := kinds(actions, StartAttempt)
+			rejected += len(actionsOfKind(actions, Reject))
+			to := actionsOfKind(actions, StartAttempt)
 			if len(to) == 0 {
 				break
 			}
@@ -37,9 +37,9 @@
 				break
 			}
 			sent++
-			actions = r.result(id, n, Overloaded, ms)
+			actions = r.endAttempt(id, n, Overloaded, ms)
 		}
-		r.pass(5 * ms)
+		r.advance(5 * ms)
 	}
 	if sent > 12 { // three, and a probe now and then
 		t.Errorf("%d sent to the one that turns all away", sent)
@@ -50,12 +50,12 @@
 	if u := r.b.endpoints.byID["u0"]; u.health.ejections == 0 {
 		t.Error("it is not left out")
 	}
-	r.pass(max(r.b.endpoints.byID["u0"].health.ejectedUntil-r.now, 0))
+	r.advance(max(r.b.endpoints.byID["u0"].health.ejectedUntil-r.now, 0))
 	for i := 0; i < 100 && r.b.endpoints.byID["u0"].health.rejections > 0; i++ { // tried again, and used once it serves
 		id := fmt.Sprint("again", i)
-		r.wantSend(r.request(id, "c", time.Second))
-		r.pass(5 * ms)
-		r.result(id, 0, OK, 10*ms)
+		r.wantAttempt(r.request(id, "c", time.Second))
+		r.advance(5 * ms)
+		r.endAttempt(id, 0, OK, 10*ms)
 	}
 	if u := r.b.endpoints.byID["u0"]; u.health.ejections != 0 || u.health.rejections != 0 {
 		t.Errorf("it serves, and is out: %d ejections", u.health.ejections)
@@ -66,11 +66,11 @@
 // upstream tell of that upstream.
 func TestRepeatedRejectionIsNoCongestion(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(1)
-	r.wantSend(r.request("1", "c", time.Second))
-	r.wantSend(r.result("1", 0, Overloaded, ms))
+	r.setEndpoints(1)
+	r.wantAttempt(r.request("1", "c", time.Second))
+	r.wantAttempt(r.endAttempt("1", 0, Overloaded, ms))
 	first := r.b.admission.congestion
-	r.result("1", 1, Overloaded, ms)
+	r.endAttempt("1", 1, Overloaded, ms)
 	if first == 0 || r.b.admission.congestion != first {
 		t.Errorf("crowd %.2f, then %.2f", first, r.b.admission.congestion)
 	}
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -36,7 +36,7 @@
 	return &rig{t: t, b: b, now: time.Minute}
 }
 
-func (r *rig) do(e Event) []Action {
+func (r *rig) handle(e Event) []Action {
 	r.actions = r.b.Handle(r.now, e, nil)
 	for _, a := range r.actions {
 		if a.Kind == Log {
@@ -46,37 +46,37 @@
 	return r.actions
 }
 
-// pass lets time go by, with a Wake each tick.
-func (r *rig) pass(d time.Duration) (all []Action) {
+// advance lets time go by, with a Wake each tick.
+func (r *rig) advance(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.b.settings.Tick
-		all = append(all, r.do(TimerFired{})...)
+		all = append(all, r.handle(TimerFired{})...)
 	}
 	return all
 }
 
-func (r *rig) list(kind UpdateKind, m ...Endpoint) []Action {
-	return r.do(EndpointUpdate{Kind: kind, Endpoints: m})
+func (r *rig) updateEndpoints(kind UpdateKind, m ...Endpoint) []Action {
+	return r.handle(EndpointUpdate{Kind: kind, Endpoints: m})
 }
 
-func (r *rig) fleet(n int) {
+func (r *rig) setEndpoints(n int) {
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{Upstream: fmt.Sprintf("u%d", i), Zone: "a"})
 	}
-	r.list(FullState, list...)
+	r.updateEndpoints(FullState, list...)
 }
 
 func (r *rig) request(id, class string, left time.Duration) []Action {
-	return r.do(Request{ID: id, Class: class, ExpiresAt: r.now + left})
+	return r.handle(Request{ID: id, Class: class, ExpiresAt: r.now + left})
 }
 
-func (r *rig) result(id string, n int, res Result, elapsed time.Duration) []Action {
-	return r.do(AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Final: res == OK})
+func (r *rig) endAttempt(id string, n int, res Result, elapsed time.Duration) []Action {
+	return r.handle(AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Final: res == OK})
 }
 
-// kinds picks the actions of one kind.
-func kinds(actions []Action, k ActionKind) (out []Action) {
+// actionsOfKind picks the actions of one kind.
+func actionsOfKind(actions []Action, k ActionKind) (out []Action) {
 	for _, a := range actions {
 		if a.Kind == k {
 			out = append(out, a)
@@ -85,32 +85,32 @@
 	return out
 }
 
-// finals are the final answers among acts.
-func finals(actions []Action) []Action {
-	return append(kinds(actions, Reject), kinds(actions, Fail)...)
+// finalAnswers are the final answers among acts.
+func finalAnswers(actions []Action) []Action {
+	return append(actionsOfKind(actions, Reject), actionsOfKind(actions, Fail)...)
 }
 
-// wantSend fails the test unless acts hold exactly one attempt, and returns its upstream.
-func (r *rig) wantSend(actions []Action) string {
+// wantAttempt fails the test unless acts hold exactly one attempt, and returns its upstream.
+func (r *rig) wantAttempt(actions []Action) string {
 	r.t.Helper()
-	s := kinds(actions, StartAttempt)
+	s := actionsOfKind(actions, StartAttempt)
 	if len(s) != 1 {
 		r.t.Fatalf("want one attempt, got %+v", actions)
 	}
 	return s[0].Upstream
 }
 
-// wantFinal fails the test unless acts hold exactly one final answer of kind k and no attempt.
-func (r *rig) wantFinal(actions []Action, k ActionKind) {
+// wantFinalAnswer fails the test unless acts hold exactly one final answer of kind k and no attempt.
+func (r *rig) wantFinalAnswer(actions []Action, k ActionKind) {
 	r.t.Helper()
-	if f := finals(actions); len(f) != 1 || f[0].Kind != k || len(kinds(actions, StartAttempt)) > 0 {
+	if f := finalAnswers(actions); len(f) != 1 || f[0].Kind != k || len(actionsOfKind(actions, StartAttempt)) > 0 {
 		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", k, actions)
 	}
 }
 
 func (r *rig) wantNothing(actions []Action) {
 	r.t.Helper()
-	if len(finals(actions)) > 0 || len(kinds(actions, StartAttempt)) > 0 {
+	if len(finalAnswers(actions)) > 0 || len(actionsOfKind(actions, StartAttempt)) > 0 {
 		r.t.Fatalf("want no attempt and no answer, got %+v", actions)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-func keyClass(group KeyScope) Settings {
+func keyedSettings(group KeyScope) Settings {
 	s := testSettings()
 	s.Hedging = false
 	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentByKey, KeyScope: group, DedupWindow: time.Second}}
 	return s
 }
 
-func unsafeSettings() Settings {
+func notIdempotentSettings() Settings {
 	s := testSettings()
 	s.Classes = []Class{{Name: "x", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: NotIdempotent, LateValueFraction: 0.5}}
 	return s
@@ -26,14 +26,14 @@
 	s := testSettings()
 	s.Classes[0].LateValueFraction = 0.5
 	r := newRig(t, s)
-	r.fleet(2)
+	r.setEndpoints(2)
 	r.request("1", "c", 60*ms)
 	end := r.now + 60*ms
 	var got []Action
-	for r.now < end && len(finals(got)) == 0 {
-		got = r.pass(5 * ms)
+	for r.now < end && len(finalAnswers(got)) == 0 {
+		got = r.advance(5 * ms)
 	}
-	if len(finals(got)) != 1 || r.now > end {
+	if len(finalAnswers(got)) != 1 || r.now > end {
 		t.Fatalf("no answer by the request's end: %+v", got)
 	}
 }
@@ -41,57 +41,57 @@
 func TestWaitingRequestIsRejectedInTime(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: held
-	r.wantFinal(r.pass(95*ms), Reject)
+	r.wantFinalAnswer(r.advance(95*ms), Reject)
 }
 
 func TestWaitingRequestIsSentWhenAnEndpointComes(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.wantNothing(r.request("1", "c", 150*ms))
-	r.fleet(1)
-	r.wantSend(r.pass(20 * ms))
+	r.setEndpoints(1)
+	r.wantAttempt(r.advance(20 * ms))
 }
 
 // A time-out at the deadline leaves the answer owed; without late worth it may come at the objective already.
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
-	r := newRig(t, unsafeSettings())
-	r.fleet(2)
-	r.wantSend(r.request("1", "x", 300*ms))
+	r := newRig(t, notIdempotentSettings())
+	r.setEndpoints(2)
+	r.wantAttempt(r.request("1", "x", 300*ms))
 	r.now += 300 * ms
-	r.wantFinal(r.result("1", 0, Timeout, 300*ms), Fail)
-	r.wantNothing(r.pass(time.Second))
+	r.wantFinalAnswer(r.endAttempt("1", 0, Timeout, 300*ms), Fail)
+	r.wantNothing(r.advance(time.Second))
 }
 
 func TestUnsafeGoesOnOnlyWhenProvedNotRun(t *testing.T) {
 	for res, again := range map[Result]bool{Overloaded: true, ConnectFailed: true, NotSent: true,
 		ServerError: false, Timeout: false, Reset: false, Cancelled: false} {
-		r := newRig(t, unsafeSettings())
-		r.fleet(3)
-		r.wantSend(r.request("1", "x", time.Second))
-		actions := r.result("1", 0, res, 10*ms)
+		r := newRig(t, notIdempotentSettings())
+		r.setEndpoints(3)
+		r.wantAttempt(r.request("1", "x", time.Second))
+		actions := r.endAttempt("1", 0, res, 10*ms)
 		if again {
-			r.wantSend(actions)
+			r.wantAttempt(actions)
 		} else {
-			r.wantFinal(actions, Fail)
+			r.wantFinalAnswer(actions, Fail)
 		}
 	}
 }
 
 func TestNotIdempotentIsNotHedged(t *testing.T) {
-	r := newRig(t, unsafeSettings())
-	r.fleet(3)
-	r.wantSend(r.request("1", "x", time.Second))
-	if s := kinds(r.pass(900*ms), StartAttempt); len(s) > 0 {
+	r := newRig(t, notIdempotentSettings())
+	r.setEndpoints(3)
+	r.wantAttempt(r.request("1", "x", time.Second))
+	if s := actionsOfKind(r.advance(900*ms), StartAttempt); len(s) > 0 {
 		t.Fatalf("second copy of an unsafe request: %+v", s)
 	}
 }
 
 func TestNotIdempotentIsRejectedWhenNothingRan(t *testing.T) {
-	s := unsafeSettings()
+	s := notIdempotentSettings()
 	s.MaxAttempts = 1
 	r := newRig(t, s)
-	r.fleet(3)
-	r.wantSend(r.request("1", "x", time.Second))
-	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Reject)
+	r.setEndpoints(3)
+	r.wantAttempt(r.request("1", "x", time.Second))
+	r.wantFinalAnswer(r.endAttempt("1", 0, ConnectFailed, ms), Reject)
 }
 
 // Once it may have run, a idempotent by key request stays in its group; before that it may go anywhere.
@@ -110,14 +110,14 @@
 			entries = append(entries, m)
 		}
 		for n := range 40 {
-			r := newRig(t, keyClass(group))
+			r := newRig(t, keyedSettings(group))
 			r.b.rng.Uint64() // other chances each time
 			for range n {
 				r.b.rng.Uint64()
 			}
-			r.list(FullState, entries...)
-			first := list[r.wantSend(r.request("1", "k", time.Second))]
-			for _, a := range kinds(r.result("1", 0, ServerError, 10*ms), StartAttempt) {
+			r.updateEndpoints(FullState, entries...)
+			first := list[r.wantAttempt(r.request("1", "k", time.Second))]
+			for _, a := range actionsOfKind(r.endAttempt("1", 0, ServerError, 10*ms), StartAttempt) {
 				if !same(first, list[a.Upstream]) {
 					t.Fatalf("group %d: %+v then %+v", group, first, list[a.Upstream])
 				}
@@ -128,38 +128,38 @@
 
 // The window counts from the sending of the attempt that may have run; afterwards no attempt.
 func TestDedupWindow(t *testing.T) {
-	s := keyClass(KeyScopeAll)
+	s := keyedSettings(KeyScopeAll)
 	s.Classes[0].DedupWindow = 100 * ms
 	s.Classes[0].LatencyObjective = time.Second
 	r := newRig(t, s)
-	r.fleet(3)
-	r.wantSend(r.request("1", "k", time.Second))
+	r.setEndpoints(3)
+	r.wantAttempt(r.request("1", "k", time.Second))
 	r.now += 95 * ms
-	r.wantFinal(r.result("1", 0, Reset, 95*ms), Reject)
+	r.wantFinalAnswer(r.endAttempt("1", 0, Reset, 95*ms), Reject)
 }
 
 func TestIdempotentByKeyRejection(t *testing.T) {
 	for group, want := range map[KeyScope]ActionKind{KeyScopeAll: Reject, KeyScopeZone: Fail, KeyScopeCell: Fail} {
-		s := keyClass(group)
+		s := keyedSettings(group)
 		s.MaxAttempts = 1
 		r := newRig(t, s)
-		r.fleet(3)
-		r.wantSend(r.request("1", "k", time.Second))
-		r.wantFinal(r.result("1", 0, Cancelled, 10*ms), want) // a cancelled attempt may have run
+		r.setEndpoints(3)
+		r.wantAttempt(r.request("1", "k", time.Second))
+		r.wantFinalAnswer(r.endAttempt("1", 0, Cancelled, 10*ms), want) // a cancelled attempt may have run
 	}
 }
 
 func TestNeverTwoPendingWithoutHedging(t *testing.T) {
-	r := newRig(t, keyClass(KeyScopeZone))
-	r.fleet(4)
-	r.wantSend(r.request("1", "k", time.Second))
+	r := newRig(t, keyedSettings(KeyScopeZone))
+	r.setEndpoints(4)
+	r.wantAttempt(r.request("1", "k", time.Second))
 	var cancelled bool
 	for range 80 {
-		actions := r.pass(5 * ms)
-		if len(kinds(actions, StartAttempt)) > 0 {
+		actions := r.advance(5 * ms)
+		if len(actionsOfKind(actions, StartAttempt)) > 0 {
 			t.Fatal("second attempt beside the first")
 		}
-		cancelled = cancelled || len(kinds(actions, CancelAttempt)) > 0
+		cancelled = cancelled || len(actionsOfKind(actions, CancelAttempt)) > 0
 	}
 	if !cancelled {
 		t.Fatal("the silent attempt was never ended")
@@ -168,16 +168,16 @@
 
 func TestDrainingAndRemovedGetNothing(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(3)
-	r.list(Delta, Endpoint{Upstream: "u0", State: Draining}, Endpoint{Upstream: "u1", State: Removed})
+	r.setEndpoints(3)
+	r.updateEndpoints(Delta, Endpoint{Upstream: "u0", State: Draining}, Endpoint{Upstream: "u1", State: Removed})
 	for i := range 30 {
-		if u := r.wantSend(r.request(string(rune('A'+i)), "c", time.Second)); u != "u2" {
+		if u := r.wantAttempt(r.request(string(rune('A'+i)), "c", time.Second)); u != "u2" {
 			t.Fatalf("sent to %s", u)
 		}
-		r.result(string(rune('A'+i)), 0, OK, 10*ms)
+		r.endAttempt(string(rune('A'+i)), 0, OK, 10*ms)
 		r.now += 10 * ms
 	}
-	r.list(FullState) // nothing is left
+	r.updateEndpoints(FullState) // nothing is left
 	r.wantNothing(r.request("z", "c", time.Second))
 }
 
@@ -187,14 +187,14 @@
 	s := testSettings()
 	s.MustSubscribe = true
 	r := newRig(t, s)
-	if n := len(kinds(r.list(Cached, Endpoint{Upstream: "u0"}), Subscribe)); n != 1 {
+	if n := len(actionsOfKind(r.updateEndpoints(Cached, Endpoint{Upstream: "u0"}), Subscribe)); n != 1 {
 		t.Fatalf("%d calls at the start", n)
 	}
 	var waits []time.Duration
 	for range 12 {
 		polls := r.now
-		r.do(EndpointUpdate{Kind: WatchFailed})
-		for len(kinds(r.pass(5*ms), Subscribe)) == 0 {
+		r.handle(EndpointUpdate{Kind: WatchFailed})
+		for len(actionsOfKind(r.advance(5*ms), Subscribe)) == 0 {
 			if r.now-polls > 20*time.Second {
 				t.Fatal("never asked again")
 			}
@@ -214,12 +214,12 @@
 	if later < waits[0]*3/2 || slices.Equal(waits[1:6], waits[6:11]) {
 		t.Errorf("waits %v do not grow, or are not by chance", waits)
 	}
-	r.list(Delta)
-	if n := len(kinds(r.pass(20*time.Second), Subscribe)); n != 0 {
+	r.updateEndpoints(Delta)
+	if n := len(actionsOfKind(r.advance(20*time.Second), Subscribe)); n != 0 {
 		t.Errorf("%d calls while subscribed", n)
 	}
-	r.do(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
-	if n := len(kinds(r.pass(2*time.Second), Subscribe)); n != 1 {
+	r.handle(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
+	if n := len(actionsOfKind(r.advance(2*time.Second), Subscribe)); n != 1 {
 		t.Errorf("%d calls after the subscription broke", n)
 	}
 }
@@ -227,10 +227,10 @@
 // A restart voids the snapshot of the old process, and the new one is in slow start.
 func TestRestartIsANewProcess(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(2)
+	r.setEndpoints(2)
 	r.b.endpoints.byID["u0"].latency = peakEWMA{5, r.now}
 	r.b.endpoints.byID["u0"].health.ejectedUntil = r.now + time.Hour
-	r.list(Delta, Endpoint{Upstream: "u0", Zone: "a", StartedAt: r.now - time.Second})
+	r.updateEndpoints(Delta, Endpoint{Upstream: "u0", Zone: "a", StartedAt: r.now - time.Second})
 	u := r.b.endpoints.byID["u0"]
 	if u.latency.value > 1 || u.health.ejectedUntil != 0 || !u.slowStart.active || len(r.b.endpoints.order) != 2 {
 		t.Errorf("still known: %+v", u)
@@ -240,25 +240,25 @@
 // A upstream in slow start gets its warmth's share of the mean load at most, whatever goes on: first tries, retries, panic.
 func TestSlowStartBucket(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(10)
+	r.setEndpoints(10)
 	n := map[string]int{}
 	id := 0
 	second := func() {
 		for range 200 { // 200 requests a second, answered at once
 			id++
 			name := string(rune('a'+id%26)) + time.Duration(id).String()
-			for _, a := range kinds(r.request(name, "c", time.Second), StartAttempt) {
+			for _, a := range actionsOfKind(r.request(name, "c", time.Second), StartAttempt) {
 				n[a.Upstream]++
-				r.result(name, 0, OK, 5*ms)
+				r.endAttempt(name, 0, OK, 5*ms)
 			}
-			r.pass(5 * ms)
+			r.advance(5 * ms)
 		}
 	}
 	for range 10 {
 		second()
 	}
 	for i := range 9 { // nearly the whole fleet starts anew
-		r.list(Delta, Endpoint{Upstream: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
+		r.updateEndpoints(Delta, Endpoint{Upstream: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
 	clear(n)
 	second()
@@ -278,16 +278,16 @@
 	for i := range 4 {
 		list = append(list, Endpoint{Upstream: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
-	r.list(FullState, list...)
+	r.updateEndpoints(FullState, list...)
 	sent, ended := 0, 0
 	for i := range 400 {
 		actions := r.request("r"+time.Duration(i).String(), "c", 150*ms)
-		actions = append(actions, r.pass(5*ms)...)
-		for _, a := range kinds(actions, StartAttempt) {
+		actions = append(actions, r.advance(5*ms)...)
+		for _, a := range actionsOfKind(actions, StartAttempt) {
 			sent++
-			r.result(a.ID, 0, OK, 5*ms)
+			r.endAttempt(a.ID, 0, OK, 5*ms)
 		}
-		ended += len(finals(actions))
+		ended += len(finalAnswers(actions))
 	}
 	// 200 a second over 4 upstreams in slow start at 0.2 to 0.4 of their share: about 60 a second may go.
 	if sent > 160 || sent < 40 || ended == 0 {
@@ -299,38 +299,38 @@
 // the first came. A repeat early enough is served, and first tries settle what time left is usual.
 func TestRepeatPastItsObjectiveIsRejected(t *testing.T) {
 	r := newRig(t, testSettings()) // aim 200 ms, deadline 1 s
-	r.fleet(3)
+	r.setEndpoints(3)
 	for i := range 20 { // first tries have 600 ms
 		id := time.Duration(i).String()
-		r.wantSend(r.request(id, "c", 600*ms))
-		r.result(id, 0, OK, 10*ms)
-		r.pass(10 * ms)
+		r.wantAttempt(r.request(id, "c", 600*ms))
+		r.endAttempt(id, 0, OK, 10*ms)
+		r.advance(10 * ms)
 	}
-	r.wantFinal(r.request("stale", "c", 550*ms), Reject) // the first came 450 ms ago
-	r.wantSend(r.request("early", "c", 900*ms))          // the first came 100 ms ago
-	if f := finals(r.pass(105 * ms)); len(f) != 1 {      // and so it ends when its objective does
+	r.wantFinalAnswer(r.request("stale", "c", 550*ms), Reject) // the first came 450 ms ago
+	r.wantAttempt(r.request("early", "c", 900*ms))             // the first came 100 ms ago
+	if f := finalAnswers(r.advance(105 * ms)); len(f) != 1 {   // and so it ends when its objective does
 		t.Errorf("still open after its aim: %+v", f)
 	}
-	r.wantSend(r.request("first", "c", 601*ms))
+	r.wantAttempt(r.request("first", "c", 601*ms))
 }
 
 // A return from ejection is not a cold start: only the list tells of a restart. (iadfa39: three upstreams silent for
 // 10 s idled for the whole warm-up after it, the others overloaded.)
 func TestReturnIsNotAColdStart(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(2)
+	r.setEndpoints(2)
 	u := r.b.endpoints.byID["u0"]
 	u.health.ejections, u.health.ejectedUntil = 3, r.now+10*ms
 	r.now += 20 * ms
 	n := map[string]int{}
 	for i := range 5 {
-		n[r.wantSend(r.request(string(rune('a'+i)), "c", time.Second))]++
+		n[r.wantAttempt(r.request(string(rune('a'+i)), "c", time.Second))]++
 	}
 	if n["u0"] != 1 {
 		t.Errorf("%d trials at once, want 1", n["u0"])
 	}
 	for i := range 5 {
-		r.result(string(rune('a'+i)), 0, OK, 20*ms)
+		r.endAttempt(string(rune('a'+i)), 0, OK, 20*ms)
 	}
 	if u.slowStart.active || u.health.ejections != 0 {
 		t.Errorf("after its return: %+v", u)
@@ -348,7 +348,7 @@
 		g := rand.New(rand.NewPCG(seed, 3))
 		var all []*Balancer
 		now := time.Minute
-		deal := func(b *Balancer, e Event) []Action { return kinds(b.Handle(now, e, nil), StartAttempt) }
+		deal := func(b *Balancer, e Event) []Action { return actionsOfKind(b.Handle(now, e, nil), StartAttempt) }
 		var entries []Endpoint
 		for i := range fleet {
 			entries = append(entries, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
@@ -411,10 +411,10 @@
 		s := testSettings()
 		s.Classes[0].Idempotency = effect
 		r := newRig(t, s)
-		r.fleet(1)
-		r.wantSend(r.request("1", "c", 500*ms))
+		r.setEndpoints(1)
+		r.wantAttempt(r.request("1", "c", 500*ms))
 		var order []ActionKind
-		for _, a := range r.pass(600 * ms) {
+		for _, a := range r.advance(600 * ms) {
 			if a.Kind == Reject || a.Kind == Fail || a.Kind == CancelAttempt {
 				order = append(order, a.Kind)
 			}
@@ -437,24 +437,24 @@
 	const sidecars = 30
 	warming := 0
 	for seed := range uint64(sidecars) {
-		w := newWorld(t, s, fine)
+		w := newFakeFleet(t, s, okAfter20ms)
 		var err error
 		if w.b, err = New(s, seed); err != nil {
 			t.Fatal(err)
 		}
-		w.list(FullState, list...)
-		w.play(10*time.Second, 20)
+		w.updateEndpoints(FullState, list...)
+		w.run(10*time.Second, 20)
 		restarted := slices.Clone(list)
 		for i := range restarted {
 			if restarted[i].Zone == "a" {
 				restarted[i].StartedAt = w.now
 			}
 		}
-		w.list(FullState, restarted...)
-		clear(w.sends)
-		w.play(5*time.Second, 20)
+		w.updateEndpoints(FullState, restarted...)
+		clear(w.sentTo)
+		w.run(5*time.Second, 20)
 		for i := 0; i < len(list); i += 4 {
-			warming += w.sends[fmt.Sprint("u", i)]
+			warming += w.sentTo[fmt.Sprint("u", i)]
 		}
 	}
 	// All home upstreams are at 0.2 to 0.6 of their capacity, and 0.45 x 3 of that may go there.
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -21,24 +21,24 @@
 		s.MaxAttempts, s.Hedging = c.most, false
 		s.Classes[0].Idempotency, s.Classes[0].DedupWindow, s.Classes[0].LateValueFraction = IdempotentByKey, c.window, 1
 		r := newRig(t, s)
-		r.fleet(3)
+		r.setEndpoints(3)
 		for _, id := range []string{"1", "2", "3"} { // served, so that the budget holds an attempt
 			r.request(id, "c", time.Second)
 			r.now += 10 * ms
-			r.result(id, 0, OK, 10*ms)
+			r.endAttempt(id, 0, OK, 10*ms)
 		}
 		r.now += 10 * ms
 		r.request("late", "c", time.Second)
 		r.b.retryBudget.tokens = 1
 		r.b.latency.hedgeDelay.value, r.b.latency.median.value = 0, 0.5/r.b.requests["late"].work // late once half a second is left
 		r.b.startHedgeTimer(r.b.requests["late"])
-		r.pass(400 * ms)
+		r.advance(400 * ms)
 		r.b.latency.median.value /= 5 // answers come sooner now
-		actions := r.pass(300 * ms)
-		if n := len(kinds(actions, CancelAttempt)); n != c.cancel {
+		actions := r.advance(300 * ms)
+		if n := len(actionsOfKind(actions, CancelAttempt)); n != c.cancel {
 			t.Errorf("%s: %d cancelled, want %d", name, n, c.cancel)
 		}
-		if n := len(finals(actions)); n > 0 {
+		if n := len(finalAnswers(actions)); n > 0 {
 			t.Errorf("%s: ended with time left", name)
 		}
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -15,52 +15,52 @@
 // of them cold, a quarter of these small; with the rule's windows counted over all sidecars. See docs/ARCHITECTURE.md,
 // "Cold upstreams".
 func TestSlowStartOfAllSidecarsTogether(t *testing.T) {
-	cases := map[string]demand{
-		"all told":                    {informed: 1},
-		"half told":                   {informed: 0.5},
-		"all restarted":               {informed: 1, restarted: true},
-		"in bursts":                   {informed: 1, bursts: true},
-		"twice the part":              {informed: 1, plant: func(s *Settings) { s.OverloadMultiple *= 2 }},
-		"buckets too deep":            {informed: 1, bursts: true, plant: func(s *Settings) { s.OverloadDuration *= 30 }},
-		"after a lull, few upstreams": {informed: 1, bursts: true, again: true, moves: true, upstreams: 40},
+	cases := map[string]slowStartScenario{
+		"all told":                    {informedFraction: 1},
+		"half told":                   {informedFraction: 0.5},
+		"all restarted":               {informedFraction: 1, allRestart: true},
+		"in bursts":                   {informedFraction: 1, bursts: true},
+		"twice the part":              {informedFraction: 1, misconfigure: func(s *Settings) { s.OverloadMultiple *= 2 }},
+		"buckets too deep":            {informedFraction: 1, bursts: true, misconfigure: func(s *Settings) { s.OverloadDuration *= 30 }},
+		"after a lull, few upstreams": {informedFraction: 1, bursts: true, restartLater: true, clientsMove: true, upstreams: 40},
 	}
 	for _, size := range [][2]int{{2, 10}, {4, 12}, {20, 16}, {30, 20}, {100, 60}} {
-		d := demand{informed: 1, again: true, moves: true, sidecars: size[0], upstreams: size[1]}
+		d := slowStartScenario{informedFraction: 1, restartLater: true, clientsMove: true, sidecars: size[0], upstreams: size[1]}
 		cases[fmt.Sprint(size[0], " sidecars")] = d
-		d.bursts, d.again, d.priced = true, false, true
+		d.bursts, d.restartLater, d.costlyCrossing = true, false, true
 		cases[fmt.Sprint(size[0], " sidecars, in bursts")] = d
-		d.slow, d.bursts, d.skew = true, false, true
+		d.slowWarmUp, d.bursts, d.unequalZones = true, false, true
 		cases[fmt.Sprint(size[0], " sidecars, another site")] = d
 	}
 	for name, d := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got, where := d.saturate(t, 0)
+			got, where := d.maxLoad(t, 0)
 			t.Logf("%.2f of the limit at most: %s", got, where)
-			if (got > 1) != (d.plant != nil) {
-				t.Errorf("%.2f of the limit: %s; planted: %v", got, where, d.plant != nil)
+			if (got > 1) != (d.misconfigure != nil) {
+				t.Errorf("%.2f of the limit: %s; planted: %v", got, where, d.misconfigure != nil)
 			}
 		})
 	}
 }
 
-// demand is for upstreams in slow start, and without end.
-type demand struct {
-	informed  float64         // share of the sidecars that know of a start at once, the others later
-	restarted bool            // all processes begin within a second of the starts, and know no rate
-	again     bool            // and half of them anew at some moment later
-	moves     bool            // half of them hand their clients to others meanwhile
-	skew      bool            // the first zone's sidecars have twice the traffic of others
-	bursts    bool            // one second in three; buckets fill meanwhile
-	plant     func(*Settings) // what sidecars are told wrongly
-	sidecars  int             // 0: 300, and 160 upstreams
-	upstreams int
-	priced    bool // crossings are: work stays at home where it can
-	slow      bool // another site's settings: a lower multiple over a longer time, a longer warm-up
+// slowStartScenario is for upstreams in slow start, and without end.
+type slowStartScenario struct {
+	informedFraction float64         // share of the sidecars that know of a start at once, the others later
+	allRestart       bool            // all processes begin within a second of the starts, and know no rate
+	restartLater     bool            // and half of them anew at some moment later
+	clientsMove      bool            // half of them hand their clients to others meanwhile
+	unequalZones     bool            // the first zone's sidecars have twice the traffic of others
+	bursts           bool            // one second in three; buckets fill meanwhile
+	misconfigure     func(*Settings) // what sidecars are told wrongly
+	sidecars         int             // 0: 300, and 160 upstreams
+	upstreams        int
+	costlyCrossing   bool // crossings are: work stays at home where it can
+	slowWarmUp       bool // another site's settings: a lower multiple over a longer time, a longer warm-up
 }
 
-// saturate gives the most that a upstream in slow start got in a window, as a share of its limit, and which.
-func (d demand) saturate(t *testing.T, seed uint64) (limit float64, where string) {
+// maxLoad gives the most that a upstream in slow start got in a window, as a share of its limit, and which.
+func (d slowStartScenario) maxLoad(t *testing.T, seed uint64) (limit float64, where string) {
 	const (
 		capacity, small     = 24.0, 15.0 // requests of mean work a second, when warm
 		tick, length, delay = 100 * ms, 10 * time.Second, 4 * time.Second
@@ -70,14 +70,14 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
 	s.FleetSize, s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration = sidecars, 0.3, 8800*ms, 4, time.Second
-	if d.slow {
+	if d.slowWarmUp {
 		s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration = 0.13, 24*time.Second, 3, 3*time.Second
 		s.Classes[0].LatencyObjective = 400 * ms
 		zones = 3
 	}
 	rule := s
-	if d.plant != nil {
-		d.plant(&s)
+	if d.misconfigure != nil {
+		d.misconfigure(&s)
 	}
 	can := func(i int) float64 {
 		if i%zones == i/zones%4 { // in each zone alike
@@ -121,17 +121,17 @@
 	var all []*sidecar
 	for i := range sidecars {
 		b := fresh(i, 0)
-		x := &sidecar{b, 0.2 + 0.8*rng.ExpFloat64(), time.Minute, sometime(d.again), d.restarted, 0, sometime(d.moves)}
-		if d.skew && i%zones == 0 {
+		x := &sidecar{b, 0.2 + 0.8*rng.ExpFloat64(), time.Minute, sometime(d.restartLater), d.allRestart, 0, sometime(d.clientsMove)}
+		if d.unequalZones && i%zones == 0 {
 			x.rate *= 2
 		}
 		before := time.Duration(40 * time.Second)
-		if d.restarted {
+		if d.allRestart {
 			before = -time.Duration(rng.Float64() * 1e9)
 		}
 		x.Handle(time.Minute-before, EndpointUpdate{Kind: FullState, Endpoints: list}, nil)
 		x.begun = time.Minute - before
-		if float64(i) >= d.informed*float64(sidecars) {
+		if float64(i) >= d.informedFraction*float64(sidecars) {
 			x.from += delay
 		}
 		all = append(all, x)
@@ -158,7 +158,7 @@
 		for i, x := range all { // as much stays at home as at most brings no upstream there more than any other's work
 			if at != x.restart && !x.restarted {
 				x.locality.localFraction = float64(x.endpoints.localCount) / float64(upstreams)
-				if d.priced {
+				if d.costlyCrossing {
 					x.locality.localFraction = min(1, x.locality.localFraction*sum(zone)/zone[i%zones])
 				}
 			}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -14,20 +14,20 @@
 	old := newRig(t, testSettings())
 	list := []Endpoint{{Upstream: "slow", Zone: "a"}, {Upstream: "quick", Zone: "a"}, {Upstream: "failing", Zone: "a"},
 		{Upstream: "renewed", Zone: "a", StartedAt: 5 * time.Second}}
-	old.list(FullState, list...)
+	old.updateEndpoints(FullState, list...)
 	for i := range 400 {
 		id := fmt.Sprint(i)
 		usedFraction, res := 10*ms, OK
-		switch old.wantSend(old.request(id, "c", time.Second)) {
+		switch old.wantAttempt(old.request(id, "c", time.Second)) {
 		case "slow", "renewed":
 			usedFraction = 150 * ms
 		case "failing":
 			res = ServerError
 		}
-		old.pass(5 * ms)
-		old.result(id, 0, res, usedFraction)
+		old.advance(5 * ms)
+		old.endAttempt(id, 0, res, usedFraction)
 		for n := 1; res == ServerError && n < 4 && old.b.requests[id] != nil && len(old.b.requests[id].attempts) > n; n++ {
-			old.result(id, n, OK, usedFraction)
+			old.endAttempt(id, n, OK, usedFraction)
 		}
 	}
 	text, err := json.Marshal(old.b.Snapshot(old.now))
@@ -41,8 +41,8 @@
 	r := newRig(t, testSettings())
 	r.now = 10 * time.Minute // another clock
 	list[3].StartedAt = r.now - time.Second
-	r.list(FullState, list...)
-	r.do(l)
+	r.updateEndpoints(FullState, list...)
+	r.handle(l)
 	if x, y := old.b.admission.offered.perSecond(old.now), r.b.admission.offered.perSecond(r.now); math.Abs(x-y) > 1e-6*x {
 		t.Errorf("rate %v, was %v", y, x)
 	}
@@ -60,14 +60,14 @@
 // Guards against a hand-over that upsets the decisions: what makes no sense is left out whole.
 func TestInvalidSnapshotIsIgnored(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.fleet(2)
+	r.setEndpoints(2)
 	before := r.b.latency.fleetMean
-	r.do(Snapshot{})
-	r.do(Snapshot{FleetLatency: 1, MeanLatency: 1, MedianLatency: 1, HedgeDelay: 1, LimitFraction: 0.5, Endpoints: map[string]EndpointSnapshot{"u0": {PeakEWMA: -1}}})
+	r.handle(Snapshot{})
+	r.handle(Snapshot{FleetLatency: 1, MeanLatency: 1, MedianLatency: 1, HedgeDelay: 1, LimitFraction: 0.5, Endpoints: map[string]EndpointSnapshot{"u0": {PeakEWMA: -1}}})
 	if r.b.latency.fleetMean != before {
 		t.Error("taken")
 	}
-	r.wantSend(r.request("1", "c", time.Second))
+	r.wantAttempt(r.request("1", "c", time.Second))
 }
 
 // Guards against a upstream in slow start pushed over after a crash: what the process before may have sent it since it last told
@@ -95,15 +95,15 @@
 // request; and against a debt that a crash makes good.
 func TestSlowStartDebtIsPersisted(t *testing.T) {
 	old := newRig(t, testSettings())
-	old.list(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: old.now - time.Second})
+	old.updateEndpoints(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: old.now - time.Second})
 	old.b.endpoints.byID["u"].slowStart.tokens = -1.5
 	for _, crashed := range []bool{false, true} {
 		l := old.b.Snapshot(old.now)
 		l.Age(time.Second, crashed)
 		l.FleetLatency = 0.123
 		r := newRig(t, testSettings())
-		r.list(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: r.now - 2*time.Second})
-		r.do(l)
+		r.updateEndpoints(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: r.now - 2*time.Second})
+		r.handle(l)
 		if u := r.b.endpoints.byID["u"]; r.b.latency.fleetMean != 0.123 || u.slowStart.tokens != -1.5 {
 			t.Errorf("crashed %v: %v of the budget is left, mean latency %v", crashed, u.slowStart.tokens, r.b.latency.fleetMean)
 		}
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -29,11 +29,11 @@
 			for range 12_000 {
 				tr.step()
 			}
-			if got := hex.EncodeToString(tr.sum.Sum(nil)[:16]); got != want {
-				t.Errorf("actions of the trace hash to %s, recorded %s (sent %d, actions by kind %v)", got, want, tr.sent, tr.kinds)
+			if got := hex.EncodeToString(tr.digest.Sum(nil)[:16]); got != want {
+				t.Errorf("actions of the trace hash to %s, recorded %s (sent %d, actions by kind %v)", got, want, tr.attemptCount, tr.actionCounts)
 			}
 			for kind := StartAttempt; kind <= ReportEvidence; kind++ {
-				if tr.kinds[kind] == 0 && (endpoints == 10 || kind != ReportEvidence && kind != Subscribe && kind != Fail) {
+				if tr.actionCounts[kind] == 0 && (endpoints == 10 || kind != ReportEvidence && kind != Subscribe && kind != Fail) {
 					t.Errorf("the trace holds no action of kind %d", kind)
 				}
 			}
@@ -46,28 +46,28 @@
 	id       string
 	number   int
 	upstream string
-	sent     time.Duration
+	sentAt   time.Duration
 }
 
 // trace plays a seeded stream of events.
 type trace struct {
-	t         *testing.T
-	endpoints int
-	b         *Balancer
-	settings  Settings
-	rng       *rand.Rand
-	sum       hash.Hash
-	now       time.Duration
-	timer     time.Duration // 0: none
-	next      int           // number of the next request
-	attempts  map[string]int
-	out       []traceAttempt
-	open      []string // requests whose body is still coming
-	banned    []string
-	startedAt map[string]time.Duration
-	kinds     map[ActionKind]int
-	sent      int
-	faulty    string // answers errors only, for a while
+	t             *testing.T
+	endpoints     int
+	b             *Balancer
+	settings      Settings
+	rng           *rand.Rand
+	digest        hash.Hash
+	now           time.Duration
+	timerAt       time.Duration // 0: none
+	nextRequest   int           // number of the next request
+	attempts      map[string]int
+	pending       []traceAttempt
+	bodiesPending []string // requests whose body is still coming
+	banned        []string
+	startedAt     map[string]time.Duration
+	actionCounts  map[ActionKind]int
+	attemptCount  int
+	failing       string // answers errors only, for a while
 }
 
 func newTrace(t *testing.T, endpoints int) *trace {
@@ -87,27 +87,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr := &trace{t: t, endpoints: endpoints, b: b, settings: s, rng: rand.New(rand.NewPCG(uint64(endpoints), 7)), sum: sha256.New(),
-		now: time.Minute, attempts: map[string]int{}, startedAt: map[string]time.Duration{}, kinds: map[ActionKind]int{}}
-	tr.handle(EndpointUpdate{Kind: Cached, Endpoints: tr.all()})
-	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
+	tr := &trace{t: t, endpoints: endpoints, b: b, settings: s, rng: rand.New(rand.NewPCG(uint64(endpoints), 7)), digest: sha256.New(),
+		now: time.Minute, attempts: map[string]int{}, startedAt: map[string]time.Duration{}, actionCounts: map[ActionKind]int{}}
+	tr.handle(EndpointUpdate{Kind: Cached, Endpoints: tr.entries()})
+	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.entries()})
 	return tr
 }
 
-func (tr *trace) id(i int) string { return fmt.Sprint("u", i) }
+func (tr *trace) endpointID(i int) string { return fmt.Sprint("u", i) }
 
-func (tr *trace) any() string { return tr.id(tr.rng.IntN(tr.endpoints)) }
+func (tr *trace) randomEndpoint() string { return tr.endpointID(tr.rng.IntN(tr.endpoints)) }
 
-func (tr *trace) member(id string) Endpoint {
+func (tr *trace) entry(id string) Endpoint {
 	var i int
 	_, _ = fmt.Sscanf(id, "u%d", &i)
 	return Endpoint{Upstream: id, Zone: string(rune('a' + i%3)), Machine: fmt.Sprint("kind", i%2), Cell: i % 4, StartedAt: tr.startedAt[id],
 		Weight: 1 + float64(i%5)/2}
 }
 
-func (tr *trace) all() (list []Endpoint) {
+func (tr *trace) entries() (list []Endpoint) {
 	for i := range tr.endpoints {
-		list = append(list, tr.member(tr.id(i)))
+		list = append(list, tr.entry(tr.endpointID(i)))
 	}
 	return list
 }
@@ -115,28 +115,28 @@
 // step lets a little time pass and brings one event.
 func (tr *trace) step() {
 	tr.now += time.Duration(tr.rng.ExpFloat64() * float64(2*ms))
-	if tr.timer != 0 && tr.now >= tr.timer {
-		tr.timer = 0
+	if tr.timerAt != 0 && tr.now >= tr.timerAt {
+		tr.timerAt = 0
 		tr.handle(TimerFired{})
 	}
 	switch n := tr.rng.IntN(1000); {
 	case n < 400:
 		tr.request()
 	case n < 880:
-		tr.outcome()
+		tr.attemptEnded()
 	case n < 900:
 		tr.bodyComplete()
 	case n < 915:
-		if len(tr.out) > 0 {
-			a := tr.out[tr.rng.IntN(len(tr.out))]
+		if len(tr.pending) > 0 {
+			a := tr.pending[tr.rng.IntN(len(tr.pending))]
 			tr.handle(FirstByte{ID: a.id, Attempt: a.number})
 		}
 	case n < 930:
-		if tr.next > 0 {
-			tr.handle(ClientDisconnected{ID: fmt.Sprint("r", max(0, tr.next-1-tr.rng.IntN(10)))})
+		if tr.nextRequest > 0 {
+			tr.handle(ClientDisconnected{ID: fmt.Sprint("r", max(0, tr.nextRequest-1-tr.rng.IntN(10)))})
 		}
 	case n < 950:
-		tr.listChange()
+		tr.endpointUpdate()
 	case n < 956:
 		tr.ban()
 	case n < 985:
@@ -151,12 +151,12 @@
 	case n < 991:
 		tr.restart()
 	case n < 996:
-		tr.faulty = tr.any()
+		tr.failing = tr.randomEndpoint()
 	default:
 		pressure, zone := tr.b.Pressure(tr.now)
-		tr.number(math.Float64bits(pressure), math.Float64bits(zone))
+		tr.hashNumbers(math.Float64bits(pressure), math.Float64bits(zone))
 		for _, id := range tr.b.Ejected(tr.now) {
-			tr.text(id)
+			tr.hashText(id)
 		}
 		tr.now += time.Duration(tr.rng.IntN(300)) * ms
 	}
@@ -164,8 +164,8 @@
 
 func (tr *trace) request() {
 	class := tr.settings.Classes[tr.rng.IntN(len(tr.settings.Classes))]
-	id := fmt.Sprint("r", tr.next)
-	tr.next++
+	id := fmt.Sprint("r", tr.nextRequest)
+	tr.nextRequest++
 	e := Request{ID: id, Class: class.Name, Tenant: []string{"x", "y", "z"}[tr.rng.IntN(3)], ExpiresAt: tr.now + class.Deadline}
 	if tr.rng.IntN(5) == 0 {
 		e.ExpiresAt = tr.now + class.Deadline/3
@@ -175,51 +175,51 @@
 	}
 	if tr.rng.IntN(20) == 0 {
 		e.BodyPending = true
-		tr.open = append(tr.open, id)
+		tr.bodiesPending = append(tr.bodiesPending, id)
 	}
 	tr.handle(e)
 }
 
 func (tr *trace) bodyComplete() {
-	if len(tr.open) == 0 {
+	if len(tr.bodiesPending) == 0 {
 		return
 	}
-	id := tr.open[0]
-	tr.open = tr.open[1:]
+	id := tr.bodiesPending[0]
+	tr.bodiesPending = tr.bodiesPending[1:]
 	tr.handle(BodyComplete{ID: id, ExpiresAt: tr.now + 800*ms})
 }
 
-// outcome ends an attempt: one that has been out for longer than most, mostly.
-func (tr *trace) outcome() {
-	if len(tr.out) == 0 {
+// attemptEnded ends an attempt: one that has been out for longer than most, mostly.
+func (tr *trace) attemptEnded() {
+	if len(tr.pending) == 0 {
 		return
 	}
-	i := tr.rng.IntN(min(len(tr.out), 4))
-	a := tr.out[i]
-	tr.out = append(tr.out[:i], tr.out[i+1:]...)
+	i := tr.rng.IntN(min(len(tr.pending), 4))
+	a := tr.pending[i]
+	tr.pending = append(tr.pending[:i], tr.pending[i+1:]...)
 	res := OK
-	if x := tr.rng.IntN(100); a.upstream == tr.faulty && x < 85 {
-		res = []Result{ServerError, Overloaded, ConnectFailed, Reset}[tr.next/500%4]
+	if x := tr.rng.IntN(100); a.upstream == tr.failing && x < 85 {
+		res = []Result{ServerError, Overloaded, ConnectFailed, Reset}[tr.nextRequest/500%4]
 	} else if x < 20 {
 		res = []Result{ServerError, Overloaded, Timeout, ConnectFailed, Reset, Cancelled, NotSent}[x%7]
 	}
-	tr.handle(AttemptEnded{ID: a.id, Attempt: a.number, Result: res, Elapsed: tr.now - a.sent, Final: res == OK, BodyConsumed: tr.rng.IntN(50) == 0})
+	tr.handle(AttemptEnded{ID: a.id, Attempt: a.number, Result: res, Elapsed: tr.now - a.sentAt, Final: res == OK, BodyConsumed: tr.rng.IntN(50) == 0})
 }
 
-func (tr *trace) listChange() {
-	id := tr.any()
+func (tr *trace) endpointUpdate() {
+	id := tr.randomEndpoint()
 	switch tr.rng.IntN(4) {
 	case 0:
-		m := tr.member(id)
+		m := tr.entry(id)
 		m.State = EndpointState(1 + tr.rng.IntN(2))
 		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{m}})
 	case 1:
 		tr.startedAt[id] = tr.now - time.Duration(tr.rng.IntN(500))*ms
-		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.member(id)}})
+		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.entry(id)}})
 	case 2:
-		tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
+		tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.entries()})
 	case 3:
-		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.member(id)}})
+		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.entry(id)}})
 	}
 }
 
@@ -229,13 +229,13 @@
 		tr.banned = tr.banned[1:]
 		return
 	}
-	id := tr.any()
+	id := tr.randomEndpoint()
 	tr.banned = append(tr.banned, id)
 	tr.handle(Ban{Upstream: id})
 }
 
 func (tr *trace) verdict() {
-	id := tr.any()
+	id := tr.randomEndpoint()
 	e := PeerVerdict{Upstream: id, StartedAt: tr.startedAt[id], Until: tr.now + time.Duration(tr.rng.IntN(3000))*ms, Since: tr.now - 50*ms,
 		PassFraction: float64(tr.rng.IntN(3)) / 4, Probes: ProbeOwner(tr.rng.IntN(3))}
 	if tr.rng.IntN(3) == 0 {
@@ -251,44 +251,44 @@
 func (tr *trace) restart() {
 	snapshot := tr.b.Snapshot(tr.now)
 	snapshot.Age(time.Duration(tr.rng.IntN(4000))*ms, tr.rng.IntN(2) == 0)
-	b, err := New(tr.settings, uint64(tr.next))
+	b, err := New(tr.settings, uint64(tr.nextRequest))
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	tr.b, tr.out, tr.open, tr.attempts, tr.timer = b, nil, nil, map[string]int{}, 0
+	tr.b, tr.pending, tr.bodiesPending, tr.attempts, tr.timerAt = b, nil, nil, map[string]int{}, 0
 	for _, id := range tr.banned {
 		tr.handle(Ban{Upstream: id})
 	}
-	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.all()})
+	tr.handle(EndpointUpdate{Kind: FullState, Endpoints: tr.entries()})
 	tr.handle(snapshot)
 }
 
 // handle brings an event, and takes its actions into the hash.
 func (tr *trace) handle(e Event) {
 	for _, a := range tr.b.Handle(tr.now, e, nil) {
-		tr.kinds[a.Kind]++
-		tr.number(uint64(a.Kind), uint64(a.Attempt), uint64(a.Timeout), uint64(a.RetryAfter), uint64(a.At), uint64(a.Evidence), uint64(a.Count))
+		tr.actionCounts[a.Kind]++
+		tr.hashNumbers(uint64(a.Kind), uint64(a.Attempt), uint64(a.Timeout), uint64(a.RetryAfter), uint64(a.At), uint64(a.Evidence), uint64(a.Count))
 		for _, x := range []string{a.ID, a.Upstream, a.Class, fmt.Sprint(a.Suspicion, a.Probe)} {
-			tr.text(x)
+			tr.hashText(x)
 		}
 		switch a.Kind {
 		case StartAttempt:
-			tr.sent++
-			tr.out = append(tr.out, traceAttempt{a.ID, tr.attempts[a.ID], a.Upstream, tr.now})
+			tr.attemptCount++
+			tr.pending = append(tr.pending, traceAttempt{a.ID, tr.attempts[a.ID], a.Upstream, tr.now})
 			tr.attempts[a.ID]++
 		case SetTimer:
-			tr.timer = a.At
+			tr.timerAt = a.At
 		}
 	}
 }
 
-func (tr *trace) number(xs ...uint64) {
+func (tr *trace) hashNumbers(xs ...uint64) {
 	for _, x := range xs {
-		_ = binary.Write(tr.sum, binary.LittleEndian, x)
+		_ = binary.Write(tr.digest, binary.LittleEndian, x)
 	}
 }
 
-func (tr *trace) text(x string) {
-	tr.number(uint64(len(x)))
-	_, _ = tr.sum.Write([]byte(x))
+func (tr *trace) hashText(x string) {
+	tr.hashNumbers(uint64(len(x)))
+	_, _ = tr.digest.Write([]byte(x))
 }
