--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Under pressure what is worth least goes first.
+// Under pressure, the least valuable requests are shed first.
 func TestLowestValueIsShedFirst(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
@@ -14,67 +14,67 @@
 	r := newRig(t, s)
 	r.setEndpoints(4)
 	rejected := map[string]int{}
-	var open []string // answered in order, each 155 ms after it came: a little more than may wait
+	var pending []string // each is answered 155 ms after it arrived; slightly more are in flight than may wait
 	for i := range 600 {
 		id, class := fmt.Sprint(i), []string{"c", "dear"}[i%2]
 		if len(actionsOfKind(r.request(id, class, time.Second), StartAttempt)) == 0 {
 			rejected[class]++
 			id = ""
 		}
-		if open = append(open, id); len(open) > 31 {
-			if open[0] != "" {
-				r.endAttempt(open[0], 0, OK, 155*ms)
+		if pending = append(pending, id); len(pending) > 31 {
+			if pending[0] != "" {
+				r.endAttempt(pending[0], 0, OK, 155*ms)
 			}
-			open = open[1:]
+			pending = pending[1:]
 		}
 		r.now += 5 * ms
 	}
 	if rejected["c"] < 10 || rejected["dear"] > rejected["c"]/2 {
-		t.Errorf("refused %v", rejected)
+		t.Errorf("got rejected requests %v by class, want at least 10 of c and at most half as many of dear", rejected)
 	}
 }
 
-// Part of what a tenant sends beyond its share counts as little.
+// Part of the requests of a tenant above its quota is worth less.
 func TestOverQuotaCountsLess(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "big", Quota: 0.5}, {Name: "small", Quota: 0.5}}
 	s.OverQuotaFraction = 0.1
 	r := newRig(t, s)
-	low := map[int]int{}
+	lowValue := map[int]int{}
 	for i := range 1000 {
 		r.b.now += ms
-		q := &request{class: r.b.classes["c"], work: 1, tenant: min(i%10/9, 1)} // nine of ten are the first's
-		if r.b.value(q) < 1 {
-			low[q.tenant]++
+		req := &request{class: r.b.classes["c"], work: 1, tenant: min(i%10/9, 1)} // nine of ten are of tenant 0
+		if r.b.value(req) < 1 {
+			lowValue[req.tenant]++
 		}
 	}
-	if low[1] != 0 || low[0] < 300 || low[0] > 500 { // (0.9-0.5)/0.9 of 900
-		t.Errorf("counted low: %v", low)
+	if lowValue[1] != 0 || lowValue[0] < 300 || lowValue[0] > 500 { // (0.9-0.5)/0.9 of 900
+		t.Errorf("got low values %v by tenant, want 300 to 500 of tenant 0 and none of tenant 1", lowValue)
 	}
 }
 
-// Retries and copies have a budget relative to first attempts.
+// The retry budget bounds retries and hedged requests in proportion to first attempts.
 func TestRetryBudget(t *testing.T) {
-	w := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) { return ServerError, 5 * ms })
-	w.setEndpoints(8)
-	w.run(20*time.Second, 100)
-	total := w.totalAttempts()
-	if limit := float64(w.requests)*(1+retryBudgetRatio) + minRetryBudget; float64(total) > limit {
-		t.Errorf("%d attempts for %d requests", total, w.requests)
+	fleet := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) { return ServerError, 5 * ms })
+	fleet.setEndpoints(8)
+	fleet.run(20*time.Second, 100)
+	total := fleet.totalAttempts()
+	if limit := float64(fleet.requests)*(1+retryBudgetRatio) + minRetryBudget; float64(total) > limit {
+		t.Errorf("got %d attempts for %d requests, want at most %.0f", total, fleet.requests, limit)
 	}
 }
 
-// Refused connections are retried beside the budget, and do not eat what copies need later.
+// Retries of refused connections are not bounded by the retry budget, and do not use it up for later hedging.
 func TestFailedConnectsDoNotRunUpADebt(t *testing.T) {
-	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
-	w.setEndpoints(4)
-	w.run(5*time.Second, 100)
-	if w.b.retryBudget.tokens < 0 {
-		t.Errorf("budget %v", w.b.retryBudget.tokens)
+	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
+	fleet.setEndpoints(4)
+	fleet.run(5*time.Second, 100)
+	if fleet.b.retryBudget.tokens < 0 {
+		t.Errorf("got a retry budget of %v after refused connections, want 0 or more", fleet.b.retryBudget.tokens)
 	}
 }
 
-// What is counted in flight is exact, also late in a long life.
+// The sums over the requests in flight stay exact, also in a process that has run for 400 days.
 func TestInHandDoesNotDrift(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.now = 400 * 24 * time.Hour
@@ -86,35 +86,37 @@
 		r.endAttempt(id, 0, OK, ms)
 	}
 	if b := r.b; b.admission.inFlight != 1 || b.admission.arrivalSum != r.now || b.admission.inverseObjectives < 4.999 || b.admission.inverseObjectives > 5.001 {
-		t.Errorf("in hand %d, %v, %v", b.admission.inFlight, b.admission.arrivalSum, b.admission.inverseObjectives)
+		t.Errorf("got %d in flight, arrival sum %v, inverse objectives %v; want 1, %v, 5", b.admission.inFlight, b.admission.arrivalSum,
+			b.admission.inverseObjectives, r.now)
 	}
 }
 
-// An upstream that answers errors at once is no choice beside queues that last longer than the penalty (id62488).
+// Guards against picks of an endpoint that immediately answers with errors, while the queues of the others take longer than
+// the penalty for an error (id62488).
 func TestErrorsAtOnceDrawNoPicks(t *testing.T) {
-	broken := true
+	failing := true
 	s := testSettings()
 	s.Classes[0].LatencyObjective = 400 * ms
-	w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
-		if u == "u0" && broken {
+	fleet := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
+		if u == "u0" && failing {
 			return ServerError, time.Millisecond
 		}
-		return OK, 150 * ms // ten or more out at each: a load far above the penalty
+		return OK, 150 * ms // ten or more are pending at each endpoint: a cost far above the penalty
 	})
-	w.setEndpoints(4)
-	w.run(10*time.Second, 250)
-	if w.sentTo["u0"] > 40 {
-		t.Errorf("%d attempts on an upstream that only answers errors", w.sentTo["u0"])
+	fleet.setEndpoints(4)
+	fleet.run(10*time.Second, 250)
+	if fleet.sentTo["u0"] > 40 {
+		t.Errorf("endpoint that only answers with errors got %d attempts, want at most 40", fleet.sentTo["u0"])
 	}
-	broken = false
-	w.run(10*time.Second, 250)
-	if w.sentTo["u0"] < 200 || !w.logged("endpoint reinstated upstream=u0") {
-		t.Errorf("not back: %d attempts, log %q", w.sentTo["u0"], w.logs)
+	failing = false
+	fleet.run(10*time.Second, 250)
+	if fleet.sentTo["u0"] < 200 || !fleet.logged("endpoint reinstated upstream=u0") {
+		t.Errorf("got %d attempts after the errors ended, want 200 or more and a logged reinstatement; log %q", fleet.sentTo["u0"], fleet.logs)
 	}
 }
 
-// Late answers from upstreams that go on answering narrow the limit, down to its least and back; what waits at a hung
-// upstream does not (i4fffd9, i5c4351).
+// Late answers of endpoints that still answer lower the limit, down to its minimum, and it recovers afterwards. Requests that
+// wait at an endpoint that hangs do not lower it (i4fffd9, i5c4351).
 func TestLimitNarrowsUnderCongestion(t *testing.T) {
 	n, congested := 0, true
 	s := testSettings()
@@ -125,44 +127,45 @@
 		}
 		return OK, 90 * ms
 	}
-	w := newFakeFleet(t, s, reply)
-	w.setEndpoints(4)
-	w.run(5*time.Second, 400)
-	if w.b.admission.limitFraction > minLimitFraction*1.2 {
-		t.Errorf("limit %.2f with half of all answers late", w.b.admission.limitFraction)
+	fleet := newFakeFleet(t, s, reply)
+	fleet.setEndpoints(4)
+	fleet.run(5*time.Second, 400)
+	if fleet.b.admission.limitFraction > minLimitFraction*1.2 {
+		t.Errorf("got limit %.2f with half of all answers late, want about the minimum %.2f", fleet.b.admission.limitFraction, minLimitFraction)
 	}
 	congested = false
-	w.run(10*time.Second, 100)
-	if w.b.admission.limitFraction < maxLimitFraction {
-		t.Errorf("limit %.2f long after", w.b.admission.limitFraction)
+	fleet.run(10*time.Second, 100)
+	if fleet.b.admission.limitFraction < maxLimitFraction {
+		t.Errorf("got limit %.2f 10 s after the late answers, want %.2f", fleet.b.admission.limitFraction, maxLimitFraction)
 	}
-	w = newFakeFleet(t, s, func(u string) (Result, time.Duration) {
+	fleet = newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 		if u < "u2" {
 			return OK, -1
 		}
 		return OK, 90 * ms
 	})
-	w.setEndpoints(4)
-	w.run(2*time.Second, 400)
-	if w.finalAnswers[Reject] == 0 || w.b.admission.limitFraction < maxLimitFraction*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.finalAnswers[Reject], w.b.admission.limitFraction)
+	fleet.setEndpoints(4)
+	fleet.run(2*time.Second, 400)
+	if fleet.finalAnswers[Reject] == 0 || fleet.b.admission.limitFraction < maxLimitFraction*0.9 {
+		t.Errorf("endpoints hang without congestion: got %d rejected requests and limit %.2f, want some and about %.2f",
+			fleet.finalAnswers[Reject], fleet.b.admission.limitFraction, maxLimitFraction)
 	}
 }
 
-// Pressure rises with the age of what is in flight, without a step: a burst after a lull is let in, more than can be
-// served is not admitted up to the moment it is old.
+// Pressure rises gradually with the age of the requests in flight: a burst after a lull is admitted, and an overload is
+// recognized before its requests are old.
 func TestPressureRisesWithAge(t *testing.T) {
 	for _, c := range []struct {
-		n, answered int
-		age         time.Duration
-		over        bool
+		inFlight, answered int
+		age                time.Duration
+		over               bool
 	}{
-		{n: 100, answered: 400, age: 10 * ms},
-		{n: 100, answered: 400, age: 35 * ms, over: true},
-		{n: 100, answered: 400, age: 100 * ms, over: true},
-		{n: 20, answered: 400, age: 35 * ms},
-		{n: 20, answered: 1, age: 15 * ms}, // a lull
-		{n: 20, answered: 0, age: 150 * ms, over: true},
+		{inFlight: 100, answered: 400, age: 10 * ms},
+		{inFlight: 100, answered: 400, age: 35 * ms, over: true},
+		{inFlight: 100, answered: 400, age: 100 * ms, over: true},
+		{inFlight: 20, answered: 400, age: 35 * ms},
+		{inFlight: 20, answered: 1, age: 15 * ms}, // a lull
+		{inFlight: 20, answered: 0, age: 150 * ms, over: true},
 	} {
 		r := newRig(t, testSettings())
 		r.setEndpoints(4)
@@ -171,43 +174,43 @@
 		}
 		r.now += 2 * time.Second
 		r.handle(TimerFired{})
-		for range c.n {
+		for range c.inFlight {
 			r.b.admission.addInFlight(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		r.now += c.age
 		r.handle(TimerFired{})
 		if p := r.b.pressure(); p > 1 != c.over {
-			t.Errorf("%d in hand for %v, %d answered: pressure %.2f", c.n, c.age, c.answered, p)
+			t.Errorf("%d in flight for %v, %d answered: got pressure %.2f, want above 1: %v", c.inFlight, c.age, c.answered, p, c.over)
 		}
 	}
 }
 
-// What is refused earns no retries: the budget is relative to first attempts.
+// Rejected requests add nothing to the retry budget, which is proportional to first attempts.
 func TestRejectedRequestsEarnNoRetries(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(4)
 	r.b.retryBudget.tokens = 0
-	for i := range 16 { // minInFlightPerEndpoint for each upstream of its share
+	for i := range 16 { // minInFlightPerEndpoint for each of 4 endpoints, divided by the 2 sidecars
 		r.wantAttempt(r.request(fmt.Sprint(i), "c", time.Second))
 	}
 	if r.b.retryBudget.tokens != 16*retryBudgetRatio {
-		t.Errorf("budget %.2f after sixteen first attempts", r.b.retryBudget.tokens)
+		t.Errorf("got a budget of %.2f after sixteen first attempts, want %.2f", r.b.retryBudget.tokens, 16*retryBudgetRatio)
 	}
-	r.now += 150 * ms // and no answer: all that comes now is refused
+	r.now += 150 * ms // without an answer, so all later requests are rejected
 	for i := range 100 {
 		r.wantFinalAnswer(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
 	if r.b.retryBudget.tokens != 16*retryBudgetRatio {
-		t.Errorf("budget %.2f after a hundred refusals", r.b.retryBudget.tokens)
+		t.Errorf("got a budget of %.2f after a hundred rejections, want %.2f", r.b.retryBudget.tokens, 16*retryBudgetRatio)
 	}
 }
 
-// Copies stop before first attempts are refused: near the limit they crowd what is congested (i38832b, i4fffd9).
+// Hedging stops before first attempts are rejected: near the limit it would add to the congestion (i38832b, i4fffd9).
 func TestNoHedgingNearTheLimit(t *testing.T) {
 	for _, c := range []struct {
-		inHand int
-		copied bool
-	}{{15, true}, {24, false}} { // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
+		inFlight int
+		hedged   bool
+	}{{15, true}, {24, false}} { // the limit is 26: 0.65 of the objective of 200 ms, at 200 answers per second
 		r := newRig(t, testSettings())
 		r.setEndpoints(4)
 		for range 400 {
@@ -216,7 +219,7 @@
 		}
 		r.b.latency.hedgeDelay.value, r.b.hedges.successRatio = 0.08, 1
 		r.wantAttempt(r.request("r", "c", time.Second))
-		for range c.inHand {
+		for range c.inFlight {
 			r.b.admission.addInFlight(&request{arrivedAt: r.now, objectiveAt: r.now + 200*ms}, 1)
 		}
 		hedges := 0
@@ -224,17 +227,17 @@
 			r.b.admission.served.add(1, r.now)
 			hedges += len(actionsOfKind(r.advance(5*ms), StartAttempt))
 		}
-		if hedges > 0 != c.copied {
-			t.Errorf("%d copies with %d in hand, pressure %.2f", hedges, c.inHand, r.b.pressure())
+		if hedges > 0 != c.hedged {
+			t.Errorf("got %d hedged attempts with %d in flight and pressure %.2f, want hedging %v", hedges, c.inFlight, r.b.pressure(), c.hedged)
 		}
 	}
 }
 
-// Two or three in flight at a quiet sidecar are no overload, however few answers it has had.
+// Guards against load shedding at a sidecar with few answers because it has two or three requests in flight.
 func TestQuietSidecarDoesNotShedOnAFewInHand(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(10)
-	for i := range 60 { // three at once every second, each answered in half its objective
+	for i := range 60 { // three at the same time each second, each answered within half of its objective
 		for j := range 3 {
 			r.wantAttempt(r.request(fmt.Sprint(i, "-", j), "c", time.Second))
 			r.advance(25 * ms)
@@ -245,34 +248,34 @@
 		r.advance(900 * ms)
 	}
 	if len(r.logs) > 0 {
-		t.Errorf("log %q", r.logs)
+		t.Errorf("got log %q, want none", r.logs)
 	}
 }
 
-// A quiet sidecar takes its part in an overload: with attempts near their objective or beyond it sheds though it never has
-// more than one in flight, and lets work in again soon after.
+// A sidecar with a low load also sheds load in an overload: it does so if attempts take about their objective or longer,
+// although it never has more than one request in flight, and stops soon after the overload.
 func TestQuietSidecarShedsInOverload(t *testing.T) {
 	latency := 240 * ms
-	w := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
-	w.setEndpoints(10)
-	w.run(20*time.Second, 3)
-	if w.finalAnswers[Reject] < 20 {
-		t.Errorf("%d of %d refused while all took longer than their aim", w.finalAnswers[Reject], w.requests)
+	fleet := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
+	fleet.setEndpoints(10)
+	fleet.run(20*time.Second, 3)
+	if fleet.finalAnswers[Reject] < 20 {
+		t.Errorf("%d of %d requests rejected while all took longer than their objective, want 20 or more", fleet.finalAnswers[Reject], fleet.requests)
 	}
 	latency = 20 * ms
-	w.run(10*time.Second, 3)
-	rejected := w.finalAnswers[Reject]
-	w.run(10*time.Second, 3)
-	if w.finalAnswers[Reject] != rejected {
-		t.Error("still shedding long after")
+	fleet.run(10*time.Second, 3)
+	rejected := fleet.finalAnswers[Reject]
+	fleet.run(10*time.Second, 3)
+	if fleet.finalAnswers[Reject] != rejected {
+		t.Errorf("%d requests rejected 10 to 20 s after the overload, want 0", fleet.finalAnswers[Reject]-rejected)
 	}
 }
 
-// A late request is most often a costly one, and its copy as costly: no copy of it, unless copies have won of late.
-// Where the upstream leaves a second of ours unanswered too it hangs, and the copy goes out as soon as it is late.
+// Most late requests are costly, and so are their second attempts. A request is therefore hedged only if hedging succeeded
+// recently, or if its endpoint leaves a second attempt of this sidecar unanswered, too, and so probably hangs.
 func TestHedgingOnlyWhereTheEndpointHangs(t *testing.T) {
-	for _, c := range []struct{ second, won, copied bool }{{}, {true, false, true}, {false, true, true}} {
-		r := newRig(t, testSettings()) // aim 200 ms
+	for _, c := range []struct{ secondPending, hedgingSucceeds, hedged bool }{{}, {true, false, true}, {false, true, true}} {
+		r := newRig(t, testSettings()) // objective 200 ms
 		r.setEndpoints(1)
 		for i := range 300 {
 			id := fmt.Sprint(i)
@@ -280,60 +283,61 @@
 			r.now += 20 * ms
 			r.endAttempt(id, 0, OK, 20*ms)
 		}
-		if c.won {
+		if c.hedgingSucceeds {
 			r.b.hedges.successRatio = 0.5
 		}
 		r.now += time.Second
 		r.request("late", "c", time.Second)
-		if c.second {
+		if c.secondPending {
 			r.request("beside", "c", time.Second)
 		}
 		r.updateEndpoints(Delta, Endpoint{Upstream: "other", Zone: "a"})
-		if got := len(actionsOfKind(r.advance(60*ms), StartAttempt)) > 0; got != c.copied {
-			t.Errorf("%+v: copied %v", c, got)
+		if got := len(actionsOfKind(r.advance(60*ms), StartAttempt)) > 0; got != c.hedged {
+			t.Errorf("case %+v: got hedged %v, want %v", c, got, c.hedged)
 		}
 	}
 }
 
-// Whether copies pay is learned from those that are sent: where upstreams pause they win.
+// Whether hedging helps is learned from the requests that are hedged: it helps where endpoints pause.
 func TestHedgesThatWinGoOn(t *testing.T) {
 	for _, pauses := range []bool{false, true} {
-		var w *fakeFleet
-		w = newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
-			if phase := (w.now + time.Duration(u[1])*170*ms) % (2 * time.Second); pauses && phase < 300*ms {
+		var fleet *fakeFleet
+		fleet = newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+			if phase := (fleet.now + time.Duration(u[1])*170*ms) % (2 * time.Second); pauses && phase < 300*ms {
 				return OK, 300*ms - phase + 20*ms
 			}
-			if !pauses && w.now%(4*time.Second) < 400*ms {
-				return OK, 150 * ms // everywhere: the copy takes as long
+			if !pauses && fleet.now%(4*time.Second) < 400*ms {
+				return OK, 150 * ms // at all endpoints, so that the second attempt takes as long as the first
 			}
 			return OK, 20 * ms
 		})
-		w.setEndpoints(6)
-		w.run(30*time.Second, 100)
-		if hedges := w.totalAttempts() - w.requests; pauses != (w.b.hedges.successRatio > minHedgeSuccess) || !pauses && hedges > w.requests/20 {
-			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, hedges, w.requests, w.b.hedges.successRatio)
+		fleet.setEndpoints(6)
+		fleet.run(30*time.Second, 100)
+		if hedges := fleet.totalAttempts() - fleet.requests; pauses != (fleet.b.hedges.successRatio > minHedgeSuccess) || !pauses && hedges > fleet.requests/20 {
+			t.Errorf("pauses %v: got %d hedged of %d requests and success ratio %.2f; want a ratio above %.2f only with pauses, and without them at most 1 in 20 hedged",
+				pauses, hedges, fleet.requests, fleet.b.hedges.successRatio, minHedgeSuccess)
 		}
 	}
 }
 
-// A refused client is to stay away for good. Where the longest advice ends before the deadline it is back while late
-// answers count, past its objective, and in the way: there it is told to be back in time.
+// A rejected client is told to wait for the longest time allowed. If that ends before the deadline and a late answer has
+// value, the client would return after its objective and add to the load: it is then told to return in time.
 func TestAdviceOnRefusal(t *testing.T) {
 	for _, c := range []struct {
-		longest   time.Duration
-		lateShare float64
-		want      time.Duration
+		maxRetryAfter     time.Duration
+		lateValueFraction float64
+		want              time.Duration
 	}{{time.Second, 0.5, time.Second}, {800 * ms, 0, 800 * ms}, {800 * ms, 0.5, 100 * ms}, {50 * ms, 0.5, 50 * ms}} {
-		s := testSettings() // aim 200 ms, deadline 1 s
-		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateShare
+		s := testSettings() // objective 200 ms, deadline 1 s
+		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.maxRetryAfter, c.lateValueFraction
 		r := newRig(t, s)
 		r.setEndpoints(4)
-		r.b.admission.congestion, r.b.admission.congestionAt = 10, r.now // all is refused
+		r.b.admission.congestion, r.b.admission.congestionAt = 10, r.now // every request but the first is rejected
 		r.request("first", "c", time.Second)
 		actions := r.request("second", "c", time.Second)
 		r.wantFinalAnswer(actions, Reject)
 		if got := finalAnswers(actions)[0].RetryAfter; got != c.want {
-			t.Errorf("%+v: advised %v", c, got)
+			t.Errorf("case %+v: got retry-after %v, want %v", c, got, c.want)
 		}
 	}
 }
--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Guards against work for an upstream that operators took out, whatever lists say meanwhile.
+// Guards against requests to an endpoint that operators banned, whatever the endpoint list says.
 func TestBanOutlastsLists(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.handle(Ban{Upstream: "u0"}) // before the first list, as in an upgrade
+	r.handle(Ban{Upstream: "u0"}) // before the first list, as after an upgrade
 	for round, kind := range []UpdateKind{FullState, Delta, FullState} {
 		r.updateEndpoints(kind, Endpoint{Upstream: "u0", Zone: "a", StartedAt: time.Duration(round) * time.Second}, Endpoint{Upstream: "u1", Zone: "a"})
 		for i := range 20 {
 			id := fmt.Sprint(round, "-", i)
 			if to := r.wantAttempt(r.request(id, "c", time.Second)); to != "u1" {
-				t.Fatalf("round %d: sent to %s", round, to)
+				t.Fatalf("round %d: request went to %s, want u1", round, to)
 			}
 			r.endAttempt(id, 0, OK, 20*ms)
 		}
@@ -24,7 +24,7 @@
 	}
 }
 
-// Guards against requests that wait for what operators took out: with all out, they are refused at once.
+// Guards against requests that wait for banned endpoints: if all endpoints are banned, requests are rejected at once.
 func TestAllBannedIsRejectedAtOnce(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(2)
@@ -33,12 +33,12 @@
 	r.wantFinalAnswer(r.request("1", "c", time.Second), Reject)
 }
 
-// Guards against an upstream that stays unused when it is called back, and against one that is pushed over: it gets its
-// first request soon, though idle ones look faster, and then no more than its slow-start budget.
+// Guards against an endpoint that stays unused, or is overloaded, after its ban was cleared: it gets its first request soon,
+// although idle endpoints look faster, and then no more than its slow-start budget.
 func TestClearedBanBeginsSlowStartAndGetsWork(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(12)
-	for i := range 200 { // estimates, and a rate
+	for i := range 200 { // for latency estimates, and for a rate of requests
 		id := fmt.Sprint("w", i)
 		r.wantAttempt(r.request(id, "c", time.Second))
 		r.advance(10 * ms)
@@ -49,17 +49,17 @@
 	r.advance(time.Second)
 	r.handle(Ban{Upstream: "u3", Cleared: true})
 	if to := r.wantAttempt(r.request("first", "c", time.Second)); to != "u3" {
-		t.Errorf("the first request went to %s", to)
+		t.Errorf("first request after the ban was cleared went to %s, want u3", to)
 	}
-	if u := r.b.endpoints.byID["u3"]; !u.slowStart.active || u.slowStart.startedAt != r.now {
-		t.Error("it came back warm")
+	if ep := r.b.endpoints.byID["u3"]; !ep.slowStart.active || ep.slowStart.startedAt != r.now {
+		t.Errorf("got slow start %+v after the ban was cleared, want an active one since %v", ep.slowStart, r.now)
 	}
-	// Discovery tells of the restart later: cold from the call still, as what runs now began before.
-	at := r.now
+	// The list reports a restart later. The warm-up still counts from the end of the ban: the process started before it.
+	clearedAt := r.now
 	r.advance(100 * ms)
-	r.updateEndpoints(Delta, Endpoint{Upstream: "u3", Zone: "a", StartedAt: at - 500*ms})
-	if u := r.b.endpoints.byID["u3"]; !u.slowStart.active || u.slowStart.startedAt != at {
-		t.Error("warm too early")
+	r.updateEndpoints(Delta, Endpoint{Upstream: "u3", Zone: "a", StartedAt: clearedAt - 500*ms})
+	if ep := r.b.endpoints.byID["u3"]; !ep.slowStart.active || ep.slowStart.startedAt != clearedAt {
+		t.Errorf("got slow start %+v after the reported restart, want an active one since %v", ep.slowStart, clearedAt)
 	}
 	n := 0
 	for i := range 100 {
@@ -68,57 +68,58 @@
 		}
 	}
 	if n > 20 {
-		t.Errorf("%d of 100 at once to a cold upstream", n)
+		t.Errorf("starting endpoint got %d of 100 simultaneous requests, want at most 20", n)
 	}
 }
 
-// Guards against an upstream pushed over when it is called back: each sidecar sent it a request at once, and it stood first
-// with all of them. Few sidecars still do.
+// Guards against the overload of an endpoint whose ban was cleared: every sidecar puts it first, and used to send it a
+// request at once. Now only few sidecars do.
 func TestClearedBanIsNotOverloadedByAllSidecars(t *testing.T) {
 	for _, c := range []struct {
-		sidecars int
-		perSec   float64 // of each
+		sidecars  int
+		perSecond float64 // requests of each sidecar
 	}{{4, 200}, {300, 6}} {
 		s := testSettings()
 		s.FleetSize, s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration = c.sidecars, 0.3, 8800*ms, 4, time.Second
-		all := make([]*rig, c.sidecars)
-		for i := range all {
+		rigs := make([]*rig, c.sidecars)
+		for i := range rigs {
 			s.Zone = string(rune('a' + i%4))
 			b, err := New(s, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			all[i] = &rig{t: t, b: b, now: time.Minute}
+			rigs[i] = &rig{t: t, b: b, now: time.Minute}
 			var list []Endpoint
 			for u := range 40 {
 				list = append(list, Endpoint{Upstream: fmt.Sprint(u), Zone: string(rune('a' + u%4))})
 			}
-			all[i].updateEndpoints(FullState, list...)
+			rigs[i].updateEndpoints(FullState, list...)
 			for at := 20 * time.Second; at < time.Minute; at += 100 * ms {
-				b.admission.offered.add(c.perSec/10, at)
+				b.admission.offered.add(c.perSecond/10, at)
 			}
-			all[i].handle(Ban{Upstream: "5"})
-			all[i].handle(Ban{Upstream: "5", Cleared: true})
+			rigs[i].handle(Ban{Upstream: "5"})
+			rigs[i].handle(Ban{Upstream: "5", Cleared: true})
 		}
-		got, first := 0, 0
-		for k := range int(c.perSec) {
-			for i, r := range all {
-				r.now = time.Minute + time.Duration(k+1)*time.Second/time.Duration(c.perSec+1)
-				id := fmt.Sprint(k)
+		attempts, firstRound := 0, 0
+		for round := range int(c.perSecond) {
+			for i, r := range rigs {
+				r.now = time.Minute + time.Duration(round+1)*time.Second/time.Duration(c.perSecond+1)
+				id := fmt.Sprint(round)
 				if r.wantAttempt(r.request(id, "c", time.Second)) == "5" {
-					if got++; k == 0 {
-						first++
+					if attempts++; round == 0 {
+						firstRound++
 					}
 				}
 				r.now += 10 * ms
 				r.endAttempt(id, 0, OK, 10*ms)
-				all[i] = r
+				rigs[i] = r
 			}
 		}
-		n := 4 * 0.3 * c.perSec * float64(c.sidecars) / 40 / 0.85
-		t.Logf("%d sidecars: %d, of them %d at once, where %.0f are allowed", c.sidecars, got, first, n)
-		if x := float64(got); x > n+2*math.Sqrt(n)+2 || first == 0 {
-			t.Errorf("%d sidecars: %d, of them %d at once, where %.0f are allowed", c.sidecars, got, first, n)
+		allowed := 4 * 0.3 * c.perSecond * float64(c.sidecars) / 40 / 0.85
+		t.Logf("%d sidecars: got %d attempts, %d of them in the first round; %.0f are allowed", c.sidecars, attempts, firstRound, allowed)
+		if got := float64(attempts); got > allowed+2*math.Sqrt(allowed)+2 || firstRound == 0 {
+			t.Errorf("%d sidecars: got %d attempts, %d of them in the first round; want at most about %.0f, and some in the first round",
+				c.sidecars, attempts, firstRound, allowed)
 		}
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkRequest measures the decisions on one request: its arrival, its attempt's end and the timers between.
+// BenchmarkRequest measures the decisions on one request: its arrival, the end of its attempt, and the timers in between.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpoints := range []int{10, 300} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
@@ -21,7 +21,7 @@
 			}
 			now := time.Minute
 			actions := balancer.Handle(now, EndpointUpdate{Endpoints: list}, nil)
-			const inFlight = 20 // each takes so many arrivals
+			const inFlight = 20 // each request is answered after so many more have arrived
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += ms
--- a/balancer/body_test.go
+++ b/balancer/body_test.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Guards against a slow client that makes its upstream look slow, or its request late: its time begins with the body's
-// last byte.
+// Guards against a slow client that makes its endpoint look slow, or its request late: the request's time starts with the
+// last byte of its body.
 func TestOpenRequestsTimeBeginsWithItsBodysEnd(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(2)
 	to := r.wantAttempt(r.handle(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
-	r.wantNothing(r.advance(20 * time.Second)) // it comes slowly; its client waits all the same
+	r.wantNothing(r.advance(20 * time.Second)) // the body arrives slowly, while the client still waits
 	if r.b.admission.inFlight != 0 {
-		t.Errorf("%d in hand", r.b.admission.inFlight)
+		t.Errorf("got %d in flight while the body arrives, want 0", r.b.admission.inFlight)
 	}
-	if x, y := r.b.cost(r.b.endpoints.byID[to]), r.b.cost(r.b.endpoints.byID[otherEndpoint(to)]); x > 2.1*y { // pending, and no slower
-		t.Errorf("its upstream looks slow: load %v, the other's %v", x, y)
+	if cost, otherCost := r.b.cost(r.b.endpoints.byID[to]), r.b.cost(r.b.endpoints.byID[otherEndpoint(to)]); cost > 2.1*otherCost { // it has a pending attempt, but is not slower
+		t.Errorf("got cost %v with a pending attempt, want at most 2.1 times that of the other endpoint, %v", cost, otherCost)
 	}
 	r.wantNothing(r.handle(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second}))
 	if r.b.admission.inFlight != 1 {
-		t.Errorf("%d in hand", r.b.admission.inFlight)
+		t.Errorf("got %d in flight after the body has arrived, want 1", r.b.admission.inFlight)
 	}
 	r.wantNothing(r.endAttempt("1", 0, OK, 20*ms))
 	if r.b.admission.inFlight != 0 || len(r.b.requests) != 0 {
-		t.Error("not forgotten")
+		t.Errorf("got %d in flight and %d stored requests after the answer, want 0", r.b.admission.inFlight, len(r.b.requests))
 	}
 }
 
+// otherEndpoint returns the other ID of the two endpoints u0 and u1.
 func otherEndpoint(id string) string {
 	if id == "u0" {
 		return "u1"
@@ -35,19 +36,19 @@
 	return "u0"
 }
 
-// Guards against an open request that is never answered, once its body has come.
+// Guards against a request that is never answered after its body has arrived.
 func TestOpenRequestEndsInTime(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(1)
 	r.wantAttempt(r.handle(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
 	r.advance(5 * time.Second)
 	r.handle(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second})
-	if f := finalAnswers(r.advance(time.Second)); len(f) != 1 {
-		t.Errorf("answers %+v", f)
+	if answers := finalAnswers(r.advance(time.Second)); len(answers) != 1 {
+		t.Errorf("got final answers %+v, want one", answers)
 	}
 }
 
-// Guards against a second attempt with half a body: it is refused, as it never ran.
+// Guards against a second attempt with an incomplete body: the request is rejected, since it did not run.
 func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Idempotency = NotIdempotent
@@ -56,5 +57,5 @@
 	r.wantAttempt(r.handle(Request{ID: "1", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
 	r.wantFinalAnswer(r.handle(AttemptEnded{ID: "1", Result: ConnectFailed, Elapsed: ms, BodyConsumed: true}), Reject)
 	r.wantAttempt(r.handle(Request{ID: "2", Class: "c", ExpiresAt: r.now + time.Second, BodyPending: true}))
-	r.wantAttempt(r.handle(AttemptEnded{ID: "2", Result: ConnectFailed, Elapsed: ms})) // nothing was taken from it yet
+	r.wantAttempt(r.handle(AttemptEnded{ID: "2", Result: ConnectFailed, Elapsed: ms})) // none of its body was consumed
 }
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against upstreams in slow start that stay unused when they are needed most: while work is refused, the work admitted
-// shrinks, and a budget that is a part of it would shrink too.
+// Guards against endpoints in slow start that stay unused when they are needed most: while load is shed, less is admitted,
+// and a budget in proportion to the admitted load would shrink, too.
 func TestSlowStartHoldsWhileLoadIsShed(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(6)
@@ -17,30 +17,30 @@
 		r.advance(5 * ms)
 		r.endAttempt(id, 0, OK, 10*ms)
 	}
-	budget := func() float64 {
+	tokensAfter200ms := func() float64 {
 		r.updateEndpoints(Delta, Endpoint{Upstream: "cold", Zone: "a", StartedAt: r.now})
-		u := r.b.endpoints.byID["cold"]
-		u.slowStart.tokens, u.slowStart.refilledAt = 0, r.now
+		ep := r.b.endpoints.byID["cold"]
+		ep.slowStart.tokens, ep.slowStart.refilledAt = 0, r.now
 		r.now += 200 * ms
 		r.b.now = r.now
-		r.b.slowStartAllows(u)
+		r.b.slowStartAllows(ep)
 		r.updateEndpoints(Delta, Endpoint{Upstream: "cold", Zone: "a", State: Removed})
-		return u.slowStart.tokens
+		return ep.slowStart.tokens
 	}
-	before := budget()
+	before := tokensAfter200ms()
 	r.b.admission.lastShedAt, r.b.admission.offeredAtShedding = r.now, r.b.admission.offered.perSecond(r.now)
-	r.now += 20 * time.Second // nothing is admitted meanwhile
-	if now := budget(); now < 0.9*before {
-		t.Errorf("%.2f in 0.2 s, was %.2f", now, before)
+	r.now += 20 * time.Second // no request is admitted in this time
+	if after := tokensAfter200ms(); after < 0.9*before {
+		t.Errorf("got %.2f tokens in 0.2 s while load is shed, want at least 90%% of %.2f", after, before)
 	}
 	r.b.admission.lastShedAt = 0
-	if now := budget(); now > 0.6*before {
-		t.Errorf("%.2f in 0.2 s with little work, was %.2f", now, before)
+	if after := tokensAfter200ms(); after > 0.6*before {
+		t.Errorf("got %.2f tokens in 0.2 s with a low load, want at most 60%% of %.2f", after, before)
 	}
 }
 
-// Guards against upstreams that are congested while a part of them is out by an operator: what is in flight is set against those
-// that take some of it.
+// Guards against congestion while some endpoints are banned: the requests in flight are compared with the capacity of the
+// endpoints that take work.
 func TestCongestionIsMeasuredOnUsableEndpoints(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
@@ -50,17 +50,17 @@
 		r.request(fmt.Sprint(i), "c", 30*time.Second)
 	}
 	r.advance(150 * ms)
-	if p := r.b.pressure(); p > 1 { // 6 in flight for each, over both sidecars, and no attempt told of a crowd
-		t.Errorf("pressure %.2f with all in use", p)
+	if p := r.b.pressure(); p > 1 { // 6 in flight per endpoint, over both sidecars, and no attempt showed congestion
+		t.Errorf("got pressure %.2f with all endpoints in use, want at most 1", p)
 	}
 	for i := range 4 {
 		r.handle(Ban{Upstream: fmt.Sprint("u", i)})
 	}
-	if p := r.b.pressure(); p <= 1 { // 9, and none served
-		t.Errorf("pressure %.2f with a third banned", p)
+	if p := r.b.pressure(); p <= 1 { // 9 in flight per endpoint, and none served
+		t.Errorf("got pressure %.2f with a third of the endpoints banned, want above 1", p)
 	}
 	r.b.endpoints.byID["u5"].health.ejectedUntil, r.b.endpoints.byID["u6"].health.ejectedUntil = r.now+time.Second, r.now+time.Second
 	if n := r.b.usableCapacity(); n != 6 {
-		t.Errorf("%v usable", n)
+		t.Errorf("got usable capacity %v, want 6", n)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"mosslead/balancer"
 )
 
-// A sidecar embeds the balancer: it reports what happens, with its own clock, and carries out the actions.
+// A sidecar embeds the balancer: it reports events, with the times of its own clock, and carries out the actions.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Zone:        "east",
@@ -28,7 +28,7 @@
 			case balancer.Reject, balancer.Fail:
 				fmt.Println("answer", a.ID)
 			case balancer.SetTimer:
-				// arrange for report(a.At, balancer.Wake{})
+				// arrange for report(a.At, balancer.TimerFired{})
 			}
 		}
 	}
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// fakeFleet answers attempts as a script says, tick by tick: a table of what each upstream does, no model of a server.
+// fakeFleet is a rig with fake endpoints. It does not model a server: reply determines the result of each attempt.
 type fakeFleet struct {
 	*rig
-	reply        func(u string) (Result, time.Duration) // and after how long; a negative time: no answer ever
+	reply        func(endpoint string) (Result, time.Duration) // result and duration of an attempt; negative: no answer
 	pending      []pendingAttempt
-	sentTo       map[string]int
-	finalAnswers map[ActionKind]int
-	succeeded    int
+	sentTo       map[string]int     // attempts by endpoint
+	finalAnswers map[ActionKind]int // Reject and Fail actions
+	succeeded    int                // attempts
 	requests     int
 }
 
+// pendingAttempt is an attempt and how it will end.
 type pendingAttempt struct {
 	action Action
 	number int
@@ -31,144 +32,148 @@
 	return &fakeFleet{rig: newRig(t, s), reply: reply, sentTo: map[string]int{}, finalAnswers: map[ActionKind]int{}}
 }
 
-func (w *fakeFleet) apply(actions []Action, attempts map[string]int) {
+// apply carries out actions. attempts is the number of attempts of each request.
+func (f *fakeFleet) apply(actions []Action, attempts map[string]int) {
 	for _, a := range actions {
 		switch a.Kind {
 		case StartAttempt:
-			res, d := w.reply(a.Upstream)
-			f := pendingAttempt{action: a, number: attempts[a.ID], sentAt: w.now, endsAt: w.now + d, result: res}
+			res, d := f.reply(a.Upstream)
+			pending := pendingAttempt{action: a, number: attempts[a.ID], sentAt: f.now, endsAt: f.now + d, result: res}
 			if d < 0 || d > a.Timeout {
-				f.endsAt, f.result = w.now+a.Timeout, Timeout
+				pending.endsAt, pending.result = f.now+a.Timeout, Timeout
 			}
 			attempts[a.ID]++
-			w.sentTo[a.Upstream]++
-			w.pending = append(w.pending, f)
+			f.sentTo[a.Upstream]++
+			f.pending = append(f.pending, pending)
 		case CancelAttempt:
-			for i := range w.pending {
-				if w.pending[i].action.ID == a.ID && w.pending[i].number == a.Attempt {
-					w.pending[i].endsAt, w.pending[i].result = w.now, Cancelled
+			for i := range f.pending {
+				if f.pending[i].action.ID == a.ID && f.pending[i].number == a.Attempt {
+					f.pending[i].endsAt, f.pending[i].result = f.now, Cancelled
 				}
 			}
 		case Reject, Fail:
-			w.finalAnswers[a.Kind]++
+			f.finalAnswers[a.Kind]++
 		}
 	}
 }
 
-// run runs for d with perSec requests a second, spread evenly.
-func (w *fakeFleet) run(d time.Duration, perSec int) {
+// run advances the clock by d with perSecond evenly distributed requests of the first class.
+func (f *fakeFleet) run(d time.Duration, perSecond int) {
 	attempts := map[string]int{}
-	tick := w.b.settings.Tick
+	tick := f.b.settings.Tick
 	due := 0.0
-	for end := w.now + d; w.now < end; {
-		w.now += tick
-		w.apply(w.handle(TimerFired{}), attempts)
-		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
-			w.requests++
-			w.apply(w.handle(Request{ID: fmt.Sprint("r", w.requests), Class: w.b.settings.Classes[0].Name,
-				ExpiresAt: w.now + w.b.settings.Classes[0].Deadline}), attempts)
+	for end := f.now + d; f.now < end; {
+		f.now += tick
+		f.apply(f.handle(TimerFired{}), attempts)
+		for due += float64(perSecond) * tick.Seconds(); due >= 1; due-- {
+			f.requests++
+			f.apply(f.handle(Request{ID: fmt.Sprint("r", f.requests), Class: f.b.settings.Classes[0].Name,
+				ExpiresAt: f.now + f.b.settings.Classes[0].Deadline}), attempts)
 		}
-		for i := 0; i < len(w.pending); i++ {
-			f := w.pending[i]
-			if f.endsAt > w.now {
+		for i := 0; i < len(f.pending); i++ {
+			pending := f.pending[i]
+			if pending.endsAt > f.now {
 				continue
 			}
-			w.pending = slices.Delete(w.pending, i, i+1)
+			f.pending = slices.Delete(f.pending, i, i+1)
 			i--
-			if f.result == OK {
-				w.succeeded++
+			if pending.result == OK {
+				f.succeeded++
 			}
-			w.apply(w.handle(AttemptEnded{ID: f.action.ID, Attempt: f.number, Result: f.result, Elapsed: w.now - f.sentAt,
-				Final: f.result == OK}), attempts)
+			f.apply(f.handle(AttemptEnded{ID: pending.action.ID, Attempt: pending.number, Result: pending.result, Elapsed: f.now - pending.sentAt,
+				Final: pending.result == OK}), attempts)
 		}
 	}
 }
 
-func (w *fakeFleet) logged(text string) bool {
-	return slices.ContainsFunc(w.logs, func(l string) bool { return strings.Contains(l, text) })
+// logged reports whether a log line contains the text.
+func (f *fakeFleet) logged(text string) bool {
+	return slices.ContainsFunc(f.logs, func(line string) bool { return strings.Contains(line, text) })
 }
 
 func okAfter20ms(string) (Result, time.Duration) { return OK, 20 * ms }
 
-// A crashed upstream refuses at once and so looks fast; it must not draw picks. It comes back by single probes.
+// Guards against picks of a crashed endpoint, whose immediate refusals look fast. Single probes reinstate it.
 func TestCrashedUpstreamDrawsNoPicks(t *testing.T) {
 	down := true
-	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" && down {
 			return ConnectFailed, 0
 		}
 		return OK, 20 * ms
 	})
-	w.setEndpoints(5)
-	w.run(10*time.Second, 100)
-	if w.sentTo["u0"] > 10 {
-		t.Errorf("%d attempts on the crashed upstream", w.sentTo["u0"])
+	fleet.setEndpoints(5)
+	fleet.run(10*time.Second, 100)
+	if fleet.sentTo["u0"] > 10 {
+		t.Errorf("crashed endpoint got %d attempts, want at most 10", fleet.sentTo["u0"])
 	}
-	if w.finalAnswers[Reject]+w.finalAnswers[Fail] > 0 {
-		t.Errorf("requests lost with four upstreams fine: %v", w.finalAnswers)
+	if fleet.finalAnswers[Reject]+fleet.finalAnswers[Fail] > 0 {
+		t.Errorf("got final answers %v by kind with four working endpoints, want none", fleet.finalAnswers)
 	}
 	down = false
-	w.run(10*time.Second, 100)
-	if w.sentTo["u0"] < 50 || !w.logged("endpoint ejected upstream=u0") || !w.logged("endpoint reinstated upstream=u0") {
-		t.Errorf("not back: %d attempts, log %q", w.sentTo["u0"], w.logs)
+	fleet.run(10*time.Second, 100)
+	if fleet.sentTo["u0"] < 50 || !fleet.logged("endpoint ejected upstream=u0") || !fleet.logged("endpoint reinstated upstream=u0") {
+		t.Errorf("endpoint got %d attempts after it recovered, want 50 or more and a logged ejection and reinstatement; log %q",
+			fleet.sentTo["u0"], fleet.logs)
 	}
 }
 
-// A hung upstream answers nothing: known by the age of what is out, ejected by its silence.
+// An endpoint that hangs is recognized by the age of its pending attempts, and ejected because it does not answer.
 func TestHungUpstreamIsLeft(t *testing.T) {
-	for _, hedges := range []bool{true, false} {
+	for _, hedging := range []bool{true, false} {
 		s := testSettings()
-		s.Hedging = hedges
-		w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
+		s.Hedging = hedging
+		fleet := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 			if u == "u0" {
 				return OK, -1
 			}
 			return OK, 20 * ms
 		})
-		w.setEndpoints(5)
-		w.run(10*time.Second, 100)
-		if w.sentTo["u0"] > 60 || w.succeeded < 950 {
-			t.Errorf("copies %v: %d attempts on the hung upstream, %d of %d served", hedges, w.sentTo["u0"], w.succeeded, w.requests)
+		fleet.setEndpoints(5)
+		fleet.run(10*time.Second, 100)
+		if fleet.sentTo["u0"] > 60 || fleet.succeeded < 950 {
+			t.Errorf("hedging %v: hung endpoint got %d attempts, want at most 60; %d of %d requests succeeded, want 950 or more",
+				hedging, fleet.sentTo["u0"], fleet.succeeded, fleet.requests)
 		}
 	}
 }
 
-// A pause shorter than any health check: copies save what waits there.
+// Hedging answers the requests that wait at an endpoint during a pause too short for any health check.
 func TestPauseIsCoveredByHedging(t *testing.T) {
-	var w *fakeFleet
-	w = newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
-		if phase := w.now % (2 * time.Second); u == "u0" && phase < 300*ms {
+	var fleet *fakeFleet
+	fleet = newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+		if phase := fleet.now % (2 * time.Second); u == "u0" && phase < 300*ms {
 			return OK, 300*ms - phase + 20*ms
 		}
 		return OK, 20 * ms
 	})
-	w.setEndpoints(4)
-	w.run(20*time.Second, 100)
-	if float64(w.succeeded) < 0.99*float64(w.requests-5) {
-		t.Errorf("%d of %d served", w.succeeded, w.requests)
+	fleet.setEndpoints(4)
+	fleet.run(20*time.Second, 100)
+	if float64(fleet.succeeded) < 0.99*float64(fleet.requests-5) {
+		t.Errorf("%d of %d requests succeeded, want 99%%", fleet.succeeded, fleet.requests)
 	}
 }
 
-// A slow upstream gets less, and no more than moves.
+// A slow endpoint gets at most half as many requests as a fast one.
 func TestSlowUpstreamGetsLess(t *testing.T) {
-	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return OK, 120 * ms
 		}
 		return OK, 20 * ms
 	})
-	w.setEndpoints(4)
-	w.run(10*time.Second, 100)
-	if w.sentTo["u0"] > w.sentTo["u1"]/2 {
-		t.Errorf("slow %d, others %d", w.sentTo["u0"], w.sentTo["u1"])
+	fleet.setEndpoints(4)
+	fleet.run(10*time.Second, 100)
+	if fleet.sentTo["u0"] > fleet.sentTo["u1"]/2 {
+		t.Errorf("slow endpoint got %d attempts, a fast one %d; want at most half", fleet.sentTo["u0"], fleet.sentTo["u1"])
 	}
 }
 
-// A costly request does not make its upstream look slow: samples are normalised by hints.
+// A costly request does not make its endpoint look slow: samples are normalized by the cost hint.
 func TestCostlyRequestIsNoSlowUpstream(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(1)
-	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
+	for i := range 200 { // mean work of 20 ms, each answered in 20 ms
 		id := fmt.Sprint(i)
 		r.handle(Request{ID: id, Class: "c", ExpiresAt: r.now + time.Second, CostHint: 20 * ms})
 		r.endAttempt(id, 0, OK, 20*ms)
@@ -179,152 +184,155 @@
 	r.now += 10 * ms
 	r.endAttempt("big", 0, OK, 120*ms)
 	if after := r.b.endpoints.order[0].latency.value; after > 1.5*before {
-		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
+		t.Errorf("got estimate %v after six times the work in six times the time, want at most 1.5 times %v", after, before)
 	}
 }
 
-// Overload, as it looks from a sidecar: everything takes longer than it may. Work is refused early instead of failing
-// late, also with a slow upstream on top, and shedding ends with its cause.
+// In an overload every attempt takes longer than its objective. Requests are then rejected early instead of failing
+// late, even if one endpoint is also slow, and load shedding ends after the overload.
 func TestOverloadIsShedEarlyAndEnds(t *testing.T) {
 	latency := 20 * ms
-	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return OK, 2 * latency
 		}
 		return OK, latency
 	})
-	w.setEndpoints(4)
-	w.run(5*time.Second, 200)
-	if w.finalAnswers[Reject] > 10 {
-		t.Errorf("%d refused in calm", w.finalAnswers[Reject])
+	fleet.setEndpoints(4)
+	fleet.run(5*time.Second, 200)
+	if fleet.finalAnswers[Reject] > 10 {
+		t.Errorf("%d requests were rejected without overload, want at most 10", fleet.finalAnswers[Reject])
 	}
 	latency = 250 * ms
-	w.run(2*time.Second, 200)
-	sent, n := w.totalAttempts(), w.requests
-	w.run(3*time.Second, 200)
-	if got := w.totalAttempts() - sent; got > (w.requests-n)*3/10 {
-		t.Errorf("%d attempts for %d requests that cannot be served", got, w.requests-n)
+	fleet.run(2*time.Second, 200)
+	attemptsBefore, requestsBefore := fleet.totalAttempts(), fleet.requests
+	fleet.run(3*time.Second, 200)
+	if got := fleet.totalAttempts() - attemptsBefore; got > (fleet.requests-requestsBefore)*3/10 {
+		t.Errorf("got %d attempts for %d requests that cannot be served, want at most 30%%", got, fleet.requests-requestsBefore)
 	}
 	latency = 20 * ms
-	w.run(3*time.Second, 200)
-	ok, n := w.succeeded, w.requests
-	w.run(3*time.Second, 200)
-	if got := w.succeeded - ok; float64(got) < 0.95*float64(w.requests-n) {
-		t.Errorf("%d of %d served after the overload", got, w.requests-n)
+	fleet.run(3*time.Second, 200)
+	succeededBefore, requestsBefore := fleet.succeeded, fleet.requests
+	fleet.run(3*time.Second, 200)
+	if got := fleet.succeeded - succeededBefore; float64(got) < 0.95*float64(fleet.requests-requestsBefore) {
+		t.Errorf("%d of %d requests succeeded after the overload, want 95%%", got, fleet.requests-requestsBefore)
 	}
-	if !w.logged("load shedding started") || !w.logged("load shedding ended") {
-		t.Errorf("log %q", w.logs)
+	if !fleet.logged("load shedding started") || !fleet.logged("load shedding ended") {
+		t.Errorf("log %q, want the start and the end of load shedding", fleet.logs)
 	}
 }
 
-func (w *fakeFleet) totalAttempts() (n int) {
-	for _, k := range w.sentTo {
-		n += k
+// totalAttempts returns the number of attempts at all endpoints.
+func (f *fakeFleet) totalAttempts() (n int) {
+	for _, attempts := range f.sentTo {
+		n += attempts
 	}
 	return n
 }
 
-// A crash during a deploy: half the fleet cold, one dead; the cold stay within their budget.
+// During a deploy with a crash, half of the endpoints warm up and one refuses connections. The starting ones stay within
+// their slow-start budget.
 func TestCrashDuringDeploy(t *testing.T) {
-	w := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return Reset, 5 * ms
 		}
 		return OK, 20 * ms
 	})
-	w.setEndpoints(8)
-	w.reply, w.logs = okAfter20ms, nil
-	w.run(10*time.Second, 200)
+	fleet.setEndpoints(8)
+	fleet.reply, fleet.logs = okAfter20ms, nil
+	fleet.run(10*time.Second, 200)
 	for i := range 4 {
-		w.updateEndpoints(Delta, Endpoint{Upstream: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
+		fleet.updateEndpoints(Delta, Endpoint{Upstream: fmt.Sprint("u", i+4), Zone: "a", StartedAt: fleet.now})
 	}
-	w.reply = func(u string) (Result, time.Duration) {
+	fleet.reply = func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return ConnectFailed, 0
 		}
 		return OK, 20 * ms
 	}
-	clear(w.sentTo)
-	ok, n := w.succeeded, w.requests
-	w.run(2*time.Second, 200)
-	if got := w.succeeded - ok; float64(got) < 0.95*float64(w.requests-n) {
-		t.Errorf("%d of %d served", got, w.requests-n)
+	clear(fleet.sentTo)
+	succeededBefore, requestsBefore := fleet.succeeded, fleet.requests
+	fleet.run(2*time.Second, 200)
+	if got := fleet.succeeded - succeededBefore; float64(got) < 0.95*float64(fleet.requests-requestsBefore) {
+		t.Errorf("%d of %d requests succeeded, want 95%%", got, fleet.requests-requestsBefore)
 	}
 	for i := 4; i < 8; i++ {
-		// The fall rule: 3 times 0.2 to 0.36 of the capacity; 25 a second each is the mean load.
-		if got := w.sentTo[fmt.Sprint("u", i)]; got > 40 {
-			t.Errorf("u%d, cold: %d in 2 s", i, got)
+		// The overload limit is 3 times 0.2 to 0.36 of the capacity; the mean load of an endpoint is 25 requests per second.
+		if got := fleet.sentTo[fmt.Sprint("u", i)]; got > 40 {
+			t.Errorf("starting endpoint u%d got %d attempts in 2 s, want at most 40", i, got)
 		}
 	}
 }
 
-// A network that breaks every eighth attempt, wherever it goes: upstreams that answer all the while are not taken
-// for dead ones, or the few that are left at a moment would get what all can carry. One that breaks every
-// connection is.
+// Guards against ejections caused by a network that breaks every eighth attempt at all endpoints: the few endpoints that
+// remain would get the load of all. An endpoint that breaks every connection is ejected.
 func TestBrokenConnectionsAreNoDeadUpstream(t *testing.T) {
 	n := 0
-	w := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) {
+	fleet := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) {
 		if n++; n%8 == 0 {
 			return Reset, ms
 		}
 		return OK, 20 * ms
 	})
-	w.setEndpoints(12)
-	w.run(10*time.Second, 200)
-	if got := w.ejections(); got > 5 {
-		t.Errorf("%d ejections, of upstreams that answer seven of eight: %q", got, w.logs)
+	fleet.setEndpoints(12)
+	fleet.run(10*time.Second, 200)
+	if got := fleet.ejections(); got > 5 {
+		t.Errorf("got %d ejections of endpoints that answer seven of eight attempts, want at most 5; log %q", got, fleet.logs)
 	}
-	w.reply = func(u string) (Result, time.Duration) {
+	fleet.reply = func(u string) (Result, time.Duration) {
 		if u == "u0" {
 			return Reset, ms
 		}
 		return OK, 20 * ms
 	}
-	w.logs, w.sentTo["u0"] = nil, 0
-	w.run(4*time.Second, 200)
-	if got := w.ejections(); got != 1 || w.sentTo["u0"] > 20 {
-		t.Errorf("%d ejections and %d attempts, where one upstream of twelve breaks every connection", got, w.sentTo["u0"])
+	fleet.logs, fleet.sentTo["u0"] = nil, 0
+	fleet.run(4*time.Second, 200)
+	if got := fleet.ejections(); got != 1 || fleet.sentTo["u0"] > 20 {
+		t.Errorf("one of twelve endpoints breaks every connection: got %d ejections and %d attempts at it, want 1 and at most 20", got, fleet.sentTo["u0"])
 	}
 }
 
-func (w *fakeFleet) ejections() (n int) {
-	for _, l := range w.logs {
-		if strings.HasPrefix(l, "endpoint ejected upstream=") {
+// ejections returns the number of logged ejections.
+func (f *fakeFleet) ejections() (n int) {
+	for _, line := range f.logs {
+		if strings.HasPrefix(line, "endpoint ejected upstream=") {
 			n++
 		}
 	}
 	return n
 }
 
-// Answers that never come, one in ten, after a moment in which none did, from upstreams that answer the rest
-// at once: what hangs is no crowd, and what is served meanwhile no measure of what could be.
+// Guards against load shedding because of stalled requests. After 300 ms without any answer, one attempt in ten gets no
+// answer and the endpoints answer the others quickly. Stalled requests are no sign of congestion, and the rate of answers
+// in that time is below what the endpoints can serve.
 func TestStalledRequestsAreNoOverload(t *testing.T) {
 	s := testSettings()
 	s.Hedging = false
-	n, every := 0, 0
-	w := newFakeFleet(t, s, func(string) (Result, time.Duration) {
-		if n++; every > 0 && n%every == 0 {
+	attempts, silentEvery := 0, 0
+	fleet := newFakeFleet(t, s, func(string) (Result, time.Duration) {
+		if attempts++; silentEvery > 0 && attempts%silentEvery == 0 {
 			return OK, -1
 		}
 		return OK, 60 * ms
 	})
-	w.setEndpoints(12)
-	w.run(3*time.Second, 300)
-	every = 1
-	w.run(300*ms, 300)
-	every = 10
-	w.run(2*time.Second, 300)
-	ok, polls := w.succeeded, w.requests
-	w.run(4*time.Second, 300)
-	if got, of := w.succeeded-ok, w.requests-polls; float64(got) < 0.75*float64(of) {
-		t.Errorf("%d of %d served, where nine of ten answers come at once", got, of)
+	fleet.setEndpoints(12)
+	fleet.run(3*time.Second, 300)
+	silentEvery = 1
+	fleet.run(300*ms, 300)
+	silentEvery = 10
+	fleet.run(2*time.Second, 300)
+	succeededBefore, requestsBefore := fleet.succeeded, fleet.requests
+	fleet.run(4*time.Second, 300)
+	if got, total := fleet.succeeded-succeededBefore, fleet.requests-requestsBefore; float64(got) < 0.75*float64(total) {
+		t.Errorf("%d of %d requests succeeded, want 75%%: nine of ten attempts are answered in 60 ms", got, total)
 	}
 }
 
-// A request counts as lost for as long as its attempt is: not when it is sent again, and not when it has ended.
+// A request counts as stalled only while its latest attempt is: no longer once it is sent again or has ended.
 func TestStalledIsTheAttemptNotTheRequest(t *testing.T) {
 	s := testSettings()
-	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // it is worth waiting for after its objective
+	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // a late answer has value, so the request waits after its objective
 	r := newRig(t, s)
 	r.setEndpoints(1)
 	r.wantAttempt(r.request("lost", "c", time.Second))
@@ -334,25 +342,26 @@
 	r.endAttempt("later", 0, OK, 20*ms)
 	r.advance(150 * ms)
 	if r.b.admission.stalled != 1 {
-		t.Fatalf("%d lost, where one was overtaken by more than an aim and a half", r.b.admission.stalled)
+		t.Fatalf("got %d stalled requests, want 1: an attempt sent more than 1.5 objectives later was served", r.b.admission.stalled)
 	}
 	r.wantAttempt(r.endAttempt("lost", 0, Reset, 500*ms))
 	if r.b.admission.stalled != 0 {
-		t.Errorf("%d lost after it was sent again", r.b.admission.stalled)
+		t.Errorf("got %d stalled requests after it was sent again, want 0", r.b.admission.stalled)
 	}
 	r.advance(time.Second)
 	if r.b.admission.stalled != 0 || r.b.admission.inFlight != 0 {
-		t.Errorf("%d lost, %d in hand after all has ended", r.b.admission.stalled, r.b.admission.inFlight)
+		t.Errorf("got %d stalled requests and %d in flight after all have ended, want 0", r.b.admission.stalled, r.b.admission.inFlight)
 	}
 }
 
-// A cut zone with the list lost: work stays home, the cut zone is left alone but for probes, and comes back.
+// A remote zone is unreachable and the watch on the list has failed: requests stay in the local zone, the other zone gets
+// only probes, and is used again once it is reachable.
 func TestZoneCutWithoutAList(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
-	cut := false
-	w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
-		if cut && u > "u3" {
+	unreachable := false
+	fleet := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
+		if unreachable && u > "u3" {
 			return ConnectFailed, 200 * ms
 		}
 		return OK, 20 * ms
@@ -361,51 +370,51 @@
 	for i := range 8 {
 		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
 	}
-	w.updateEndpoints(Cached, list...)
-	w.updateEndpoints(Delta)
-	w.run(5*time.Second, 100)
-	cut = true
-	w.handle(EndpointUpdate{Kind: WatchFailed})
-	w.run(3*time.Second, 100)
-	ok, n := w.succeeded, w.requests
-	clear(w.sentTo)
-	w.run(10*time.Second, 100)
-	if got := w.succeeded - ok; float64(got) < 0.97*float64(w.requests-n) {
-		t.Errorf("%d of %d served in the cut", got, w.requests-n)
-	}
-	if far := w.sentTo["u4"] + w.sentTo["u5"] + w.sentTo["u6"] + w.sentTo["u7"]; far > 60 {
-		t.Errorf("%d attempts over the cut", far)
-	}
-	cut = false
-	w.run(10*time.Second, 100)
-	clear(w.sentTo)
-	w.run(5*time.Second, 100)
-	if far := w.sentTo["u4"] + w.sentTo["u5"] + w.sentTo["u6"] + w.sentTo["u7"]; far < 100 {
-		t.Errorf("%d attempts to the zone after the cut", far)
+	fleet.updateEndpoints(Cached, list...)
+	fleet.updateEndpoints(Delta)
+	fleet.run(5*time.Second, 100)
+	unreachable = true
+	fleet.handle(EndpointUpdate{Kind: WatchFailed})
+	fleet.run(3*time.Second, 100)
+	succeededBefore, requestsBefore := fleet.succeeded, fleet.requests
+	clear(fleet.sentTo)
+	fleet.run(10*time.Second, 100)
+	if got := fleet.succeeded - succeededBefore; float64(got) < 0.97*float64(fleet.requests-requestsBefore) {
+		t.Errorf("%d of %d requests succeeded while the zone was unreachable, want 97%%", got, fleet.requests-requestsBefore)
+	}
+	if remote := fleet.sentTo["u4"] + fleet.sentTo["u5"] + fleet.sentTo["u6"] + fleet.sentTo["u7"]; remote > 60 {
+		t.Errorf("unreachable zone got %d attempts, want at most 60", remote)
+	}
+	unreachable = false
+	fleet.run(10*time.Second, 100)
+	clear(fleet.sentTo)
+	fleet.run(5*time.Second, 100)
+	if remote := fleet.sentTo["u4"] + fleet.sentTo["u5"] + fleet.sentTo["u6"] + fleet.sentTo["u7"]; remote < 100 {
+		t.Errorf("zone got %d attempts after it was reachable again, want 100 or more", remote)
 	}
 }
 
-// A dear crossing keeps work at home while home serves, and lets it go when home cannot.
+// With a high cost of zone crossings, requests stay in the local zone, unless it is slow.
 func TestLocalZoneFirst(t *testing.T) {
 	s := testSettings()
 	s.CrossZoneCost = 0.2
 	slow := false
-	w := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
+	fleet := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 		if slow && u < "u2" {
 			return OK, 190 * ms
 		}
 		return OK, 20 * ms
 	})
-	w.updateEndpoints(FullState, Endpoint{Upstream: "u0", Zone: "a"}, Endpoint{Upstream: "u1", Zone: "a"}, Endpoint{Upstream: "u2", Zone: "b"},
+	fleet.updateEndpoints(FullState, Endpoint{Upstream: "u0", Zone: "a"}, Endpoint{Upstream: "u1", Zone: "a"}, Endpoint{Upstream: "u2", Zone: "b"},
 		Endpoint{Upstream: "u3", Zone: "b"})
-	w.run(5*time.Second, 50)
-	if far := w.sentTo["u2"] + w.sentTo["u3"]; far > 25 {
-		t.Errorf("%d of %d crossed while home was fine", far, w.requests)
+	fleet.run(5*time.Second, 50)
+	if remote := fleet.sentTo["u2"] + fleet.sentTo["u3"]; remote > 25 {
+		t.Errorf("%d of %d requests went to the remote zone while the local one was fast, want at most 25", remote, fleet.requests)
 	}
 	slow = true
-	clear(w.sentTo)
-	w.run(5*time.Second, 50)
-	if far := w.sentTo["u2"] + w.sentTo["u3"]; far < 60 {
-		t.Errorf("%d of 250 crossed while home was slow", far)
+	clear(fleet.sentTo)
+	fleet.run(5*time.Second, 50)
+	if remote := fleet.sentTo["u2"] + fleet.sentTo["u3"]; remote < 60 {
+		t.Errorf("%d of 250 requests went to the remote zone while the local one was slow, want 60 or more", remote)
 	}
 }
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -39,15 +39,15 @@
 		_, err := New(s, 1)
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || invalid.Setting != want && invalid.Field != want || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v", want, err)
+			t.Errorf("invalid %s: got error %v, want a SettingError that names it", want, err)
 		}
 	}
 	if _, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}}, 1); err != nil {
-		t.Errorf("absent settings have defaults: %v", err)
+		t.Errorf("settings without optional values: got error %v, want defaults", err)
 	}
 }
 
-// With nothing set but a class, a request is sent and answered.
+// With a class as the only setting, a request is sent and answered.
 func TestBareSettings(t *testing.T) {
 	r := newRig(t, Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}})
 	r.setEndpoints(1)
@@ -62,24 +62,24 @@
 	r.wantFinalAnswer(r.request("?", "no such class", time.Second), Reject)
 	r.setEndpoints(1)
 	r.wantAttempt(r.request("1", "c", time.Second))
-	r.wantNothing(r.request("1", "c", time.Second)) // the same id again
-	r.wantNothing(r.endAttempt("1", 5, OK, 10*ms))  // no such attempt
+	r.wantNothing(r.request("1", "c", time.Second)) // a repeated ID
+	r.wantNothing(r.endAttempt("1", 5, OK, 10*ms))  // there is no such attempt
 	r.wantNothing(r.endAttempt("1", -1, OK, 10*ms))
 	r.wantNothing(r.endAttempt("1", 0, OK, 10*ms))
-	r.wantNothing(r.endAttempt("1", 0, Reset, 10*ms)) // late repeat
+	r.wantNothing(r.endAttempt("1", 0, Reset, 10*ms)) // the attempt has ended already
 	r.wantNothing(r.handle(ClientDisconnected{ID: "1"}))
-	r.now -= time.Second // a clock that steps back counts as one that stands
+	r.now -= time.Second // time that goes back counts as unchanged
 	r.wantAttempt(r.handle(Request{ID: "2", Class: "c", Tenant: "stranger", ExpiresAt: r.now + 3*time.Second}))
 	r.wantNothing(r.handle(ClientDisconnected{ID: "2"}))
 	r.wantNothing(r.endAttempt("2", 0, OK, 10*ms))
-	actions := r.request("3", "c", -time.Second) // its time is over already
+	actions := r.request("3", "c", -time.Second) // it has expired already
 	actions = append(actions, r.advance(time.Second+20*ms)...)
 	if len(finalAnswers(actions)) != 1 || len(actionsOfKind(actions, StartAttempt)) != 0 {
-		t.Errorf("overdue request: %+v", actions)
+		t.Errorf("expired request: got actions %+v, want one final answer and no attempt", actions)
 	}
 }
 
-// What is finished or gone is let go.
+// Requests that have ended and endpoints that were removed are not kept.
 func TestForgets(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(3)
@@ -92,14 +92,14 @@
 	r.updateEndpoints(FullState, Endpoint{Upstream: "new"})
 	r.advance(2 * time.Second)
 	if len(r.b.requests) != 0 || len(r.b.endpoints.byID) != 1 || len(r.b.endpoints.order) != 1 || r.b.timers.Len() != 0 {
-		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.requests), len(r.b.endpoints.byID), len(r.b.endpoints.order),
+		t.Errorf("got %d requests, %d endpoints, %d in order, %d timers; want 0, 1, 1, 0", len(r.b.requests), len(r.b.endpoints.byID), len(r.b.endpoints.order),
 			r.b.timers.Len())
 	}
 }
 
-// The same events and seed give the same actions.
+// Equal events and seeds give equal actions.
 func TestDeterministic(t *testing.T) {
-	play := func() (all []Action) {
+	run := func() (all []Action) {
 		r := newRig(t, testSettings())
 		r.setEndpoints(8)
 		for i := range 300 {
@@ -112,18 +112,18 @@
 		}
 		return all
 	}
-	a, b := play(), play()
+	a, b := run(), run()
 	if len(a) != len(b) {
-		t.Fatalf("%d and %d actions", len(a), len(b))
+		t.Fatalf("got %d and %d actions in two runs, want equal numbers", len(a), len(b))
 	}
 	for i := range a {
 		if !reflect.DeepEqual(a[i], b[i]) {
-			t.Fatalf("action %d: %+v and %+v", i, a[i], b[i])
+			t.Fatalf("action %d of two runs: got %+v and %+v, want equal ones", i, a[i], b[i])
 		}
 	}
 }
 
-// The list once more, or an event in a tick of its own, changes nothing that is known.
+// A repeated endpoint list does not change what was learned.
 func TestRepeatedListChangesNothing(t *testing.T) {
 	r := newRig(t, testSettings())
 	entries := []Endpoint{{Upstream: "a", Machine: "m"}, {Upstream: "b", Machine: "m"}}
@@ -132,12 +132,12 @@
 	r.now += 50 * ms
 	r.endAttempt("1", 0, OK, 50*ms)
 	before := []*endpoint{r.b.endpoints.order[0], r.b.endpoints.order[1]}
-	known := []endpoint{*before[0], *before[1]}
+	copies := []endpoint{*before[0], *before[1]}
 	r.updateEndpoints(FullState, entries...)
 	r.updateEndpoints(Cached, entries...)
-	for i, u := range before {
-		if r.b.endpoints.order[i] != u || u.latency != known[i].latency || u.slowStart.active || u.health.lastAnswerAt != known[i].health.lastAnswerAt {
-			t.Errorf("changed: %+v, was %+v", *r.b.endpoints.order[i], known[i])
+	for i, ep := range before {
+		if r.b.endpoints.order[i] != ep || ep.latency != copies[i].latency || ep.slowStart.active || ep.health.lastAnswerAt != copies[i].health.lastAnswerAt {
+			t.Errorf("endpoint after a repeated list: got %+v, want %+v", *r.b.endpoints.order[i], copies[i])
 		}
 	}
 }
--- a/balancer/layout_test.go
+++ b/balancer/layout_test.go
@@ -19,7 +19,7 @@
 	maxLineLength    = 110
 )
 
-// The decisions are read at night. Each file holds one of them and stays short, so do its functions and lines.
+// Each file is about one decision. Files, functions and lines stay short because operators read them at night.
 func TestFilesStayShort(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		text, err := os.ReadFile(name)
@@ -28,21 +28,22 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if len(lines) > maxFileLines {
-			t.Errorf("%s: %d lines, %d at most", name, len(lines), maxFileLines)
+			t.Errorf("%s: got %d lines, want at most %d", name, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
 			if n := utf8.RuneCountInString(line); n > maxLineLength {
-				t.Errorf("%s:%d: %d characters, %d at most", name, i+1, n, maxLineLength)
+				t.Errorf("%s:%d: got %d characters, want at most %d", name, i+1, n, maxLineLength)
 			}
 		}
 		checkFunctionLengths(t, name, text)
 	}
 }
 
+// checkFunctionLengths checks the number of lines of each function in a file.
 func checkFunctionLengths(t *testing.T, name string, text []byte) {
 	t.Helper()
-	set := token.NewFileSet()
-	file, err := parser.ParseFile(set, name, text, 0)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, name, text, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,36 +52,37 @@
 		if !ok {
 			continue
 		}
-		if n := set.Position(f.End()).Line - set.Position(f.Pos()).Line + 1; n > maxFunctionLines {
-			t.Errorf("%s: %s has %d lines, %d at most", name, f.Name, n, maxFunctionLines)
+		if lines := fileSet.Position(f.End()).Line - fileSet.Position(f.Pos()).Line + 1; lines > maxFunctionLines {
+			t.Errorf("%s: function %s has %d lines, want at most %d", name, f.Name, lines, maxFunctionLines)
 		}
 	}
 }
 
-// The deploy file names the files that decide: all of this package but its interface and what only reports.
+// The policy in the deploy file lists the files that decide: all files of this package except those of its interface and
+// those that only report.
 func TestPolicyNamesWhatDecides(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindSubmatch(deploy)
-	if m == nil {
-		t.Fatal("no policy in the deploy file")
+	match := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindSubmatch(deploy)
+	if match == nil {
+		t.Fatal("../deploy/balancer.toml: got no policy, want a list of files")
 	}
-	var named []string
-	for _, f := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(m[1], -1) {
-		named = append(named, strings.TrimPrefix(string(f[1]), "balancer/"))
+	var got []string
+	for _, f := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(match[1], -1) {
+		got = append(got, strings.TrimPrefix(string(f[1]), "balancer/"))
 	}
-	slices.Sort(named)
+	slices.Sort(got)
 	want := slices.DeleteFunc(sourceFiles(t), func(name string) bool {
 		return slices.Contains([]string{"actions.go", "events.go", "settings.go", "views.go"}, name)
 	})
-	if !slices.Equal(named, want) {
-		t.Errorf("policy names %v, want %v", named, want)
+	if !slices.Equal(got, want) {
+		t.Errorf("policy in ../deploy/balancer.toml: got files %v, want %v", got, want)
 	}
 }
 
-// sourceFiles are the package's files, without tests, sorted.
+// sourceFiles returns the names of the package's files without tests, sorted.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
--- a/balancer/peerverdict_test.go
+++ b/balancer/peerverdict_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// newSharingRig has n upstreams in the home zone (four: its whole subset), a class c and a class d, and hears of others.
+// newSharingRig returns a rig with ShareEvidence and n endpoints in the local zone (4 are its whole subset). Classes c and d are
+// idempotent, class unsafe is not.
 func newSharingRig(t *testing.T, n int) *rig {
 	s := testSettings()
 	s.ShareEvidence = true
@@ -19,31 +20,32 @@
 	return r
 }
 
-func (r *rig) applyVerdict(u, class string, attempts ProbeOwner, fraction float64) {
-	r.handle(PeerVerdict{Upstream: u, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: fraction, Probes: attempts})
+// applyVerdict sends a verdict that is in force for a minute.
+func (r *rig) applyVerdict(endpoint, class string, probes ProbeOwner, passFraction float64) {
+	r.handle(PeerVerdict{Upstream: endpoint, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: passFraction, Probes: probes})
 }
 
-// sendRequests sends n requests of a class one after another, 10 ms apart and 20 to 80 ms each, and tells how many attempts each upstream got and what was
-// reported.
-func (r *rig) sendRequests(n int, class string, reply func(u string) Result) (sends map[string]int, reports []Action) {
-	sends = map[string]int{}
+// sendRequests sends n requests of a class, each 10 ms after the previous one has ended. Attempts take 20 to 80 ms. It returns
+// the number of attempts at each endpoint, and the ReportEvidence actions.
+func (r *rig) sendRequests(n int, class string, reply func(endpoint string) Result) (sentTo map[string]int, reports []Action) {
+	sentTo = map[string]int{}
 	for i := range n {
 		r.now += 10 * ms
 		id := fmt.Sprint(class, r.now, i)
 		actions := r.request(id, class, time.Second)
-		for k := 0; ; k++ {
+		for attempt := 0; ; attempt++ {
 			reports = append(reports, actionsOfKind(actions, ReportEvidence)...)
-			s := actionsOfKind(actions, StartAttempt)
-			if len(s) == 0 {
+			starts := actionsOfKind(actions, StartAttempt)
+			if len(starts) == 0 {
 				break
 			}
-			sends[s[0].Upstream]++
-			usedFraction := time.Duration(20+(37*len(r.b.endpoints.order)+53*i+int(r.now/ms))%60) * ms
-			r.now += usedFraction
-			actions = r.endAttempt(id, k, reply(s[0].Upstream), usedFraction)
+			sentTo[starts[0].Upstream]++
+			latency := time.Duration(20+(37*len(r.b.endpoints.order)+53*i+int(r.now/ms))%60) * ms
+			r.now += latency
+			actions = r.endAttempt(id, attempt, reply(starts[0].Upstream), latency)
 		}
 	}
-	return sends, reports
+	return sentTo, reports
 }
 
 func alwaysOK(string) Result { return OK }
@@ -52,63 +54,64 @@
 	r := newSharingRig(t, 4)
 	before := r.b.endpoints.byID["u0"].latency
 	r.applyVerdict("u0", "", ProbeByEach, 0)
-	if sends, _ := r.sendRequests(200, "c", alwaysOK); sends["u0"] != 0 || len(sends) != 3 {
-		t.Errorf("sent %v", sends)
+	if sentTo, _ := r.sendRequests(200, "c", alwaysOK); sentTo["u0"] != 0 || len(sentTo) != 3 {
+		t.Errorf("under a verdict on u0: got attempts %v, want some at each of the three others", sentTo)
 	}
 	if r.b.endpoints.byID["u0"].latency != before {
-		t.Error("hearsay changed an estimate")
+		t.Errorf("got estimate %+v after a verdict, want %+v", r.b.endpoints.byID["u0"].latency, before)
 	}
 	r.handle(PeerVerdict{Upstream: "u0"})
-	probe := &request{class: r.b.classes["c"]}
-	for _, back := range []time.Duration{100 * ms, 900 * ms} {
+	req := &request{class: r.b.classes["c"]}
+	for _, sinceEnd := range []time.Duration{100 * ms, 900 * ms} {
 		excluded := 0
 		for range 1000 {
-			r.b.now = r.now + back
-			if r.b.excludedByEvidence(r.b.endpoints.byID["u0"], probe) {
+			r.b.now = r.now + sinceEnd
+			if r.b.excludedByEvidence(r.b.endpoints.byID["u0"], req) {
 				excluded++
 			}
 		}
-		if want := 1000 - int(back/ms); excluded < want-60 || excluded > want+60 {
-			t.Errorf("%d of 1000 kept out %v after the end", excluded, back)
+		if want := 1000 - int(sinceEnd/ms); excluded < want-60 || excluded > want+60 {
+			t.Errorf("%v after the end of the verdict: got %d of 1000 picks excluded, want %d within 60", sinceEnd, excluded, want)
 		}
 	}
 	r.now += reinstatementTime
-	if sends, _ := r.sendRequests(200, "c", alwaysOK); sends["u0"] < 10 {
-		t.Errorf("not back: sent %v", sends)
+	if sentTo, _ := r.sendRequests(200, "c", alwaysOK); sentTo["u0"] < 10 {
+		t.Errorf("after the verdict: got attempts %v, want 10 or more at u0", sentTo)
 	}
 }
 
-// Hearsay of a class leaves the others; of another life it is nothing; a restart voids it; an own success since outranks it,
-// and is told.
+// A verdict on one class does not affect the others. One on another process of an endpoint is ignored, and a restart
+// ends one. This sidecar's later successes contradict a verdict, and are reported.
 func TestVerdictOfOneClassOrIncarnation(t *testing.T) {
 	r := newSharingRig(t, 4)
 	r.applyVerdict("u0", "c", ProbeByEach, 0)
-	if sends, _ := r.sendRequests(100, "c", alwaysOK); sends["u0"] != 0 {
-		t.Errorf("c: sent %v", sends)
+	if sentTo, _ := r.sendRequests(100, "c", alwaysOK); sentTo["u0"] != 0 {
+		t.Errorf("class c under a verdict on u0: got attempts %v, want none at u0", sentTo)
 	}
-	if sends, _ := r.sendRequests(100, "d", alwaysOK); sends["u0"] == 0 {
-		t.Errorf("d: sent %v", sends)
+	if sentTo, _ := r.sendRequests(100, "d", alwaysOK); sentTo["u0"] == 0 {
+		t.Errorf("class d without a verdict: got attempts %v, want some at u0", sentTo)
 	}
 	r.handle(PeerVerdict{Upstream: "u1", StartedAt: time.Second, Until: r.now + time.Minute, Since: r.now})
 	r.applyVerdict("u2", "", ProbeByEach, 0)
 	r.updateEndpoints(Delta, Endpoint{Upstream: "u2", Zone: "a", StartedAt: r.now - 50*time.Second})
-	if sends, _ := r.sendRequests(100, "d", alwaysOK); sends["u1"] == 0 || sends["u2"] == 0 {
-		t.Errorf("sent %v", sends)
+	if sentTo, _ := r.sendRequests(100, "d", alwaysOK); sentTo["u1"] == 0 || sentTo["u2"] == 0 {
+		t.Errorf("verdicts on other processes: got attempts %v, want some at u1 and u2", sentTo)
 	}
 	r.handle(PeerVerdict{Upstream: "u3", Until: r.now + time.Minute, Since: r.now - time.Second})
-	if sends, _ := r.sendRequests(100, "d", alwaysOK); sends["u3"] == 0 {
-		t.Error("an own success since did not outrank what was said")
+	if sentTo, _ := r.sendRequests(100, "d", alwaysOK); sentTo["u3"] == 0 {
+		t.Errorf("after later successes: got attempts %v, want some at u3", sentTo)
 	}
 	r.request("flying", "d", time.Second)
-	u := r.b.requests["flying"].attempts[0].endpoint
-	r.handle(PeerVerdict{Upstream: u.id, Until: r.now + time.Minute, Since: r.now - ms})
+	ep := r.b.requests["flying"].attempts[0].endpoint
+	r.handle(PeerVerdict{Upstream: ep.id, Until: r.now + time.Minute, Since: r.now - ms})
 	r.now += 5 * ms
-	if rep := actionsOfKind(r.endAttempt("flying", 0, OK, 5*ms), ReportEvidence); len(rep) != 1 || rep[0].Evidence != EvidenceNone || rep[0].Count != 1 {
-		t.Errorf("its success was told as %+v", rep)
+	if reports := actionsOfKind(r.endAttempt("flying", 0, OK, 5*ms), ReportEvidence); len(reports) != 1 || reports[0].Evidence != EvidenceNone || reports[0].Count != 1 {
+		t.Errorf("success under a verdict: got reports %+v, want one of EvidenceNone with count 1", reports)
 	}
 }
 
-// However verdicts, ejections, bans and the list come together: peer verdicts keeps out no more than its part of the usable ones.
+// Verdicts never exclude more than a third of a zone's usable endpoints, in whatever order verdicts, ejections, bans and
+// endpoint updates arrive.
 func TestVerdictsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
@@ -117,40 +120,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, probe := time.Minute, &request{class: b.classes["c"]}
-		upstream := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("u", rapid.IntRange(0, 8).Draw(t, "u")) })
+		now, req := time.Minute, &request{class: b.classes["c"]}
+		endpointID := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("u", rapid.IntRange(0, 8).Draw(t, "u")) })
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * ms
-			u := upstream.Draw(t, "upstream")
+			id := endpointID.Draw(t, "upstream")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				b.Handle(now, PeerVerdict{Upstream: u, Class: rapid.SampledFrom([]string{"", "c"}).Draw(t, "class"), Since: now,
+				b.Handle(now, PeerVerdict{Upstream: id, Class: rapid.SampledFrom([]string{"", "c"}).Draw(t, "class"), Since: now,
 					Until: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "s"))*time.Second, Probes: ProbeOwner(rapid.IntRange(0, 2).Draw(t, "tries"))}, nil)
 			case 2:
 				state := EndpointState(rapid.IntRange(0, 1).Draw(t, "state"))
-				b.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Upstream: u, Zone: []string{"a", "b"}[int(u[1])%2], State: state}}}, nil)
+				b.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Upstream: id, Zone: []string{"a", "b"}[int(id[1])%2], State: state}}}, nil)
 			case 3:
-				b.Handle(now, Ban{Upstream: u, Cleared: rapid.Bool().Draw(t, "lifted")}, nil)
+				b.Handle(now, Ban{Upstream: id, Cleared: rapid.Bool().Draw(t, "lifted")}, nil)
 			case 4:
-				if x := b.endpoints.byID[u]; x != nil {
+				if ep := b.endpoints.byID[id]; ep != nil {
 					b.now = now
-					b.eject(x)
+					b.eject(ep)
 				}
 			}
 			b.now = now
 			for _, zone := range []string{"a", "b"} {
 				usable, excluded := 0, 0
-				for _, x := range b.endpoints.order {
-					if x.zone != zone || x.banned || now < x.health.ejectedUntil {
+				for _, ep := range b.endpoints.order {
+					if ep.zone != zone || ep.banned || now < ep.health.ejectedUntil {
 						continue
 					}
 					usable++
-					if x.health.ejections == 0 && b.excludedByEvidence(x, probe) {
+					if ep.health.ejections == 0 && b.excludedByEvidence(ep, req) {
 						excluded++
 					}
 				}
 				if 3*excluded > usable {
-					t.Fatalf("hearsay keeps out %d of %d usable", excluded, usable)
+					t.Fatalf("zone %s: got %d of %d usable endpoints excluded, want at most a third", zone, excluded, usable)
 				}
 			}
 		}
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -6,103 +6,105 @@
 	"time"
 )
 
-// An upstream that errs in half of its answers for one class is ejected for that class, and for no other; said so.
+// An endpoint that fails half of the requests of one class is ejected for that class only, and so reported.
 func TestAnUpstreamBadForOneClass(t *testing.T) {
-	r, n := newSharingRig(t, 4), 0
-	half := func(u string) Result {
-		if n++; u == "u0" && n%2 == 0 {
+	r, answers := newSharingRig(t, 4), 0
+	failHalf := func(u string) Result {
+		if answers++; u == "u0" && answers%2 == 0 {
 			return ServerError
 		}
 		return OK
 	}
-	var c, d, again map[string]int
+	var sentC, sentD, sentAgain map[string]int
 	var reports []Action
-	for range 20 { // both classes side by side
-		x, rep := r.sendRequests(20, "c", half)
-		y, _ := r.sendRequests(20, "d", alwaysOK)
-		if c = x; len(rep) > 0 && reports == nil {
-			reports = rep
+	for range 20 { // alternate between both classes
+		sentToC, newReports := r.sendRequests(20, "c", failHalf)
+		sentToD, _ := r.sendRequests(20, "d", alwaysOK)
+		if sentC = sentToC; len(newReports) > 0 && reports == nil {
+			reports = newReports
 		}
-		d = y
+		sentD = sentToD
 	}
-	if c["u0"] > 2 || d["u0"] == 0 {
-		t.Errorf("at last %d attempts of c and %d of d", c["u0"], d["u0"])
+	if sentC["u0"] > 2 || sentD["u0"] == 0 {
+		t.Errorf("got %d attempts of class c and %d of class d at u0 in the last round, want at most 2 and some", sentC["u0"], sentD["u0"])
 	}
 	if len(reports) == 0 || reports[0].Class != "c" || reports[0].Evidence != EvidenceErrors || reports[0].Count < 3 {
-		t.Fatalf("reported %+v", reports)
+		t.Fatalf("got reports %+v, want first one of EvidenceErrors for class c with a count of 3 or more", reports)
 	}
 	r.now += maxEjectionTime * 2
 	reports = nil
 	for range 10 {
-		var rep []Action
-		again, rep = r.sendRequests(30, "c", alwaysOK)
-		reports = append(reports, rep...)
+		var newReports []Action
+		sentAgain, newReports = r.sendRequests(30, "c", alwaysOK)
+		reports = append(reports, newReports...)
 	}
-	if again["u0"] == 0 || len(reports) != 1 || reports[0].Evidence != EvidenceNone || reports[0].Class != "c" {
-		t.Errorf("well again: %d attempts, reported %+v", again["u0"], reports)
+	if sentAgain["u0"] == 0 || len(reports) != 1 || reports[0].Evidence != EvidenceNone || reports[0].Class != "c" {
+		t.Errorf("after the errors ended: got %d attempts at u0 and reports %+v, want some and one report of EvidenceNone for class c",
+			sentAgain["u0"], reports)
 	}
 }
 
-// Three errors in a row that are one class's alone leave the upstream to the others; a class that errs everywhere is left out
-// nowhere, so that one client's requests do not take the fleet away.
+// Three consecutive errors of one class eject the endpoint for that class only. A class that fails at all endpoints is
+// ejected at none of them, so that one client's requests do not cause the ejection of the fleet.
 func TestErrorsOfOneClass(t *testing.T) {
 	r := newSharingRig(t, 4)
 	r.sendRequests(100, "c", alwaysOK)
 	r.b.Handle(r.now, TimerFired{}, nil)
-	u := r.b.endpoints.byID["u0"]
+	ep := r.b.endpoints.byID["u0"]
 	answer := func(class string, res Result) {
-		r.b.updateHealth(&attempt{request: &request{class: r.b.classes[class], work: 1}, endpoint: u, sentAt: r.now}, res, 50*ms)
+		r.b.updateHealth(&attempt{request: &request{class: r.b.classes[class], work: 1}, endpoint: ep, sentAt: r.now}, res, 50*ms)
 	}
 	answer("d", OK)
-	u.gossip.evidence.windows["c"] = nil // what it did before this test's answers
+	ep.gossip.evidence.windows["c"] = nil // discards the earlier answers
 	for range failuresToEject {
 		answer("c", ServerError)
 	}
-	if u.health.ejections > 0 || u.gossip.evidence.windows["c"].ejections == 0 {
-		t.Errorf("ejected %d times, out for c %d times", u.health.ejections, u.gossip.evidence.windows["c"].ejections)
+	if ep.health.ejections > 0 || ep.gossip.evidence.windows["c"].ejections == 0 {
+		t.Errorf("got %d ejections for all classes and %d for class c, want 0 and some", ep.health.ejections, ep.gossip.evidence.windows["c"].ejections)
 	}
 
-	r = newSharingRig(t, 4) // d is not asked for: it is ejected, and that said of c; of one tenant's errors nothing is
+	r = newSharingRig(t, 4) // without requests of d, the endpoint is ejected for all classes and reported for c; errors of one tenant are not reported
 	r.b.now = r.now
 	for tenant := range 2 {
-		u = r.b.endpoints.byID[fmt.Sprint("u", tenant)]
+		ep = r.b.endpoints.byID[fmt.Sprint("u", tenant)]
 		for i := range 2 * failuresToEject {
 			res := []Result{OK, ServerError}[i/failuresToEject]
-			r.b.updateHealth(&attempt{request: &request{class: r.b.classes["c"], work: 1, tenant: tenant * (i / failuresToEject)}, endpoint: u, sentAt: r.now}, res, 50*ms)
+			r.b.updateHealth(&attempt{request: &request{class: r.b.classes["c"], work: 1, tenant: tenant * (i / failuresToEject)}, endpoint: ep, sentAt: r.now}, res, 50*ms)
 		}
 	}
 	if reports := actionsOfKind(r.b.actions, ReportEvidence); len(reports) != 1 || reports[0].Upstream != "u0" || reports[0].Class != "c" {
-		t.Errorf("reported %+v", reports)
+		t.Errorf("got reports %+v, want one of u0 for class c", reports)
 	}
 	r = newSharingRig(t, 4)
-	n := 0
+	answers := 0
 	r.sendRequests(400, "c", func(string) Result {
-		if n++; n%2 == 0 {
+		if answers++; answers%2 == 0 {
 			return ServerError
 		}
 		return OK
 	})
-	for id, u := range r.b.endpoints.byID {
-		if u.gossip.evidence.windows["c"].ejections > 0 {
-			t.Errorf("%s is left out though all err", id)
+	for id, ep := range r.b.endpoints.byID {
+		if ep.gossip.evidence.windows["c"].ejections > 0 {
+			t.Errorf("%s: got %d ejections for a class that fails at all endpoints, want 0", id, ep.gossip.evidence.windows["c"].ejections)
 		}
 	}
 }
 
-// A first failure is said as a suspicion, and taken back once the upstream is heard.
+// A first failure is reported as a suspicion, which ends with the next answer of the endpoint.
 func TestAFirstFailureIsASuspicion(t *testing.T) {
 	r := newSharingRig(t, 1)
 	r.request("x", "c", time.Second)
-	if rep := actionsOfKind(r.endAttempt("x", 0, Timeout, 100*ms), ReportEvidence); len(rep) != 1 || !rep[0].Suspicion || rep[0].Evidence != EvidenceSilence {
-		t.Errorf("said %+v", rep)
+	if reports := actionsOfKind(r.endAttempt("x", 0, Timeout, 100*ms), ReportEvidence); len(reports) != 1 || !reports[0].Suspicion || reports[0].Evidence != EvidenceSilence {
+		t.Errorf("after a timeout: got reports %+v, want a suspicion of EvidenceSilence", reports)
 	}
-	if rep := actionsOfKind(r.endAttempt("x", 1, OK, 50*ms), ReportEvidence); len(rep) != 1 || rep[0].Suspicion || rep[0].Evidence != EvidenceNone {
-		t.Errorf("then said %+v", rep)
+	if reports := actionsOfKind(r.endAttempt("x", 1, OK, 50*ms), ReportEvidence); len(reports) != 1 || reports[0].Suspicion || reports[0].Evidence != EvidenceNone {
+		t.Errorf("after an answer: got reports %+v, want one of EvidenceNone that is no suspicion", reports)
 	}
 }
 
-// The probes of an upstream are made by the one whose leadership they are: safe requests, one at a time, paced, cut short in time for
-// another attempt. The others make none, also when their own ejection is over.
+// Only the sidecar that a verdict names probes an endpoint. It uses idempotent requests, one at a time, at intervals, with a
+// timeout that leaves time for another attempt. The other sidecars do not probe it, even after the end of their own ejection
+// of it.
 func TestOneTrialForAll(t *testing.T) {
 	silent := func(u string) Result {
 		if u == "u0" {
@@ -114,73 +116,73 @@
 	r.sendRequests(100, "d", alwaysOK)
 	r.applyVerdict("u0", "", ProbeBySelf, 0)
 	r.now += time.Second
-	if s, _ := r.sendRequests(50, "unsafe", alwaysOK); s["u0"] > 0 {
-		t.Error("an unsafe request was made a trial")
+	if sentTo, _ := r.sendRequests(50, "unsafe", alwaysOK); sentTo["u0"] > 0 {
+		t.Errorf("requests that must not run twice: got %d probes, want 0", sentTo["u0"])
 	}
 	actions := r.request("trial", "c", time.Second)
-	if s := actionsOfKind(actions, StartAttempt); len(s) != 1 || s[0].Upstream != "u0" || s[0].Timeout > 180*ms {
-		t.Fatalf("the trial: %+v", s)
+	if starts := actionsOfKind(actions, StartAttempt); len(starts) != 1 || starts[0].Upstream != "u0" || starts[0].Timeout > 180*ms {
+		t.Fatalf("first probe: got attempts %+v, want one at u0 with a timeout of at most 180 ms", starts)
 	}
 	r.now += 50 * ms
-	if s := actionsOfKind(r.request("another", "c", time.Second), StartAttempt); len(s) != 1 || s[0].Upstream == "u0" {
-		t.Fatalf("two trials at once: %+v", s)
+	if starts := actionsOfKind(r.request("another", "c", time.Second), StartAttempt); len(starts) != 1 || starts[0].Upstream == "u0" {
+		t.Fatalf("during a probe: got attempts %+v, want one at another endpoint", starts)
 	}
 	actions = r.endAttempt("trial", 0, Timeout, 50*ms)
-	if s, rep := actionsOfKind(actions, StartAttempt), actionsOfKind(actions, ReportEvidence); len(s) != 1 || s[0].Upstream == "u0" || len(rep) != 1 || !rep[0].Probe || rep[0].Evidence != EvidenceSilence {
-		t.Fatalf("a failed trial: %+v", actions)
+	if starts, reports := actionsOfKind(actions, StartAttempt), actionsOfKind(actions, ReportEvidence); len(starts) != 1 || starts[0].Upstream == "u0" || len(reports) != 1 || !reports[0].Probe || reports[0].Evidence != EvidenceSilence {
+		t.Fatalf("failed probe: got actions %+v, want an attempt at another endpoint and a report of EvidenceSilence", actions)
 	}
-	if s, _ := r.sendRequests(8, "c", silent); s["u0"] > 0 {
-		t.Error("tried again at once")
+	if sentTo, _ := r.sendRequests(8, "c", silent); sentTo["u0"] > 0 {
+		t.Errorf("shortly after a failed probe: got %d probes, want 0", sentTo["u0"])
 	}
 	r.now += 2 * time.Second
 	r.applyVerdict("u0", "", ProbeBySelf, 0)
-	if _, rep := r.sendRequests(50, "c", alwaysOK); len(rep) < 3 || len(rep) > 14 {
-		t.Errorf("%d trials that went well in 3 s", len(rep))
+	if _, reports := r.sendRequests(50, "c", alwaysOK); len(reports) < 3 || len(reports) > 14 {
+		t.Errorf("got %d reports of successful probes in 3 s, want 3 to 14", len(reports))
 	}
 	r.applyVerdict("u0", "", ProbeBySelf, 0)
 	r.now += time.Second
 	r.handle(Ban{Upstream: "u0"})
-	if s, _ := r.sendRequests(50, "c", alwaysOK); s["u0"] > 0 {
-		t.Error("a banned upstream was tried")
+	if sentTo, _ := r.sendRequests(50, "c", alwaysOK); sentTo["u0"] > 0 {
+		t.Errorf("banned endpoint: got %d probes, want 0", sentTo["u0"])
 	}
 
-	for _, attempts := range []ProbeOwner{ProbeByEach, ProbeByPeer} {
+	for _, owner := range []ProbeOwner{ProbeByEach, ProbeByPeer} {
 		r = newSharingRig(t, 4)
 		r.sendRequests(500, "c", silent)
 		if r.b.endpoints.byID["u0"].health.ejections == 0 {
-			t.Fatal("not ejected")
+			t.Fatal("u0 does not answer: got 0 ejections, want some")
 		}
 		r.now += 10 * time.Second
-		r.applyVerdict("u0", "", attempts, 0)
-		if s, _ := r.sendRequests(50, "c", silent); s["u0"] > 0 != (attempts == ProbeByEach) {
-			t.Errorf("trials are %d's: %d attempts", attempts, s["u0"])
+		r.applyVerdict("u0", "", owner, 0)
+		if sentTo, _ := r.sendRequests(50, "c", silent); sentTo["u0"] > 0 != (owner == ProbeByEach) {
+			t.Errorf("probe owner %d: got %d probes by this sidecar, want some only if each sidecar probes", owner, sentTo["u0"])
 		}
 		r.b.endpoints.byID["u0"].health.ejectedUntil = r.now + 2*maxEjectionTime
 		r.handle(PeerVerdict{Upstream: "u0", ProbeSucceeded: true})
 		r.now += reinstatementTime
-		if s, _ := r.sendRequests(100, "c", alwaysOK); s["u0"] == 0 {
-			t.Error("no own trial after one for all went well")
+		if sentTo, _ := r.sendRequests(100, "c", alwaysOK); sentTo["u0"] == 0 {
+			t.Errorf("probe owner %d: got no attempts at u0 after a successful probe by another sidecar, want some", owner)
 		}
 	}
 }
 
-// What comes back cold is held to its budget, whoever tries it or lets it through.
+// Probes stay within the slow-start budget of an endpoint that warms up.
 func TestProbesRespectSlowStart(t *testing.T) {
 	r := newSharingRig(t, 4)
 	r.sendRequests(300, "c", alwaysOK)
 	r.updateEndpoints(Delta, Endpoint{Upstream: "u0", Zone: "a", StartedAt: r.now})
-	if u := r.b.endpoints.byID["u0"]; !u.slowStart.active {
-		t.Fatal("not cold")
+	if ep := r.b.endpoints.byID["u0"]; !ep.slowStart.active {
+		t.Fatalf("restarted endpoint: got slow start %+v, want an active one", ep.slowStart)
 	}
 	r.b.endpoints.byID["u0"].slowStart.tokens = 0
 	r.handle(PeerVerdict{Upstream: "u0", StartedAt: r.now, Until: r.now + time.Minute, Since: r.now, Probes: ProbeBySelf})
 	r.now += time.Second
 	r.b.endpoints.byID["u0"].slowStart.refilledAt = r.now
-	if s := r.wantAttempt(r.request("x", "c", time.Second)); s == "u0" {
-		t.Error("a trial over the cold budget")
+	if to := r.wantAttempt(r.request("x", "c", time.Second)); to == "u0" {
+		t.Error("slow-start bucket without a token: got a probe at u0, want none")
 	}
 	r.b.endpoints.byID["u0"].slowStart.tokens = 5
-	if s := r.wantAttempt(r.request("y", "c", time.Second)); s != "u0" {
-		t.Error("no trial within it")
+	if to := r.wantAttempt(r.request("y", "c", time.Second)); to != "u0" {
+		t.Errorf("slow-start bucket with five tokens: request went to %s, want a probe at u0", to)
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -8,8 +8,10 @@
 	"time"
 )
 
-// The four rules, checked on the stream of actions under random legal events. This knows nothing of the balancer.
+// The rules of package balancer are checked on the actions that follow random valid events. ruleChecker knows only events and
+// actions, and nothing of the Balancer's code and state.
 
+// checkedAttempt is an attempt as seen by a ruleChecker.
 type checkedAttempt struct {
 	upstream, zone      string
 	cell                int
@@ -17,108 +19,112 @@
 	pending, mayHaveRun bool
 }
 
+// checkedRequest is a request as seen by a ruleChecker.
 type checkedRequest struct {
 	class        Class
 	expiresAt    time.Duration
 	attempts     []*checkedAttempt
 	answers      int
-	done         bool // an end was reported or given
+	done         bool // it has its final answer, or its client has disconnected
 	disconnected bool
 }
 
+// ruleChecker checks each action against the rules and the events so far.
 type ruleChecker struct {
 	t        *testing.T
 	settings Settings
 	now      time.Duration
 	requests map[string]*checkedRequest
-	openIDs  []string
+	openIDs  []string // requests without a final answer or with a pending attempt, in order
 	active   map[string]Endpoint
-	timers   []time.Duration
+	timers   []time.Duration // times of SetTimer actions that have not fired
 }
 
-func (f *ruleChecker) checkAction(a Action) {
-	f.t.Helper()
-	q := f.requests[a.ID]
-	if q == nil && a.Kind <= Fail {
-		f.t.Fatalf("action for unknown request: %+v", a)
+func (c *ruleChecker) checkAction(a Action) {
+	c.t.Helper()
+	req := c.requests[a.ID]
+	if req == nil && a.Kind <= Fail {
+		c.t.Fatalf("got action %+v for an unknown request, want none", a)
 	}
 	switch a.Kind {
 	case StartAttempt:
-		f.checkAttempt(a, q)
+		c.checkAttempt(a, req)
 	case CancelAttempt:
-		if !f.settings.Cancellation {
-			f.t.Fatal("cancel is not allowed")
+		if !c.settings.Cancellation {
+			c.t.Fatalf("request %s: got CancelAttempt without the Cancellation setting, want none", a.ID)
 		}
-		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
+		if a.Attempt < 0 || a.Attempt >= len(req.attempts) {
+			c.t.Fatalf("request %s: got CancelAttempt of attempt %d, want one of the %d attempts made", a.ID, a.Attempt, len(req.attempts))
 		}
 	case Reject, Fail:
-		if a.Kind == Reject && (q.class.Idempotency != Idempotent && (q.class.Idempotency != IdempotentByKey || q.class.KeyScope != KeyScopeAll)) &&
-			slices.ContainsFunc(q.attempts, func(x *checkedAttempt) bool { return x.mayHaveRun }) {
-			f.t.Fatalf("refused %s, which may have run", a.ID)
+		if a.Kind == Reject && (req.class.Idempotency != Idempotent && (req.class.Idempotency != IdempotentByKey || req.class.KeyScope != KeyScopeAll)) &&
+			slices.ContainsFunc(req.attempts, func(attempt *checkedAttempt) bool { return attempt.mayHaveRun }) {
+			c.t.Fatalf("request %s: got Reject although it may have run, want Fail", a.ID)
 		}
-		if q.done {
-			f.t.Fatalf("second answer to %s", a.ID)
+		if req.done {
+			c.t.Fatalf("request %s: got a second final answer %+v, want one", a.ID, a)
 		}
-		q.answers, q.done = q.answers+1, true
+		req.answers, req.done = req.answers+1, true
 	case SetTimer:
-		f.timers = append(f.timers, a.At)
+		c.timers = append(c.timers, a.At)
 	}
 }
 
-func (f *ruleChecker) checkAttempt(a Action, q *checkedRequest) {
-	f.t.Helper()
-	m, listed := f.active[a.Upstream]
+// checkAttempt checks a StartAttempt action of a request, and records the attempt.
+func (c *ruleChecker) checkAttempt(a Action, req *checkedRequest) {
+	c.t.Helper()
+	entry, listed := c.active[a.Upstream]
 	switch {
-	case q.done:
-		f.t.Fatalf("%s: attempt after its end", a.ID)
-	case f.now >= q.expiresAt:
-		f.t.Fatalf("%s: attempt after its time", a.ID)
+	case req.done:
+		c.t.Fatalf("request %s: got an attempt after its final answer or the client's disconnection", a.ID)
+	case c.now >= req.expiresAt:
+		c.t.Fatalf("request %s: got an attempt at %v, want none from %v on", a.ID, c.now, req.expiresAt)
 	case !listed:
-		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Upstream)
-	case len(q.attempts) >= f.settings.MaxAttempts:
-		f.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, f.settings.MaxAttempts)
+		c.t.Fatalf("request %s: got an attempt at %s, want none at draining or removed endpoints", a.ID, a.Upstream)
+	case len(req.attempts) >= c.settings.MaxAttempts:
+		c.t.Fatalf("request %s: got %d attempts, want at most %d", a.ID, len(req.attempts)+1, c.settings.MaxAttempts)
 	}
-	for _, x := range q.attempts {
-		if x.pending && !f.settings.Hedging {
-			f.t.Fatalf("%s: two attempts out", a.ID)
+	for _, earlier := range req.attempts {
+		if earlier.pending && !c.settings.Hedging {
+			c.t.Fatalf("request %s: got two pending attempts without hedging, want one", a.ID)
 		}
-		if !x.mayHaveRun {
+		if !earlier.mayHaveRun {
 			continue
 		}
-		c := q.class
-		if c.Idempotency == NotIdempotent {
-			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
+		class := req.class
+		if class.Idempotency == NotIdempotent {
+			c.t.Fatalf("request %s: got another attempt although it must not run twice and may have run", a.ID)
 		}
-		if c.Idempotency == IdempotentByKey && (f.now-x.sentAt > c.DedupWindow || c.KeyScope == KeyScopeZone && x.zone != m.Zone ||
-			c.KeyScope == KeyScopeCell && x.cell != m.Cell) {
-			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
+		if class.Idempotency == IdempotentByKey && (c.now-earlier.sentAt > class.DedupWindow || class.KeyScope == KeyScopeZone && earlier.zone != entry.Zone ||
+			class.KeyScope == KeyScopeCell && earlier.cell != entry.Cell) {
+			c.t.Fatalf("request %s: got an attempt at %s outside the key scope or dedup window of attempt %+v", a.ID, a.Upstream, *earlier)
 		}
 	}
-	limit := q.expiresAt
+	deadline := req.expiresAt
 	if a.Timeout != 0 {
-		limit = min(limit, f.now+a.Timeout)
+		deadline = min(deadline, c.now+a.Timeout)
 	}
-	q.attempts = append(q.attempts, &checkedAttempt{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
+	req.attempts = append(req.attempts, &checkedAttempt{a.Upstream, entry.Zone, entry.Cell, c.now, deadline, true, true})
 }
 
-func randomSettings(g *rand.Rand) Settings {
+// randomSettings returns random valid settings with a class for each Idempotency and KeyScope.
+func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Hedging, s.Cancellation, s.RetryAfter = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
-	s.MustSubscribe = g.IntN(2) == 0
-	s.MaxAttempts = 1 + g.IntN(5)
-	s.CrossZoneCost = []float64{0, 0.01, 0.2}[g.IntN(3)]
-	s.OverloadMultiple = float64(g.IntN(4))
-	s.Zone = []string{"a", "a", ""}[g.IntN(3)]
-	s.WeightByWork, s.OverQuotaFraction = g.IntN(2) == 0, float64(g.IntN(2))/2
-	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:g.IntN(3)]
+	s.Hedging, s.Cancellation, s.RetryAfter = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+	s.MustSubscribe = rng.IntN(2) == 0
+	s.MaxAttempts = 1 + rng.IntN(5)
+	s.CrossZoneCost = []float64{0, 0.01, 0.2}[rng.IntN(3)]
+	s.OverloadMultiple = float64(rng.IntN(4))
+	s.Zone = []string{"a", "a", ""}[rng.IntN(3)]
+	s.WeightByWork, s.OverQuotaFraction = rng.IntN(2) == 0, float64(rng.IntN(2))/2
+	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:rng.IntN(3)]
 	s.Classes = nil
 	for e := Idempotent; e <= NotIdempotent; e++ {
-		for group := KeyScopeAll; group <= KeyScopeCell; group++ {
-			objective := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: objective, Deadline: objective * time.Duration(1+g.IntN(4)) / 2, Idempotency: e,
-				KeyScope: group, DedupWindow: time.Duration(20+g.IntN(800)) * ms, LateValueFraction: float64(g.IntN(2)) / 2,
-				PriorityWeight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
+		for scope := KeyScopeAll; scope <= KeyScopeCell; scope++ {
+			objective := time.Duration(50+rng.IntN(400)) * ms
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, scope), LatencyObjective: objective, Deadline: objective * time.Duration(1+rng.IntN(4)) / 2, Idempotency: e,
+				KeyScope: scope, DedupWindow: time.Duration(20+rng.IntN(800)) * ms, LateValueFraction: float64(rng.IntN(2)) / 2,
+				PriorityWeight: float64(1 + rng.IntN(9)), ObjectiveStretch: float64(rng.IntN(2)), Stream: rng.IntN(4) == 0})
 		}
 	}
 	return s
@@ -126,158 +132,163 @@
 
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
-		g := rand.New(rand.NewPCG(seed, 7))
-		s := randomSettings(g)
+		rng := rand.New(rand.NewPCG(seed, 7))
+		s := randomSettings(rng)
 		s.ShareEvidence = seed%3 == 0
 		b, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &ruleChecker{t: t, settings: s, now: time.Hour, requests: map[string]*checkedRequest{}, active: map[string]Endpoint{}}
-		deal := func(e Event) {
-			for _, a := range b.Handle(f.now, e, nil) {
-				f.checkAction(a)
+		checker := &ruleChecker{t: t, settings: s, now: time.Hour, requests: map[string]*checkedRequest{}, active: map[string]Endpoint{}}
+		send := func(e Event) {
+			for _, a := range b.Handle(checker.now, e, nil) {
+				checker.checkAction(a)
 			}
 		}
-		runRandomEvents(f, g, deal, 1200)
+		runRandomEvents(checker, rng, send, 1200)
 		if n := len(b.requests); n != 0 {
-			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
+			t.Fatalf("seed %d: got %d requests stored after all have ended, want 0", seed, n)
 		}
 	}
 }
 
-// runRandomEvents plays ticks with random events, then lets all that is open end.
-func runRandomEvents(f *ruleChecker, g *rand.Rand, deal func(Event), ticks int) {
-	deal(EndpointUpdate{Kind: Cached})
+// runRandomEvents sends random events for some ticks, then only those that end the open requests.
+func runRandomEvents(checker *ruleChecker, rng *rand.Rand, send func(Event), ticks int) {
+	send(EndpointUpdate{Kind: Cached})
 	for i := range ticks + 1000 {
-		f.now += f.settings.Tick + time.Duration(g.IntN(2000))*time.Microsecond
+		checker.now += checker.settings.Tick + time.Duration(rng.IntN(2000))*time.Microsecond
 		if i < ticks {
-			f.sendRandomUpdate(g, deal)
-			for range g.IntN(4) {
-				f.sendRandomRequest(g, deal, i)
+			checker.sendRandomUpdate(rng, send)
+			for range rng.IntN(4) {
+				checker.sendRandomRequest(rng, send, i)
 			}
-			f.sendIrrelevantEvents(g, deal)
+			checker.sendIrrelevantEvents(rng, send)
 		}
-		f.fireTimers(deal)
-		f.endRandomAttempts(g, deal)
+		checker.fireTimers(send)
+		checker.endRandomAttempts(rng, send)
 	}
-	for id, q := range f.requests {
-		if !q.done {
-			f.t.Fatalf("%s never answered", id)
+	for id, req := range checker.requests {
+		if !req.done {
+			checker.t.Fatalf("request %s: got no final answer, want one", id)
 		}
 	}
 }
 
-func (f *ruleChecker) sendRandomUpdate(g *rand.Rand, deal func(Event)) {
-	if g.IntN(20) > 0 {
+// sendRandomUpdate sends a random EndpointUpdate in 1 of 20 calls.
+func (c *ruleChecker) sendRandomUpdate(rng *rand.Rand, send func(Event)) {
+	if rng.IntN(20) > 0 {
 		return
 	}
-	if g.IntN(6) == 0 {
-		deal(EndpointUpdate{Kind: WatchFailed})
+	if rng.IntN(6) == 0 {
+		send(EndpointUpdate{Kind: WatchFailed})
 		return
 	}
 	var entries []Endpoint
 	kind := Delta
-	if g.IntN(5) == 0 {
+	if rng.IntN(5) == 0 {
 		kind = FullState
-		clear(f.active)
+		clear(c.active)
 	}
-	for range g.IntN(8) {
-		n := g.IntN(10)
-		m := Endpoint{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(g.IntN(3))}
-		if g.IntN(2) == 0 {
-			m.State = Active
+	for range rng.IntN(8) {
+		n := rng.IntN(10)
+		entry := Endpoint{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(rng.IntN(3))}
+		if rng.IntN(2) == 0 {
+			entry.State = Active
 		}
-		if g.IntN(3) == 0 {
-			m.StartedAt = f.now - time.Duration(g.IntN(12000))*ms
+		if rng.IntN(3) == 0 {
+			entry.StartedAt = c.now - time.Duration(rng.IntN(12000))*ms
 		}
-		delete(f.active, m.Upstream)
-		if m.State == Active {
-			f.active[m.Upstream] = m
+		delete(c.active, entry.Upstream)
+		if entry.State == Active {
+			c.active[entry.Upstream] = entry
 		}
-		entries = append(entries, m)
+		entries = append(entries, entry)
 	}
-	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
+	send(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
-func (f *ruleChecker) sendRandomRequest(g *rand.Rand, deal func(Event), i int) {
-	c := f.settings.Classes[g.IntN(len(f.settings.Classes))]
-	id := fmt.Sprint(i, "-", g.Uint32())
-	q := &checkedRequest{class: c, expiresAt: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
-	f.requests[id], f.openIDs = q, append(f.openIDs, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expiresAt,
-		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
-	if g.IntN(50) == 0 && !q.done {
-		q.done, q.disconnected = true, true
-		deal(ClientDisconnected{ID: id})
+// sendRandomRequest sends a request and, for 1 of 50, the disconnection of its client.
+func (c *ruleChecker) sendRandomRequest(rng *rand.Rand, send func(Event), tick int) {
+	class := c.settings.Classes[rng.IntN(len(c.settings.Classes))]
+	id := fmt.Sprint(tick, "-", rng.Uint32())
+	req := &checkedRequest{class: class, expiresAt: c.now + time.Duration(1+rng.IntN(int(class.Deadline/ms)))*ms}
+	c.requests[id], c.openIDs = req, append(c.openIDs, id)
+	send(Request{ID: id, Class: class.Name, Tenant: []string{"t", "v", "?"}[rng.IntN(3)], ExpiresAt: req.expiresAt,
+		CostHint: time.Duration(rng.IntN(3)*rng.IntN(100)) * ms})
+	if rng.IntN(50) == 0 && !req.done {
+		req.done, req.disconnected = true, true
+		send(ClientDisconnected{ID: id})
 	}
 }
 
-// sendIrrelevantEvents is what must change nothing: strangers, repeats, stale timers, messages, and for the rules what others say.
-func (f *ruleChecker) sendIrrelevantEvents(g *rand.Rand, deal func(Event)) {
-	if f.settings.ShareEvidence && g.IntN(10) == 0 {
-		m := f.active[fmt.Sprint("u", g.IntN(10))]
-		deal(PeerVerdict{Upstream: m.Upstream, StartedAt: m.StartedAt, Until: f.now + time.Duration(g.IntN(3000))*ms, Since: f.now,
-			PassFraction: float64(g.IntN(3)) / 2, Probes: ProbeOwner(g.IntN(3)), ProbeSucceeded: g.IntN(2) == 0})
+// sendIrrelevantEvents sends random events that must not affect the rules: those with unknown requests or attempts, early
+// timers, and verdicts of other sidecars.
+func (c *ruleChecker) sendIrrelevantEvents(rng *rand.Rand, send func(Event)) {
+	if c.settings.ShareEvidence && rng.IntN(10) == 0 {
+		entry := c.active[fmt.Sprint("u", rng.IntN(10))]
+		send(PeerVerdict{Upstream: entry.Upstream, StartedAt: entry.StartedAt, Until: c.now + time.Duration(rng.IntN(3000))*ms, Since: c.now,
+			PassFraction: float64(rng.IntN(3)) / 2, Probes: ProbeOwner(rng.IntN(3)), ProbeSucceeded: rng.IntN(2) == 0})
 	}
-	switch g.IntN(12) {
+	switch rng.IntN(12) {
 	case 0:
-		deal(AttemptEnded{ID: "nobody", Result: OK, Final: true})
+		send(AttemptEnded{ID: "nobody", Result: OK, Final: true})
 	case 1:
-		if n := len(f.openIDs); n > 0 {
-			id := f.openIDs[g.IntN(n)]
-			deal(AttemptEnded{ID: id, Attempt: len(f.requests[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
+		if n := len(c.openIDs); n > 0 {
+			id := c.openIDs[rng.IntN(n)]
+			send(AttemptEnded{ID: id, Attempt: len(c.requests[id].attempts) + rng.IntN(3) - 1 + 1, Result: OK, Final: true})
 		}
 	case 2:
-		deal(TimerFired{})
+		send(TimerFired{})
 	case 3:
-		deal(ClientDisconnected{ID: "nobody"})
-		deal(FirstByte{ID: "nobody"})
+		send(ClientDisconnected{ID: "nobody"})
+		send(FirstByte{ID: "nobody"})
 	}
 }
 
-func (f *ruleChecker) fireTimers(deal func(Event)) {
+// fireTimers sends a TimerFired for each timer that is due.
+func (c *ruleChecker) fireTimers(send func(Event)) {
 	due := 0
-	f.timers = slices.DeleteFunc(f.timers, func(at time.Duration) bool {
-		if at <= f.now {
+	c.timers = slices.DeleteFunc(c.timers, func(at time.Duration) bool {
+		if at <= c.now {
 			due++
 		}
-		return at <= f.now
+		return at <= c.now
 	})
 	for range due {
-		deal(TimerFired{})
+		send(TimerFired{})
 	}
 }
 
-func (f *ruleChecker) endRandomAttempts(g *rand.Rand, deal func(Event)) {
-	for _, id := range f.openIDs {
-		q := f.requests[id]
-		for n := 0; n < len(q.attempts); n++ {
-			x := q.attempts[n]
-			if !x.pending || f.now < x.deadline && g.IntN(12) > 0 {
+// endRandomAttempts ends each pending attempt with a probability of 1 in 12, or when it times out, with a random result.
+func (c *ruleChecker) endRandomAttempts(rng *rand.Rand, send func(Event)) {
+	for _, id := range c.openIDs {
+		req := c.requests[id]
+		for n := 0; n < len(req.attempts); n++ {
+			attempt := req.attempts[n]
+			if !attempt.pending || c.now < attempt.deadline && rng.IntN(12) > 0 {
 				continue
 			}
-			res := Result(g.IntN(int(NotSent) + 1))
-			if f.now >= x.deadline {
+			res := Result(rng.IntN(int(NotSent) + 1))
+			if c.now >= attempt.deadline {
 				res = Timeout
 			}
-			x.pending = false
-			x.mayHaveRun = res != Overloaded && res != ConnectFailed && res != NotSent
+			attempt.pending = false
+			attempt.mayHaveRun = res != Overloaded && res != ConnectFailed && res != NotSent
 			if res == OK {
-				q.done = true
+				req.done = true
 			}
-			e := AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.sentAt, Final: q.done}
-			deal(e)
-			if g.IntN(10) == 0 {
-				deal(e) // the same again
+			e := AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: c.now - attempt.sentAt, Final: req.done}
+			send(e)
+			if rng.IntN(10) == 0 {
+				send(e) // a repeated event
 			}
 		}
-		if !q.done && f.now > q.expiresAt+20*ms {
-			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.expiresAt)
+		if !req.done && c.now > req.expiresAt+20*ms {
+			c.t.Fatalf("request %s: got no final answer %v after it expired, want one in time", id, c.now-req.expiresAt)
 		}
 	}
-	f.openIDs = slices.DeleteFunc(f.openIDs, func(id string) bool {
-		q := f.requests[id]
-		return q.done && !slices.ContainsFunc(q.attempts, func(x *checkedAttempt) bool { return x.pending })
+	c.openIDs = slices.DeleteFunc(c.openIDs, func(id string) bool {
+		req := c.requests[id]
+		return req.done && !slices.ContainsFunc(req.attempts, func(attempt *checkedAttempt) bool { return attempt.pending })
 	})
 }
--- a/balancer/rejection_test.go
+++ b/balancer/rejection_test.go
@@ -6,64 +6,64 @@
 	"time"
 )
 
-// Guards against an upstream that drains before the list tells: it rejects all it is sent, at once. It is left out
-// after three in a row, and what it rejects is no crowd, for which others would be refused.
+// Guards against an endpoint that drains before the list says so, and rejects every request at once. It is ejected after
+// three consecutive rejections, and these do not count as congestion, which would cause other requests to be rejected.
 func TestEndpointThatRejectsEverythingIsEjected(t *testing.T) {
-	type out struct {
-		id  string
-		n   int
-		due time.Duration
+	type sentAttempt struct {
+		id     string
+		number int
+		endsAt time.Duration
 	}
-	const takes = 60 * ms // a third of the objective, with several in flight everywhere
+	const latency = 60 * ms // a third of the objective, with several attempts in flight at each endpoint
 	r := newRig(t, testSettings())
 	r.setEndpoints(4)
-	var busy []out
-	sent, rejected := 0, 0
+	var pending []sentAttempt
+	sentToRejecting, rejected := 0, 0
 	for i := range 400 {
-		for len(busy) > 0 && busy[0].due <= r.now {
-			r.endAttempt(busy[0].id, busy[0].n, OK, takes)
-			busy = busy[1:]
+		for len(pending) > 0 && pending[0].endsAt <= r.now {
+			r.endAttempt(pending[0].id, pending[0].number, OK, latency)
+			pending = pending[1:]
 		}
 		id := fmt.Sprint(i)
 		actions := r.request(id, "c", time.Second)
-		for n := 0; ; n++ {
+		for number := 0; ; number++ {
 			rejected += len(actionsOfKind(actions, Reject))
-			to := actionsOfKind(actions, StartAttempt)
-			if len(to) == 0 {
+			starts := actionsOfKind(actions, StartAttempt)
+			if len(starts) == 0 {
 				break
 			}
-			if to[0].Upstream != "u0" {
-				busy = append(busy, out{id, n, r.now + takes})
+			if starts[0].Upstream != "u0" {
+				pending = append(pending, sentAttempt{id, number, r.now + latency})
 				break
 			}
-			sent++
-			actions = r.endAttempt(id, n, Overloaded, ms)
+			sentToRejecting++
+			actions = r.endAttempt(id, number, Overloaded, ms)
 		}
 		r.advance(5 * ms)
 	}
-	if sent > 12 { // three, and a probe now and then
-		t.Errorf("%d sent to the one that turns all away", sent)
+	if sentToRejecting > 12 { // three, and a probe from time to time
+		t.Errorf("endpoint that rejects every request got %d attempts, want at most 12", sentToRejecting)
 	}
-	if rejected > 3 { // for those that told of a crowd, before it was left out
-		t.Errorf("%d refused, while the others answer in time", rejected)
+	if rejected > 3 { // because of the rejections that counted as congestion before the ejection
+		t.Errorf("%d requests were rejected while the other endpoints answer in time, want at most 3", rejected)
 	}
-	if u := r.b.endpoints.byID["u0"]; u.health.ejections == 0 {
-		t.Error("it is not left out")
+	if ep := r.b.endpoints.byID["u0"]; ep.health.ejections == 0 {
+		t.Errorf("endpoint that rejects every request: got %d ejections, want some", ep.health.ejections)
 	}
 	r.advance(max(r.b.endpoints.byID["u0"].health.ejectedUntil-r.now, 0))
-	for i := 0; i < 100 && r.b.endpoints.byID["u0"].health.rejections > 0; i++ { // tried again, and used once it serves
+	for i := 0; i < 100 && r.b.endpoints.byID["u0"].health.rejections > 0; i++ { // it is probed, and used again once it serves
 		id := fmt.Sprint("again", i)
 		r.wantAttempt(r.request(id, "c", time.Second))
 		r.advance(5 * ms)
 		r.endAttempt(id, 0, OK, 10*ms)
 	}
-	if u := r.b.endpoints.byID["u0"]; u.health.ejections != 0 || u.health.rejections != 0 {
-		t.Errorf("it serves, and is out: %d ejections", u.health.ejections)
+	if ep := r.b.endpoints.byID["u0"]; ep.health.ejections != 0 || ep.health.rejections != 0 {
+		t.Errorf("endpoint that serves again: got %d ejections and %d rejections, want 0", ep.health.ejections, ep.health.rejections)
 	}
 }
 
-// Guards against refusals for a crowd that is none: the first request rejected may tell of one, the next at the same
-// upstream tell of that upstream.
+// Guards against load shedding without congestion: only the first rejection by an endpoint counts as congestion, and the next
+// ones count as a problem of that endpoint.
 func TestRepeatedRejectionIsNoCongestion(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(1)
@@ -72,6 +72,6 @@
 	first := r.b.admission.congestion
 	r.endAttempt("1", 1, Overloaded, ms)
 	if first == 0 || r.b.admission.congestion != first {
-		t.Errorf("crowd %.2f, then %.2f", first, r.b.admission.congestion)
+		t.Errorf("got congestion %.2f after one rejection and %.2f after two, want the same above 0", first, r.b.admission.congestion)
 	}
 }
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -8,16 +8,17 @@
 
 const ms = time.Millisecond
 
-// rig drives a Balancer by an operator.
+// rig sends events to a Balancer, with a clock that the test advances.
 type rig struct {
 	t       *testing.T
 	b       *Balancer
 	now     time.Duration
-	actions []Action // of the last call
-	logs    []string
+	actions []Action // result of the latest event
+	logs    []string // lines of all Log actions
 }
 
-// testSettings are a plain site: one safe class, copies and cancelling allowed, pushed list.
+// testSettings returns settings with one idempotent class, with hedging and cancellation, and with an endpoint list that
+// arrives without a Subscribe.
 func testSettings() Settings {
 	return Settings{
 		FleetSize: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, Hedging: true, Cancellation: true,
@@ -36,6 +37,7 @@
 	return &rig{t: t, b: b, now: time.Minute}
 }
 
+// handle sends an event to the Balancer at the present time, and returns the actions.
 func (r *rig) handle(e Event) []Action {
 	r.actions = r.b.Handle(r.now, e, nil)
 	for _, a := range r.actions {
@@ -46,7 +48,7 @@
 	return r.actions
 }
 
-// advance lets time go by, with a Wake each tick.
+// advance advances the clock by d, with a TimerFired each tick, and returns all actions.
 func (r *rig) advance(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.b.settings.Tick
@@ -55,10 +57,11 @@
 	return all
 }
 
-func (r *rig) updateEndpoints(kind UpdateKind, m ...Endpoint) []Action {
-	return r.handle(EndpointUpdate{Kind: kind, Endpoints: m})
+func (r *rig) updateEndpoints(kind UpdateKind, entries ...Endpoint) []Action {
+	return r.handle(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
+// setEndpoints replaces the endpoint list by n endpoints u0, u1 and so on in zone a.
 func (r *rig) setEndpoints(n int) {
 	var list []Endpoint
 	for i := range n {
@@ -67,47 +70,50 @@
 	r.updateEndpoints(FullState, list...)
 }
 
-func (r *rig) request(id, class string, left time.Duration) []Action {
-	return r.handle(Request{ID: id, Class: class, ExpiresAt: r.now + left})
+// request sends a request whose client waits for the given time.
+func (r *rig) request(id, class string, remaining time.Duration) []Action {
+	return r.handle(Request{ID: id, Class: class, ExpiresAt: r.now + remaining})
 }
 
-func (r *rig) endAttempt(id string, n int, res Result, elapsed time.Duration) []Action {
-	return r.handle(AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Final: res == OK})
+// endAttempt ends an attempt of a request. OK is the final answer to the request.
+func (r *rig) endAttempt(id string, attempt int, res Result, elapsed time.Duration) []Action {
+	return r.handle(AttemptEnded{ID: id, Attempt: attempt, Result: res, Elapsed: elapsed, Final: res == OK})
 }
 
-// actionsOfKind picks the actions of one kind.
-func actionsOfKind(actions []Action, k ActionKind) (out []Action) {
+// actionsOfKind returns the actions of one kind.
+func actionsOfKind(actions []Action, kind ActionKind) (selected []Action) {
 	for _, a := range actions {
-		if a.Kind == k {
-			out = append(out, a)
+		if a.Kind == kind {
+			selected = append(selected, a)
 		}
 	}
-	return out
+	return selected
 }
 
-// finalAnswers are the final answers among acts.
+// finalAnswers returns the final answers among the actions: first those of kind Reject, then those of kind Fail.
 func finalAnswers(actions []Action) []Action {
 	return append(actionsOfKind(actions, Reject), actionsOfKind(actions, Fail)...)
 }
 
-// wantAttempt fails the test unless acts hold exactly one attempt, and returns its upstream.
+// wantAttempt fails the test unless the actions start exactly one attempt, and returns the endpoint's ID.
 func (r *rig) wantAttempt(actions []Action) string {
 	r.t.Helper()
-	s := actionsOfKind(actions, StartAttempt)
-	if len(s) != 1 {
+	starts := actionsOfKind(actions, StartAttempt)
+	if len(starts) != 1 {
 		r.t.Fatalf("want one attempt, got %+v", actions)
 	}
-	return s[0].Upstream
+	return starts[0].Upstream
 }
 
-// wantFinalAnswer fails the test unless acts hold exactly one final answer of kind k and no attempt.
-func (r *rig) wantFinalAnswer(actions []Action, k ActionKind) {
+// wantFinalAnswer fails the test unless the actions contain exactly one final answer, of the given kind, and no attempt.
+func (r *rig) wantFinalAnswer(actions []Action, kind ActionKind) {
 	r.t.Helper()
-	if f := finalAnswers(actions); len(f) != 1 || f[0].Kind != k || len(actionsOfKind(actions, StartAttempt)) > 0 {
-		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", k, actions)
+	if answers := finalAnswers(actions); len(answers) != 1 || answers[0].Kind != kind || len(actionsOfKind(actions, StartAttempt)) > 0 {
+		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", kind, actions)
 	}
 }
 
+// wantNothing fails the test if the actions contain an attempt or a final answer.
 func (r *rig) wantNothing(actions []Action) {
 	r.t.Helper()
 	if len(finalAnswers(actions)) > 0 || len(actionsOfKind(actions, StartAttempt)) > 0 {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,39 +8,41 @@
 	"time"
 )
 
-func keyedSettings(group KeyScope) Settings {
+// keyedSettings returns settings without hedging, and with one class that is idempotent by key.
+func keyedSettings(scope KeyScope) Settings {
 	s := testSettings()
 	s.Hedging = false
-	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentByKey, KeyScope: group, DedupWindow: time.Second}}
+	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentByKey, KeyScope: scope, DedupWindow: time.Second}}
 	return s
 }
 
+// notIdempotentSettings returns settings with one class that is not idempotent.
 func notIdempotentSettings() Settings {
 	s := testSettings()
 	s.Classes = []Class{{Name: "x", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: NotIdempotent, LateValueFraction: 0.5}}
 	return s
 }
 
-// The request's own end counts, often much sooner than its class's deadline.
+// A request is answered before its own expiry, which is often much earlier than the deadline of its class.
 func TestAnswersBeforeItsOwnEnd(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateValueFraction = 0.5
 	r := newRig(t, s)
 	r.setEndpoints(2)
 	r.request("1", "c", 60*ms)
-	end := r.now + 60*ms
-	var got []Action
-	for r.now < end && len(finalAnswers(got)) == 0 {
-		got = r.advance(5 * ms)
+	expiresAt := r.now + 60*ms
+	var actions []Action
+	for r.now < expiresAt && len(finalAnswers(actions)) == 0 {
+		actions = r.advance(5 * ms)
 	}
-	if len(finalAnswers(got)) != 1 || r.now > end {
-		t.Fatalf("no answer by the request's end: %+v", got)
+	if len(finalAnswers(actions)) != 1 || r.now > expiresAt {
+		t.Fatalf("got actions %+v until %v, want one final answer before %v", actions, r.now, expiresAt)
 	}
 }
 
 func TestWaitingRequestIsRejectedInTime(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: held
+	r.wantNothing(r.request("1", "c", 100*ms)) // there is no endpoint, so the request waits
 	r.wantFinalAnswer(r.advance(95*ms), Reject)
 }
 
@@ -51,7 +53,8 @@
 	r.wantAttempt(r.advance(20 * ms))
 }
 
-// A time-out at the deadline leaves the answer owed; without late worth it may come at the objective already.
+// A request is answered even if its attempt times out at the deadline. Its late answers have value, because otherwise it
+// could be answered when its objective ends.
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	r := newRig(t, notIdempotentSettings())
 	r.setEndpoints(2)
@@ -62,13 +65,13 @@
 }
 
 func TestUnsafeGoesOnOnlyWhenProvedNotRun(t *testing.T) {
-	for res, again := range map[Result]bool{Overloaded: true, ConnectFailed: true, NotSent: true,
+	for res, wantRetry := range map[Result]bool{Overloaded: true, ConnectFailed: true, NotSent: true,
 		ServerError: false, Timeout: false, Reset: false, Cancelled: false} {
 		r := newRig(t, notIdempotentSettings())
 		r.setEndpoints(3)
 		r.wantAttempt(r.request("1", "x", time.Second))
 		actions := r.endAttempt("1", 0, res, 10*ms)
-		if again {
+		if wantRetry {
 			r.wantAttempt(actions)
 		} else {
 			r.wantFinalAnswer(actions, Fail)
@@ -80,8 +83,8 @@
 	r := newRig(t, notIdempotentSettings())
 	r.setEndpoints(3)
 	r.wantAttempt(r.request("1", "x", time.Second))
-	if s := actionsOfKind(r.advance(900*ms), StartAttempt); len(s) > 0 {
-		t.Fatalf("second copy of an unsafe request: %+v", s)
+	if starts := actionsOfKind(r.advance(900*ms), StartAttempt); len(starts) > 0 {
+		t.Fatalf("got attempts %+v in addition to a pending one of a request that must not run twice, want none", starts)
 	}
 }
 
@@ -94,39 +97,39 @@
 	r.wantFinalAnswer(r.endAttempt("1", 0, ConnectFailed, ms), Reject)
 }
 
-// Once it may have run, a idempotent by key request stays in its group; before that it may go anywhere.
+// A request that is idempotent by key stays in its key scope once it may have run; before that, any endpoint may get it.
 func TestIdempotentByKeyStaysInItsScope(t *testing.T) {
-	for group, same := range map[KeyScope]func(a, b Endpoint) bool{
+	for scope, inScope := range map[KeyScope]func(a, b Endpoint) bool{
 		KeyScopeAll:  func(a, b Endpoint) bool { return true },
 		KeyScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
 		KeyScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 	} {
 		list := map[string]Endpoint{}
 		var entries []Endpoint
-		for i, m := range []Endpoint{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
+		for i, entry := range []Endpoint{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
 			{Zone: "b", Cell: 2}, {Zone: "a", Cell: 0}, {Zone: "b", Cell: 3}} {
-			m.Upstream = string(rune('p' + i))
-			list[m.Upstream] = m
-			entries = append(entries, m)
+			entry.Upstream = string(rune('p' + i))
+			list[entry.Upstream] = entry
+			entries = append(entries, entry)
 		}
 		for n := range 40 {
-			r := newRig(t, keyedSettings(group))
-			r.b.rng.Uint64() // other chances each time
+			r := newRig(t, keyedSettings(scope))
+			r.b.rng.Uint64() // varies the random choices
 			for range n {
 				r.b.rng.Uint64()
 			}
 			r.updateEndpoints(FullState, entries...)
 			first := list[r.wantAttempt(r.request("1", "k", time.Second))]
 			for _, a := range actionsOfKind(r.endAttempt("1", 0, ServerError, 10*ms), StartAttempt) {
-				if !same(first, list[a.Upstream]) {
-					t.Fatalf("group %d: %+v then %+v", group, first, list[a.Upstream])
+				if !inScope(first, list[a.Upstream]) {
+					t.Fatalf("key scope %d: got attempts at %+v and then at %+v, want both in one scope", scope, first, list[a.Upstream])
 				}
 			}
 		}
 	}
 }
 
-// The window counts from the sending of the attempt that may have run; afterwards no attempt.
+// The dedup window starts when the attempt that may have run is sent. After it, there is no other attempt.
 func TestDedupWindow(t *testing.T) {
 	s := keyedSettings(KeyScopeAll)
 	s.Classes[0].DedupWindow = 100 * ms
@@ -139,8 +142,8 @@
 }
 
 func TestIdempotentByKeyRejection(t *testing.T) {
-	for group, want := range map[KeyScope]ActionKind{KeyScopeAll: Reject, KeyScopeZone: Fail, KeyScopeCell: Fail} {
-		s := keyedSettings(group)
+	for scope, want := range map[KeyScope]ActionKind{KeyScopeAll: Reject, KeyScopeZone: Fail, KeyScopeCell: Fail} {
+		s := keyedSettings(scope)
 		s.MaxAttempts = 1
 		r := newRig(t, s)
 		r.setEndpoints(3)
@@ -157,12 +160,12 @@
 	for range 80 {
 		actions := r.advance(5 * ms)
 		if len(actionsOfKind(actions, StartAttempt)) > 0 {
-			t.Fatal("second attempt beside the first")
+			t.Fatalf("got actions %+v while the first attempt is pending, want no other attempt", actions)
 		}
 		cancelled = cancelled || len(actionsOfKind(actions, CancelAttempt)) > 0
 	}
 	if !cancelled {
-		t.Fatal("the silent attempt was never ended")
+		t.Fatal("attempt without an answer for 400 ms: got no CancelAttempt, want one")
 	}
 }
 
@@ -171,107 +174,107 @@
 	r.setEndpoints(3)
 	r.updateEndpoints(Delta, Endpoint{Upstream: "u0", State: Draining}, Endpoint{Upstream: "u1", State: Removed})
 	for i := range 30 {
-		if u := r.wantAttempt(r.request(string(rune('A'+i)), "c", time.Second)); u != "u2" {
-			t.Fatalf("sent to %s", u)
+		if to := r.wantAttempt(r.request(string(rune('A'+i)), "c", time.Second)); to != "u2" {
+			t.Fatalf("request went to %s, want u2", to)
 		}
 		r.endAttempt(string(rune('A'+i)), 0, OK, 10*ms)
 		r.now += 10 * ms
 	}
-	r.updateEndpoints(FullState) // nothing is left
+	r.updateEndpoints(FullState) // no endpoint is listed any more
 	r.wantNothing(r.request("z", "c", time.Second))
 }
 
-// A failed call is followed by another, later each time, by a chance that is its own, and never so late that a change is told
-// more than 6 s after it could be: a call that is never answered has 2.5 s of them, and the next 0.5 s. One answer ends that.
+// After a failed call the list is requested again, with an increasing and random wait that is short enough for a change to be
+// known within 6 s: a call without an answer takes 2.5 s of them, and the next one 0.5 s. A successful call ends the backoff.
 func TestPollsWithBackoff(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
 	r := newRig(t, s)
 	if n := len(actionsOfKind(r.updateEndpoints(Cached, Endpoint{Upstream: "u0"}), Subscribe)); n != 1 {
-		t.Fatalf("%d calls at the start", n)
+		t.Fatalf("got %d Subscribe actions at the start, want 1", n)
 	}
 	var waits []time.Duration
 	for range 12 {
-		polls := r.now
+		failedAt := r.now
 		r.handle(EndpointUpdate{Kind: WatchFailed})
 		for len(actionsOfKind(r.advance(5*ms), Subscribe)) == 0 {
-			if r.now-polls > 20*time.Second {
-				t.Fatal("never asked again")
+			if r.now-failedAt > 20*time.Second {
+				t.Fatal("got no Subscribe within 20 s of a failed call, want one")
 			}
 		}
-		waits = append(waits, r.now-polls)
+		waits = append(waits, r.now-failedAt)
 	}
-	var later time.Duration
+	var meanLaterWait time.Duration
 	for i, wait := range waits {
-		d := min(basePollBackoff<<i, maxPollBackoff)
-		if wait < d/2 || wait > d*3/2+5*ms || wait > 3*time.Second+5*ms {
-			t.Errorf("wait %d is %v, around %v", i, wait, d)
+		backoff := min(basePollBackoff<<i, maxPollBackoff)
+		if wait < backoff/2 || wait > backoff*3/2+5*ms || wait > 3*time.Second+5*ms {
+			t.Errorf("wait %d: got %v, want 0.5 to 1.5 times %v and at most 3 s", i, wait, backoff)
 		}
 		if i > 0 {
-			later += wait / time.Duration(len(waits)-1)
+			meanLaterWait += wait / time.Duration(len(waits)-1)
 		}
 	}
-	if later < waits[0]*3/2 || slices.Equal(waits[1:6], waits[6:11]) {
-		t.Errorf("waits %v do not grow, or are not by chance", waits)
+	if meanLaterWait < waits[0]*3/2 || slices.Equal(waits[1:6], waits[6:11]) {
+		t.Errorf("got waits %v, want random ones, the later ones on average at least 1.5 times the first", waits)
 	}
 	r.updateEndpoints(Delta)
 	if n := len(actionsOfKind(r.advance(20*time.Second), Subscribe)); n != 0 {
-		t.Errorf("%d calls while subscribed", n)
+		t.Errorf("got %d Subscribe actions while subscribed, want 0", n)
 	}
 	r.handle(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
 	if n := len(actionsOfKind(r.advance(2*time.Second), Subscribe)); n != 1 {
-		t.Errorf("%d calls after the subscription broke", n)
+		t.Errorf("got %d Subscribe actions after the subscription broke, want 1", n)
 	}
 }
 
-// A restart voids the snapshot of the old process, and the new one is in slow start.
+// After a restart, what was learned about the old process is discarded, and the new process is in slow start.
 func TestRestartIsANewProcess(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(2)
 	r.b.endpoints.byID["u0"].latency = peakEWMA{5, r.now}
 	r.b.endpoints.byID["u0"].health.ejectedUntil = r.now + time.Hour
 	r.updateEndpoints(Delta, Endpoint{Upstream: "u0", Zone: "a", StartedAt: r.now - time.Second})
-	u := r.b.endpoints.byID["u0"]
-	if u.latency.value > 1 || u.health.ejectedUntil != 0 || !u.slowStart.active || len(r.b.endpoints.order) != 2 {
-		t.Errorf("still known: %+v", u)
+	ep := r.b.endpoints.byID["u0"]
+	if ep.latency.value > 1 || ep.health.ejectedUntil != 0 || !ep.slowStart.active || len(r.b.endpoints.order) != 2 {
+		t.Errorf("got restarted endpoint %+v, want a new estimate, no ejection and slow start", ep)
 	}
 }
 
-// A upstream in slow start gets its warmth's share of the mean load at most, whatever goes on: first tries, retries, panic.
+// An endpoint in slow start gets at most the mean load times its present capacity, also from retries and in panic mode.
 func TestSlowStartBucket(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(10)
-	n := map[string]int{}
-	id := 0
-	second := func() {
-		for range 200 { // 200 requests a second, answered at once
-			id++
-			name := string(rune('a'+id%26)) + time.Duration(id).String()
-			for _, a := range actionsOfKind(r.request(name, "c", time.Second), StartAttempt) {
-				n[a.Upstream]++
-				r.endAttempt(name, 0, OK, 5*ms)
+	sentTo := map[string]int{}
+	count := 0
+	runSecond := func() {
+		for range 200 { // 200 requests per second, answered at once
+			count++
+			id := string(rune('a'+count%26)) + time.Duration(count).String()
+			for _, a := range actionsOfKind(r.request(id, "c", time.Second), StartAttempt) {
+				sentTo[a.Upstream]++
+				r.endAttempt(id, 0, OK, 5*ms)
 			}
 			r.advance(5 * ms)
 		}
 	}
 	for range 10 {
-		second()
+		runSecond()
 	}
-	for i := range 9 { // nearly the whole fleet starts anew
+	for i := range 9 { // almost all endpoints restart
 		r.updateEndpoints(Delta, Endpoint{Upstream: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
-	clear(n)
-	second()
+	clear(sentTo)
+	runSecond()
 	for i := range 9 {
 		u := "u" + string(rune('0'+i))
-		// 20 a second is the mean; at most 0.28 of its capacity is there after 1 s, and a small burst.
-		if n[u] > 8 || n[u] == 0 {
-			t.Errorf("%d requests to cold %s in its first second", n[u], u)
+		// The mean is 20 per second. After 1 s the endpoint has at most 0.28 of its capacity; a small burst is added.
+		if sentTo[u] > 8 || sentTo[u] == 0 {
+			t.Errorf("starting endpoint %s got %d requests in its first second, want 1 to 8", u, sentTo[u])
 		}
 	}
 }
 
-// With everything cold, work is held or refused: panic does not go round the limit.
+// If all endpoints are in slow start, requests wait or are rejected: panic mode does not exceed the slow-start budgets.
 func TestAllInSlowStart(t *testing.T) {
 	r := newRig(t, testSettings())
 	var list []Endpoint
@@ -289,68 +292,68 @@
 		}
 		ended += len(finalAnswers(actions))
 	}
-	// 200 a second over 4 upstreams in slow start at 0.2 to 0.4 of their share: about 60 a second may go.
+	// 200 per second over 4 endpoints in slow start at 0.2 to 0.4 of their share: about 60 per second may be sent.
 	if sent > 160 || sent < 40 || ended == 0 {
-		t.Errorf("%d sent, %d ended unsent", sent, ended)
+		t.Errorf("got %d requests sent and %d rejected, want 40 to 160 and some", sent, ended)
 	}
 }
 
-// A repeat whose aim has passed is refused at once: its time left was cut by the end of all tries, which tells when
-// the first came. A repeat early enough is served, and first tries settle what time left is usual.
+// A repeated request whose objective has ended is rejected at once. All attempts of a client share one deadline, so the time
+// remaining shows when the first one was made. An earlier repeat is served. First attempts determine the usual time remaining.
 func TestRepeatPastItsObjectiveIsRejected(t *testing.T) {
-	r := newRig(t, testSettings()) // aim 200 ms, deadline 1 s
+	r := newRig(t, testSettings()) // objective 200 ms, deadline 1 s
 	r.setEndpoints(3)
-	for i := range 20 { // first tries have 600 ms
+	for i := range 20 { // first attempts have 600 ms
 		id := time.Duration(i).String()
 		r.wantAttempt(r.request(id, "c", 600*ms))
 		r.endAttempt(id, 0, OK, 10*ms)
 		r.advance(10 * ms)
 	}
-	r.wantFinalAnswer(r.request("stale", "c", 550*ms), Reject) // the first came 450 ms ago
-	r.wantAttempt(r.request("early", "c", 900*ms))             // the first came 100 ms ago
-	if f := finalAnswers(r.advance(105 * ms)); len(f) != 1 {   // and so it ends when its objective does
-		t.Errorf("still open after its aim: %+v", f)
+	r.wantFinalAnswer(r.request("stale", "c", 550*ms), Reject)           // the first attempt was 450 ms ago
+	r.wantAttempt(r.request("early", "c", 900*ms))                       // the first attempt was 100 ms ago
+	if answers := finalAnswers(r.advance(105 * ms)); len(answers) != 1 { // so it ends when its objective does
+		t.Errorf("got final answers %+v by the end of the objective, want one", answers)
 	}
 	r.wantAttempt(r.request("first", "c", 601*ms))
 }
 
-// A return from ejection is not a cold start: only the list tells of a restart. (iadfa39: three upstreams silent for
-// 10 s idled for the whole warm-up after it, the others overloaded.)
+// Guards against slow start after an ejection: only the list reports a restart. (iadfa39: three endpoints that did not answer for
+// 10 s were idle for the whole warm-up afterwards, and the others were overloaded.)
 func TestReturnIsNotAColdStart(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(2)
-	u := r.b.endpoints.byID["u0"]
-	u.health.ejections, u.health.ejectedUntil = 3, r.now+10*ms
+	ep := r.b.endpoints.byID["u0"]
+	ep.health.ejections, ep.health.ejectedUntil = 3, r.now+10*ms
 	r.now += 20 * ms
-	n := map[string]int{}
+	sentTo := map[string]int{}
 	for i := range 5 {
-		n[r.wantAttempt(r.request(string(rune('a'+i)), "c", time.Second))]++
+		sentTo[r.wantAttempt(r.request(string(rune('a'+i)), "c", time.Second))]++
 	}
-	if n["u0"] != 1 {
-		t.Errorf("%d trials at once, want 1", n["u0"])
+	if sentTo["u0"] != 1 {
+		t.Errorf("got %d simultaneous probes, want 1", sentTo["u0"])
 	}
 	for i := range 5 {
 		r.endAttempt(string(rune('a'+i)), 0, OK, 20*ms)
 	}
-	if u.slowStart.active || u.health.ejections != 0 {
-		t.Errorf("after its return: %+v", u)
+	if ep.slowStart.active || ep.health.ejections != 0 {
+		t.Errorf("got reinstated endpoint %+v, want no slow start and no ejections", ep)
 	}
 }
 
-// Many quiet sidecars against a fleet most of which has just started: together they stay under what pushes a cold
-// upstream over, and still warm it. Nothing is shared between them. (i2a20be: with many cold each sidecar passed those
-// without budget, came to all of them and had a full token for each.)
+// Many sidecars with a low load use a fleet of which most endpoints have just started. Together they stay below the load that
+// makes a starting endpoint fail, and still warm it up, without any shared state. (i2a20be: with many starting endpoints each
+// sidecar skipped those without budget, reached all of them, and had a whole token for each.)
 func TestManyQuietSidecarsAgainstSlowStart(t *testing.T) {
-	const sidecars, fleet, warming = 400, 40, 36
+	const sidecars, endpoints, starting = 400, 40, 36
 	for seed := range uint64(5) {
-		s := testSettings() // cold from 0.2, warm in 10 s; three times the capacity for 2 s pushes over
+		s := testSettings() // slow start at 0.2 of the capacity, for 10 s; three times the present capacity for 2 s makes an endpoint fail
 		s.FleetSize = sidecars
-		g := rand.New(rand.NewPCG(seed, 3))
-		var all []*Balancer
+		rng := rand.New(rand.NewPCG(seed, 3))
+		var balancers []*Balancer
 		now := time.Minute
-		deal := func(b *Balancer, e Event) []Action { return actionsOfKind(b.Handle(now, e, nil), StartAttempt) }
+		send := func(b *Balancer, e Event) []Action { return actionsOfKind(b.Handle(now, e, nil), StartAttempt) }
 		var entries []Endpoint
-		for i := range fleet {
+		for i := range endpoints {
 			entries = append(entries, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 		}
 		for i := range sidecars {
@@ -358,75 +361,75 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			deal(b, EndpointUpdate{Kind: FullState, Endpoints: entries})
-			all = append(all, b)
+			send(b, EndpointUpdate{Kind: FullState, Endpoints: entries})
+			balancers = append(balancers, b)
 		}
-		n := 0
-		second := func() map[string]int { // two requests a second from each, answered at once
-			sends := map[string]int{}
+		requests := 0
+		runSecond := func() map[string]int { // two requests per second from each sidecar, answered at once
+			sentTo := map[string]int{}
 			for range 100 {
 				for range sidecars * 2 / 100 {
-					b := all[g.IntN(sidecars)]
-					n++
-					id := fmt.Sprint(n)
-					for _, a := range deal(b, Request{ID: id, Class: "c", ExpiresAt: now + time.Second}) {
-						sends[a.Upstream]++
-						deal(b, AttemptEnded{ID: id, Result: OK, Elapsed: 20 * ms, Final: true})
+					b := balancers[rng.IntN(sidecars)]
+					requests++
+					id := fmt.Sprint(requests)
+					for _, a := range send(b, Request{ID: id, Class: "c", ExpiresAt: now + time.Second}) {
+						sentTo[a.Upstream]++
+						send(b, AttemptEnded{ID: id, Result: OK, Elapsed: 20 * ms, Final: true})
 					}
 				}
 				now += 10 * ms
 			}
-			return sends
+			return sentTo
 		}
 		for range 10 {
-			second()
+			runSecond()
 		}
-		for i := range warming {
+		for i := range starting {
 			entries[i].StartedAt = now
 		}
-		for _, b := range all {
-			deal(b, EndpointUpdate{Kind: FullState, Endpoints: entries})
+		for _, b := range balancers {
+			send(b, EndpointUpdate{Kind: FullState, Endpoints: entries})
 		}
-		const mean = float64(sidecars) * 2 / fleet // a second, below the capacity of each
-		warmed := 0
-		for sec := range 8 {
-			one, two := second(), second()
-			for i := range warming {
-				got := one[fmt.Sprint("u", i)] + two[fmt.Sprint("u", i)]
-				warmed += got
-				if limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*sec)/10); sec < 5 && float64(got) > limit {
-					t.Errorf("seed %d: %d sent to cold u%d in 2 s, %.0f push it over", seed, got, i, limit)
+		const mean = float64(sidecars) * 2 / endpoints // per second, below the capacity of each endpoint
+		sentToStarting := 0
+		for pair := range 8 {
+			first, second := runSecond(), runSecond()
+			for i := range starting {
+				received := first[fmt.Sprint("u", i)] + second[fmt.Sprint("u", i)]
+				sentToStarting += received
+				if limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*pair)/10); pair < 5 && float64(received) > limit {
+					t.Errorf("seed %d: starting endpoint u%d got %d requests in 2 s, want at most %.0f", seed, i, received, limit)
 				}
 			}
 		}
-		if float64(warmed) < warming*mean*16/8 {
-			t.Errorf("seed %d: %d requests to %d upstreams in 16 s: left out while and after cold", seed, warmed, warming)
+		if float64(sentToStarting) < starting*mean*16/8 {
+			t.Errorf("seed %d: got %d requests to %d starting endpoints in 16 s, want %.0f or more", seed, sentToStarting, starting, starting*mean*16/8)
 		}
 	}
 }
 
-// The final answer comes before the end of what is still out: the sidecar then knows that no attempt follows.
+// The final answer precedes the cancellation of pending attempts: the sidecar then knows that no attempt follows.
 func TestAnswerBeforeCancel(t *testing.T) {
-	for _, effect := range []Idempotency{Idempotent, NotIdempotent} {
+	for _, idempotency := range []Idempotency{Idempotent, NotIdempotent} {
 		s := testSettings()
-		s.Classes[0].Idempotency = effect
+		s.Classes[0].Idempotency = idempotency
 		r := newRig(t, s)
 		r.setEndpoints(1)
 		r.wantAttempt(r.request("1", "c", 500*ms))
-		var order []ActionKind
+		var kinds []ActionKind
 		for _, a := range r.advance(600 * ms) {
 			if a.Kind == Reject || a.Kind == Fail || a.Kind == CancelAttempt {
-				order = append(order, a.Kind)
+				kinds = append(kinds, a.Kind)
 			}
 		}
-		if len(order) != 2 || order[0] == CancelAttempt || order[1] != CancelAttempt {
-			t.Errorf("effect %d: kinds %v", effect, order)
+		if len(kinds) != 2 || kinds[0] == CancelAttempt || kinds[1] != CancelAttempt {
+			t.Errorf("idempotency %d: got action kinds %v, want a final answer and then CancelAttempt", idempotency, kinds)
 		}
 	}
 }
 
-// Where work stays at home, what upstreams in slow start may get is spent by those that have them in their subset at home: it
-// is not left to sidecars of other zones that hardly come.
+// If requests stay in their zone, the slow-start budget of an endpoint is used by the sidecars of its zone that have it in their
+// subset, and not reserved for sidecars of other zones, which hardly send to it.
 func TestSlowStartFollowsTheLoad(t *testing.T) {
 	s := testSettings()
 	s.FleetSize, s.CrossZoneCost = 80, 0.1
@@ -435,31 +438,31 @@
 		list = append(list, Endpoint{Upstream: fmt.Sprint("u", i), Zone: "abcd"[i%4 : i%4+1]})
 	}
 	const sidecars = 30
-	warming := 0
+	sentToStarting := 0
 	for seed := range uint64(sidecars) {
-		w := newFakeFleet(t, s, okAfter20ms)
+		fleet := newFakeFleet(t, s, okAfter20ms)
 		var err error
-		if w.b, err = New(s, seed); err != nil {
+		if fleet.b, err = New(s, seed); err != nil {
 			t.Fatal(err)
 		}
-		w.updateEndpoints(FullState, list...)
-		w.run(10*time.Second, 20)
+		fleet.updateEndpoints(FullState, list...)
+		fleet.run(10*time.Second, 20)
 		restarted := slices.Clone(list)
 		for i := range restarted {
 			if restarted[i].Zone == "a" {
-				restarted[i].StartedAt = w.now
+				restarted[i].StartedAt = fleet.now
 			}
 		}
-		w.updateEndpoints(FullState, restarted...)
-		clear(w.sentTo)
-		w.run(5*time.Second, 20)
+		fleet.updateEndpoints(FullState, restarted...)
+		clear(fleet.sentTo)
+		fleet.run(5*time.Second, 20)
 		for i := 0; i < len(list); i += 4 {
-			warming += w.sentTo[fmt.Sprint("u", i)]
+			sentToStarting += fleet.sentTo[fmt.Sprint("u", i)]
 		}
 	}
-	// All home upstreams are at 0.2 to 0.6 of their capacity, and 0.45 x 3 of that may go there.
-	all := sidecars * 5 * 20
-	if least, limit := all/5, all*55/100; warming < least || warming > limit {
-		t.Errorf("%d of %d requests went to the cold home zone, want %d to %d", warming, all, least, limit)
+	// All local endpoints have 0.2 to 0.6 of their capacity, and may be sent 0.45 x 3 of that.
+	requests := sidecars * 5 * 20
+	if minimum, limit := requests/5, requests*55/100; sentToStarting < minimum || sentToStarting > limit {
+		t.Errorf("%d of %d requests went to starting endpoints of the local zone, want %d to %d", sentToStarting, requests, minimum, limit)
 	}
 }
--- a/balancer/settingsupdate_test.go
+++ b/balancer/settingsupdate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against rules that change under a request in flight: it keeps its class, and makes no more attempts than it might
-// when it came, nor than now; and against the snapshot being lost.
+// Guards against new settings that affect requests in flight, which keep their class and make at most as many attempts as
+// both the old and the new settings allow, and against the loss of what was learned.
 func TestRetune(t *testing.T) {
 	s := testSettings()
 	r := newRig(t, s)
@@ -20,17 +20,18 @@
 	s.MaxAttempts = 2
 	r.handle(SettingsUpdate{s})
 	if !r.b.endpoints.banned["u0"] || r.b.endpoints.byID["u1"].latency.value != 0.123 || math.Abs(r.b.meanObjective-0.3) > 1e-9 {
-		t.Error("a ban or an estimate is lost, or the aims are the old ones")
+		t.Errorf("got ban %v, estimate %v, mean objective %v after new settings; want true, 0.123, 0.3", r.b.endpoints.banned["u0"],
+			r.b.endpoints.byID["u1"].latency.value, r.b.meanObjective)
 	}
 	r.wantAttempt(r.request("new", "c", time.Second))
-	r.wantFinalAnswer(r.endAttempt("new", 0, Reset, ms), Fail) // unsafe now
-	r.wantAttempt(r.endAttempt("old", 0, Reset, ms))           // safe still
+	r.wantFinalAnswer(r.endAttempt("new", 0, Reset, ms), Fail) // must not run twice by the new settings
+	r.wantAttempt(r.endAttempt("old", 0, Reset, ms))           // still idempotent
 	r.wantFinalAnswer(r.endAttempt("old", 1, Reset, ms), Reject)
 	s.MaxAttempts = 4
 	r.handle(SettingsUpdate{s})
 	r.wantAttempt(r.request("d", "d", time.Second))
 	r.wantFinalAnswer(r.request("gone", "e", time.Second), Reject)
-	s.MaxAttempts = 0 // taken as 1
+	s.MaxAttempts = 0 // counts as 1
 	s.Classes = s.Classes[:1]
 	r.handle(SettingsUpdate{s})
 	r.wantFinalAnswer(r.endAttempt("few", 0, Reset, ms), Reject)
@@ -38,6 +39,6 @@
 	s.Classes[0].Deadline = 0
 	r.handle(SettingsUpdate{s})
 	if r.b.classes["c"].Deadline != 2*time.Second {
-		t.Error("unusable settings were taken")
+		t.Errorf("got deadline %v after invalid settings, want 2s", r.b.classes["c"].Deadline)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Guards against a new process that goes to slow upstreams as to any other, and knows no rate, on which slow-start budgets
-// rest: it begins with what the one before has learned, but for upstreams that started anew.
+// Guards against a new process that sends to slow endpoints as to any others, and does not know the load, from which slow-start
+// budgets are computed. It starts with what the previous process has learned, except about restarted endpoints.
 func TestSnapshotIsRestored(t *testing.T) {
 	old := newRig(t, testSettings())
 	list := []Endpoint{{Upstream: "slow", Zone: "a"}, {Upstream: "quick", Zone: "a"}, {Upstream: "failing", Zone: "a"},
@@ -17,47 +17,48 @@
 	old.updateEndpoints(FullState, list...)
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		usedFraction, res := 10*ms, OK
+		latency, res := 10*ms, OK
 		switch old.wantAttempt(old.request(id, "c", time.Second)) {
 		case "slow", "renewed":
-			usedFraction = 150 * ms
+			latency = 150 * ms
 		case "failing":
 			res = ServerError
 		}
 		old.advance(5 * ms)
-		old.endAttempt(id, 0, res, usedFraction)
+		old.endAttempt(id, 0, res, latency)
 		for n := 1; res == ServerError && n < 4 && old.b.requests[id] != nil && len(old.b.requests[id].attempts) > n; n++ {
-			old.endAttempt(id, n, OK, usedFraction)
+			old.endAttempt(id, n, OK, latency)
 		}
 	}
 	text, err := json.Marshal(old.b.Snapshot(old.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Snapshot
-	if err := json.Unmarshal(text, &l); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
 		t.Fatal(err)
 	}
 	r := newRig(t, testSettings())
-	r.now = 10 * time.Minute // another clock
+	r.now = 10 * time.Minute // the clock of another process
 	list[3].StartedAt = r.now - time.Second
 	r.updateEndpoints(FullState, list...)
-	r.handle(l)
-	if x, y := old.b.admission.offered.perSecond(old.now), r.b.admission.offered.perSecond(r.now); math.Abs(x-y) > 1e-6*x {
-		t.Errorf("rate %v, was %v", y, x)
+	r.handle(snapshot)
+	if oldRate, rate := old.b.admission.offered.perSecond(old.now), r.b.admission.offered.perSecond(r.now); math.Abs(oldRate-rate) > 1e-6*oldRate {
+		t.Errorf("got offered rate %v, want %v", rate, oldRate)
 	}
-	if u, v := old.b.endpoints.byID["slow"], r.b.endpoints.byID["slow"]; math.Abs(old.b.cost(u)-r.b.cost(v)) > 1e-6*old.b.cost(u) {
-		t.Errorf("load of the slow one %v, was %v", r.b.cost(v), old.b.cost(u))
+	if oldSlow, slow := old.b.endpoints.byID["slow"], r.b.endpoints.byID["slow"]; math.Abs(old.b.cost(oldSlow)-r.b.cost(slow)) > 1e-6*old.b.cost(oldSlow) {
+		t.Errorf("got cost %v of the slow endpoint, want %v", r.b.cost(slow), old.b.cost(oldSlow))
 	}
-	if u := r.b.endpoints.byID["failing"]; u.health.ejections == 0 || u.health.ejectedUntil <= r.now {
-		t.Error("the failing one is in use")
+	if ep := r.b.endpoints.byID["failing"]; ep.health.ejections == 0 || ep.health.ejectedUntil <= r.now {
+		t.Errorf("failing endpoint: got %d ejections until %v, want some until after %v", ep.health.ejections, ep.health.ejectedUntil, r.now)
 	}
-	if u := r.b.endpoints.byID["renewed"]; !u.slowStart.active || u.latency.at != r.now {
-		t.Error("the one that started anew was taken for the old one")
+	if ep := r.b.endpoints.byID["renewed"]; !ep.slowStart.active || ep.latency.at != r.now {
+		t.Errorf("restarted endpoint: got slow start %+v and estimate %+v, want an active slow start and an estimate set at %v",
+			ep.slowStart, ep.latency, r.now)
 	}
 }
 
-// Guards against a hand-over that upsets the decisions: what makes no sense is left out whole.
+// Guards against a snapshot that disturbs the decisions: one with an invalid value is ignored entirely.
 func TestInvalidSnapshotIsIgnored(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(2)
@@ -65,47 +66,47 @@
 	r.handle(Snapshot{})
 	r.handle(Snapshot{FleetLatency: 1, MeanLatency: 1, MedianLatency: 1, HedgeDelay: 1, LimitFraction: 0.5, Endpoints: map[string]EndpointSnapshot{"u0": {PeakEWMA: -1}}})
 	if r.b.latency.fleetMean != before {
-		t.Error("taken")
+		t.Errorf("got fleet mean %v after invalid snapshots, want %v", r.b.latency.fleetMean, before)
 	}
 	r.wantAttempt(r.request("1", "c", time.Second))
 }
 
-// Guards against a upstream in slow start pushed over after a crash: what the process before may have sent it since it last told
-// counts as sent, and what is left of its warm-up is no longer than it was.
+// Guards against the overload of an endpoint in slow start after a crash of the sidecar: all tokens since the last snapshot
+// count as spent, and the warm-up does not start again.
 func TestBudgetOfAColdUpstreamIsUsedUpAfterACrash(t *testing.T) {
 	for _, crashed := range []bool{false, true} {
-		l := Snapshot{Endpoints: map[string]EndpointSnapshot{"u": {Uptime: time.Second, SlowStartAge: time.Second, Tokens: 0.8, Age: time.Second, EjectedFor: 3 * time.Second}},
+		snapshot := Snapshot{Endpoints: map[string]EndpointSnapshot{"u": {Uptime: time.Second, SlowStartAge: time.Second, Tokens: 0.8, Age: time.Second, EjectedFor: 3 * time.Second}},
 			SheddingAge: time.Second, OfferedAtShedding: 5, Offered: RateSnapshot{Sum: 3, Age: time.Second}, Tenants: map[string]RateSnapshot{"t": {Sum: 1, Age: 1}}}
-		l.Age(2*time.Second, crashed)
-		u := l.Endpoints["u"]
-		if want := map[bool]float64{false: 0.8, true: 0}[crashed]; u.Tokens != want {
-			t.Errorf("crashed %v: %v of the budget is left, want %v", crashed, u.Tokens, want)
+		snapshot.Age(2*time.Second, crashed)
+		ep := snapshot.Endpoints["u"]
+		if want := map[bool]float64{false: 0.8, true: 0}[crashed]; ep.Tokens != want {
+			t.Errorf("crashed %v: got %v tokens, want %v", crashed, ep.Tokens, want)
 		}
-		if u.SlowStartAge != 3*time.Second || u.Uptime != 3*time.Second || u.Age != 3*time.Second || u.EjectedFor != time.Second || l.Offered.Sum != 3 {
-			t.Errorf("crashed %v: after 2 s %+v", crashed, l)
+		if ep.SlowStartAge != 3*time.Second || ep.Uptime != 3*time.Second || ep.Age != 3*time.Second || ep.EjectedFor != time.Second || snapshot.Offered.Sum != 3 {
+			t.Errorf("crashed %v: got %+v after 2 s, want ages of 3 s, 1 s of the ejection remaining, and the rate", crashed, snapshot)
 		}
-		l.Age(time.Minute, crashed)
-		if u := l.Endpoints["u"]; u.EjectedFor != 0 || l.SheddingAge != 0 || l.OfferedAtShedding != 0 || l.Offered != (RateSnapshot{}) || l.Tenants["t"] != (RateSnapshot{}) {
-			t.Errorf("crashed %v: after a minute %+v", crashed, l)
+		snapshot.Age(time.Minute, crashed)
+		if ep := snapshot.Endpoints["u"]; ep.EjectedFor != 0 || snapshot.SheddingAge != 0 || snapshot.OfferedAtShedding != 0 || snapshot.Offered != (RateSnapshot{}) || snapshot.Tenants["t"] != (RateSnapshot{}) {
+			t.Errorf("crashed %v: got %+v after a minute, want no ejection, rate or load shedding", crashed, snapshot)
 		}
 	}
 }
 
-// Guards against a process that begins with nothing because the one before was in debt to a upstream in slow start, by a costly
-// request; and against a debt that a crash makes good.
+// Guards against a snapshot that is ignored because an endpoint in slow start has a negative number of tokens after a costly
+// request, and against a crash that resets this number to 0.
 func TestSlowStartDebtIsPersisted(t *testing.T) {
 	old := newRig(t, testSettings())
 	old.updateEndpoints(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: old.now - time.Second})
 	old.b.endpoints.byID["u"].slowStart.tokens = -1.5
 	for _, crashed := range []bool{false, true} {
-		l := old.b.Snapshot(old.now)
-		l.Age(time.Second, crashed)
-		l.FleetLatency = 0.123
+		snapshot := old.b.Snapshot(old.now)
+		snapshot.Age(time.Second, crashed)
+		snapshot.FleetLatency = 0.123
 		r := newRig(t, testSettings())
 		r.updateEndpoints(FullState, Endpoint{Upstream: "u", Zone: "a", StartedAt: r.now - 2*time.Second})
-		r.handle(l)
-		if u := r.b.endpoints.byID["u"]; r.b.latency.fleetMean != 0.123 || u.slowStart.tokens != -1.5 {
-			t.Errorf("crashed %v: %v of the budget is left, mean latency %v", crashed, u.slowStart.tokens, r.b.latency.fleetMean)
+		r.handle(snapshot)
+		if ep := r.b.endpoints.byID["u"]; r.b.latency.fleetMean != 0.123 || ep.slowStart.tokens != -1.5 {
+			t.Errorf("crashed %v: got %v tokens and mean latency %v, want -1.5 and 0.123", crashed, ep.slowStart.tokens, r.b.latency.fleetMean)
 		}
 	}
 }
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -12,36 +12,36 @@
 	"time"
 )
 
-// The decisions are a pure function of the settings, the seed and the events. A change that is meant to move code only, and
-// reorders a random draw or an arithmetic step by mistake, shows in no other test: the choices stay plausible. So seeded
-// streams of events of every kind are played through Handle, and a hash of all actions is compared with the recorded one.
-// Texts of Log actions are left out: they are for people and may be reworded. A change that is meant to decide otherwise
-// records the new hashes, and its commit says why.
+// Guards against refactorings that change decisions by mistake. The decisions are a pure function of the settings, the seed and
+// the events. If a random draw or an arithmetic step is reordered, the choices stay plausible and no other test fails.
+// Seeded sequences of events of every kind are therefore passed to Handle, and a hash of all actions is compared with the
+// recorded one. It does not cover the texts of Log actions, which may be reworded. A change that is meant to change
+// decisions records the new hashes, and its commit says why.
 func TestDecisionTrace(t *testing.T) {
-	recorded := map[int]string{
+	hashes := map[int]string{
 		1:   "8d558801df2a164d9ea3fc6547a42c46",
 		10:  "3b0e083db5fbbbc2fc2af7fe62313a8a",
 		300: "01a5256f104cb3e078d5afabc9df162a",
 	}
-	for endpoints, want := range recorded {
+	for endpoints, want := range hashes {
 		t.Run(fmt.Sprint(endpoints), func(t *testing.T) {
 			tr := newTrace(t, endpoints)
 			for range 12_000 {
 				tr.step()
 			}
 			if got := hex.EncodeToString(tr.digest.Sum(nil)[:16]); got != want {
-				t.Errorf("actions of the trace hash to %s, recorded %s (sent %d, actions by kind %v)", got, want, tr.attemptCount, tr.actionCounts)
+				t.Errorf("actions of the trace: got hash %s, want %s (%d attempts, actions by kind %v)", got, want, tr.attemptCount, tr.actionCounts)
 			}
 			for kind := StartAttempt; kind <= ReportEvidence; kind++ {
 				if tr.actionCounts[kind] == 0 && (endpoints == 10 || kind != ReportEvidence && kind != Subscribe && kind != Fail) {
-					t.Errorf("the trace holds no action of kind %d", kind)
+					t.Errorf("got no action of kind %d in the trace, want some", kind)
 				}
 			}
 		})
 	}
 }
 
-// traceAttempt is an attempt without an outcome.
+// traceAttempt is a pending attempt.
 type traceAttempt struct {
 	id       string
 	number   int
@@ -49,7 +49,7 @@
 	sentAt   time.Duration
 }
 
-// trace plays a seeded stream of events.
+// trace sends a seeded sequence of events to a Balancer, and hashes the actions.
 type trace struct {
 	t             *testing.T
 	endpoints     int
@@ -58,16 +58,16 @@
 	rng           *rand.Rand
 	digest        hash.Hash
 	now           time.Duration
-	timerAt       time.Duration // 0: none
-	nextRequest   int           // number of the next request
-	attempts      map[string]int
+	timerAt       time.Duration  // 0 if no timer is set
+	nextRequest   int            // number of the next request
+	attempts      map[string]int // number of attempts of each request
 	pending       []traceAttempt
-	bodiesPending []string // requests whose body is still coming
+	bodiesPending []string // requests whose body is still being received
 	banned        []string
 	startedAt     map[string]time.Duration
 	actionCounts  map[ActionKind]int
 	attemptCount  int
-	failing       string // answers errors only, for a while
+	failing       string // endpoint most of whose attempts fail at present
 }
 
 func newTrace(t *testing.T, endpoints int) *trace {
@@ -98,6 +98,7 @@
 
 func (tr *trace) randomEndpoint() string { return tr.endpointID(tr.rng.IntN(tr.endpoints)) }
 
+// entry returns the list entry of an endpoint.
 func (tr *trace) entry(id string) Endpoint {
 	var i int
 	_, _ = fmt.Sscanf(id, "u%d", &i)
@@ -105,6 +106,7 @@
 		Weight: 1 + float64(i%5)/2}
 }
 
+// entries returns the entries of all endpoints.
 func (tr *trace) entries() (list []Endpoint) {
 	for i := range tr.endpoints {
 		list = append(list, tr.entry(tr.endpointID(i)))
@@ -112,7 +114,7 @@
 	return list
 }
 
-// step lets a little time pass and brings one event.
+// step advances the clock by a random time, 2 ms on average, and sends one random event.
 func (tr *trace) step() {
 	tr.now += time.Duration(tr.rng.ExpFloat64() * float64(2*ms))
 	if tr.timerAt != 0 && tr.now >= tr.timerAt {
@@ -189,7 +191,7 @@
 	tr.handle(BodyComplete{ID: id, ExpiresAt: tr.now + 800*ms})
 }
 
-// attemptEnded ends an attempt: one that has been out for longer than most, mostly.
+// attemptEnded ends one of the four oldest pending attempts.
 func (tr *trace) attemptEnded() {
 	if len(tr.pending) == 0 {
 		return
@@ -210,9 +212,9 @@
 	id := tr.randomEndpoint()
 	switch tr.rng.IntN(4) {
 	case 0:
-		m := tr.entry(id)
-		m.State = EndpointState(1 + tr.rng.IntN(2))
-		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{m}})
+		entry := tr.entry(id)
+		entry.State = EndpointState(1 + tr.rng.IntN(2))
+		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{entry}})
 	case 1:
 		tr.startedAt[id] = tr.now - time.Duration(tr.rng.IntN(500))*ms
 		tr.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{tr.entry(id)}})
@@ -247,7 +249,7 @@
 	tr.handle(e)
 }
 
-// restart goes on with another Balancer that begins with what this one has learned.
+// restart replaces the Balancer by a new one that starts from the old one's snapshot.
 func (tr *trace) restart() {
 	snapshot := tr.b.Snapshot(tr.now)
 	snapshot.Age(time.Duration(tr.rng.IntN(4000))*ms, tr.rng.IntN(2) == 0)
@@ -263,7 +265,7 @@
 	tr.handle(snapshot)
 }
 
-// handle brings an event, and takes its actions into the hash.
+// handle sends an event, and adds its actions to the hash.
 func (tr *trace) handle(e Event) {
 	for _, a := range tr.b.Handle(tr.now, e, nil) {
 		tr.actionCounts[a.Kind]++
