--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -8,117 +8,123 @@
 	"time"
 )
 
-// The four rules, checked on the stream of actions under random legal events. This knows nothing of the balancer.
+// The rules of package balancer are checked on the actions that follow random valid events. ruleChecker knows only events and
+// actions, and nothing of the Balancer's code and state.
 
-type sent struct {
-	upstream, zone string
-	cell           int
-	at, limit      time.Duration
-	out, mayRun    bool
+// checkedAttempt is an attempt as seen by a ruleChecker.
+type checkedAttempt struct {
+	upstream, zone      string
+	cell                int
+	sentAt, deadline    time.Duration
+	pending, mayHaveRun bool
 }
 
-type promisedAnswer struct {
+// checkedRequest is a request as seen by a ruleChecker.
+type checkedRequest struct {
 	class        Class
-	expires      time.Duration
-	attempts     []*sent
+	expiresAt    time.Duration
+	attempts     []*checkedAttempt
 	answers      int
-	ended        bool // an end was reported or given
+	done         bool // it has its final answer, or its client has disconnected
 	disconnected bool
 }
 
-type referee struct {
-	t      *testing.T
-	s      Settings
-	now    time.Duration
-	reqs   map[string]*promisedAnswer
-	order  []string
-	active map[string]Endpoint
-	timers []time.Duration
+// ruleChecker checks each action against the rules and the events so far.
+type ruleChecker struct {
+	t        *testing.T
+	settings Settings
+	now      time.Duration
+	requests map[string]*checkedRequest
+	openIDs  []string // requests without a final answer or with a pending attempt, in order
+	active   map[string]Endpoint
+	timers   []time.Duration // times of SetTimer actions that have not fired
 }
 
-func (f *referee) action(a Action) {
-	f.t.Helper()
-	q := f.reqs[a.ID]
-	if q == nil && a.Kind <= Fail {
-		f.t.Fatalf("action for unknown request: %+v", a)
+func (c *ruleChecker) checkAction(a Action) {
+	c.t.Helper()
+	req := c.requests[a.ID]
+	if req == nil && a.Kind <= Fail {
+		c.t.Fatalf("got action %+v for an unknown request, want none", a)
 	}
 	switch a.Kind {
 	case StartAttempt:
-		f.send(a, q)
+		c.checkAttempt(a, req)
 	case CancelAttempt:
-		if !f.s.Cancellation {
-			f.t.Fatal("cancel is not allowed")
+		if !c.settings.Cancellation {
+			c.t.Fatalf("request %s: got CancelAttempt without the Cancellation setting, want none", a.ID)
 		}
-		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
+		if a.Attempt < 0 || a.Attempt >= len(req.attempts) {
+			c.t.Fatalf("request %s: got CancelAttempt of attempt %d, want one of the %d attempts made", a.ID, a.Attempt, len(req.attempts))
 		}
 	case Reject, Fail:
-		if a.Kind == Reject && (q.class.Idempotency != Idempotent && (q.class.Idempotency != IdempotentByKey || q.class.KeyScope != KeyScopeAll)) &&
-			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
-			f.t.Fatalf("refused %s, which may have run", a.ID)
+		if a.Kind == Reject && (req.class.Idempotency != Idempotent && (req.class.Idempotency != IdempotentByKey || req.class.KeyScope != KeyScopeAll)) &&
+			slices.ContainsFunc(req.attempts, func(attempt *checkedAttempt) bool { return attempt.mayHaveRun }) {
+			c.t.Fatalf("request %s: got Reject although it may have run, want Fail", a.ID)
 		}
-		if q.ended {
-			f.t.Fatalf("second answer to %s", a.ID)
+		if req.done {
+			c.t.Fatalf("request %s: got a second final answer %+v, want one", a.ID, a)
 		}
-		q.answers, q.ended = q.answers+1, true
+		req.answers, req.done = req.answers+1, true
 	case SetTimer:
-		f.timers = append(f.timers, a.At)
+		c.timers = append(c.timers, a.At)
 	}
 }
 
-func (f *referee) send(a Action, q *promisedAnswer) {
-	f.t.Helper()
-	m, listed := f.active[a.Upstream]
+// checkAttempt checks a StartAttempt action of a request, and records the attempt.
+func (c *ruleChecker) checkAttempt(a Action, req *checkedRequest) {
+	c.t.Helper()
+	entry, listed := c.active[a.Upstream]
 	switch {
-	case q.ended:
-		f.t.Fatalf("%s: attempt after its end", a.ID)
-	case f.now >= q.expires:
-		f.t.Fatalf("%s: attempt after its time", a.ID)
+	case req.done:
+		c.t.Fatalf("request %s: got an attempt after its final answer or the client's disconnection", a.ID)
+	case c.now >= req.expiresAt:
+		c.t.Fatalf("request %s: got an attempt at %v, want none from %v on", a.ID, c.now, req.expiresAt)
 	case !listed:
-		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Upstream)
-	case len(q.attempts) >= f.s.MaxAttempts:
-		f.t.Fatalf("%s: attempt %d of %d", a.ID, len(q.attempts)+1, f.s.MaxAttempts)
+		c.t.Fatalf("request %s: got an attempt at %s, want none at draining or removed endpoints", a.ID, a.Upstream)
+	case len(req.attempts) >= c.settings.MaxAttempts:
+		c.t.Fatalf("request %s: got %d attempts, want at most %d", a.ID, len(req.attempts)+1, c.settings.MaxAttempts)
 	}
-	for _, x := range q.attempts {
-		if x.out && !f.s.Hedging {
-			f.t.Fatalf("%s: two attempts out", a.ID)
+	for _, earlier := range req.attempts {
+		if earlier.pending && !c.settings.Hedging {
+			c.t.Fatalf("request %s: got two pending attempts without hedging, want one", a.ID)
 		}
-		if !x.mayRun {
+		if !earlier.mayHaveRun {
 			continue
 		}
-		c := q.class
-		if c.Idempotency == NotIdempotent {
-			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
+		class := req.class
+		if class.Idempotency == NotIdempotent {
+			c.t.Fatalf("request %s: got another attempt although it must not run twice and may have run", a.ID)
 		}
-		if c.Idempotency == IdempotentByKey && (f.now-x.at > c.DedupWindow || c.KeyScope == KeyScopeZone && x.zone != m.Zone ||
-			c.KeyScope == KeyScopeCell && x.cell != m.Cell) {
-			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
+		if class.Idempotency == IdempotentByKey && (c.now-earlier.sentAt > class.DedupWindow || class.KeyScope == KeyScopeZone && earlier.zone != entry.Zone ||
+			class.KeyScope == KeyScopeCell && earlier.cell != entry.Cell) {
+			c.t.Fatalf("request %s: got an attempt at %s outside the key scope or dedup window of attempt %+v", a.ID, a.Upstream, *earlier)
 		}
 	}
-	limit := q.expires
+	deadline := req.expiresAt
 	if a.Timeout != 0 {
-		limit = min(limit, f.now+a.Timeout)
+		deadline = min(deadline, c.now+a.Timeout)
 	}
-	q.attempts = append(q.attempts, &sent{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
+	req.attempts = append(req.attempts, &checkedAttempt{a.Upstream, entry.Zone, entry.Cell, c.now, deadline, true, true})
 }
 
-func randomSettings(g *rand.Rand) Settings {
+// randomSettings returns random valid settings with a class for each Idempotency and KeyScope.
+func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Hedging, s.Cancellation, s.RetryAfter = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
-	s.MustSubscribe = g.IntN(2) == 0
-	s.MaxAttempts = 1 + g.IntN(5)
-	s.CrossZoneCost = []float64{0, 0.01, 0.2}[g.IntN(3)]
-	s.OverloadMultiple = float64(g.IntN(4))
-	s.Zone = []string{"a", "a", ""}[g.IntN(3)]
-	s.WeightByWork, s.OverQuotaFraction = g.IntN(2) == 0, float64(g.IntN(2))/2
-	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:g.IntN(3)]
+	s.Hedging, s.Cancellation, s.RetryAfter = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+	s.MustSubscribe = rng.IntN(2) == 0
+	s.MaxAttempts = 1 + rng.IntN(5)
+	s.CrossZoneCost = []float64{0, 0.01, 0.2}[rng.IntN(3)]
+	s.OverloadMultiple = float64(rng.IntN(4))
+	s.Zone = []string{"a", "a", ""}[rng.IntN(3)]
+	s.WeightByWork, s.OverQuotaFraction = rng.IntN(2) == 0, float64(rng.IntN(2))/2
+	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:rng.IntN(3)]
 	s.Classes = nil
 	for e := Idempotent; e <= NotIdempotent; e++ {
-		for group := KeyScopeAll; group <= KeyScopeCell; group++ {
-			objective := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: objective, Deadline: objective * time.Duration(1+g.IntN(4)) / 2, Idempotency: e,
-				KeyScope: group, DedupWindow: time.Duration(20+g.IntN(800)) * ms, LateValueFraction: float64(g.IntN(2)) / 2,
-				PriorityWeight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
+		for scope := KeyScopeAll; scope <= KeyScopeCell; scope++ {
+			objective := time.Duration(50+rng.IntN(400)) * ms
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, scope), LatencyObjective: objective, Deadline: objective * time.Duration(1+rng.IntN(4)) / 2, Idempotency: e,
+				KeyScope: scope, DedupWindow: time.Duration(20+rng.IntN(800)) * ms, LateValueFraction: float64(rng.IntN(2)) / 2,
+				PriorityWeight: float64(1 + rng.IntN(9)), ObjectiveStretch: float64(rng.IntN(2)), Stream: rng.IntN(4) == 0})
 		}
 	}
 	return s
@@ -126,158 +132,163 @@
 
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
-		g := rand.New(rand.NewPCG(seed, 7))
-		s := randomSettings(g)
+		rng := rand.New(rand.NewPCG(seed, 7))
+		s := randomSettings(rng)
 		s.ShareEvidence = seed%3 == 0
 		b, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*promisedAnswer{}, active: map[string]Endpoint{}}
-		deal := func(e Event) {
-			for _, a := range b.Handle(f.now, e, nil) {
-				f.action(a)
+		checker := &ruleChecker{t: t, settings: s, now: time.Hour, requests: map[string]*checkedRequest{}, active: map[string]Endpoint{}}
+		send := func(e Event) {
+			for _, a := range b.Handle(checker.now, e, nil) {
+				checker.checkAction(a)
 			}
 		}
-		run(f, g, deal, 1200)
+		runRandomEvents(checker, rng, send, 1200)
 		if n := len(b.requests); n != 0 {
-			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
+			t.Fatalf("seed %d: got %d requests stored after all have ended, want 0", seed, n)
 		}
 	}
 }
 
-// run plays ticks with random events, then lets all that is open end.
-func run(f *referee, g *rand.Rand, deal func(Event), ticks int) {
-	deal(EndpointUpdate{Kind: Cached})
+// runRandomEvents sends random events for some ticks, then only those that end the open requests.
+func runRandomEvents(checker *ruleChecker, rng *rand.Rand, send func(Event), ticks int) {
+	send(EndpointUpdate{Kind: Cached})
 	for i := range ticks + 1000 {
-		f.now += f.s.Tick + time.Duration(g.IntN(2000))*time.Microsecond
+		checker.now += checker.settings.Tick + time.Duration(rng.IntN(2000))*time.Microsecond
 		if i < ticks {
-			f.randomList(g, deal)
-			for range g.IntN(4) {
-				f.randomRequest(g, deal, i)
+			checker.sendRandomUpdate(rng, send)
+			for range rng.IntN(4) {
+				checker.sendRandomRequest(rng, send, i)
 			}
-			f.noise(g, deal)
+			checker.sendIrrelevantEvents(rng, send)
 		}
-		f.timersDue(deal)
-		f.outcomes(g, deal)
+		checker.fireTimers(send)
+		checker.endRandomAttempts(rng, send)
 	}
-	for id, q := range f.reqs {
-		if !q.ended {
-			f.t.Fatalf("%s never answered", id)
+	for id, req := range checker.requests {
+		if !req.done {
+			checker.t.Fatalf("request %s: got no final answer, want one", id)
 		}
 	}
 }
 
-func (f *referee) randomList(g *rand.Rand, deal func(Event)) {
-	if g.IntN(20) > 0 {
+// sendRandomUpdate sends a random EndpointUpdate in 1 of 20 calls.
+func (c *ruleChecker) sendRandomUpdate(rng *rand.Rand, send func(Event)) {
+	if rng.IntN(20) > 0 {
 		return
 	}
-	if g.IntN(6) == 0 {
-		deal(EndpointUpdate{Kind: WatchFailed})
+	if rng.IntN(6) == 0 {
+		send(EndpointUpdate{Kind: WatchFailed})
 		return
 	}
 	var entries []Endpoint
 	kind := Delta
-	if g.IntN(5) == 0 {
+	if rng.IntN(5) == 0 {
 		kind = FullState
-		clear(f.active)
+		clear(c.active)
 	}
-	for range g.IntN(8) {
-		n := g.IntN(10)
-		m := Endpoint{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(g.IntN(3))}
-		if g.IntN(2) == 0 {
-			m.State = Active
+	for range rng.IntN(8) {
+		n := rng.IntN(10)
+		entry := Endpoint{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(rng.IntN(3))}
+		if rng.IntN(2) == 0 {
+			entry.State = Active
 		}
-		if g.IntN(3) == 0 {
-			m.StartedAt = f.now - time.Duration(g.IntN(12000))*ms
+		if rng.IntN(3) == 0 {
+			entry.StartedAt = c.now - time.Duration(rng.IntN(12000))*ms
 		}
-		delete(f.active, m.Upstream)
-		if m.State == Active {
-			f.active[m.Upstream] = m
+		delete(c.active, entry.Upstream)
+		if entry.State == Active {
+			c.active[entry.Upstream] = entry
 		}
-		entries = append(entries, m)
+		entries = append(entries, entry)
 	}
-	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
+	send(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
-func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
-	c := f.s.Classes[g.IntN(len(f.s.Classes))]
-	id := fmt.Sprint(i, "-", g.Uint32())
-	q := &promisedAnswer{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
-	f.reqs[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], ExpiresAt: q.expires,
-		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
-	if g.IntN(50) == 0 && !q.ended {
-		q.ended, q.disconnected = true, true
-		deal(ClientDisconnected{ID: id})
+// sendRandomRequest sends a request and, for 1 of 50, the disconnection of its client.
+func (c *ruleChecker) sendRandomRequest(rng *rand.Rand, send func(Event), tick int) {
+	class := c.settings.Classes[rng.IntN(len(c.settings.Classes))]
+	id := fmt.Sprint(tick, "-", rng.Uint32())
+	req := &checkedRequest{class: class, expiresAt: c.now + time.Duration(1+rng.IntN(int(class.Deadline/ms)))*ms}
+	c.requests[id], c.openIDs = req, append(c.openIDs, id)
+	send(Request{ID: id, Class: class.Name, Tenant: []string{"t", "v", "?"}[rng.IntN(3)], ExpiresAt: req.expiresAt,
+		CostHint: time.Duration(rng.IntN(3)*rng.IntN(100)) * ms})
+	if rng.IntN(50) == 0 && !req.done {
+		req.done, req.disconnected = true, true
+		send(ClientDisconnected{ID: id})
 	}
 }
 
-// noise is what must change nothing: strangers, repeats, stale timers, messages, and for the rules what others say.
-func (f *referee) noise(g *rand.Rand, deal func(Event)) {
-	if f.s.ShareEvidence && g.IntN(10) == 0 {
-		m := f.active[fmt.Sprint("u", g.IntN(10))]
-		deal(PeerVerdict{Upstream: m.Upstream, StartedAt: m.StartedAt, Until: f.now + time.Duration(g.IntN(3000))*ms, Since: f.now,
-			PassFraction: float64(g.IntN(3)) / 2, Probes: ProbeOwner(g.IntN(3)), ProbeSucceeded: g.IntN(2) == 0})
+// sendIrrelevantEvents sends random events that must not affect the rules: those with unknown requests or attempts, early
+// timers, and verdicts of other sidecars.
+func (c *ruleChecker) sendIrrelevantEvents(rng *rand.Rand, send func(Event)) {
+	if c.settings.ShareEvidence && rng.IntN(10) == 0 {
+		entry := c.active[fmt.Sprint("u", rng.IntN(10))]
+		send(PeerVerdict{Upstream: entry.Upstream, StartedAt: entry.StartedAt, Until: c.now + time.Duration(rng.IntN(3000))*ms, Since: c.now,
+			PassFraction: float64(rng.IntN(3)) / 2, Probes: ProbeOwner(rng.IntN(3)), ProbeSucceeded: rng.IntN(2) == 0})
 	}
-	switch g.IntN(12) {
+	switch rng.IntN(12) {
 	case 0:
-		deal(AttemptEnded{ID: "nobody", Result: OK, Final: true})
+		send(AttemptEnded{ID: "nobody", Result: OK, Final: true})
 	case 1:
-		if n := len(f.order); n > 0 {
-			id := f.order[g.IntN(n)]
-			deal(AttemptEnded{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
+		if n := len(c.openIDs); n > 0 {
+			id := c.openIDs[rng.IntN(n)]
+			send(AttemptEnded{ID: id, Attempt: len(c.requests[id].attempts) + rng.IntN(3) - 1 + 1, Result: OK, Final: true})
 		}
 	case 2:
-		deal(TimerFired{})
+		send(TimerFired{})
 	case 3:
-		deal(ClientDisconnected{ID: "nobody"})
-		deal(FirstByte{ID: "nobody"})
+		send(ClientDisconnected{ID: "nobody"})
+		send(FirstByte{ID: "nobody"})
 	}
 }
 
-func (f *referee) timersDue(deal func(Event)) {
+// fireTimers sends a TimerFired for each timer that is due.
+func (c *ruleChecker) fireTimers(send func(Event)) {
 	due := 0
-	f.timers = slices.DeleteFunc(f.timers, func(at time.Duration) bool {
-		if at <= f.now {
+	c.timers = slices.DeleteFunc(c.timers, func(at time.Duration) bool {
+		if at <= c.now {
 			due++
 		}
-		return at <= f.now
+		return at <= c.now
 	})
 	for range due {
-		deal(TimerFired{})
+		send(TimerFired{})
 	}
 }
 
-func (f *referee) outcomes(g *rand.Rand, deal func(Event)) {
-	for _, id := range f.order {
-		q := f.reqs[id]
-		for n := 0; n < len(q.attempts); n++ {
-			x := q.attempts[n]
-			if !x.out || f.now < x.limit && g.IntN(12) > 0 {
+// endRandomAttempts ends each pending attempt with a probability of 1 in 12, or when it times out, with a random result.
+func (c *ruleChecker) endRandomAttempts(rng *rand.Rand, send func(Event)) {
+	for _, id := range c.openIDs {
+		req := c.requests[id]
+		for n := 0; n < len(req.attempts); n++ {
+			attempt := req.attempts[n]
+			if !attempt.pending || c.now < attempt.deadline && rng.IntN(12) > 0 {
 				continue
 			}
-			res := Result(g.IntN(int(NotSent) + 1))
-			if f.now >= x.limit {
+			res := Result(rng.IntN(int(NotSent) + 1))
+			if c.now >= attempt.deadline {
 				res = Timeout
 			}
-			x.out = false
-			x.mayRun = res != Overloaded && res != ConnectFailed && res != NotSent
+			attempt.pending = false
+			attempt.mayHaveRun = res != Overloaded && res != ConnectFailed && res != NotSent
 			if res == OK {
-				q.ended = true
+				req.done = true
 			}
-			e := AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Final: q.ended}
-			deal(e)
-			if g.IntN(10) == 0 {
-				deal(e) // the same again
+			e := AttemptEnded{ID: id, Attempt: n, Result: res, Elapsed: c.now - attempt.sentAt, Final: req.done}
+			send(e)
+			if rng.IntN(10) == 0 {
+				send(e) // a repeated event
 			}
 		}
-		if !q.ended && f.now > q.expires+20*ms {
-			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.expires)
+		if !req.done && c.now > req.expiresAt+20*ms {
+			c.t.Fatalf("request %s: got no final answer %v after it expired, want one in time", id, c.now-req.expiresAt)
 		}
 	}
-	f.order = slices.DeleteFunc(f.order, func(id string) bool {
-		q := f.reqs[id]
-		return q.ended && !slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.out })
+	c.openIDs = slices.DeleteFunc(c.openIDs, func(id string) bool {
+		req := c.requests[id]
+		return req.done && !slices.ContainsFunc(req.attempts, func(attempt *checkedAttempt) bool { return attempt.pending })
 	})
 }
