--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -94,26 +94,26 @@
 // Document returns the document of a service that its sidecars are sent: of several regions' that of the region with the
 // smaller name, and one that is not deleted before any that is. It returns false if there is none.
 func (l *List) Document(service string) (best api.Document, found bool) {
-	for d := range l.allOf(service) {
-		if !found || before(d, best) {
+	for d := range l.documentsOf(service) {
+		if !found || hasPrecedence(d, best) {
 			best, found = d, true
 		}
 	}
 	return best, found
 }
 
-// before reports whether a is sent rather than b, of two documents of one service.
-func before(a, b api.Document) bool {
+// hasPrecedence reports whether a is sent rather than b, of two documents of one service.
+func hasPrecedence(a, b api.Document) bool {
 	if a.Deleted != b.Deleted {
 		return b.Deleted
 	}
 	return a.Region < b.Region
 }
 
-// allOf returns the documents of one service, at most one of each region.
-func (l *List) allOf(service string) iter.Seq[api.Document] {
+// documentsOf returns the documents of one service, at most one of each region.
+func (l *List) documentsOf(service string) iter.Seq[api.Document] {
 	return func(yield func(api.Document) bool) {
-		if d := l.documents[service]; d != nil && !yield(l.named(d.Document)) {
+		if d := l.documents[service]; d != nil && !yield(l.withRegion(d.Document)) {
 			return
 		}
 		for _, o := range l.regions {
@@ -124,8 +124,8 @@
 	}
 }
 
-// named returns an own document with its region.
-func (l *List) named(d api.Document) api.Document {
+// withRegion returns an own document with its region.
+func (l *List) withRegion(d api.Document) api.Document {
 	d.Region = l.region
 	return d
 }
@@ -135,11 +135,11 @@
 	if own := l.documents[service]; own != nil {
 		for _, d := range own.Earlier {
 			if d.Revision == version {
-				return l.named(d), true
+				return l.withRegion(d), true
 			}
 		}
 	}
-	for d := range l.allOf(service) {
+	for d := range l.documentsOf(service) {
 		if d.Revision == version {
 			return d, true
 		}
@@ -161,7 +161,7 @@
 func (l *List) Documents() []api.Document {
 	all := []api.Document{}
 	for _, d := range l.documents {
-		all = append(all, l.named(d.Document))
+		all = append(all, l.withRegion(d.Document))
 	}
 	for _, o := range l.regions {
 		all = slices.AppendSeq(all, maps.Values(o.documents))
@@ -188,7 +188,7 @@
 	}
 	for _, d := range l.ownDocuments() {
 		if d.Revision > version {
-			c.Documents = append(c.Documents, l.named(d.Document))
+			c.Documents = append(c.Documents, l.withRegion(d.Document))
 		}
 	}
 	return c
@@ -213,7 +213,7 @@
 	}
 	for name, version := range s.RegionRevisions {
 		l.regionRevisions[name] = version
-		if version > l.compacted {
+		if version > l.compactedRevision {
 			l.changes = append(l.changes, entryChange{version, name})
 		}
 	}
--- a/internal/registry/list/leadership.go
+++ b/internal/registry/list/leadership.go
@@ -123,9 +123,9 @@
 	return Result{Leadership: d}
 }
 
-// forget voids all leaderships if a replica runs, or has run, a program without them: it has lost its copy, and all replicas
+// voidLeaderships voids all leaderships if a replica runs, or has run, a program without them: it has lost its copy, and all replicas
 // have to agree. Epochs keep rising.
-func (l *List) forget(joins api.Replica) bool {
+func (l *List) voidLeaderships(joins api.Replica) bool {
 	known, there := l.replicas[joins.Name]
 	if joins.Schema >= LeadershipSchema && (!there || known.Schema >= LeadershipSchema) {
 		return false
--- a/internal/registry/list/list.go
+++ b/internal/registry/list/list.go
@@ -96,27 +96,27 @@
 
 // List is the list at a revision. Not safe for concurrent use.
 type List struct {
-	revision     int64
-	compacted    int64 // revision below which changes are no longer known
-	records      map[string]*api.Record
-	adminStates  map[string]string // as operators set them, also for servers that are not present
-	changes      []entryChange     // by revision, rising
-	live         int               // records that are not removed
-	replicas     map[string]api.Replica
-	history      int
-	leaderships  map[string]Leadership // held, or expired and not acquired since
-	highestEpoch uint64                // the highest that was granted for any leadership
+	revision          int64
+	compactedRevision int64 // revision below which changes are no longer known
+	records           map[string]*api.Record
+	adminStates       map[string]string // as operators set them, also for servers that are not present
+	changes           []entryChange     // by revision, rising
+	live              int               // records that are not removed
+	replicas          map[string]api.Replica
+	window            int
+	leaderships       map[string]Leadership // held, or expired and not acquired since
+	highestEpoch      uint64                // the highest that was granted for any leadership
 
 	region           string                 // the name of the list's region
 	documents        map[string]*Document   // own ones, by service; deleted ones too
 	regions          map[string]*regionCopy // replicated ones
 	regionRevisions  map[string]int64       // revision at which the visible entry of a name last changed because of another region
-	uncheckedRegions bool                   // see SkipRegionChecks
+	skipRegionChecks bool                   // see SkipRegionChecks
 }
 
 // New returns an empty list that stores that many changed entries.
 func New(history int) *List {
-	return &List{records: map[string]*api.Record{}, adminStates: map[string]string{}, replicas: map[string]api.Replica{}, history: history,
+	return &List{records: map[string]*api.Record{}, adminStates: map[string]string{}, replicas: map[string]api.Replica{}, window: history,
 		leaderships: map[string]Leadership{}, documents: map[string]*Document{}, regions: map[string]*regionCopy{}, regionRevisions: map[string]int64{}}
 }
 
@@ -146,11 +146,11 @@
 			all = append(all, *r)
 		}
 	}
-	slices.SortFunc(all, byName)
+	slices.SortFunc(all, compareByName)
 	return all
 }
 
-func byName(a, b api.Record) int {
+func compareByName(a, b api.Record) int {
 	switch {
 	case a.Name < b.Name:
 		return -1
@@ -188,7 +188,9 @@
 
 // Remembers reports whether the changes since a revision are known. They are not for one before the compaction window, or
 // of another service.
-func (l *List) Remembers(version int64) bool { return version >= l.compacted && version <= l.revision }
+func (l *List) Remembers(version int64) bool {
+	return version >= l.compactedRevision && version <= l.revision
+}
 
 // ChangesSince returns the changes after a revision, each entry once, in the order of their latest changes; or the full list
 // if those are no longer known.
@@ -228,11 +230,11 @@
 func (l *List) Apply(c Command) Result {
 	switch c.Op {
 	case Register, Drain, Deregister, SetAdminState:
-		return l.change(c)
+		return l.applyEntryCommand(c)
 	case Expire:
 		for _, x := range c.Expired {
 			if r := l.records[x.Name]; r != nil && r.ServerStatus != api.Removed && r.Incarnation == x.Incarnation {
-				l.leave(r)
+				l.removeRecord(r)
 			}
 		}
 		return Result{Revision: l.revision}
@@ -245,7 +247,7 @@
 		l.setRegion(c.Region)
 		return l.applyChunk(c.Chunk)
 	case AddReplica:
-		forgot := l.forget(*c.Replica)
+		forgot := l.voidLeaderships(*c.Replica)
 		l.replicas[c.Replica.Name] = *c.Replica
 		return Result{Revision: l.revision, LeadershipsVoid: forgot}
 	case RemoveReplica:
@@ -261,8 +263,8 @@
 	return Result{Err: api.Errorf(api.CodeBadRequest, "this replica knows of no %q", c.Op)}
 }
 
-// change applies a command on one entry.
-func (l *List) change(c Command) Result {
+// applyEntryCommand applies a command on one entry.
+func (l *List) applyEntryCommand(c Command) Result {
 	r, there := l.Get(c.Name)
 	if !there {
 		r.Revision = 0
@@ -295,7 +297,7 @@
 	case Drain:
 		next.ServerStatus = api.Terminating
 	case Deregister:
-		l.leave(l.records[c.Name])
+		l.removeRecord(l.records[c.Name])
 		return Result{Revision: 0}
 	case SetAdminState:
 		if !there {
@@ -310,7 +312,7 @@
 	if !there {
 		l.live++
 	}
-	l.put(next)
+	l.putRecord(next)
 	return Result{Revision: l.revision}
 }
 
@@ -333,25 +335,25 @@
 	return r.ServerStatus
 }
 
-func (l *List) leave(r *api.Record) {
+func (l *List) removeRecord(r *api.Record) {
 	removed := *r
 	removed.ServerStatus, removed.Status = api.Removed, api.Removed
 	l.live--
-	l.put(removed)
+	l.putRecord(removed)
 }
 
-// put changes an entry at the next revision.
-func (l *List) put(r api.Record) {
+// putRecord changes an entry at the next revision.
+func (l *List) putRecord(r api.Record) {
 	l.revision++
 	r.Revision = l.revision
 	l.records[r.Name] = &r
-	l.touch(r.Name)
+	l.recordChange(r.Name)
 }
 
-// touch records that the visible entry of a name changed at the present revision.
-func (l *List) touch(name string) {
+// recordChange records that the visible entry of a name changed at the present revision.
+func (l *List) recordChange(name string) {
 	l.changes = append(l.changes, entryChange{l.revision, name})
-	if len(l.changes) > 2*l.history {
+	if len(l.changes) > 2*l.window {
 		l.compact()
 	}
 }
@@ -361,8 +363,8 @@
 	l.changes = slices.DeleteFunc(l.changes, func(t entryChange) bool {
 		return l.ownRevision(t.name) != t.revision && l.regionRevisions[t.name] != t.revision
 	})
-	for _, t := range l.changes[:max(0, len(l.changes)-l.history)] {
-		l.compacted = t.revision
+	for _, t := range l.changes[:max(0, len(l.changes)-l.window)] {
+		l.compactedRevision = t.revision
 		if l.regionRevisions[t.name] == t.revision {
 			delete(l.regionRevisions, t.name)
 		}
@@ -370,24 +372,24 @@
 			delete(l.records, t.name)
 		}
 	}
-	l.changes = slices.Clone(l.changes[max(0, len(l.changes)-l.history):])
+	l.changes = slices.Clone(l.changes[max(0, len(l.changes)-l.window):])
 }
 
 // State returns the whole state of the list.
 func (l *List) State() State {
-	s := State{Revision: l.revision, CompactedRevision: l.compacted, AdminStates: maps.Clone(l.adminStates), Replicas: maps.Clone(l.replicas), Records: []api.Record{},
+	s := State{Revision: l.revision, CompactedRevision: l.compactedRevision, AdminStates: maps.Clone(l.adminStates), Replicas: maps.Clone(l.replicas), Records: []api.Record{},
 		Leaderships: l.Leaderships(), HighestEpoch: l.highestEpoch, Region: l.region, Documents: l.ownDocuments(), Regions: l.regionsState(), RegionRevisions: maps.Clone(l.regionRevisions)}
 	for _, r := range l.records {
 		s.Records = append(s.Records, *r)
 	}
-	slices.SortFunc(s.Records, byName)
+	slices.SortFunc(s.Records, compareByName)
 	return s
 }
 
 // Load returns the list of a snapshot.
 func Load(s State, history int) *List {
 	l := New(history)
-	l.revision, l.compacted = s.Revision, s.CompactedRevision
+	l.revision, l.compactedRevision = s.Revision, s.CompactedRevision
 	maps.Copy(l.adminStates, s.AdminStates)
 	maps.Copy(l.replicas, s.Replicas)
 	l.highestEpoch = s.HighestEpoch
@@ -399,7 +401,7 @@
 		if r.ServerStatus != api.Removed {
 			l.live++
 		}
-		if r.Revision > l.compacted {
+		if r.Revision > l.compactedRevision {
 			l.changes = append(l.changes, entryChange{r.Revision, r.Name})
 		}
 	}
@@ -420,7 +422,7 @@
 	next := *s
 	next.Revision, next.CompactedRevision, next.Replicas = version, version, was.replicas
 	next.Region, next.RegionRevisions = was.region, nil
-	*l = *Load(next, l.history)
+	*l = *Load(next, l.window)
 	l.restoreDocuments(&was)
 	l.restoreLeaderships(&was)
 	for name, r := range l.records {
--- a/internal/registry/list/list_test.go
+++ b/internal/registry/list/list_test.go
@@ -12,13 +12,13 @@
 	"mosslead/internal/registry/api"
 )
 
-// mirror is a watcher's list: what messages make of it.
-type mirror struct {
-	at      int64
-	entries map[string]api.Endpoint
+// watcher is a watcher's list: what messages make of it.
+type watcher struct {
+	revision int64
+	entries  map[string]api.Endpoint
 }
 
-func (m *mirror) take(t *rapid.T, l api.WatchEvent) {
+func (m *watcher) apply(t *rapid.T, l api.WatchEvent) {
 	if l.Snapshot {
 		m.entries = map[string]api.Endpoint{}
 	}
@@ -35,10 +35,10 @@
 			m.entries[e.Name] = e
 		}
 	}
-	if l.Revision < m.at || l.Revision < last {
-		t.Fatalf("version %d after %d", l.Revision, m.at)
+	if l.Revision < m.revision || l.Revision < last {
+		t.Fatalf("version %d after %d", l.Revision, m.revision)
 	}
-	m.at = l.Revision
+	m.revision = l.Revision
 }
 
 // Whatever happens, and however far behind, a watcher that applies what it is told has the list; and a list that went
@@ -46,9 +46,9 @@
 func TestWatchersHaveTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(rapid.IntRange(1, 6).Draw(t, "history"))
-		watchers := make([]mirror, 3)
+		watchers := make([]watcher, 3)
 		for i := range watchers {
-			watchers[i] = mirror{at: -1}
+			watchers[i] = watcher{revision: -1}
 		}
 		version := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -78,11 +78,11 @@
 			if r, there := l.Get(name); there && r.AdminState != api.AdminNone && r.Status == api.Ready {
 				t.Fatalf("%s is ready against the operator's word", name)
 			}
-			if len(l.changes) > 2*l.history {
+			if len(l.changes) > 2*l.window {
 				t.Fatalf("%d changes are remembered", len(l.changes))
 			}
 			w := &watchers[rapid.IntRange(0, 2).Draw(t, "watcher")]
-			w.take(t, l.ChangesSince(w.at))
+			w.apply(t, l.ChangesSince(w.revision))
 			want := map[string]api.Endpoint{}
 			for _, e := range l.Full().Endpoints {
 				want[e.Name] = e
@@ -99,7 +99,7 @@
 				if err := json.Unmarshal(text, &s); err != nil {
 					t.Fatal(err)
 				}
-				l = Load(s, l.history)
+				l = Load(s, l.window)
 				if again, _ := json.Marshal(l.State()); string(again) != string(text) {
 					t.Fatalf("a snapshot of a snapshot is another one:\n%s\n%s", text, again)
 				}
--- a/internal/registry/list/regions.go
+++ b/internal/registry/list/regions.go
@@ -92,7 +92,7 @@
 
 // SkipRegionChecks has the list apply everything it is sent of other regions, including older revisions. It plants a fault
 // that checkers have to detect, and has no other use.
-func (l *List) SkipRegionChecks() { l.uncheckedRegions = true }
+func (l *List) SkipRegionChecks() { l.skipRegionChecks = true }
 
 // applyChunk applies a chunk. A chunk that does not follow what is replicated, was computed before another was applied, or
 // is older than one applied in part is ignored, so that a deposed leader, a duplicated or late chunk, and a source that was
@@ -105,18 +105,18 @@
 	if o == nil {
 		o = newRegionCopy()
 	}
-	if !l.uncheckedRegions && (p.From != o.revision || p.To < o.seenRevision || p.To < p.From || p.Part != o.part) {
+	if !l.skipRegionChecks && (p.From != o.revision || p.To < o.seenRevision || p.To < p.From || p.Part != o.part) {
 		return Result{Revision: l.revision, Err: api.Errorf(api.CodeConflict, "region %s is held at %d, and piece %d on from there, to %d or above, is next: not piece %d from %d to %d",
 			p.Region, o.revision, o.part, o.seenRevision, p.Part, p.From, p.To)}
 	}
-	if n := l.followed() + len(p.Entries); n > api.MaxEndpoints && n-l.removedIn(p) > api.MaxEndpoints {
+	if n := l.countRegionEntries() + len(p.Entries); n > api.MaxEndpoints && n-l.countReplacedOrRemoved(p) > api.MaxEndpoints {
 		return Result{Revision: l.revision, Err: api.Errorf(api.CodeFull, "%d entries of other regions", n)}
 	}
 	l.regions[p.Region] = o
 	o.seenRevision, o.part = p.To, o.part+1
 	changed := false
 	for _, d := range p.Documents {
-		if replicated, there := o.documents[d.Service]; there && d.Revision <= replicated.Revision && !l.uncheckedRegions {
+		if replicated, there := o.documents[d.Service]; there && d.Revision <= replicated.Revision && !l.skipRegionChecks {
 			continue
 		}
 		was, _ := l.Document(d.Service)
@@ -129,7 +129,7 @@
 		l.revision++ // notifies watchers
 	}
 	for _, e := range p.Entries {
-		l.followEntry(o, e)
+		l.applyRegionEntry(o, e)
 	}
 	if p.Last {
 		o.revision, o.part = p.To, 0
@@ -137,16 +137,16 @@
 	return Result{Revision: l.revision}
 }
 
-// followed returns the number of entries of other regions.
-func (l *List) followed() (n int) {
+// countRegionEntries returns the number of entries of other regions.
+func (l *List) countRegionEntries() (n int) {
 	for _, o := range l.regions {
 		n += len(o.entries)
 	}
 	return n
 }
 
-// removedIn returns the number of entries of a chunk that don't add to those stored.
-func (l *List) removedIn(p *Chunk) (n int) {
+// countReplacedOrRemoved returns the number of entries of a chunk that don't add to those stored.
+func (l *List) countReplacedOrRemoved(p *Chunk) (n int) {
 	replicated := l.Replicated(p.Region)
 	for _, e := range p.Entries {
 		if _, there := replicated.Entries[e.Name]; there || e.Status == api.Removed {
@@ -156,7 +156,7 @@
 	return n
 }
 
-func (l *List) followEntry(o *regionCopy, e api.Endpoint) {
+func (l *List) applyRegionEntry(o *regionCopy, e api.Endpoint) {
 	was := l.visibleEntry(e.Name)
 	if e.Status == api.Removed {
 		delete(o.entries, e.Name)
@@ -166,7 +166,7 @@
 	if l.visibleEntry(e.Name) != was {
 		l.revision++
 		l.regionRevisions[e.Name] = l.revision
-		l.touch(e.Name)
+		l.recordChange(e.Name)
 	}
 }
 
