--- a/internal/registry/api/answer.go
+++ b/internal/registry/api/answer.go
@@ -8,12 +8,12 @@
 	"net/http"
 )
 
-const maxAnswer = 64 << 20 // a backup of the largest list is below
+const maxResponseBytes = 64 << 20 // a backup of the largest list is below
 
 // ReadAnswer decodes the response to a call into answer, which may be nil. The error is the *Error in the
 // response, if it holds one.
 func ReadAnswer(resp *http.Response, answer any) error {
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
--- a/internal/registry/client/backoff.go
+++ b/internal/registry/client/backoff.go
@@ -19,23 +19,23 @@
 // don't return at once, limited by a retry budget, so that a service that fails every attempt is not overloaded by them.
 // The zero value is ready to use; not safe for concurrent use.
 type backoff struct {
-	failures int
-	last     time.Time
-	tokens   float64
+	failures    int
+	lastFailure time.Time
+	tokens      float64
 }
 
 // next returns the wait after a failure at now; chance is a random number in [0, 1).
 func (b *backoff) next(now time.Time, chance float64) time.Duration {
-	if b.last.IsZero() {
+	if b.lastFailure.IsZero() {
 		b.tokens = retryBurst
 	} else {
-		gap := now.Sub(b.last)
+		gap := now.Sub(b.lastFailure)
 		b.tokens = min(retryBurst, b.tokens+float64(gap)/float64(retryRefill))
 		if gap > backoffReset {
 			b.failures = 0
 		}
 	}
-	b.last = now
+	b.lastFailure = now
 	limit := min(initialBackoff<<min(b.failures, 10), maxBackoff)
 	b.failures++
 	wait := time.Duration(chance * float64(limit))
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -31,9 +31,9 @@
 type Client struct {
 	http *http.Client
 
-	mu        sync.Mutex
-	addresses []string
-	current   int
+	mu           sync.Mutex
+	addresses    []string
+	currentIndex int
 }
 
 // Addresses parses "a:1,b:2". An error names what is no host:port.
@@ -55,7 +55,7 @@
 // New returns a client of the replicas at these addresses, of which there must be at least one. It starts with a random
 // one, so that the clients of a fleet spread over the replicas.
 func New(addresses []string) *Client {
-	return &Client{addresses: addresses, current: rand.IntN(len(addresses)),
+	return &Client{addresses: addresses, currentIndex: rand.IntN(len(addresses)),
 		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}}
 }
@@ -63,28 +63,28 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// at returns the address of the replica in use.
-func (c *Client) at() string {
+// currentAddress returns the address of the replica in use.
+func (c *Client) currentAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.addresses[c.current]
+	return c.addresses[c.currentIndex]
 }
 
-// next moves on to another replica, unless a concurrent call has already left this one.
-func (c *Client) next(from string) {
+// switchFrom moves on to another replica, unless a concurrent call has already left this one.
+func (c *Client) switchFrom(from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.addresses[c.current] == from {
-		c.current = (c.current + 1) % len(c.addresses)
+	if c.addresses[c.currentIndex] == from {
+		c.currentIndex = (c.currentIndex + 1) % len(c.addresses)
 	}
 }
 
-// other returns a replica other than this one, if there is any.
-func (c *Client) other(than string) string {
+// otherAddress returns a replica otherAddress than this one, if there is any.
+func (c *Client) otherAddress(than string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.addresses {
-		if a := c.addresses[(c.current+i)%len(c.addresses)]; a != than {
+		if a := c.addresses[(c.currentIndex+i)%len(c.addresses)]; a != than {
 			return a
 		}
 	}
@@ -111,7 +111,7 @@
 	var retry backoff
 	var last error
 	for {
-		at := c.at()
+		at := c.currentAddress()
 		err := c.attempt(ctx, at, method, path, body, answer)
 		var failure *api.Error
 		switch {
@@ -120,10 +120,10 @@
 		case errors.As(err, &failure) && failure.Code != api.CodeNoLeader && failure.Code != api.CodeStale && (failure.Code != api.CodeOutcomeUnknown || !idempotent):
 			return err
 		case !idempotent && !notSent(err):
-			c.next(at) // its outcome is looked up at another replica
+			c.switchFrom(at) // its outcome is looked up at another replica
 			return api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 		}
-		c.next(at)
+		c.switchFrom(at)
 		if last == nil || ctx.Err() == nil { // an attempt that ctx cut short says less than the one before
 			last = err
 		}
@@ -133,8 +133,8 @@
 	}
 }
 
-// once posts to one replica, without a retry.
-func (c *Client) once(ctx context.Context, at, path string, change, answer any) error {
+// postOnce posts to one replica, without a retry.
+func (c *Client) postOnce(ctx context.Context, at, path string, change, answer any) error {
 	body, err := json.Marshal(change)
 	if err != nil {
 		return fmt.Errorf("encoding a call: %w", err)
@@ -157,7 +157,7 @@
 	return api.ReadAnswer(resp, answer)
 }
 
-func entry(name, op string) string {
+func entryPath(name, op string) string {
 	path := "/v1/entries/" + url.PathEscape(name)
 	if op != "" {
 		path += "/" + op
@@ -167,15 +167,15 @@
 
 // Records returns all entries; linearizable asks for a read that is certain to be the newest.
 func (c *Client) Records(ctx context.Context, linearizable bool) (all api.Records, err error) {
-	return all, c.call(ctx, true, http.MethodGet, "/v1/entries"+consistent(linearizable), nil, &all)
+	return all, c.call(ctx, true, http.MethodGet, "/v1/entries"+consistencyQuery(linearizable), nil, &all)
 }
 
 // Record returns one entry; its Revision is 0 if there is none.
 func (c *Client) Record(ctx context.Context, name string, linearizable bool) (r api.Record, err error) {
-	return r, c.call(ctx, true, http.MethodGet, entry(name, "")+consistent(linearizable), nil, &r)
+	return r, c.call(ctx, true, http.MethodGet, entryPath(name, "")+consistencyQuery(linearizable), nil, &r)
 }
 
-func consistent(linearizable bool) string {
+func consistencyQuery(linearizable bool) string {
 	if linearizable {
 		return "?consistent=1"
 	}
@@ -186,26 +186,26 @@
 // CodeOutcomeUnknown; without, the call is retried.
 func (c *Client) Register(ctx context.Context, name string, g api.Registration) (revision int64, err error) {
 	var done api.WriteResult
-	err = c.call(ctx, g.IfRevision == nil, http.MethodPut, entry(name, ""), g, &done)
+	err = c.call(ctx, g.IfRevision == nil, http.MethodPut, entryPath(name, ""), g, &done)
 	return done.Revision, err
 }
 
 // Drain marks a server as draining, for the server itself: it gets no new requests.
 func (c *Client) Drain(ctx context.Context, name string, change api.StateChange) (version int64, err error) {
 	var done api.WriteResult
-	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entry(name, "drain"), change, &done)
+	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "drain"), change, &done)
 	return done.Revision, err
 }
 
 // Leave ends the entry of a server, for the server itself.
 func (c *Client) Leave(ctx context.Context, name string, change api.StateChange) error {
-	return c.call(ctx, change.IfRevision == nil, http.MethodPost, entry(name, "leave"), change, nil)
+	return c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "leave"), change, nil)
 }
 
 // PutAdminState applies an operator's state change, change.AdminState, to an entry.
 func (c *Client) PutAdminState(ctx context.Context, name string, change api.StateChange) (version int64, err error) {
 	var done api.WriteResult
-	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entry(name, "hand"), change, &done)
+	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "hand"), change, &done)
 	return done.Revision, err
 }
 
@@ -214,7 +214,7 @@
 // revise.
 func (c *Client) SetAdminState(ctx context.Context, name, state string) (revision int64, err error) {
 	applied := func(r api.Record) bool { return r.AdminState == state }
-	return c.revise(ctx, name, nil, applied, func(on *int64) (int64, error) {
+	return c.updateConditionally(ctx, name, nil, applied, func(on *int64) (int64, error) {
 		return c.PutAdminState(ctx, name, api.StateChange{AdminState: state, IfRevision: on})
 	})
 }
@@ -227,7 +227,7 @@
 // A registration based on 0 is the exception: it can still be carried out while there is no entry again.
 func (c *Client) SetStatus(ctx context.Context, name string, g api.Registration, status string, known *int64) (revision int64, err error) {
 	applied := func(api.Record) bool { return false }
-	return c.revise(ctx, name, known, applied, func(on *int64) (int64, error) {
+	return c.updateConditionally(ctx, name, known, applied, func(on *int64) (int64, error) {
 		change := api.StateChange{Incarnation: g.Incarnation, IfRevision: on}
 		switch status {
 		case api.Ready:
@@ -240,10 +240,10 @@
 	})
 }
 
-// revise attempts to change an entry until the outcome is known. Each attempt is conditional on one revision and fails
+// updateConditionally attempts to change an entry until the outcome is known. Each attempt is conditional on one revision and fails
 // at any other. known is the revision of the first attempt; with nil the entry is read first, and nothing is attempted
 // where applied reports that the change is already there.
-func (c *Client) revise(ctx context.Context, name string, known *int64, applied func(api.Record) bool, attempt func(on *int64) (revision int64, err error)) (int64, error) {
+func (c *Client) updateConditionally(ctx context.Context, name string, known *int64, applied func(api.Record) bool, attempt func(on *int64) (revision int64, err error)) (int64, error) {
 	var retry backoff
 	for assumed := known != nil; ; assumed = false {
 		if known == nil {
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// serve answers lists and watches with what answer gives, line by line; an empty one ends the watch.
-func serve(t *testing.T, answer func(watch bool, from string, n int) []api.WatchEvent) string {
+// startListServer answers lists and watches with what answer gives, line by line; an empty one ends the watch.
+func startListServer(t *testing.T, answer func(watch bool, from string, n int) []api.WatchEvent) string {
 	t.Helper()
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -115,15 +115,15 @@
 // A replica that empties the list is not believed while another knows better, and is once the second read says the same.
 func TestAnEmptyListIsReadTwice(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
-		second := serve(t, func(watch bool, _ string, _ int) []api.WatchEvent {
+		second := startListServer(t, func(watch bool, _ string, _ int) []api.WatchEvent {
 			if confirmed {
 				return []api.WatchEvent{list(9)}
 			}
 			return []api.WatchEvent{list(9, "a", "b")}
 		})
-		liar := serve(t, func(bool, string, int) []api.WatchEvent { return []api.WatchEvent{list(8)} })
+		liar := startListServer(t, func(bool, string, int) []api.WatchEvent { return []api.WatchEvent{list(8)} })
 		c := New([]string{liar, second})
-		c.current = 0
+		c.currentIndex = 0
 		ctx, cancel := context.WithCancel(t.Context())
 		var took []int
 		start := list(5, "a")
@@ -146,13 +146,13 @@
 // A watch that ends goes on at another replica, from the version that it has.
 func TestWatchGoesOnElsewhere(t *testing.T) {
 	var from atomic.Value
-	ends := serve(t, func(_ bool, f string, _ int) []api.WatchEvent { return []api.WatchEvent{list(3, "a")} }) // from -1: it ends
-	other := serve(t, func(_ bool, f string, _ int) []api.WatchEvent {
+	ends := startListServer(t, func(_ bool, f string, _ int) []api.WatchEvent { return []api.WatchEvent{list(3, "a")} }) // from -1: it ends
+	other := startListServer(t, func(_ bool, f string, _ int) []api.WatchEvent {
 		from.Store(f)
 		return []api.WatchEvent{list(4, "a", "b")}
 	})
 	c := New([]string{ends, other})
-	c.current = 0
+	c.currentIndex = 0
 	defer c.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -172,7 +172,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		asked := ""
 		c := New([]string{"127.0.0.1:1", "127.0.0.1:2"})
-		c.current = 0
+		c.currentIndex = 0
 		c.http.Transport.(*http.Transport).DialContext = func(_ context.Context, _, at string) (net.Conn, error) {
 			ours, theirs := net.Pipe()
 			go func() {
@@ -222,7 +222,7 @@
 	}
 	_ = gone.Close()
 	c := New([]string{gone.Addr().String(), strings.TrimPrefix(s.URL, "http://")})
-	c.current = 0
+	c.currentIndex = 0
 	defer c.Close()
 	version := int64(1)
 	_, err = c.Register(t.Context(), "a", api.Registration{Address: "127.0.0.1:1", IfRevision: &version})
--- a/internal/registry/client/leadership.go
+++ b/internal/registry/client/leadership.go
@@ -30,19 +30,19 @@
 
 // Leaderships returns all that are held; linearizable asks for a read that is certain to be the newest.
 func (c *Client) Leaderships(ctx context.Context, linearizable bool) (all api.Leaderships, err error) {
-	return all, c.call(ctx, true, http.MethodGet, "/v1/duties"+consistent(linearizable), nil, &all)
+	return all, c.call(ctx, true, http.MethodGet, "/v1/duties"+consistencyQuery(linearizable), nil, &all)
 }
 
 func (c *Client) leadership(ctx context.Context, op string, claim api.LeadershipClaim) (g api.LeadershipGrant, err error) {
-	at := c.at()
-	err = c.once(ctx, at, "/v1/duties/"+url.PathEscape(claim.Name)+"/"+op, claim, &g)
+	at := c.currentAddress()
+	err = c.postOnce(ctx, at, "/v1/duties/"+url.PathEscape(claim.Name)+"/"+op, claim, &g)
 	if err == nil {
 		return g, nil
 	}
 	var failure *api.Error
 	known := errors.As(err, &failure)
 	if !known || failure.Code == api.CodeNoLeader || failure.Code == api.CodeOutcomeUnknown {
-		c.next(at)
+		c.switchFrom(at)
 	}
 	if !known && !notSent(err) {
 		err = api.Errorf(api.CodeOutcomeUnknown, "%v", err)
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -29,44 +29,44 @@
 // outages are the ways in which a replica may fail: says is what a call gets that is made then. It is reset after that where
 // ends is set, and stays open and silent where not, or gets more for ever.
 var outages = []struct {
-	name, dial, says string
-	ends             bool
-	more             string
+	name, dial, response string
+	reset                bool
+	repeated             string
 }{
 	{name: "refused", dial: "refused"},
 	{name: "hangs", dial: "hangs"},
 	{name: "no head"},
-	{name: "a head", says: outageHead},
-	{name: "half a line", says: outageHead + chunked(`{"index":7,"endp`)},
-	{name: "a line without end", says: outageHead + chunked(`{"index":7,"more":"`), more: chunked("x")},
-	{name: "reset", ends: true},
-	{name: "reset after a head", says: outageHead, ends: true},
-	{name: "ended", says: outageHead + "0\r\n\r\n"},
-	{name: "ended after an empty line", says: outageHead + chunked("\n") + "0\r\n\r\n"},
-	{name: "503", says: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
-	{name: "a spoilt line", says: outageHead + chunked(`{"index":8]`)},
-	{name: "an older list, and no second", says: outageHead + chunked(`{"index":4,"snapshot":true,"endpoints":[]}`)},
+	{name: "a head", response: outageHead},
+	{name: "half a line", response: outageHead + chunked(`{"index":7,"endp`)},
+	{name: "a line without end", response: outageHead + chunked(`{"index":7,"more":"`), repeated: chunked("x")},
+	{name: "reset", reset: true},
+	{name: "reset after a head", response: outageHead, reset: true},
+	{name: "ended", response: outageHead + "0\r\n\r\n"},
+	{name: "ended after an empty line", response: outageHead + chunked("\n") + "0\r\n\r\n"},
+	{name: "503", response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
+	{name: "a spoilt line", response: outageHead + chunked(`{"index":8]`)},
+	{name: "an older list, and no second", response: outageHead + chunked(`{"index":4,"snapshot":true,"endpoints":[]}`)},
 }
 
-// outageParty is a client of some replicas, of which all fail from down until event in one of the ways above, and the bad ones
+// outageClient is a client of some replicas, of which all fail from down until event in one of the ways above, and the bad ones
 // for ever.
-type outageParty struct {
-	way         int
-	down, event time.Duration
-	bad         map[string]bool // replicas
-	begun       time.Time
-	told        atomic.Int64 // when the change was in flight
-	running     *sync.WaitGroup
+type outageClient struct {
+	outage       int
+	downAt, upAt time.Duration
+	failing      map[string]bool // replicas
+	started      time.Time
+	appliedAt    atomic.Int64 // when the change was in flight
+	running      *sync.WaitGroup
 }
 
-func (p *outageParty) now() time.Duration { return time.Since(p.begun) }
+func (p *outageClient) elapsed() time.Duration { return time.Since(p.started) }
 
-func (p *outageParty) fails(at string) bool {
-	return p.now() >= p.down && (p.now() < p.event || p.bad[at])
+func (p *outageClient) fails(at string) bool {
+	return p.elapsed() >= p.downAt && (p.elapsed() < p.upAt || p.failing[at])
 }
 
-func (p *outageParty) dial(ctx context.Context, _, at string) (net.Conn, error) {
-	if way := outages[p.way]; p.fails(at) && way.dial != "" {
+func (p *outageClient) dial(ctx context.Context, _, at string) (net.Conn, error) {
+	if way := outages[p.outage]; p.fails(at) && way.dial != "" {
 		if way.dial == "hangs" {
 			time.Sleep(dialTimeout)
 			return nil, context.DeadlineExceeded
@@ -88,15 +88,15 @@
 }
 
 // serve answers a call; false: the connection is to be reset.
-func (p *outageParty) serve(c net.Conn, at string, watches bool) bool {
-	way, fails := outages[p.way], p.fails(at)
+func (p *outageClient) serve(c net.Conn, at string, watches bool) bool {
+	way, fails := outages[p.outage], p.fails(at)
 	say := func(text string) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
 	if !fails {
 		l := list(5, "a")
-		if p.now() >= p.event {
+		if p.elapsed() >= p.upAt {
 			l = list(7, "a=Terminating", "b")
 		}
 		line, err := json.Marshal(l)
@@ -107,53 +107,53 @@
 			return say(outageHead + chunked(string(line)) + "0\r\n\r\n")
 		}
 		lives := say(outageHead + chunked(string(line)+"\n"))
-		for next := p.now() + 2*time.Second; lives && (l.Revision == 7 || next < p.down); next += 2 * time.Second {
-			time.Sleep(next - p.now())
+		for next := p.elapsed() + 2*time.Second; lives && (l.Revision == 7 || next < p.downAt); next += 2 * time.Second {
+			time.Sleep(next - p.elapsed())
 			lives = say(chunked("\n"))
 		}
 		if !lives {
 			return false
 		}
-		time.Sleep(p.down - p.now())
-		if way.ends || way.dial == "refused" {
+		time.Sleep(p.downAt - p.elapsed())
+		if way.reset || way.dial == "refused" {
 			return false
 		}
 	} else if !watches {
 		_, _ = io.Copy(io.Discard, c)
 		return false
-	} else if !say(way.says) || way.ends {
+	} else if !say(way.response) || way.reset {
 		return false
-	} else if strings.HasSuffix(way.says, "0\r\n\r\n") || strings.Contains(way.says, "Content-Length") {
+	} else if strings.HasSuffix(way.response, "0\r\n\r\n") || strings.Contains(way.response, "Content-Length") {
 		return true
 	}
-	for way.more != "" && fails && say(way.more) {
+	for way.repeated != "" && fails && say(way.repeated) {
 		time.Sleep(250 * time.Millisecond)
 	}
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
 
-func (p *outageParty) begin(ctx context.Context, replicas int) {
+func (p *outageClient) start(ctx context.Context, replicas int) {
 	var all []string
 	for i := range replicas {
 		all = append(all, "127.0.0."+strconv.Itoa(i+1)+":1")
 	}
-	first := int(p.event/(50*time.Millisecond)) % replicas
-	p.bad = map[string]bool{}
+	first := int(p.upAt/(50*time.Millisecond)) % replicas
+	p.failing = map[string]bool{}
 	for i := range (replicas - 1) / 2 { // one after the other: nobody answers between
-		p.bad[all[(first+i)%replicas]] = true
+		p.failing[all[(first+i)%replicas]] = true
 	}
 	c := New(all)
-	c.current = 0
+	c.currentIndex = 0
 	c.http.Transport.(*http.Transport).DialContext = p.dial
-	p.begun = time.Now()
+	p.started = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	p.running.Go(func() {
 		defer c.Close()
 		start := list(1, "a")
 		c.Watch(ctx, &start, Watcher{OnEstablished: func() {}, OnError: func(string, error) {}, Apply: func(l api.WatchEvent) error {
 			if l.Revision == 7 {
-				p.told.Store(int64(p.now()))
+				p.appliedAt.Store(int64(p.elapsed()))
 				cancel()
 			}
 			return nil
@@ -174,30 +174,30 @@
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					var running sync.WaitGroup
-					var all []*outageParty
+					var all []*outageClient
 					for after := 50 * time.Millisecond; after <= 2500*time.Millisecond; after += 50 * time.Millisecond {
-						p := &outageParty{way: way, down: x.down, event: x.down + x.from + after, running: &running}
+						p := &outageClient{outage: way, downAt: x.down, upAt: x.down + x.from + after, running: &running}
 						all = append(all, p)
-						p.begin(ctx, x.replicas)
+						p.start(ctx, x.replicas)
 					}
 					time.Sleep(long + 2*watch.NotifyDeadline)
 					cancel()
 					running.Wait()
-					latest := slices.MaxFunc(all, func(a, b *outageParty) int { return int(a.late() - b.late()) })
-					if latest.late() > watch.NotifyDeadline {
-						t.Errorf("down at %v, back at %v: in hand at %v", latest.down, latest.event, time.Duration(latest.told.Load()))
+					latest := slices.MaxFunc(all, func(a, b *outageClient) int { return int(a.delay() - b.delay()) })
+					if latest.delay() > watch.NotifyDeadline {
+						t.Errorf("down at %v, back at %v: in hand at %v", latest.downAt, latest.upAt, time.Duration(latest.appliedAt.Load()))
 					}
-					t.Logf("in hand %v after the return, at the latest", latest.late())
+					t.Logf("in hand %v after the return, at the latest", latest.delay())
 				})
 			})
 		}
 	}
 }
 
-// late is how long after the return the change was in flight.
-func (p *outageParty) late() time.Duration {
-	if p.told.Load() == 0 {
+// delay is how long after the return the change was in flight.
+func (p *outageClient) delay() time.Duration {
+	if p.appliedAt.Load() == 0 {
 		return time.Hour
 	}
-	return time.Duration(p.told.Load()) - p.event
+	return time.Duration(p.appliedAt.Load()) - p.upAt
 }
--- a/internal/registry/client/outcome.go
+++ b/internal/registry/client/outcome.go
@@ -38,7 +38,7 @@
 	case now.Revision == before.Revision:
 		return OutcomeNotDone, 0, now, nil
 	}
-	at, sure := after(now, before.Revision)
+	at, sure := firstRevisionAfter(now, before.Revision)
 	then := now
 	if at != now.Revision {
 		if then, err = c.Document(ctx, service, at, true); err != nil {
@@ -46,7 +46,7 @@
 		}
 	}
 	switch {
-	case settings == nil && then.Deleted, settings != nil && !then.Deleted && sameText(then.Settings, settings):
+	case settings == nil && then.Deleted, settings != nil && !then.Deleted && equalJSON(then.Settings, settings):
 		return OutcomeDone, at, now, nil
 	case settings == nil || then.Deleted || !sure: // it may have been done in a revision that is no longer kept
 		return OutcomeUnknown, 0, now, nil
@@ -54,8 +54,8 @@
 	return OutcomeNotDone, 0, now, nil
 }
 
-// after returns the first kept revision after another; sure is false if one between them may have been dropped or deleted.
-func after(now api.Document, revision int64) (first int64, sure bool) {
+// firstRevisionAfter returns the first kept revision firstRevisionAfter another; sure is false if one between them may have been dropped or deleted.
+func firstRevisionAfter(now api.Document, revision int64) (first int64, sure bool) {
 	i := slices.IndexFunc(now.EarlierRevisions, func(v int64) bool { return v > revision })
 	if i < 0 {
 		i, first = len(now.EarlierRevisions), now.Revision
@@ -68,8 +68,8 @@
 	return first, now.EarlierRevisions[i-1] == revision
 }
 
-// sameText reports whether two JSON texts are equal but for white space.
-func sameText(a, b []byte) bool {
+// equalJSON reports whether two JSON texts are equal but for white space.
+func equalJSON(a, b []byte) bool {
 	var x, y bytes.Buffer
 	return json.Compact(&x, a) == nil && json.Compact(&y, b) == nil && bytes.Equal(x.Bytes(), y.Bytes())
 }
--- a/internal/registry/client/plausibility.go
+++ b/internal/registry/client/plausibility.go
@@ -4,14 +4,14 @@
 
 // plausibility checks list messages against the list in use.
 type plausibility struct {
-	known    bool // there is a list
+	hasList  bool // there is a list
 	revision int64
 	ready    map[string]bool // whether an entry is ready, by name
 }
 
 // accept applies a message to the list in use, or makes it the first one.
 func (d *plausibility) accept(l api.WatchEvent) {
-	d.revision, d.known = l.Revision, true
+	d.revision, d.hasList = l.Revision, true
 	if l.Snapshot || d.ready == nil {
 		d.ready = map[string]bool{}
 	}
@@ -24,7 +24,7 @@
 	}
 }
 
-func usable(l api.WatchEvent) (n int) {
+func countReady(l api.WatchEvent) (n int) {
 	for _, e := range l.Endpoints {
 		if e.Status == api.Ready {
 			n++
@@ -33,7 +33,7 @@
 	return n
 }
 
-func (d *plausibility) usable() (n int) {
+func (d *plausibility) countReady() (n int) {
 	for _, ready := range d.ready {
 		if ready {
 			n++
@@ -45,11 +45,11 @@
 // anomaly returns what makes a message implausible, and "" if nothing does.
 func (d *plausibility) anomaly(l api.WatchEvent) string {
 	switch {
-	case !d.known:
+	case !d.hasList:
 		return ""
 	case l.Revision < d.revision:
 		return "its version goes back"
-	case l.Snapshot && usable(l) == 0 && d.usable() > 0:
+	case l.Snapshot && countReady(l) == 0 && d.countReady() > 0:
 		return "it empties at once"
 	}
 	return ""
--- a/internal/registry/client/registrar_test.go
+++ b/internal/registry/client/registrar_test.go
@@ -15,27 +15,27 @@
 	lists "mosslead/internal/registry/list"
 )
 
-// lateService is a list behind calls of which one may be carried out late.
-type lateService struct {
+// fakeListService is a list behind calls of which one may be carried out late.
+type fakeListService struct {
 	*httptest.Server
 	t       *testing.T
 	changed chan struct{} // after each answer
 
-	mu    sync.Mutex
-	list  *lists.List
-	calls []string
-	fate  string         // of the next write: "late", "no answer", "unknown" or "": as it should be
-	held  *lists.Command // the one that is on its way
+	mu          sync.Mutex
+	list        *lists.List
+	calls       []string
+	nextOutcome string         // of the next write: "late", "no answer", "unknown" or "": as it should be
+	delayed     *lists.Command // the one that is on its way
 }
 
-func newLateService(t *testing.T) *lateService {
-	s := &lateService{t: t, list: lists.New(lists.CompactionWindow), changed: make(chan struct{}, 1000)}
+func newFakeListService(t *testing.T) *fakeListService {
+	s := &fakeListService{t: t, list: lists.New(lists.CompactionWindow), changed: make(chan struct{}, 1000)}
 	s.Server = httptest.NewServer(s)
 	t.Cleanup(s.Close)
 	return s
 }
 
-func (s *lateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeListService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer func() {
 		s.mu.Unlock()
@@ -80,10 +80,10 @@
 		c.Incarnation, c.IfRevision = change.Incarnation, change.IfRevision
 	}
 	s.calls = append(s.calls, c.Op)
-	outcome := s.fate
-	s.fate = ""
+	outcome := s.nextOutcome
+	s.nextOutcome = ""
 	if outcome == "late" {
-		s.held = &c
+		s.delayed = &c
 	} else {
 		result := s.list.Apply(c)
 		if outcome == "" {
@@ -106,32 +106,32 @@
 	}
 }
 
-// next decides what becomes of the next write.
-func (s *lateService) next(outcome string) {
+// setNextOutcome decides what becomes of the setNextOutcome write.
+func (s *fakeListService) setNextOutcome(outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fate = outcome
+	s.nextOutcome = outcome
 }
 
 // apply carries a command out beside the calls.
-func (s *lateService) apply(c lists.Command) {
+func (s *fakeListService) apply(c lists.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Apply(c)
 }
 
-// arrives carries out what was on its way.
-func (s *lateService) arrives() {
+// applyDelayed carries out what was on its way.
+func (s *fakeListService) applyDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held == nil {
+	if s.delayed == nil {
 		s.t.Error("nothing was on its way")
 		return
 	}
-	s.list.Apply(*s.held)
+	s.list.Apply(*s.delayed)
 }
 
-func (s *lateService) own() (own, hand string) {
+func (s *fakeListService) entryStatus() (own, hand string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.list.Get("u")
@@ -141,8 +141,8 @@
 	return e.ServerStatus, e.AdminState
 }
 
-// settled waits until the registrar has nothing to tell.
-func (s *lateService) settled(r *Registrar) {
+// waitSettled waits until the registrar has nothing to tell.
+func (s *fakeListService) waitSettled(r *Registrar) {
 	s.t.Helper()
 	for end := time.After(10 * time.Second); ; {
 		r.mu.Lock()
@@ -161,8 +161,8 @@
 	}
 }
 
-// said are the calls since it was last asked.
-func (s *lateService) said() string {
+// takeCalls are the calls since it was last asked.
+func (s *fakeListService) takeCalls() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := strings.Join(s.calls, " ")
@@ -170,7 +170,7 @@
 	return all
 }
 
-func startRegistrar(t *testing.T, s *lateService, lease time.Duration) *Registrar {
+func startRegistrar(t *testing.T, s *fakeListService, lease time.Duration) *Registrar {
 	c := New([]string{s.Listener.Addr().String()})
 	r := NewRegistrar(c, lease, func(name string, err error) { t.Logf("%s: %v", name, err) })
 	ctx, cancel := context.WithCancel(t.Context())
@@ -184,7 +184,7 @@
 	return r
 }
 
-func lateWish(incarnation int64) api.Registration {
+func registration(incarnation int64) api.Registration {
 	return api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: incarnation}
 }
 
@@ -197,20 +197,20 @@
 		"a registration over a second drain": {api.Ready, api.Terminating, api.Ready, api.Terminating},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newLateService(t)
+			s := newFakeListService(t)
 			r := startRegistrar(t, s, time.Minute)
 			for i, status := range wishes {
 				if i == len(wishes)-2 {
-					s.next("late")
+					s.setNextOutcome("late")
 				}
-				r.Set("u", lateWish(7), status)
-				s.settled(r)
-				if own, _ := s.own(); own != status {
+				r.Set("u", registration(7), status)
+				s.waitSettled(r)
+				if own, _ := s.entryStatus(); own != status {
 					t.Fatalf("wish %d: %s, not %s", i, own, status)
 				}
 			}
-			s.arrives()
-			if own, _ := s.own(); own != wishes[len(wishes)-1] {
+			s.applyDelayed()
+			if own, _ := s.entryStatus(); own != wishes[len(wishes)-1] {
 				t.Errorf("%s after the late one, not %s", own, wishes[len(wishes)-1])
 			}
 		})
@@ -263,17 +263,17 @@
 		"a process after it":  {{before: &newer, status: api.Ready, calls: "register read register", own: api.Ready}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newLateService(t)
+			s := newFakeListService(t)
 			r := startRegistrar(t, s, time.Minute)
 			for i, x := range steps {
 				if x.before != nil {
 					s.apply(*x.before)
 				}
-				s.next(x.fate)
-				r.Set("u", lateWish(7), x.status)
-				s.settled(r)
-				own, hand := s.own()
-				if calls := s.said(); calls != x.calls || own != x.own || hand != x.hand {
+				s.setNextOutcome(x.fate)
+				r.Set("u", registration(7), x.status)
+				s.waitSettled(r)
+				own, hand := s.entryStatus()
+				if calls := s.takeCalls(); calls != x.calls || own != x.own || hand != x.hand {
 					t.Errorf("step %d: %s after %q, by hand %q", i, own, calls, hand)
 				}
 			}
@@ -288,13 +288,13 @@
 
 // An entry that has lapsed is registered again with one call, as soon as a renewal says so.
 func TestALapsedEntryIsRegisteredAgain(t *testing.T) {
-	s := newLateService(t)
+	s := newFakeListService(t)
 	r := startRegistrar(t, s, api.MinLeaseMs*time.Millisecond)
-	r.Set("u", lateWish(7), api.Ready)
-	s.settled(r)
+	r.Set("u", registration(7), api.Ready)
+	s.waitSettled(r)
 	s.apply(lists.Command{Op: lists.Expire, Expired: []api.Heartbeat{{Name: "u", Incarnation: 7}}})
 	for end := time.After(10 * time.Second); ; {
-		if own, _ := s.own(); own == api.Ready {
+		if own, _ := s.entryStatus(); own == api.Ready {
 			break
 		}
 		select {
@@ -303,7 +303,7 @@
 			t.Fatal("not registered again in 10 s")
 		}
 	}
-	if calls := s.said(); calls != "register register" {
+	if calls := s.takeCalls(); calls != "register register" {
 		t.Error(fmt.Sprint("calls: ", calls))
 	}
 }
--- a/internal/registry/client/settings.go
+++ b/internal/registry/client/settings.go
@@ -9,36 +9,36 @@
 	"mosslead/internal/registry/api"
 )
 
-func document(service string) string { return "/v1/settings/" + url.PathEscape(service) }
+func settingsPath(service string) string { return "/v1/settings/" + url.PathEscape(service) }
 
 // Put changes the settings of a service, based on the revision that it names. CodeConflict: they are at
 // another revision, or another region owns them; CodeOutcomeUnknown: it may have been done.
 func (c *Client) Put(ctx context.Context, service string, p api.PutRequest) (revision int64, err error) {
 	var done api.WriteResult
-	err = c.call(ctx, false, http.MethodPut, document(service), p, &done)
+	err = c.call(ctx, false, http.MethodPut, settingsPath(service), p, &done)
 	return done.Revision, err
 }
 
 // Delete deletes the settings of a service: its sidecars return to those of their configuration files.
 func (c *Client) Delete(ctx context.Context, service string, ifRevision int64) (revision int64, err error) {
 	var done api.WriteResult
-	err = c.call(ctx, false, http.MethodPost, document(service)+"/delete", api.PutRequest{IfRevision: &ifRevision}, &done)
+	err = c.call(ctx, false, http.MethodPost, settingsPath(service)+"/delete", api.PutRequest{IfRevision: &ifRevision}, &done)
 	return done.Revision, err
 }
 
 // Document returns the settings of a service, or with a revision other than 0 an earlier document, if it is still stored.
 // linearizable asks for a read that is certain to be the newest.
 func (c *Client) Document(ctx context.Context, service string, revision int64, linearizable bool) (d api.Document, err error) {
-	path := document(service) + consistent(linearizable)
+	path := settingsPath(service) + consistencyQuery(linearizable)
 	if revision != 0 {
-		path = document(service) + "/versions/" + strconv.FormatInt(revision, 10) + consistent(linearizable)
+		path = settingsPath(service) + "/versions/" + strconv.FormatInt(revision, 10) + consistencyQuery(linearizable)
 	}
 	return d, c.call(ctx, true, http.MethodGet, path, nil, &d)
 }
 
 // Documents returns the documents of all services, without their text.
 func (c *Client) Documents(ctx context.Context, linearizable bool) (all api.Documents, err error) {
-	return all, c.call(ctx, true, http.MethodGet, "/v1/settings"+consistent(linearizable), nil, &all)
+	return all, c.call(ctx, true, http.MethodGet, "/v1/settings"+consistencyQuery(linearizable), nil, &all)
 }
 
 // Acknowledge reports which settings are in force at sidecars.
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxList bounds one message: twice the most entries that the service holds.
-	maxList = 8 << 20
+	// maxListBytes bounds one message: twice the most entries that the service holds.
+	maxListBytes = 8 << 20
 
 	// callTimeout is the longest time from one call of a watch to the next, at another replica, whatever the first comes
 	// to. It keeps the bound of watch.Told: a list arrives within that time once a majority of replicas has it and can be
@@ -52,7 +52,7 @@
 		inUse.accept(*start)
 	}
 	var retry backoff
-	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxList, Address: c.at, OnEstablished: w.OnEstablished, Query: w.Query,
+	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxListBytes, Address: c.currentAddress, OnEstablished: w.OnEstablished, Query: w.Query,
 		Revision: func() int64 {
 			if inUse.revision > 0 {
 				return inUse.revision
@@ -71,7 +71,7 @@
 		},
 		OnError: func(at string, why error) {
 			w.OnError(at, why)
-			c.next(at)
+			c.switchFrom(at)
 		},
 		Wait: func() time.Duration { return watchWait(&retry, time.Now(), rand.Float64()) },
 	}
@@ -88,21 +88,21 @@
 	return q
 }
 
-// maxRegion bounds one message of a whole region in bytes: all settings, at worst six bytes for each byte of them in JSON,
+// maxRegionBytes bounds one message of a whole region in bytes: all settings, at worst six bytes for each byte of them in JSON,
 // and all entries.
-const maxRegion = 64 << 20
+const maxRegionBytes = 64 << 20
 
 // Region follows what a service's own region writes, until ctx ends: from tells which revision is replicated,
 // or -1 for the full list. w.Apply alone judges what of it to believe; w.Query is not used. onHeard is called
 // for each line.
 func (c *Client) Region(ctx context.Context, from func() int64, w Watcher, onHeard func()) {
 	var retry backoff
-	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxRegion, Address: c.at, OnEstablished: w.OnEstablished, Revision: from, OnLine: onHeard,
+	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxRegionBytes, Address: c.currentAddress, OnEstablished: w.OnEstablished, Revision: from, OnLine: onHeard,
 		Query: func() string { return "&own=1" },
 		Apply: func(_ string, l *api.WatchEvent) error { return w.Apply(*l) },
 		OnError: func(at string, why error) {
 			w.OnError(at, why)
-			c.next(at)
+			c.switchFrom(at)
 		},
 		Wait: func() time.Duration { return watchWait(&retry, time.Now(), rand.Float64()) },
 	}
@@ -124,7 +124,7 @@
 			return err
 		}
 	}
-	other := c.other(at)
+	other := c.otherAddress(at)
 	ctx, cancel := context.WithTimeout(ctx, verifyTimeout)
 	defer cancel()
 	var second api.WatchEvent
