--- a/internal/watch/messages.go
+++ b/internal/watch/messages.go
@@ -7,14 +7,14 @@
 	"io"
 )
 
-const space = " \t\r\n"
+const whitespace = " \t\r\n"
 
 // Messages decodes a stream of JSON objects, each on one line or indented over several. What is between them
 // never reaches the decoder, which would store it: empty lines are heartbeats, and come for days.
 type Messages struct {
 	body      io.Reader
-	rest      []byte           // read behind the latest message
-	begun     bool             // within a message
+	buffered  []byte           // read behind the latest message
+	inMessage bool             // within a message
 	maxBytes  int              // bytes of one message
 	bytesLeft int              // left for the present message
 	onData    func(blank bool) // called for each part of a message and, with blank, each empty line between messages
@@ -27,13 +27,13 @@
 
 // Next waits for a message and decodes it into m. io.EOF: the stream ended between two messages.
 func (s *Messages) Next(m any) error {
-	s.begun, s.bytesLeft = false, s.maxBytes
+	s.inMessage, s.bytesLeft = false, s.maxBytes
 	d := json.NewDecoder(s)
 	if err := d.Decode(m); err != nil {
 		return err
 	}
 	behind, err := io.ReadAll(d.Buffered())
-	s.rest = append(behind, s.rest...)
+	s.buffered = append(behind, s.buffered...)
 	return err
 }
 
@@ -44,23 +44,23 @@
 	}
 	p = p[:min(len(p), s.bytesLeft)]
 	for {
-		n, again := copy(p, s.rest), len(s.rest) > 0
+		n, again := copy(p, s.buffered), len(s.buffered) > 0
 		var err error
-		if s.rest = s.rest[n:]; !again {
+		if s.buffered = s.buffered[n:]; !again {
 			n, err = s.body.Read(p)
 		}
 		text := p[:n]
-		if !s.begun {
-			text = bytes.TrimLeft(text, space)
+		if !s.inMessage {
+			text = bytes.TrimLeft(text, whitespace)
 		}
-		blank := len(bytes.TrimLeft(text, space)) == 0
-		if n > 0 && !again && (!blank || !s.begun) { // empty lines within a message are no progress
+		blank := len(bytes.TrimLeft(text, whitespace)) == 0
+		if n > 0 && !again && (!blank || !s.inMessage) { // empty lines within a message are no progress
 			s.onData(blank)
 		}
 		if len(text) == 0 && err == nil {
 			continue
 		}
-		s.begun = s.begun || len(text) > 0
+		s.inMessage = s.inMessage || len(text) > 0
 		s.bytesLeft -= len(text)
 		return copy(p, text), err
 	}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -35,9 +35,9 @@
 	// place, so that each has two steps to answer: some servers hold back a response's head until its first
 	// line.
 	Step = Silence / 2
-	// lateStep is the step once an outage is evident, after outageAfter calls without a line: changes have to be
+	// outageStep is the step once an outage is evident, after outageAfter calls without a line: changes have to be
 	// applied within 3 s of the other side's return.
-	lateStep    = 2 * time.Second
+	outageStep  = 2 * time.Second
 	outageAfter = 3
 )
 
@@ -67,16 +67,16 @@
 
 // call is one watch.
 type call struct {
-	at             string
-	from           int64
+	address        string
+	fromRevision   int64
 	query          string
 	cancel         context.CancelFunc
 	done           chan struct{}
 	established    bool // it has received a line
 	partial        bool // something was received since its last line: a head, or part of a message
 	reportedSilent bool
-	// it goes to the former address, and is read until a call to the new one has received a line
-	former bool
+	// it goes to the formerAddress address, and is read until a call to the new one has received a line
+	formerAddress bool
 }
 
 // end ends the call and waits for it, so that there is never a third connection.
@@ -87,7 +87,7 @@
 
 // event is what a call reports: one of message, blank or err, or else that something was received.
 type event[M any] struct {
-	from    *call
+	call    *call
 	message *M
 	blank   bool // an empty line
 	err     error
@@ -97,7 +97,7 @@
 // used, and the other is ended unread, so that revisions can't go back. Only a call to the address of
 // before ends no other: what was sent on it counts, and the new address may not answer yet.
 func (f *Follower[M]) Follow(ctx context.Context) error {
-	w := &following[M]{Follower: f, ctx: ctx, events: make(chan event[M]), next: time.NewTimer(0), due: time.Now()}
+	w := &followState[M]{Follower: f, ctx: ctx, events: make(chan event[M]), timer: time.NewTimer(0), timerDue: time.Now()}
 	defer w.stop()
 	for {
 		var err error
@@ -106,7 +106,7 @@
 			return context.Cause(ctx)
 		case <-f.AddressChanged:
 			w.onAddressChanged()
-		case <-w.next.C:
+		case <-w.timer.C:
 			err = w.onTimer()
 		case e := <-w.events:
 			err = w.onEvent(e)
@@ -117,150 +117,150 @@
 	}
 }
 
-// following is the state of Follow.
-type following[M any] struct {
+// followState is the state of Follow.
+type followState[M any] struct {
 	*Follower[M]
-	ctx    context.Context
-	open   []*call // two at most, the newest last
-	events chan event[M]
-	calls  int         // since the last line
-	next   *time.Timer // of the next call
-	due    time.Time   // of next
+	ctx            context.Context
+	openCalls      []*call // two at most, the newest last
+	events         chan event[M]
+	callsSinceLine int         // since the last line
+	timer          *time.Timer // of the next call
+	timerDue       time.Time   // of next
 }
 
 // stop ends all calls.
-func (w *following[M]) stop() {
-	w.next.Stop()
-	for _, c := range w.open {
+func (w *followState[M]) stop() {
+	w.timer.Stop()
+	for _, c := range w.openCalls {
 		c.end()
 	}
 }
 
-// callIn schedules the next call after wait, unless something is received before.
-func (w *following[M]) callIn(wait time.Duration) {
-	w.due = time.Now().Add(wait)
-	w.next.Reset(wait)
+// scheduleCall schedules the next call after wait, unless something is received before.
+func (w *followState[M]) scheduleCall(wait time.Duration) {
+	w.timerDue = time.Now().Add(wait)
+	w.timer.Reset(wait)
 }
 
 // endOldest ends the older call, if there are two.
-func (w *following[M]) endOldest() {
-	if len(w.open) == 2 {
-		w.open[0].end()
-		w.open = w.open[1:]
+func (w *followState[M]) endOldest() {
+	if len(w.openCalls) == 2 {
+		w.openCalls[0].end()
+		w.openCalls = w.openCalls[1:]
 	}
 }
 
 // onAddressChanged calls the new address at once. The open call is read until the new one has received a line.
-func (w *following[M]) onAddressChanged() {
+func (w *followState[M]) onAddressChanged() {
 	at := w.Address()
-	if len(w.open) > 0 && w.open[len(w.open)-1].at == at {
+	if len(w.openCalls) > 0 && w.openCalls[len(w.openCalls)-1].address == at {
 		return // the call went there already
 	}
 	w.endOldest()
-	for _, c := range w.open {
-		c.former = true
+	for _, c := range w.openCalls {
+		c.formerAddress = true
 	}
-	w.calls = 0
-	w.callIn(0)
+	w.callsSinceLine = 0
+	w.scheduleCall(0)
 }
 
 // onTimer makes the next call beside a silent one, or gives up.
-func (w *following[M]) onTimer() error {
-	if len(w.open) > 0 && !w.open[len(w.open)-1].former {
-		w.reportSilent(w.open[len(w.open)-1])
+func (w *followState[M]) onTimer() error {
+	if len(w.openCalls) > 0 && !w.openCalls[len(w.openCalls)-1].formerAddress {
+		w.reportSilent(w.openCalls[len(w.openCalls)-1])
 	}
-	if w.MaxCalls > 0 && w.calls >= w.MaxCalls {
+	if w.MaxCalls > 0 && w.callsSinceLine >= w.MaxCalls {
 		return ErrSilent
 	}
 	w.endOldest()
-	w.open = append(w.open, w.begin(w.ctx, w.events))
-	w.calls++
-	w.callIn(w.step(w.calls))
+	w.openCalls = append(w.openCalls, w.startCall(w.ctx, w.events))
+	w.callsSinceLine++
+	w.scheduleCall(w.stepAfter(w.callsSinceLine))
 	return nil
 }
 
 // onEvent handles the event of a call. An error ends Follow.
-func (w *following[M]) onEvent(e event[M]) error {
-	i := slices.Index(w.open, e.from)
+func (w *followState[M]) onEvent(e event[M]) error {
+	i := slices.Index(w.openCalls, e.call)
 	if i < 0 || w.ctx.Err() != nil { // the call has been ended
 		return nil
 	}
-	if e.from.former {
+	if e.call.formerAddress {
 		w.onFormerEvent(e, i)
 		return nil
 	}
-	newest := i == len(w.open)-1
+	newest := i == len(w.openCalls)-1
 	isLine := e.message != nil || e.blank
 	if isLine {
-		w.use(e.from, i)
+		w.useOnly(e.call, i)
 		newest = true
-		e.err = w.line(e)
+		e.err = w.handleLine(e)
 	}
 	switch {
 	case e.err != nil:
 		return w.onEnd(e, newest)
 	case isLine:
-		e.from.partial = false
-		w.callIn(Silence)
-	case newest && !e.from.partial: // once only: a message that never becomes complete must not keep a watch alive
-		e.from.partial = true
-		w.callIn(w.quiet(e.from))
+		e.call.partial = false
+		w.scheduleCall(Silence)
+	case newest && !e.call.partial: // once only: a message that never becomes complete must not keep a watch alive
+		e.call.partial = true
+		w.scheduleCall(w.lineTimeout(e.call))
 	}
 	return nil
 }
 
 // onFormerEvent handles the event of a call to the former address. It does not affect the timer of the call to the new one.
-func (w *following[M]) onFormerEvent(e event[M], i int) {
+func (w *followState[M]) onFormerEvent(e event[M], i int) {
 	if e.message != nil {
-		e.err = w.Apply(e.from.at, e.message)
+		e.err = w.Apply(e.call.address, e.message)
 	}
 	if e.err != nil {
-		e.from.end()
-		w.open = slices.Delete(w.open, i, i+1)
+		e.call.end()
+		w.openCalls = slices.Delete(w.openCalls, i, i+1)
 	}
 }
 
-// use ends the other call, as the i-th has received a line.
-func (w *following[M]) use(c *call, i int) {
-	for k, other := range w.open {
+// useOnly ends the other call, as the i-th has received a line.
+func (w *followState[M]) useOnly(c *call, i int) {
+	for k, other := range w.openCalls {
 		if k != i {
 			other.end()
 		}
 	}
-	w.open, w.calls = []*call{c}, 0
+	w.openCalls, w.callsSinceLine = []*call{c}, 0
 }
 
 // onEnd handles the end of a call. An error ends Follow.
-func (w *following[M]) onEnd(e event[M], newest bool) error {
-	e.from.end()
-	w.open = slices.DeleteFunc(w.open, func(c *call) bool { return c == e.from })
-	if !e.from.reportedSilent {
-		w.OnError(e.from.at, e.err)
+func (w *followState[M]) onEnd(e event[M], newest bool) error {
+	e.call.end()
+	w.openCalls = slices.DeleteFunc(w.openCalls, func(c *call) bool { return c == e.call })
+	if !e.call.reportedSilent {
+		w.OnError(e.call.address, e.err)
 	}
 	switch {
-	case w.MaxCalls > 0 && (len(w.open) == 0 || w.open[0].former):
+	case w.MaxCalls > 0 && (len(w.openCalls) == 0 || w.openCalls[0].formerAddress):
 		return e.err
 	case w.MaxCalls == 0 && newest:
-		if wait := w.Wait(); time.Until(w.due) > wait { // an end never delays the next call
-			w.callIn(wait)
+		if wait := w.Wait(); time.Until(w.timerDue) > wait { // an end never delays the next call
+			w.scheduleCall(wait)
 		}
 	}
 	return nil
 }
 
-func (f *Follower[M]) step(calls int) time.Duration {
+func (f *Follower[M]) stepAfter(calls int) time.Duration {
 	switch {
 	case f.Step > 0:
 		return f.Step
 	case calls > outageAfter:
-		return lateStep
+		return outageStep
 	}
 	return Step
 }
 
-// quiet returns how long a call may continue without a line after something was received. If the caller sets Step, the
+// lineTimeout returns how long a call may continue without a line after something was received. If the caller sets Step, the
 // first line must arrive with the head.
-func (f *Follower[M]) quiet(c *call) time.Duration {
+func (f *Follower[M]) lineTimeout(c *call) time.Duration {
 	if f.Step > 0 && !c.established {
 		return f.Step
 	}
@@ -271,30 +271,30 @@
 func (f *Follower[M]) reportSilent(c *call) {
 	if !c.reportedSilent {
 		c.reportedSilent = true
-		f.OnError(c.at, ErrSilent)
+		f.OnError(c.address, ErrSilent)
 	}
 }
 
-// line handles a line of the call in use.
-func (f *Follower[M]) line(e event[M]) error {
-	first := !e.from.established
-	e.from.established, e.from.reportedSilent = true, false
+// handleLine handles a handleLine of the call in use.
+func (f *Follower[M]) handleLine(e event[M]) error {
+	first := !e.call.established
+	e.call.established, e.call.reportedSilent = true, false
 	if f.OnLine != nil {
 		f.OnLine()
 	}
 	switch {
 	case e.message != nil:
-		return f.Apply(e.from.at, e.message)
+		return f.Apply(e.call.address, e.message)
 	case first && f.OnEstablished != nil:
 		f.OnEstablished()
 	}
 	return nil
 }
 
-// begin makes the next call.
-func (f *Follower[M]) begin(ctx context.Context, events chan<- event[M]) *call {
+// startCall makes the next call.
+func (f *Follower[M]) startCall(ctx context.Context, events chan<- event[M]) *call {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &call{at: f.Address(), from: f.Revision(), cancel: cancel, done: make(chan struct{})}
+	c := &call{address: f.Address(), fromRevision: f.Revision(), cancel: cancel, done: make(chan struct{})}
 	if f.Query != nil {
 		c.query = f.Query()
 	}
@@ -308,14 +308,14 @@
 // read makes a call, and reports its events until it ends.
 func (f *Follower[M]) read(ctx context.Context, c *call, events chan<- event[M]) {
 	report := func(e event[M]) {
-		e.from = c
+		e.call = c
 		select {
 		case events <- e:
 		case <-ctx.Done():
 		}
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet,
-		fmt.Sprintf("http://%s/api/targets?watch=1&from=%d%s", c.at, c.from, c.query), nil)
+		fmt.Sprintf("http://%s/api/targets?watch=1&from=%d%s", c.address, c.fromRevision, c.query), nil)
 	if err != nil {
 		report(event[M]{err: err})
 		return
