--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -12,24 +12,25 @@
 
 // Operations of commands of schema 3, as they are encoded in the log.
 const (
-	PutDocument     = "put"    // settings of a service
-	DeleteDocument  = "delete" // settings of a service
-	ReplicateRegion = "follow" // a Chunk of another region's changes
+	PutDocument     = "put"    // stores the settings of a service
+	DeleteDocument  = "delete" // deletes the settings of a service
+	ReplicateRegion = "follow" // applies a Chunk of another region's changes
 )
 
 // DocumentSchema is the schema of commands and backups that introduced documents and other regions.
 const DocumentSchema = 3
 
-// MaxEarlierRevisions is how many revisions of a document are stored beside the present one.
+// MaxEarlierRevisions is the number of revisions of a document that are stored besides the current one.
 const MaxEarlierRevisions = api.MaxEarlierRevisions
 
-// Document is a document that this region owns. Its Region is empty, as it is the list's.
+// Document is a document that this region owns, with its earlier revisions. Its Region is empty: it is the list's region.
 type Document struct {
 	api.Document
-	Earlier []api.Document `json:"earlier,omitempty"` // the newest last
+	Earlier []api.Document `json:"earlier,omitempty"` // ascending by revision
 }
 
-// setRegion sets the name of the list's region, on which depends which of two regions' documents is visible.
+// setRegion sets the name of the list's region. A new name raises the revision if there are documents, because the names decide
+// which of two regions' documents is sent.
 func (l *List) setRegion(region string) {
 	if region != l.region {
 		l.region = region
@@ -39,34 +40,34 @@
 	}
 }
 
-// Region returns the name of the list's region; empty if there is one region, or if no command has set it yet.
+// Region returns the name of the list's region. It is empty if there is only one region, or if no command has set it yet.
 func (l *List) Region() string { return l.region }
 
-// applyDocument applies a command on an own document.
+// applyDocument applies a command to a document that this region owns.
 func (l *List) applyDocument(c Command) Result {
 	own := l.documents[c.Name]
-	live, at := own != nil && !own.Deleted, int64(0)
+	live, ownRevision := own != nil && !own.Deleted, int64(0)
 	if own != nil {
-		at = own.Revision
+		ownRevision = own.Revision
 	}
 	visible, _ := l.Document(c.Name)
-	put := c.Op == PutDocument
+	isPut := c.Op == PutDocument
 	switch {
-	case c.IfRevision == nil || put && c.Document == nil:
-		return Result{Revision: at, Err: api.Errorf(api.CodeBadRequest, "%s: a version that it is based on, and a document, are needed", c.Name)}
-	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (put || !live): // an own document beside it can still be deleted
-		return Result{Revision: at, Err: api.Errorf(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, visible.Region, visible.Revision)}
-	case own == nil && !put:
+	case c.IfRevision == nil || isPut && c.Document == nil:
+		return Result{Revision: ownRevision, Err: api.Errorf(api.CodeBadRequest, "%s: a version that it is based on, and a document, are needed", c.Name)}
+	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (isPut || !live): // an own document beside another region's can still be deleted
+		return Result{Revision: ownRevision, Err: api.Errorf(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, visible.Region, visible.Revision)}
+	case own == nil && !isPut:
 		return Result{Err: api.Errorf(api.CodeNotFound, "settings of %s", c.Name)}
-	case *c.IfRevision != at && (!put || live || *c.IfRevision != 0):
-		return Result{Revision: at, Err: api.Errorf(api.CodeConflict, "the settings of %s are at version %d", c.Name, at)}
-	case !put && !live:
-		return Result{Revision: at}
+	case *c.IfRevision != ownRevision && (!isPut || live || *c.IfRevision != 0):
+		return Result{Revision: ownRevision, Err: api.Errorf(api.CodeConflict, "the settings of %s are at version %d", c.Name, ownRevision)}
+	case !isPut && !live:
+		return Result{Revision: ownRevision}
 	case own == nil && len(l.documents) >= api.MaxDocuments:
 		return Result{Err: api.Errorf(api.CodeFull, "%d documents, deleted ones too", len(l.documents))}
 	}
-	next := &Document{Document: api.Document{Service: c.Name, Deleted: !put}}
-	if put {
+	next := &Document{Document: api.Document{Service: c.Name, Deleted: !isPut}}
+	if isPut {
 		next.Schema, next.Settings = c.Document.Schema, c.Document.Settings
 		bytes := len(next.Settings)
 		for name, d := range l.documents {
@@ -75,7 +76,7 @@
 			}
 		}
 		if bytes > api.MaxAllSettings {
-			return Result{Revision: at, Err: api.Errorf(api.CodeFull, "%d bytes of settings in all, and %d are the most", bytes, api.MaxAllSettings)}
+			return Result{Revision: ownRevision, Err: api.Errorf(api.CodeFull, "%d bytes of settings in all, and %d are the most", bytes, api.MaxAllSettings)}
 		}
 	}
 	if own != nil {
@@ -91,18 +92,18 @@
 	return Result{Revision: l.revision}
 }
 
-// Document returns the document of a service that its sidecars are sent: of several regions' that of the region with the
-// smaller name, and one that is not deleted before any that is. It returns false if there is none.
-func (l *List) Document(service string) (best api.Document, found bool) {
+// Document returns the document that is sent to the sidecars of a service. If several regions have one, documents that are not
+// deleted take precedence over deleted ones, and then smaller names of regions over larger ones. It returns false if there is none.
+func (l *List) Document(service string) (best api.Document, ok bool) {
 	for d := range l.documentsOf(service) {
-		if !found || hasPrecedence(d, best) {
-			best, found = d, true
+		if !ok || hasPrecedence(d, best) {
+			best, ok = d, true
 		}
 	}
-	return best, found
+	return best, ok
 }
 
-// hasPrecedence reports whether a is sent rather than b, of two documents of one service.
+// hasPrecedence reports whether a is sent rather than b, where both are documents of one service.
 func hasPrecedence(a, b api.Document) bool {
 	if a.Deleted != b.Deleted {
 		return b.Deleted
@@ -110,61 +111,62 @@
 	return a.Region < b.Region
 }
 
-// documentsOf returns the documents of one service, at most one of each region.
+// documentsOf returns the documents of one service, at most one per region.
 func (l *List) documentsOf(service string) iter.Seq[api.Document] {
 	return func(yield func(api.Document) bool) {
 		if d := l.documents[service]; d != nil && !yield(l.withRegion(d.Document)) {
 			return
 		}
-		for _, o := range l.regions {
-			if d, ok := o.documents[service]; ok && !yield(d) {
+		for _, rc := range l.regions {
+			if d, ok := rc.documents[service]; ok && !yield(d) {
 				return
 			}
 		}
 	}
 }
 
-// withRegion returns an own document with its region.
+// withRegion returns an own document with its Region set.
 func (l *List) withRegion(d api.Document) api.Document {
 	d.Region = l.region
 	return d
 }
 
-// DocumentAt returns a stored revision of a service's document: of this region's, or the latest of another region's.
-func (l *List) DocumentAt(service string, version int64) (api.Document, bool) {
+// DocumentAt returns a service's document at a revision: any stored revision of this region's document, or the latest of another
+// region's. It returns false if the revision is not stored.
+func (l *List) DocumentAt(service string, revision int64) (api.Document, bool) {
 	if own := l.documents[service]; own != nil {
 		for _, d := range own.Earlier {
-			if d.Revision == version {
+			if d.Revision == revision {
 				return l.withRegion(d), true
 			}
 		}
 	}
 	for d := range l.documentsOf(service) {
-		if d.Revision == version {
+		if d.Revision == revision {
 			return d, true
 		}
 	}
 	return api.Document{}, false
 }
 
-// EarlierRevisions returns the stored revisions of an own document before the present one, rising.
-func (l *List) EarlierRevisions(service string) (versions []int64) {
+// EarlierRevisions returns the stored revisions of an own document before the current one, in ascending order.
+func (l *List) EarlierRevisions(service string) (revisions []int64) {
 	if own := l.documents[service]; own != nil {
 		for _, d := range own.Earlier {
-			versions = append(versions, d.Revision)
+			revisions = append(revisions, d.Revision)
 		}
 	}
-	return versions
+	return revisions
 }
 
-// Documents returns all documents, by service and region, including those not sent to sidecars and deleted ones.
+// Documents returns all documents, sorted by service and region, including deleted ones and those not sent to sidecars.
 func (l *List) Documents() []api.Document {
 	all := []api.Document{}
 	for _, d := range l.documents {
 		all = append(all, l.withRegion(d.Document))
 	}
-	for _, o := range l.regions {
-		all = slices.AppendSeq(all, maps.Values(o.documents))
+	for _, rc := range l.regions {
+		all = slices.AppendSeq(all, maps.Values(rc.documents))
 	}
 	slices.SortFunc(all, func(a, b api.Document) int {
 		return cmp.Or(strings.Compare(a.Service, b.Service), strings.Compare(a.Region, b.Region))
@@ -172,29 +174,29 @@
 	return all
 }
 
-// OwnChangesSince returns the changes after a revision for another region: the entries and documents that this region owns and
-// that have changed since, or all of them if those are no longer known.
-func (l *List) OwnChangesSince(version int64) (c api.WatchEvent) {
-	if !l.Remembers(version) {
-		c = l.ownEntries()
-		version = -1
+// OwnChangesSince returns, for another region, the entries and documents that this region owns and that have changed after a
+// revision, or all of them if those changes are no longer known.
+func (l *List) OwnChangesSince(revision int64) (event api.WatchEvent) {
+	if !l.Remembers(revision) {
+		event = l.ownEntries()
+		revision = -1
 	} else {
-		c = api.WatchEvent{Revision: l.revision, Endpoints: []api.Endpoint{}}
-		for _, t := range l.changesAfter(version) {
-			if l.ownRevision(t.name) == t.revision {
-				c.Endpoints = append(c.Endpoints, l.records[t.name].Endpoint)
+		event = api.WatchEvent{Revision: l.revision, Endpoints: []api.Endpoint{}}
+		for _, change := range l.changesAfter(revision) {
+			if l.ownRevision(change.name) == change.revision {
+				event.Endpoints = append(event.Endpoints, l.records[change.name].Endpoint)
 			}
 		}
 	}
 	for _, d := range l.ownDocuments() {
-		if d.Revision > version {
-			c.Documents = append(c.Documents, l.withRegion(d.Document))
+		if d.Revision > revision {
+			event.Documents = append(event.Documents, l.withRegion(d.Document))
 		}
 	}
-	return c
+	return event
 }
 
-// ownDocuments returns the documents that this region owns, by service.
+// ownDocuments returns the documents that this region owns, sorted by service.
 func (l *List) ownDocuments() (all []Document) {
 	for _, service := range slices.Sorted(maps.Keys(l.documents)) {
 		all = append(all, *l.documents[service])
@@ -202,27 +204,27 @@
 	return all
 }
 
-// loadDocuments is the part of Load for schema 3.
+// loadDocuments loads the part of a state that schema 3 introduced.
 func (l *List) loadDocuments(s State) {
 	l.region = s.Region
 	for _, d := range s.Documents {
 		l.documents[d.Service] = &d
 	}
-	for _, o := range s.Regions {
-		l.regions[o.Name] = o.load()
+	for _, region := range s.Regions {
+		l.regions[region.Name] = region.load()
 	}
-	for name, version := range s.RegionRevisions {
-		l.regionRevisions[name] = version
-		if version > l.compactedRevision {
-			l.changes = append(l.changes, entryChange{version, name})
+	for name, revision := range s.RegionRevisions {
+		l.regionRevisions[name] = revision
+		if revision > l.compactedRevision {
+			l.changes = append(l.changes, entryChange{revision, name})
 		}
 	}
 }
 
-// restoreDocuments restores the documents of a backup as new revisions, since a revision that has been sent must not return
+// restoreDocuments gives the documents of a backup a new revision, because a revision that has been sent must not be sent again
 // with other content, and deletes those that the backup lacks. Documents of other regions stay.
-func (l *List) restoreDocuments(was *List) {
-	for service := range was.documents {
+func (l *List) restoreDocuments(previous *List) {
+	for service := range previous.documents {
 		if l.documents[service] == nil {
 			l.documents[service] = &Document{Document: api.Document{Service: service, Deleted: true}}
 		}
@@ -230,5 +232,5 @@
 	for _, d := range l.documents {
 		d.Revision = l.revision
 	}
-	maps.Copy(l.regions, was.regions)
+	maps.Copy(l.regions, previous.regions)
 }
--- a/internal/registry/list/documents_test.go
+++ b/internal/registry/list/documents_test.go
@@ -10,51 +10,51 @@
 	"mosslead/internal/registry/api"
 )
 
-// Whatever happens to the settings of a service, its versions only rise: over deletions, snapshots, and restores of any earlier
-// state. A write is done exactly where it is based on the present version, and what was written last is told.
+// Checks that the revisions of a service's settings only rise, over deletions, snapshots, and restores of any earlier state; that a
+// write succeeds exactly if it is based on the current revision; and that the list returns the latest written document.
 func TestVersionsOfDocumentsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(CompactionWindow)
-		type known struct {
-			version int64
-			text    string
-			deleted bool
+		type writtenDocument struct {
+			revision int64
+			text     string
+			deleted  bool
 		}
-		present := map[string]known{}
+		written := map[string]writtenDocument{}
 		backups := []State{l.State()}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			service := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "service"))
-			is := present[service]
-			on := is.version
+			current := written[service]
+			ifRevision := current.revision
 			switch rapid.IntRange(0, 3).Draw(t, "based on") {
 			case 0:
-				on = 0
+				ifRevision = 0
 			case 1:
-				on = rapid.Int64Range(0, l.Revision()+1).Draw(t, "version")
+				ifRevision = rapid.Int64Range(0, l.Revision()+1).Draw(t, "version")
 			}
-			c := Command{Op: rapid.SampledFrom([]string{PutDocument, PutDocument, DeleteDocument, Register, Restore, "snapshot"}).Draw(t, "op"), Name: service, IfRevision: &on, Region: "north"}
-			live := is.version > 0 && !is.deleted
+			c := Command{Op: rapid.SampledFrom([]string{PutDocument, PutDocument, DeleteDocument, Register, Restore, "snapshot"}).Draw(t, "op"), Name: service, IfRevision: &ifRevision, Region: "north"}
+			live := current.revision > 0 && !current.deleted
 			switch c.Op {
 			case PutDocument:
 				text := fmt.Sprintf(`{"x":%d}`, i)
 				c.Document = &api.Document{Schema: 1, Settings: json.RawMessage(text)}
-				done := on == is.version || on == 0 && !live
-				if r := l.Apply(c); (r.Err == nil) != done || done && r.Revision <= is.version {
-					t.Fatalf("put on %d where %+v is: %+v", on, is, r)
-				} else if done {
-					present[service] = known{r.Revision, text, false}
+				wantDone := ifRevision == current.revision || ifRevision == 0 && !live
+				if r := l.Apply(c); (r.Err == nil) != wantDone || wantDone && r.Revision <= current.revision {
+					t.Fatalf("put based on revision %d of document %+v: got result %+v, want success %v with a higher revision", ifRevision, current, r, wantDone)
+				} else if wantDone {
+					written[service] = writtenDocument{r.Revision, text, false}
 				}
 			case DeleteDocument:
 				r := l.Apply(c)
 				switch {
-				case is.version == 0:
+				case current.revision == 0:
 					if r.Err == nil || r.Err.Code != api.CodeNotFound {
-						t.Fatalf("what was never there is deleted: %+v", r)
+						t.Fatalf("deletion of a document that never existed: got result %+v, want code %q", r, api.CodeNotFound)
 					}
-				case (r.Err == nil) != (on == is.version), r.Err == nil && is.deleted && r.Revision != is.version:
-					t.Fatalf("deleted on %d where %+v is: %+v", on, is, r)
-				case r.Err == nil && !is.deleted:
-					present[service] = known{r.Revision, "", true}
+				case (r.Err == nil) != (ifRevision == current.revision), r.Err == nil && current.deleted && r.Revision != current.revision:
+					t.Fatalf("deletion based on revision %d of document %+v: got result %+v, want success %v", ifRevision, current, r, ifRevision == current.revision)
+				case r.Err == nil && !current.deleted:
+					written[service] = writtenDocument{r.Revision, "", true}
 				}
 			case Register:
 				l.Apply(Command{Op: Register, Name: service, Registration: &api.Registration{Address: fmt.Sprint("127.0.0.1:", i+1), Weight: 1}})
@@ -62,10 +62,10 @@
 				backup := backups[rapid.IntRange(0, len(backups)-1).Draw(t, "backup")]
 				l.Apply(Command{Op: Restore, State: &backup})
 				for _, d := range l.Documents() {
-					if was := present[d.Service]; d.Revision <= was.version {
-						t.Fatalf("restored: %+v after %+v", d, was)
+					if previous := written[d.Service]; d.Revision <= previous.revision {
+						t.Fatalf("after a restore: got document %+v, want a revision above that of %+v", d, previous)
 					}
-					present[d.Service] = known{d.Revision, string(d.Settings), d.Deleted}
+					written[d.Service] = writtenDocument{d.Revision, string(d.Settings), d.Deleted}
 				}
 			case "snapshot":
 				text, err := json.Marshal(l.State())
@@ -76,18 +76,18 @@
 				l = Load(s, CompactionWindow)
 				backups = append(backups, s)
 			}
-			for service, is := range present {
+			for service, current := range written {
 				d, found := l.Document(service)
-				if !found || d.Revision != is.version || string(d.Settings) != is.text || d.Deleted != is.deleted || d.Region != "north" {
-					t.Fatalf("%s is %+v, and %+v was written", service, d, is)
+				if !found || d.Revision != current.revision || string(d.Settings) != current.text || d.Deleted != current.deleted || d.Region != "north" {
+					t.Fatalf("service %s: got document %+v, want %+v", service, d, current)
 				}
 				if len(l.documents[service].Earlier) > MaxEarlierRevisions {
-					t.Fatalf("%d versions of %s are remembered", len(l.documents[service].Earlier), service)
+					t.Fatalf("service %s: got %d earlier revisions, want %d at most", service, len(l.documents[service].Earlier), MaxEarlierRevisions)
 				}
 			}
 		}
-		if s := l.State(); len(present) > 0 && s.Schema() != DocumentSchema {
-			t.Fatalf("schema %d of a state with documents", s.Schema())
+		if s := l.State(); len(written) > 0 && s.Schema() != DocumentSchema {
+			t.Fatalf("state with documents: got schema %d, want %d", s.Schema(), DocumentSchema)
 		}
 	})
 }
@@ -103,32 +103,32 @@
 	for ; put(fmt.Sprint("l", n), large) == nil; n++ {
 	}
 	if n != api.MaxAllSettings/api.MaxSettings {
-		t.Errorf("%d large ones", n)
+		t.Errorf("got %d large documents stored, want %d", n, api.MaxAllSettings/api.MaxSettings)
 	}
 	l = New(CompactionWindow)
 	for n = 0; put(fmt.Sprint("s", n), `{}`) == nil; n++ {
 	}
 	if n != api.MaxDocuments {
-		t.Errorf("%d small ones", n)
+		t.Errorf("got %d small documents stored, want %d", n, api.MaxDocuments)
 	}
-	for _, p := range []*Chunk{nil, {}, {Region: "", To: 1}, {Region: "north", From: 2, To: 1}, {Region: "north", From: 0, To: 5, Part: 1}} {
-		if r := l.Apply(Command{Op: ReplicateRegion, Chunk: p}); r.Err == nil {
-			t.Errorf("%+v was taken in", p)
+	for _, chunk := range []*Chunk{nil, {}, {Region: "", To: 1}, {Region: "north", From: 2, To: 1}, {Region: "north", From: 0, To: 5, Part: 1}} {
+		if r := l.Apply(Command{Op: ReplicateRegion, Chunk: chunk}); r.Err == nil {
+			t.Errorf("chunk %+v: got success, want an error", chunk)
 		}
 	}
-	var many []api.Endpoint
+	var entries []api.Endpoint
 	for i := range api.MaxEndpoints + 1 {
-		many = append(many, api.Endpoint{Name: fmt.Sprint("u", i), Status: api.Ready})
+		entries = append(entries, api.Endpoint{Name: fmt.Sprint("u", i), Status: api.Ready})
 	}
-	if r := l.Apply(Command{Op: ReplicateRegion, Chunk: &Chunk{Region: "north", To: 5, Entries: many}}); r.Err == nil || r.Err.Code != api.CodeFull || len(l.Regions()) != 0 {
-		t.Errorf("too many entries: %+v", r)
+	if r := l.Apply(Command{Op: ReplicateRegion, Chunk: &Chunk{Region: "north", To: 5, Entries: entries}}); r.Err == nil || r.Err.Code != api.CodeFull || len(l.Regions()) != 0 {
+		t.Errorf("chunk of %d entries: got result %+v and regions %v, want code %q and no region", len(entries), r, l.Regions(), api.CodeFull)
 	}
 }
 
-// A backup brings back what this region wrote; of the others, what was heard since stays.
+// Checks that a restore does not roll back what is replicated of other regions; an empty list gets it from the backup.
 func TestARestoreKeepsWhatOthersSaid(t *testing.T) {
 	l := New(CompactionWindow)
-	on := func(to int64, name string) {
+	replicate := func(to int64, name string) {
 		from := l.Replicated("north").Revision
 		if r := l.Apply(Command{Op: ReplicateRegion, Region: "south", Chunk: &Chunk{Region: "north", From: from, To: to, Last: true,
 			Entries:   []api.Endpoint{{Name: name, Status: api.Ready}},
@@ -136,20 +136,20 @@
 			t.Fatal(r.Err)
 		}
 	}
-	on(5, "early")
+	replicate(5, "early")
 	backup := l.State()
-	on(9, "late")
+	replicate(9, "late")
 	l.Apply(Command{Op: Restore, State: &backup})
 	empty := New(CompactionWindow)
 	empty.Apply(Command{Op: Restore, State: &backup})
-	for _, x := range []struct {
-		l       *List
-		version int64
-		entries int
+	for _, c := range []struct {
+		l        *List
+		revision int64
+		entries  int
 	}{{l, 9, 2}, {empty, 5, 1}} {
-		d, _ := x.l.Document("s")
-		if h := x.l.Replicated("north"); h.Revision != x.version || h.SeenRevision != x.version || len(x.l.Full().Endpoints) != x.entries || d.Revision != x.version || d.Region != "north" {
-			t.Errorf("held at %d, seen %d; told %+v and %+v", h.Revision, h.SeenRevision, x.l.Full(), d)
+		d, _ := c.l.Document("s")
+		if replicated := c.l.Replicated("north"); replicated.Revision != c.revision || replicated.SeenRevision != c.revision || len(c.l.Full().Endpoints) != c.entries || d.Revision != c.revision || d.Region != "north" {
+			t.Errorf("region north: got revisions %d and %d, list %+v and document %+v; want revision %d and %d entries", replicated.Revision, replicated.SeenRevision, c.l.Full(), d, c.revision, c.entries)
 		}
 	}
 }
--- a/internal/registry/list/golden_test.go
+++ b/internal/registry/list/golden_test.go
@@ -7,7 +7,8 @@
 	"mosslead/internal/golden"
 )
 
-// Replicas of two versions share a log, and a snapshot of an earlier version is read by a later one.
+// Checks that the encoding of commands and snapshots does not change: replicas of two versions share a log, and a later version
+// reads the snapshots of an earlier one.
 func TestLogKeepsItsForm(t *testing.T) {
 	golden.JSON(t, "log", &Command{}, &State{}, &Chunk{}, &Region{}, &Document{}, &Leadership{}, &LeadershipClaim{})
 	golden.Equal(t, "operations", fmt.Sprintf("%q %d %d %d\n", []string{Register, Drain, Deregister, SetAdminState, Expire, AddReplica, RemoveReplica, Restore, AcquireLeadership, RenewLeadership, ReleaseLeadership,
--- a/internal/registry/list/leadership_test.go
+++ b/internal/registry/list/leadership_test.go
@@ -11,20 +11,20 @@
 	"mosslead/internal/registry/api"
 )
 
-// Whatever happens to a leadership, each epoch has one holder, and every new one is above all before: over releases, lapses,
-// snapshots, restores of any earlier state, and a replica that ran a program that knows of no leaderships.
+// Checks that each epoch has one holder and every new epoch is above all earlier ones, over releases, expiries, snapshots, restores
+// of any earlier state, and a replica that ran a program without leaderships.
 func TestEpochsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(CompactionWindow)
-		highest, holder := uint64(0), map[uint64]string{}
-		backups := []State{l.State(), {Revision: 3, HighestEpoch: 5 * restoreStep}} // the second of another service
+		highest, holders := uint64(0), map[uint64]string{}
+		backups := []State{l.State(), {Revision: 3, HighestEpoch: 5 * restoreStep}} // the second is of another service
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			d, held := l.Leadership(fmt.Sprint("d", rapid.IntRange(0, 1).Draw(t, "duty")))
+			before, heldBefore := l.Leadership(fmt.Sprint("d", rapid.IntRange(0, 1).Draw(t, "duty")))
 			c := Command{Index: uint64(i + 1), Op: rapid.SampledFrom([]string{AcquireLeadership, AcquireLeadership, AcquireLeadership, RenewLeadership, ReleaseLeadership, ForgetLeaderships, Restore, "snapshot", "forget"}).Draw(t, "op"),
-				Claim: &LeadershipClaim{LeadershipClaim: api.LeadershipClaim{Name: d.Name, Holder: fmt.Sprint("h", rapid.IntRange(0, 2).Draw(t, "holder")), LeaseMs: 1000,
+				Claim: &LeadershipClaim{LeadershipClaim: api.LeadershipClaim{Name: before.Name, Holder: fmt.Sprint("h", rapid.IntRange(0, 2).Draw(t, "holder")), LeaseMs: 1000,
 					Epoch: uint64(rapid.IntRange(0, int(highest%64)).Draw(t, "epoch"))}}}
 			if rapid.Bool().Draw(t, "over") {
-				over := d.LeaseTerm
+				over := before.LeaseTerm
 				over.Renewals -= uint64(rapid.IntRange(0, 1).Draw(t, "turns ago"))
 				c.Claim.ExpiredTerm, c.ExpiredTerms = &over, []LeaseTerm{over}
 			}
@@ -38,7 +38,7 @@
 				l = Load(s, CompactionWindow)
 				backups = append(backups, s)
 				continue
-			case "forget": // an earlier program's snapshot holds no leaderships; then it is of today again
+			case "forget": // loads the snapshot of an earlier program, which has no leaderships, into the current one
 				s := l.State()
 				s.Leaderships, s.HighestEpoch = nil, 0
 				l = Load(s, CompactionWindow)
@@ -47,60 +47,60 @@
 				c.State = &backups[rapid.IntRange(0, len(backups)-1).Draw(t, "backup")]
 			}
 			r := l.Apply(c)
-			now, heldNow := l.Leadership(d.Name)
+			after, heldAfter := l.Leadership(before.Name)
 			switch {
 			case c.Op == Restore:
-				if held && (!heldNow || now.LeaseTerm != d.LeaseTerm) {
-					t.Fatalf("a restore changed who holds %s: %+v, %+v", d.Name, d, now)
+				if heldBefore && (!heldAfter || after.LeaseTerm != before.LeaseTerm) {
+					t.Fatalf("leadership %s: a restore changed the lease from %+v to %+v, want no change", before.Name, before, after)
 				}
 				highest = max(highest, c.State.HighestEpoch)
-			case c.Op == AcquireLeadership && r.Err == nil && (!held || r.Leadership.Epoch != d.Epoch):
+			case c.Op == AcquireLeadership && r.Err == nil && (!heldBefore || r.Leadership.Epoch != before.Epoch):
 				if r.Leadership.Epoch <= highest {
-					t.Fatalf("epoch %d after %d", r.Leadership.Epoch, highest)
+					t.Fatalf("got epoch %d, want one above %d", r.Leadership.Epoch, highest)
 				}
-				if held && d.Holder != c.Claim.Holder && (c.Claim.ExpiredTerm == nil || *c.Claim.ExpiredTerm != d.LeaseTerm) {
-					t.Fatalf("taken from %+v by %+v", d, c.Claim)
+				if heldBefore && before.Holder != c.Claim.Holder && (c.Claim.ExpiredTerm == nil || *c.Claim.ExpiredTerm != before.LeaseTerm) {
+					t.Fatalf("leadership %+v was acquired by claim %+v, want a conflict: its term has not expired", before, c.Claim)
 				}
-				if held && d.Holder == c.Claim.Holder && d.Epoch > c.Claim.Epoch {
-					t.Fatalf("a second epoch for %+v by %+v", d, c.Claim)
+				if heldBefore && before.Holder == c.Claim.Holder && before.Epoch > c.Claim.Epoch {
+					t.Fatalf("leadership %+v got epoch %d for its holder's claim %+v, want the same epoch", before, r.Leadership.Epoch, c.Claim)
 				}
-				highest, holder[r.Leadership.Epoch] = r.Leadership.Epoch, r.Leadership.Holder
-			case r.Err == nil && r.Leadership.Holder != "" && holder[r.Leadership.Epoch] != r.Leadership.Holder:
-				t.Fatalf("epoch %d is of %s and of %s", r.Leadership.Epoch, holder[r.Leadership.Epoch], r.Leadership.Holder)
-			case c.Op == RenewLeadership && r.Err == nil && (now.Renewals != d.Renewals+1 || now.Epoch != c.Claim.Epoch || d.Holder != c.Claim.Holder):
-				t.Fatalf("renewed %+v by %+v: %+v", d, c.Claim, now)
-			case (c.Op == ReleaseLeadership || c.Op == ForgetLeaderships) && held && !heldNow && c.Op == ReleaseLeadership && (d.Holder != c.Claim.Holder || d.Epoch != c.Claim.Epoch):
-				t.Fatalf("%+v was given up by %+v", d, c.Claim)
+				highest, holders[r.Leadership.Epoch] = r.Leadership.Epoch, r.Leadership.Holder
+			case r.Err == nil && r.Leadership.Holder != "" && holders[r.Leadership.Epoch] != r.Leadership.Holder:
+				t.Fatalf("epoch %d: got holder %s, want %s", r.Leadership.Epoch, r.Leadership.Holder, holders[r.Leadership.Epoch])
+			case c.Op == RenewLeadership && r.Err == nil && (after.Renewals != before.Renewals+1 || after.Epoch != c.Claim.Epoch || before.Holder != c.Claim.Holder):
+				t.Fatalf("renewal of %+v by claim %+v: got %+v, want the next term of the same holder and epoch", before, c.Claim, after)
+			case (c.Op == ReleaseLeadership || c.Op == ForgetLeaderships) && heldBefore && !heldAfter && c.Op == ReleaseLeadership && (before.Holder != c.Claim.Holder || before.Epoch != c.Claim.Epoch):
+				t.Fatalf("leadership %+v was released by claim %+v, want a release by its holder only", before, c.Claim)
 			}
 		}
 	})
 }
 
-// A member that does not understand commands on leaderships keeps them from being proposed, and what it may have lost is void
-// everywhere once it is there, and once more when it is of today again.
+// Checks that commands on leaderships are not proposed while a replica does not understand them, and that all leaderships are voided
+// when a replica joins with an earlier program, and again when it joins with the current one.
 func TestAReplicaOfAnEarlierProgram(t *testing.T) {
 	l := New(CompactionWindow)
 	join := func(name string, schema int) Result {
 		return l.Apply(Command{Op: AddReplica, Replica: &api.Replica{Name: name, Schema: schema}})
 	}
-	take := func(index uint64) Result {
+	acquire := func(index uint64) Result {
 		return l.Apply(Command{Op: AcquireLeadership, Index: index, Claim: &LeadershipClaim{LeadershipClaim: api.LeadershipClaim{Name: "d", Holder: "h", LeaseMs: 1000}}})
 	}
 	join("a", 2)
 	if r := join("b", 2); r.LeadershipsVoid || !l.Understands(2, []string{"a", "b"}) || l.Understands(2, []string{"a", "b", "never heard of"}) {
-		t.Errorf("two of today: %+v", r)
+		t.Errorf("two replicas of schema 2: got result %+v, want leaderships kept and schema 2 understood by these two only", r)
 	}
-	first := take(7).Leadership.Epoch
+	firstEpoch := acquire(7).Leadership.Epoch
 	for _, schema := range []int{1, 2} {
 		r := join("b", schema)
 		if _, held := l.Leadership("d"); held || !r.LeadershipsVoid || l.Understands(2, []string{"a", "b"}) != (schema == 2) {
-			t.Errorf("schema %d: held %v, %+v", schema, held, r)
+			t.Errorf("join with schema %d: got held %v, result %+v; want no leadership held and all void", schema, held, r)
 		}
 	}
-	if again := take(9).Leadership.Epoch; again <= first {
-		t.Errorf("epoch %d after %d", again, first)
+	if secondEpoch := acquire(9).Leadership.Epoch; secondEpoch <= firstEpoch {
+		t.Errorf("got epoch %d, want one above %d", secondEpoch, firstEpoch)
 	}
 	if s := New(CompactionWindow).State(); s.Schema() != 1 || !slices.Contains([]int{2}, func() int { s := l.State(); return s.Schema() }()) {
-		t.Error("the schema of a state does not tell whether there were duties")
+		t.Errorf("got schema %d for an empty state, want 1; want 2 for a state with a granted epoch", s.Schema())
 	}
 }
--- a/internal/registry/list/list.go
+++ b/internal/registry/list/list.go
@@ -1,5 +1,5 @@
-// Package list holds the endpoint list of the list service: what a command does to it, and what has changed
-// since a revision. It is pure: the same commands in the same order make the same list on every replica.
+// Package list implements the endpoint list of the list service: it applies commands, and returns what has changed
+// since a revision. It is deterministic: the same commands in the same order make the same list on every replica.
 package list
 
 import (
@@ -13,9 +13,9 @@
 // Operations of commands, as they are encoded in the log.
 const (
 	Register      = "register"
-	Drain         = "drain" // by the server itself
-	Deregister    = "leave" // by the server itself
-	SetAdminState = "hand"  // by an operator
+	Drain         = "drain" // requested by the server itself
+	Deregister    = "leave" // requested by the server itself
+	SetAdminState = "hand"  // requested by an operator
 	Expire        = "expire"
 	AddReplica    = "join" // a replica has joined, or changed
 	RemoveReplica = "part" // a replica has left
@@ -23,14 +23,14 @@
 )
 
 // Schema is the newest schema of commands and backups that this program understands. Replicas announce theirs to each
-// other, and no command of a newer schema may be proposed while a replica does not understand it, or lists would diverge.
+// other. No command of a newer schema may be proposed while a replica does not understand it, or the lists would diverge.
 //
-// Schema 2 introduced leaderships, 3 documents and other regions. A program of schema 1 rejects a command of schema 2, and
+// Schema 2 introduced leaderships, schema 3 documents and other regions. A program of schema 1 rejects a command of schema 2, and
 // leaves its list unchanged.
 const Schema = 3
 
-// CompactionWindow is how many changed entries are stored, removed ones too. A watch from an earlier revision
-// gets the full list.
+// CompactionWindow is the number of changed entries that are stored, including removed ones. A watch from a revision
+// before these changes gets the full list.
 const CompactionWindow = 8192
 
 // Command is an entry of the replicated log.
@@ -46,7 +46,7 @@
 	State        *State            `json:"state,omitempty"`
 	Claim        *LeadershipClaim  `json:"claim,omitempty"` // schema 2, like the fields below
 	ExpiredTerms []LeaseTerm       `json:"terms,omitempty"`
-	Region       string            `json:"region,omitempty"` // schema 3, like the fields below: the region of the writer
+	Region       string            `json:"region,omitempty"` // the region of the writer; schema 3, like the fields below
 	Document     *api.Document     `json:"document,omitempty"`
 	Chunk        *Chunk            `json:"piece,omitempty"`
 
@@ -56,8 +56,8 @@
 // Result is the result of a command.
 type Result struct {
 	Revision        int64      // of the entry
-	Leadership      Leadership // as it is now; no Holder: nobody's
-	LeadershipsVoid bool       // all leaderships are void, see forget
+	Leadership      Leadership // after the command; its Holder is empty if nobody holds it
+	LeadershipsVoid bool       // all leaderships were removed, see voidLeaderships
 	Err             *api.Error
 }
 
@@ -65,16 +65,16 @@
 type State struct {
 	Revision          int64                  `json:"version"`
 	CompactedRevision int64                  `json:"floor"`
-	Records           []api.Record           `json:"records"` // removed ones too, as long as they are stored
+	Records           []api.Record           `json:"records"` // including removed ones that are still stored
 	AdminStates       map[string]string      `json:"hands"`
 	Replicas          map[string]api.Replica `json:"replicas"`
 	Leaderships       []Leadership           `json:"duties,omitempty"` // schema 2
-	HighestEpoch      uint64                 `json:"epoch,omitempty"`  // schema 2: the highest that was granted
+	HighestEpoch      uint64                 `json:"epoch,omitempty"`  // the highest that was granted; schema 2
 
 	Region          string           `json:"region,omitempty"`    // schema 3, like the fields below
-	Documents       []Document       `json:"documents,omitempty"` // own ones, by service
-	Regions         []Region         `json:"others,omitempty"`    // by name
-	RegionRevisions map[string]int64 `json:"moved,omitempty"`     // see List
+	Documents       []Document       `json:"documents,omitempty"` // of this region, sorted by service
+	Regions         []Region         `json:"others,omitempty"`    // sorted by name
+	RegionRevisions map[string]int64 `json:"moved,omitempty"`     // see List.regionRevisions
 }
 
 // Schema returns the lowest schema that the state needs.
@@ -88,48 +88,48 @@
 	return 1
 }
 
-// entryChange is a change of an entry; obsolete once the entry has changed again.
+// entryChange is a change of an entry. It is obsolete once the entry has changed again.
 type entryChange struct {
 	revision int64
 	name     string
 }
 
-// List is the list at a revision. Not safe for concurrent use.
+// List is the endpoint list at its current revision. It is not safe for concurrent use.
 type List struct {
 	revision          int64
-	compactedRevision int64 // revision below which changes are no longer known
+	compactedRevision int64 // changes up to this revision are no longer known
 	records           map[string]*api.Record
-	adminStates       map[string]string // as operators set them, also for servers that are not present
-	changes           []entryChange     // by revision, rising
-	live              int               // records that are not removed
+	adminStates       map[string]string // set by operators, also for servers without an entry; by name
+	changes           []entryChange     // ascending by revision
+	live              int               // number of records that are not removed
 	replicas          map[string]api.Replica
-	window            int
-	leaderships       map[string]Leadership // held, or expired and not acquired since
+	window            int                   // number of changed entries that are stored
+	leaderships       map[string]Leadership // held, or expired and not acquired again since
 	highestEpoch      uint64                // the highest that was granted for any leadership
 
 	region           string                 // the name of the list's region
-	documents        map[string]*Document   // own ones, by service; deleted ones too
-	regions          map[string]*regionCopy // replicated ones
+	documents        map[string]*Document   // of this region, by service; including deleted ones
+	regions          map[string]*regionCopy // replicated from other regions, by name
 	regionRevisions  map[string]int64       // revision at which the visible entry of a name last changed because of another region
 	skipRegionChecks bool                   // see SkipRegionChecks
 }
 
-// New returns an empty list that stores that many changed entries.
-func New(history int) *List {
-	return &List{records: map[string]*api.Record{}, adminStates: map[string]string{}, replicas: map[string]api.Replica{}, window: history,
+// New returns an empty list that stores window changed entries.
+func New(window int) *List {
+	return &List{records: map[string]*api.Record{}, adminStates: map[string]string{}, replicas: map[string]api.Replica{}, window: window,
 		leaderships: map[string]Leadership{}, documents: map[string]*Document{}, regions: map[string]*regionCopy{}, regionRevisions: map[string]int64{}}
 }
 
-// Revision returns the revision of the list, which rises with each change of an entry.
+// Revision returns the revision of the list, which rises with each change of an entry or a document.
 func (l *List) Revision() int64 { return l.revision }
 
-// Len returns the number of endpoints in the list.
+// Len returns the number of own entries that are not removed.
 func (l *List) Len() int { return l.live }
 
 // Replicas returns the replicas of the service.
 func (l *List) Replicas() map[string]api.Replica { return maps.Clone(l.replicas) }
 
-// Get returns an entry; false if there is none, or if it was removed.
+// Get returns the record of an entry. It returns false if there is none, or if it was removed.
 func (l *List) Get(name string) (api.Record, bool) {
 	r := l.records[name]
 	if r == nil || r.ServerStatus == api.Removed {
@@ -138,7 +138,7 @@
 	return *r, true
 }
 
-// Records returns the records of all servers that have not left, in order, including banned ones.
+// Records returns the records of all entries that are not removed, sorted by name, including banned ones.
 func (l *List) Records() []api.Record {
 	all := make([]api.Record, 0, len(l.records))
 	for _, r := range l.records {
@@ -160,60 +160,60 @@
 	return 0
 }
 
-// Full returns the full list as sent to watchers: own endpoints, and those of other regions whose names are not used here.
+// Full returns the full list as sent to watchers: own endpoints, and those of other regions whose names no own endpoint has.
 func (l *List) Full() api.WatchEvent {
-	w := l.ownEntries()
+	event := l.ownEntries()
 	if len(l.regions) == 0 {
-		return w
+		return event
 	}
 	for name := range l.regionEntryNames() {
 		if r := l.records[name]; r == nil || r.ServerStatus == api.Removed {
-			w.Endpoints = append(w.Endpoints, l.visibleEntry(name))
+			event.Endpoints = append(event.Endpoints, l.visibleEntry(name))
 		}
 	}
-	slices.SortFunc(w.Endpoints, func(a, b api.Endpoint) int { return strings.Compare(a.Name, b.Name) })
-	return w
+	slices.SortFunc(event.Endpoints, func(a, b api.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	return event
 }
 
-// ownEntries returns the full list without other regions.
+// ownEntries returns the full list without the endpoints of other regions.
 func (l *List) ownEntries() api.WatchEvent {
-	w := api.WatchEvent{Revision: l.revision, Snapshot: true, Endpoints: []api.Endpoint{}}
+	event := api.WatchEvent{Revision: l.revision, Snapshot: true, Endpoints: []api.Endpoint{}}
 	for _, r := range l.Records() {
 		if r.Status != api.Removed {
-			w.Endpoints = append(w.Endpoints, r.Endpoint)
+			event.Endpoints = append(event.Endpoints, r.Endpoint)
 		}
 	}
-	return w
+	return event
 }
 
-// Remembers reports whether the changes since a revision are known. They are not for one before the compaction window, or
-// of another service.
-func (l *List) Remembers(version int64) bool {
-	return version >= l.compactedRevision && version <= l.revision
+// Remembers reports whether the changes since a revision are known. They are unknown for a revision before the compaction window,
+// and for one above the list's, which another service has sent.
+func (l *List) Remembers(revision int64) bool {
+	return revision >= l.compactedRevision && revision <= l.revision
 }
 
-// ChangesSince returns the changes after a revision, each entry once, in the order of their latest changes; or the full list
-// if those are no longer known.
-func (l *List) ChangesSince(version int64) api.WatchEvent {
-	if !l.Remembers(version) {
+// ChangesSince returns the changes after a revision, with each entry once and in the order of the latest changes, or the full
+// list if the changes are no longer known.
+func (l *List) ChangesSince(revision int64) api.WatchEvent {
+	if !l.Remembers(revision) {
 		return l.Full()
 	}
-	c := api.WatchEvent{Revision: l.revision, Endpoints: []api.Endpoint{}}
-	for _, t := range l.changesAfter(version) {
-		if l.visibleRevision(t.name) == t.revision {
-			c.Endpoints = append(c.Endpoints, l.visibleEntry(t.name))
+	event := api.WatchEvent{Revision: l.revision, Endpoints: []api.Endpoint{}}
+	for _, change := range l.changesAfter(revision) {
+		if l.visibleRevision(change.name) == change.revision {
+			event.Endpoints = append(event.Endpoints, l.visibleEntry(change.name))
 		}
 	}
-	return c
+	return event
 }
 
 // changesAfter returns the changes after a revision.
-func (l *List) changesAfter(version int64) []entryChange {
-	from, _ := slices.BinarySearchFunc(l.changes, version+1, func(t entryChange, v int64) int { return int(t.revision - v) })
-	return l.changes[from:]
+func (l *List) changesAfter(revision int64) []entryChange {
+	start, _ := slices.BinarySearchFunc(l.changes, revision+1, func(change entryChange, target int64) int { return int(change.revision - target) })
+	return l.changes[start:]
 }
 
-// ownRevision returns the revision at which an own entry last changed; 0 if none is stored.
+// ownRevision returns the revision at which an own entry last changed. It returns 0 if no record of it is stored.
 func (l *List) ownRevision(name string) int64 {
 	if r := l.records[name]; r != nil {
 		return r.Revision
@@ -226,14 +226,14 @@
 	return max(l.ownRevision(name), l.regionRevisions[name])
 }
 
-// Apply applies a command.
+// Apply applies a command and returns its result.
 func (l *List) Apply(c Command) Result {
 	switch c.Op {
 	case Register, Drain, Deregister, SetAdminState:
 		return l.applyEntryCommand(c)
 	case Expire:
-		for _, x := range c.Expired {
-			if r := l.records[x.Name]; r != nil && r.ServerStatus != api.Removed && r.Incarnation == x.Incarnation {
+		for _, heartbeat := range c.Expired {
+			if r := l.records[heartbeat.Name]; r != nil && r.ServerStatus != api.Removed && r.Incarnation == heartbeat.Incarnation {
 				l.removeRecord(r)
 			}
 		}
@@ -247,14 +247,14 @@
 		l.setRegion(c.Region)
 		return l.applyChunk(c.Chunk)
 	case AddReplica:
-		forgot := l.voidLeaderships(*c.Replica)
+		voided := l.voidLeaderships(*c.Replica)
 		l.replicas[c.Replica.Name] = *c.Replica
-		return Result{Revision: l.revision, LeadershipsVoid: forgot}
+		return Result{Revision: l.revision, LeadershipsVoid: voided}
 	case RemoveReplica:
 		delete(l.replicas, c.Name)
 		return Result{Revision: l.revision}
 	case Restore:
-		if c.Region != "" { // a new quorum does not know its name yet, under which its documents are sent at once
+		if c.Region != "" { // a new quorum does not know its region's name yet, and sends the restored documents under that name at once
 			l.setRegion(c.Region)
 		}
 		l.restore(c.State)
@@ -263,10 +263,10 @@
 	return Result{Err: api.Errorf(api.CodeBadRequest, "this replica knows of no %q", c.Op)}
 }
 
-// applyEntryCommand applies a command on one entry.
+// applyEntryCommand applies a command to one entry.
 func (l *List) applyEntryCommand(c Command) Result {
-	r, there := l.Get(c.Name)
-	if !there {
+	r, exists := l.Get(c.Name)
+	if !exists {
 		r.Revision = 0
 	}
 	if c.IfRevision != nil && *c.IfRevision != r.Revision {
@@ -282,49 +282,49 @@
 	}
 	if c.Op == SetAdminState {
 		l.setAdminState(c.Name, c.AdminState)
-	} else if !there && c.Op != Register {
+	} else if !exists && c.Op != Register {
 		return Result{Err: api.Errorf(api.CodeNotFound, "%s", c.Name)}
 	}
 	next := r
 	switch c.Op {
 	case Register:
-		if !there && l.live >= api.MaxEndpoints {
+		if !exists && l.live >= api.MaxEndpoints {
 			return Result{Err: api.Errorf(api.CodeFull, "%d entries", l.live)}
 		}
-		g := c.Registration
-		next.Endpoint = api.Endpoint{Name: c.Name, Address: g.Address, Zone: g.Zone, Machine: g.Machine, Cell: g.Cell, Weight: g.Weight, StartedMs: g.StartedMs}
-		next.Incarnation, next.LeaseMs, next.ServerStatus = g.Incarnation, g.LeaseMs, api.Ready
+		registration := c.Registration
+		next.Endpoint = api.Endpoint{Name: c.Name, Address: registration.Address, Zone: registration.Zone, Machine: registration.Machine, Cell: registration.Cell, Weight: registration.Weight, StartedMs: registration.StartedMs}
+		next.Incarnation, next.LeaseMs, next.ServerStatus = registration.Incarnation, registration.LeaseMs, api.Ready
 	case Drain:
 		next.ServerStatus = api.Terminating
 	case Deregister:
 		l.removeRecord(l.records[c.Name])
 		return Result{Revision: 0}
 	case SetAdminState:
-		if !there {
+		if !exists {
 			return Result{}
 		}
 	}
 	next.AdminState = l.adminStates[c.Name]
 	next.Status = status(next)
-	if there && next == r {
+	if exists && next == r {
 		return Result{Revision: r.Revision}
 	}
-	if !there {
+	if !exists {
 		l.live++
 	}
 	l.putRecord(next)
 	return Result{Revision: l.revision}
 }
 
-func (l *List) setAdminState(name, hand string) {
-	if hand == api.AdminNone {
+func (l *List) setAdminState(name, state string) {
+	if state == api.AdminNone {
 		delete(l.adminStates, name)
 		return
 	}
-	l.adminStates[name] = hand
+	l.adminStates[name] = state
 }
 
-// status returns the status of a record as sent to watchers: by the administrative state, or else the server's own.
+// status returns the status of a record that watchers are sent. The administrative state overrides the server's own status.
 func status(r api.Record) string {
 	switch {
 	case r.ServerStatus == api.Removed || r.AdminState == api.AdminBan:
@@ -342,7 +342,7 @@
 	l.putRecord(removed)
 }
 
-// putRecord changes an entry at the next revision.
+// putRecord stores a record at the next revision of the list.
 func (l *List) putRecord(r api.Record) {
 	l.revision++
 	r.Revision = l.revision
@@ -350,7 +350,7 @@
 	l.recordChange(r.Name)
 }
 
-// recordChange records that the visible entry of a name changed at the present revision.
+// recordChange records that the visible entry of a name changed at the current revision.
 func (l *List) recordChange(name string) {
 	l.changes = append(l.changes, entryChange{l.revision, name})
 	if len(l.changes) > 2*l.window {
@@ -358,18 +358,18 @@
 	}
 }
 
-// compact drops obsolete changes, and then the oldest beyond the window with the removed entries among them.
+// compact drops obsolete changes, and then the oldest changes beyond the window, with the records of entries that they removed.
 func (l *List) compact() {
-	l.changes = slices.DeleteFunc(l.changes, func(t entryChange) bool {
-		return l.ownRevision(t.name) != t.revision && l.regionRevisions[t.name] != t.revision
+	l.changes = slices.DeleteFunc(l.changes, func(change entryChange) bool {
+		return l.ownRevision(change.name) != change.revision && l.regionRevisions[change.name] != change.revision
 	})
-	for _, t := range l.changes[:max(0, len(l.changes)-l.window)] {
-		l.compactedRevision = t.revision
-		if l.regionRevisions[t.name] == t.revision {
-			delete(l.regionRevisions, t.name)
+	for _, change := range l.changes[:max(0, len(l.changes)-l.window)] {
+		l.compactedRevision = change.revision
+		if l.regionRevisions[change.name] == change.revision {
+			delete(l.regionRevisions, change.name)
 		}
-		if r := l.records[t.name]; r != nil && r.Revision == t.revision && r.ServerStatus == api.Removed {
-			delete(l.records, t.name)
+		if r := l.records[change.name]; r != nil && r.Revision == change.revision && r.ServerStatus == api.Removed {
+			delete(l.records, change.name)
 		}
 	}
 	l.changes = slices.Clone(l.changes[max(0, len(l.changes)-l.window):])
@@ -386,15 +386,15 @@
 	return s
 }
 
-// Load returns the list of a snapshot.
-func Load(s State, history int) *List {
-	l := New(history)
+// Load returns the list that a snapshot describes.
+func Load(s State, window int) *List {
+	l := New(window)
 	l.revision, l.compactedRevision = s.Revision, s.CompactedRevision
 	maps.Copy(l.adminStates, s.AdminStates)
 	maps.Copy(l.replicas, s.Replicas)
 	l.highestEpoch = s.HighestEpoch
-	for _, d := range s.Leaderships {
-		l.leaderships[d.Name] = d
+	for _, leadership := range s.Leaderships {
+		l.leaderships[leadership.Name] = leadership
 	}
 	for _, r := range s.Records {
 		l.records[r.Name] = &r
@@ -410,21 +410,21 @@
 	return l
 }
 
-// restoreStep is how far the revision of a restored list is put ahead of the backup's and the present one: it is unknown how
-// many revisions a lost service has sent after the backup.
+// restoreStep is added to the higher of the backup's revision and the current one when a list is restored, because it is unknown
+// how many revisions a lost service has sent after the backup.
 const restoreStep = 1 << 20
 
-// restore replaces the entries by those of a backup. The revision continues from the higher of both, and all watchers are
-// sent the full list. Replicas are not changed.
+// restore replaces the entries with those of a backup. The revision continues above the higher of both revisions, and all watchers
+// are sent the full list. Replicas are not changed.
 func (l *List) restore(s *State) {
-	version := max(l.revision, s.Revision, int64(s.HighestEpoch)) + restoreStep // also above epochs, see applyLeadership
-	was := *l
-	next := *s
-	next.Revision, next.CompactedRevision, next.Replicas = version, version, was.replicas
-	next.Region, next.RegionRevisions = was.region, nil
-	*l = *Load(next, l.window)
-	l.restoreDocuments(&was)
-	l.restoreLeaderships(&was)
+	revision := max(l.revision, s.Revision, int64(s.HighestEpoch)) + restoreStep // also above all epochs, see applyLeadership
+	previous := *l
+	restored := *s
+	restored.Revision, restored.CompactedRevision, restored.Replicas = revision, revision, previous.replicas
+	restored.Region, restored.RegionRevisions = previous.region, nil
+	*l = *Load(restored, l.window)
+	l.restoreDocuments(&previous)
+	l.restoreLeaderships(&previous)
 	for name, r := range l.records {
 		if r.ServerStatus == api.Removed {
 			delete(l.records, name)
--- a/internal/registry/list/list_test.go
+++ b/internal/registry/list/list_test.go
@@ -12,37 +12,37 @@
 	"mosslead/internal/registry/api"
 )
 
-// watcher is a watcher's list: what messages make of it.
+// watcher is the list of a watcher, built from the messages that it was sent.
 type watcher struct {
 	revision int64
 	entries  map[string]api.Endpoint
 }
 
-func (m *watcher) apply(t *rapid.T, l api.WatchEvent) {
-	if l.Snapshot {
-		m.entries = map[string]api.Endpoint{}
+func (w *watcher) apply(t *rapid.T, event api.WatchEvent) {
+	if event.Snapshot {
+		w.entries = map[string]api.Endpoint{}
 	}
 	last := int64(0)
 	seen := map[string]bool{}
-	for _, e := range l.Endpoints {
+	for _, e := range event.Endpoints {
 		if seen[e.Name] {
-			t.Fatalf("%s is told twice in one message", e.Name)
+			t.Fatalf("entry %s: got it twice in one message, want once", e.Name)
 		}
 		seen[e.Name] = true
 		if e.Status == api.Removed {
-			delete(m.entries, e.Name)
+			delete(w.entries, e.Name)
 		} else {
-			m.entries[e.Name] = e
+			w.entries[e.Name] = e
 		}
 	}
-	if l.Revision < m.revision || l.Revision < last {
-		t.Fatalf("version %d after %d", l.Revision, m.revision)
+	if event.Revision < w.revision || event.Revision < last {
+		t.Fatalf("got revision %d, want %d or above", event.Revision, w.revision)
 	}
-	m.revision = l.Revision
+	w.revision = event.Revision
 }
 
-// Whatever happens, and however far behind, a watcher that applies what it is told has the list; and a list that went
-// through a snapshot is the same.
+// Checks that a watcher that applies the changes it is sent has the current list, however far behind it was, and that a snapshot
+// preserves the list.
 func TestWatchersHaveTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(rapid.IntRange(1, 6).Draw(t, "history"))
@@ -50,7 +50,7 @@
 		for i := range watchers {
 			watchers[i] = watcher{revision: -1}
 		}
-		version := int64(0)
+		highest := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("u", rapid.IntRange(0, 4).Draw(t, "name"))
 			c := Command{Name: name, Incarnation: rapid.Int64Range(0, 3).Draw(t, "incarnation")}
@@ -63,23 +63,23 @@
 				c.Expired = []api.Heartbeat{{Name: name, Incarnation: c.Incarnation}}
 			}
 			if rapid.Bool().Draw(t, "conditional") {
-				at := rapid.Int64Range(0, l.Revision()).Draw(t, "if_version")
-				c.IfRevision = &at
+				ifRevision := rapid.Int64Range(0, l.Revision()).Draw(t, "if_version")
+				c.IfRevision = &ifRevision
 			}
 			before := l.State()
 			result := l.Apply(c)
 			if result.Err != nil && l.Revision() != before.Revision {
-				t.Fatalf("%+v failed, and changed the list", c)
+				t.Fatalf("command %+v failed with %v: got revision %d, want %d", c, result.Err, l.Revision(), before.Revision)
 			}
-			if l.Revision() < version {
-				t.Fatalf("version %d after %d", l.Revision(), version)
+			if l.Revision() < highest {
+				t.Fatalf("got revision %d, want %d or above", l.Revision(), highest)
 			}
-			version = l.Revision()
-			if r, there := l.Get(name); there && r.AdminState != api.AdminNone && r.Status == api.Ready {
-				t.Fatalf("%s is ready against the operator's word", name)
+			highest = l.Revision()
+			if r, exists := l.Get(name); exists && r.AdminState != api.AdminNone && r.Status == api.Ready {
+				t.Fatalf("entry %s: got status %s with administrative state %q, want it not ready", name, r.Status, r.AdminState)
 			}
 			if len(l.changes) > 2*l.window {
-				t.Fatalf("%d changes are remembered", len(l.changes))
+				t.Fatalf("got %d stored changes, want %d at most", len(l.changes), 2*l.window)
 			}
 			w := &watchers[rapid.IntRange(0, 2).Draw(t, "watcher")]
 			w.apply(t, l.ChangesSince(w.revision))
@@ -88,7 +88,7 @@
 				want[e.Name] = e
 			}
 			if !maps.Equal(w.entries, want) {
-				t.Fatalf("after %+v: a watcher has %v, the list is %v", c, w.entries, want)
+				t.Fatalf("after command %+v: got watcher entries %v, want %v", c, w.entries, want)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
 				text, err := json.Marshal(l.State())
@@ -101,7 +101,7 @@
 				}
 				l = Load(s, l.window)
 				if again, _ := json.Marshal(l.State()); string(again) != string(text) {
-					t.Fatalf("a snapshot of a snapshot is another one:\n%s\n%s", text, again)
+					t.Fatalf("snapshot of a loaded snapshot: got\n%s\nwant\n%s", again, text)
 				}
 			}
 		}
@@ -110,10 +110,10 @@
 
 func TestConditionsAndIncarnations(t *testing.T) {
 	l := New(CompactionWindow)
-	register := func(incarnation int64, ifVersion ...int64) Result {
+	register := func(incarnation int64, ifRevision ...int64) Result {
 		c := Command{Op: Register, Name: "u", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: incarnation}}
-		if len(ifVersion) > 0 {
-			c.IfRevision = &ifVersion[0]
+		if len(ifRevision) > 0 {
+			c.IfRevision = &ifRevision[0]
 		}
 		return l.Apply(c)
 	}
@@ -124,7 +124,7 @@
 		return r.Err.Code
 	}
 	for _, step := range []struct {
-		what string
+		name string
 		got  Result
 		want string
 	}{
@@ -139,11 +139,11 @@
 		{"newer", register(6), ""},
 	} {
 		if code(step.got) != step.want {
-			t.Errorf("%s: %q, want %q", step.what, code(step.got), step.want)
+			t.Errorf("%s: got code %q, want %q", step.name, code(step.got), step.want)
 		}
 	}
-	if l.Revision() != 3 { // registered, left, registered anew; the same again changes nothing
-		t.Errorf("version %d", l.Revision())
+	if l.Revision() != 3 { // registered, left, registered again; repeating a registration changes nothing
+		t.Errorf("got revision %d, want 3", l.Revision())
 	}
 }
 
@@ -151,18 +151,18 @@
 	old := New(CompactionWindow)
 	old.Apply(Command{Op: Register, Name: "kept", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1}})
 	backup := old.State()
-	now := New(CompactionWindow)
+	current := New(CompactionWindow)
 	for i := range 10 {
-		now.Apply(Command{Op: Register, Name: fmt.Sprint("late", i), Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1}})
+		current.Apply(Command{Op: Register, Name: fmt.Sprint("late", i), Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1}})
 	}
-	before := now.Revision()
-	now.Apply(Command{Op: AddReplica, Replica: &api.Replica{Name: "r"}})
-	now.Apply(Command{Op: Restore, State: &backup})
-	l := now.ChangesSince(before)
-	if now.Revision() <= before || !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "kept" {
-		t.Errorf("after a restore at %d, a watcher from %d gets %+v", now.Revision(), before, l)
+	before := current.Revision()
+	current.Apply(Command{Op: AddReplica, Replica: &api.Replica{Name: "r"}})
+	current.Apply(Command{Op: Restore, State: &backup})
+	event := current.ChangesSince(before)
+	if current.Revision() <= before || !event.Snapshot || len(event.Endpoints) != 1 || event.Endpoints[0].Name != "kept" {
+		t.Errorf("after a restore at revision %d, watcher from revision %d: got %+v, want a snapshot with entry kept only", current.Revision(), before, event)
 	}
-	if got := slices.Collect(maps.Keys(now.Replicas())); len(got) != 1 {
-		t.Errorf("replicas %v", got)
+	if got := slices.Collect(maps.Keys(current.Replicas())); len(got) != 1 {
+		t.Errorf("got replicas %v, want 1", got)
 	}
 }
--- a/internal/registry/list/regions.go
+++ b/internal/registry/list/regions.go
@@ -8,19 +8,19 @@
 	"mosslead/internal/registry/api"
 )
 
-// Chunk is a part of another region's changes: from what is replicated of it at From to its state at To.
-// Removed endpoints are among its entries.
+// Chunk is a part of the changes of another region between its revisions From and To. Its entries include removed
+// endpoints.
 type Chunk struct {
 	Region    string         `json:"region"`
-	From      int64          `json:"from"` // all changes of the region up to it are applied
+	From      int64          `json:"from"` // all changes of the region up to this revision are applied
 	To        int64          `json:"to"`
-	Part      int            `json:"part"` // how many chunks were applied since From was complete
-	Last      bool           `json:"last"`
+	Part      int            `json:"part"` // number of chunks applied since From was complete
+	Last      bool           `json:"last"` // whether it completes the changes up to To
 	Entries   []api.Endpoint `json:"entries,omitempty"`
 	Documents []api.Document `json:"documents,omitempty"`
 }
 
-// Region is the replicated state of another region.
+// Region is the replicated state of another region, as part of a State; see regionCopy for its fields.
 type Region struct {
 	Name         string         `json:"name"`
 	Revision     int64          `json:"version"`
@@ -30,11 +30,11 @@
 	Documents    []api.Document `json:"documents"`
 }
 
-// regionCopy is the replicated state of another region.
+// regionCopy is the replicated state of another region, as part of a List.
 type regionCopy struct {
-	revision     int64 // its changes up to this one are applied
-	seenRevision int64 // highest revision of which a chunk was applied; nothing below it is ever applied again
-	part         int   // how many chunks were applied since revision was
+	revision     int64 // all changes up to this one are applied
+	seenRevision int64 // To of the latest chunk that was applied; a chunk with a lower To is rejected
+	part         int   // number of chunks applied since all changes up to revision were
 	entries      map[string]api.Endpoint
 	documents    map[string]api.Document
 }
@@ -44,142 +44,144 @@
 }
 
 func (r Region) load() *regionCopy {
-	o := newRegionCopy()
-	o.revision, o.seenRevision, o.part = r.Revision, r.SeenRevision, r.Part
+	rc := newRegionCopy()
+	rc.revision, rc.seenRevision, rc.part = r.Revision, r.SeenRevision, r.Part
 	for _, e := range r.Entries {
-		o.entries[e.Name] = e
+		rc.entries[e.Name] = e
 	}
 	for _, d := range r.Documents {
-		o.documents[d.Service] = d
+		rc.documents[d.Service] = d
 	}
-	return o
+	return rc
 }
 
 func (l *List) regionsState() (all []Region) {
 	for _, name := range slices.Sorted(maps.Keys(l.regions)) {
-		o := l.regions[name]
-		r := Region{Name: name, Revision: o.revision, SeenRevision: o.seenRevision, Part: o.part, Entries: []api.Endpoint{}, Documents: []api.Document{}}
-		for _, e := range slices.Sorted(maps.Keys(o.entries)) {
-			r.Entries = append(r.Entries, o.entries[e])
+		rc := l.regions[name]
+		state := Region{Name: name, Revision: rc.revision, SeenRevision: rc.seenRevision, Part: rc.part, Entries: []api.Endpoint{}, Documents: []api.Document{}}
+		for _, e := range slices.Sorted(maps.Keys(rc.entries)) {
+			state.Entries = append(state.Entries, rc.entries[e])
 		}
-		for _, d := range slices.Sorted(maps.Keys(o.documents)) {
-			r.Documents = append(r.Documents, o.documents[d])
+		for _, d := range slices.Sorted(maps.Keys(rc.documents)) {
+			state.Documents = append(state.Documents, rc.documents[d])
 		}
-		all = append(all, r)
+		all = append(all, state)
 	}
 	return all
 }
 
-// Replicated is what is replicated of another region. It must not be modified, nor read after the list has changed.
+// Replicated is the replicated state of another region. It must not be modified, nor read after the list has changed.
 type Replicated struct {
 	Revision, SeenRevision int64
-	NextPart               int // of the next chunk
+	NextPart               int // Part of the next chunk
 	Entries                map[string]api.Endpoint
 	Documents              map[string]api.Document
 }
 
-// Replicated returns what is replicated of another region; the zero value if nothing is.
+// Replicated returns the replicated state of another region, or the zero value if nothing is replicated.
 func (l *List) Replicated(region string) Replicated {
-	o := l.regions[region]
-	if o == nil {
+	rc := l.regions[region]
+	if rc == nil {
 		return Replicated{}
 	}
-	return Replicated{Revision: o.revision, SeenRevision: o.seenRevision, NextPart: o.part, Entries: o.entries, Documents: o.documents}
+	return Replicated{Revision: rc.revision, SeenRevision: rc.seenRevision, NextPart: rc.part, Entries: rc.entries, Documents: rc.documents}
 }
 
-// Regions returns the names of the regions of which anything is replicated.
+// Regions returns the names of the replicated regions, sorted.
 func (l *List) Regions() []string { return slices.Sorted(maps.Keys(l.regions)) }
 
-// SkipRegionChecks has the list apply everything it is sent of other regions, including older revisions. It plants a fault
-// that checkers have to detect, and has no other use.
+// SkipRegionChecks makes the list apply all chunks of other regions, including those of older revisions. It injects a fault that
+// checkers have to detect, and has no other use.
 func (l *List) SkipRegionChecks() { l.skipRegionChecks = true }
 
-// applyChunk applies a chunk. A chunk that does not follow what is replicated, was computed before another was applied, or
-// is older than one applied in part is ignored, so that a deposed leader, a duplicated or late chunk, and a source that was
-// rolled back do no harm.
-func (l *List) applyChunk(p *Chunk) Result {
-	if p == nil || p.Region == "" || p.Region == l.region {
+// applyChunk applies a chunk. It rejects a chunk that does not follow the replicated state, that was computed before another one
+// was applied, or whose revision is below that of a partly applied one. Therefore a deposed leader, a duplicated or late chunk, and
+// a source that was rolled back do no harm.
+func (l *List) applyChunk(chunk *Chunk) Result {
+	if chunk == nil || chunk.Region == "" || chunk.Region == l.region {
 		return Result{Err: api.Errorf(api.CodeBadRequest, "a piece of another region's list is needed")}
 	}
-	o := l.regions[p.Region]
-	if o == nil {
-		o = newRegionCopy()
+	rc := l.regions[chunk.Region]
+	if rc == nil {
+		rc = newRegionCopy()
 	}
-	if !l.skipRegionChecks && (p.From != o.revision || p.To < o.seenRevision || p.To < p.From || p.Part != o.part) {
+	if !l.skipRegionChecks && (chunk.From != rc.revision || chunk.To < rc.seenRevision || chunk.To < chunk.From || chunk.Part != rc.part) {
 		return Result{Revision: l.revision, Err: api.Errorf(api.CodeConflict, "region %s is held at %d, and piece %d on from there, to %d or above, is next: not piece %d from %d to %d",
-			p.Region, o.revision, o.part, o.seenRevision, p.Part, p.From, p.To)}
+			chunk.Region, rc.revision, rc.part, rc.seenRevision, chunk.Part, chunk.From, chunk.To)}
 	}
-	if n := l.countRegionEntries() + len(p.Entries); n > api.MaxEndpoints && n-l.countReplacedOrRemoved(p) > api.MaxEndpoints {
+	if n := l.countRegionEntries() + len(chunk.Entries); n > api.MaxEndpoints && n-l.countReplacedOrRemoved(chunk) > api.MaxEndpoints {
 		return Result{Revision: l.revision, Err: api.Errorf(api.CodeFull, "%d entries of other regions", n)}
 	}
-	l.regions[p.Region] = o
-	o.seenRevision, o.part = p.To, o.part+1
+	l.regions[chunk.Region] = rc
+	rc.seenRevision, rc.part = chunk.To, rc.part+1
 	changed := false
-	for _, d := range p.Documents {
-		if replicated, there := o.documents[d.Service]; there && d.Revision <= replicated.Revision && !l.skipRegionChecks {
+	for _, d := range chunk.Documents {
+		if replicated, exists := rc.documents[d.Service]; exists && d.Revision <= replicated.Revision && !l.skipRegionChecks {
 			continue
 		}
-		was, _ := l.Document(d.Service)
-		d.Region = p.Region
-		o.documents[d.Service] = d
-		now, _ := l.Document(d.Service)
-		changed = changed || was.Region != now.Region || was.Revision != now.Revision
+		before, _ := l.Document(d.Service)
+		d.Region = chunk.Region
+		rc.documents[d.Service] = d
+		after, _ := l.Document(d.Service)
+		changed = changed || before.Region != after.Region || before.Revision != after.Revision
 	}
 	if changed {
-		l.revision++ // notifies watchers
+		l.revision++ // so that watchers are notified
 	}
-	for _, e := range p.Entries {
-		l.applyRegionEntry(o, e)
+	for _, e := range chunk.Entries {
+		l.applyRegionEntry(rc, e)
 	}
-	if p.Last {
-		o.revision, o.part = p.To, 0
+	if chunk.Last {
+		rc.revision, rc.part = chunk.To, 0
 	}
 	return Result{Revision: l.revision}
 }
 
 // countRegionEntries returns the number of entries of other regions.
 func (l *List) countRegionEntries() (n int) {
-	for _, o := range l.regions {
-		n += len(o.entries)
+	for _, rc := range l.regions {
+		n += len(rc.entries)
 	}
 	return n
 }
 
-// countReplacedOrRemoved returns the number of entries of a chunk that don't add to those stored.
-func (l *List) countReplacedOrRemoved(p *Chunk) (n int) {
-	replicated := l.Replicated(p.Region)
-	for _, e := range p.Entries {
-		if _, there := replicated.Entries[e.Name]; there || e.Status == api.Removed {
+// countReplacedOrRemoved returns the number of entries of a chunk that are stored already or removed, and so add
+// nothing to the stored ones.
+func (l *List) countReplacedOrRemoved(chunk *Chunk) (n int) {
+	replicated := l.Replicated(chunk.Region)
+	for _, e := range chunk.Entries {
+		if _, exists := replicated.Entries[e.Name]; exists || e.Status == api.Removed {
 			n++
 		}
 	}
 	return n
 }
 
-func (l *List) applyRegionEntry(o *regionCopy, e api.Endpoint) {
-	was := l.visibleEntry(e.Name)
+// applyRegionEntry stores or deletes an entry of another region, and records a change if this changes the visible entry.
+func (l *List) applyRegionEntry(rc *regionCopy, e api.Endpoint) {
+	before := l.visibleEntry(e.Name)
 	if e.Status == api.Removed {
-		delete(o.entries, e.Name)
+		delete(rc.entries, e.Name)
 	} else {
-		o.entries[e.Name] = e
+		rc.entries[e.Name] = e
 	}
-	if l.visibleEntry(e.Name) != was {
+	if l.visibleEntry(e.Name) != before {
 		l.revision++
 		l.regionRevisions[e.Name] = l.revision
 		l.recordChange(e.Name)
 	}
 }
 
-// visibleEntry returns the entry of a name that watchers are sent: an own one before any other, and of those the one of the
-// region with the smaller name.
+// visibleEntry returns the entry that watchers are sent for a name: the own entry if there is one, or else that of the region with
+// the smallest name. It returns a removed entry if there is none.
 func (l *List) visibleEntry(name string) api.Endpoint {
 	r := l.records[name]
 	if r != nil && r.ServerStatus != api.Removed {
 		return r.Endpoint
 	}
 	first := ""
-	for region, o := range l.regions {
-		if _, ok := o.entries[name]; ok && (first == "" || region < first) {
+	for region, rc := range l.regions {
+		if _, ok := rc.entries[name]; ok && (first == "" || region < first) {
 			first = region
 		}
 	}
@@ -192,12 +194,12 @@
 	return api.Endpoint{Name: name, Status: api.Removed}
 }
 
-// regionEntryNames returns the names of other regions' entries, each once.
+// regionEntryNames yields the names of other regions' entries, each once.
 func (l *List) regionEntryNames() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		seen := map[string]bool{}
-		for _, o := range l.regions {
-			for name := range o.entries {
+		for _, rc := range l.regions {
+			for name := range rc.entries {
 				if !seen[name] {
 					seen[name] = true
 					if !yield(name) {
