--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -1,5 +1,5 @@
-// Package api defines the messages between replicas of the list service and their clients. Members of two
-// versions talk in them: encoded names stay.
+// Package api defines the messages between replicas of the list service and their clients. Processes of different
+// versions exchange these messages, so encoded names must not change.
 package api
 
 import (
@@ -10,15 +10,15 @@
 // States of an endpoint, as discovery encodes them.
 const (
 	Ready       = "Ready"
-	Terminating = "Terminating" // draining: it finishes what it has, and gets nothing new
-	Removed     = "Gone"        // only in changes
+	Terminating = "Terminating" // draining: it finishes its requests and gets no new ones
+	Removed     = "Gone"        // removed from the list; only in changes
 )
 
 // Administrative states that an operator may set. They override the server's own status.
 const (
 	AdminNone  = ""
-	AdminDrain = "drain" // Terminating, whatever the server reports
-	AdminBan   = "ban"   // not in the list, whatever the server reports
+	AdminDrain = "drain" // the status is Terminating, whatever the server reports
+	AdminBan   = "ban"   // the server is not in the list, whatever it reports
 )
 
 // Endpoint is a server in the endpoint list.
@@ -26,42 +26,42 @@
 	Name      string  `json:"name"`
 	Address   string  `json:"address"`
 	Zone      string  `json:"zone"`
-	Machine   string  `json:"type"` // kind of machine
+	Machine   string  `json:"type"` // machine type
 	Cell      int     `json:"group"`
 	Status    string  `json:"status"`
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"since_ms"` // Unix time of the server's latest start, in milliseconds; 0: long ago
+	StartedMs int64   `json:"since_ms"` // Unix time of the server's latest start, in milliseconds; 0 means long ago
 }
 
-// WatchEvent is one message of a watch: the full list, or what changed since the one before.
+// WatchEvent is one message of a watch: the full list, or the changes since the previous message.
 type WatchEvent struct {
 	Revision  int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
-	// Region is whose list it is, and Documents the settings that changed; both only for clients that request
-	// them.
+	// Region is the region that owns the list, and Documents are the settings that changed. Both are set only for
+	// clients that request them.
 	Region    string     `json:"region,omitempty"`
 	Documents []Document `json:"documents,omitempty"`
 }
 
-// Record is an endpoint with what the service knows beside the list.
+// Record is an endpoint with the data that the service keeps beside the list.
 type Record struct {
 	Endpoint
-	Revision     int64  `json:"version"`     // of the list, when this last changed
-	Incarnation  int64  `json:"incarnation"` // of the server's process: the higher is the newer
-	LeaseMs      int64  `json:"lease_ms"`    // 0: it has no lease
-	ServerStatus string `json:"own"`         // as the server reports it: Ready or Terminating
+	Revision     int64  `json:"version"`     // revision of the list at which the entry last changed
+	Incarnation  int64  `json:"incarnation"` // of the server's process; a newer process has a higher one
+	LeaseMs      int64  `json:"lease_ms"`    // 0 if it has no lease
+	ServerStatus string `json:"own"`         // as the server reports it: Ready or Terminating, or Removed once the entry has ended
 	AdminState   string `json:"hand"`
 }
 
-// Records is the list with all that is known.
+// Records is the list with the records of all entries.
 type Records struct {
 	Revision int64    `json:"version"`
 	Records  []Record `json:"records"`
 }
 
-// Registration asks for a server to be listed. Registering again with the same incarnation changes what
-// differs.
+// Registration is a request to list a server. Registering it again with the same incarnation updates the fields that
+// differ.
 type Registration struct {
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
@@ -70,15 +70,15 @@
 	Weight      float64 `json:"weight"` // default: 1
 	StartedMs   int64   `json:"since_ms"`
 	Incarnation int64   `json:"incarnation"`
-	LeaseMs     int64   `json:"lease_ms"` // 0: without a lease
+	LeaseMs     int64   `json:"lease_ms"` // 0 for no lease
 	IfRevision  *int64  `json:"if_version,omitempty"`
 }
 
-// StateChange asks for draining, deregistering, or an administrative state.
+// StateChange is a request to drain or deregister a server, or to set its administrative state.
 type StateChange struct {
-	Incarnation int64  `json:"incarnation,omitempty"` // 0: whichever is present
+	Incarnation int64  `json:"incarnation,omitempty"` // 0 for any
 	AdminState  string `json:"hand,omitempty"`
-	IfRevision  *int64 `json:"if_version,omitempty"` // of the entry; 0: only if there is none
+	IfRevision  *int64 `json:"if_version,omitempty"` // required revision of the entry; 0 if there must be none
 }
 
 // WriteResult is the response to a write.
@@ -86,18 +86,18 @@
 	Revision int64 `json:"version"` // of the entry
 }
 
-// Heartbeat renews the lease of one server.
+// Heartbeat is a request to renew the lease of one server.
 type Heartbeat struct {
 	Name        string `json:"name"`
 	Incarnation int64  `json:"incarnation"`
 }
 
-// Heartbeats renews several leases.
+// Heartbeats is a request to renew several leases.
 type Heartbeats struct {
 	Heartbeats []Heartbeat `json:"leases"`
 }
 
-// HeartbeatResult names the servers that have no lease, or no longer, and have to register.
+// HeartbeatResult names the servers that have no lease, or whose lease has expired, and that have to register.
 type HeartbeatResult struct {
 	Expired []string `json:"lost"`
 }
@@ -105,17 +105,17 @@
 // Replica is a process of the service.
 type Replica struct {
 	Name       string `json:"name"`
-	Raft       string `json:"raft"` // where other replicas reach it
-	API        string `json:"api"`  // where it serves clients
-	DiskID     string `json:"disk"` // random, made with its directory
+	Raft       string `json:"raft"` // address for other replicas
+	API        string `json:"api"`  // address for clients
+	DiskID     string `json:"disk"` // random, created with its data directory
 	StartCount int64  `json:"starts"`
-	Schema     int    `json:"schema"` // newest form of commands that it understands
+	Schema     int    `json:"schema"` // newest schema of commands that it understands
 }
 
-// Identity is what a replica reports of itself before it joins.
+// Identity is what a replica reports about itself before it joins a quorum.
 type Identity struct {
 	Replica
-	Formed  bool               `json:"formed"` // it belongs to a quorum that was formed
+	Formed  bool               `json:"formed"` // whether it belongs to a quorum that was formed
 	Members map[string]Replica `json:"members"`
 }
 
@@ -128,13 +128,13 @@
 	Revision      int64               `json:"version"`
 	Endpoints     int                 `json:"entries"`
 	Watchers      int                 `json:"watchers"`
-	StalenessMs   int64               `json:"stale_ms"` // the list may be this old; -1: it was never known to be the service's
+	StalenessMs   int64               `json:"stale_ms"` // upper bound of the age of its list; -1 if the list was never known to be up to date
 	Preserving    bool                `json:"preserving"`
-	ExpiredLeases []string            `json:"silent"` // servers whose lease has expired, as the leader knows
+	ExpiredLeases []string            `json:"silent"` // servers whose lease has expired; at the leader only
 	Members       map[string]Replica  `json:"members"`
 	Voters        []string            `json:"voters"`
 	Region        string              `json:"region,omitempty"`
-	Replication   []ReplicationStatus `json:"following,omitempty"` // of other regions; at the leader only
+	Replication   []ReplicationStatus `json:"following,omitempty"` // replication of other regions; at the leader only
 }
 
 // Codes of errors.
@@ -146,30 +146,30 @@
 	CodeFull             = "full"
 	CodeNoLeader         = "no leader"
 	CodeStale            = "stale"
-	CodeOlderReplica     = "older replica"   // a replica of the quorum would not understand the command
-	CodeOutcomeUnknown   = "outcome unknown" // it may have been carried out, or may be yet
+	CodeOlderReplica     = "older replica"   // a replica of the quorum does not understand the command
+	CodeOutcomeUnknown   = "outcome unknown" // the command may have been carried out, or may still be
 )
 
-// Error is the body of a response other than 200. errors.As finds it.
+// Error is the body of a response with a status other than 200. errors.As finds it in errors of package client.
 type Error struct {
 	Code string `json:"code"`
 	Text string `json:"error"`
 }
 
-func (f *Error) Error() string { return f.Code + ": " + f.Text }
+func (e *Error) Error() string { return e.Code + ": " + e.Text }
 
 // Errorf returns an Error with that code.
 func Errorf(code, format string, args ...any) *Error {
 	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// IsCode tells whether err is an Error with that code.
+// IsCode reports whether err is or wraps an Error with that code.
 func IsCode(err error, code string) bool {
-	var f *Error
-	return errors.As(err, &f) && f.Code == code
+	var e *Error
+	return errors.As(err, &e) && e.Code == code
 }
 
-// Bounds of what may be registered.
+// Bounds of registrations.
 const (
 	MaxName      = 128
 	MaxAddress   = 256
@@ -179,7 +179,7 @@
 	MaxLeaseMs   = 600_000
 )
 
-// Check tells what is wrong with a registration under a name; nil: nothing.
+// Check returns an error if a registration under a name is invalid.
 func (r *Registration) Check(name string) error {
 	switch {
 	case name == "" || len(name) > MaxName:
--- a/internal/registry/api/golden_test.go
+++ b/internal/registry/api/golden_test.go
@@ -7,7 +7,7 @@
 	"mosslead/internal/golden"
 )
 
-// Replicas, servers, sidecars and operators of two versions talk to each other in these messages.
+// Checks that the encoding of messages does not change: replicas, servers, sidecars and operators of two versions exchange them.
 func TestMessagesKeepTheirForm(t *testing.T) {
 	golden.JSON(t, "messages", &Endpoint{}, &WatchEvent{}, &Record{}, &Records{}, &Registration{}, &StateChange{}, &WriteResult{}, &Heartbeats{}, &HeartbeatResult{},
 		&Replica{}, &Identity{}, &Status{}, &Error{}, &LeadershipClaim{}, &LeadershipGrant{}, &Leaderships{}, &Document{}, &Documents{}, &PutRequest{}, &Acks{},
--- a/internal/registry/api/leadership.go
+++ b/internal/registry/api/leadership.go
@@ -4,31 +4,31 @@
 
 // LeadershipClaim is a candidate's claim to a leadership.
 type LeadershipClaim struct {
-	Name    string  `json:"name,omitempty"`    // of the leadership
-	Holder  string  `json:"holder"`            // the member and its incarnation: another process of the same member is another holder
-	LeaseMs int64   `json:"lease_ms"`          // requested
-	Epoch   uint64  `json:"epoch,omitempty"`   // to renew or release: that of the lease; to acquire: the latest that was released
-	Fitness float64 `json:"fitness,omitempty"` // 0 to MaxFitness: how fit the candidate is
+	Name    string  `json:"name,omitempty"`    // name of the leadership
+	Holder  string  `json:"holder"`            // node and incarnation of the candidate, so that each of its processes is another holder
+	LeaseMs int64   `json:"lease_ms"`          // requested length of the lease
+	Epoch   uint64  `json:"epoch,omitempty"`   // to renew or release: the epoch of the lease; to acquire: the latest epoch that the candidate released
+	Fitness float64 `json:"fitness,omitempty"` // how fit the candidate is, from 0 to MaxFitness
 }
 
-// LeadershipGrant is a leadership as the service has it.
+// LeadershipGrant is the state of a leadership at the service.
 type LeadershipGrant struct {
 	Name    string `json:"name"`
-	Holder  string `json:"holder"`   // empty: nobody
-	Epoch   uint64 `json:"epoch"`    // rises with each holder, never falls
-	LeaseMs int64  `json:"lease_ms"` // from when the request was sent, by the holder's clock
-	// RetryAfterMs is when a rejected candidate is to ask again: the service spreads those that wait.
+	Holder  string `json:"holder"`   // empty if nobody holds it
+	Epoch   uint64 `json:"epoch"`    // rises with each new holder, and never falls
+	LeaseMs int64  `json:"lease_ms"` // counted from when the request was sent, by the holder's clock
+	// RetryAfterMs is the time after which a rejected candidate is to retry. The service spreads the retries of candidates.
 	RetryAfterMs int64 `json:"after_ms,omitempty"`
-	// BetterFitness is the highest fitness of those rejected of late, if it is above the holder's own.
+	// BetterFitness is the highest fitness of recently rejected candidates, if it is above the holder's own.
 	BetterFitness float64 `json:"better,omitempty"`
 }
 
-// HeldBy tells whether holder has the leadership, under an epoch above after.
+// HeldBy reports whether holder has the leadership under an epoch above after.
 func (g LeadershipGrant) HeldBy(holder string, after uint64) bool {
 	return g.Holder == holder && g.Epoch > after
 }
 
-// Leaderships are all that are held, by name.
+// Leaderships contains all leaderships that are held, sorted by name.
 type Leaderships struct {
 	Leaderships []LeadershipGrant `json:"duties"`
 }
@@ -42,7 +42,7 @@
 	MaxFitness           = 1000
 )
 
-// Check tells what is wrong with a claim; nil: nothing. held: it is to renew or to release.
+// Check returns an error if a claim is invalid. held is set for a claim to renew or release a leadership.
 func (c *LeadershipClaim) Check(held bool) error {
 	switch {
 	case c.Name == "" || len(c.Name) > MaxName:
--- a/internal/registry/api/settings.go
+++ b/internal/registry/api/settings.go
@@ -5,92 +5,91 @@
 	"encoding/json"
 )
 
-// Document is the settings of one service. One region owns it: its revision rises there only, and nobody who
+// Document contains the settings of one service. One region owns it. Its revision rises there only, and no process that
 // has seen a revision accepts an older one of the same region.
 type Document struct {
 	Service  string          `json:"service"`
-	Region   string          `json:"region,omitempty"` // its owner; empty if there is one region
-	Revision int64           `json:"version"`          // of the owner's list, when this last changed
-	Schema   int             `json:"schema"`           // of Settings, see package settings
+	Region   string          `json:"region,omitempty"` // the region that owns it; empty if there is only one region
+	Revision int64           `json:"version"`          // revision of the owner's list at which the document last changed
+	Schema   int             `json:"schema"`           // schema of Settings, see package settings
 	Deleted  bool            `json:"deleted,omitempty"`
-	Settings json.RawMessage `json:"settings,omitempty"` // the object that a sidecar's file has under "settings"; absent once deleted
-	// EarlierRevisions are those that are stored, rising; only in the response to a request for this document.
+	Settings json.RawMessage `json:"settings,omitempty"` // the object under "settings" in a sidecar's file; absent if deleted
+	// EarlierRevisions are the stored earlier revisions, ascending; only in the response to a request for this document.
 	EarlierRevisions []int64 `json:"earlier,omitempty"`
 }
 
-// Documents are all that a region knows, its own and others'.
+// Documents contains all documents that a region knows, its own and those of others.
 type Documents struct {
-	Revision  int64      `json:"version"` // of the list that was read
+	Revision  int64      `json:"version"` // revision of the list that was read
 	Documents []Document `json:"documents"`
 }
 
-// PutRequest changes the settings of a service.
+// PutRequest is a request to change the settings of a service.
 type PutRequest struct {
 	Schema     int             `json:"schema"`
 	Settings   json.RawMessage `json:"settings,omitempty"`
-	IfRevision *int64          `json:"if_version"` // of the document that it was based on; 0: only if there is none, or it is deleted
+	IfRevision *int64          `json:"if_version"` // required revision of the document; 0 if it must not exist, or must be deleted
 }
 
-// Ack is a sidecar's acknowledgement of a document: it is in force there, or was rejected and the one before
-// still is.
+// Ack is a sidecar's acknowledgement of a document: the document is in force there, or it was rejected and the previous
+// one still is.
 type Ack struct {
 	Node             string `json:"node"`
 	Service          string `json:"service"`
-	Region           string `json:"region,omitempty"` // of the document
-	Revision         int64  `json:"version"`          // in force; 0: its file's settings are
+	Region           string `json:"region,omitempty"` // region of the document
+	Revision         int64  `json:"version"`          // revision in force; 0 if the settings of the sidecar's file are
 	RejectedRevision int64  `json:"rejected,omitempty"`
-	Reason           string `json:"why,omitempty"` // the rejected revision is not in force
-	// SilentMs is how long the sidecar has not acknowledged, if that is over AckTimeoutMs; only in a Rollout.
+	Reason           string `json:"why,omitempty"` // why the rejected revision is not in force
+	// SilentMs is the time since the latest acknowledgement of the sidecar, if that is over AckTimeoutMs; only in a Rollout.
 	SilentMs int64 `json:"silent_ms,omitempty"`
 }
 
-// Acks are acknowledgements of several sidecars.
+// Acks contains acknowledgements of several sidecars.
 type Acks struct {
 	Acks []Ack `json:"acks"`
 }
 
-// Rollout is how far a document has come among the sidecars of this region. Counts are of those that
-// acknowledged within AckTimeoutMs; Silent of those that did once, and no longer do.
+// Rollout is the progress of a document among the sidecars of this region. Silent counts the sidecars whose latest
+// acknowledgement is older than AckTimeoutMs; the other counts are of those that acknowledged within that time.
 type Rollout struct {
 	Document         // without Settings
 	InForce    int   `json:"in_force"`
 	Behind     int   `json:"behind"`
 	Rejected   int   `json:"rejected"`
 	Silent     int   `json:"unheard"`
-	NotInForce []Ack `json:"others,omitempty"` // of those that don't have it in force, MaxNotInForce at most
+	NotInForce []Ack `json:"others,omitempty"` // sidecars where it is not in force, MaxNotInForce at most
 }
 
-// Rollouts are those of all documents.
+// Rollouts contains the rollouts of all documents.
 type Rollouts struct {
-	Region   string    `json:"region,omitempty"` // that responds
+	Region   string    `json:"region,omitempty"` // the region that responds
 	Rollouts []Rollout `json:"rollouts"`
 }
 
-// ReplicationStatus is how far one region has replicated another.
+// ReplicationStatus is the state of the replication of another region.
 type ReplicationStatus struct {
 	Region       string `json:"region"`
-	Revision     int64  `json:"version"` // all changes of the other region up to it are applied
-	SeenRevision int64  `json:"seen"`    // the highest received; above Revision: some of it is being applied
-	AgeMs        int64  `json:"age_ms"`  // since the other region was last heard, by the leader's clock; -1: not since it leads
+	Revision     int64  `json:"version"` // all changes of the other region up to this revision are applied
+	SeenRevision int64  `json:"seen"`    // the highest revision received; above Revision while its changes are being applied
+	AgeMs        int64  `json:"age_ms"`  // time since the latest message of the other region, by the leader's clock; -1 if none came since it leads
 	Endpoints    int    `json:"entries"`
-	// RejectedReason is why what the other region sends is not applied, as when its revision went back; empty:
-	// it is.
+	// RejectedReason is why changes of the other region are not applied, for example because its revision went back.
+	// It is empty if they are applied.
 	RejectedReason string `json:"aside,omitempty"`
 }
 
 // Bounds of documents.
 const (
-	MaxSettings         = 64 << 10 // bytes of one
-	MaxAllSettings      = 8 << 20  // bytes of all documents of one region
-	MaxDocuments        = 1024     // of one region, deleted ones too
+	MaxSettings         = 64 << 10 // bytes of the settings of one document
+	MaxAllSettings      = 8 << 20  // bytes of the settings of all documents of one region
+	MaxDocuments        = 1024     // documents of one region, including deleted ones
 	MaxReason           = 256
 	MaxNotInForce       = 100
-	MaxEarlierRevisions = 4 // of one document that are stored beside the present one
+	MaxEarlierRevisions = 4 // stored revisions of one document besides the current one
 	AckTimeoutMs        = 60_000
 )
 
-// Check tells what is wrong with the form of a request; nil: nothing. The settings themselves are checked by
-// package settings.
+// Check returns an error if the form of a request is invalid. Package settings checks the settings themselves.
 func (p *PutRequest) Check(service string) error {
 	switch {
 	case service == "" || len(service) > MaxName:
@@ -105,7 +104,7 @@
 	return nil
 }
 
-// Check tells what is wrong with an acknowledgement; nil: nothing.
+// Check returns an error if an acknowledgement is invalid.
 func (a *Ack) Check() error {
 	switch {
 	case a.Node == "" || len(a.Node) > MaxName || a.Service == "" || len(a.Service) > MaxName:
