--- a/internal/registry/client/backoff.go
+++ b/internal/registry/client/backoff.go
@@ -10,22 +10,22 @@
 const (
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	retryBurst     = 6                // retries that the budget holds
+	retryBurst     = 6                // maximum number of retries in the budget
 	retryRefill    = 2 * time.Second  // time in which the budget regains one retry
-	backoffReset   = 10 * time.Second // without a failure, after which the back-off starts over
+	backoffReset   = 10 * time.Second // time without a failure after which the back-off starts over
 )
 
-// backoff paces the attempts of one call or watch: exponential back-off with full jitter, so that the clients of a fleet
-// don't return at once, limited by a retry budget, so that a service that fails every attempt is not overloaded by them.
-// The zero value is ready to use; not safe for concurrent use.
+// backoff spaces the attempts of one call or watch. It is exponential with full jitter, so that the clients of a fleet don't
+// return at once, and limited by a retry budget, so that they don't overload a service that fails every attempt.
+// The zero value is ready to use. It is not safe for concurrent use.
 type backoff struct {
 	failures    int
 	lastFailure time.Time
 	tokens      float64
 }
 
-// next returns the wait after a failure at now; chance is a random number in [0, 1).
-func (b *backoff) next(now time.Time, chance float64) time.Duration {
+// next returns the wait after a failure at the time now; random is a random number in [0, 1).
+func (b *backoff) next(now time.Time, random float64) time.Duration {
 	if b.lastFailure.IsZero() {
 		b.tokens = retryBurst
 	} else {
@@ -38,20 +38,20 @@
 	b.lastFailure = now
 	limit := min(initialBackoff<<min(b.failures, 10), maxBackoff)
 	b.failures++
-	wait := time.Duration(chance * float64(limit))
-	b.tokens = max(b.tokens-1, -retryBurst) // callers that wait less, as watches do, don't run up more debt
+	wait := time.Duration(random * float64(limit))
+	b.tokens = max(b.tokens-1, -retryBurst) // bounds the debt of callers that wait less than this, as watches do
 	if b.tokens < 0 {
-		wait = max(wait, time.Duration(-b.tokens*(0.5+chance)*float64(retryRefill)))
+		wait = max(wait, time.Duration(-b.tokens*(0.5+random)*float64(retryRefill)))
 	}
 	return min(wait, 2*maxBackoff)
 }
 
-// wait blocks for the next wait; it returns false if ctx ended first.
+// wait blocks until the next attempt is due. It returns false if ctx ended first.
 func (b *backoff) wait(ctx context.Context) bool {
-	t := time.NewTimer(b.next(time.Now(), rand.Float64()))
-	defer t.Stop()
+	timer := time.NewTimer(b.next(time.Now(), rand.Float64()))
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -1,6 +1,6 @@
 // Package client is the client of the list service: it chooses the replica, retries with back-off, keeps servers
-// registered, and checks lists for plausibility. Besides the API package it imports the standard library alone, as the
-// sidecar links it too.
+// registered, and checks lists for plausibility. Besides the packages api and watch it imports the standard library only,
+// because the sidecar links it too.
 package client
 
 import (
@@ -23,37 +23,37 @@
 
 const (
 	dialTimeout    = 500 * time.Millisecond
-	attemptTimeout = 3 * time.Second // of one attempt: a write waits for a quorum
+	attemptTimeout = 3 * time.Second // of one attempt; a write waits for a quorum
 )
 
-// Client calls a list service of one or several replicas. Its methods block until there is an answer or ctx ends, and
+// Client calls a list service of one or several replicas. Its methods block until there is a response or ctx ends, and
 // are safe for concurrent use.
 type Client struct {
 	http *http.Client
 
 	mu           sync.Mutex
 	addresses    []string
-	currentIndex int
+	currentIndex int // in addresses, of the replica in use
 }
 
-// Addresses parses "a:1,b:2". An error names what is no host:port.
+// Addresses parses a list of addresses like "a:1,b:2". The error names an address that is invalid or listed twice.
 func Addresses(text string) ([]string, error) {
-	var all []string
-	for _, a := range strings.Split(text, ",") {
-		a = strings.TrimSpace(a)
-		if !api.IsAddress(a) {
-			return nil, fmt.Errorf("host:port, not %q", a)
+	var addresses []string
+	for _, address := range strings.Split(text, ",") {
+		address = strings.TrimSpace(address)
+		if !api.IsAddress(address) {
+			return nil, fmt.Errorf("host:port, not %q", address)
 		}
-		if slices.Contains(all, a) {
-			return nil, fmt.Errorf("%s is there twice", a)
+		if slices.Contains(addresses, address) {
+			return nil, fmt.Errorf("%s is listed twice", address)
 		}
-		all = append(all, a)
+		addresses = append(addresses, address)
 	}
-	return all, nil
+	return addresses, nil
 }
 
 // New returns a client of the replicas at these addresses, of which there must be at least one. It starts with a random
-// one, so that the clients of a fleet spread over the replicas.
+// replica, so that the clients of a fleet spread over the replicas.
 func New(addresses []string) *Client {
 	return &Client{addresses: addresses, currentIndex: rand.IntN(len(addresses)),
 		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -70,82 +70,82 @@
 	return c.addresses[c.currentIndex]
 }
 
-// switchFrom moves on to another replica, unless a concurrent call has already left this one.
-func (c *Client) switchFrom(from string) {
+// switchFrom switches from a replica to the next one, unless a concurrent call has already done so.
+func (c *Client) switchFrom(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.addresses[c.currentIndex] == from {
+	if c.addresses[c.currentIndex] == address {
 		c.currentIndex = (c.currentIndex + 1) % len(c.addresses)
 	}
 }
 
-// otherAddress returns a replica otherAddress than this one, if there is any.
-func (c *Client) otherAddress(than string) string {
+// otherAddress returns the address of another replica than that at address, or address if there is only one.
+func (c *Client) otherAddress(address string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.addresses {
-		if a := c.addresses[(c.currentIndex+i)%len(c.addresses)]; a != than {
-			return a
+		if other := c.addresses[(c.currentIndex+i)%len(c.addresses)]; other != address {
+			return other
 		}
 	}
-	return than
+	return address
 }
 
-// notSent reports whether a call that failed can't have been carried out.
+// notSent reports whether a failed call can't have been carried out.
 func notSent(err error) bool {
-	var dial *net.OpError
-	return errors.As(err, &dial) && dial.Op == "dial" || api.IsCode(err, api.CodeNoLeader) || api.IsCode(err, api.CodeStale)
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial" || api.IsCode(err, api.CodeNoLeader) || api.IsCode(err, api.CodeStale)
 }
 
-// call retries until there is an answer. An idempotent call is retried after every failure, any other only where the
-// failed attempt can't have been carried out. It fails with the last failure when ctx ends, and with CodeOutcomeUnknown
-// where the call may have been carried out.
-func (c *Client) call(ctx context.Context, idempotent bool, method, path string, change, answer any) error {
+// call makes a call and retries it until there is a response. An idempotent call is retried after every failure, any other
+// only if the failed attempt can't have been carried out; if it may have been, call fails with CodeOutcomeUnknown. When ctx
+// ends, call returns its cause and the last failure.
+func (c *Client) call(ctx context.Context, idempotent bool, method, path string, request, response any) error {
 	var body []byte
-	if change != nil {
+	if request != nil {
 		var err error
-		if body, err = json.Marshal(change); err != nil {
+		if body, err = json.Marshal(request); err != nil {
 			return fmt.Errorf("encoding a call: %w", err)
 		}
 	}
 	var retry backoff
-	var last error
+	var lastErr error
 	for {
-		at := c.currentAddress()
-		err := c.attempt(ctx, at, method, path, body, answer)
-		var failure *api.Error
+		address := c.currentAddress()
+		err := c.attempt(ctx, address, method, path, body, response)
+		var apiErr *api.Error
 		switch {
 		case err == nil:
 			return nil
-		case errors.As(err, &failure) && failure.Code != api.CodeNoLeader && failure.Code != api.CodeStale && (failure.Code != api.CodeOutcomeUnknown || !idempotent):
+		case errors.As(err, &apiErr) && apiErr.Code != api.CodeNoLeader && apiErr.Code != api.CodeStale && (apiErr.Code != api.CodeOutcomeUnknown || !idempotent):
 			return err
 		case !idempotent && !notSent(err):
-			c.switchFrom(at) // its outcome is looked up at another replica
+			c.switchFrom(address) // so that the caller looks up the outcome at another replica
 			return api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 		}
-		c.switchFrom(at)
-		if last == nil || ctx.Err() == nil { // an attempt that ctx cut short says less than the one before
-			last = err
+		c.switchFrom(address)
+		if lastErr == nil || ctx.Err() == nil { // the error of an attempt that ctx cut short says less than the previous one
+			lastErr = err
 		}
 		if !retry.wait(ctx) {
-			return fmt.Errorf("%w (%w)", context.Cause(ctx), last)
+			return fmt.Errorf("%w (%w)", context.Cause(ctx), lastErr)
 		}
 	}
 }
 
-// postOnce posts to one replica, without a retry.
-func (c *Client) postOnce(ctx context.Context, at, path string, change, answer any) error {
-	body, err := json.Marshal(change)
+// postOnce makes a POST call to one replica, without retries.
+func (c *Client) postOnce(ctx context.Context, address, path string, request, response any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return fmt.Errorf("encoding a call: %w", err)
 	}
-	return c.attempt(ctx, at, http.MethodPost, path, body, answer)
+	return c.attempt(ctx, address, http.MethodPost, path, body, response)
 }
 
-func (c *Client) attempt(ctx context.Context, at, method, path string, body []byte, answer any) error {
+func (c *Client) attempt(ctx context.Context, address, method, path string, body []byte, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+at+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return api.ReadAnswer(resp, answer)
+	return api.ReadAnswer(resp, response)
 }
 
 func entryPath(name, op string) string {
@@ -165,12 +165,12 @@
 	return path
 }
 
-// Records returns all entries; linearizable asks for a read that is certain to be the newest.
+// Records returns the records of all entries. If linearizable is set, the read reflects all writes that completed before it.
 func (c *Client) Records(ctx context.Context, linearizable bool) (all api.Records, err error) {
 	return all, c.call(ctx, true, http.MethodGet, "/v1/entries"+consistencyQuery(linearizable), nil, &all)
 }
 
-// Record returns one entry; its Revision is 0 if there is none.
+// Record returns the record of one entry; its Revision is 0 if there is none.
 func (c *Client) Record(ctx context.Context, name string, linearizable bool) (r api.Record, err error) {
 	return r, c.call(ctx, true, http.MethodGet, entryPath(name, "")+consistencyQuery(linearizable), nil, &r)
 }
@@ -182,57 +182,57 @@
 	return ""
 }
 
-// Register lists a server, and returns the new revision of its entry. With IfRevision, a lost answer fails with
-// CodeOutcomeUnknown; without, the call is retried.
-func (c *Client) Register(ctx context.Context, name string, g api.Registration) (revision int64, err error) {
-	var done api.WriteResult
-	err = c.call(ctx, g.IfRevision == nil, http.MethodPut, entryPath(name, ""), g, &done)
-	return done.Revision, err
+// Register lists a server, and returns the new revision of its entry. If the response is lost, a call with IfRevision fails
+// with CodeOutcomeUnknown, and one without is retried.
+func (c *Client) Register(ctx context.Context, name string, registration api.Registration) (revision int64, err error) {
+	var result api.WriteResult
+	err = c.call(ctx, registration.IfRevision == nil, http.MethodPut, entryPath(name, ""), registration, &result)
+	return result.Revision, err
 }
 
-// Drain marks a server as draining, for the server itself: it gets no new requests.
-func (c *Client) Drain(ctx context.Context, name string, change api.StateChange) (version int64, err error) {
-	var done api.WriteResult
-	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "drain"), change, &done)
-	return done.Revision, err
+// Drain marks a server as draining, on behalf of the server itself, so that it gets no new requests.
+func (c *Client) Drain(ctx context.Context, name string, change api.StateChange) (revision int64, err error) {
+	var result api.WriteResult
+	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "drain"), change, &result)
+	return result.Revision, err
 }
 
-// Leave ends the entry of a server, for the server itself.
+// Leave removes the entry of a server, on behalf of the server itself.
 func (c *Client) Leave(ctx context.Context, name string, change api.StateChange) error {
 	return c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "leave"), change, nil)
 }
 
-// PutAdminState applies an operator's state change, change.AdminState, to an entry.
-func (c *Client) PutAdminState(ctx context.Context, name string, change api.StateChange) (version int64, err error) {
-	var done api.WriteResult
-	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "hand"), change, &done)
-	return done.Revision, err
+// PutAdminState sets the administrative state of an entry to change.AdminState.
+func (c *Client) PutAdminState(ctx context.Context, name string, change api.StateChange) (revision int64, err error) {
+	var result api.WriteResult
+	err = c.call(ctx, change.IfRevision == nil, http.MethodPost, entryPath(name, "hand"), change, &result)
+	return result.Revision, err
 }
 
-// SetAdminState sets the state that an operator gives an entry, and retries until that is known to be done. Unlike
-// PutAdminState without a revision, an attempt whose answer was lost can't be carried out late, over a newer change: see
-// revise.
+// SetAdminState sets the administrative state of an entry, and retries until that is known to be done. Unlike with
+// PutAdminState without a revision, an attempt whose response was lost can't override a newer change later, see
+// updateConditionally.
 func (c *Client) SetAdminState(ctx context.Context, name, state string) (revision int64, err error) {
 	applied := func(r api.Record) bool { return r.AdminState == state }
-	return c.updateConditionally(ctx, name, nil, applied, func(on *int64) (int64, error) {
-		return c.PutAdminState(ctx, name, api.StateChange{AdminState: state, IfRevision: on})
+	return c.updateConditionally(ctx, name, nil, applied, func(ifRevision *int64) (int64, error) {
+		return c.PutAdminState(ctx, name, api.StateChange{AdminState: state, IfRevision: ifRevision})
 	})
 }
 
-// SetStatus sets the status that a server gives itself: Ready, Terminating or Removed, of which the last two need only
-// the incarnation of g. As with SetAdminState, an attempt whose answer was lost fails once the entry has changed. The
-// first attempt is based on known, the assumed revision of the entry (0: there is none); with nil the entry is read
-// first. Terminating and Removed fail with CodeNotFound where there is no entry.
+// SetStatus sets the status that a server reports: Ready, Terminating or Removed. The last two need only the incarnation
+// of registration, and fail with CodeNotFound if there is no entry. As with SetAdminState, an attempt whose response was
+// lost fails once the entry has changed. known is the assumed revision of the entry, on which the first attempt is based,
+// with 0 for no entry; if it is nil, the entry is read first.
 //
-// A registration based on 0 is the exception: it can still be carried out while there is no entry again.
-func (c *Client) SetStatus(ctx context.Context, name string, g api.Registration, status string, known *int64) (revision int64, err error) {
+// The exception is a registration based on 0: it can be carried out late if the entry has been removed again by then.
+func (c *Client) SetStatus(ctx context.Context, name string, registration api.Registration, status string, known *int64) (revision int64, err error) {
 	applied := func(api.Record) bool { return false }
-	return c.updateConditionally(ctx, name, known, applied, func(on *int64) (int64, error) {
-		change := api.StateChange{Incarnation: g.Incarnation, IfRevision: on}
+	return c.updateConditionally(ctx, name, known, applied, func(ifRevision *int64) (int64, error) {
+		change := api.StateChange{Incarnation: registration.Incarnation, IfRevision: ifRevision}
 		switch status {
 		case api.Ready:
-			g.IfRevision = on
-			return c.Register(ctx, name, g)
+			registration.IfRevision = ifRevision
+			return c.Register(ctx, name, registration)
 		case api.Terminating:
 			return c.Drain(ctx, name, change)
 		}
@@ -240,10 +240,10 @@
 	})
 }
 
-// updateConditionally attempts to change an entry until the outcome is known. Each attempt is conditional on one revision and fails
-// at any other. known is the revision of the first attempt; with nil the entry is read first, and nothing is attempted
-// where applied reports that the change is already there.
-func (c *Client) updateConditionally(ctx context.Context, name string, known *int64, applied func(api.Record) bool, attempt func(on *int64) (revision int64, err error)) (int64, error) {
+// updateConditionally attempts to change an entry until the outcome is known. Each attempt is conditional on one revision
+// of the entry and fails at any other. known is the revision for the first attempt. If it is nil, the entry is read first,
+// and nothing is attempted if applied reports that the change is already in place.
+func (c *Client) updateConditionally(ctx context.Context, name string, known *int64, applied func(api.Record) bool, attempt func(ifRevision *int64) (revision int64, err error)) (int64, error) {
 	var retry backoff
 	for assumed := known != nil; ; assumed = false {
 		if known == nil {
@@ -261,7 +261,7 @@
 			return revision, err
 		}
 		known = nil
-		if assumed && api.IsCode(err, api.CodeConflict) { // the assumption was wrong: no reason to back off
+		if assumed && api.IsCode(err, api.CodeConflict) { // the assumed revision was wrong, which is no reason to back off
 			continue
 		}
 		if !retry.wait(ctx) {
@@ -270,21 +270,22 @@
 	}
 }
 
-// Renew renews leases, and returns the names of those servers that hold none.
+// Renew renews leases, and returns the names of the servers that have no lease.
 func (c *Client) Renew(ctx context.Context, leases []api.Heartbeat) (expired []string, err error) {
-	var done api.HeartbeatResult
-	err = c.call(ctx, true, http.MethodPost, "/v1/renew", api.Heartbeats{Heartbeats: leases}, &done)
-	return done.Expired, err
+	var result api.HeartbeatResult
+	err = c.call(ctx, true, http.MethodPost, "/v1/renew", api.Heartbeats{Heartbeats: leases}, &result)
+	return result.Expired, err
 }
 
-// Overrule ends the entries of servers with expired leases that the service kept because too many expired at once.
+// Overrule removes the entries of servers with expired leases that the service kept because too many expired at once. It returns
+// their names.
 func (c *Client) Overrule(ctx context.Context) (ended []string, err error) {
-	var done api.HeartbeatResult
-	err = c.call(ctx, true, http.MethodPost, "/v1/overrule", nil, &done)
-	return done.Expired, err
+	var result api.HeartbeatResult
+	err = c.call(ctx, true, http.MethodPost, "/v1/overrule", nil, &result)
+	return result.Expired, err
 }
 
-// Status returns the status of each replica, and the error of each that did not answer, by address.
+// Status returns the status of each replica, and the error of each that did not respond, by address.
 func (c *Client) Status(ctx context.Context) (statuses map[string]api.Status, failed map[string]error) {
 	c.mu.Lock()
 	addresses := slices.Clone(c.addresses)
@@ -302,8 +303,8 @@
 }
 
 // Add adds a replica to the quorum.
-func (c *Client) Add(ctx context.Context, m api.Replica) error {
-	return c.call(ctx, true, http.MethodPost, "/v1/replicas", m, nil)
+func (c *Client) Add(ctx context.Context, replica api.Replica) error {
+	return c.call(ctx, true, http.MethodPost, "/v1/replicas", replica, nil)
 }
 
 // Remove removes a replica from the quorum.
@@ -316,7 +317,7 @@
 	return text, c.call(ctx, true, http.MethodGet, "/v1/backup", nil, &text)
 }
 
-// Restore replaces the list by a backup.
+// Restore replaces the list with a backup.
 func (c *Client) Restore(ctx context.Context, text json.RawMessage) error {
 	return c.call(ctx, false, http.MethodPost, "/v1/restore", text, nil)
 }
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -21,11 +21,12 @@
 	"mosslead/internal/watch"
 )
 
-func list(index int64, names ...string) api.WatchEvent {
-	l := api.WatchEvent{Revision: index, Snapshot: true, Endpoints: []api.Endpoint{}}
+// list returns a full list at a revision; a name may be followed by "=" and the status, which is Ready otherwise.
+func list(revision int64, names ...string) api.WatchEvent {
+	l := api.WatchEvent{Revision: revision, Snapshot: true, Endpoints: []api.Endpoint{}}
 	for _, name := range names {
-		name, status, has := strings.Cut(name, "=")
-		if !has {
+		name, status, ok := strings.Cut(name, "=")
+		if !ok {
 			status = api.Ready
 		}
 		l.Endpoints = append(l.Endpoints, api.Endpoint{Name: name, Address: "127.0.0.1:1", Status: status})
@@ -35,42 +36,43 @@
 
 func TestDoubt(t *testing.T) {
 	change := func(l api.WatchEvent) api.WatchEvent { l.Snapshot = false; return l }
-	for _, x := range []struct {
-		name   string
-		next   api.WatchEvent
-		doubts bool
-		binds  string // names that are taken out at once
+	for _, test := range []struct {
+		name        string
+		event       api.WatchEvent
+		implausible bool
+		drains      string // names that are drained at once
 	}{
 		{"a later list", list(6, "a"), false, ""},
 		{"the same list again", list(5, "a", "b"), false, ""},
-		{"a version that goes back", list(4, "a", "b"), true, ""},
-		{"one that goes back, and drains", list(4, "a=Terminating", "c=Gone"), true, "a"},
-		{"nobody at all", list(7), true, ""},
-		{"all drain", list(7, "a=Terminating", "b=Terminating"), true, "a b"},
-		{"a change that takes all away, one by one", change(list(7, "a=Gone", "b=Gone")), false, ""},
-		{"a change that goes back", change(list(3, "b=Gone")), true, "b"},
+		{"a lower revision", list(4, "a", "b"), true, ""},
+		{"a lower revision that drains", list(4, "a=Terminating", "c=Gone"), true, "a"},
+		{"an empty list", list(7), true, ""},
+		{"a list where all drain", list(7, "a=Terminating", "b=Terminating"), true, "a b"},
+		{"a change that removes all", change(list(7, "a=Gone", "b=Gone")), false, ""},
+		{"a change with a lower revision", change(list(3, "b=Gone")), true, "b"},
 	} {
-		d := &plausibility{}
-		d.accept(list(5, "a", "b"))
-		if got := d.anomaly(x.next) != ""; got != x.doubts {
-			t.Errorf("%s: doubted is %v", x.name, got)
+		p := &plausibility{}
+		p.accept(list(5, "a", "b"))
+		if got := p.anomaly(test.event) != ""; got != test.implausible {
+			t.Errorf("%s: got implausible %v, want %v", test.name, got, test.implausible)
 			continue
 		}
-		if !x.doubts {
+		if !test.implausible {
 			continue
 		}
-		bound, _ := d.drainsOnly(x.next)
+		drains, _ := p.drainsOnly(test.event)
 		var names []string
-		for _, e := range bound.Endpoints {
+		for _, e := range drains.Endpoints {
 			names = append(names, e.Name)
 		}
-		if got := strings.Join(names, " "); got != x.binds || bound.Snapshot || bound.Revision != 5 {
-			t.Errorf("%s: binds %q of version %d", x.name, got, bound.Revision)
+		if got := strings.Join(names, " "); got != test.drains || drains.Snapshot || drains.Revision != 5 {
+			t.Errorf("%s: got drains %q at revision %d, snapshot %v; want %q at revision 5, no snapshot", test.name, got, drains.Revision, drains.Snapshot, test.drains)
 		}
 	}
 }
 
-// A thousand clients that fail together do not come back together, and none wears a service down that always fails.
+// Checks that 1000 clients that fail at the same time do not retry at the same time, and that the number of retries is bounded
+// while a service keeps failing.
 func TestBackoffSpreadsAndIsBounded(t *testing.T) {
 	const clients = 1000
 	at := func(i int) time.Time { return time.Unix(0, 0) }
@@ -81,38 +83,40 @@
 	}
 	for bucket, n := range buckets {
 		if n > clients/5 {
-			t.Errorf("%d of %d come back within 20 ms after %v", n, clients, bucket)
+			t.Errorf("got %d of %d retries within 20 ms after %v, want %d at most", n, clients, bucket, clients/5)
 		}
 	}
 	var retry backoff
 	now, attempts := time.Unix(0, 0), 0
 	for end := now.Add(time.Minute); now.Before(end); attempts++ {
-		now = now.Add(retry.next(now, 0)) // the least that chance allows
+		now = now.Add(retry.next(now, 0)) // the shortest waits
 	}
 	if limit := retryBurst + int(time.Minute/retryRefill) + int(2*time.Minute/retryRefill); attempts > limit {
-		t.Errorf("%d tries in a minute", attempts)
+		t.Errorf("got %d attempts in a minute, want %d at most", attempts, limit)
 	}
 }
 
-// startListServer answers lists and watches with what answer gives, line by line; an empty one ends the watch.
-func startListServer(t *testing.T, answer func(watch bool, from string, n int) []api.WatchEvent) string {
+// startListServer starts a server that responds to reads and watches with the given events, one per line, and returns
+// its address. A watch from revision -1 ends after them; any other stays open.
+func startListServer(t *testing.T, events func(watch bool, from string, requests int) []api.WatchEvent) string {
 	t.Helper()
-	var n atomic.Int64
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var requests atomic.Int64
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		watch := r.FormValue("watch") != ""
-		for _, l := range answer(watch, r.FormValue("from"), int(n.Add(1))) {
-			_ = json.NewEncoder(w).Encode(l)
+		for _, event := range events(watch, r.FormValue("from"), int(requests.Add(1))) {
+			_ = json.NewEncoder(w).Encode(event)
 		}
 		if watch && r.FormValue("from") != "-1" {
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}
 	}))
-	t.Cleanup(s.Close)
-	return strings.TrimPrefix(s.URL, "http://")
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A replica that empties the list is not believed while another knows better, and is once the second read says the same.
+// Checks that an empty list is not applied if a second read at another replica returns endpoints, and is applied if the second read
+// confirms it.
 func TestAnEmptyListIsReadTwice(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
 		second := startListServer(t, func(watch bool, _ string, _ int) []api.WatchEvent {
@@ -121,14 +125,14 @@
 			}
 			return []api.WatchEvent{list(9, "a", "b")}
 		})
-		liar := startListServer(t, func(bool, string, int) []api.WatchEvent { return []api.WatchEvent{list(8)} })
-		c := New([]string{liar, second})
+		first := startListServer(t, func(bool, string, int) []api.WatchEvent { return []api.WatchEvent{list(8)} })
+		c := New([]string{first, second})
 		c.currentIndex = 0
 		ctx, cancel := context.WithCancel(t.Context())
-		var took []int
+		var sizes []int
 		start := list(5, "a")
-		c.Watch(ctx, &start, Watcher{Apply: func(l api.WatchEvent) error {
-			took = append(took, len(l.Endpoints))
+		c.Watch(ctx, &start, Watcher{Apply: func(event api.WatchEvent) error {
+			sizes = append(sizes, len(event.Endpoints))
 			cancel()
 			return nil
 		}, OnError: func(string, error) {}})
@@ -136,19 +140,19 @@
 		if confirmed {
 			want = []int{0}
 		}
-		if !slices.Equal(took, want) {
-			t.Errorf("confirmed %v: took lists of %v, want %v", confirmed, took, want)
+		if !slices.Equal(sizes, want) {
+			t.Errorf("confirmed %v: got lists of %v endpoints applied, want %v", confirmed, sizes, want)
 		}
 		c.Close()
 	}
 }
 
-// A watch that ends goes on at another replica, from the version that it has.
+// Checks that a watch that ends is continued at another replica, from the known revision.
 func TestWatchGoesOnElsewhere(t *testing.T) {
 	var from atomic.Value
-	ends := startListServer(t, func(_ bool, f string, _ int) []api.WatchEvent { return []api.WatchEvent{list(3, "a")} }) // from -1: it ends
-	other := startListServer(t, func(_ bool, f string, _ int) []api.WatchEvent {
-		from.Store(f)
+	ends := startListServer(t, func(_ bool, fromParam string, _ int) []api.WatchEvent { return []api.WatchEvent{list(3, "a")} }) // the watch is from -1, so it ends
+	other := startListServer(t, func(_ bool, fromParam string, _ int) []api.WatchEvent {
+		from.Store(fromParam)
 		return []api.WatchEvent{list(4, "a", "b")}
 	})
 	c := New([]string{ends, other})
@@ -156,84 +160,84 @@
 	defer c.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c.Watch(ctx, nil, Watcher{Apply: func(l api.WatchEvent) error {
-		if l.Revision == 4 {
+	c.Watch(ctx, nil, Watcher{Apply: func(event api.WatchEvent) error {
+		if event.Revision == 4 {
 			cancel()
 		}
 		return nil
 	}, OnError: func(string, error) {}})
 	if from.Load() != "3" {
-		t.Errorf("went on from %v", from.Load())
+		t.Errorf("got a watch from %v, want from 3", from.Load())
 	}
 }
 
-// A replica that falls silent costs a few seconds: the next is asked beside it, from the version that is held.
+// Checks that a call to another replica, from the known revision, follows watch.Silence after a replica becomes silent.
 func TestSilentReplicaIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := ""
+		from := ""
 		c := New([]string{"127.0.0.1:1", "127.0.0.1:2"})
 		c.currentIndex = 0
-		c.http.Transport.(*http.Transport).DialContext = func(_ context.Context, _, at string) (net.Conn, error) {
-			ours, theirs := net.Pipe()
+		c.http.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
+			clientConn, serverConn := net.Pipe()
 			go func() {
-				req, err := http.ReadRequest(bufio.NewReader(theirs))
+				req, err := http.ReadRequest(bufio.NewReader(serverConn))
 				if err != nil {
 					return
 				}
-				l := list(3, "a")
-				if at != "127.0.0.1:1" {
-					asked, l = req.FormValue("from"), list(4, "a", "b")
+				event := list(3, "a")
+				if address != "127.0.0.1:1" {
+					from, event = req.FormValue("from"), list(4, "a", "b")
 				}
-				line, _ := json.Marshal(l)
-				_, _ = fmt.Fprintf(theirs, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
-				_, _ = io.Copy(io.Discard, theirs)
+				line, _ := json.Marshal(event)
+				_, _ = fmt.Fprintf(serverConn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
+				_, _ = io.Copy(io.Discard, serverConn)
 			}()
-			return ours, nil
+			return clientConn, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		begun, took := time.Now(), time.Duration(0)
-		c.Watch(ctx, nil, Watcher{Apply: func(l api.WatchEvent) error {
-			if l.Revision == 4 {
-				took = time.Since(begun)
+		started, elapsed := time.Now(), time.Duration(0)
+		c.Watch(ctx, nil, Watcher{Apply: func(event api.WatchEvent) error {
+			if event.Revision == 4 {
+				elapsed = time.Since(started)
 				cancel()
 			}
 			return nil
 		}, OnError: func(string, error) {}})
-		if took != watch.Silence || asked != "3" {
-			t.Errorf("went on after %v from %q", took, asked)
+		if elapsed != watch.Silence || from != "3" {
+			t.Errorf("got the next list after %v by a watch from %q, want after %v from 3", elapsed, from, watch.Silence)
 		}
 	})
 }
 
-// What may have been carried out is not asked again, unless twice is the same as once.
+// Checks that a call that may have been carried out is not repeated, unless it is idempotent.
 func TestConditionalWritesAreNotRepeated(t *testing.T) {
 	var calls atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err == nil {
-			_ = conn.Close() // after it was read: nobody knows what came of it
+			_ = conn.Close() // after the request was read, so that its outcome is unknown
 		}
 	}))
 	defer s.Close()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = gone.Close()
-	c := New([]string{gone.Addr().String(), strings.TrimPrefix(s.URL, "http://")})
+	_ = closed.Close()
+	c := New([]string{closed.Addr().String(), strings.TrimPrefix(s.URL, "http://")})
 	c.currentIndex = 0
 	defer c.Close()
-	version := int64(1)
-	_, err = c.Register(t.Context(), "a", api.Registration{Address: "127.0.0.1:1", IfRevision: &version})
+	revision := int64(1)
+	_, err = c.Register(t.Context(), "a", api.Registration{Address: "127.0.0.1:1", IfRevision: &revision})
 	if !api.IsCode(err, api.CodeOutcomeUnknown) || calls.Load() != 1 {
-		t.Errorf("%v after %d calls", err, calls.Load())
+		t.Errorf("conditional write: got error %v after %d calls, want code %q after 1", err, calls.Load(), api.CodeOutcomeUnknown)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	_, err = c.Register(ctx, "a", api.Registration{Address: "127.0.0.1:1"})
 	if !errors.Is(err, context.DeadlineExceeded) || calls.Load() < 3 {
-		t.Errorf("%v after %d calls", err, calls.Load())
+		t.Errorf("idempotent write: got error %v after %d calls, want %v after 3 or more", err, calls.Load(), context.DeadlineExceeded)
 	}
 }
 
@@ -241,12 +245,13 @@
 	for text, want := range map[string]string{"127.0.0.1:1,127.0.0.2:1": "[127.0.0.1:1 127.0.0.2:1]", "a": "", "127.0.0.1:1,": "", "a:1,a:1": ""} {
 		got, err := Addresses(text)
 		if (err != nil) != (want == "") || err == nil && fmt.Sprint(got) != want {
-			t.Errorf("%q: %v, %v", text, got, err)
+			t.Errorf("%q: got %v, error %v; want %q", text, got, err, want)
 		}
 	}
 }
 
-// Guards against a call that ends with its time and does not say why it failed: the try that was cut short knows nothing.
+// Guards against a call that returns only the end of its context: the last attempt is cut short by that, so the error must contain
+// the failure of the attempt before.
 func TestACallThatIsCutShortSaysWhatFailedBefore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -264,44 +269,44 @@
 	c := New([]string{s.Listener.Addr().String()})
 	defer c.Close()
 	if _, err := c.Record(ctx, "u", false); !errors.Is(err, context.Canceled) || !api.IsCode(err, api.CodeNoLeader) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that wraps %v and code %q", err, context.Canceled, api.CodeNoLeader)
 	}
 }
 
-// Guards against an operator's word that is carried out a second time, over what was said since: a try without an answer is void once
-// the entry has changed, whether it was carried out or not, and the next is based on what is there then.
+// Guards against an operator's change that is carried out late and overrides a newer one. An attempt whose response was lost must be
+// conditional on a revision, so that it fails once the entry has changed, and the next attempt is based on the entry as read then.
 func TestAnOperatorsWordIsNotCarriedOutLate(t *testing.T) {
-	for name, x := range map[string]struct {
-		hands    []string // the entry's, at each read; its version is 5, and one more at each
-		outcomes []int    // of the tries
-		based    []int64
-		version  int64
+	for name, test := range map[string]struct {
+		states   []string // administrative state at each read; the revision is 5 at the first read, and rises by one with each
+		outcomes []int    // HTTP status of each attempt
+		based    []int64  // revision that each attempt is conditional on
+		revision int64    // result
 	}{
-		"at once":                              {[]string{""}, []int{200}, []int64{5}, 50},
-		"it stands already":                    {[]string{"drain"}, nil, nil, 5},
-		"carried out, and no answer":           {[]string{"", "drain"}, []int{504}, []int64{5}, 6},
-		"not carried out, and no answer":       {[]string{"", ""}, []int{504, 200}, []int64{5, 6}, 50},
-		"somebody else was first":              {[]string{"", "ban"}, []int{409, 200}, []int64{5, 6}, 50},
-		"no answer, and then somebody else is": {[]string{"", "ban", ""}, []int{504, 409, 200}, []int64{5, 6, 7}, 50},
+		"first attempt succeeds":         {[]string{""}, []int{200}, []int64{5}, 50},
+		"set already":                    {[]string{"drain"}, nil, nil, 5},
+		"carried out, response lost":     {[]string{"", "drain"}, []int{504}, []int64{5}, 6},
+		"not carried out, response lost": {[]string{"", ""}, []int{504, 200}, []int64{5, 6}, 50},
+		"conflict with another change":   {[]string{"", "ban"}, []int{409, 200}, []int64{5, 6}, 50},
+		"response lost, then a conflict": {[]string{"", "ban", ""}, []int{504, 409, 200}, []int64{5, 6, 7}, 50},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reads, based := 0, []int64(nil)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.Method == http.MethodGet {
 					if r.FormValue("consistent") == "" {
-						t.Error("read what may be old")
+						t.Error("got a read without consistent=1, want a consistent read")
 					}
-					_ = json.NewEncoder(w).Encode(api.Record{Revision: int64(5 + reads), AdminState: x.hands[reads]})
+					_ = json.NewEncoder(w).Encode(api.Record{Revision: int64(5 + reads), AdminState: test.states[reads]})
 					reads++
 					return
 				}
 				var change api.StateChange
 				if err := json.NewDecoder(r.Body).Decode(&change); err != nil || change.AdminState != "drain" || change.IfRevision == nil {
-					t.Errorf("asked for %+v, %v", change, err)
+					t.Errorf("got request %+v, error %v; want state drain with a revision", change, err)
 					return
 				}
 				based = append(based, *change.IfRevision)
-				status := x.outcomes[len(based)-1]
+				status := test.outcomes[len(based)-1]
 				w.WriteHeader(status)
 				if status == 200 {
 					_ = json.NewEncoder(w).Encode(api.WriteResult{Revision: 50})
@@ -312,9 +317,9 @@
 			defer s.Close()
 			c := New([]string{s.Listener.Addr().String()})
 			defer c.Close()
-			version, err := c.SetAdminState(t.Context(), "u", "drain")
-			if err != nil || version != x.version || !slices.Equal(based, x.based) || reads != len(x.hands) {
-				t.Errorf("version %d, %v; tries based on %v, %d reads", version, err, based, reads)
+			revision, err := c.SetAdminState(t.Context(), "u", "drain")
+			if err != nil || revision != test.revision || !slices.Equal(based, test.based) || reads != len(test.states) {
+				t.Errorf("got revision %d, error %v, attempts based on %v, %d reads; want revision %d, attempts based on %v, %d reads", revision, err, based, reads, test.revision, test.based, len(test.states))
 			}
 		})
 	}
--- a/internal/registry/client/leadership.go
+++ b/internal/registry/client/leadership.go
@@ -9,8 +9,8 @@
 	"mosslead/internal/registry/api"
 )
 
-// Calls on leaderships are not retried here: electors have their own intervals (internal/lease). A call whose answer was
-// lost fails with CodeOutcomeUnknown, and the next one goes to another replica.
+// Calls on leaderships are not retried here, because electors have their own intervals (internal/lease). A call whose response
+// was lost fails with CodeOutcomeUnknown, and the next one goes to another replica.
 
 // AcquireLeadership claims a leadership; the grant names its holder.
 func (c *Client) AcquireLeadership(ctx context.Context, claim api.LeadershipClaim) (api.LeadershipGrant, error) {
@@ -28,24 +28,24 @@
 	return err
 }
 
-// Leaderships returns all that are held; linearizable asks for a read that is certain to be the newest.
+// Leaderships returns all leaderships that are held. If linearizable is set, the read reflects all writes that completed before it.
 func (c *Client) Leaderships(ctx context.Context, linearizable bool) (all api.Leaderships, err error) {
 	return all, c.call(ctx, true, http.MethodGet, "/v1/duties"+consistencyQuery(linearizable), nil, &all)
 }
 
-func (c *Client) leadership(ctx context.Context, op string, claim api.LeadershipClaim) (g api.LeadershipGrant, err error) {
-	at := c.currentAddress()
-	err = c.postOnce(ctx, at, "/v1/duties/"+url.PathEscape(claim.Name)+"/"+op, claim, &g)
+func (c *Client) leadership(ctx context.Context, op string, claim api.LeadershipClaim) (grant api.LeadershipGrant, err error) {
+	address := c.currentAddress()
+	err = c.postOnce(ctx, address, "/v1/duties/"+url.PathEscape(claim.Name)+"/"+op, claim, &grant)
 	if err == nil {
-		return g, nil
+		return grant, nil
 	}
-	var failure *api.Error
-	known := errors.As(err, &failure)
-	if !known || failure.Code == api.CodeNoLeader || failure.Code == api.CodeOutcomeUnknown {
-		c.switchFrom(at)
+	var apiErr *api.Error
+	responded := errors.As(err, &apiErr)
+	if !responded || apiErr.Code == api.CodeNoLeader || apiErr.Code == api.CodeOutcomeUnknown {
+		c.switchFrom(address)
 	}
-	if !known && !notSent(err) {
+	if !responded && !notSent(err) {
 		err = api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 	}
-	return g, err
+	return grant, err
 }
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -26,8 +26,8 @@
 
 func chunked(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// outages are the ways in which a replica may fail: says is what a call gets that is made then. It is reset after that where
-// ends is set, and stays open and silent where not, or gets more for ever.
+// outages are the ways in which a replica may fail. response is what a call receives during the outage. Afterwards the connection is
+// reset if reset is set; otherwise it stays open, and receives repeated again and again if that is set.
 var outages = []struct {
 	name, dial, response string
 	reset                bool
@@ -36,7 +36,7 @@
 	{name: "refused", dial: "refused"},
 	{name: "hangs", dial: "hangs"},
 	{name: "no head"},
-	{name: "a head", response: outageHead},
+	{name: "a head only", response: outageHead},
 	{name: "half a line", response: outageHead + chunked(`{"index":7,"endp`)},
 	{name: "a line without end", response: outageHead + chunked(`{"index":7,"more":"`), repeated: chunked("x")},
 	{name: "reset", reset: true},
@@ -44,116 +44,116 @@
 	{name: "ended", response: outageHead + "0\r\n\r\n"},
 	{name: "ended after an empty line", response: outageHead + chunked("\n") + "0\r\n\r\n"},
 	{name: "503", response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
-	{name: "a spoilt line", response: outageHead + chunked(`{"index":8]`)},
-	{name: "an older list, and no second", response: outageHead + chunked(`{"index":4,"snapshot":true,"endpoints":[]}`)},
+	{name: "invalid JSON", response: outageHead + chunked(`{"index":8]`)},
+	{name: "an older list, and no response to the second read", response: outageHead + chunked(`{"index":4,"snapshot":true,"endpoints":[]}`)},
 }
 
-// outageClient is a client of some replicas, of which all fail from down until event in one of the ways above, and the bad ones
-// for ever.
+// outageClient is a client of replicas that all fail in one of the ways above from downAt until upAt. Those in failing continue to
+// fail after upAt.
 type outageClient struct {
-	outage       int
+	outage       int // index in outages
 	downAt, upAt time.Duration
-	failing      map[string]bool // replicas
+	failing      map[string]bool // addresses of replicas
 	started      time.Time
-	appliedAt    atomic.Int64 // when the change was in flight
+	appliedAt    atomic.Int64 // time at which the change was applied
 	running      *sync.WaitGroup
 }
 
-func (p *outageClient) elapsed() time.Duration { return time.Since(p.started) }
+func (o *outageClient) elapsed() time.Duration { return time.Since(o.started) }
 
-func (p *outageClient) fails(at string) bool {
-	return p.elapsed() >= p.downAt && (p.elapsed() < p.upAt || p.failing[at])
+func (o *outageClient) fails(address string) bool {
+	return o.elapsed() >= o.downAt && (o.elapsed() < o.upAt || o.failing[address])
 }
 
-func (p *outageClient) dial(ctx context.Context, _, at string) (net.Conn, error) {
-	if way := outages[p.outage]; p.fails(at) && way.dial != "" {
-		if way.dial == "hangs" {
+func (o *outageClient) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	if outage := outages[o.outage]; o.fails(address) && outage.dial != "" {
+		if outage.dial == "hangs" {
 			time.Sleep(dialTimeout)
 			return nil, context.DeadlineExceeded
 		}
 		return nil, errors.New("refused")
 	}
-	ours, theirs := net.Pipe()
-	p.running.Go(func() {
-		defer func() { _ = theirs.Close() }()
-		in := bufio.NewReader(theirs)
+	clientConn, serverConn := net.Pipe()
+	o.running.Go(func() {
+		defer func() { _ = serverConn.Close() }()
+		in := bufio.NewReader(serverConn)
 		for {
 			req, err := http.ReadRequest(in)
-			if err != nil || !p.serve(theirs, at, req.FormValue("watch") != "") {
+			if err != nil || !o.serve(serverConn, address, req.FormValue("watch") != "") {
 				return
 			}
 		}
 	})
-	return ours, nil
+	return clientConn, nil
 }
 
-// serve answers a call; false: the connection is to be reset.
-func (p *outageClient) serve(c net.Conn, at string, watches bool) bool {
-	way, fails := outages[p.outage], p.fails(at)
-	say := func(text string) bool {
-		_, err := io.WriteString(c, text)
+// serve responds to a call. It returns false if the connection is to be reset.
+func (o *outageClient) serve(conn net.Conn, address string, isWatch bool) bool {
+	outage, fails := outages[o.outage], o.fails(address)
+	write := func(text string) bool {
+		_, err := io.WriteString(conn, text)
 		return err == nil
 	}
 	if !fails {
-		l := list(5, "a")
-		if p.elapsed() >= p.upAt {
-			l = list(7, "a=Terminating", "b")
+		event := list(5, "a")
+		if o.elapsed() >= o.upAt {
+			event = list(7, "a=Terminating", "b")
 		}
-		line, err := json.Marshal(l)
+		line, err := json.Marshal(event)
 		if err != nil {
 			panic(err)
 		}
-		if !watches {
-			return say(outageHead + chunked(string(line)) + "0\r\n\r\n")
+		if !isWatch {
+			return write(outageHead + chunked(string(line)) + "0\r\n\r\n")
 		}
-		lives := say(outageHead + chunked(string(line)+"\n"))
-		for next := p.elapsed() + 2*time.Second; lives && (l.Revision == 7 || next < p.downAt); next += 2 * time.Second {
-			time.Sleep(next - p.elapsed())
-			lives = say(chunked("\n"))
+		connected := write(outageHead + chunked(string(line)+"\n"))
+		for nextBlank := o.elapsed() + 2*time.Second; connected && (event.Revision == 7 || nextBlank < o.downAt); nextBlank += 2 * time.Second {
+			time.Sleep(nextBlank - o.elapsed())
+			connected = write(chunked("\n"))
 		}
-		if !lives {
+		if !connected {
 			return false
 		}
-		time.Sleep(p.downAt - p.elapsed())
-		if way.reset || way.dial == "refused" {
+		time.Sleep(o.downAt - o.elapsed())
+		if outage.reset || outage.dial == "refused" {
 			return false
 		}
-	} else if !watches {
-		_, _ = io.Copy(io.Discard, c)
+	} else if !isWatch {
+		_, _ = io.Copy(io.Discard, conn)
 		return false
-	} else if !say(way.response) || way.reset {
+	} else if !write(outage.response) || outage.reset {
 		return false
-	} else if strings.HasSuffix(way.response, "0\r\n\r\n") || strings.Contains(way.response, "Content-Length") {
+	} else if strings.HasSuffix(outage.response, "0\r\n\r\n") || strings.Contains(outage.response, "Content-Length") {
 		return true
 	}
-	for way.repeated != "" && fails && say(way.repeated) {
+	for outage.repeated != "" && fails && write(outage.repeated) {
 		time.Sleep(250 * time.Millisecond)
 	}
-	_, _ = io.Copy(io.Discard, c)
+	_, _ = io.Copy(io.Discard, conn)
 	return false
 }
 
-func (p *outageClient) start(ctx context.Context, replicas int) {
-	var all []string
+func (o *outageClient) start(ctx context.Context, replicas int) {
+	var addresses []string
 	for i := range replicas {
-		all = append(all, "127.0.0."+strconv.Itoa(i+1)+":1")
+		addresses = append(addresses, "127.0.0."+strconv.Itoa(i+1)+":1")
 	}
-	first := int(p.upAt/(50*time.Millisecond)) % replicas
-	p.failing = map[string]bool{}
-	for i := range (replicas - 1) / 2 { // one after the other: nobody answers between
-		p.failing[all[(first+i)%replicas]] = true
+	first := int(o.upAt/(50*time.Millisecond)) % replicas
+	o.failing = map[string]bool{}
+	for i := range (replicas - 1) / 2 { // consecutive replicas, so that the calls to them follow each other
+		o.failing[addresses[(first+i)%replicas]] = true
 	}
-	c := New(all)
-	c.currentIndex = 0
-	c.http.Transport.(*http.Transport).DialContext = p.dial
-	p.started = time.Now()
+	client := New(addresses)
+	client.currentIndex = 0
+	client.http.Transport.(*http.Transport).DialContext = o.dial
+	o.started = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
-	p.running.Go(func() {
-		defer c.Close()
+	o.running.Go(func() {
+		defer client.Close()
 		start := list(1, "a")
-		c.Watch(ctx, &start, Watcher{OnEstablished: func() {}, OnError: func(string, error) {}, Apply: func(l api.WatchEvent) error {
-			if l.Revision == 7 {
-				p.appliedAt.Store(int64(p.elapsed()))
+		client.Watch(ctx, &start, Watcher{OnEstablished: func() {}, OnError: func(string, error) {}, Apply: func(event api.WatchEvent) error {
+			if event.Revision == 7 {
+				o.appliedAt.Store(int64(o.elapsed()))
 				cancel()
 			}
 			return nil
@@ -161,43 +161,43 @@
 	})
 }
 
-// Guards against a change that is acted on too late: whatever failed before, it is in flight within watch.Told of the moment at
-// which most replicas had it and could be reached, also where the others never can.
+// Guards against a change that is applied too late: whatever failed before, it must be applied within watch.NotifyDeadline after
+// a majority of the replicas has it and can be reached, even if the others never can.
 func TestAfterAnOutageAListIsInHandInTime(t *testing.T) {
-	const long = 8 * time.Second // all waits are at their longest by then
-	for way := range outages {
-		for _, x := range []struct {
-			replicas   int
-			down, from time.Duration
-		}{{1, 0, long}, {3, 0, 0}, {3, time.Second, 0}, {5, time.Second, 0}, {5, 0, long}} {
-			t.Run(fmt.Sprintf("%s, %d replicas, down at %v, back from %v on", outages[way].name, x.replicas, x.down, x.down+x.from), func(t *testing.T) {
+	const longOutage = 8 * time.Second // all back-off waits have reached their maximum by then
+	for i := range outages {
+		for _, test := range []struct {
+			replicas        int
+			downAt, downFor time.Duration // all replicas are down for up to 2.5 s longer
+		}{{1, 0, longOutage}, {3, 0, 0}, {3, time.Second, 0}, {5, time.Second, 0}, {5, 0, longOutage}} {
+			t.Run(fmt.Sprintf("%s, %d replicas, down at %v, up from %v on", outages[i].name, test.replicas, test.downAt, test.downAt+test.downFor), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					var running sync.WaitGroup
-					var all []*outageClient
+					var clients []*outageClient
 					for after := 50 * time.Millisecond; after <= 2500*time.Millisecond; after += 50 * time.Millisecond {
-						p := &outageClient{outage: way, downAt: x.down, upAt: x.down + x.from + after, running: &running}
-						all = append(all, p)
-						p.start(ctx, x.replicas)
+						client := &outageClient{outage: i, downAt: test.downAt, upAt: test.downAt + test.downFor + after, running: &running}
+						clients = append(clients, client)
+						client.start(ctx, test.replicas)
 					}
-					time.Sleep(long + 2*watch.NotifyDeadline)
+					time.Sleep(longOutage + 2*watch.NotifyDeadline)
 					cancel()
 					running.Wait()
-					latest := slices.MaxFunc(all, func(a, b *outageClient) int { return int(a.delay() - b.delay()) })
+					latest := slices.MaxFunc(clients, func(a, b *outageClient) int { return int(a.delay() - b.delay()) })
 					if latest.delay() > watch.NotifyDeadline {
-						t.Errorf("down at %v, back at %v: in hand at %v", latest.downAt, latest.upAt, time.Duration(latest.appliedAt.Load()))
+						t.Errorf("down at %v, up at %v: got the change applied at %v, want within %v", latest.downAt, latest.upAt, time.Duration(latest.appliedAt.Load()), watch.NotifyDeadline)
 					}
-					t.Logf("in hand %v after the return, at the latest", latest.delay())
+					t.Logf("longest time until the change was applied: %v", latest.delay())
 				})
 			})
 		}
 	}
 }
 
-// delay is how long after the return the change was in flight.
-func (p *outageClient) delay() time.Duration {
-	if p.appliedAt.Load() == 0 {
+// delay returns the time from the end of the outage until the change was applied, or an hour if it was not.
+func (o *outageClient) delay() time.Duration {
+	if o.appliedAt.Load() == 0 {
 		return time.Hour
 	}
-	return time.Duration(p.appliedAt.Load()) - p.upAt
+	return time.Duration(o.appliedAt.Load()) - o.upAt
 }
--- a/internal/registry/client/outcome.go
+++ b/internal/registry/client/outcome.go
@@ -10,65 +10,66 @@
 	"mosslead/internal/registry/api"
 )
 
-// WriteOutcome is what became of a write whose response was lost.
+// WriteOutcome is the outcome of a write whose response was lost.
 type WriteOutcome int
 
-// The outcomes.
+// Outcomes of writes.
 const (
-	OutcomeUnknown WriteOutcome = iota // it can't be determined any more
-	OutcomeDone                        // its text follows the revision that it was based on
-	OutcomeNotDone                     // another change follows it, or none yet
+	OutcomeUnknown WriteOutcome = iota // the outcome can no longer be determined
+	OutcomeDone                        // the written text follows the revision that it was based on
+	OutcomeNotDone                     // another change follows that revision, or none yet
 )
 
-// Outcome looks up what became of a write whose response was lost: settings, or nil for a deletion. before is
-// the document that it was based on, or its revision alone, 0: there was none. It returns the outcome, the
-// revision under which the change was done, and the document as it is now. Two writers of one text are not
-// told apart: it is there.
+// Outcome looks up the outcome of a write whose response was lost. settings is the written text, or nil for a
+// deletion. before is the document that the write was based on; only its revision is used, which is 0 if there
+// was none. Outcome returns the revision of the change and the current document. It does not distinguish two
+// writers of the same text, and reports OutcomeDone for both.
 //
-// OutcomeNotDone with the document still at the revision before is as of now: a call that is still on its way
-// can be carried out as long as that is so.
-func (c *Client) Outcome(ctx context.Context, service string, before api.Document, settings json.RawMessage) (outcome WriteOutcome, at int64, now api.Document, err error) {
-	now, err = c.Document(ctx, service, 0, true)
+// OutcomeNotDone with the document still at the revision of before is preliminary: a call that has not arrived
+// yet can be carried out as long as the revision stays.
+func (c *Client) Outcome(ctx context.Context, service string, before api.Document, settings json.RawMessage) (outcome WriteOutcome, revision int64, current api.Document, err error) {
+	current, err = c.Document(ctx, service, 0, true)
 	if api.IsCode(err, api.CodeNotFound) {
-		now, err = api.Document{}, nil
+		current, err = api.Document{}, nil
 	}
 	switch {
-	case err != nil || now.Revision < before.Revision: // lower: the service was restored from a backup
-		return OutcomeUnknown, 0, now, err
-	case now.Revision == before.Revision:
-		return OutcomeNotDone, 0, now, nil
+	case err != nil || current.Revision < before.Revision: // a lower revision: the service was restored from a backup
+		return OutcomeUnknown, 0, current, err
+	case current.Revision == before.Revision:
+		return OutcomeNotDone, 0, current, nil
 	}
-	at, sure := firstRevisionAfter(now, before.Revision)
-	then := now
-	if at != now.Revision {
-		if then, err = c.Document(ctx, service, at, true); err != nil {
-			return OutcomeUnknown, 0, now, fmt.Errorf("revision %d: %w", at, err)
+	revision, sure := firstRevisionAfter(current, before.Revision)
+	changed := current
+	if revision != current.Revision {
+		if changed, err = c.Document(ctx, service, revision, true); err != nil {
+			return OutcomeUnknown, 0, current, fmt.Errorf("revision %d: %w", revision, err)
 		}
 	}
 	switch {
-	case settings == nil && then.Deleted, settings != nil && !then.Deleted && equalJSON(then.Settings, settings):
-		return OutcomeDone, at, now, nil
-	case settings == nil || then.Deleted || !sure: // it may have been done in a revision that is no longer kept
-		return OutcomeUnknown, 0, now, nil
+	case settings == nil && changed.Deleted, settings != nil && !changed.Deleted && equalJSON(changed.Settings, settings):
+		return OutcomeDone, revision, current, nil
+	case settings == nil || changed.Deleted || !sure: // it may have been done in a revision that is no longer stored
+		return OutcomeUnknown, 0, current, nil
 	}
-	return OutcomeNotDone, 0, now, nil
+	return OutcomeNotDone, 0, current, nil
 }
 
-// firstRevisionAfter returns the first kept revision firstRevisionAfter another; sure is false if one between them may have been dropped or deleted.
-func firstRevisionAfter(now api.Document, revision int64) (first int64, sure bool) {
-	i := slices.IndexFunc(now.EarlierRevisions, func(v int64) bool { return v > revision })
+// firstRevisionAfter returns the first stored revision after another. sure is false if a revision between them may be missing
+// because it was dropped or deleted.
+func firstRevisionAfter(current api.Document, revision int64) (first int64, sure bool) {
+	i := slices.IndexFunc(current.EarlierRevisions, func(v int64) bool { return v > revision })
 	if i < 0 {
-		i, first = len(now.EarlierRevisions), now.Revision
+		i, first = len(current.EarlierRevisions), current.Revision
 	} else {
-		first = now.EarlierRevisions[i]
+		first = current.EarlierRevisions[i]
 	}
 	if i == 0 {
-		return first, revision == 0 && len(now.EarlierRevisions) < api.MaxEarlierRevisions
+		return first, revision == 0 && len(current.EarlierRevisions) < api.MaxEarlierRevisions
 	}
-	return first, now.EarlierRevisions[i-1] == revision
+	return first, current.EarlierRevisions[i-1] == revision
 }
 
-// equalJSON reports whether two JSON texts are equal but for white space.
+// equalJSON reports whether two JSON texts are equal except for white space.
 func equalJSON(a, b []byte) bool {
 	var x, y bytes.Buffer
 	return json.Compact(&x, a) == nil && json.Compact(&y, b) == nil && bytes.Equal(x.Bytes(), y.Bytes())
--- a/internal/registry/client/plausibility.go
+++ b/internal/registry/client/plausibility.go
@@ -2,30 +2,30 @@
 
 import "mosslead/internal/registry/api"
 
-// plausibility checks list messages against the list in use.
+// plausibility checks messages of a watch against the list in use.
 type plausibility struct {
-	hasList  bool // there is a list
+	hasList  bool // whether there is a list in use
 	revision int64
-	ready    map[string]bool // whether an entry is ready, by name
+	ready    map[string]bool // whether each entry is ready, by name
 }
 
-// accept applies a message to the list in use, or makes it the first one.
-func (d *plausibility) accept(l api.WatchEvent) {
-	d.revision, d.hasList = l.Revision, true
-	if l.Snapshot || d.ready == nil {
-		d.ready = map[string]bool{}
+// accept applies a message to the list in use.
+func (p *plausibility) accept(event api.WatchEvent) {
+	p.revision, p.hasList = event.Revision, true
+	if event.Snapshot || p.ready == nil {
+		p.ready = map[string]bool{}
 	}
-	for _, e := range l.Endpoints {
+	for _, e := range event.Endpoints {
 		if e.Status == api.Removed {
-			delete(d.ready, e.Name)
+			delete(p.ready, e.Name)
 		} else {
-			d.ready[e.Name] = e.Status == api.Ready
+			p.ready[e.Name] = e.Status == api.Ready
 		}
 	}
 }
 
-func countReady(l api.WatchEvent) (n int) {
-	for _, e := range l.Endpoints {
+func countReady(event api.WatchEvent) (n int) {
+	for _, e := range event.Endpoints {
 		if e.Status == api.Ready {
 			n++
 		}
@@ -33,8 +33,8 @@
 	return n
 }
 
-func (d *plausibility) countReady() (n int) {
-	for _, ready := range d.ready {
+func (p *plausibility) countReady() (n int) {
+	for _, ready := range p.ready {
 		if ready {
 			n++
 		}
@@ -42,28 +42,28 @@
 	return n
 }
 
-// anomaly returns what makes a message implausible, and "" if nothing does.
-func (d *plausibility) anomaly(l api.WatchEvent) string {
+// anomaly returns why a message is implausible, or "" if it is plausible.
+func (p *plausibility) anomaly(event api.WatchEvent) string {
 	switch {
-	case !d.hasList:
+	case !p.hasList:
 		return ""
-	case l.Revision < d.revision:
+	case event.Revision < p.revision:
 		return "its version goes back"
-	case l.Snapshot && countReady(l) == 0 && d.countReady() > 0:
-		return "it empties at once"
+	case event.Snapshot && countReady(event) == 0 && p.countReady() > 0:
+		return "it has no ready endpoint, and the list in use has some"
 	}
 	return ""
 }
 
-// drainsOnly returns the part of an implausible message that is applied all the same: servers that stop being ready. It
-// returns false if there are none.
-func (d *plausibility) drainsOnly(l api.WatchEvent) (api.WatchEvent, bool) {
-	c := api.WatchEvent{Revision: d.revision, Endpoints: []api.Endpoint{}}
-	for _, e := range l.Endpoints {
-		if ready, listed := d.ready[e.Name]; listed && ready && e.Status != api.Ready {
-			c.Endpoints = append(c.Endpoints, e)
+// drainsOnly accepts and returns the part of an implausible message that is applied nevertheless: the endpoints that stop being
+// ready. It returns false if there are none.
+func (p *plausibility) drainsOnly(event api.WatchEvent) (api.WatchEvent, bool) {
+	drains := api.WatchEvent{Revision: p.revision, Endpoints: []api.Endpoint{}}
+	for _, e := range event.Endpoints {
+		if ready, listed := p.ready[e.Name]; listed && ready && e.Status != api.Ready {
+			drains.Endpoints = append(drains.Endpoints, e)
 		}
 	}
-	d.accept(c)
-	return c, len(c.Endpoints) > 0
+	p.accept(drains)
+	return drains, len(drains.Endpoints) > 0
 }
--- a/internal/registry/client/registrar.go
+++ b/internal/registry/client/registrar.go
@@ -10,9 +10,8 @@
 	"mosslead/internal/registry/api"
 )
 
-// Registrar keeps servers registered: it renews the leases of all of them with one call, and registers again those that
-// the service does not (or no longer) list. Set and Silence are safe for concurrent use and don't block; Run does all
-// calls.
+// Registrar keeps servers registered: it renews all their leases with one call, and registers servers again that the
+// service does not list or no longer lists. Set and Silence are safe for concurrent use and don't block; Run makes all calls.
 type Registrar struct {
 	client  *Client
 	lease   time.Duration
@@ -21,47 +20,47 @@
 
 	mu        sync.Mutex
 	desired   map[string]*desiredState
-	revisions map[string]int64 // of the entries, as last known; absent: there is no entry
+	revisions map[string]int64 // last known revision of each entry; absent if there is no entry
 }
 
-// desiredState is how a server is to be listed.
+// desiredState is the state in which a server is to be listed.
 type desiredState struct {
 	registration api.Registration
 	status       string // Ready, Terminating or Removed
-	settled      bool   // the service has confirmed it
-	silent       bool   // its lease is no longer renewed
+	settled      bool   // whether the service has confirmed it
+	silent       bool   // whether its lease is no longer renewed
 }
 
-// NewRegistrar returns a registrar that uses c and leases of that length. onError is called by Run's goroutines with each
+// NewRegistrar returns a registrar that uses c, with leases of the given length. The goroutines of Run call onError with each
 // failure; name is empty for a failed renewal.
 func NewRegistrar(c *Client, lease time.Duration, onError func(name string, err error)) *Registrar {
 	return &Registrar{client: c, lease: lease, onError: onError, wake: make(chan struct{}, 1),
 		desired: map[string]*desiredState{}, revisions: map[string]int64{}}
 }
 
-// Set has a server listed with that status; Removed ends its entry.
-func (r *Registrar) Set(name string, g api.Registration, status string) {
-	g.LeaseMs = r.lease.Milliseconds()
+// Set requests that a server be listed with a status; Removed removes its entry.
+func (r *Registrar) Set(name string, registration api.Registration, status string) {
+	registration.LeaseMs = r.lease.Milliseconds()
 	r.mu.Lock()
-	r.desired[name] = &desiredState{registration: g, status: status}
+	r.desired[name] = &desiredState{registration: registration, status: status}
 	r.mu.Unlock()
 	r.wakeUp()
 }
 
-// wakeUp has Run look for unsettled servers.
+// wakeUp makes Run look for unsettled servers.
 func (r *Registrar) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a wake-up is pending already
 	}
 }
 
-// Silence stops renewing the lease of a server that has died or is cut off; its entry expires.
+// Silence stops renewing the lease of a server that has died or is cut off, so that its entry expires.
 func (r *Registrar) Silence(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if want := r.desired[name]; want != nil {
-		want.silent = true
+	if desired := r.desired[name]; desired != nil {
+		desired.silent = true
 	}
 }
 
@@ -82,12 +81,12 @@
 	}
 }
 
-// unsettled returns the servers whose desired state is not confirmed, in order.
+// unsettled returns the names of the servers whose desired state is not confirmed, sorted.
 func (r *Registrar) unsettled() (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, want := range r.desired {
-		if !want.settled && !want.silent {
+	for name, desired := range r.desired {
+		if !desired.settled && !desired.silent {
 			names = append(names, name)
 		}
 	}
@@ -95,25 +94,25 @@
 	return names
 }
 
-// settle brings one entry to its desired state. The write is conditional on the revision last known, so that an attempt
-// whose answer was lost is not carried out over a later change by the server, another process of it or an operator.
+// settle brings one entry to its desired state. The write is conditional on the last known revision, so that an attempt whose
+// response was lost can't override a later change by the server, another process of it or an operator.
 func (r *Registrar) settle(ctx context.Context, name string) {
 	r.mu.Lock()
-	want := *r.desired[name]
+	desired := *r.desired[name]
 	var known *int64
-	if v, ok := r.revisions[name]; ok || want.status == api.Ready { // most servers that register have no entry yet
+	if v, ok := r.revisions[name]; ok || desired.status == api.Ready { // most servers that register have no entry yet
 		known = &v
 	}
 	r.mu.Unlock()
-	revision, err := r.client.SetStatus(ctx, name, want.registration, want.status, known)
-	if api.IsCode(err, api.CodeNotFound) && want.status != api.Ready { // its entry has ended already
+	revision, err := r.client.SetStatus(ctx, name, desired.registration, desired.status, known)
+	if api.IsCode(err, api.CodeNotFound) && desired.status != api.Ready { // its entry has been removed already
 		err = nil
 	}
 	if err != nil {
 		if ctx.Err() == nil {
 			r.onError(name, err)
 		}
-		if api.IsCode(err, api.CodeOlderIncarnation) { // another process has taken the name
+		if api.IsCode(err, api.CodeOlderIncarnation) { // a newer process has registered under the name
 			err = nil
 		}
 	}
@@ -122,51 +121,51 @@
 	switch {
 	case revision > 0:
 		r.revisions[name] = revision
-	case err == nil: // the entry has ended, or belongs to another process
+	case err == nil: // the entry has been removed, or belongs to another process
 		delete(r.revisions, name)
 	}
-	now := r.desired[name]
-	if now == nil || now.registration.Incarnation != want.registration.Incarnation || now.status != want.status {
-		return // Set has been called meanwhile
+	current := r.desired[name]
+	if current == nil || current.registration.Incarnation != desired.registration.Incarnation || current.status != desired.status {
+		return // Set has been called in the meantime
 	}
-	now.settled = err == nil
-	if want.status == api.Removed && now.settled {
+	current.settled = err == nil
+	if desired.status == api.Removed && current.settled {
 		delete(r.desired, name)
 	}
 }
 
-// heartbeatLoop renews the leases three times in a lease's length, with jitter, until ctx ends.
+// heartbeatLoop renews the leases three times per lease length, with jitter, until ctx ends.
 func (r *Registrar) heartbeatLoop(ctx context.Context) {
 	for {
-		wait := time.NewTimer(time.Duration(float64(r.lease) / 3 * (0.8 + 0.4*rand.Float64())))
+		timer := time.NewTimer(time.Duration(float64(r.lease) / 3 * (0.8 + 0.4*rand.Float64())))
 		select {
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return
-		case <-wait.C:
+		case <-timer.C:
 		}
-		if leases := r.heartbeats(); len(leases) > 0 {
-			r.renew(ctx, leases)
+		if heartbeats := r.heartbeats(); len(heartbeats) > 0 {
+			r.renew(ctx, heartbeats)
 		}
 	}
 }
 
-// heartbeats returns the leases to be renewed.
-func (r *Registrar) heartbeats() (leases []api.Heartbeat) {
+// heartbeats returns the heartbeats of all leases to be renewed.
+func (r *Registrar) heartbeats() (heartbeats []api.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, want := range r.desired {
-		if want.settled && !want.silent && want.status != api.Removed {
-			leases = append(leases, api.Heartbeat{Name: name, Incarnation: want.registration.Incarnation})
+	for name, desired := range r.desired {
+		if desired.settled && !desired.silent && desired.status != api.Removed {
+			heartbeats = append(heartbeats, api.Heartbeat{Name: name, Incarnation: desired.registration.Incarnation})
 		}
 	}
-	return leases
+	return heartbeats
 }
 
-// renew renews leases with one call. Servers whose leases have expired are registered again.
-func (r *Registrar) renew(ctx context.Context, leases []api.Heartbeat) {
+// renew renews leases with one call, and has servers whose leases have expired registered again.
+func (r *Registrar) renew(ctx context.Context, heartbeats []api.Heartbeat) {
 	renewCtx, cancel := context.WithTimeout(ctx, r.lease)
-	expired, err := r.client.Renew(renewCtx, leases)
+	expired, err := r.client.Renew(renewCtx, heartbeats)
 	cancel()
 	if err != nil && ctx.Err() == nil {
 		r.onError("", err)
@@ -176,9 +175,9 @@
 	}
 	r.mu.Lock()
 	for _, name := range expired {
-		delete(r.revisions, name) // where there is an entry again, the write fails and the entry is read
-		if want := r.desired[name]; want != nil && want.status == api.Ready {
-			want.settled = false
+		delete(r.revisions, name) // if there is an entry again, the conditional write fails and the entry is read
+		if desired := r.desired[name]; desired != nil && desired.status == api.Ready {
+			desired.settled = false
 		}
 	}
 	r.mu.Unlock()
--- a/internal/registry/client/registrar_test.go
+++ b/internal/registry/client/registrar_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -15,17 +14,17 @@
 	lists "mosslead/internal/registry/list"
 )
 
-// fakeListService is a list behind calls of which one may be carried out late.
+// fakeListService is a list service with one entry, "u". It can lose the response to a write, and apply a write late.
 type fakeListService struct {
 	*httptest.Server
 	t       *testing.T
-	changed chan struct{} // after each answer
+	changed chan struct{} // receives a value after each response
 
 	mu          sync.Mutex
 	list        *lists.List
 	calls       []string
-	nextOutcome string         // of the next write: "late", "no answer", "unknown" or "": as it should be
-	delayed     *lists.Command // the one that is on its way
+	nextOutcome string         // of the next write: "late", "no answer", "unknown", or "" for success
+	delayed     *lists.Command // the write that is applied late
 }
 
 func newFakeListService(t *testing.T) *fakeListService {
@@ -43,49 +42,49 @@
 	}()
 	if r.URL.Path == "/v1/renew" {
 		var change api.Heartbeats
-		done := api.HeartbeatResult{Expired: []string{}}
+		renewed := api.HeartbeatResult{Expired: []string{}}
 		if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
 			s.t.Error(err)
 		}
-		for _, x := range change.Heartbeats {
-			if e, ok := s.list.Get(x.Name); !ok || e.Incarnation != x.Incarnation {
-				done.Expired = append(done.Expired, x.Name)
+		for _, heartbeat := range change.Heartbeats {
+			if record, ok := s.list.Get(heartbeat.Name); !ok || record.Incarnation != heartbeat.Incarnation {
+				renewed.Expired = append(renewed.Expired, heartbeat.Name)
 			}
 		}
-		_ = json.NewEncoder(w).Encode(done)
+		_ = json.NewEncoder(w).Encode(renewed)
 		return
 	}
 	if r.Method == http.MethodGet {
 		if r.FormValue("consistent") == "" {
-			s.t.Error("read what may be old")
+			s.t.Error("got a read without consistent=1, want a consistent read")
 		}
 		s.calls = append(s.calls, "read")
-		e, _ := s.list.Get("u")
-		_ = json.NewEncoder(w).Encode(e)
+		record, _ := s.list.Get("u")
+		_ = json.NewEncoder(w).Encode(record)
 		return
 	}
-	c := lists.Command{Op: lists.Register, Name: "u"}
+	command := lists.Command{Op: lists.Register, Name: "u"}
 	if r.Method == http.MethodPut {
-		c.Registration = &api.Registration{}
-		if err := json.NewDecoder(r.Body).Decode(c.Registration); err != nil {
+		command.Registration = &api.Registration{}
+		if err := json.NewDecoder(r.Body).Decode(command.Registration); err != nil {
 			s.t.Error(err)
 		}
-		c.IfRevision = c.Registration.IfRevision
+		command.IfRevision = command.Registration.IfRevision
 	} else {
 		var change api.StateChange
 		if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
 			s.t.Error(err)
 		}
-		c.Op = r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:]
-		c.Incarnation, c.IfRevision = change.Incarnation, change.IfRevision
+		command.Op = r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:]
+		command.Incarnation, command.IfRevision = change.Incarnation, change.IfRevision
 	}
-	s.calls = append(s.calls, c.Op)
+	s.calls = append(s.calls, command.Op)
 	outcome := s.nextOutcome
 	s.nextOutcome = ""
 	if outcome == "late" {
-		s.delayed = &c
+		s.delayed = &command
 	} else {
-		result := s.list.Apply(c)
+		result := s.list.Apply(command)
 		if outcome == "" {
 			if result.Err != nil {
 				w.WriteHeader(http.StatusConflict)
@@ -106,68 +105,68 @@
 	}
 }
 
-// setNextOutcome decides what becomes of the setNextOutcome write.
+// setNextOutcome sets the outcome of the next write.
 func (s *fakeListService) setNextOutcome(outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextOutcome = outcome
 }
 
-// apply carries a command out beside the calls.
-func (s *fakeListService) apply(c lists.Command) {
+// apply applies a command that no call has requested.
+func (s *fakeListService) apply(command lists.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list.Apply(c)
+	s.list.Apply(command)
 }
 
-// applyDelayed carries out what was on its way.
+// applyDelayed applies the delayed write.
 func (s *fakeListService) applyDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.delayed == nil {
-		s.t.Error("nothing was on its way")
+		s.t.Error("got no delayed write, want one")
 		return
 	}
 	s.list.Apply(*s.delayed)
 }
 
-func (s *fakeListService) entryStatus() (own, hand string) {
+func (s *fakeListService) entryStatus() (status, adminState string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.list.Get("u")
+	record, ok := s.list.Get("u")
 	if !ok {
-		return api.Removed, e.AdminState
+		return api.Removed, record.AdminState
 	}
-	return e.ServerStatus, e.AdminState
+	return record.ServerStatus, record.AdminState
 }
 
-// waitSettled waits until the registrar has nothing to tell.
+// waitSettled waits until the service has confirmed the desired state of the entry.
 func (s *fakeListService) waitSettled(r *Registrar) {
 	s.t.Helper()
 	for end := time.After(10 * time.Second); ; {
 		r.mu.Lock()
-		w := r.desired["u"]
-		done := w == nil || w.settled
+		desired := r.desired["u"]
+		settled := desired == nil || desired.settled
 		r.mu.Unlock()
-		if done {
+		if settled {
 			return
 		}
 		select {
 		case <-s.changed:
-		case <-time.After(time.Millisecond): // the answer is on its way back
+		case <-time.After(time.Millisecond): // the registrar may not have received the response yet
 		case <-end:
-			s.t.Fatal("not settled in 10 s")
+			s.t.Fatal("got no settled entry within 10 s, want one")
 		}
 	}
 }
 
-// takeCalls are the calls since it was last asked.
+// takeCalls returns the calls since it was last called.
 func (s *fakeListService) takeCalls() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := strings.Join(s.calls, " ")
+	calls := strings.Join(s.calls, " ")
 	s.calls = nil
-	return all
+	return calls
 }
 
 func startRegistrar(t *testing.T, s *fakeListService, lease time.Duration) *Registrar {
@@ -188,9 +187,9 @@
 	return api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: incarnation}
 }
 
-// Guards against a server's word that is carried out a second time, over what it said since: work to a server that drains.
+// Guards against a server's write that is carried out late and overrides a newer one, so that a draining server gets requests again.
 func TestAServersWordIsNotCarriedOutLate(t *testing.T) {
-	for name, wishes := range map[string][]string{ // the one before the last comes late
+	for name, statuses := range map[string][]string{ // the write before the last one is carried out late
 		"a registration over a drain":        {api.Ready, api.Terminating},
 		"a drain over a registration":        {api.Ready, api.Terminating, api.Ready},
 		"a leave over a registration":        {api.Ready, api.Removed, api.Ready},
@@ -199,94 +198,94 @@
 		t.Run(name, func(t *testing.T) {
 			s := newFakeListService(t)
 			r := startRegistrar(t, s, time.Minute)
-			for i, status := range wishes {
-				if i == len(wishes)-2 {
+			for i, status := range statuses {
+				if i == len(statuses)-2 {
 					s.setNextOutcome("late")
 				}
 				r.Set("u", registration(7), status)
 				s.waitSettled(r)
-				if own, _ := s.entryStatus(); own != status {
-					t.Fatalf("wish %d: %s, not %s", i, own, status)
+				if got, _ := s.entryStatus(); got != status {
+					t.Fatalf("write %d: got status %s, want %s", i, got, status)
 				}
 			}
 			s.applyDelayed()
-			if own, _ := s.entryStatus(); own != wishes[len(wishes)-1] {
-				t.Errorf("%s after the late one, not %s", own, wishes[len(wishes)-1])
+			if got, _ := s.entryStatus(); got != statuses[len(statuses)-1] {
+				t.Errorf("after the late write: got status %s, want %s", got, statuses[len(statuses)-1])
 			}
 		})
 	}
 }
 
-// Guards against calls that a change costs where answers come, and against one that is not settled where they don't.
+// Checks that a change takes one call if its response arrives, and that it is settled even if responses are lost.
 func TestWhatAServersWordCosts(t *testing.T) {
 	ban := lists.Command{Op: lists.SetAdminState, Name: "u", AdminState: api.AdminBan}
-	lapse := lists.Command{Op: lists.Expire, Expired: []api.Heartbeat{{Name: "u", Incarnation: 7}}}
+	expire := lists.Command{Op: lists.Expire, Expired: []api.Heartbeat{{Name: "u", Incarnation: 7}}}
 	older := lists.Command{Op: lists.Register, Name: "u", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: 6}}
 	newer := lists.Command{Op: lists.Register, Name: "u", Registration: &api.Registration{Address: "127.0.0.1:1", Weight: 1, Incarnation: 8}}
 	type step struct {
-		before *lists.Command
-		fate   string
-		status string
-		calls  string
-		own    string
-		hand   string
+		before         *lists.Command // applied before the status is set, or nil
+		outcome        string         // of the first write
+		status         string         // the one to be set
+		wantCalls      string
+		wantStatus     string
+		wantAdminState string
 	}
 	for name, steps := range map[string][]step{
-		"answers come": {
-			{status: api.Ready, calls: "register", own: api.Ready},
-			{status: api.Terminating, calls: "drain", own: api.Terminating},
-			{status: api.Ready, calls: "register", own: api.Ready},
-			{status: api.Removed, calls: "leave", own: api.Removed},
-			{status: api.Ready, calls: "register", own: api.Ready},
+		"response received": {
+			{status: api.Ready, wantCalls: "register", wantStatus: api.Ready},
+			{status: api.Terminating, wantCalls: "drain", wantStatus: api.Terminating},
+			{status: api.Ready, wantCalls: "register", wantStatus: api.Ready},
+			{status: api.Removed, wantCalls: "leave", wantStatus: api.Removed},
+			{status: api.Ready, wantCalls: "register", wantStatus: api.Ready},
 		},
-		"no answer": {
-			{fate: "no answer", status: api.Ready, calls: "register read register", own: api.Ready},
-			{fate: "no answer", status: api.Terminating, calls: "drain read drain", own: api.Terminating},
-			{fate: "no answer", status: api.Removed, calls: "leave read leave", own: api.Removed},
+		"response lost": {
+			{outcome: "no answer", status: api.Ready, wantCalls: "register read register", wantStatus: api.Ready},
+			{outcome: "no answer", status: api.Terminating, wantCalls: "drain read drain", wantStatus: api.Terminating},
+			{outcome: "no answer", status: api.Removed, wantCalls: "leave read leave", wantStatus: api.Removed},
 		},
-		"the answer is that nobody knows": {
-			{fate: "unknown", status: api.Ready, calls: "register read register", own: api.Ready},
-			{fate: "unknown", status: api.Terminating, calls: "drain read drain", own: api.Terminating},
-			{fate: "unknown", status: api.Removed, calls: "leave read leave", own: api.Removed},
+		"outcome unknown": {
+			{outcome: "unknown", status: api.Ready, wantCalls: "register read register", wantStatus: api.Ready},
+			{outcome: "unknown", status: api.Terminating, wantCalls: "drain read drain", wantStatus: api.Terminating},
+			{outcome: "unknown", status: api.Removed, wantCalls: "leave read leave", wantStatus: api.Removed},
 		},
-		"an operator's word between": {
-			{status: api.Ready, calls: "register", own: api.Ready},
-			{before: &ban, status: api.Terminating, calls: "drain read drain", own: api.Terminating, hand: api.AdminBan},
-			{status: api.Removed, calls: "leave", own: api.Removed, hand: api.AdminBan},
+		"change by an operator in between": {
+			{status: api.Ready, wantCalls: "register", wantStatus: api.Ready},
+			{before: &ban, status: api.Terminating, wantCalls: "drain read drain", wantStatus: api.Terminating, wantAdminState: api.AdminBan},
+			{status: api.Removed, wantCalls: "leave", wantStatus: api.Removed, wantAdminState: api.AdminBan},
 		},
-		"it has lapsed": {
-			{status: api.Ready, calls: "register", own: api.Ready},
-			{before: &lapse, status: api.Terminating, calls: "drain read drain", own: api.Removed},
-			{status: api.Removed, calls: "read leave", own: api.Removed},
+		"entry expired": {
+			{status: api.Ready, wantCalls: "register", wantStatus: api.Ready},
+			{before: &expire, status: api.Terminating, wantCalls: "drain read drain", wantStatus: api.Removed},
+			{status: api.Removed, wantCalls: "read leave", wantStatus: api.Removed},
 		},
-		"a process before it": {{before: &older, status: api.Ready, calls: "register read register", own: api.Ready}},
-		"a process after it":  {{before: &newer, status: api.Ready, calls: "register read register", own: api.Ready}},
+		"entry of an older process": {{before: &older, status: api.Ready, wantCalls: "register read register", wantStatus: api.Ready}},
+		"entry of a newer process":  {{before: &newer, status: api.Ready, wantCalls: "register read register", wantStatus: api.Ready}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFakeListService(t)
 			r := startRegistrar(t, s, time.Minute)
-			for i, x := range steps {
-				if x.before != nil {
-					s.apply(*x.before)
+			for i, step := range steps {
+				if step.before != nil {
+					s.apply(*step.before)
 				}
-				s.setNextOutcome(x.fate)
-				r.Set("u", registration(7), x.status)
+				s.setNextOutcome(step.outcome)
+				r.Set("u", registration(7), step.status)
 				s.waitSettled(r)
-				own, hand := s.entryStatus()
-				if calls := s.takeCalls(); calls != x.calls || own != x.own || hand != x.hand {
-					t.Errorf("step %d: %s after %q, by hand %q", i, own, calls, hand)
+				status, adminState := s.entryStatus()
+				if calls := s.takeCalls(); calls != step.wantCalls || status != step.wantStatus || adminState != step.wantAdminState {
+					t.Errorf("step %d: got status %s, administrative state %q after calls %q; want %s, %q after %q", i, status, adminState, calls, step.wantStatus, step.wantAdminState, step.wantCalls)
 				}
 			}
-			if name == "a process after it" {
-				if e, _ := s.list.Get("u"); e.Incarnation != 8 {
-					t.Errorf("incarnation %d", e.Incarnation)
+			if name == "entry of a newer process" {
+				if record, _ := s.list.Get("u"); record.Incarnation != 8 {
+					t.Errorf("got incarnation %d, want 8", record.Incarnation)
 				}
 			}
 		})
 	}
 }
 
-// An entry that has lapsed is registered again with one call, as soon as a renewal says so.
+// Checks that an expired entry is registered again with one call, as soon as a renewal reports it as expired.
 func TestALapsedEntryIsRegisteredAgain(t *testing.T) {
 	s := newFakeListService(t)
 	r := startRegistrar(t, s, api.MinLeaseMs*time.Millisecond)
@@ -294,16 +293,16 @@
 	s.waitSettled(r)
 	s.apply(lists.Command{Op: lists.Expire, Expired: []api.Heartbeat{{Name: "u", Incarnation: 7}}})
 	for end := time.After(10 * time.Second); ; {
-		if own, _ := s.entryStatus(); own == api.Ready {
+		if status, _ := s.entryStatus(); status == api.Ready {
 			break
 		}
 		select {
 		case <-s.changed:
 		case <-end:
-			t.Fatal("not registered again in 10 s")
+			t.Fatal("got no second registration within 10 s, want one")
 		}
 	}
 	if calls := s.takeCalls(); calls != "register register" {
-		t.Error(fmt.Sprint("calls: ", calls))
+		t.Errorf("got calls %q, want %q", calls, "register register")
 	}
 }
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// maxListBytes bounds one message: twice the most entries that the service holds.
+	// maxListBytes bounds one message: it is twice the size of the largest list of the service.
 	maxListBytes = 8 << 20
 
-	// callTimeout is the longest time from one call of a watch to the next, at another replica, whatever the first comes
-	// to. It keeps the bound of watch.Told: a list arrives within that time once a majority of replicas has it and can be
-	// reached, even if the calls before go to all the others. The longest case with five replicas:
+	// callTimeout is the longest time from one call of a watch to the next, at another replica, whatever the result of the
+	// first. It keeps the bound of watch.NotifyDeadline: a list arrives within that time once a majority of replicas has it
+	// and can be reached, even if the preceding calls go to all the others. The longest case with five replicas:
 	//
-	//	a watch that has just fallen silent                        2.5 s (watch.Silence; or a call: callTimeout)
-	//	two replicas that are unreachable, fail or don't answer    3.0 s (2 * callTimeout, including the wait between)
-	//	left for connecting and one list                           0.5 s
+	//	a watch that has just become silent                        2.5 s (watch.Silence; or a call: callTimeout)
+	//	two replicas that are unreachable, fail or don't respond   3.0 s (2 * callTimeout, including the wait between)
+	//	remaining for connecting and one list                      0.5 s
 	//
-	// Of an implausible list, what drains applies at once; the second read lasts verifyTimeout at most.
+	// The draining endpoints of an implausible list are applied at once; the second read lasts verifyTimeout at most.
 	callTimeout   = 1500 * time.Millisecond
 	verifyTimeout = time.Second
 )
 
 // Watcher receives the events of a watch. Its functions are called one at a time, by the goroutine of the watch.
 type Watcher struct {
-	// Apply takes in an event. An error says that the event is unusable, and is reported; the watch continues at
-	// another replica.
-	Apply func(l api.WatchEvent) error
-	// OnEstablished is called once for each watch that is established and has no change.
+	// Apply applies an event. It returns an error if the event is unusable; the error is reported, and the watch
+	// continues at another replica.
+	Apply func(event api.WatchEvent) error
+	// OnEstablished is called once for each watch that is established without a change.
 	OnEstablished func()
-	// Query is what each call of the watch requests beside the list, as Service encodes it; nil: nothing.
+	// Query returns what each call of the watch requests besides the list, as encoded by Service. It may be nil.
 	Query func() string
-	// OnError is called with why a watch ended, or what of a list is implausible.
-	OnError func(at string, why error)
+	// OnError is called with the reason why a watch ended, or why a list is implausible.
+	OnError func(address string, reason error)
 }
 
-// Watch follows the list until ctx ends. start is the list that is in use before, if any: changes since its
-// revision are requested, unless that is 0, of a list from elsewhere. When a watch is silent, the next is
-// opened at another replica.
+// Watch follows the list until ctx ends. start is the list in use before, or nil: changes since its revision are
+// requested, unless that is 0, as for a list from another source. When a watch is silent, the next is opened at
+// another replica.
 func (c *Client) Watch(ctx context.Context, start *api.WatchEvent, w Watcher) {
 	inUse := &plausibility{}
 	if start != nil {
@@ -59,90 +59,91 @@
 			}
 			return -1
 		},
-		Apply: func(from string, l *api.WatchEvent) error {
-			if anomaly := inUse.anomaly(*l); anomaly != "" {
-				return c.verify(ctx, from, inUse, w, *l, anomaly)
+		Apply: func(address string, event *api.WatchEvent) error {
+			if anomaly := inUse.anomaly(*event); anomaly != "" {
+				return c.verify(ctx, address, inUse, w, *event, anomaly)
 			}
-			if err := w.Apply(*l); err != nil {
+			if err := w.Apply(*event); err != nil {
 				return err
 			}
-			inUse.accept(*l)
+			inUse.accept(*event)
 			return nil
 		},
-		OnError: func(at string, why error) {
-			w.OnError(at, why)
-			c.switchFrom(at)
+		OnError: func(address string, reason error) {
+			w.OnError(address, reason)
+			c.switchFrom(address)
 		},
 		Wait: func() time.Duration { return watchWait(&retry, time.Now(), rand.Float64()) },
 	}
-	_ = f.Follow(ctx) // ends with ctx alone
+	_ = f.Follow(ctx) // ends only when ctx ends
 }
 
-// Service encodes a request for the settings of a service: cached are those that are known already, if any
-// are.
+// Service returns the query that requests the settings of a service. cached is the document that is known already,
+// or the zero value.
 func Service(name string, cached api.Document) string {
-	q := "&service=" + url.QueryEscape(name) + "&held="
+	query := "&service=" + url.QueryEscape(name) + "&held="
 	if cached.Revision > 0 {
-		q += url.QueryEscape(cached.Region + "@" + strconv.FormatInt(cached.Revision, 10))
+		query += url.QueryEscape(cached.Region + "@" + strconv.FormatInt(cached.Revision, 10))
 	}
-	return q
+	return query
 }
 
-// maxRegionBytes bounds one message of a whole region in bytes: all settings, at worst six bytes for each byte of them in JSON,
+// maxRegionBytes bounds one message with a whole region: all settings, with six bytes of JSON for each of their bytes at worst,
 // and all entries.
 const maxRegionBytes = 64 << 20
 
-// Region follows what a service's own region writes, until ctx ends: from tells which revision is replicated,
-// or -1 for the full list. w.Apply alone judges what of it to believe; w.Query is not used. onHeard is called
-// for each line.
+// Region follows the changes that the service's own region writes, until ctx ends. from returns the revision that is
+// replicated, or -1 to request the full list. Events are not checked for plausibility before w.Apply; w.Query is not
+// used. onHeard is called for each line.
 func (c *Client) Region(ctx context.Context, from func() int64, w Watcher, onHeard func()) {
 	var retry backoff
 	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxRegionBytes, Address: c.currentAddress, OnEstablished: w.OnEstablished, Revision: from, OnLine: onHeard,
 		Query: func() string { return "&own=1" },
-		Apply: func(_ string, l *api.WatchEvent) error { return w.Apply(*l) },
-		OnError: func(at string, why error) {
-			w.OnError(at, why)
-			c.switchFrom(at)
+		Apply: func(_ string, event *api.WatchEvent) error { return w.Apply(*event) },
+		OnError: func(address string, reason error) {
+			w.OnError(address, reason)
+			c.switchFrom(address)
 		},
 		Wait: func() time.Duration { return watchWait(&retry, time.Now(), rand.Float64()) },
 	}
-	_ = f.Follow(ctx) // ends with ctx alone
+	_ = f.Follow(ctx) // ends only when ctx ends
 }
 
-// watchWait returns the wait after a watch that ended: the back-off's, cut to callTimeout with jitter, so that the calls of
-// a fleet stay spread over time.
-func watchWait(b *backoff, now time.Time, chance float64) time.Duration {
-	return min(b.next(now, chance), time.Duration((1+chance)/2*float64(callTimeout)))
+// watchWait returns the wait after a watch that ended: that of the back-off, limited to callTimeout with jitter, so that the
+// calls of a fleet stay spread over time.
+func watchWait(b *backoff, now time.Time, random float64) time.Duration {
+	return min(b.next(now, random), time.Duration((1+random)/2*float64(callTimeout)))
 }
 
-// verify keeps the list in use, but for endpoints that drain, and reads the list a second time, from another replica if
-// there is one. The second list is applied if it is plausible or shows the same anomaly; any other anomaly rejects both.
-func (c *Client) verify(ctx context.Context, at string, inUse *plausibility, w Watcher, l api.WatchEvent, anomaly string) error {
-	w.OnError(at, fmt.Errorf("list %d is doubted: %s", l.Revision, anomaly))
-	if drains, any := inUse.drainsOnly(l); any {
+// verify handles an implausible list. It applies only the endpoints that drain, and reads the list a second time, from another
+// replica if there is one. The second list is applied if it is plausible or has the same anomaly; with any other anomaly, both
+// are rejected.
+func (c *Client) verify(ctx context.Context, address string, inUse *plausibility, w Watcher, event api.WatchEvent, anomaly string) error {
+	w.OnError(address, fmt.Errorf("list %d is implausible: %s", event.Revision, anomaly))
+	if drains, ok := inUse.drainsOnly(event); ok {
 		if err := w.Apply(drains); err != nil {
 			return err
 		}
 	}
-	other := c.otherAddress(at)
+	other := c.otherAddress(address)
 	ctx, cancel := context.WithTimeout(ctx, verifyTimeout)
 	defer cancel()
 	var second api.WatchEvent
 	if err := c.attempt(ctx, other, http.MethodGet, "/api/targets", nil, &second); err != nil {
-		return fmt.Errorf("reading a second time, at %s: %w", other, err)
+		return fmt.Errorf("reading the list a second time, at %s: %w", other, err)
 	}
 	second.Snapshot = true
-	reason := "another replica knows better"
-	switch found := inUse.anomaly(second); found {
+	reason := "another replica has a plausible list"
+	switch secondAnomaly := inUse.anomaly(second); secondAnomaly {
 	case "":
 	case anomaly:
 		reason = "confirmed by a second read"
 	default:
-		return fmt.Errorf("list %d of %s is strange in another way: %s", second.Revision, other, found)
+		return fmt.Errorf("list %d of %s has a different anomaly: %s", second.Revision, other, secondAnomaly)
 	}
 	if err := w.Apply(second); err != nil {
 		return err
 	}
 	inUse.accept(second)
-	return fmt.Errorf("list %d is believed: %s", second.Revision, reason)
+	return fmt.Errorf("list %d is applied: %s", second.Revision, reason)
 }
