--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,5 +1,5 @@
 // Package watch follows a list over HTTP: it decides when a watch counts as broken, when another is opened beside it, and
-// which of the two is used. It makes the calls and decodes the messages, and leaves their meaning to the caller.
+// which of the two is used. It makes the calls and decodes the messages; the caller interprets them.
 package watch
 
 import (
@@ -12,80 +12,78 @@
 	"time"
 )
 
-// NotifyDeadline bounds the time from when the other side has a change, and can be reached, until it is
-// applied here, whatever failed before. Each path is as long as the wait that began just before it could be
-// reached, and the answer to the call after it (an agent has it at once; a list service reads it from
-// memory):
+// NotifyDeadline bounds the time from when a server has a change and can be reached until the change is
+// applied here, whatever failed before. This time consists of the wait that began just before the server
+// could be reached, and of the response to the next call, which needs hardly any time (a discovery agent has
+// the change at hand, and a list service reads it from memory). With a Wait of 2 s at most, the waits are:
 //
-// followed here, with a Wait of 2 s at most:
-// refused, reset, ended, an error or an invalid list, in a loop: Wait 2.0 s
-// no connection, or no response head: Step 1.25 s, lateStep 2.0 s
-// silent after a line, a head or a part of a message: Silence 2.5 s
-// a part of a message just before that silence counts: twice Silence, 5.0 s
+//	refused, reset, ended, an error or an invalid list, repeatedly: Wait 2.0 s
+//	no connection, or no response head: Step 1.25 s, outageStep 2.0 s
+//	silent after a line, a head or a part of a message: Silence 2.5 s
+//	a part of a message just before the end of that silence: twice Silence, 5.0 s
 //
-// A message without end, a byte at a time, counts as a part of one: only its first bytes put the clock off.
-// With MaxCalls, or several replicas, see the callers' constants.
+// A message that arrives byte by byte without end counts as a part of a message: only its first bytes restart
+// the timer. With MaxCalls, or several replicas, see the callers' constants.
 const NotifyDeadline = 6 * time.Second
 
 const (
-	// Silence is how long a watch may bring nothing. An empty line comes every 2 s; one that is a quarter late
-	// costs one call more and loses nothing, since the silent watch stays open beside its successor.
+	// Silence is how long a watch may be silent. The server sends an empty line every 2 s. If one is a quarter
+	// late, this costs one more call and loses nothing, since the silent watch stays open beside the new one.
 	Silence = 2500 * time.Millisecond
-	// Step is how long a call may bring nothing before another is opened beside it. The next one takes its
-	// place, so that each has two steps to answer: some servers hold back a response's head until its first
-	// line.
+	// Step is how long a call may be silent before a second is opened beside it. A third replaces the first, so
+	// that each call has two steps to respond: some servers hold back the response head until the first line.
 	Step = Silence / 2
-	// outageStep is the step once an outage is evident, after outageAfter calls without a line: changes have to be
-	// applied within 3 s of the other side's return.
+	// outageStep is the step during an outage, after outageAfter calls without a line: changes have to be applied
+	// within 3 s after the server returns.
 	outageStep  = 2 * time.Second
 	outageAfter = 3
 )
 
 var (
-	// ErrSilent is reported for a watch that was silent for too long.
-	ErrSilent = errors.New("nothing was heard in time")
-	// errEnded is returned if the server has ended a watch gracefully.
-	errEnded = errors.New("the other side ended it")
+	// ErrSilent is the error of a watch that was silent for too long.
+	ErrSilent = errors.New("nothing was received in time")
+	// errEnded is the error of a watch that the server has ended gracefully.
+	errEnded = errors.New("the server ended the watch")
 )
 
-// Follower follows one list, over two connections at most. Its functions are called one at a time, by Follow.
+// Follower follows one list, over two connections at most. Follow calls its functions one at a time.
 type Follower[M any] struct {
 	Client          *http.Client
-	Step            time.Duration               // default: the package's Step
-	MaxMessageBytes int                         // of one message
-	MaxCalls        int                         // calls without a line before Follow gives up; it does too when none is open. 0: it never does
-	Address         func() string               // host:port that the next call goes to
-	AddressChanged  <-chan struct{}             // Address has changed, and is called at once; nil: it never does
-	Revision        func() int64                // the revision that is known; -1: the full list is requested
-	Query           func() string               // additional query of the next call, as "&own=1"; nil: none
-	Apply           func(at string, m *M) error // applies a message; after an error its watch is ended
-	OnEstablished   func()                      // called once for each watch that is established and has no change
-	OnLine          func()                      // called for each line, before it is applied; may be nil
-	OnError         func(at string, why error)  // called with why a watch ended, or is silent
-	Wait            func() time.Duration        // after a watch that ended, until the next call; used if MaxCalls is 0
+	Step            time.Duration                      // step of the calls; default: the constant Step, or outageStep during an outage
+	MaxMessageBytes int                                // limit of the bytes of one message
+	MaxCalls        int                                // number of calls without a line after which Follow gives up, as it does when no call is open; 0 if it never gives up
+	Address         func() string                      // returns the host:port of the next call
+	AddressChanged  <-chan struct{}                    // receives a value when Address has changed, which is then called at once; nil if it never changes
+	Revision        func() int64                       // returns the known revision, or -1 to request the full list
+	Query           func() string                      // returns the additional query of the next call, such as "&own=1"; may be nil
+	Apply           func(address string, m *M) error   // applies a message; an error ends its watch
+	OnEstablished   func()                             // called once for each watch that is established without a change; may be nil
+	OnLine          func()                             // called for each line, before it is applied; may be nil
+	OnError         func(address string, reason error) // called with the reason why a watch ended, or with ErrSilent
+	Wait            func() time.Duration               // returns the time from the end of a watch to the next call; used if MaxCalls is 0
 }
 
-// call is one watch.
+// call is a watch on one connection.
 type call struct {
 	address        string
 	fromRevision   int64
 	query          string
 	cancel         context.CancelFunc
 	done           chan struct{}
-	established    bool // it has received a line
-	partial        bool // something was received since its last line: a head, or part of a message
+	established    bool // whether it has received a line
+	partial        bool // whether a head or a part of a message was received since its last line
 	reportedSilent bool
-	// it goes to the formerAddress address, and is read until a call to the new one has received a line
+	// whether it goes to the former address; it is then read until a call to the new one has received a line
 	formerAddress bool
 }
 
-// end ends the call and waits for it, so that there is never a third connection.
+// end ends the call and waits until its connection is no longer in use, so that there is never a third one.
 func (c *call) end() {
 	c.cancel()
 	<-c.done
 }
 
-// event is what a call reports: one of message, blank or err, or else that something was received.
+// event is an event of a call: a message, an empty line or an error, or else that a head or a part of a message was received.
 type event[M any] struct {
 	call    *call
 	message *M
@@ -93,23 +91,24 @@
 	err     error
 }
 
-// Follow watches until ctx ends, or until it gives up. Whichever of its calls receives a line first is
-// used, and the other is ended unread, so that revisions can't go back. Only a call to the address of
-// before ends no other: what was sent on it counts, and the new address may not answer yet.
+// Follow watches until ctx ends, or until it gives up, and returns why. Of two open calls, the first to
+// receive a line is used and the other is ended unread, so that revisions can't go back. A call to the
+// former address is the exception: a line on it does not end the call to the new address, which may not
+// respond yet, and its messages are applied until the new address has sent a line.
 func (f *Follower[M]) Follow(ctx context.Context) error {
-	w := &followState[M]{Follower: f, ctx: ctx, events: make(chan event[M]), timer: time.NewTimer(0), timerDue: time.Now()}
-	defer w.stop()
+	s := &followState[M]{Follower: f, ctx: ctx, events: make(chan event[M]), timer: time.NewTimer(0), timerDue: time.Now()}
+	defer s.stop()
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case <-f.AddressChanged:
-			w.onAddressChanged()
-		case <-w.timer.C:
-			err = w.onTimer()
-		case e := <-w.events:
-			err = w.onEvent(e)
+			s.onAddressChanged()
+		case <-s.timer.C:
+			err = s.onTimer()
+		case e := <-s.events:
+			err = s.onEvent(e)
 		}
 		if err != nil {
 			return err
@@ -121,133 +120,134 @@
 type followState[M any] struct {
 	*Follower[M]
 	ctx            context.Context
-	openCalls      []*call // two at most, the newest last
+	openCalls      []*call // two at most, in the order in which they were started
 	events         chan event[M]
-	callsSinceLine int         // since the last line
-	timer          *time.Timer // of the next call
-	timerDue       time.Time   // of next
+	callsSinceLine int         // number of calls since the last line
+	timer          *time.Timer // fires when the next call is due
+	timerDue       time.Time   // when timer fires
 }
 
 // stop ends all calls.
-func (w *followState[M]) stop() {
-	w.timer.Stop()
-	for _, c := range w.openCalls {
+func (s *followState[M]) stop() {
+	s.timer.Stop()
+	for _, c := range s.openCalls {
 		c.end()
 	}
 }
 
-// scheduleCall schedules the next call after wait, unless something is received before.
-func (w *followState[M]) scheduleCall(wait time.Duration) {
-	w.timerDue = time.Now().Add(wait)
-	w.timer.Reset(wait)
+// scheduleCall schedules the next call after wait, in place of the one scheduled before.
+func (s *followState[M]) scheduleCall(wait time.Duration) {
+	s.timerDue = time.Now().Add(wait)
+	s.timer.Reset(wait)
 }
 
 // endOldest ends the older call, if there are two.
-func (w *followState[M]) endOldest() {
-	if len(w.openCalls) == 2 {
-		w.openCalls[0].end()
-		w.openCalls = w.openCalls[1:]
+func (s *followState[M]) endOldest() {
+	if len(s.openCalls) == 2 {
+		s.openCalls[0].end()
+		s.openCalls = s.openCalls[1:]
 	}
 }
 
-// onAddressChanged calls the new address at once. The open call is read until the new one has received a line.
-func (w *followState[M]) onAddressChanged() {
-	at := w.Address()
-	if len(w.openCalls) > 0 && w.openCalls[len(w.openCalls)-1].address == at {
-		return // the call went there already
+// onAddressChanged schedules a call to the new address at once. The newest open call is read until the new one has received a line.
+func (s *followState[M]) onAddressChanged() {
+	address := s.Address()
+	if len(s.openCalls) > 0 && s.openCalls[len(s.openCalls)-1].address == address {
+		return // a call to this address is open already
 	}
-	w.endOldest()
-	for _, c := range w.openCalls {
+	s.endOldest()
+	for _, c := range s.openCalls {
 		c.formerAddress = true
 	}
-	w.callsSinceLine = 0
-	w.scheduleCall(0)
+	s.callsSinceLine = 0
+	s.scheduleCall(0)
 }
 
-// onTimer makes the next call beside a silent one, or gives up.
-func (w *followState[M]) onTimer() error {
-	if len(w.openCalls) > 0 && !w.openCalls[len(w.openCalls)-1].formerAddress {
-		w.reportSilent(w.openCalls[len(w.openCalls)-1])
+// onTimer starts the next call, beside a silent one if there is one, or gives up with an error.
+func (s *followState[M]) onTimer() error {
+	if len(s.openCalls) > 0 && !s.openCalls[len(s.openCalls)-1].formerAddress {
+		s.reportSilent(s.openCalls[len(s.openCalls)-1])
 	}
-	if w.MaxCalls > 0 && w.callsSinceLine >= w.MaxCalls {
+	if s.MaxCalls > 0 && s.callsSinceLine >= s.MaxCalls {
 		return ErrSilent
 	}
-	w.endOldest()
-	w.openCalls = append(w.openCalls, w.startCall(w.ctx, w.events))
-	w.callsSinceLine++
-	w.scheduleCall(w.stepAfter(w.callsSinceLine))
+	s.endOldest()
+	s.openCalls = append(s.openCalls, s.startCall(s.ctx, s.events))
+	s.callsSinceLine++
+	s.scheduleCall(s.stepAfter(s.callsSinceLine))
 	return nil
 }
 
-// onEvent handles the event of a call. An error ends Follow.
-func (w *followState[M]) onEvent(e event[M]) error {
-	i := slices.Index(w.openCalls, e.call)
-	if i < 0 || w.ctx.Err() != nil { // the call has been ended
+// onEvent handles an event of a call. An error that it returns ends Follow.
+func (s *followState[M]) onEvent(e event[M]) error {
+	i := slices.Index(s.openCalls, e.call)
+	if i < 0 || s.ctx.Err() != nil { // the call has been ended
 		return nil
 	}
 	if e.call.formerAddress {
-		w.onFormerEvent(e, i)
+		s.onFormerEvent(e, i)
 		return nil
 	}
-	newest := i == len(w.openCalls)-1
+	newest := i == len(s.openCalls)-1
 	isLine := e.message != nil || e.blank
 	if isLine {
-		w.useOnly(e.call, i)
+		s.useOnly(e.call, i)
 		newest = true
-		e.err = w.handleLine(e)
+		e.err = s.handleLine(e)
 	}
 	switch {
 	case e.err != nil:
-		return w.onEnd(e, newest)
+		return s.onEnd(e, newest)
 	case isLine:
 		e.call.partial = false
-		w.scheduleCall(Silence)
-	case newest && !e.call.partial: // once only: a message that never becomes complete must not keep a watch alive
+		s.scheduleCall(Silence)
+	case newest && !e.call.partial: // once per line, so that a message that never becomes complete does not keep a watch open
 		e.call.partial = true
-		w.scheduleCall(w.lineTimeout(e.call))
+		s.scheduleCall(s.lineTimeout(e.call))
 	}
 	return nil
 }
 
-// onFormerEvent handles the event of a call to the former address. It does not affect the timer of the call to the new one.
-func (w *followState[M]) onFormerEvent(e event[M], i int) {
+// onFormerEvent handles an event of the i-th open call, which goes to the former address. It does not affect the timer.
+func (s *followState[M]) onFormerEvent(e event[M], i int) {
 	if e.message != nil {
-		e.err = w.Apply(e.call.address, e.message)
+		e.err = s.Apply(e.call.address, e.message)
 	}
 	if e.err != nil {
 		e.call.end()
-		w.openCalls = slices.Delete(w.openCalls, i, i+1)
+		s.openCalls = slices.Delete(s.openCalls, i, i+1)
 	}
 }
 
-// useOnly ends the other call, as the i-th has received a line.
-func (w *followState[M]) useOnly(c *call, i int) {
-	for k, other := range w.openCalls {
-		if k != i {
+// useOnly ends the other open call, because the i-th one, c, has received a line.
+func (s *followState[M]) useOnly(c *call, i int) {
+	for j, other := range s.openCalls {
+		if j != i {
 			other.end()
 		}
 	}
-	w.openCalls, w.callsSinceLine = []*call{c}, 0
+	s.openCalls, s.callsSinceLine = []*call{c}, 0
 }
 
-// onEnd handles the end of a call. An error ends Follow.
-func (w *followState[M]) onEnd(e event[M], newest bool) error {
+// onEnd handles the end of a call. An error that it returns ends Follow.
+func (s *followState[M]) onEnd(e event[M], newest bool) error {
 	e.call.end()
-	w.openCalls = slices.DeleteFunc(w.openCalls, func(c *call) bool { return c == e.call })
+	s.openCalls = slices.DeleteFunc(s.openCalls, func(c *call) bool { return c == e.call })
 	if !e.call.reportedSilent {
-		w.OnError(e.call.address, e.err)
+		s.OnError(e.call.address, e.err)
 	}
 	switch {
-	case w.MaxCalls > 0 && (len(w.openCalls) == 0 || w.openCalls[0].formerAddress):
+	case s.MaxCalls > 0 && (len(s.openCalls) == 0 || s.openCalls[0].formerAddress):
 		return e.err
-	case w.MaxCalls == 0 && newest:
-		if wait := w.Wait(); time.Until(w.timerDue) > wait { // an end never delays the next call
-			w.scheduleCall(wait)
+	case s.MaxCalls == 0 && newest:
+		if wait := s.Wait(); time.Until(s.timerDue) > wait { // the end of a call never delays the next one
+			s.scheduleCall(wait)
 		}
 	}
 	return nil
 }
 
+// stepAfter returns the time until the next call, after a number of calls without a line.
 func (f *Follower[M]) stepAfter(calls int) time.Duration {
 	switch {
 	case f.Step > 0:
@@ -258,8 +258,8 @@
 	return Step
 }
 
-// lineTimeout returns how long a call may continue without a line after something was received. If the caller sets Step, the
-// first line must arrive with the head.
+// lineTimeout returns how long a call may continue without a line after a head or a part of a message was received. If Step is
+// set, the first line must arrive within Step of the head.
 func (f *Follower[M]) lineTimeout(c *call) time.Duration {
 	if f.Step > 0 && !c.established {
 		return f.Step
@@ -267,7 +267,7 @@
 	return Silence
 }
 
-// reportSilent reports once that a call is silent.
+// reportSilent reports that a call is silent, once until it receives a line.
 func (f *Follower[M]) reportSilent(c *call) {
 	if !c.reportedSilent {
 		c.reportedSilent = true
@@ -275,7 +275,7 @@
 	}
 }
 
-// handleLine handles a handleLine of the call in use.
+// handleLine handles a line of the call in use.
 func (f *Follower[M]) handleLine(e event[M]) error {
 	first := !e.call.established
 	e.call.established, e.call.reportedSilent = true, false
@@ -291,7 +291,7 @@
 	return nil
 }
 
-// startCall makes the next call.
+// startCall starts the next call.
 func (f *Follower[M]) startCall(ctx context.Context, events chan<- event[M]) *call {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &call{address: f.Address(), fromRevision: f.Revision(), cancel: cancel, done: make(chan struct{})}
@@ -305,7 +305,7 @@
 	return c
 }
 
-// read makes a call, and reports its events until it ends.
+// read makes a call, and sends its events to events until it ends.
 func (f *Follower[M]) read(ctx context.Context, c *call, events chan<- event[M]) {
 	report := func(e event[M]) {
 		e.call = c
@@ -330,12 +330,12 @@
 		report(event[M]{err: fmt.Errorf("answered %s", resp.Status)})
 		return
 	}
-	report(event[M]{}) // a head counts as a heartbeat
-	in := NewMessages(resp.Body, f.MaxMessageBytes)
-	in.onData = func(blank bool) { report(event[M]{blank: blank}) }
+	report(event[M]{}) // a head counts as a sign of life
+	messages := NewMessages(resp.Body, f.MaxMessageBytes)
+	messages.onData = func(blank bool) { report(event[M]{blank: blank}) }
 	for err == nil {
 		m := new(M)
-		if err = in.Next(m); err == nil {
+		if err = messages.Next(m); err == nil {
 			report(event[M]{message: m})
 		}
 	}
@@ -343,8 +343,8 @@
 		err = fmt.Errorf("reading a list: %w", err)
 	} else {
 		err = errEnded
-		for _, why := range resp.Trailer { // the reason, if the server gives one
-			err = fmt.Errorf("%w: %s", errEnded, why)
+		for _, reason := range resp.Trailer { // the reason, if the server gives one
+			err = fmt.Errorf("%w: %s", errEnded, reason)
 		}
 	}
 	report(event[M]{err: err})
