--- a/internal/registry/list/leadership_test.go
+++ b/internal/registry/list/leadership_test.go
@@ -88,19 +88,21 @@
 	}
 	join("a", 2)
 	if r := join("b", 2); r.LeadershipsVoid || !l.Understands(2, []string{"a", "b"}) || l.Understands(2, []string{"a", "b", "never heard of"}) {
-		t.Errorf("two replicas of schema 2: got result %+v, want leaderships kept and schema 2 understood by these two only", r)
+		t.Errorf("two replicas of schema 2: got result %+v, schema 2 understood by both %v, also with an unknown replica %v; want leaderships kept, true, false",
+			r, l.Understands(2, []string{"a", "b"}), l.Understands(2, []string{"a", "b", "never heard of"}))
 	}
 	firstEpoch := acquire(7).Leadership.Epoch
 	for _, schema := range []int{1, 2} {
 		r := join("b", schema)
 		if _, held := l.Leadership("d"); held || !r.LeadershipsVoid || l.Understands(2, []string{"a", "b"}) != (schema == 2) {
-			t.Errorf("join with schema %d: got held %v, result %+v; want no leadership held and all void", schema, held, r)
+			t.Errorf("join with schema %d: got held %v, result %+v, schema 2 understood %v; want no leadership held, all void, %v",
+				schema, held, r, l.Understands(2, []string{"a", "b"}), schema == 2)
 		}
 	}
 	if secondEpoch := acquire(9).Leadership.Epoch; secondEpoch <= firstEpoch {
 		t.Errorf("got epoch %d, want one above %d", secondEpoch, firstEpoch)
 	}
 	if s := New(CompactionWindow).State(); s.Schema() != 1 || !slices.Contains([]int{2}, func() int { s := l.State(); return s.Schema() }()) {
-		t.Errorf("got schema %d for an empty state, want 1; want 2 for a state with a granted epoch", s.Schema())
+		t.Errorf("got schema %d for an empty state and %d for one with a granted epoch, want 1 and 2", s.Schema(), func() int { s := l.State(); return s.Schema() }())
 	}
 }
