--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -17,22 +17,22 @@
 	"mosslead/balancer"
 )
 
-// gate holds connections to one address until they are let through, as those that come up late.
-type gate struct {
+// dialGate holds connections to one address until they are let through, as those that come up late.
+type dialGate struct {
 	address string
-	dials   chan struct{} // one for each that is asked for
-	opens   chan struct{} // one lets one through
-	holds   atomic.Bool
+	dialed  chan struct{} // one for each that is asked for
+	release chan struct{} // one lets one through
+	holding atomic.Bool
 }
 
-func newGate(c *Config, address string) *gate {
-	g := &gate{address: address, dials: make(chan struct{}, 16), opens: make(chan struct{}, 16)}
-	g.holds.Store(true)
+func newDialGate(c *Config, address string) *dialGate {
+	g := &dialGate{address: address, dialed: make(chan struct{}, 16), release: make(chan struct{}, 16)}
+	g.holding.Store(true)
 	c.dial = func(ctx context.Context, network, to string) (net.Conn, error) {
-		if to == g.address && g.holds.Load() {
-			g.dials <- struct{}{}
+		if to == g.address && g.holding.Load() {
+			g.dialed <- struct{}{}
 			select {
-			case <-g.opens:
+			case <-g.release:
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -42,8 +42,8 @@
 	return g
 }
 
-// wait waits for an event that another party brings about.
-func wait(t *testing.T, what string, event <-chan struct{}) {
+// waitFor waits for an event that another party brings about.
+func waitFor(t *testing.T, what string, event <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-event:
@@ -70,14 +70,14 @@
 				s := newUpstream(t, says(ok200("")))
 				c := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 				c.Settings.Cancellation = false
-				g := newGate(c, s.address)
+				g := newDialGate(c, s.address)
 				r := start(t, c, "127.0.0.1:0")
 				p := dialRaw(t, r.address)
 				p.send(requestText(class))
-				wait(t, "an attempt is made", g.dials)
+				waitFor(t, "an attempt is made", g.dialed)
 				leave(p)
-				g.holds.Store(false)
-				g.opens <- struct{}{}
+				g.holding.Store(false)
+				g.release <- struct{}{}
 				eventually(t, "the connection is up", func() bool { return s.opened.Load() == 1 })
 				next := request(t, r.address, "confirm", "next")
 				if resp, _ := r.do(t, next); resp.StatusCode != 200 {
@@ -103,14 +103,14 @@
 			s := newUpstream(t, silent)
 			conf := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 			conf.Ops = "127.0.0.1:0"
-			g := newGate(conf, s.address) // never comes up
+			g := newDialGate(conf, s.address) // never comes up
 			r := start(t, conf, "127.0.0.1:0")
 			p := dialRaw(t, r.address)
 			p.send(c.first)
 			if strings.HasPrefix(c.first, "POST") {
 				p.send(c.more)
 			}
-			wait(t, "an attempt is made", g.dials)
+			waitFor(t, "an attempt is made", g.dialed)
 			if !strings.HasPrefix(c.first, "POST") {
 				p.send(c.more)
 			}
@@ -143,18 +143,18 @@
 					c.Settings.Classes[i].DedupWindow = window
 				}
 			}
-			g := newGate(c, s.address)
+			g := newDialGate(c, s.address)
 			r := start(t, c, "127.0.0.1:0")
 			end := r.later(request(t, r.address, "record", ""))
-			wait(t, "the first attempt", g.dials)
-			g.opens <- struct{}{}
-			wait(t, "the second attempt", g.dials)
+			waitFor(t, "the first attempt", g.dialed)
+			g.release <- struct{}{}
+			waitFor(t, "the second attempt", g.dialed)
 			want, sent := "200 again", 2
 			if late {
 				want, sent = "502 failed\n", 1
 				time.Sleep(window) // the window is over now, whenever it began
 			}
-			g.opens <- struct{}{}
+			g.release <- struct{}{}
 			if got := <-end; got != want {
 				t.Errorf("answered %q, want %q", got, want)
 			}
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -285,7 +285,7 @@
 // evicted: each client that connects after discovery has returned is served within 1 s. The clock is a fake one, so that a busy
 // machine causes no delay; TestIdleClientsTakeEveryDescriptor of mosslead-sidecar does the same with processes.
 func TestIdleClientsDelayNobody(t *testing.T) {
-	hush(t)
+	discardLogs(t)
 	const bound, idle, maxWait = 20, 120, time.Second
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(func(memnet.Event) {})
@@ -377,7 +377,7 @@
 		}
 		t.Logf("the slowest request was served after %v", longest)
 		stop()
-		time.Sleep(killWait)
+		time.Sleep(killDelay)
 		cancel()
 		n.Close()
 		all.Wait()
--- a/internal/sidecar/orders_discovery_test.go
+++ b/internal/sidecar/orders_discovery_test.go
@@ -20,26 +20,26 @@
 
 // orderChange is one change of the list.
 type orderChange struct {
-	index       int
-	name        int // of which upstream
-	line        string
-	status      string
-	at          time.Duration
-	bound       time.Duration // when it counts as told because a watch fell silent; 0: none had
-	announcedAt time.Duration // when it was first written to a watch, and there; 0: never
-	behind      time.Duration // the same, to one that had brought what is unusable
+	index              int
+	upstream           int // of which upstream
+	entryJSON          string
+	status             string
+	at                 time.Duration
+	silenceBound       time.Duration // when it counts as told because a watch fell silent; 0: none had
+	announcedAt        time.Duration // when it was first written to a watch, and there; 0: never
+	announcedCorruptAt time.Duration // the same, to one that had brought what is unusable
 }
 
 type orderDiscovery struct {
-	w    *world
+	h    *orderHarness
 	name string
 	host *memnet.Host
 	// The fields below are under the world's lock.
-	door    net.Listener
-	watches []*orderWatch
-	frozen  bool // it is discovery no more
-	how     kind // of the outage
-	outages []outage
+	listener   net.Listener
+	watches    []*orderWatch
+	retired    bool       // it is discovery no more
+	outageKind actionKind // of the outage
+	outages    []outage
 }
 
 // outage is a time in which discovery could not be reached.
@@ -51,17 +51,17 @@
 // channel, as a goroutine of the bubble that waits for a mutex stops its clock.
 type orderWatch struct {
 	net.Conn
-	turn    chan struct{}
-	from    int
-	opened  bool // its head was answered
-	spoilt  bool // it has brought what is unusable
-	muted   bool
-	mutedAt time.Duration
-	dead    bool
+	writeLock chan struct{}
+	from      int
+	answered  bool // its head was answered
+	corrupted bool // it has brought what is unusable
+	muted     bool
+	mutedAt   time.Duration
+	ended     bool
 }
 
-func newOrderDiscovery(w *world, name, ip string) *orderDiscovery {
-	d := &orderDiscovery{w: w, name: name, host: w.net.Host(name, ip, discoveryWay)}
+func newOrderDiscovery(w *orderHarness, name, ip string) *orderDiscovery {
+	d := &orderDiscovery{h: w, name: name, host: w.net.Host(name, ip, discoveryDelay)}
 	d.listen()
 	return d
 }
@@ -69,12 +69,12 @@
 func (d *orderDiscovery) listen() {
 	l, err := d.host.Listen(7000)
 	if err != nil {
-		d.w.t.Error(err)
+		d.h.t.Error(err)
 		return
 	}
-	d.w.mu.Lock()
-	d.door = l
-	d.w.mu.Unlock()
+	d.h.mu.Lock()
+	d.listener = l
+	d.h.mu.Unlock()
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -97,15 +97,15 @@
 	if err != nil {
 		return
 	}
-	w := d.w
-	watch := &orderWatch{Conn: c, turn: make(chan struct{}, 1), from: from}
+	w := d.h
+	watch := &orderWatch{Conn: c, writeLock: make(chan struct{}, 1), from: from}
 	w.mu.Lock()
-	if d.frozen {
+	if d.retired {
 		w.mu.Unlock()
 		return
 	}
 	d.watches = append(d.watches, watch)
-	how := d.how
+	how := d.outageKind
 	w.mu.Unlock()
 	switch how {
 	case discoveryHolds:
@@ -116,51 +116,51 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Not now\r\nContent-Length: 0\r\n\r\n") // where it fails it has ended
 		return
 	default:
-		d.open(watch)
+		d.answer(watch)
 	}
 	go func() {
-		for w.passes(2 * time.Second) {
+		for w.sleep(2 * time.Second) {
 			w.mu.Lock()
-			speaks, over := watch.opened && !watch.muted, watch.dead
+			speaks, over := watch.answered && !watch.muted, watch.ended
 			w.mu.Unlock()
 			if over {
 				return
 			}
 			if speaks {
-				d.chunk(watch, "\n")
+				d.writeChunk(watch, "\n")
 			}
 		}
 	}()
 	_, _ = io.Copy(io.Discard, in) // until it ends
 	w.mu.Lock()
-	watch.dead = true
+	watch.ended = true
 	w.mu.Unlock()
 }
 
-func (d *orderDiscovery) chunk(c *orderWatch, text string) bool {
+func (d *orderDiscovery) writeChunk(c *orderWatch, text string) bool {
 	return c.write(fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) == nil
 }
 
 // write writes on a watch when it is its turn.
 func (c *orderWatch) write(text string) error {
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
+	c.writeLock <- struct{}{}
+	defer func() { <-c.writeLock }()
 	_, err := io.WriteString(c, text)
 	return err
 }
 
-// open answers a watch, with what it has missed.
-func (d *orderDiscovery) open(c *orderWatch) {
-	w := d.w
-	c.turn <- struct{}{}
+// answer answers a watch, with what it has missed.
+func (d *orderDiscovery) answer(c *orderWatch) {
+	w := d.h
+	c.writeLock <- struct{}{}
 	w.mu.Lock()
-	c.opened = true
+	c.answered = true
 	text, missed := "\n", []*orderChange(nil)
 	latest := map[int]string{}
 	for _, x := range w.changes {
 		if x.index > c.from {
 			missed = append(missed, x)
-			latest[x.name] = x.line
+			latest[x.upstream] = x.entryJSON
 		}
 	}
 	if len(missed) > 0 {
@@ -170,28 +170,28 @@
 				lines = append(lines, l)
 			}
 		}
-		text = list(w.index, false, lines...) + "\n"
+		text = list(w.listIndex, false, lines...) + "\n"
 	}
-	if w.complete {
+	if w.snapshots {
 		var lines []string
 		for i, e := range w.entries {
 			if e.status != "Gone" {
-				lines = append(lines, w.line(i))
+				lines = append(lines, w.entryJSON(i))
 			}
 		}
-		text = list(w.index, true, lines...) + "\n"
+		text = list(w.listIndex, true, lines...) + "\n"
 	}
 	w.mu.Unlock()
 	_, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n", opens, len(text), text)
-	<-c.turn
+	<-c.writeLock
 	if err == nil {
-		d.announce(c, missed)
+		d.noteAnnounced(c, missed)
 	}
 }
 
-// announce notes that changes are on their way, where they are.
-func (d *orderDiscovery) announce(c *orderWatch, all []*orderChange) {
-	w := d.w
+// noteAnnounced notes that changes are on their way, where they are.
+func (d *orderDiscovery) noteAnnounced(c *orderWatch, all []*orderChange) {
+	w := d.h
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if n := len(d.outages); n > 0 && d.outages[n-1].to == never {
@@ -199,17 +199,17 @@
 	}
 	for _, x := range all {
 		to := &x.announcedAt
-		if c.spoilt {
-			to = &x.behind
+		if c.corrupted {
+			to = &x.announcedCorruptAt
 		}
-		*to = cmp.Or(*to, time.Since(w.begun)+discoveryWay)
+		*to = cmp.Or(*to, time.Since(w.begun)+discoveryDelay)
 	}
 }
 
-// line is an upstream's entry of the list; without the lock held only before the order begins.
-func (w *world) line(i int) string {
+// entryJSON is an upstream's entry of the list; without the lock held only before the order begins.
+func (w *orderHarness) entryJSON(i int) string {
 	e, zone := w.entries[i], "a"
-	if i == 1 && w.scope {
+	if i == 1 && w.twoZones {
 		zone = "b"
 	}
 	since := int64(0)
@@ -220,8 +220,8 @@
 		i+1, [2]string{up1, up2}[i], zone, e.status, since)
 }
 
-// change has discovery know of something new.
-func (w *world) change(i int, status string) {
+// changeStatus has discovery know of something new.
+func (w *orderHarness) changeStatus(i int, status string) {
 	w.mu.Lock()
 	e := &w.entries[i]
 	if e.status == status {
@@ -232,50 +232,50 @@
 	if status == statusReady {
 		e.since = time.Now()
 	}
-	w.index++
+	w.listIndex++
 	now := time.Since(w.begun)
-	x := &orderChange{index: w.index, name: i, line: w.line(i), status: status, at: now}
+	x := &orderChange{index: w.listIndex, upstream: i, entryJSON: w.entryJSON(i), status: status, at: now}
 	w.changes = append(w.changes, x)
-	d := w.disc
+	d := w.discovery
 	var to []*orderWatch
 	for _, c := range d.watches {
-		if c.opened && !c.muted && !c.dead {
+		if c.answered && !c.muted && !c.ended {
 			to = append(to, c)
-		} else if c.muted && !c.dead {
-			x.bound = max(x.bound, now, c.mutedAt+6*time.Second)
+		} else if c.muted && !c.ended {
+			x.silenceBound = max(x.silenceBound, now, c.mutedAt+6*time.Second)
 		}
 	}
-	text := list(w.index, false, x.line) + "\n"
+	text := list(w.listIndex, false, x.entryJSON) + "\n"
 	w.mu.Unlock()
 	for _, c := range to {
-		if d.chunk(c, text) {
-			d.announce(c, []*orderChange{x})
+		if d.writeChunk(c, text) {
+			d.noteAnnounced(c, []*orderChange{x})
 		}
 	}
 }
 
 // mute has all open watches fall silent.
 func (d *orderDiscovery) mute() {
-	d.w.mu.Lock()
-	defer d.w.mu.Unlock()
+	d.h.mu.Lock()
+	defer d.h.mu.Unlock()
 	for _, c := range d.watches {
-		if c.opened && !c.muted {
-			c.muted, c.mutedAt = true, time.Since(d.w.begun)
+		if c.answered && !c.muted {
+			c.muted, c.mutedAt = true, time.Since(d.h.begun)
 		}
 	}
 }
 
-// spoil sends on all open watches what is unusable; some say nothing more.
-func (d *orderDiscovery) spoil(text string, mute bool) {
-	d.w.mu.Lock()
+// corrupt sends on all open watches what is unusable; some say nothing more.
+func (d *orderDiscovery) corrupt(text string, mute bool) {
+	d.h.mu.Lock()
 	var all []*orderWatch
 	for _, c := range d.watches {
-		if c.opened && !c.muted && !c.dead {
+		if c.answered && !c.muted && !c.ended {
 			all = append(all, c)
-			c.spoilt = true
+			c.corrupted = true
 		}
 	}
-	d.w.mu.Unlock()
+	d.h.mu.Unlock()
 	if mute {
 		d.mute()
 	}
@@ -284,9 +284,9 @@
 	}
 }
 
-// end ends all watches: with a reset, or in order.
-func (d *orderDiscovery) end(reset bool) {
-	w := d.w
+// endWatches ends all watches: with a reset, or in order.
+func (d *orderDiscovery) endWatches(reset bool) {
+	w := d.h
 	w.mu.Lock()
 	all := d.watches
 	d.watches = nil
@@ -294,49 +294,49 @@
 	for _, c := range all {
 		if r, ok := c.Conn.(interface{ Reset() }); ok && reset {
 			r.Reset()
-		} else if c.opened {
+		} else if c.answered {
 			_ = c.write("0\r\n\r\n") // where it fails it has ended
 		}
 		_ = c.Close()
 	}
 }
 
-// down has discovery be out of reach for that long, in one of three ways.
-func (d *orderDiscovery) down(how kind, back time.Duration) {
-	w := d.w
+// startOutage has discovery be out of reach for that long, in one of three ways.
+func (d *orderDiscovery) startOutage(how actionKind, back time.Duration) {
+	w := d.h
 	w.mu.Lock()
 	if n := len(d.outages); n > 0 && d.outages[n-1].to == never {
 		w.mu.Unlock()
 		return
 	}
 	d.outages = append(d.outages, outage{time.Since(w.begun), never})
-	d.how = how
+	d.outageKind = how
 	w.mu.Unlock()
 	switch how {
 	case discoveryResets, discoveryFails:
-		d.end(true)
-	case discoveryVanishes:
+		d.endWatches(true)
+	case discoveryUnreachable:
 		d.host.Silence(true)
 	case discoveryRefuses:
 		d.host.Kill()
 	}
 	go func() {
-		if !w.passes(back) {
+		if !w.sleep(back) {
 			return
 		}
 		w.mu.Lock()
-		frozen := d.frozen
-		d.how = 0
+		frozen := d.retired
+		d.outageKind = 0
 		d.outages[len(d.outages)-1].to = time.Since(w.begun)
 		waiting := []*orderWatch(nil)
 		for _, c := range d.watches {
-			if !c.opened && !c.dead {
+			if !c.answered && !c.ended {
 				waiting = append(waiting, c)
 			}
 		}
 		w.mu.Unlock()
 		switch how {
-		case discoveryVanishes:
+		case discoveryUnreachable:
 			d.host.Silence(false)
 		case discoveryRefuses:
 			if !frozen {
@@ -344,57 +344,57 @@
 			}
 		case discoveryHolds:
 			for _, c := range waiting {
-				d.open(c)
+				d.answer(c)
 			}
 		}
 	}()
 }
 
-// move has discovery be at another address, which the sidecar is told by SIGHUP.
-func (w *world) move() {
+// moveDiscovery has discovery be at another address, which the sidecar is told by SIGHUP.
+func (w *orderHarness) moveDiscovery() {
 	w.mu.Lock()
-	if !w.moved.IsZero() || !w.termed.IsZero() {
+	if !w.hangupAt.IsZero() || !w.terminatedAt.IsZero() {
 		w.mu.Unlock()
 		return
 	}
-	w.moved = time.Now()
-	old := w.disc
-	old.frozen = true
-	door := old.door
+	w.hangupAt = time.Now()
+	old := w.discovery
+	old.retired = true
+	door := old.listener
 	w.mu.Unlock()
 	_ = door.Close()
 	d := newOrderDiscovery(w, "new discovery", "10.0.0.8")
 	w.mu.Lock()
-	w.disc = d
+	w.discovery = d
 	w.discoveries = append(w.discoveries, d)
 	w.mu.Unlock()
 	go func() {
-		c := w.config("10.0.0.8:7000")
+		c := w.newConfig("10.0.0.8:7000")
 		select {
 		case w.reloads <- Reload{Config: c}:
 		case <-w.ended:
 		case <-w.ctx.Done():
 		}
-		if w.passes(oldStays) {
+		if w.sleep(oldDiscoveryLinger) {
 			old.host.Kill()
 		}
 	}()
 }
 
 // terminate sends SIGTERM, and SIGKILL when it is time.
-func (w *world) terminate() {
+func (w *orderHarness) terminate() {
 	w.mu.Lock()
-	was := !w.termed.IsZero()
-	w.termed = cmp.Or(w.termed, time.Now())
+	was := !w.terminatedAt.IsZero()
+	w.terminatedAt = cmp.Or(w.terminatedAt, time.Now())
 	w.mu.Unlock()
 	if was {
 		return
 	}
 	w.stop()
 	go func() {
-		if w.passes(cmp.Or(w.plant.killsAfter, killWait)) {
+		if w.sleep(cmp.Or(w.fault.killDelay, killDelay)) {
 			w.mu.Lock()
-			w.killed = time.Now()
+			w.killedAt = time.Now()
 			w.mu.Unlock()
 			w.sidecar.Kill()
 		}
--- a/internal/sidecar/orders_planted_test.go
+++ b/internal/sidecar/orders_planted_test.go
@@ -16,21 +16,21 @@
 // Faults that stand between the sidecar and the network, so that what the rules see is what a sidecar with that fault
 // would do.
 
-// plantedConn is a connection of the sidecar's with a fault in it.
-type plantedConn struct {
+// faultyConn is a connection of the sidecar's with a fault in it.
+type faultyConn struct {
 	net.Conn
 	write func(c net.Conn, p []byte) (int, error) // nil: without a fault
 	read  func(c net.Conn, p []byte) (int, error)
 }
 
-func (c *plantedConn) Write(p []byte) (int, error) {
+func (c *faultyConn) Write(p []byte) (int, error) {
 	if c.write == nil {
 		return c.Conn.Write(p)
 	}
 	return c.write(c.Conn, p)
 }
 
-func (c *plantedConn) Read(p []byte) (int, error) {
+func (c *faultyConn) Read(p []byte) (int, error) {
 	if c.read == nil {
 		return c.Conn.Read(p)
 	}
@@ -38,7 +38,7 @@
 }
 
 // CloseWrite ends the sending, as the server does before it closes.
-func (c *plantedConn) CloseWrite() error {
+func (c *faultyConn) CloseWrite() error {
 	return c.Conn.(interface{ CloseWrite() error }).CloseWrite()
 }
 
@@ -46,16 +46,16 @@
 	return bytes.HasPrefix(p, []byte("GET /")) || bytes.HasPrefix(p, []byte("POST /"))
 }
 
-// maxPlanted is how many seeds a planted fault may take to be found.
-const maxPlanted = 3000
+// maxPlantedSeeds is how many seeds a planted fault may take to be found.
+const maxPlantedSeeds = 3000
 
-var planted = []struct {
-	name  string
-	finds string // part of what the rules say of it
-	plant plant
+var plantedFaults = []struct {
+	name      string
+	violation string // part of what the rules say of it
+	fault     plantedFault
 }{
-	{"each attempt goes out twice", "both at once", plant{toUpstream: func(w *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
+	{"each attempt goes out twice", "both at once", plantedFault{toUpstream: func(w *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			if to := map[string]string{up1: up2, up2: up1}[c.RemoteAddr().String()]; isHead(p) {
 				copied := bytes.Clone(p)
 				go func() {
@@ -67,9 +67,9 @@
 			return c.Write(p)
 		}}
 	}}},
-	{"what a reset broke off never ran", "where it may have run", plant{toUpstream: func(_ *world, c net.Conn) net.Conn {
+	{"what a reset broke off never ran", "where it may have run", plantedFault{toUpstream: func(_ *orderHarness, c net.Conn) net.Conn {
 		planted := false
-		return &plantedConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
+		return &faultyConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
 			n, err := c.Read(p)
 			if errors.Is(err, syscall.ECONNRESET) && !planted {
 				planted = true
@@ -78,27 +78,27 @@
 			return n, err
 		}}
 	}}},
-	{"requests go on for clients that have left", "its client had gone", plant{toUpstream: func(w *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
+	{"requests go on for clients that have left", "its client had gone", plantedFault{toUpstream: func(w *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			copied := bytes.Clone(p)
 			go func() {
-				if w.passes(150 * milli) {
+				if w.sleep(150 * milli) {
 					_, _ = c.Write(copied)
 				}
 			}()
 			return len(p), nil
 		}}
 	}}},
-	{"drains are not read", "which was Terminating", plant{toDiscovery: func(_ *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
+	{"drains are not read", "which was Terminating", plantedFault{toDiscovery: func(_ *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
 			n, err := c.Read(p)
 			copy(p, bytes.ReplaceAll(p[:n], []byte(`"Terminating"`), []byte(`"Ready"      `)))
 			return n, err
 		}}
 	}}},
-	{"silent watches go unnoticed", "told at 0s", plant{toDiscovery: func(_ *world, c net.Conn) net.Conn {
+	{"silent watches go unnoticed", "told at 0s", plantedFault{toDiscovery: func(_ *orderHarness, c net.Conn) net.Conn {
 		begun := false
-		return &plantedConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
+		return &faultyConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
 			if begun {
 				_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // fails on a closed connection only
 			}
@@ -110,22 +110,22 @@
 			return n, err
 		}}
 	}}},
-	{"failures are not answered", "no answer", plant{toClient: func(_ *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
+	{"failures are not answered", "no answer", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			if bytes.HasPrefix(p, []byte("HTTP/1.1 502")) {
 				return len(p), nil
 			}
 			return c.Write(p)
 		}}
 	}}},
-	{"answers go out twice", "answers to", plant{toClient: func(_ *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
+	{"answers go out twice", "answers to", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			_, _ = c.Write(p)
 			return c.Write(p)
 		}}
 	}}},
-	{"an empty 200 for a failure", "no upstream has made", plant{toClient: func(_ *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
+	{"an empty 200 for a failure", "no upstream has made", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			if bytes.HasPrefix(p, []byte("HTTP/1.1 502")) {
 				_, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 				return len(p), err
@@ -133,37 +133,37 @@
 			return c.Write(p)
 		}}
 	}}},
-	{"refusals for failures", "was refused", plant{toClient: func(_ *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
+	{"refusals for failures", "was refused", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			return c.Write(bytes.Replace(p, []byte("HTTP/1.1 502"), []byte("HTTP/1.1 503"), 1))
 		}}
 	}}},
-	{"a request that no client sent", "which no client did", plant{toUpstream: func(_ *world, c net.Conn) net.Conn {
-		return &plantedConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
+	{"a request that no client sent", "which no client did", plantedFault{toUpstream: func(_ *orderHarness, c net.Conn) net.Conn {
+		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			return c.Write(bytes.Replace(p, []byte("X-Request-Id: 0"), []byte("X-Request-Id: f"), 1))
 		}}
 	}}},
-	{"keyed requests without a window", "longer ago than its window", plant{settings: func(c *Config) {
+	{"keyed requests without a window", "longer ago than its window", plantedFault{settings: func(c *Config) {
 		c.Settings.Classes[1].DedupWindow = time.Minute
 	}}},
-	{"an end with requests in hand", "was ended at", plant{killsAfter: 700 * milli}},
+	{"an end with requests in hand", "was ended at", plantedFault{killDelay: 700 * milli}},
 }
 
 // Guards against rules that see nothing: each planted fault is found.
 func TestOrdersFindPlantedFaults(t *testing.T) {
-	hush(t)
+	discardLogs(t)
 	t.Run("planted", func(t *testing.T) {
-		for _, x := range planted {
+		for _, x := range plantedFaults {
 			t.Run(x.name, func(t *testing.T) {
 				var next atomic.Int64
 				var found atomic.Bool
 				var both sync.WaitGroup
 				for range orderWorkers {
 					both.Go(func() {
-						for seed := next.Add(1); seed <= maxPlanted && !found.Load(); seed = next.Add(1) {
-							broken, _ := play(t, draw(seed), x.plant, false)
+						for seed := next.Add(1); seed <= maxPlantedSeeds && !found.Load(); seed = next.Add(1) {
+							broken, _ := playOrder(t, drawOrder(seed), x.fault, false)
 							for _, text := range broken {
-								if strings.Contains(text, x.finds) && !found.Swap(true) {
+								if strings.Contains(text, x.violation) && !found.Swap(true) {
 									t.Logf("found by seed %d: %s", seed, text)
 								}
 							}
@@ -172,7 +172,7 @@
 				}
 				both.Wait()
 				if !found.Load() {
-					t.Errorf("not found in %d orders", maxPlanted)
+					t.Errorf("not found in %d orders", maxPlantedSeeds)
 				}
 			})
 		}
--- a/internal/sidecar/orders_upstream_test.go
+++ b/internal/sidecar/orders_upstream_test.go
@@ -13,50 +13,50 @@
 )
 
 type orderUpstream struct {
-	w      *world
-	number int
-	host   *memnet.Host
-	auto   time.Duration // after which it answers what no act is there for; negative: never
+	h          *orderHarness
+	number     int
+	host       *memnet.Host
+	autoAnswer time.Duration // after which it answers what no act is there for; negative: never
 	// The fields below are under the world's lock.
-	conns   []*upConn
-	plan    []act // for the next requests
-	pending []*upCall
-	down    bool
+	conns          []*orderUpstreamConn
+	plannedAnswers []orderAction // for the next requests
+	pending        []*orderCall
+	down           bool
 }
 
-type upConn struct {
+type orderUpstreamConn struct {
 	net.Conn
-	calls int
-	out   int // without an answer
-	dead  bool
+	requests   int
+	unanswered int // without an answer
+	ended      bool
 }
 
-// upCall is a request as an upstream got it.
-type upCall struct {
-	u    *orderUpstream
-	conn *upConn
-	rec  *orderAnswer
+// orderCall is a request as an upstream got it.
+type orderCall struct {
+	upstream *orderUpstream
+	conn     *orderUpstreamConn
+	answer   *orderAnswer
 }
 
 // orderAnswer is what an upstream did with a request that it got whole.
 type orderAnswer struct {
-	id       string
-	port     int // of the connection on the sidecar's side
-	nth      int // request on that connection, from 1
-	status   int
-	never    bool // it says that the request did not run
-	body     string
-	begun    bool
-	complete bool
-	at       time.Duration // of its last byte
-	mark     int           // the record's place after it
-	again    time.Duration // when another answer was sent behind it; 0: none was
+	id           string
+	port         int // of the connection on the sidecar's side
+	nth          int // request on that connection, from 1
+	status       int
+	notProcessed bool // it says that the request did not run
+	body         string
+	begun        bool
+	complete     bool
+	at           time.Duration // of its last byte
+	index        int           // the record's place after it
+	secondAt     time.Duration // when another answer was sent behind it; 0: none was
 }
 
 func (u *orderUpstream) listen() {
 	l, err := u.host.Listen(8000)
 	if err != nil {
-		u.w.t.Error(err)
+		u.h.t.Error(err)
 		return
 	}
 	go func() {
@@ -65,13 +65,13 @@
 			if err != nil {
 				return
 			}
-			go u.serve(&upConn{Conn: c})
+			go u.serve(&orderUpstreamConn{Conn: c})
 		}
 	}()
 }
 
-func (u *orderUpstream) serve(c *upConn) {
-	w := u.w
+func (u *orderUpstream) serve(c *orderUpstreamConn) {
+	w := u.h
 	w.mu.Lock()
 	u.conns = append(u.conns, c)
 	w.mu.Unlock()
@@ -84,23 +84,23 @@
 		}
 		w.mu.Lock()
 		if err != nil {
-			c.dead = true
+			c.ended = true
 			w.mu.Unlock()
 			return
 		}
-		c.calls++
-		c.out++
-		call := &upCall{u, c, &orderAnswer{id: req.Header.Get(headerID), port: c.RemoteAddr().(*net.TCPAddr).Port, nth: c.calls}}
-		w.answers[call.rec.id] = append(w.answers[call.rec.id], call.rec)
+		c.requests++
+		c.unanswered++
+		call := &orderCall{u, c, &orderAnswer{id: req.Header.Get(headerID), port: c.RemoteAddr().(*net.TCPAddr).Port, nth: c.requests}}
+		w.answers[call.answer.id] = append(w.answers[call.answer.id], call.answer)
 		switch {
-		case len(u.plan) > 0:
-			a := u.plan[0]
-			u.plan = u.plan[1:]
-			go call.do(a)
-		case u.auto >= 0:
+		case len(u.plannedAnswers) > 0:
+			a := u.plannedAnswers[0]
+			u.plannedAnswers = u.plannedAnswers[1:]
+			go call.perform(a)
+		case u.autoAnswer >= 0:
 			go func() {
-				if u.auto == 0 || w.passes(u.auto) {
-					call.do(act{kind: answersOK})
+				if u.autoAnswer == 0 || w.sleep(u.autoAnswer) {
+					call.perform(orderAction{kind: answersOK})
 				}
 			}()
 		default:
@@ -110,134 +110,134 @@
 	}
 }
 
-// answers has the oldest request that waits get what an act says, or else the next one that comes.
-func (u *orderUpstream) answers(a act) {
-	u.w.mu.Lock()
+// answerNext has the oldest request that waits get what an act says, or else the next one that comes.
+func (u *orderUpstream) answerNext(a orderAction) {
+	u.h.mu.Lock()
 	if len(u.pending) == 0 {
-		u.plan = append(u.plan, a)
-		u.w.mu.Unlock()
+		u.plannedAnswers = append(u.plannedAnswers, a)
+		u.h.mu.Unlock()
 		return
 	}
 	call := u.pending[0]
 	u.pending = u.pending[1:]
-	u.w.mu.Unlock()
-	go call.do(a)
+	u.h.mu.Unlock()
+	go call.perform(a)
 }
 
-func (c *upCall) write(text string) { _, _ = io.WriteString(c.conn, text) } // where it fails the sidecar has given up
+func (c *orderCall) write(text string) { _, _ = io.WriteString(c.conn, text) } // where it fails the sidecar has given up
 
-// begins notes what is being answered; whole notes its end.
-func (c *upCall) begins(status int, body string) {
-	c.u.w.mu.Lock()
-	defer c.u.w.mu.Unlock()
-	c.rec.status, c.rec.body, c.rec.begun = status, body, true
+// noteBegun notes what is being answered; whole notes its end.
+func (c *orderCall) noteBegun(status int, body string) {
+	c.upstream.h.mu.Lock()
+	defer c.upstream.h.mu.Unlock()
+	c.answer.status, c.answer.body, c.answer.begun = status, body, true
 }
 
-func (c *upCall) finish() {
-	w := c.u.w
+func (c *orderCall) noteComplete() {
+	w := c.upstream.h
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c.rec.complete, c.rec.at, c.rec.mark = true, time.Since(w.begun), len(w.events)
-	c.conn.out--
+	c.answer.complete, c.answer.at, c.answer.index = true, time.Since(w.begun), len(w.events)
+	c.conn.unanswered--
 }
 
-func (c *upCall) reset() {
+func (c *orderCall) reset() {
 	if r, ok := c.conn.Conn.(interface{ Reset() }); ok {
 		r.Reset()
 	}
 }
 
-// do carries out an act on a request.
-func (c *upCall) do(a act) {
-	w := c.u.w
-	body := fmt.Sprintf("made for %s by %s, %d", c.rec.id, c.u.host.Name(), c.rec.nth)
+// perform carries out an act on a request.
+func (c *orderCall) perform(a orderAction) {
+	w := c.upstream.h
+	body := fmt.Sprintf("made for %s by %s, %d", c.answer.id, c.upstream.host.Name(), c.answer.nth)
 	half, rest := body[:len(body)/2], body[len(body)/2:]
 	switch a.kind {
 	case answersOK:
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write(ok200(body))
-		c.finish()
-	case answersSlowly:
-		c.begins(200, body)
+		c.noteComplete()
+	case answersInTwoParts:
+		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), half))
-		if w.passes(a.gap) {
+		if w.sleep(a.delay) {
 			c.write(rest)
-			c.finish()
+			c.noteComplete()
 		}
 	case answersChunked:
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(half), half))
-		if w.passes(a.gap) {
+		if w.sleep(a.delay) {
 			c.write(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(rest), rest))
-			c.finish()
+			c.noteComplete()
 		}
 	case answersLarge:
 		body = strings.Repeat(body+"\n", 4000)
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/3]))
-		if w.passes(a.gap) {
+		if w.sleep(a.delay) {
 			c.write(body[len(body)/3:])
-			c.finish()
+			c.noteComplete()
 		}
 	case answersTwice:
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write(ok200(body))
-		c.finish()
-		if a.gap > 0 && !w.passes(a.gap) {
+		c.noteComplete()
+		if a.delay > 0 && !w.sleep(a.delay) {
 			return
 		}
 		w.mu.Lock()
-		newest := c.conn.calls == c.rec.nth // else it would be the answer to what came since, for all that can be told
+		newest := c.conn.requests == c.answer.nth // else it would be the answer to what came since, for all that can be told
 		w.mu.Unlock()
 		if newest {
 			w.mu.Lock()
-			c.rec.again = time.Since(w.begun)
+			c.answer.secondAt = time.Since(w.begun)
 			w.mu.Unlock()
 			c.write(ok200("again " + body))
 		}
 	case answersError:
-		c.begins(500, "")
+		c.noteBegun(500, "")
 		c.write("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n")
-		c.finish()
-	case rejects:
-		c.begins(503, "")
+		c.noteComplete()
+	case answersNotProcessed:
+		c.noteBegun(503, "")
 		w.mu.Lock()
-		c.rec.never = true
+		c.answer.notProcessed = true
 		w.mu.Unlock()
 		c.write("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-		c.finish()
-	case cutsShort:
-		c.begins(200, body)
+		c.noteComplete()
+	case resetsMidAnswer:
+		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), half))
-		if a.gap == 0 || w.passes(a.gap) {
+		if a.delay == 0 || w.sleep(a.delay) {
 			c.reset()
 		}
-	case endsUnstated: // in order: that is its end
-		c.begins(200, body)
+	case closesUnsizedAnswer: // in order: that is its end
+		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\n\r\n" + body)
-		if a.gap == 0 || w.passes(a.gap) {
+		if a.delay == 0 || w.sleep(a.delay) {
 			_ = c.conn.Close()
-			c.finish()
+			c.noteComplete()
 		}
-	case cutsUnstated:
-		c.begins(200, body)
+	case resetsUnsizedAnswer:
+		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\n\r\n" + half)
-		if a.gap == 0 || w.passes(a.gap) {
+		if a.delay == 0 || w.sleep(a.delay) {
 			c.reset()
 		}
 	case closesUnanswered:
 		_ = c.conn.Close()
 	case resetsUnanswered:
 		c.reset()
-	case spoils:
+	case answersPartialLine:
 		c.write("HTTP/1.1 2")
-	case spoilsHead:
+	case answersMalformed:
 		c.write("HTTP/9 what?\r\nContent-Length: 0\r\n\r\n")
-	case neverEnds:
-		c.begins(200, strings.Repeat("more", 400))
+	case answersEndlessly:
+		c.noteBegun(200, strings.Repeat("more", 400))
 		c.write("HTTP/1.1 200 OK\r\n\r\n")
 		for range 100 {
-			if c.write("more"); !w.passes(40 * milli) {
+			if c.write("more"); !w.sleep(40 * milli) {
 				return
 			}
 		}
@@ -246,12 +246,12 @@
 }
 
 // rest gives connections without a request to do.
-func (u *orderUpstream) resting() []*upConn {
-	u.w.mu.Lock()
-	defer u.w.mu.Unlock()
-	var all []*upConn
+func (u *orderUpstream) idleConns() []*orderUpstreamConn {
+	u.h.mu.Lock()
+	defer u.h.mu.Unlock()
+	var all []*orderUpstreamConn
 	for _, c := range u.conns {
-		if !c.dead && c.out == 0 {
+		if !c.ended && c.unanswered == 0 {
 			all = append(all, c)
 		}
 	}
@@ -260,7 +260,7 @@
 
 // kill ends the upstream's process; another one listens after that long.
 func (u *orderUpstream) kill(back time.Duration) {
-	w := u.w
+	w := u.h
 	w.mu.Lock()
 	was := u.down
 	u.down, u.pending = true, nil
@@ -270,7 +270,7 @@
 	}
 	u.host.Kill()
 	go func() {
-		if w.passes(back) {
+		if w.sleep(back) {
 			w.mu.Lock()
 			u.down = false
 			w.mu.Unlock()
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -16,50 +16,50 @@
 // order's acts say and know nothing of the sidecar but what comes over the wire.
 
 const (
-	milli        = time.Millisecond
-	clientWay    = time.Millisecond
-	discoveryWay = time.Millisecond
-	killWait     = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, as the longest deadline is longer, and 0.7 s
-	oldStays     = 1500 * time.Millisecond // for which an address that discovery has left keeps its open watches
+	milli              = time.Millisecond
+	clientDelay        = time.Millisecond
+	discoveryDelay     = time.Millisecond
+	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, as the longest deadline is longer, and 0.7 s
+	oldDiscoveryLinger = 1500 * time.Millisecond // for which an address that discovery has left keeps its open watches
 )
 
-var upWays = [2]time.Duration{2 * milli, 3 * milli}
+var upstreamDelays = [2]time.Duration{2 * milli, 3 * milli}
 
-// world is one order being played.
-type world struct {
+// orderHarness is one order being played.
+type orderHarness struct {
 	t     *testing.T
 	ctx   context.Context
 	net   *memnet.Network
 	begun time.Time
-	plant plant
+	fault plantedFault
 
 	sidecar *memnet.Host
 	reloads chan Reload
 	stop    context.CancelFunc
 	ended   chan struct{} // the sidecar has
 
-	mu        sync.Mutex
-	on        bool // the record goes on
-	record    transcript.Transcript
-	events    []memnet.Event
-	clients   [2]*orderClient
-	ups       [2]*orderUpstream
-	requested int // requests so far
-	sent      map[string]*orderRequest
-	answers   map[string][]*orderAnswer
-
-	disc        *orderDiscovery // where it is now
-	discoveries []*orderDiscovery
-	complete    bool          // watches begin with the whole list
-	window      time.Duration // for repeats of what is idempotent by key
-	scope       bool          // upstream 2 stands in another zone
-	index       int
-	entries     [2]orderEntry
-	changes     []*orderChange
-	moved       time.Time // SIGHUP
-	termed      time.Time // SIGTERM
-	killed      time.Time // SIGKILL
-	config      func(address string) *Config
+	mu             sync.Mutex
+	recording      bool // the record goes on
+	record         transcript.Transcript
+	events         []memnet.Event
+	clients        [2]*orderClient
+	upstreams      [2]*orderUpstream
+	requestCount   int // requests so far
+	clientRequests map[string]*orderRequest
+	answers        map[string][]*orderAnswer
+
+	discovery    *orderDiscovery // where it is now
+	discoveries  []*orderDiscovery
+	snapshots    bool          // watches begin with the whole list
+	dedupWindow  time.Duration // for repeats of what is idempotent by key
+	twoZones     bool          // upstream 2 stands in another zone
+	listIndex    int
+	entries      [2]orderEntry
+	changes      []*orderChange
+	hangupAt     time.Time // SIGHUP
+	terminatedAt time.Time // SIGTERM
+	killedAt     time.Time // SIGKILL
+	newConfig    func(address string) *Config
 }
 
 // orderRequest is a request that a client meant to send.
@@ -70,51 +70,53 @@
 	pipelined                bool
 }
 
-func (w *world) observe(e memnet.Event) {
+func (w *orderHarness) observe(e memnet.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.on {
+	if w.recording {
 		w.record.Take(e)
 		w.events = append(w.events, e)
 	}
 }
 
-// say puts words into the transcript.
-func (w *world) say(from, to, format string, args ...any) { w.record.Say(from, to, format, args...) }
+// note puts words into the transcript.
+func (w *orderHarness) note(from, to, format string, args ...any) {
+	w.record.Say(from, to, format, args...)
+}
 
-// plant is a fault that is put between the sidecar and the network; each may be nil.
-type plant struct {
-	toUpstream  func(w *world, c net.Conn) net.Conn
-	toClient    func(w *world, c net.Conn) net.Conn
-	toDiscovery func(w *world, c net.Conn) net.Conn
+// plantedFault is a fault that is put between the sidecar and the network; each may be nil.
+type plantedFault struct {
+	toUpstream  func(w *orderHarness, c net.Conn) net.Conn
+	toClient    func(w *orderHarness, c net.Conn) net.Conn
+	toDiscovery func(w *orderHarness, c net.Conn) net.Conn
 	settings    func(*Config)
-	killsAfter  time.Duration // SIGTERM; 0: when it is time
+	killDelay   time.Duration // SIGTERM; 0: when it is time
 }
 
-func newWorld(t *testing.T, o *order, p plant) *world {
+func newOrderHarness(t *testing.T, o *order, p plantedFault) *orderHarness {
 	ctx, cancel := context.WithCancel(t.Context())
-	w := &world{t: t, ctx: ctx, plant: p, reloads: make(chan Reload), ended: make(chan struct{}),
-		sent: map[string]*orderRequest{}, answers: map[string][]*orderAnswer{}, index: 1, scope: o.twoZones, complete: o.complete, window: o.window}
+	w := &orderHarness{t: t, ctx: ctx, fault: p, reloads: make(chan Reload), ended: make(chan struct{}),
+		clientRequests: map[string]*orderRequest{}, answers: map[string][]*orderAnswer{}, listIndex: 1, twoZones: o.twoZones, snapshots: o.snapshots, dedupWindow: o.dedupWindow}
 	w.net = memnet.New(w.observe)
-	w.begun, w.on = time.Now(), true
+	w.begun, w.recording = time.Now(), true
 	w.record.Begin()
 	for i := range w.clients {
-		w.clients[i] = &orderClient{w: w, host: w.net.Host(fmt.Sprint("client-", i+1), fmt.Sprint("10.0.0.", i+2), clientWay)}
+		w.clients[i] = &orderClient{h: w, host: w.net.Host(fmt.Sprint("client-", i+1), fmt.Sprint("10.0.0.", i+2), clientDelay)}
 	}
-	for i := range w.ups {
+	for i := range w.upstreams {
 		w.entries[i] = orderEntry{status: statusReady}
-		u := &orderUpstream{w: w, number: i, auto: o.auto[i], host: w.net.Host(fmt.Sprint("up-", i+1), fmt.Sprint("10.0.0.1", i+1), upWays[i])}
-		w.ups[i] = u
+		u := &orderUpstream{h: w, number: i, autoAnswer: o.autoAnswer[i], host: w.net.Host(fmt.Sprint("up-", i+1), fmt.Sprint("10.0.0.1", i+1), upstreamDelays[i])}
+		w.upstreams[i] = u
 		u.listen()
 	}
-	w.disc = newOrderDiscovery(w, "discovery", "10.0.0.9")
-	w.discoveries = append(w.discoveries, w.disc)
-	known := []string{w.line(0), w.line(1)}
-	w.config = func(address string) *Config {
+	w.discovery = newOrderDiscovery(w, "discovery", "10.0.0.9")
+	w.discoveries = append(w.discoveries, w.discovery)
+	known := []string{w.entryJSON(0), w.entryJSON(1)}
+	w.newConfig = func(address string) *Config {
 		c := testConfig(t, address, known...)
 		s := &c.Settings
 		s.Hedging, s.MustSubscribe = false, o.onDemand
-		s.Classes[1].DedupWindow = o.window
+		s.Classes[1].DedupWindow = o.dedupWindow
 		c.dial = w.dial
 		if p.settings != nil {
 			p.settings(c)
@@ -127,9 +129,9 @@
 		t.Fatal(err)
 	}
 	if p.toClient != nil {
-		l = &plantedListener{l, w}
+		l = &faultyListener{l, w}
 	}
-	c := w.config("10.0.0.9:7000")
+	c := w.newConfig("10.0.0.9:7000")
 	run, stop := context.WithCancel(ctx)
 	w.stop = stop
 	go func() {
@@ -144,30 +146,30 @@
 	return w
 }
 
-// plantedListener hands on clients' connections with a fault in them.
-type plantedListener struct {
+// faultyListener hands on clients' connections with a fault in them.
+type faultyListener struct {
 	net.Listener
-	w *world
+	w *orderHarness
 }
 
-func (l *plantedListener) Accept() (net.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.w.plant.toClient(l.w, c), nil
+	return l.w.fault.toClient(l.w, c), nil
 }
 
 // SetDeadline bounds Accept.
-func (l *plantedListener) SetDeadline(t time.Time) error {
+func (l *faultyListener) SetDeadline(t time.Time) error {
 	return l.Listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(t)
 }
 
 // dial is the sidecar's way out.
-func (w *world) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	wrap := w.plant.toDiscovery
+func (w *orderHarness) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	wrap := w.fault.toDiscovery
 	if address == up1 || address == up2 {
-		wrap = w.plant.toUpstream
+		wrap = w.fault.toUpstream
 	}
 	c, err := w.sidecar.Dial(ctx, network, address)
 	if err == nil && wrap != nil {
