--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -17,19 +17,20 @@
 	"mosslead/balancer"
 )
 
-// dialGate holds connections to one address until they are let through, as those that come up late.
+// dialGate holds back connections to one address until they are released, like connections that are established late.
 type dialGate struct {
 	address string
-	dialed  chan struct{} // one for each that is asked for
-	release chan struct{} // one lets one through
+	dialed  chan struct{} // receives a value for each connection that is dialled
+	release chan struct{} // each value sent releases one connection
 	holding atomic.Bool
 }
 
+// newDialGate returns a gate that holds back connections to address and sets it as c.dial.
 func newDialGate(c *Config, address string) *dialGate {
 	g := &dialGate{address: address, dialed: make(chan struct{}, 16), release: make(chan struct{}, 16)}
 	g.holding.Store(true)
-	c.dial = func(ctx context.Context, network, to string) (net.Conn, error) {
-		if to == g.address && g.holding.Load() {
+	c.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if addr == g.address && g.holding.Load() {
 			g.dialed <- struct{}{}
 			select {
 			case <-g.release:
@@ -37,30 +38,30 @@
 				return nil, ctx.Err()
 			}
 		}
-		return (&net.Dialer{}).DialContext(ctx, network, to)
+		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}
 	return g
 }
 
-// waitFor waits for an event that another party brings about.
-func waitFor(t *testing.T, what string, event <-chan struct{}) {
+// waitFor waits for an event and fails the test after testTimeout.
+func waitFor(t *testing.T, description string, event <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-event:
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain: %s", what)
+		t.Fatalf("timed out after %v waiting for this event: %s", testTimeout, description)
 	}
 }
 
-// Guards against work for nobody: a client leaves while the connection for its request is coming up, in whatever way, and where
-// attempts can't be cancelled, too. Nothing is sent for it, and the connection, which has cost a handshake, is there for the next.
+// Guards against useless work: a client leaves, in any way, while the connection for its request is being established, even if
+// attempts cannot be cancelled. Nothing is sent for it, and the connection, which has cost a handshake, serves the next request.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for name, leave := range map[string]func(*rawClient){
-		"closes":             func(p *rawClient) { _ = p.Close() },
-		"ends its sending":   func(p *rawClient) { _ = p.Conn.(*net.TCPConn).CloseWrite() },
-		"resets":             func(p *rawClient) { _ = p.Conn.(*net.TCPConn).SetLinger(0); _ = p.Close() },
-		"closes behind half": func(p *rawClient) { p.send("GET /sea"); _ = p.Close() },
-		"closes behind another": func(p *rawClient) {
+		"closes":                         func(p *rawClient) { _ = p.Close() },
+		"ends its sending":               func(p *rawClient) { _ = p.Conn.(*net.TCPConn).CloseWrite() },
+		"resets":                         func(p *rawClient) { _ = p.Conn.(*net.TCPConn).SetLinger(0); _ = p.Close() },
+		"closes after part of a request": func(p *rawClient) { p.send("GET /sea"); _ = p.Close() },
+		"closes after another request": func(p *rawClient) {
 			p.send(requestText("search"))
 			_ = p.Close()
 		},
@@ -81,29 +82,29 @@
 				eventually(t, "the connection is up", func() bool { return s.opened.Load() == 1 })
 				next := request(t, r.address, "confirm", "next")
 				if resp, _ := r.do(t, next); resp.StatusCode != 200 {
-					t.Errorf("the next one: %s", resp.Status)
+					t.Errorf("next request: got status %s, want 200", resp.Status)
 				}
 				if got := s.requests(); len(got) != 1 || got[0].body != "next" {
-					t.Errorf("the upstream got %d requests, first %+v", len(got), got[0])
+					t.Errorf("upstream got %d requests, first %+v; want one with body %q", len(got), got[0], "next")
 				}
 			})
 		}
 	}
 }
 
-// Guards against a client whose leaving nobody sees: the library reads one byte behind a request and no more, and nothing of a
-// large body while no attempt does. It counts as gone all the same, while its request waits or its attempt is out.
+// Guards against a client whose disconnect goes unnoticed: net/http reads at most one byte behind a request, and nothing of a large
+// body while no attempt reads it. The client still counts as disconnected, while its request waits or an attempt is in progress.
 func TestLeavingIsSeenBehindWhatNobodyReads(t *testing.T) {
 	for name, c := range map[string]struct{ first, more string }{
-		"a byte behind":           {requestText("search"), "G"},
-		"another request behind":  {requestText("search"), requestText("search")},
-		"a body that is not read": {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000d7\r\nContent-Length: 300000\r\n\r\n", strings.Repeat("x", 200<<10)},
+		"a byte after the request": {requestText("search"), "G"},
+		"another request after it": {requestText("search"), requestText("search")},
+		"a body that is not read":  {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000d7\r\nContent-Length: 300000\r\n\r\n", strings.Repeat("x", 200<<10)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newUpstream(t, silent)
 			conf := testConfig(t, quiet(t).address, entry("s", s.address, "Ready"))
 			conf.Ops = "127.0.0.1:0"
-			g := newDialGate(conf, s.address) // never comes up
+			g := newDialGate(conf, s.address) // never released
 			r := start(t, conf, "127.0.0.1:0")
 			p := dialRaw(t, r.address)
 			p.send(c.first)
@@ -117,14 +118,14 @@
 			_ = p.Close()
 			eventually(t, "the request is over", func() bool { return strings.Contains(r.call(t, "STATS\n"), "gw.concurrent:0|g") })
 			if n := s.opened.Load(); n != 0 {
-				t.Errorf("%d connections", n)
+				t.Errorf("upstream got %d connections, want 0", n)
 			}
 		})
 	}
 }
 
-// Guards against a repeat after its time: a request that may have run may be sent again within its window, and the connection
-// for that comes up only after it.
+// Guards against a late repeat: a request that may have run may be sent again within its deduplication window, but the connection
+// for the repeat is established only after it.
 func TestNoRepeatBeginsAfterItsWindow(t *testing.T) {
 	for name, late := range map[string]bool{"in time": false, "too late": true} {
 		t.Run(name, func(t *testing.T) {
@@ -156,17 +157,17 @@
 			}
 			g.release <- struct{}{}
 			if got := <-end; got != want {
-				t.Errorf("answered %q, want %q", got, want)
+				t.Errorf("answer: got %q, want %q", got, want)
 			}
 			if got := s.requests(); len(got) != sent {
-				t.Errorf("sent %d times, want %d", len(got), sent)
+				t.Errorf("upstream got the request %d times, want %d", len(got), sent)
 			}
 		})
 	}
 }
 
-// Guards against an answer that was made for another request: an upstream answers twice, the second time some milliseconds
-// later, when the next request may be on its way already.
+// Guards against taking an answer for the wrong request: an upstream answers twice, the second time some milliseconds later, when
+// the next request may already be on its way.
 func TestASecondAnswerIsNobodys(t *testing.T) {
 	next := make(chan struct{})
 	s := newUpstream(t, func(c net.Conn, g got) bool {
@@ -182,45 +183,45 @@
 	})
 	u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
 	if rep := u.attempt(t.Context(), "s", testRequest("POST", "1"), 0); rep.result != balancer.OK {
-		t.Fatalf("the first one: %d", rep.result)
+		t.Fatalf("first request: got result %d, want %d", rep.result, balancer.OK)
 	}
 	time.AfterFunc(4*time.Millisecond, func() { close(next) })
 	if rep := u.attempt(t.Context(), "s", testRequest("POST", "2"), 0); string(rep.body) != "for 2" {
-		t.Errorf("the next one got %d %q", rep.result, rep.body)
+		t.Errorf("next request: got result %d with body %q, want body %q", rep.result, rep.body, "for 2")
 	}
 }
 
-// Guards against an answer that nobody gave: a second one, which comes as the next request is being written, is not taken for that
-// one's. It is not sent again either, since upstreams may answer early. A connection's first request has none before it, and one
-// whose body has gone out is answered as ever.
+// Guards against taking a second answer to one request for the answer to the next, which is still being written. The next request is
+// not sent again either, since upstreams may answer early. An early answer is accepted for the first request on a connection, and
+// any answer once the whole body has been sent.
 func TestASecondAnswerWithinTheNextRequestIsNobodys(t *testing.T) {
-	for name, x := range map[string]struct {
-		before, whole bool // a request came before on the connection; the body has come from its client
+	for name, tc := range map[string]struct {
+		before, whole bool // whether the connection carried a request before; whether the client has sent the whole body
 		want          balancer.Result
 	}{
-		"behind another": {true, false, balancer.Reset},
-		"alone":          {false, false, balancer.OK},
-		"whole":          {true, true, balancer.OK},
+		"after another request": {true, false, balancer.Reset},
+		"alone":                 {false, false, balancer.OK},
+		"whole":                 {true, true, balancer.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = l.Close() }()
+			defer func() { _ = listener.Close() }()
 			go func() {
 				for {
-					c, err := l.Accept()
+					c, err := listener.Accept()
 					if err != nil {
 						return
 					}
 					in := bufio.NewReader(c)
-					for { // ends with the connection
+					for { // until the connection ends
 						req, err := http.ReadRequest(in)
 						if err != nil {
 							break
 						}
-						if n := int64(8); x.whole || req.ContentLength < n {
+						if n := int64(8); tc.whole || req.ContentLength < n {
 							_, _ = io.Copy(io.Discard, req.Body)
 						} else {
 							_, _ = io.CopyN(io.Discard, req.Body, n)
@@ -229,10 +230,10 @@
 					}
 				}
 			}()
-			u := testUpstreams(t, 4, entry("s", l.Addr().String(), "Ready"))
-			if x.before {
+			u := testUpstreams(t, 4, entry("s", listener.Addr().String(), "Ready"))
+			if tc.before {
 				if rep := u.attempt(t.Context(), "s", testRequest("POST", "1"), 0); rep.result != balancer.OK {
-					t.Fatalf("the one before: %d", rep.result)
+					t.Fatalf("request before: got result %d, want %d", rep.result, balancer.OK)
 				}
 				u.awaitReusable(t)
 			}
@@ -242,31 +243,31 @@
 			r.body.length, r.body.rest = 1<<20, rest
 			r.body.onComplete, r.body.onError, r.body.budget = func() {}, func(error) {}, &byteBudget{}
 			go func() {
-				_, _ = client.Write(make([]byte, 4<<10)) // some more has come
-				if x.whole {
+				_, _ = client.Write(make([]byte, 4<<10)) // the client has sent more of the body
+				if tc.whole {
 					_, _ = client.Write(make([]byte, 1<<20-4<<10-len(r.body.retained)))
 					_ = client.Close()
 				}
 			}()
 			rep := u.attempt(t.Context(), "s", r, 0)
 			defer rep.drop()
-			if rep.result != x.want {
-				t.Errorf("ended with %d, %v; want %d", rep.result, rep.err, x.want)
+			if rep.result != tc.want {
+				t.Errorf("got result %d, error %v, want result %d", rep.result, rep.err, tc.want)
 			}
-			if uses := rep.use.nth; uses > 1 != x.before {
-				t.Errorf("it was the connection's request number %d", uses)
+			if uses := rep.use.nth; uses > 1 != tc.before {
+				t.Errorf("got request number %d on its connection, want more than 1: %v", uses, tc.before)
 			}
 		})
 	}
 }
 
-// Guards against the library taking what came on a resting connection for the next request's answer, before it has looked
-// itself, and against an unsafe request that is lost to a connection which the upstream has closed: neither is used.
+// Guards against net/http taking data that arrived on an idle connection for the answer to the next request, and against losing a
+// non-idempotent request on a connection that the upstream has closed: such a connection is not used again.
 func TestASpentConnectionIsNotUsed(t *testing.T) {
 	for name, spend := range map[string]func(net.Conn){
 		"another answer": func(c net.Conn) { _, _ = io.WriteString(c, ok200("stale")) },
 		"half a line":    func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
-		"its end":        func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
+		"a half-close":   func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 		"a reset":        func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -277,28 +278,28 @@
 				return err == nil
 			})
 			u := testUpstreams(t, 4, entry("s", s.address, "Ready"))
-			for i := range 20 { // the library may look before or after; each time it has to be right
+			for i := range 20 { // net/http may notice the event before or after the next request; both must work
 				u.awaitReusable(t)
 				body := strconv.Itoa(i)
 				rep := u.attempt(t.Context(), "s", testRequest("POST", body), 0)
-				for rep.result == balancer.ConnectFailed || rep.result == balancer.NotSent { // seen just then: it never ran
+				for rep.result == balancer.ConnectFailed || rep.result == balancer.NotSent { // the connection's end was noticed only now: the request did not run
 					rep = u.attempt(t.Context(), "s", testRequest("POST", body), 0)
 				}
 				if string(rep.body) != "for "+body {
-					t.Fatalf("%d: %d %q", i, rep.result, rep.body)
+					t.Fatalf("request %d: got result %d with body %q, want body %q", i, rep.result, rep.body, "for "+body)
 				}
 				u.awaitReusable(t)
 				spend(<-conns)
 			}
 			if n := len(s.requests()); n != 20 {
-				t.Errorf("%d requests reached the upstream, of 20", n)
+				t.Errorf("upstream got %d requests, want 20", n)
 			}
 		})
 	}
 }
 
-// Guards against answers that never end: a drip that keeps a connection and its client for ever, and one that goes on fast. The
-// client sees that it did not get all.
+// Guards against answers that never end: one that arrives in drips and would occupy a connection and its client indefinitely, and
+// one that arrives fast. The client can tell that the answer is incomplete.
 func TestEndlessAnswersEnd(t *testing.T) {
 	t.Run("a drip", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -320,7 +321,7 @@
 				_, err = rest.read(make([]byte, transferBufferBytes))
 			}
 			if elapsed := time.Since(begun); !errors.Is(err, io.ErrClosedPipe) || elapsed > 4*time.Second || n < 6 {
-				t.Errorf("%v after %v, %d reads", err, elapsed, n)
+				t.Errorf("got %v after %v and %d reads, want %v within 4s after at least 6 reads", err, elapsed, n, io.ErrClosedPipe)
 			}
 		})
 	})
@@ -340,7 +341,7 @@
 		defer func() { _ = resp.Body.Close() }()
 		n, err := io.Copy(io.Discard, resp.Body)
 		if err == nil || n > maxBodyBytes+maxRetainedBytes+transferBufferBytes {
-			t.Errorf("%d bytes, %v", n, err)
+			t.Errorf("got %d bytes and error %v, want an error after at most %d bytes", n, err, maxBodyBytes+maxRetainedBytes+transferBufferBytes)
 		}
 	})
 }
--- a/internal/sidecar/orders_client_test.go
+++ b/internal/sidecar/orders_client_test.go
@@ -13,59 +13,61 @@
 	"mosslead/internal/lab/memnet"
 )
 
+// orderClient is a client of the sidecar.
 type orderClient struct {
 	h     *orderHarness
 	host  *memnet.Host
-	conns []*orderClientConn // under the world's lock
+	conns []*orderClientConn // guarded by orderHarness.mu
 }
 
+// orderClientConn is a connection of a client; its fields are guarded by orderHarness.mu.
 type orderClientConn struct {
 	net.Conn
-	unanswered int  // requests that have no whole answer yet
-	sending    bool // a body is on its way, the rest of which is still to come
+	unanswered int  // requests without a complete answer
+	sending    bool // a request is being written, so nothing may be pipelined behind it
 	ended      bool
 }
 
-// send sends a request, on a connection that rests or else a new one. split is what passes between its body's halves.
-func (c *orderClient) send(class string, timeout, split time.Duration, fresh bool) {
-	w := c.h
-	r := w.newRequest(class, timeout)
+// send sends a request on an idle connection or else a new one, and pauses for split between the halves of its body.
+func (c *orderClient) send(class string, timeout, split time.Duration, newConn bool) {
+	h := c.h
+	r := h.newRequest(class, timeout)
 	go func() {
-		line := c.idleConn(fresh)
-		if line == nil {
+		conn := c.idleConn(newConn)
+		if conn == nil {
 			return
 		}
-		c.setSending(line, true)
-		defer c.setSending(line, false)
+		c.setSending(conn, true)
+		defer c.setSending(conn, false)
 		text := r.text()
 		if split > 0 && r.body != "" {
 			cut := len(text) - len(r.body)/2
-			if _, err := io.WriteString(line, text[:cut]); err != nil || !w.sleep(split) {
+			if _, err := io.WriteString(conn, text[:cut]); err != nil || !h.sleep(split) {
 				return
 			}
 			text = text[cut:]
 		}
-		_, _ = io.WriteString(line, text) // where it fails the client has gone
+		_, _ = io.WriteString(conn, text) // fails if the connection has ended
 	}()
 }
 
-// sendPartial sends a part of a request: of its head, or all but half of its body.
-func (c *orderClient) sendPartial(gap time.Duration) {
+// sendPartial sends part of a request: a third of it, or everything but half of its body if delay is 0.
+func (c *orderClient) sendPartial(delay time.Duration) {
 	r := c.h.newRequest("confirm", time.Second)
 	text := r.text()
 	cut := len(text) - len(r.body)/2
-	if gap > 0 {
+	if delay > 0 {
 		cut = len(text) / 3
 	}
 	go func() {
-		if line := c.connect(1); line != nil {
-			c.setSending(line, true)
-			_, _ = io.WriteString(line, text[:cut]) // where it fails the connection has ended
+		if conn := c.connect(1); conn != nil {
+			c.setSending(conn, true)
+			_, _ = io.WriteString(conn, text[:cut]) // fails if the connection has ended
 		}
 	}()
 }
 
-// embeddedRequest is a request that stands in the body of another.
+// embeddedRequest is a request inside the body of another.
 const embeddedRequest = "GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000ff\r\n\r\n"
 
 var malformedRequests = []string{
@@ -82,53 +84,54 @@
 	"GET /search/" + strings.Repeat("x", 40<<10),
 }
 
-// sendMalformed sends something that is no proper request, and waits.
+// sendMalformed sends a malformed request on a new connection, which it leaves open.
 func (c *orderClient) sendMalformed(n int) {
 	go func() {
-		if line := c.connect(1); line != nil {
-			c.setSending(line, true)
-			_, _ = io.WriteString(line, malformedRequests[n%len(malformedRequests)]) // where it fails the connection has ended
+		if conn := c.connect(1); conn != nil {
+			c.setSending(conn, true)
+			_, _ = io.WriteString(conn, malformedRequests[n%len(malformedRequests)]) // fails if the connection has ended
 		}
 	}()
 }
 
-func (c *orderClient) setSending(line *orderClientConn, on bool) {
+// setSending sets whether a request is being written on a connection.
+func (c *orderClient) setSending(conn *orderClientConn, sending bool) {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
-	line.sending = on
+	conn.sending = sending
 }
 
-// pipeline sends more on the busiest connection, unless it would come into the middle of a body.
+// pipeline sends more on the busiest connection, unless a request is being written there.
 func (c *orderClient) pipeline(text func(*orderClientConn) string) {
-	line := c.busiest()
-	if line == nil {
+	conn := c.busiest()
+	if conn == nil {
 		return
 	}
 	c.h.mu.Lock()
-	half := line.sending
-	line.sending = true
+	busy := conn.sending
+	conn.sending = true
 	c.h.mu.Unlock()
-	if !half {
-		_, _ = io.WriteString(line, text(line)) // where it fails the connection has ended
-		c.setSending(line, false)
+	if !busy {
+		_, _ = io.WriteString(conn, text(conn)) // fails if the connection has ended
+		c.setSending(conn, false)
 	}
 }
 
-// newRequest makes up a newRequest.
-func (w *orderHarness) newRequest(class string, timeout time.Duration) *orderRequest {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.requestCount++
-	r := &orderRequest{id: fmt.Sprintf("%016x", 0xa00+w.requestCount), method: http.MethodPost, class: class, timeout: timeout,
-		target: "/" + class + "/7f3a", body: fmt.Sprintf("the body of %d", w.requestCount)}
+// newRequest creates a request of a class and registers it.
+func (h *orderHarness) newRequest(class string, timeout time.Duration) *orderRequest {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.requestCount++
+	r := &orderRequest{id: fmt.Sprintf("%016x", 0xa00+h.requestCount), method: http.MethodPost, class: class, timeout: timeout,
+		target: "/" + class + "/7f3a", body: fmt.Sprintf("the body of %d", h.requestCount)}
 	switch class {
 	case "search":
 		r.method, r.body = http.MethodGet, ""
 	case "large":
 		r.class, r.target = "confirm", "/confirm/7f3a"
-		r.body = strings.Repeat(fmt.Sprintf("%7d ", w.requestCount), 8<<10) // the most that there is
+		r.body = strings.Repeat(fmt.Sprintf("%7d ", h.requestCount), 8<<10) // 64 KiB, the largest body here
 	}
-	w.clientRequests[r.id] = r
+	h.clientRequests[r.id] = r
 	return r
 }
 
@@ -143,76 +146,74 @@
 	return s + "\r\n" + r.body
 }
 
-// idleConn is a connection for the next request, which it counts; nil: none is to be had.
-func (c *orderClient) idleConn(fresh bool) *orderClientConn {
-	w := c.h
-	w.mu.Lock()
-	for i := len(c.conns) - 1; i >= 0 && !fresh; i-- {
-		if l := c.conns[i]; !l.ended && !l.sending && l.unanswered == 0 {
-			l.unanswered++
-			l.sending = true // before anybody else finds it: what is sent behind must not come into its body
-			w.mu.Unlock()
-			return l
+// idleConn returns a connection for one request and counts the request on it. It returns nil if it cannot connect.
+func (c *orderClient) idleConn(newConn bool) *orderClientConn {
+	h := c.h
+	h.mu.Lock()
+	for i := len(c.conns) - 1; i >= 0 && !newConn; i-- {
+		if conn := c.conns[i]; !conn.ended && !conn.sending && conn.unanswered == 0 {
+			conn.unanswered++
+			conn.sending = true // set now, so that nothing is pipelined into this request
+			h.mu.Unlock()
+			return conn
 		}
 	}
-	w.mu.Unlock()
+	h.mu.Unlock()
 	return c.connect(1)
 }
 
-// connect opens a connection for so many requests.
-func (c *orderClient) connect(out int) *orderClientConn {
-	w := c.h
-	ctx, cancel := context.WithTimeout(w.ctx, 3*time.Second)
+// connect opens a connection on which the given number of requests will be sent. It returns nil if it cannot connect.
+func (c *orderClient) connect(requests int) *orderClientConn {
+	h := c.h
+	ctx, cancel := context.WithTimeout(h.ctx, 3*time.Second)
 	defer cancel()
 	raw, err := c.host.Dial(ctx, "tcp", "10.0.0.1:9000")
 	if err != nil {
 		return nil
 	}
-	line := &orderClientConn{Conn: raw, unanswered: out, sending: out > 0}
-	w.mu.Lock()
-	c.conns = append(c.conns, line)
-	w.mu.Unlock()
+	conn := &orderClientConn{Conn: raw, unanswered: requests, sending: requests > 0}
+	h.mu.Lock()
+	c.conns = append(c.conns, conn)
+	h.mu.Unlock()
 	go func() {
-		in := bufio.NewReader(line)
+		in := bufio.NewReader(conn)
 		for {
 			resp, err := http.ReadResponse(in, nil)
 			if err == nil {
 				_, err = io.Copy(io.Discard, resp.Body)
 			}
-			w.mu.Lock()
-			line.unanswered = max(line.unanswered-1, 0)
-			line.ended = line.ended || err != nil || resp.Close
-			w.mu.Unlock()
+			h.mu.Lock()
+			conn.unanswered = max(conn.unanswered-1, 0)
+			conn.ended = conn.ended || err != nil || resp.Close
+			h.mu.Unlock()
 			if err != nil {
-				_ = line.Close()
+				_ = conn.Close()
 				return
 			}
 		}
 	}()
-	return line
+	return conn
 }
 
-// busiest is the newest connection that waits for an answer, or else the newest; nil: there is none.
+// busiest returns the newest connection that waits for an answer, or else the newest one; nil if there is none.
 func (c *orderClient) busiest() *orderClientConn {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
-	var found *orderClientConn
-	for _, l := range c.conns {
-		if !l.ended && (found == nil || l.unanswered > 0 || found.unanswered == 0) {
-			found = l
+	var best *orderClientConn
+	for _, conn := range c.conns {
+		if !conn.ended && (best == nil || conn.unanswered > 0 || best.unanswered == 0) {
+			best = conn
 		}
 	}
-	return found
+	return best
 }
 
-// sleep sleeps, and tells whether the order still goes on.
-func (w *orderHarness) sleep(d time.Duration) bool {
+// sleep waits for d and reports whether the order is still being played.
+func (h *orderHarness) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
-	case <-w.ctx.Done():
+	case <-h.ctx.Done():
 		return false
 	}
 }
-
-// The upstreams.
--- a/internal/sidecar/orders_discovery_test.go
+++ b/internal/sidecar/orders_discovery_test.go
@@ -13,55 +13,58 @@
 	"mosslead/internal/lab/memnet"
 )
 
+// orderEntry is an upstream's entry in discovery's list.
 type orderEntry struct {
 	status string
-	since  time.Time // zero: long ago
+	since  time.Time // since when it is ready; zero means long ago
 }
 
 // orderChange is one change of the list.
 type orderChange struct {
 	index              int
-	upstream           int // of which upstream
+	upstream           int // index of the upstream
 	entryJSON          string
 	status             string
 	at                 time.Duration
-	silenceBound       time.Duration // when it counts as told because a watch fell silent; 0: none had
-	announcedAt        time.Duration // when it was first written to a watch, and there; 0: never
-	announcedCorruptAt time.Duration // the same, to one that had brought what is unusable
+	silenceBound       time.Duration // when the sidecar must have noticed that a watch is silent; 0 if none was
+	announcedAt        time.Duration // when it first arrived at the sidecar on a watch; 0 if it never did
+	announcedCorruptAt time.Duration // the same, on watches that had delivered invalid data
 }
 
+// orderDiscovery is the discovery service at one address.
 type orderDiscovery struct {
 	h    *orderHarness
 	name string
 	host *memnet.Host
-	// The fields below are under the world's lock.
+	// The fields below are guarded by orderHarness.mu.
 	listener   net.Listener
 	watches    []*orderWatch
-	retired    bool       // it is discovery no more
-	outageKind actionKind // of the outage
+	retired    bool       // discovery has moved to another address
+	outageKind actionKind // kind of the present outage
 	outages    []outage
 }
 
-// outage is a time in which discovery could not be reached.
+// outage is a period in which discovery is unreachable or does not answer watches.
 type outage struct{ from, to time.Duration }
 
+// never is the time, or the event index, of an event that does not happen.
 const never = 1 << 62
 
-// orderWatch is one watch of the list. Whoever writes on it holds turn, so that a change never overtakes the first list: a
-// channel, as a goroutine of the bubble that waits for a mutex stops its clock.
+// orderWatch is one watch of the list. Writers hold writeLock, so that a change never overtakes the first list. It is a channel
+// because a goroutine that waits for a mutex stops the clock of the synctest bubble.
 type orderWatch struct {
 	net.Conn
 	writeLock chan struct{}
-	from      int
-	answered  bool // its head was answered
-	corrupted bool // it has brought what is unusable
+	from      int  // index of the list after which the watch asks for changes
+	answered  bool // the head of the answer and the first list are being sent or were sent
+	corrupted bool // it has delivered invalid data
 	muted     bool
 	mutedAt   time.Duration
 	ended     bool
 }
 
-func newOrderDiscovery(w *orderHarness, name, ip string) *orderDiscovery {
-	d := &orderDiscovery{h: w, name: name, host: w.net.Host(name, ip, discoveryDelay)}
+func newOrderDiscovery(h *orderHarness, name, ip string) *orderDiscovery {
+	d := &orderDiscovery{h: h, name: name, host: h.net.Host(name, ip, discoveryDelay)}
 	d.listen()
 	return d
 }
@@ -97,119 +100,119 @@
 	if err != nil {
 		return
 	}
-	w := d.h
+	h := d.h
 	watch := &orderWatch{Conn: c, writeLock: make(chan struct{}, 1), from: from}
-	w.mu.Lock()
+	h.mu.Lock()
 	if d.retired {
-		w.mu.Unlock()
+		h.mu.Unlock()
 		return
 	}
 	d.watches = append(d.watches, watch)
-	how := d.outageKind
-	w.mu.Unlock()
-	switch how {
+	outageKind := d.outageKind
+	h.mu.Unlock()
+	switch outageKind {
 	case discoveryHolds:
 	case discoveryResets:
 		c.(interface{ Reset() }).Reset()
 		return
 	case discoveryFails:
-		_, _ = io.WriteString(c, "HTTP/1.1 503 Not now\r\nContent-Length: 0\r\n\r\n") // where it fails it has ended
+		_, _ = io.WriteString(c, "HTTP/1.1 503 Not now\r\nContent-Length: 0\r\n\r\n") // fails if the connection has ended
 		return
 	default:
 		d.answer(watch)
 	}
 	go func() {
-		for w.sleep(2 * time.Second) {
-			w.mu.Lock()
-			speaks, over := watch.answered && !watch.muted, watch.ended
-			w.mu.Unlock()
-			if over {
+		for h.sleep(2 * time.Second) {
+			h.mu.Lock()
+			alive, ended := watch.answered && !watch.muted, watch.ended
+			h.mu.Unlock()
+			if ended {
 				return
 			}
-			if speaks {
+			if alive {
 				d.writeChunk(watch, "\n")
 			}
 		}
 	}()
-	_, _ = io.Copy(io.Discard, in) // until it ends
-	w.mu.Lock()
+	_, _ = io.Copy(io.Discard, in) // until the sidecar ends the connection
+	h.mu.Lock()
 	watch.ended = true
-	w.mu.Unlock()
+	h.mu.Unlock()
 }
 
-func (d *orderDiscovery) writeChunk(c *orderWatch, text string) bool {
-	return c.write(fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) == nil
+func (d *orderDiscovery) writeChunk(w *orderWatch, text string) bool {
+	return w.write(fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) == nil
 }
 
-// write writes on a watch when it is its turn.
-func (c *orderWatch) write(text string) error {
-	c.writeLock <- struct{}{}
-	defer func() { <-c.writeLock }()
-	_, err := io.WriteString(c, text)
+// write writes text while it holds writeLock.
+func (w *orderWatch) write(text string) error {
+	w.writeLock <- struct{}{}
+	defer func() { <-w.writeLock }()
+	_, err := io.WriteString(w, text)
 	return err
 }
 
-// answer answers a watch, with what it has missed.
-func (d *orderDiscovery) answer(c *orderWatch) {
-	w := d.h
-	c.writeLock <- struct{}{}
-	w.mu.Lock()
-	c.answered = true
+// answer answers a watch with the changes it has missed, or with a snapshot.
+func (d *orderDiscovery) answer(w *orderWatch) {
+	h := d.h
+	w.writeLock <- struct{}{}
+	h.mu.Lock()
+	w.answered = true
 	text, missed := "\n", []*orderChange(nil)
 	latest := map[int]string{}
-	for _, x := range w.changes {
-		if x.index > c.from {
+	for _, x := range h.changes {
+		if x.index > w.from {
 			missed = append(missed, x)
 			latest[x.upstream] = x.entryJSON
 		}
 	}
 	if len(missed) > 0 {
 		var lines []string
-		for i := range w.entries {
+		for i := range h.entries {
 			if l, ok := latest[i]; ok {
 				lines = append(lines, l)
 			}
 		}
-		text = list(w.listIndex, false, lines...) + "\n"
+		text = list(h.listIndex, false, lines...) + "\n"
 	}
-	if w.snapshots {
+	if h.snapshots {
 		var lines []string
-		for i, e := range w.entries {
+		for i, e := range h.entries {
 			if e.status != "Gone" {
-				lines = append(lines, w.entryJSON(i))
+				lines = append(lines, h.entryJSON(i))
 			}
 		}
-		text = list(w.listIndex, true, lines...) + "\n"
+		text = list(h.listIndex, true, lines...) + "\n"
 	}
-	w.mu.Unlock()
-	_, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n", opens, len(text), text)
-	<-c.writeLock
+	h.mu.Unlock()
+	_, err := fmt.Fprintf(w, "%s%x\r\n%s\r\n", opens, len(text), text)
+	<-w.writeLock
 	if err == nil {
-		d.noteAnnounced(c, missed)
+		d.noteAnnounced(w, missed)
 	}
 }
 
-// noteAnnounced notes that changes are on their way, where they are.
-func (d *orderDiscovery) noteAnnounced(c *orderWatch, all []*orderChange) {
-	w := d.h
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// noteAnnounced records when changes arrive at the sidecar, unless an outage holds them up.
+func (d *orderDiscovery) noteAnnounced(w *orderWatch, changes []*orderChange) {
+	h := d.h
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if n := len(d.outages); n > 0 && d.outages[n-1].to == never {
 		return
 	}
-	for _, x := range all {
-		to := &x.announcedAt
-		if c.corrupted {
-			to = &x.announcedCorruptAt
+	for _, x := range changes {
+		at := &x.announcedAt
+		if w.corrupted {
+			at = &x.announcedCorruptAt
 		}
-		*to = cmp.Or(*to, time.Since(w.begun)+discoveryDelay)
+		*at = cmp.Or(*at, time.Since(h.begun)+discoveryDelay)
 	}
 }
 
-// entryJSON is an upstream's entry of the list; without the lock held only before the order begins.
-func (w *orderHarness) entryJSON(i int) string {
-	e, zone := w.entries[i], "a"
-	if i == 1 && w.twoZones {
+// entryJSON returns an upstream's entry of the list. The caller holds mu, except before the order begins.
+func (h *orderHarness) entryJSON(upstream int) string {
+	e, zone := h.entries[upstream], "a"
+	if upstream == 1 && h.twoZones {
 		zone = "b"
 	}
 	since := int64(0)
@@ -217,102 +220,102 @@
 		since = e.since.UnixMilli()
 	}
 	return fmt.Sprintf(`{"name":"up-%d","address":%q,"zone":%q,"type":"m","group":0,"status":%q,"weight":3,"since_ms":%d}`,
-		i+1, [2]string{up1, up2}[i], zone, e.status, since)
+		upstream+1, [2]string{up1, up2}[upstream], zone, e.status, since)
 }
 
-// changeStatus has discovery know of something new.
-func (w *orderHarness) changeStatus(i int, status string) {
-	w.mu.Lock()
-	e := &w.entries[i]
+// changeStatus changes the status of an upstream in the list and announces the change on all open watches.
+func (h *orderHarness) changeStatus(upstream int, status string) {
+	h.mu.Lock()
+	e := &h.entries[upstream]
 	if e.status == status {
-		w.mu.Unlock()
+		h.mu.Unlock()
 		return
 	}
 	e.status = status
 	if status == statusReady {
 		e.since = time.Now()
 	}
-	w.listIndex++
-	now := time.Since(w.begun)
-	x := &orderChange{index: w.listIndex, upstream: i, entryJSON: w.entryJSON(i), status: status, at: now}
-	w.changes = append(w.changes, x)
-	d := w.discovery
-	var to []*orderWatch
-	for _, c := range d.watches {
-		if c.answered && !c.muted && !c.ended {
-			to = append(to, c)
-		} else if c.muted && !c.ended {
-			x.silenceBound = max(x.silenceBound, now, c.mutedAt+6*time.Second)
+	h.listIndex++
+	now := time.Since(h.begun)
+	change := &orderChange{index: h.listIndex, upstream: upstream, entryJSON: h.entryJSON(upstream), status: status, at: now}
+	h.changes = append(h.changes, change)
+	d := h.discovery
+	var open []*orderWatch
+	for _, w := range d.watches {
+		if w.answered && !w.muted && !w.ended {
+			open = append(open, w)
+		} else if w.muted && !w.ended {
+			change.silenceBound = max(change.silenceBound, now, w.mutedAt+6*time.Second)
 		}
 	}
-	text := list(w.listIndex, false, x.entryJSON) + "\n"
-	w.mu.Unlock()
-	for _, c := range to {
-		if d.writeChunk(c, text) {
-			d.noteAnnounced(c, []*orderChange{x})
+	text := list(h.listIndex, false, change.entryJSON) + "\n"
+	h.mu.Unlock()
+	for _, w := range open {
+		if d.writeChunk(w, text) {
+			d.noteAnnounced(w, []*orderChange{change})
 		}
 	}
 }
 
-// mute has all open watches fall silent.
+// mute makes all open watches silent.
 func (d *orderDiscovery) mute() {
 	d.h.mu.Lock()
 	defer d.h.mu.Unlock()
-	for _, c := range d.watches {
-		if c.answered && !c.muted {
-			c.muted, c.mutedAt = true, time.Since(d.h.begun)
+	for _, w := range d.watches {
+		if w.answered && !w.muted {
+			w.muted, w.mutedAt = true, time.Since(d.h.begun)
 		}
 	}
 }
 
-// corrupt sends on all open watches what is unusable; some say nothing more.
+// corrupt sends invalid data on all open watches, which are silent from then on if mute is set.
 func (d *orderDiscovery) corrupt(text string, mute bool) {
 	d.h.mu.Lock()
-	var all []*orderWatch
-	for _, c := range d.watches {
-		if c.answered && !c.muted && !c.ended {
-			all = append(all, c)
-			c.corrupted = true
+	var open []*orderWatch
+	for _, w := range d.watches {
+		if w.answered && !w.muted && !w.ended {
+			open = append(open, w)
+			w.corrupted = true
 		}
 	}
 	d.h.mu.Unlock()
 	if mute {
 		d.mute()
 	}
-	for _, c := range all {
-		_ = c.write(text) // where it fails it has ended
+	for _, w := range open {
+		_ = w.write(text) // fails if the watch has ended
 	}
 }
 
-// endWatches ends all watches: with a reset, or in order.
+// endWatches ends all watches, with a reset or in an orderly way.
 func (d *orderDiscovery) endWatches(reset bool) {
-	w := d.h
-	w.mu.Lock()
-	all := d.watches
+	h := d.h
+	h.mu.Lock()
+	watches := d.watches
 	d.watches = nil
-	w.mu.Unlock()
-	for _, c := range all {
-		if r, ok := c.Conn.(interface{ Reset() }); ok && reset {
+	h.mu.Unlock()
+	for _, w := range watches {
+		if r, ok := w.Conn.(interface{ Reset() }); ok && reset {
 			r.Reset()
-		} else if c.answered {
-			_ = c.write("0\r\n\r\n") // where it fails it has ended
+		} else if w.answered {
+			_ = w.write("0\r\n\r\n") // fails if the watch has ended
 		}
-		_ = c.Close()
+		_ = w.Close()
 	}
 }
 
-// startOutage has discovery be out of reach for that long, in one of three ways.
-func (d *orderDiscovery) startOutage(how actionKind, back time.Duration) {
-	w := d.h
-	w.mu.Lock()
+// startOutage starts an outage of discovery of the given kind and length, unless one is in progress.
+func (d *orderDiscovery) startOutage(kind actionKind, length time.Duration) {
+	h := d.h
+	h.mu.Lock()
 	if n := len(d.outages); n > 0 && d.outages[n-1].to == never {
-		w.mu.Unlock()
+		h.mu.Unlock()
 		return
 	}
-	d.outages = append(d.outages, outage{time.Since(w.begun), never})
-	d.outageKind = how
-	w.mu.Unlock()
-	switch how {
+	d.outages = append(d.outages, outage{time.Since(h.begun), never})
+	d.outageKind = kind
+	h.mu.Unlock()
+	switch kind {
 	case discoveryResets, discoveryFails:
 		d.endWatches(true)
 	case discoveryUnreachable:
@@ -321,82 +324,82 @@
 		d.host.Kill()
 	}
 	go func() {
-		if !w.sleep(back) {
+		if !h.sleep(length) {
 			return
 		}
-		w.mu.Lock()
-		frozen := d.retired
+		h.mu.Lock()
+		retired := d.retired
 		d.outageKind = 0
-		d.outages[len(d.outages)-1].to = time.Since(w.begun)
+		d.outages[len(d.outages)-1].to = time.Since(h.begun)
 		waiting := []*orderWatch(nil)
-		for _, c := range d.watches {
-			if !c.answered && !c.ended {
-				waiting = append(waiting, c)
+		for _, w := range d.watches {
+			if !w.answered && !w.ended {
+				waiting = append(waiting, w)
 			}
 		}
-		w.mu.Unlock()
-		switch how {
+		h.mu.Unlock()
+		switch kind {
 		case discoveryUnreachable:
 			d.host.Silence(false)
 		case discoveryRefuses:
-			if !frozen {
+			if !retired {
 				d.listen()
 			}
 		case discoveryHolds:
-			for _, c := range waiting {
-				d.answer(c)
+			for _, w := range waiting {
+				d.answer(w)
 			}
 		}
 	}()
 }
 
-// moveDiscovery has discovery be at another address, which the sidecar is told by SIGHUP.
-func (w *orderHarness) moveDiscovery() {
-	w.mu.Lock()
-	if !w.hangupAt.IsZero() || !w.terminatedAt.IsZero() {
-		w.mu.Unlock()
+// moveDiscovery moves discovery to another address and reloads the configuration of the sidecar, as SIGHUP does.
+func (h *orderHarness) moveDiscovery() {
+	h.mu.Lock()
+	if !h.hangupAt.IsZero() || !h.terminatedAt.IsZero() {
+		h.mu.Unlock()
 		return
 	}
-	w.hangupAt = time.Now()
-	old := w.discovery
+	h.hangupAt = time.Now()
+	old := h.discovery
 	old.retired = true
-	door := old.listener
-	w.mu.Unlock()
-	_ = door.Close()
-	d := newOrderDiscovery(w, "new discovery", "10.0.0.8")
-	w.mu.Lock()
-	w.discovery = d
-	w.discoveries = append(w.discoveries, d)
-	w.mu.Unlock()
+	listener := old.listener
+	h.mu.Unlock()
+	_ = listener.Close()
+	d := newOrderDiscovery(h, "new discovery", "10.0.0.8")
+	h.mu.Lock()
+	h.discovery = d
+	h.discoveries = append(h.discoveries, d)
+	h.mu.Unlock()
 	go func() {
-		c := w.newConfig("10.0.0.8:7000")
+		c := h.newConfig("10.0.0.8:7000")
 		select {
-		case w.reloads <- Reload{Config: c}:
-		case <-w.ended:
-		case <-w.ctx.Done():
+		case h.reloads <- Reload{Config: c}:
+		case <-h.ended:
+		case <-h.ctx.Done():
 		}
-		if w.sleep(oldDiscoveryLinger) {
+		if h.sleep(oldDiscoveryLinger) {
 			old.host.Kill()
 		}
 	}()
 }
 
-// terminate sends SIGTERM, and SIGKILL when it is time.
-func (w *orderHarness) terminate() {
-	w.mu.Lock()
-	was := !w.terminatedAt.IsZero()
-	w.terminatedAt = cmp.Or(w.terminatedAt, time.Now())
-	w.mu.Unlock()
-	if was {
+// terminate stops the sidecar as SIGTERM does and kills it after killDelay.
+func (h *orderHarness) terminate() {
+	h.mu.Lock()
+	already := !h.terminatedAt.IsZero()
+	h.terminatedAt = cmp.Or(h.terminatedAt, time.Now())
+	h.mu.Unlock()
+	if already {
 		return
 	}
-	w.stop()
+	h.stop()
 	go func() {
-		if w.sleep(cmp.Or(w.fault.killDelay, killDelay)) {
-			w.mu.Lock()
-			w.killedAt = time.Now()
-			w.mu.Unlock()
-			w.sidecar.Kill()
+		if h.sleep(cmp.Or(h.fault.killDelay, killDelay)) {
+			h.mu.Lock()
+			h.killedAt = time.Now()
+			h.mu.Unlock()
+			h.sidecar.Kill()
 		}
 	}()
 }
--- a/internal/sidecar/orders_planted_test.go
+++ b/internal/sidecar/orders_planted_test.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Faults that stand between the sidecar and the network, so that what the rules see is what a sidecar with that fault
-// would do.
+// The planted faults are between the sidecar and the network, so that the rules see the traffic that a sidecar with that fault
+// would cause.
 
-// faultyConn is a connection of the sidecar's with a fault in it.
+// faultyConn is a connection of the sidecar with a planted fault.
 type faultyConn struct {
 	net.Conn
-	write func(c net.Conn, p []byte) (int, error) // nil: without a fault
-	read  func(c net.Conn, p []byte) (int, error)
+	write func(c net.Conn, p []byte) (int, error) // nil if writes have no fault
+	read  func(c net.Conn, p []byte) (int, error) // nil if reads have no fault
 }
 
 func (c *faultyConn) Write(p []byte) (int, error) {
@@ -37,70 +37,72 @@
 	return c.read(c.Conn, p)
 }
 
-// CloseWrite ends the sending, as the server does before it closes.
+// CloseWrite closes the sending side, as the server does before it closes a connection.
 func (c *faultyConn) CloseWrite() error {
 	return c.Conn.(interface{ CloseWrite() error }).CloseWrite()
 }
 
+// isHead reports whether p begins with the head of a request.
 func isHead(p []byte) bool {
 	return bytes.HasPrefix(p, []byte("GET /")) || bytes.HasPrefix(p, []byte("POST /"))
 }
 
-// maxPlantedSeeds is how many seeds a planted fault may take to be found.
+// maxPlantedSeeds is the number of seeds within which each planted fault must be found.
 const maxPlantedSeeds = 3000
 
+// plantedFaults lists the faults, each with a rule that has to detect it.
 var plantedFaults = []struct {
 	name      string
-	violation string // part of what the rules say of it
+	violation string // part of the message of the rule that it violates
 	fault     plantedFault
 }{
-	{"each attempt goes out twice", "both at once", plantedFault{toUpstream: func(w *orderHarness, c net.Conn) net.Conn {
+	{"each attempt goes out twice", "at the same time", plantedFault{toUpstream: func(h *orderHarness, c net.Conn) net.Conn {
 		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
-			if to := map[string]string{up1: up2, up2: up1}[c.RemoteAddr().String()]; isHead(p) {
-				copied := bytes.Clone(p)
+			if address := map[string]string{up1: up2, up2: up1}[c.RemoteAddr().String()]; isHead(p) {
+				data := bytes.Clone(p)
 				go func() {
-					if other, err := w.sidecar.Dial(w.ctx, "tcp", to); err == nil {
-						_, _ = other.Write(copied)
+					if other, err := h.sidecar.Dial(h.ctx, "tcp", address); err == nil {
+						_, _ = other.Write(data)
 					}
 				}()
 			}
 			return c.Write(p)
 		}}
 	}}},
-	{"what a reset broke off never ran", "where it may have run", plantedFault{toUpstream: func(_ *orderHarness, c net.Conn) net.Conn {
-		planted := false
+	{"attempts that a reset ended count as not processed", "may have run there", plantedFault{toUpstream: func(_ *orderHarness, c net.Conn) net.Conn {
+		injected := false
 		return &faultyConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
 			n, err := c.Read(p)
-			if errors.Is(err, syscall.ECONNRESET) && !planted {
-				planted = true
+			if errors.Is(err, syscall.ECONNRESET) && !injected {
+				injected = true
 				return copy(p, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), nil
 			}
 			return n, err
 		}}
 	}}},
-	{"requests go on for clients that have left", "its client had gone", plantedFault{toUpstream: func(w *orderHarness, c net.Conn) net.Conn {
+	{"requests go on for clients that have left", "after its client had left", plantedFault{toUpstream: func(h *orderHarness, c net.Conn) net.Conn {
 		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
-			copied := bytes.Clone(p)
+			data := bytes.Clone(p)
 			go func() {
-				if w.sleep(150 * milli) {
-					_, _ = c.Write(copied)
+				if h.sleep(150 * milli) {
+					_, _ = c.Write(data)
 				}
 			}()
 			return len(p), nil
 		}}
 	}}},
-	{"drains are not read", "which was Terminating", plantedFault{toDiscovery: func(_ *orderHarness, c net.Conn) net.Conn {
+	{"drained upstreams stay ready", "which was Terminating", plantedFault{toDiscovery: func(_ *orderHarness, c net.Conn) net.Conn {
 		return &faultyConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
 			n, err := c.Read(p)
 			copy(p, bytes.ReplaceAll(p[:n], []byte(`"Terminating"`), []byte(`"Ready"      `)))
 			return n, err
 		}}
 	}}},
-	{"silent watches go unnoticed", "told at 0s", plantedFault{toDiscovery: func(_ *orderHarness, c net.Conn) net.Conn {
+	{"silent watches go unnoticed", "announced at 0s", plantedFault{toDiscovery: func(_ *orderHarness, c net.Conn) net.Conn {
 		begun := false
 		return &faultyConn{Conn: c, read: func(c net.Conn, p []byte) (int, error) {
 			if begun {
-				_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // fails on a closed connection only
+				_ = c.SetReadDeadline(time.Now().Add(2 * time.Second)) // fails only on a closed connection
 			}
 			n, err := c.Read(p)
 			if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -124,7 +126,7 @@
 			return c.Write(p)
 		}}
 	}}},
-	{"an empty 200 for a failure", "no upstream has made", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
+	{"an empty 200 for a failure", "no upstream sent", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
 		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			if bytes.HasPrefix(p, []byte("HTTP/1.1 502")) {
 				_, err := c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
@@ -133,36 +135,36 @@
 			return c.Write(p)
 		}}
 	}}},
-	{"refusals for failures", "was refused", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
+	{"failures are answered as refusals", "was refused", plantedFault{toClient: func(_ *orderHarness, c net.Conn) net.Conn {
 		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			return c.Write(bytes.Replace(p, []byte("HTTP/1.1 502"), []byte("HTTP/1.1 503"), 1))
 		}}
 	}}},
-	{"a request that no client sent", "which no client did", plantedFault{toUpstream: func(_ *orderHarness, c net.Conn) net.Conn {
+	{"a request that no client sent", "which no client sent", plantedFault{toUpstream: func(_ *orderHarness, c net.Conn) net.Conn {
 		return &faultyConn{Conn: c, write: func(c net.Conn, p []byte) (int, error) {
 			return c.Write(bytes.Replace(p, []byte("X-Request-Id: 0"), []byte("X-Request-Id: f"), 1))
 		}}
 	}}},
-	{"keyed requests without a window", "longer ago than its window", plantedFault{settings: func(c *Config) {
+	{"requests idempotent by key are repeated after their window", "longer ago than its window", plantedFault{settings: func(c *Config) {
 		c.Settings.Classes[1].DedupWindow = time.Minute
 	}}},
-	{"an end with requests in hand", "was ended at", plantedFault{killDelay: 700 * milli}},
+	{"SIGKILL while requests are in progress", "the sidecar ended its connection at", plantedFault{killDelay: 700 * milli}},
 }
 
-// Guards against rules that see nothing: each planted fault is found.
+// Guards against rules that detect nothing: plants each fault in turn, and the rules have to report it.
 func TestOrdersFindPlantedFaults(t *testing.T) {
 	discardLogs(t)
 	t.Run("planted", func(t *testing.T) {
 		for _, x := range plantedFaults {
 			t.Run(x.name, func(t *testing.T) {
-				var next atomic.Int64
+				var lastSeed atomic.Int64
 				var found atomic.Bool
-				var both sync.WaitGroup
+				var workers sync.WaitGroup
 				for range orderWorkers {
-					both.Go(func() {
-						for seed := next.Add(1); seed <= maxPlantedSeeds && !found.Load(); seed = next.Add(1) {
-							broken, _ := playOrder(t, drawOrder(seed), x.fault, false)
-							for _, text := range broken {
+					workers.Go(func() {
+						for seed := lastSeed.Add(1); seed <= maxPlantedSeeds && !found.Load(); seed = lastSeed.Add(1) {
+							violations, _ := playOrder(t, drawOrder(seed), x.fault, false)
+							for _, text := range violations {
 								if strings.Contains(text, x.violation) && !found.Swap(true) {
 									t.Logf("found by seed %d: %s", seed, text)
 								}
@@ -170,9 +172,9 @@
 						}
 					})
 				}
-				both.Wait()
+				workers.Wait()
 				if !found.Load() {
-					t.Errorf("not found in %d orders", maxPlantedSeeds)
+					t.Errorf("got no violation that contains %q in %d orders, want one", x.violation, maxPlantedSeeds)
 				}
 			})
 		}
--- a/internal/sidecar/orders_play_test.go
+++ b/internal/sidecar/orders_play_test.go
@@ -11,90 +11,91 @@
 	"time"
 )
 
-// playOrder plays an order and tells what broke the rules, and what went over the wire if that is asked for.
-func playOrder(t *testing.T, o *order, p plantedFault, statsTick bool) (broken []string, text string) {
-	defer func() { // a bubble that can't end
+// playOrder plays an order once. It returns the violations of the rules and, if there are any and withTranscript is set, the
+// transcript of the network.
+func playOrder(t *testing.T, o *order, fault plantedFault, withTranscript bool) (violations []string, recordText string) {
+	defer func() { // synctest panics if the goroutines of the bubble are deadlocked
 		if r := recover(); r != nil {
 			stacks := make([]byte, 1<<20)
 			stacks = stacks[:runtime.Stack(stacks, true)]
-			broken = append(broken, fmt.Sprint(r))
-			for one := range strings.SplitSeq(string(stacks), "\n\n") {
-				if strings.Contains(one, "synctest bubble") {
-					broken = append(broken, one)
+			violations = append(violations, fmt.Sprint(r))
+			for stack := range strings.SplitSeq(string(stacks), "\n\n") {
+				if strings.Contains(stack, "synctest bubble") {
+					violations = append(violations, stack)
 				}
 			}
 		}
 	}()
 	synctest.Test(t, func(t *testing.T) {
-		w := newOrderHarness(t, o, p)
+		h := newOrderHarness(t, o, fault)
 		time.Sleep(o.settleTime)
 		if o.warmUp {
-			auto := [2]time.Duration{w.upstreams[0].autoAnswer, w.upstreams[1].autoAnswer}
-			w.upstreams[0].autoAnswer, w.upstreams[1].autoAnswer = 0, 0
-			for _, c := range w.clients {
+			autoAnswer := [2]time.Duration{h.upstreams[0].autoAnswer, h.upstreams[1].autoAnswer}
+			h.upstreams[0].autoAnswer, h.upstreams[1].autoAnswer = 0, 0
+			for _, c := range h.clients {
 				c.send("search", time.Second, 0, false)
 			}
 			time.Sleep(50 * milli)
-			w.mu.Lock()
-			w.upstreams[0].autoAnswer, w.upstreams[1].autoAnswer = auto[0], auto[1]
-			w.mu.Unlock()
+			h.mu.Lock()
+			h.upstreams[0].autoAnswer, h.upstreams[1].autoAnswer = autoAnswer[0], autoAnswer[1]
+			h.mu.Unlock()
 		}
 		begun := time.Now()
 		actions := slices.Clone(o.actions)
 		slices.SortStableFunc(actions, func(a, b orderAction) int { return int(a.at - a.networkDelay() - b.at + b.networkDelay()) })
-		last := time.Duration(0)
+		end := time.Duration(0)
 		for _, a := range actions {
 			time.Sleep(a.at - a.networkDelay() - time.Since(begun))
-			w.note("order", "all", "%v", a)
-			w.perform(a)
-			last = max(last, a.at+a.timeout+a.delay)
+			h.note("order", "all", "%v", a)
+			h.perform(a)
+			end = max(end, a.at+a.timeout+a.delay)
 			if a.kind == pipelinesComplete {
-				last += 2 * time.Second // it is read only after the one before
+				end += 2 * time.Second // the sidecar reads it only after the request before it
 			}
 		}
-		time.Sleep(last + 700*milli - time.Since(begun))
-		if w.terminatedAt.IsZero() {
+		time.Sleep(end + 700*milli - time.Since(begun))
+		if h.terminatedAt.IsZero() {
 			time.Sleep(idleCloseWait)
 		} else {
-			time.Sleep(killDelay + 50*milli - time.Since(w.terminatedAt))
+			time.Sleep(killDelay + 50*milli - time.Since(h.terminatedAt))
 		}
-		w.mu.Lock()
-		w.recording = false
-		w.mu.Unlock()
-		w.record.Stop()
-		broken = checkRules(w)
-		if statsTick && len(broken) > 0 {
-			text = w.record.Text()
+		h.mu.Lock()
+		h.recording = false
+		h.mu.Unlock()
+		h.record.Stop()
+		violations = checkRules(h)
+		if withTranscript && len(violations) > 0 {
+			recordText = h.record.Text()
 		}
 	})
-	return broken, text
+	return violations, recordText
 }
 
-// without is the order without one act.
+// without returns a copy of the order without the action at index i.
 func (o *order) without(i int) *order {
-	less := *o
-	less.actions = slices.Delete(slices.Clone(o.actions), i, i+1)
-	return &less
+	shorter := *o
+	shorter.actions = slices.Delete(slices.Clone(o.actions), i, i+1)
+	return &shorter
 }
 
-// playUntilViolation plays an order until it breaks a rule, that many times at the most.
-func (o *order) playUntilViolation(t *testing.T, p plantedFault, times int) (broken []string, text string) {
-	for range times {
-		if broken, text = playOrder(t, o, p, true); len(broken) > 0 {
+// playUntilViolation plays an order until it violates a rule, at most the given number of times.
+func (o *order) playUntilViolation(t *testing.T, fault plantedFault, runs int) (violations []string, recordText string) {
+	for range runs {
+		if violations, recordText = playOrder(t, o, fault, true); len(violations) > 0 {
 			break
 		}
 	}
-	return broken, text
+	return violations, recordText
 }
 
-// shrink leaves out acts for as long as the order goes on to fail.
-func (o *order) shrink(t *testing.T, p plantedFault) *order {
-	for again := true; again; {
-		again = false
+// shrink returns the order without the actions that are not needed for a violation.
+func (o *order) shrink(t *testing.T, fault plantedFault) *order {
+	for removed := true; removed; {
+		removed = false
 		for i := len(o.actions) - 1; i >= 0; i-- {
-			if less := o.without(i); len(less.actions) > 0 {
-				if broken, _ := less.playUntilViolation(t, p, orderRepeats); len(broken) > 0 {
-					o, again = less, true
+			if shorter := o.without(i); len(shorter.actions) > 0 {
+				if violations, _ := shorter.playUntilViolation(t, fault, orderRepeats); len(violations) > 0 {
+					o, removed = shorter, true
 				}
 			}
 		}
@@ -102,23 +103,24 @@
 	return o
 }
 
-// discardLogs keeps the sidecars' logs out of the test's.
+// discardLogs discards the sidecars' logs until the test ends.
 func discardLogs(t *testing.T) {
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	t.Cleanup(func() { slog.SetDefault(was) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 }
 
-func reportViolation(t *testing.T, o *order, p plantedFault, broken []string, text string) {
+// reportViolation shrinks an order that violated a rule and fails the test with its actions, violations and transcript.
+func reportViolation(t *testing.T, o *order, fault plantedFault, violations []string, recordText string) {
 	t.Helper()
-	if short := o.shrink(t, p); len(short.actions) < len(o.actions) {
-		if again, fields := short.playUntilViolation(t, p, 2*orderRepeats); len(again) > 0 {
-			o, broken, text = short, again, fields
+	if shrunk := o.shrink(t, fault); len(shrunk.actions) < len(o.actions) {
+		if repeated, shrunkText := shrunk.playUntilViolation(t, fault, 2*orderRepeats); len(repeated) > 0 {
+			o, violations, recordText = shrunk, repeated, shrunkText
 		}
 	}
-	kept := ""
+	numbers := ""
 	for _, a := range o.actions {
-		kept += fmt.Sprint(",", a.number)
+		numbers += fmt.Sprint(",", a.number)
 	}
-	t.Errorf("replay with -orders.seed=%d -orders.keep=%s\n%v\n%s\n%s", o.seed, strings.TrimPrefix(kept, ","), o, strings.Join(broken, "\n"), text)
+	t.Errorf("got violations of the rules, want none; replay with -orders.seed=%d -orders.keep=%s\n%v\n%s\n%s", o.seed, strings.TrimPrefix(numbers, ","), o, strings.Join(violations, "\n"), recordText)
 }
--- a/internal/sidecar/orders_rules_test.go
+++ b/internal/sidecar/orders_rules_test.go
@@ -15,66 +15,68 @@
 	"mosslead/internal/lab/memnet"
 )
 
-// The rules, checked from outside: on what went over the wire, and what the parties did. This knows nothing of the
-// sidecar's parts.
+// The rules are checked from outside, on the recorded network traffic and on what the clients, upstreams and discovery did. They
+// use nothing of the sidecar's internals.
 
 const (
-	answerGrace        = 500*milli + slack      // for an answer, after the client's time
-	disconnectGrace    = 100 * milli            // for a first byte, after the client has gone
-	hangupNewsGrace    = 4 * time.Second        // after SIGHUP discovery's news counts as told
-	newsGrace          = 6 * time.Second        // and without it
-	slack              = 50 * milli             // every limit is that much longer
-	drainGrace         = 3 * time.Second        // for an upstream that drains, where what counts as told need not have arrived
-	malformedPeerLimit = 3*time.Second + slack  // for an error or an end, to a peer that sends no proper request
-	minIdle            = 10 * milli             // for which a connection rests, at least, before it carries another request
-	owedAfterTerm      = 700 * time.Millisecond // of a request that SIGKILL may not leave unanswered, after SIGTERM
+	answerGrace        = 500*milli + slack      // for an answer, after the client's timeout
+	disconnectGrace    = 100 * milli            // for the first byte of an attempt, after the client has left
+	hangupNewsGrace    = 4 * time.Second        // for the sidecar to learn a change of the list, after SIGHUP
+	newsGrace          = 6 * time.Second        // the same, without SIGHUP
+	slack              = 50 * milli             // added to every limit
+	drainGrace         = 3 * time.Second        // for a change that was sent on a watch with invalid data before it, or while a watch was silent
+	malformedPeerLimit = 3*time.Second + slack  // for an error answer or a close, to a peer that sends no valid request
+	minIdle            = 10 * milli             // least time for which a connection is idle before it carries another request
+	owedAfterTerm      = 700 * time.Millisecond // after SIGTERM; a request sent by then must be answered before SIGKILL
 )
 
-// recordPos is a place in the record.
+// recordPos is a position in the record of events.
 type recordPos struct {
 	at    time.Duration
-	index int
+	index int // of the event
 }
 
-// flow is what one side sent on a connection.
+// flow is the data that one side sent on a connection.
 type flow struct {
 	bytes     []byte
-	offsets   []int // where each chunk begins
+	offsets   []int // where each chunk begins in bytes
 	positions []recordPos
-	end       *recordPos // of the sending; nil: none
-	reset     bool       // it was none in order
+	end       *recordPos // when the side stopped sending; nil if it did not
+	reset     bool       // the end was a reset
 }
 
+// position returns when the byte at an offset was sent.
 func (f *flow) position(offset int) recordPos {
 	i := sort.SearchInts(f.offsets, offset+1) - 1
 	return f.positions[i]
 }
 
-// connRecord is a connection.
+// connRecord is the record of one connection.
 type connRecord struct {
 	from, to       string
-	port           int
-	delay          time.Duration
+	port           int           // of the sidecar, if it dialled
+	delay          time.Duration // one way, on the network
 	dialled        recordPos
-	failed         bool // it never came up
-	sent, received flow // from the dialler, and to it
+	failed         bool // it was never established
+	sent, received flow // by the dialler, and by the accepting side
 }
 
-// wireMessage is a request or an answer on the wire.
+// wireMessage is a request or an answer on the network.
 type wireMessage struct {
-	first, last recordPos // of its bytes; last only if it is whole
+	first, last recordPos // positions of its first and last byte; last is set only if it is complete
 	complete    bool
 	body        string
 	id          string // of a request
 	method      string
 	target      string
 	status      int  // of an answer
-	closes      bool // it says that the connection ends
+	closes      bool // the answer says that the connection closes
 	conn        *connRecord
-	nth         int // on it, from 1
+	nth         int // ordinal on the connection, from 1
 }
 
-func (f *flow) requests(t *connRecord) (all []*wireMessage) {
+// requests returns the requests in a flow; the last one may be incomplete or malformed.
+func (f *flow) requests(conn *connRecord) (all []*wireMessage) {
 	src := bytes.NewReader(f.bytes)
 	in := bufio.NewReader(src)
 	for {
@@ -82,7 +84,7 @@
 		if at == len(f.bytes) {
 			return all
 		}
-		m := &wireMessage{first: f.position(at), conn: t, nth: len(all) + 1}
+		m := &wireMessage{first: f.position(at), conn: conn, nth: len(all) + 1}
 		all = append(all, m)
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -98,7 +100,8 @@
 	}
 }
 
-func (f *flow) answers(t *connRecord) (all []*wireMessage) {
+// answers returns the answers in a flow; the last one may be incomplete or malformed.
+func (f *flow) answers(conn *connRecord) (all []*wireMessage) {
 	src := bytes.NewReader(f.bytes)
 	in := bufio.NewReader(src)
 	for {
@@ -106,7 +109,7 @@
 		if at == len(f.bytes) {
 			return all
 		}
-		m := &wireMessage{first: f.position(at), conn: t, nth: len(all) + 1}
+		m := &wireMessage{first: f.position(at), conn: conn, nth: len(all) + 1}
 		all = append(all, m)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -115,46 +118,46 @@
 		m.status, m.closes = resp.StatusCode, resp.Close
 		body, err := io.ReadAll(resp.Body)
 		m.body = string(body)
-		unstated := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-		if err != nil || unstated && (f.end == nil || f.reset) {
+		endsWithConn := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+		if err != nil || endsWithConn && (f.end == nil || f.reset) {
 			return all
 		}
 		m.complete, m.last = true, f.position(len(f.bytes)-src.Len()-in.Buffered()-1)
 	}
 }
 
-// connRecords sorts the record by connection.
-func connRecords(events []memnet.Event, begun time.Time) (all []*connRecord) {
-	of := map[int]*connRecord{}
+// connRecords groups the recorded events by connection.
+func connRecords(events []memnet.Event, begun time.Time) (conns []*connRecord) {
+	byConn := map[int]*connRecord{}
 	port := 40_000
-	for mark, e := range events {
-		t := of[e.Conn]
+	for index, e := range events {
+		conn := byConn[e.Conn]
 		if e.Kind == memnet.Dials {
-			t = &connRecord{from: e.From, to: e.To, delay: clientDelay, dialled: recordPos{e.At.Sub(begun), mark}}
+			conn = &connRecord{from: e.From, to: e.To, delay: clientDelay, dialled: recordPos{e.At.Sub(begun), index}}
 			if e.From == "sidecar" {
 				port++
-				t.port = port
+				conn.port = port
 				switch e.To {
 				case "up-1":
-					t.delay = upstreamDelays[0]
+					conn.delay = upstreamDelays[0]
 				case "up-2":
-					t.delay = upstreamDelays[1]
+					conn.delay = upstreamDelays[1]
 				}
 			}
-			of[e.Conn] = t
-			all = append(all, t)
+			byConn[e.Conn] = conn
+			conns = append(conns, conn)
 			continue
 		}
-		if t == nil {
+		if conn == nil {
 			continue
 		}
-		f, now := &t.sent, recordPos{e.At.Sub(begun), mark}
-		if e.From != t.from {
-			f = &t.received
+		f, now := &conn.sent, recordPos{e.At.Sub(begun), index}
+		if e.From != conn.from {
+			f = &conn.received
 		}
 		switch e.Kind {
 		case memnet.Refuses, memnet.Leaves:
-			t.failed = true
+			conn.failed = true
 		case memnet.Sends:
 			f.offsets, f.positions = append(f.offsets, len(f.bytes)), append(f.positions, now)
 			f.bytes = append(f.bytes, e.Bytes...)
@@ -164,88 +167,89 @@
 			}
 		}
 	}
-	return all
+	return conns
 }
 
-// attempt is a request as an upstream saw it come.
+// orderAttempt is a request that the sidecar sent to an upstream.
 type orderAttempt struct {
 	*wireMessage
 	upstream int
-	answer   *orderAnswer // nil: the upstream never had it whole
-	ended    recordPos    // it is out no more
+	answer   *orderAnswer // nil if the upstream did not receive the whole request
+	ended    recordPos    // when it was answered or its connection ended
 }
 
-// mayHaveRun tells whether an attempt may have run, as far as was known to the sidecar at a moment.
-func (a *orderAttempt) mayHaveRun(by recordPos) bool {
-	return a.complete && (a.answer == nil || !a.answer.notProcessed || !a.answer.complete || a.answer.at+a.conn.delay > by.at)
+// mayHaveRun reports whether, by the sidecar's knowledge at a time, the upstream may have processed the attempt.
+func (a *orderAttempt) mayHaveRun(now recordPos) bool {
+	return a.complete && (a.answer == nil || !a.answer.notProcessed || !a.answer.complete || a.answer.at+a.conn.delay > now.at)
 }
 
-// probe is one judgement.
+// ruleChecker checks the rules on the record of one order.
 type ruleChecker struct {
 	*orderHarness
 	violations []string
-	recordEnd  time.Duration              // of the record
-	attempts   map[string][]*orderAttempt // by request, in the order of their first bytes
+	recordEnd  time.Duration              // since the beginning
+	attempts   map[string][]*orderAttempt // by request id, in the order of their first bytes
 }
 
-func (j *ruleChecker) violated(format string, args ...any) {
-	j.violations = append(j.violations, fmt.Sprintf(format, args...))
+// violated records a violation of a rule.
+func (c *ruleChecker) violated(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// checkRules tells which rules were broken.
-func checkRules(w *orderHarness) []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	j := &ruleChecker{orderHarness: w, recordEnd: time.Since(w.begun), attempts: map[string][]*orderAttempt{}}
-	all := connRecords(w.events, w.begun)
-	for _, t := range all {
-		if t.from == "sidecar" && strings.HasPrefix(t.to, "up-") {
-			j.checkUpstreamConn(t)
+// checkRules returns the violations of the rules, sorted.
+func checkRules(h *orderHarness) []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := &ruleChecker{orderHarness: h, recordEnd: time.Since(h.begun), attempts: map[string][]*orderAttempt{}}
+	conns := connRecords(h.events, h.begun)
+	for _, conn := range conns {
+		if conn.from == "sidecar" && strings.HasPrefix(conn.to, "up-") {
+			c.checkUpstreamConn(conn)
 		}
 	}
-	for id := range j.attempts {
-		slices.SortFunc(j.attempts[id], func(a, b *orderAttempt) int { return cmp.Compare(a.first.index, b.first.index) })
+	for id := range c.attempts {
+		slices.SortFunc(c.attempts[id], func(a, b *orderAttempt) int { return cmp.Compare(a.first.index, b.first.index) })
 	}
-	for _, t := range all {
-		if t.to == "sidecar" {
-			j.checkClientConn(t)
+	for _, conn := range conns {
+		if conn.to == "sidecar" {
+			c.checkClientConn(conn)
 		}
 	}
-	for id, attempts := range j.attempts {
-		j.checkRepeats(id, attempts)
+	for id, attempts := range c.attempts {
+		c.checkRepeats(id, attempts)
 	}
-	j.checkDrains()
+	c.checkDrains()
 	select {
-	case <-w.ended:
+	case <-h.ended:
 	default:
-		if !w.terminatedAt.IsZero() {
-			j.violated("the sidecar has not ended by the time at which it is killed")
+		if !h.terminatedAt.IsZero() {
+			c.violated("the sidecar was still running when SIGKILL was due, want it to have ended")
 		}
 	}
-	slices.Sort(j.violations)
-	return j.violations
+	slices.Sort(c.violations)
+	return c.violations
 }
 
-// checkUpstreamConn finds the attempts on a connection, and holds what was sent to what clients sent.
-func (j *ruleChecker) checkUpstreamConn(t *connRecord) {
-	up := int(t.to[3] - '1')
-	if t.sent.end == nil && t.received.end == nil && !t.failed && j.terminatedAt.IsZero() {
-		j.violated("a connection to %s, dialled at %v, is still open at the end", t.to, t.dialled.at)
+// checkUpstreamConn collects the attempts on a connection and compares them with the requests that clients sent.
+func (c *ruleChecker) checkUpstreamConn(conn *connRecord) {
+	upstream := int(conn.to[3] - '1')
+	if conn.sent.end == nil && conn.received.end == nil && !conn.failed && c.terminatedAt.IsZero() {
+		c.violated("a connection to %s, dialled at %v, is still open at the end", conn.to, conn.dialled.at)
 	}
-	for _, m := range t.sent.requests(t) {
+	for _, m := range conn.sent.requests(conn) {
 		if m.id == "" {
 			if m.complete {
-				j.violated("at %v %s was sent a request without an id", m.first.at, t.to)
+				c.violated("at %v %s was sent a request without an id", m.first.at, conn.to)
 			}
 			continue
 		}
-		a := &orderAttempt{wireMessage: m, upstream: up, ended: recordPos{never, never}}
-		for _, x := range j.answers[m.id] {
-			if x.port == t.port && x.nth == m.nth {
-				a.answer = x
+		a := &orderAttempt{wireMessage: m, upstream: upstream, ended: recordPos{never, never}}
+		for _, answer := range c.answers[m.id] {
+			if answer.port == conn.port && answer.nth == m.nth {
+				a.answer = answer
 			}
 		}
-		ends := []*recordPos{t.sent.end, t.received.end}
+		ends := []*recordPos{conn.sent.end, conn.received.end}
 		if a.answer != nil && a.answer.complete {
 			ends = append(ends, &recordPos{a.answer.at, a.answer.index})
 		}
@@ -254,111 +258,113 @@
 				a.ended = *e
 			}
 		}
-		j.attempts[m.id] = append(j.attempts[m.id], a)
-		r := j.clientRequests[m.id]
+		c.attempts[m.id] = append(c.attempts[m.id], a)
+		r := c.clientRequests[m.id]
 		switch {
 		case r == nil:
-			j.violated("at %v %s was sent %s, which no client did", m.first.at, t.to, m.id)
+			c.violated("at %v %s was sent %s, which no client sent", m.first.at, conn.to, m.id)
 		case m.method != r.method || m.target != r.target || m.complete && m.body != r.body || !strings.HasPrefix(r.body, m.body):
-			j.violated("at %v %s was sent %s in another form: %s %s, %d bytes", m.first.at, t.to, m.id, m.method, m.target, len(m.body))
+			c.violated("at %v %s was sent a changed %s: got %s %s with a body of %d bytes, want %s %s with a body of %d bytes", m.first.at, conn.to, m.id, m.method, m.target, len(m.body),
+				r.method, r.target, len(r.body))
 		}
 	}
 }
 
-// checkClientConn holds the answers on a client's connection to what it asked.
-func (j *ruleChecker) checkClientConn(t *connRecord) {
-	requests, answers := t.sent.requests(t), t.received.answers(t)
+// checkClientConn compares the answers on a client's connection with its requests.
+func (c *ruleChecker) checkClientConn(conn *connRecord) {
+	requests, answers := conn.sent.requests(conn), conn.received.answers(conn)
 	if len(answers) > len(requests) {
-		j.violated("%s has %d answers to %d requests on a connection", t.from, len(answers), len(requests))
+		c.violated("%s got %d answers to %d requests on one connection", conn.from, len(answers), len(requests))
 	}
 	disconnectedAt := recordPos{never, never}
-	if t.sent.end != nil {
-		disconnectedAt = *t.sent.end
+	if conn.sent.end != nil {
+		disconnectedAt = *conn.sent.end
 	}
-	over := recordPos{never, never}
-	if t.received.end != nil {
-		over = *t.received.end
+	closedAt := recordPos{never, never}
+	if conn.received.end != nil {
+		closedAt = *conn.received.end
 	}
-	if !t.failed && !slices.ContainsFunc(requests, func(m *wireMessage) bool { return m.complete && j.clientRequests[m.id] != nil }) {
-		limit := t.dialled.at + 2*clientDelay + malformedPeerLimit
-		if answered := len(answers) > 0 && answers[0].first.at <= limit; !answered && disconnectedAt.at > limit && over.at > limit && j.recordEnd > limit {
-			j.violated("a peer of %s that connected at %v and sent no proper request got neither an error nor an end", t.from, t.dialled.at)
+	if !conn.failed && !slices.ContainsFunc(requests, func(m *wireMessage) bool { return m.complete && c.clientRequests[m.id] != nil }) {
+		limit := conn.dialled.at + 2*clientDelay + malformedPeerLimit
+		if answered := len(answers) > 0 && answers[0].first.at <= limit; !answered && disconnectedAt.at > limit && closedAt.at > limit && c.recordEnd > limit {
+			c.violated("%s connected at %v, sent no valid request, and got neither an error answer nor a close by %v", conn.from, conn.dialled.at, limit)
 		}
 		if len(answers) > 0 && answers[0].status < 400 {
-			j.violated("a peer of %s that sent no proper request at %v was answered %d", t.from, t.dialled.at, answers[0].status)
+			c.violated("%s connected at %v, sent no valid request, and got status %d, want at least 400", conn.from, conn.dialled.at, answers[0].status)
 		}
 	}
 	for i, m := range requests {
-		var a, before *wireMessage
+		var answer, previous *wireMessage
 		if i < len(answers) {
-			a = answers[i]
+			answer = answers[i]
 		}
 		if i > 0 && i-1 < len(answers) {
-			before = answers[i-1]
+			previous = answers[i-1]
 		}
-		r := j.clientRequests[m.id]
-		if r == nil { // a part, which is owed nothing but an end
+		r := c.clientRequests[m.id]
+		if r == nil { // an incomplete or malformed request, which needs no answer
 			continue
 		}
 		if m.complete {
-			j.checkAnswer(r, m, a, before, disconnectedAt, over)
-		} else if a != nil && a.status == http.StatusOK {
-			j.violated("%s was served before it was sent whole", r.id)
+			c.checkAnswer(r, m, answer, previous, disconnectedAt, closedAt)
+		} else if answer != nil && answer.status == http.StatusOK {
+			c.violated("%s got status 200 before its client had sent all of it", r.id)
 		}
-		j.checkAttemptTimes(r, m, a, disconnectedAt, over)
+		c.checkAttemptTimes(r, m, answer, disconnectedAt, closedAt)
 	}
 }
 
-// checkAnswer checks the one final answer to a request that was sent whole.
-func (j *ruleChecker) checkAnswer(r *orderRequest, m, a, before *wireMessage, disconnectedAt, over recordPos) {
-	queries := m.last.at
-	if r.pipelined && before != nil {
-		queries = max(queries, before.last.at+clientDelay) // it is read no sooner
+// checkAnswer checks that a request that was sent whole got one final answer, in time and with the right content.
+func (c *ruleChecker) checkAnswer(r *orderRequest, m, answer, previous *wireMessage, disconnectedAt, closedAt recordPos) {
+	readAt := m.last.at
+	if r.pipelined && previous != nil {
+		readAt = max(readAt, previous.last.at+clientDelay) // the sidecar reads it only then
 	}
-	limit := queries + r.timeout + answerGrace
-	departs := disconnectedAt.at < limit // it did not wait for it
+	limit := readAt + r.timeout + answerGrace
+	clientLeft := disconnectedAt.at < limit // before the answer was due
 	switch {
-	case a == nil && departs:
-	case a == nil && r.pipelined && before != nil && (before.closes || !before.complete) && len(j.attempts[r.id]) == 0:
-		// the client sends it again elsewhere
-	case a == nil && over.at <= m.last.at+m.conn.delay+2*milli && len(j.attempts[r.id]) == 0:
-		// it crossed the connection's end, which had not read it
-	case a == nil && !j.terminatedAt.IsZero() && m.last.at > j.terminatedAt.Sub(j.begun)+owedAfterTerm && over.at >= j.killTime():
-	case a == nil && over.at < never:
-		j.violated("the connection of %s, sent at %v, was ended at %v with no answer", r.id, m.last.at, over.at)
-	case a == nil:
-		j.violated("%s, sent at %v, has no answer", r.id, m.last.at)
-	case a.complete && a.status == http.StatusOK:
-		if !slices.ContainsFunc(j.answers[r.id], func(x *orderAnswer) bool { return x.status == 200 && x.complete && x.body == a.body }) && !j.crossedSecondAnswer(r.id, a.body) {
-			j.violated("%s was served %q, which no upstream has made for it", r.id, truncate(a.body))
-		}
-		if a.first.at+clientDelay > limit {
-			j.violated("%s, sent at %v for %v, was answered only at %v", r.id, m.last.at, r.timeout, a.first.at)
-		}
-	case a.complete:
-		if a.last.at+clientDelay > limit && !departs {
-			j.violated("%s, sent at %v for %v, was answered only at %v", r.id, m.last.at, r.timeout, a.last.at)
-		}
-		if (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests) && r.class != "search" &&
-			slices.ContainsFunc(j.attempts[r.id], func(x *orderAttempt) bool { return x.first.at < a.first.at && x.mayHaveRun(a.first) }) {
-			j.violated("%s was refused at %v, and may have run", r.id, a.first.at)
-		}
-	case departs:
-	case a.status == http.StatusOK && slices.ContainsFunc(j.answers[r.id], func(x *orderAnswer) bool {
-		return x.status == 200 && x.begun && strings.HasPrefix(x.body, a.body)
-	}): // passed on in part, and the client can tell
+	case answer == nil && clientLeft:
+	case answer == nil && r.pipelined && previous != nil && (previous.closes || !previous.complete) && len(c.attempts[r.id]) == 0:
+		// the client has to send it again on another connection
+	case answer == nil && closedAt.at <= m.last.at+m.conn.delay+2*milli && len(c.attempts[r.id]) == 0:
+		// the sidecar ended the connection before it could have read the request
+	case answer == nil && !c.terminatedAt.IsZero() && m.last.at > c.terminatedAt.Sub(c.begun)+owedAfterTerm && closedAt.at >= c.killTime():
+	case answer == nil && closedAt.at < never:
+		c.violated("%s, sent at %v, got no answer: the sidecar ended its connection at %v", r.id, m.last.at, closedAt.at)
+	case answer == nil:
+		c.violated("%s, sent at %v, got no answer", r.id, m.last.at)
+	case answer.complete && answer.status == http.StatusOK:
+		if !slices.ContainsFunc(c.answers[r.id], func(x *orderAnswer) bool { return x.status == 200 && x.complete && x.body == answer.body }) && !c.crossedSecondAnswer(r.id, answer.body) {
+			c.violated("%s was answered %q, which no upstream sent for it", r.id, truncate(answer.body))
+		}
+		if answer.first.at+clientDelay > limit {
+			c.violated("%s, sent at %v with timeout %v, got the first byte of its answer at %v, want it by %v", r.id, m.last.at, r.timeout, answer.first.at, limit-clientDelay)
+		}
+	case answer.complete:
+		if answer.last.at+clientDelay > limit && !clientLeft {
+			c.violated("%s, sent at %v with timeout %v, got the last byte of its answer at %v, want it by %v", r.id, m.last.at, r.timeout, answer.last.at, limit-clientDelay)
+		}
+		if (answer.status == http.StatusServiceUnavailable || answer.status == http.StatusTooManyRequests) && r.class != "search" &&
+			slices.ContainsFunc(c.attempts[r.id], func(x *orderAttempt) bool { return x.first.at < answer.first.at && x.mayHaveRun(answer.first) }) {
+			c.violated("%s was refused at %v, but may have run by then", r.id, answer.first.at)
+		}
+	case clientLeft:
+	case answer.status == http.StatusOK && slices.ContainsFunc(c.answers[r.id], func(x *orderAnswer) bool {
+		return x.status == 200 && x.begun && strings.HasPrefix(x.body, answer.body)
+	}): // part of an answer was forwarded, and the client can tell that it is incomplete
 	default:
-		j.violated("%s, sent at %v, has only a part of an answer, from %v", r.id, m.last.at, a.first.at)
+		c.violated("%s, sent at %v, got only part of an answer, which began at %v", r.id, m.last.at, answer.first.at)
 	}
 }
 
-// crossedSecondAnswer tells whether an answer to a request is another's second one, which met the request on its way: nobody can tell
-// that from an answer. One that comes right behind the first is seen while the connection rests.
-func (j *ruleChecker) crossedSecondAnswer(id, body string) bool {
-	for _, x := range j.attempts[id] {
-		for _, all := range j.answers {
-			for _, y := range all {
-				if y.port == x.conn.port && y.secondAt > y.at+minIdle && "again "+y.body == body && y.secondAt >= x.first.at-x.conn.delay && y.secondAt <= max(x.first.at, x.last.at)+x.conn.delay {
+// crossedSecondAnswer reports whether body is a second answer to another request, sent while this request was on its way to the
+// upstream. The sidecar cannot tell such an answer from this request's own. A second answer within minIdle of the first does not
+// count, since the sidecar notices it while the connection is idle.
+func (c *ruleChecker) crossedSecondAnswer(id, body string) bool {
+	for _, attempt := range c.attempts[id] {
+		for _, answers := range c.answers {
+			for _, other := range answers {
+				if other.port == attempt.conn.port && other.secondAt > other.at+minIdle && "again "+other.body == body && other.secondAt >= attempt.first.at-attempt.conn.delay && other.secondAt <= max(attempt.first.at, attempt.last.at)+attempt.conn.delay {
 					return true
 				}
 			}
@@ -367,119 +373,122 @@
 	return false
 }
 
-func (j *ruleChecker) killTime() time.Duration {
-	if j.killedAt.IsZero() {
+// killTime returns the time of SIGKILL, or never if the sidecar was not killed.
+func (c *ruleChecker) killTime() time.Duration {
+	if c.killedAt.IsZero() {
 		return never
 	}
-	return j.killedAt.Sub(j.begun)
+	return c.killedAt.Sub(c.begun)
 }
 
-// checkAttemptTimes checks that nothing is sent for a client that has gone, or that has its answer, or whose connection was ended.
-func (j *ruleChecker) checkAttemptTimes(r *orderRequest, m, a *wireMessage, disconnectedAt, over recordPos) {
-	for _, x := range j.attempts[r.id] {
-		way := x.conn.delay
+// checkAttemptTimes checks that no attempt begins before its client sent the request, or after the client has left, the answer has
+// begun or the sidecar has ended the connection.
+func (c *ruleChecker) checkAttemptTimes(r *orderRequest, m, answer *wireMessage, disconnectedAt, closedAt recordPos) {
+	for _, attempt := range c.attempts[r.id] {
+		delay := attempt.conn.delay
 		switch {
-		case x.first.index < m.first.index:
-			j.violated("%s was sent at %v, before its client did", r.id, x.first.at)
-		case x.first.at+way > disconnectedAt.at+disconnectGrace && (a == nil || !a.complete || a.last.index > disconnectedAt.index):
-			j.violated("%s was sent to up-%d at %v, and its client had gone at %v", r.id, x.upstream+1, x.first.at, disconnectedAt.at)
-		case a != nil && x.first.at > a.first.at+milli:
-			j.violated("%s was sent to up-%d at %v, and its answer at %v", r.id, x.upstream+1, x.first.at, a.first.at)
-		case x.first.at > over.at+milli && over.at < disconnectedAt.at:
-			j.violated("%s was sent to up-%d at %v, and its connection had been ended at %v", r.id, x.upstream+1, x.first.at, over.at)
+		case attempt.first.index < m.first.index:
+			c.violated("%s was sent to up-%d at %v, before its client sent it at %v", r.id, attempt.upstream+1, attempt.first.at, m.first.at)
+		case attempt.first.at+delay > disconnectedAt.at+disconnectGrace && (answer == nil || !answer.complete || answer.last.index > disconnectedAt.index):
+			c.violated("%s was sent to up-%d at %v, after its client had left at %v", r.id, attempt.upstream+1, attempt.first.at, disconnectedAt.at)
+		case answer != nil && attempt.first.at > answer.first.at+milli:
+			c.violated("%s was sent to up-%d at %v, after its answer had begun at %v", r.id, attempt.upstream+1, attempt.first.at, answer.first.at)
+		case attempt.first.at > closedAt.at+milli && closedAt.at < disconnectedAt.at:
+			c.violated("%s was sent to up-%d at %v, after the sidecar had ended the client's connection at %v", r.id, attempt.upstream+1, attempt.first.at, closedAt.at)
 		}
 	}
 }
 
-// checkRepeats checks what several attempts of one request do.
-func (j *ruleChecker) checkRepeats(id string, attempts []*orderAttempt) {
-	r := j.clientRequests[id]
+// checkRepeats checks that no two attempts of a request are out at once, and that none follows one that may have run unless its
+// class allows it.
+func (c *ruleChecker) checkRepeats(id string, attempts []*orderAttempt) {
+	r := c.clientRequests[id]
 	if r == nil {
 		return
 	}
 	for i, a := range attempts {
 		for _, b := range attempts[i+1:] {
 			if a.complete && b.complete && a.ended.index > b.last.index && a.last.index < b.last.index {
-				j.violated("%s was with up-%d from %v on and with up-%d from %v on, both at once", id, a.upstream+1, a.last.at, b.upstream+1, b.last.at)
+				c.violated("%s was at up-%d from %v on and at up-%d from %v on, at the same time", id, a.upstream+1, a.last.at, b.upstream+1, b.last.at)
 			}
 			if !a.mayHaveRun(b.first) {
 				continue
 			}
 			switch r.class {
 			case "confirm":
-				j.violated("%s was sent to up-%d at %v, and to up-%d at %v, where it may have run", id, b.upstream+1, b.first.at, a.upstream+1, a.first.at)
+				c.violated("%s was sent to up-%d at %v, although it was sent to up-%d at %v and may have run there", id, b.upstream+1, b.first.at, a.upstream+1, a.first.at)
 			case "record":
-				if b.upstream != a.upstream && j.twoZones {
-					j.violated("%s was sent to up-%d at %v, and may have run at up-%d, in another zone", id, b.upstream+1, b.first.at, a.upstream+1)
+				if b.upstream != a.upstream && c.twoZones {
+					c.violated("%s was sent to up-%d at %v, although it may have run at up-%d, in another zone", id, b.upstream+1, b.first.at, a.upstream+1)
 				}
-				if b.complete && b.last.at-a.last.at > j.dedupWindow+slack {
-					j.violated("%s was sent to up-%d at %v, and may have run at up-%d at %v, longer ago than its window", id, b.upstream+1, b.last.at, a.upstream+1, a.last.at)
+				if b.complete && b.last.at-a.last.at > c.dedupWindow+slack {
+					c.violated("%s was sent to up-%d at %v, although it may have run at up-%d at %v, longer ago than its window of %v", id, b.upstream+1, b.last.at, a.upstream+1, a.last.at, c.dedupWindow)
 				}
 			}
 		}
 	}
 }
 
-// checkDrains checks that nothing new goes to an upstream that was told to want nothing. Where its line has arrived that holds
-// at once; else from when it counts as told.
-func (j *ruleChecker) checkDrains() {
-	for i, x := range j.changes {
-		if x.status == statusReady {
+// checkDrains checks that no new request goes to an upstream that was drained or removed. If the change has arrived at the sidecar,
+// this holds at once; otherwise from the time by which the sidecar must know the change.
+func (c *ruleChecker) checkDrains() {
+	for i, change := range c.changes {
+		if change.status == statusReady {
 			continue
 		}
-		until := time.Duration(never) // when it is back, as far as discovery knows
-		for _, y := range j.changes[i+1:] {
-			if y.upstream == x.upstream && y.status == statusReady {
-				until = y.at
+		until := time.Duration(never) // when discovery lists it as ready again
+		for _, later := range c.changes[i+1:] {
+			if later.upstream == change.upstream && later.status == statusReady {
+				until = later.at
 				break
 			}
 		}
-		bound := j.bindsAt(x)
-		for id, attempts := range j.attempts {
+		bindsAt := c.bindsAt(change)
+		for id, attempts := range c.attempts {
 			for _, a := range attempts {
-				if a.upstream == x.upstream && a.first.at > bound && a.first.at < until {
-					j.violated("%s was sent to up-%d at %v, which was %s from %v on, told at %v, and bound from %v on", id, a.upstream+1,
-						a.first.at, x.status, x.at, x.announcedAt, bound)
+				if a.upstream == change.upstream && a.first.at > bindsAt && a.first.at < until {
+					c.violated("%s was sent to up-%d at %v, which was %s from %v on, announced at %v, and must get no new requests from %v on", id, a.upstream+1,
+						a.first.at, change.status, change.at, change.announcedAt, bindsAt)
 				}
 			}
 		}
 	}
 }
 
-// bindsAt is when a change binds the sidecar.
-func (j *ruleChecker) bindsAt(x *orderChange) time.Duration {
-	bound := time.Duration(never)
-	for at, grace := range map[time.Duration]time.Duration{x.announcedAt: slack, x.announcedCorruptAt: drainGrace + slack} {
-		cutOff := func(o outage) bool { return o.from <= at && o.to >= at-discoveryDelay } // its line came later, if ever
-		if at > 0 && !slices.ContainsFunc(j.discoveries, func(d *orderDiscovery) bool { return slices.ContainsFunc(d.outages, cutOff) }) {
-			bound = min(bound, at+grace)
+// bindsAt returns the time from which the sidecar must act on a change.
+func (c *ruleChecker) bindsAt(change *orderChange) time.Duration {
+	earliest := time.Duration(never)
+	for at, grace := range map[time.Duration]time.Duration{change.announcedAt: slack, change.announcedCorruptAt: drainGrace + slack} {
+		cutOff := func(o outage) bool { return o.from <= at && o.to >= at-discoveryDelay } // the change arrived later or never
+		if at > 0 && !slices.ContainsFunc(c.discoveries, func(d *orderDiscovery) bool { return slices.ContainsFunc(d.outages, cutOff) }) {
+			earliest = min(earliest, at+grace)
 		}
 	}
-	from := x.at
-	d := j.discoveries[0]
-	if !j.hangupAt.IsZero() {
-		if moved := j.hangupAt.Sub(j.begun); moved < from+newsGrace || x.at > moved {
-			d = j.discoveries[1]
-			if x.at <= moved {
+	from := change.at
+	d := c.discoveries[0]
+	if !c.hangupAt.IsZero() {
+		if moved := c.hangupAt.Sub(c.begun); moved < from+newsGrace || change.at > moved {
+			d = c.discoveries[1]
+			if change.at <= moved {
 				from = moved
 			}
 		}
 	}
-	last := newsGrace
-	if d == j.discoveries[len(j.discoveries)-1] && !j.hangupAt.IsZero() && from == j.hangupAt.Sub(j.begun) {
-		last = hangupNewsGrace
+	grace := newsGrace
+	if d == c.discoveries[len(c.discoveries)-1] && !c.hangupAt.IsZero() && from == c.hangupAt.Sub(c.begun) {
+		grace = hangupNewsGrace
 	}
 	for _, o := range d.outages {
-		if o.to > from && o.from < from+last {
-			from, last = o.to, newsGrace
+		if o.to > from && o.from < from+grace {
+			from, grace = o.to, newsGrace
 			if from == never {
-				return bound
+				return earliest
 			}
 		}
 	}
-	bound = min(bound, from+last+slack)
-	if x.silenceBound > 0 && len(d.outages) == 0 && j.hangupAt.IsZero() {
-		bound = min(bound, x.silenceBound+drainGrace+slack)
+	earliest = min(earliest, from+grace+slack)
+	if change.silenceBound > 0 && len(d.outages) == 0 && c.hangupAt.IsZero() {
+		earliest = min(earliest, change.silenceBound+drainGrace+slack)
 	}
-	return bound
+	return earliest
 }
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -14,21 +14,21 @@
 )
 
 var (
-	orderSeed        = flag.Int64("orders.seed", -1, "replay the order of this seed, many times over: what comes at the same moment has no order of its own")
-	orderFirstSeed   = flag.Int64("orders.from", 1, "the first seed")
-	orderCount       = flag.Int64("orders.count", 10_000, "how many orders are played")
-	orderKeptActions = flag.String("orders.keep", "", "of a replayed order, only the acts of these numbers, as in 0,3,4")
+	orderSeed        = flag.Int64("orders.seed", -1, "seed of one order to replay, several times, since simultaneous events have no fixed sequence")
+	orderFirstSeed   = flag.Int64("orders.from", 1, "first seed to play")
+	orderCount       = flag.Int64("orders.count", 10_000, "number of orders to play")
+	orderKeptActions = flag.String("orders.keep", "", "numbers of the actions to keep in a replayed order, as in 0,3,4")
 )
 
 const (
 	maxActions   = 12
-	orderRepeats = 60 // of a seed that is replayed, and of one that is made shorter
+	orderRepeats = 60 // runs of an order that is replayed or shrunk
 	orderWorkers = 3
 
-	idleCloseWait = 21 * time.Second // after which no connection to an upstream is of use: 10 s for late answers, and 9 s idle
+	idleCloseWait = 21 * time.Second // by then the sidecar has closed every connection to an upstream: 10 s for late answers and 9 s idle
 )
 
-// actionKind is what an act does.
+// actionKind is the kind of an action of a client, an upstream, discovery or the operating system.
 type actionKind int
 
 const (
@@ -87,44 +87,44 @@
 	numActionKinds
 )
 
-// actionKinds words the kinds and says how often each is drawn.
+// actionKinds holds the description of each kind and the relative frequency with which it is drawn.
 var actionKinds = [numActionKinds]struct {
 	description string
 	weight      int
 }{
-	sendsIdempotent: {"client asks what is safe", 16}, sendsNotIdempotent: {"client asks what is unsafe", 16}, sendsKeyed: {"client asks what is keyed", 10},
-	sendsLarge: {"client asks with a large body", 2}, sendsPartial: {"client asks, and never sends the rest", 2},
-	sendsMalformed: {"client sends what is no proper request", 3}, connectsOnly: {"client connects and rests", 2}, clientCloses: {"client closes", 8},
-	clientHalfCloses: {"client ends its sending", 4}, clientResets: {"client resets", 4}, pipelinesPartial: {"client sends a part of another request behind", 3},
-	pipelinesComplete: {"client sends another request behind", 2},
+	sendsIdempotent: {"client sends an idempotent request", 16}, sendsNotIdempotent: {"client sends a non-idempotent request", 16}, sendsKeyed: {"client sends a request that is idempotent by key", 10},
+	sendsLarge: {"client sends a request with a large body", 2}, sendsPartial: {"client sends part of a request and never the rest", 2},
+	sendsMalformed: {"client sends a malformed request", 3}, connectsOnly: {"client connects and stays idle", 2}, clientCloses: {"client closes its connection", 8},
+	clientHalfCloses: {"client half-closes its connection", 4}, clientResets: {"client resets its connection", 4}, pipelinesPartial: {"client pipelines part of a request", 3},
+	pipelinesComplete: {"client pipelines a whole request", 2},
 
-	answersOK: {"upstream answers 200", 10}, answersInTwoParts: {"upstream answers 200 in two parts", 3}, answersChunked: {"upstream answers in chunks", 2},
-	answersLarge: {"upstream answers at length", 1}, answersTwice: {"upstream answers twice", 4}, answersError: {"upstream answers 500", 4},
-	answersNotProcessed: {"upstream turns away", 7}, resetsMidAnswer: {"upstream answers half, then resets", 4}, closesUnsizedAnswer: {"upstream answers without a length and closes", 3},
-	resetsUnsizedAnswer: {"upstream answers without a length, then resets", 4}, closesUnanswered: {"upstream closes unanswered", 3},
-	resetsUnanswered: {"upstream resets unanswered", 4}, answersPartialLine: {"upstream answers half a line", 2}, answersEndlessly: {"upstream answers without an end", 1},
-	answersMalformed: {"upstream answers what is no HTTP", 2}, neverAnswers: {"upstream holds", 4},
-	partialLineOnIdle: {"upstream sends half a line on resting connections", 4}, closesIdle: {"upstream closes resting connections", 4},
-	resetsAll: {"upstream resets all connections", 4}, upstreamUnreachable: {"upstream vanishes", 3}, upstreamCrashes: {"upstream dies", 4},
-	delaysConnect: {"upstream's next connection comes up late", 6}, blocksConnect: {"upstream's next connection never comes up", 3},
+	answersOK: {"upstream answers 200", 10}, answersInTwoParts: {"upstream answers 200 in two parts", 3}, answersChunked: {"upstream answers 200 in chunks", 2},
+	answersLarge: {"upstream answers 200 with a large body", 1}, answersTwice: {"upstream answers one request twice", 4}, answersError: {"upstream answers 500", 4},
+	answersNotProcessed: {"upstream answers 503, not processed", 7}, resetsMidAnswer: {"upstream sends half an answer, then resets", 4}, closesUnsizedAnswer: {"upstream answers without a length and closes", 3},
+	resetsUnsizedAnswer: {"upstream answers without a length, then resets", 4}, closesUnanswered: {"upstream closes without an answer", 3},
+	resetsUnanswered: {"upstream resets without an answer", 4}, answersPartialLine: {"upstream answers with half a status line", 2}, answersEndlessly: {"upstream sends an answer that never ends", 1},
+	answersMalformed: {"upstream answers with malformed HTTP", 2}, neverAnswers: {"upstream never answers", 4},
+	partialLineOnIdle: {"upstream sends half a status line on idle connections", 4}, closesIdle: {"upstream closes idle connections", 4},
+	resetsAll: {"upstream resets all connections", 4}, upstreamUnreachable: {"upstream is unreachable for a while", 3}, upstreamCrashes: {"upstream crashes and restarts", 4},
+	delaysConnect: {"upstream's next connection is established late", 6}, blocksConnect: {"upstream's next connection is never established", 3},
 
-	upstreamDrains: {"upstream drains", 7}, upstreamRemoved: {"upstream goes", 4}, upstreamReturns: {"upstream is back, new", 5}, watchesStall: {"watches fall silent", 4},
-	watchesReset: {"watches are reset", 3}, watchesEnd: {"watches end", 2}, watchesPartialLine: {"watches bring half a line, then nothing", 2}, watchesInvalidList: {"watches bring a list of no use", 2},
-	discoveryUnreachable: {"discovery vanishes", 2},
-	discoveryRefuses:     {"discovery refuses", 2}, discoveryResets: {"discovery resets each call", 2}, discoveryFails: {"discovery answers 503", 2},
-	discoveryHolds: {"discovery holds its answers", 2}, hangup: {"SIGHUP: discovery has moved", 3},
+	upstreamDrains: {"upstream is marked as draining", 7}, upstreamRemoved: {"upstream is removed from the list", 4}, upstreamReturns: {"upstream is listed as ready again, as a new one", 5}, watchesStall: {"watches go silent", 4},
+	watchesReset: {"watches are reset", 3}, watchesEnd: {"watches end", 2}, watchesPartialLine: {"watches deliver half a line, then go silent", 2}, watchesInvalidList: {"watches deliver an invalid list", 2},
+	discoveryUnreachable: {"discovery is unreachable", 2},
+	discoveryRefuses:     {"discovery refuses connections", 2}, discoveryResets: {"discovery resets each connection", 2}, discoveryFails: {"discovery answers 503", 2},
+	discoveryHolds: {"discovery delays its answers", 2}, hangup: {"SIGHUP: discovery has a new address", 3},
 	terminate: {"SIGTERM", 8},
 }
 
-// orderAction is one event of an order.
+// orderAction is one action of an order.
 type orderAction struct {
-	number  int           // in the order that was drawn
-	at      time.Duration // since the beginning, when it reaches the sidecar
+	number  int           // its index in the order as drawn
+	at      time.Duration // when it reaches the sidecar, since the beginning
 	kind    actionKind
-	party   int           // which client or upstream
-	delay   time.Duration // within the act
-	timeout time.Duration // of a request
-	newConn bool          // on a new connection
+	party   int           // index of the client or upstream
+	delay   time.Duration // pause within the action, or length of an outage
+	timeout time.Duration // X-Timeout of the request
+	newConn bool          // the request goes on a new connection
 }
 
 func (a orderAction) String() string {
@@ -136,29 +136,29 @@
 		s = strings.Replace(s, "upstream", fmt.Sprint("up-", a.party+1), 1)
 	}
 	if a.kind <= sendsLarge {
-		s += fmt.Sprintf(", for %v", a.timeout)
+		s += fmt.Sprintf(", timeout %v", a.timeout)
 	}
 	if a.delay > 0 {
-		s += fmt.Sprintf(", %v", a.delay)
+		s += fmt.Sprintf(", delay %v", a.delay)
 	}
 	return s
 }
 
-// order is what a seed stands for.
+// order is a random scenario for one sidecar, determined by its seed: settings and a sequence of timed actions.
 type order struct {
 	seed        int64
-	onDemand    bool // the list comes to those who ask
+	onDemand    bool // MustSubscribe of the settings
 	twoZones    bool
-	dedupWindow time.Duration    // for repeats of what is idempotent by key
-	autoAnswer  [2]time.Duration // see orderUpstream
-	snapshots   bool             // a watch begins with the whole list
-	warmUp      bool             // each client was answered once before
-	settleTime  time.Duration    // from the sidecar's start to the first act
+	dedupWindow time.Duration    // DedupWindow of the class that is idempotent by key
+	autoAnswer  [2]time.Duration // see orderUpstream.autoAnswer
+	snapshots   bool             // a watch begins with a snapshot of the list
+	warmUp      bool             // each client sends a search, answered at once, before the first action
+	settleTime  time.Duration    // from the sidecar's start to the first action
 	actions     []orderAction
 }
 
 func (o *order) String() string {
-	s := fmt.Sprintf("seed %d: asks %v, two zones %v, window %v, upstreams answer by themselves after %v (negative: never), warm %v, whole lists %v, settles for %v\n",
+	s := fmt.Sprintf("seed %d: on demand %v, two zones %v, deduplication window %v, upstreams answer by themselves after %v (negative: never), warm-up %v, snapshots %v, settle time %v\n",
 		o.seed, o.onDemand, o.twoZones, o.dedupWindow, o.autoAnswer, o.warmUp, o.snapshots, o.settleTime)
 	for _, a := range o.actions {
 		s += fmt.Sprintf("  %d. %v\n", a.number, a)
@@ -166,9 +166,9 @@
 	return s
 }
 
-func pick[T any](r *rand.Rand, from ...T) T { return from[r.IntN(len(from))] }
+func pick[T any](r *rand.Rand, choices ...T) T { return choices[r.IntN(len(choices))] }
 
-// drawOrder makes the order of a seed. Many acts come at the same moment, or right beside it.
+// drawOrder returns the order of a seed. Many of its actions happen at the same time or within a few milliseconds.
 func drawOrder(seed int64) *order {
 	r := rand.New(rand.NewPCG(uint64(seed), 25))
 	o := &order{seed: seed, onDemand: r.IntN(2) == 0, twoZones: r.IntN(3) == 0, dedupWindow: pick(r, 300*milli, 300*milli, 6*time.Second), warmUp: r.IntN(2) == 0, snapshots: r.IntN(3) == 0,
@@ -182,8 +182,8 @@
 	}
 	at := 10 * milli
 	actions := 4 + r.IntN(maxActions-3)
-	ended, term := false, time.Duration(0) // SIGTERM, and when
-	worsened := false                      // the list has changed for the worse
+	terminated, terminatedAt := false, time.Duration(0) // whether SIGTERM was drawn, and its time
+	degraded := false                                   // an upstream has been drained or removed
 	for i := range actions {
 		a := orderAction{number: i, party: r.IntN(2), newConn: r.IntN(4) == 0}
 		n := r.IntN(weights)
@@ -207,19 +207,19 @@
 		default:
 			at += pick(r, 1000*milli, 1500*milli, 2500*milli, 3000*milli, 6000*milli)
 		}
-		if i == actions-1 && worsened && r.IntN(2) == 0 { // is it known by now?
+		if i == actions-1 && degraded && r.IntN(2) == 0 { // a request by whose time the sidecar must know the change
 			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsKeyed)
 			at += pick(r, 3*time.Second, 4100*milli, 6100*milli, 6100*milli)
 		}
-		worsened = worsened || a.kind == upstreamDrains || a.kind == upstreamRemoved
+		degraded = degraded || a.kind == upstreamDrains || a.kind == upstreamRemoved
 		a.at = at
-		if ended && r.IntN(2) == 0 { // beside what the sidecar does while it ends
-			a.at = term + pick(r, 50*milli, 449*milli, 450*milli, 451*milli, 452*milli, 599*milli, 600*milli, 601*milli, 610*milli, 611*milli, 620*milli,
+		if terminated && r.IntN(2) == 0 { // close to the times at which the sidecar acts while it shuts down
+			a.at = terminatedAt + pick(r, 50*milli, 449*milli, 450*milli, 451*milli, 452*milli, 599*milli, 600*milli, 601*milli, 610*milli, 611*milli, 620*milli,
 				621*milli, 700*milli, 3500*milli)
 			at = max(at, a.at)
 		}
-		if a.kind == terminate && !ended {
-			ended, term = true, a.at
+		if a.kind == terminate && !terminated {
+			terminated, terminatedAt = true, a.at
 		}
 		a.timeout = pick(r, 100*milli, 200*milli, 400*milli, 900*milli, 900*milli, 2000*milli)
 		switch {
@@ -237,9 +237,9 @@
 	return o
 }
 
-// perform carries out an act; it waits for nothing.
-func (w *orderHarness) perform(a orderAction) {
-	client, up := w.clients[a.party], w.upstreams[a.party]
+// perform starts an action and does not wait for it.
+func (h *orderHarness) perform(a orderAction) {
+	client, upstream := h.clients[a.party], h.upstreams[a.party]
 	switch a.kind {
 	case sendsIdempotent:
 		client.send("search", a.timeout, 0, a.newConn)
@@ -267,79 +267,79 @@
 		client.pipeline(func(*orderClientConn) string { return "GET /sea" })
 	case pipelinesComplete:
 		client.pipeline(func(c *orderClientConn) string {
-			r := w.newRequest("search", a.timeout)
-			w.mu.Lock()
-			defer w.mu.Unlock()
+			r := h.newRequest("search", a.timeout)
+			h.mu.Lock()
+			defer h.mu.Unlock()
 			r.pipelined = true
 			c.unanswered++
 			return r.text()
 		})
 	case partialLineOnIdle:
-		for _, c := range up.idleConns() {
+		for _, c := range upstream.idleConns() {
 			_, _ = io.WriteString(c, "HTTP/1.1 2")
 		}
 	case closesIdle:
-		for _, c := range up.idleConns() {
+		for _, c := range upstream.idleConns() {
 			_ = c.Close()
 		}
 	case resetsAll:
-		w.mu.Lock()
-		all := slices.Clone(up.conns)
-		w.mu.Unlock()
-		for _, c := range all {
+		h.mu.Lock()
+		conns := slices.Clone(upstream.conns)
+		h.mu.Unlock()
+		for _, c := range conns {
 			c.Conn.(interface{ Reset() }).Reset()
 		}
 	case upstreamUnreachable:
-		up.host.Silence(true)
+		upstream.host.Silence(true)
 		go func() {
-			if w.sleep(a.delay) {
-				up.host.Silence(false)
+			if h.sleep(a.delay) {
+				upstream.host.Silence(false)
 			}
 		}()
 	case upstreamCrashes:
-		up.kill(a.delay)
+		upstream.kill(a.delay)
 	case delaysConnect:
-		up.host.Late(a.delay)
+		upstream.host.Late(a.delay)
 	case blocksConnect:
-		up.host.Late(-1)
+		upstream.host.Late(-1)
 	case upstreamDrains:
-		w.changeStatus(a.party, statusTerminating)
+		h.changeStatus(a.party, statusTerminating)
 	case upstreamRemoved:
-		w.changeStatus(a.party, "Gone")
+		h.changeStatus(a.party, "Gone")
 	case upstreamReturns:
-		w.changeStatus(a.party, statusReady)
+		h.changeStatus(a.party, statusReady)
 	case sendsPartial:
 		client.sendPartial(a.delay)
 	case sendsMalformed:
 		client.sendMalformed(int(a.timeout/milli) + int(a.delay/milli))
 	case watchesPartialLine:
-		w.currentDiscovery().corrupt("20\r\n{\"index\":", true)
+		h.currentDiscovery().corrupt("20\r\n{\"index\":", true)
 	case watchesInvalidList:
-		w.currentDiscovery().corrupt("26\r\n{\"index\":99,\"endpoints\":[{\"name\":\"\"}]}\n\r\n", false)
+		h.currentDiscovery().corrupt("26\r\n{\"index\":99,\"endpoints\":[{\"name\":\"\"}]}\n\r\n", false)
 	case watchesStall:
-		w.currentDiscovery().mute()
+		h.currentDiscovery().mute()
 	case watchesReset:
-		w.currentDiscovery().endWatches(true)
+		h.currentDiscovery().endWatches(true)
 	case watchesEnd:
-		w.currentDiscovery().endWatches(false)
+		h.currentDiscovery().endWatches(false)
 	case discoveryUnreachable, discoveryRefuses, discoveryResets, discoveryFails, discoveryHolds:
-		w.currentDiscovery().startOutage(a.kind, a.delay)
+		h.currentDiscovery().startOutage(a.kind, a.delay)
 	case hangup:
-		w.moveDiscovery()
+		h.moveDiscovery()
 	case terminate:
-		w.terminate()
+		h.terminate()
 	default:
-		up.answerNext(a)
+		upstream.answerNext(a)
 	}
 }
 
-func (w *orderHarness) currentDiscovery() *orderDiscovery {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.discovery
+func (h *orderHarness) currentDiscovery() *orderDiscovery {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.discovery
 }
 
-// networkDelay is how long an act is on its way to the sidecar.
+// networkDelay returns how long an action takes to reach the sidecar.
 func (a orderAction) networkDelay() time.Duration {
 	switch {
 	case a.kind <= pipelinesComplete:
@@ -352,57 +352,57 @@
 	return 0
 }
 
-// Guards against faults that come back: orders beyond those that TestOrders plays, which broke a rule once. Each was a line that
-// crossed SIGHUP and was not read.
+// Guards against regressions: plays orders outside TestOrders' range that once violated a rule. In each, a line from discovery
+// arrived at the time of SIGHUP and was not read.
 func TestOrdersThatViolatedARule(t *testing.T) {
 	discardLogs(t)
 	for _, seed := range []int64{26599, 31997, 73999} {
 		o := drawOrder(seed)
-		if broken, text := o.playUntilViolation(t, plantedFault{}, orderRepeats); len(broken) > 0 {
-			t.Errorf("%v\n%s\n%s", o, strings.Join(broken, "\n"), text)
+		if violations, recordText := o.playUntilViolation(t, plantedFault{}, orderRepeats); len(violations) > 0 {
+			t.Errorf("got violations of the rules, want none\n%v\n%s\n%s", o, strings.Join(violations, "\n"), recordText)
 		}
 	}
 }
 
-// Guards against what only a rare order of ordinary events brings: an answer owed and not given, or given twice, an
-// attempt for nobody, beside another or after one that may have run, or to an upstream that wants none.
+// Guards against faults that occur only in rare sequences of ordinary events: a request with no answer or two answers, and an
+// attempt that is sent for a client that has left, while another is out, after one that may have run, or to a draining upstream.
 func TestOrders(t *testing.T) {
 	discardLogs(t)
 	if *orderSeed >= 0 {
 		o := drawOrder(*orderSeed)
 		if *orderKeptActions != "" {
-			kept := []orderAction(nil)
-			for text := range strings.SplitSeq(*orderKeptActions, ",") {
+			keptActions := []orderAction(nil)
+			for number := range strings.SplitSeq(*orderKeptActions, ",") {
 				i := 0
-				if _, err := fmt.Sscan(text, &i); err != nil || i < 0 || i >= len(o.actions) {
-					t.Fatalf("-orders.keep: no act %q", text)
+				if _, err := fmt.Sscan(number, &i); err != nil || i < 0 || i >= len(o.actions) {
+					t.Fatalf("-orders.keep: got %q, want action numbers from 0 to %d", number, len(o.actions)-1)
 				}
-				kept = append(kept, o.actions[i])
+				keptActions = append(keptActions, o.actions[i])
 			}
-			o.actions = kept
+			o.actions = keptActions
 		}
-		if broken, text := o.playUntilViolation(t, plantedFault{}, orderRepeats); len(broken) > 0 {
-			t.Errorf("%v\n%s\n%s", o, strings.Join(broken, "\n"), text)
+		if violations, recordText := o.playUntilViolation(t, plantedFault{}, orderRepeats); len(violations) > 0 {
+			t.Errorf("got violations of the rules, want none\n%v\n%s\n%s", o, strings.Join(violations, "\n"), recordText)
 		}
 		return
 	}
-	var next atomic.Int64
-	var one sync.Mutex // reports one at a time
-	next.Store(*orderFirstSeed)
+	var nextSeed atomic.Int64
+	var reportMu sync.Mutex // reports one at a time
+	nextSeed.Store(*orderFirstSeed)
 	t.Run("drawn", func(t *testing.T) {
 		for i := range orderWorkers {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
 				for !t.Failed() {
-					seed := next.Add(1) - 1
+					seed := nextSeed.Add(1) - 1
 					if seed >= *orderFirstSeed+*orderCount {
 						return
 					}
 					o := drawOrder(seed)
-					if broken, text := playOrder(t, o, plantedFault{}, true); len(broken) > 0 {
-						one.Lock()
-						reportViolation(t, o, plantedFault{}, broken, text)
-						one.Unlock()
+					if violations, recordText := playOrder(t, o, plantedFault{}, true); len(violations) > 0 {
+						reportMu.Lock()
+						reportViolation(t, o, plantedFault{}, violations, recordText)
+						reportMu.Unlock()
 					}
 				}
 			})
--- a/internal/sidecar/orders_upstream_test.go
+++ b/internal/sidecar/orders_upstream_test.go
@@ -12,45 +12,47 @@
 	"mosslead/internal/lab/memnet"
 )
 
+// orderUpstream is an upstream of the sidecar.
 type orderUpstream struct {
 	h          *orderHarness
 	number     int
 	host       *memnet.Host
-	autoAnswer time.Duration // after which it answers what no act is there for; negative: never
-	// The fields below are under the world's lock.
+	autoAnswer time.Duration // delay of its answer to a request for which no action is planned; negative: never
+	// The fields below are guarded by orderHarness.mu.
 	conns          []*orderUpstreamConn
-	plannedAnswers []orderAction // for the next requests
+	plannedAnswers []orderAction // for the next requests, one each
 	pending        []*orderCall
 	down           bool
 }
 
+// orderUpstreamConn is a connection from the sidecar; its fields are guarded by orderHarness.mu.
 type orderUpstreamConn struct {
 	net.Conn
 	requests   int
-	unanswered int // without an answer
+	unanswered int // requests without a complete answer
 	ended      bool
 }
 
-// orderCall is a request as an upstream got it.
+// orderCall is a request that an upstream has received whole.
 type orderCall struct {
 	upstream *orderUpstream
 	conn     *orderUpstreamConn
 	answer   *orderAnswer
 }
 
-// orderAnswer is what an upstream did with a request that it got whole.
+// orderAnswer records how an upstream answered a request that it received whole.
 type orderAnswer struct {
 	id           string
-	port         int // of the connection on the sidecar's side
-	nth          int // request on that connection, from 1
+	port         int // the sidecar's port of the connection
+	nth          int // ordinal of the request on that connection, from 1
 	status       int
-	notProcessed bool // it says that the request did not run
+	notProcessed bool // the answer says that the request was not processed
 	body         string
 	begun        bool
 	complete     bool
-	at           time.Duration // of its last byte
-	index        int           // the record's place after it
-	secondAt     time.Duration // when another answer was sent behind it; 0: none was
+	at           time.Duration // when its last byte was sent
+	index        int           // number of recorded events by then
+	secondAt     time.Duration // when a second answer was sent after it; 0 if none was
 }
 
 func (u *orderUpstream) listen() {
@@ -71,10 +73,10 @@
 }
 
 func (u *orderUpstream) serve(c *orderUpstreamConn) {
-	w := u.h
-	w.mu.Lock()
+	h := u.h
+	h.mu.Lock()
 	u.conns = append(u.conns, c)
-	w.mu.Unlock()
+	h.mu.Unlock()
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
@@ -82,16 +84,16 @@
 		if err == nil {
 			_, err = io.Copy(io.Discard, req.Body)
 		}
-		w.mu.Lock()
+		h.mu.Lock()
 		if err != nil {
 			c.ended = true
-			w.mu.Unlock()
+			h.mu.Unlock()
 			return
 		}
 		c.requests++
 		c.unanswered++
 		call := &orderCall{u, c, &orderAnswer{id: req.Header.Get(headerID), port: c.RemoteAddr().(*net.TCPAddr).Port, nth: c.requests}}
-		w.answers[call.answer.id] = append(w.answers[call.answer.id], call.answer)
+		h.answers[call.answer.id] = append(h.answers[call.answer.id], call.answer)
 		switch {
 		case len(u.plannedAnswers) > 0:
 			a := u.plannedAnswers[0]
@@ -99,18 +101,18 @@
 			go call.perform(a)
 		case u.autoAnswer >= 0:
 			go func() {
-				if u.autoAnswer == 0 || w.sleep(u.autoAnswer) {
+				if u.autoAnswer == 0 || h.sleep(u.autoAnswer) {
 					call.perform(orderAction{kind: answersOK})
 				}
 			}()
 		default:
 			u.pending = append(u.pending, call)
 		}
-		w.mu.Unlock()
+		h.mu.Unlock()
 	}
 }
 
-// answerNext has the oldest request that waits get what an act says, or else the next one that comes.
+// answerNext answers the oldest pending request as the action says, or plans the action for the next request.
 func (u *orderUpstream) answerNext(a orderAction) {
 	u.h.mu.Lock()
 	if len(u.pending) == 0 {
@@ -124,20 +126,21 @@
 	go call.perform(a)
 }
 
-func (c *orderCall) write(text string) { _, _ = io.WriteString(c.conn, text) } // where it fails the sidecar has given up
+func (c *orderCall) write(text string) { _, _ = io.WriteString(c.conn, text) } // fails if the connection has ended
 
-// noteBegun notes what is being answered; whole notes its end.
+// noteBegun records the status and the intended body of the answer that begins.
 func (c *orderCall) noteBegun(status int, body string) {
 	c.upstream.h.mu.Lock()
 	defer c.upstream.h.mu.Unlock()
 	c.answer.status, c.answer.body, c.answer.begun = status, body, true
 }
 
+// noteComplete records that the whole answer has been sent.
 func (c *orderCall) noteComplete() {
-	w := c.upstream.h
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c.answer.complete, c.answer.at, c.answer.index = true, time.Since(w.begun), len(w.events)
+	h := c.upstream.h
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c.answer.complete, c.answer.at, c.answer.index = true, time.Since(h.begun), len(h.events)
 	c.conn.unanswered--
 }
 
@@ -147,9 +150,9 @@
 	}
 }
 
-// perform carries out an act on a request.
+// perform answers the request as the action says.
 func (c *orderCall) perform(a orderAction) {
-	w := c.upstream.h
+	h := c.upstream.h
 	body := fmt.Sprintf("made for %s by %s, %d", c.answer.id, c.upstream.host.Name(), c.answer.nth)
 	half, rest := body[:len(body)/2], body[len(body)/2:]
 	switch a.kind {
@@ -160,14 +163,14 @@
 	case answersInTwoParts:
 		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), half))
-		if w.sleep(a.delay) {
+		if h.sleep(a.delay) {
 			c.write(rest)
 			c.noteComplete()
 		}
 	case answersChunked:
 		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(half), half))
-		if w.sleep(a.delay) {
+		if h.sleep(a.delay) {
 			c.write(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(rest), rest))
 			c.noteComplete()
 		}
@@ -175,7 +178,7 @@
 		body = strings.Repeat(body+"\n", 4000)
 		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/3]))
-		if w.sleep(a.delay) {
+		if h.sleep(a.delay) {
 			c.write(body[len(body)/3:])
 			c.noteComplete()
 		}
@@ -183,16 +186,16 @@
 		c.noteBegun(200, body)
 		c.write(ok200(body))
 		c.noteComplete()
-		if a.delay > 0 && !w.sleep(a.delay) {
+		if a.delay > 0 && !h.sleep(a.delay) {
 			return
 		}
-		w.mu.Lock()
-		newest := c.conn.requests == c.answer.nth // else it would be the answer to what came since, for all that can be told
-		w.mu.Unlock()
+		h.mu.Lock()
+		newest := c.conn.requests == c.answer.nth // otherwise the sidecar would have to take it for the answer to a later request
+		h.mu.Unlock()
 		if newest {
-			w.mu.Lock()
-			c.answer.secondAt = time.Since(w.begun)
-			w.mu.Unlock()
+			h.mu.Lock()
+			c.answer.secondAt = time.Since(h.begun)
+			h.mu.Unlock()
 			c.write(ok200("again " + body))
 		}
 	case answersError:
@@ -201,28 +204,28 @@
 		c.noteComplete()
 	case answersNotProcessed:
 		c.noteBegun(503, "")
-		w.mu.Lock()
+		h.mu.Lock()
 		c.answer.notProcessed = true
-		w.mu.Unlock()
+		h.mu.Unlock()
 		c.write("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		c.noteComplete()
 	case resetsMidAnswer:
 		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), half))
-		if a.delay == 0 || w.sleep(a.delay) {
+		if a.delay == 0 || h.sleep(a.delay) {
 			c.reset()
 		}
-	case closesUnsizedAnswer: // in order: that is its end
+	case closesUnsizedAnswer: // the orderly close ends the answer
 		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\n\r\n" + body)
-		if a.delay == 0 || w.sleep(a.delay) {
+		if a.delay == 0 || h.sleep(a.delay) {
 			_ = c.conn.Close()
 			c.noteComplete()
 		}
 	case resetsUnsizedAnswer:
 		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\n\r\n" + half)
-		if a.delay == 0 || w.sleep(a.delay) {
+		if a.delay == 0 || h.sleep(a.delay) {
 			c.reset()
 		}
 	case closesUnanswered:
@@ -237,7 +240,7 @@
 		c.noteBegun(200, strings.Repeat("more", 400))
 		c.write("HTTP/1.1 200 OK\r\n\r\n")
 		for range 100 {
-			if c.write("more"); !w.sleep(40 * milli) {
+			if c.write("more"); !h.sleep(40 * milli) {
 				return
 			}
 		}
@@ -245,38 +248,36 @@
 	}
 }
 
-// rest gives connections without a request to do.
+// idleConns returns the open connections without a pending request.
 func (u *orderUpstream) idleConns() []*orderUpstreamConn {
 	u.h.mu.Lock()
 	defer u.h.mu.Unlock()
-	var all []*orderUpstreamConn
+	var idle []*orderUpstreamConn
 	for _, c := range u.conns {
 		if !c.ended && c.unanswered == 0 {
-			all = append(all, c)
+			idle = append(idle, c)
 		}
 	}
-	return all
+	return idle
 }
 
-// kill ends the upstream's process; another one listens after that long.
-func (u *orderUpstream) kill(back time.Duration) {
-	w := u.h
-	w.mu.Lock()
-	was := u.down
+// kill ends the upstream's process; a new one listens after restartDelay.
+func (u *orderUpstream) kill(restartDelay time.Duration) {
+	h := u.h
+	h.mu.Lock()
+	wasDown := u.down
 	u.down, u.pending = true, nil
-	w.mu.Unlock()
-	if was {
+	h.mu.Unlock()
+	if wasDown {
 		return
 	}
 	u.host.Kill()
 	go func() {
-		if w.sleep(back) {
-			w.mu.Lock()
+		if h.sleep(restartDelay) {
+			h.mu.Lock()
 			u.down = false
-			w.mu.Unlock()
+			h.mu.Unlock()
 			u.listen()
 		}
 	}()
 }
-
-// Discovery.
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -12,20 +12,20 @@
 	"mosslead/internal/lab/transcript"
 )
 
-// The parties of an order: two clients, two upstreams and discovery around one sidecar, in a bubble. They do what an
-// order's acts say and know nothing of the sidecar but what comes over the wire.
+// An order is played by two clients, two upstreams and discovery around one sidecar, in a synctest bubble. They carry out the
+// order's actions and know about the sidecar only what they receive from it over the network.
 
 const (
 	milli              = time.Millisecond
 	clientDelay        = time.Millisecond
 	discoveryDelay     = time.Millisecond
-	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, as the longest deadline is longer, and 0.7 s
-	oldDiscoveryLinger = 1500 * time.Millisecond // for which an address that discovery has left keeps its open watches
+	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, since the longest deadline is longer, plus 0.7 s
+	oldDiscoveryLinger = 1500 * time.Millisecond // how long discovery keeps open watches at its old address after it has moved
 )
 
 var upstreamDelays = [2]time.Duration{2 * milli, 3 * milli}
 
-// orderHarness is one order being played.
+// orderHarness plays one order against one sidecar.
 type orderHarness struct {
 	t     *testing.T
 	ctx   context.Context
@@ -36,33 +36,33 @@
 	sidecar *memnet.Host
 	reloads chan Reload
 	stop    context.CancelFunc
-	ended   chan struct{} // the sidecar has
+	ended   chan struct{} // closed when the sidecar has ended
 
 	mu             sync.Mutex
-	recording      bool // the record goes on
+	recording      bool // events are still recorded
 	record         transcript.Transcript
 	events         []memnet.Event
 	clients        [2]*orderClient
 	upstreams      [2]*orderUpstream
-	requestCount   int // requests so far
-	clientRequests map[string]*orderRequest
-	answers        map[string][]*orderAnswer
+	requestCount   int                       // so far
+	clientRequests map[string]*orderRequest  // by id
+	answers        map[string][]*orderAnswer // by the id of the request
 
-	discovery    *orderDiscovery // where it is now
+	discovery    *orderDiscovery // the current one
 	discoveries  []*orderDiscovery
-	snapshots    bool          // watches begin with the whole list
-	dedupWindow  time.Duration // for repeats of what is idempotent by key
-	twoZones     bool          // upstream 2 stands in another zone
+	snapshots    bool          // watches begin with a snapshot of the list
+	dedupWindow  time.Duration // DedupWindow of the class that is idempotent by key
+	twoZones     bool          // upstream 2 is in another zone
 	listIndex    int
 	entries      [2]orderEntry
 	changes      []*orderChange
-	hangupAt     time.Time // SIGHUP
-	terminatedAt time.Time // SIGTERM
-	killedAt     time.Time // SIGKILL
+	hangupAt     time.Time // time of SIGHUP
+	terminatedAt time.Time // time of SIGTERM
+	killedAt     time.Time // time of SIGKILL
 	newConfig    func(address string) *Config
 }
 
-// orderRequest is a request that a client meant to send.
+// orderRequest is a request that a client sends, perhaps only in part.
 type orderRequest struct {
 	id, method, target, body string
 	class                    string
@@ -70,86 +70,88 @@
 	pipelined                bool
 }
 
-func (w *orderHarness) observe(e memnet.Event) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.recording {
-		w.record.Take(e)
-		w.events = append(w.events, e)
+// observe records a network event.
+func (h *orderHarness) observe(e memnet.Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.recording {
+		h.record.Take(e)
+		h.events = append(h.events, e)
 	}
 }
 
-// note puts words into the transcript.
-func (w *orderHarness) note(from, to, format string, args ...any) {
-	w.record.Say(from, to, format, args...)
+// note adds a note to the transcript.
+func (h *orderHarness) note(from, to, format string, args ...any) {
+	h.record.Say(from, to, format, args...)
 }
 
-// plantedFault is a fault that is put between the sidecar and the network; each may be nil.
+// plantedFault is a fault between the sidecar and its network or settings; each func may be nil.
 type plantedFault struct {
-	toUpstream  func(w *orderHarness, c net.Conn) net.Conn
-	toClient    func(w *orderHarness, c net.Conn) net.Conn
-	toDiscovery func(w *orderHarness, c net.Conn) net.Conn
+	toUpstream  func(h *orderHarness, c net.Conn) net.Conn
+	toClient    func(h *orderHarness, c net.Conn) net.Conn
+	toDiscovery func(h *orderHarness, c net.Conn) net.Conn
 	settings    func(*Config)
-	killDelay   time.Duration // SIGTERM; 0: when it is time
+	killDelay   time.Duration // from SIGTERM to SIGKILL; 0 means the constant killDelay
 }
 
-func newOrderHarness(t *testing.T, o *order, p plantedFault) *orderHarness {
+// newOrderHarness starts the sidecar, its clients, upstreams and discovery for an order.
+func newOrderHarness(t *testing.T, o *order, fault plantedFault) *orderHarness {
 	ctx, cancel := context.WithCancel(t.Context())
-	w := &orderHarness{t: t, ctx: ctx, fault: p, reloads: make(chan Reload), ended: make(chan struct{}),
+	h := &orderHarness{t: t, ctx: ctx, fault: fault, reloads: make(chan Reload), ended: make(chan struct{}),
 		clientRequests: map[string]*orderRequest{}, answers: map[string][]*orderAnswer{}, listIndex: 1, twoZones: o.twoZones, snapshots: o.snapshots, dedupWindow: o.dedupWindow}
-	w.net = memnet.New(w.observe)
-	w.begun, w.recording = time.Now(), true
-	w.record.Begin()
-	for i := range w.clients {
-		w.clients[i] = &orderClient{h: w, host: w.net.Host(fmt.Sprint("client-", i+1), fmt.Sprint("10.0.0.", i+2), clientDelay)}
+	h.net = memnet.New(h.observe)
+	h.begun, h.recording = time.Now(), true
+	h.record.Begin()
+	for i := range h.clients {
+		h.clients[i] = &orderClient{h: h, host: h.net.Host(fmt.Sprint("client-", i+1), fmt.Sprint("10.0.0.", i+2), clientDelay)}
 	}
-	for i := range w.upstreams {
-		w.entries[i] = orderEntry{status: statusReady}
-		u := &orderUpstream{h: w, number: i, autoAnswer: o.autoAnswer[i], host: w.net.Host(fmt.Sprint("up-", i+1), fmt.Sprint("10.0.0.1", i+1), upstreamDelays[i])}
-		w.upstreams[i] = u
+	for i := range h.upstreams {
+		h.entries[i] = orderEntry{status: statusReady}
+		u := &orderUpstream{h: h, number: i, autoAnswer: o.autoAnswer[i], host: h.net.Host(fmt.Sprint("up-", i+1), fmt.Sprint("10.0.0.1", i+1), upstreamDelays[i])}
+		h.upstreams[i] = u
 		u.listen()
 	}
-	w.discovery = newOrderDiscovery(w, "discovery", "10.0.0.9")
-	w.discoveries = append(w.discoveries, w.discovery)
-	known := []string{w.entryJSON(0), w.entryJSON(1)}
-	w.newConfig = func(address string) *Config {
-		c := testConfig(t, address, known...)
+	h.discovery = newOrderDiscovery(h, "discovery", "10.0.0.9")
+	h.discoveries = append(h.discoveries, h.discovery)
+	entries := []string{h.entryJSON(0), h.entryJSON(1)}
+	h.newConfig = func(address string) *Config {
+		c := testConfig(t, address, entries...)
 		s := &c.Settings
 		s.Hedging, s.MustSubscribe = false, o.onDemand
 		s.Classes[1].DedupWindow = o.dedupWindow
-		c.dial = w.dial
-		if p.settings != nil {
-			p.settings(c)
+		c.dial = h.dial
+		if fault.settings != nil {
+			fault.settings(c)
 		}
 		return c
 	}
-	w.sidecar = w.net.Host("sidecar", "10.0.0.1", 0)
-	l, err := w.sidecar.Listen(9000)
+	h.sidecar = h.net.Host("sidecar", "10.0.0.1", 0)
+	l, err := h.sidecar.Listen(9000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.toClient != nil {
-		l = &faultyListener{l, w}
+	if fault.toClient != nil {
+		l = &faultyListener{l, h}
 	}
-	c := w.newConfig("10.0.0.9:7000")
-	run, stop := context.WithCancel(ctx)
-	w.stop = stop
+	c := h.newConfig("10.0.0.9:7000")
+	runCtx, stop := context.WithCancel(ctx)
+	h.stop = stop
 	go func() {
-		defer close(w.ended)
-		_ = serve(run, c, l, nil, "", w.reloads) // it ends with an error where it is killed
+		defer close(h.ended)
+		_ = serve(runCtx, c, l, nil, "", h.reloads) // returns an error if the sidecar is killed
 	}()
 	t.Cleanup(func() {
 		cancel()
-		w.net.Close()
-		<-w.ended
+		h.net.Close()
+		<-h.ended
 	})
-	return w
+	return h
 }
 
-// faultyListener hands on clients' connections with a fault in them.
+// faultyListener adds a planted fault to the connections of clients.
 type faultyListener struct {
 	net.Listener
-	w *orderHarness
+	h *orderHarness
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
@@ -157,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.w.fault.toClient(l.w, c), nil
+	return l.h.fault.toClient(l.h, c), nil
 }
 
 // SetDeadline bounds Accept.
@@ -165,17 +167,15 @@
 	return l.Listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(t)
 }
 
-// dial is the sidecar's way out.
-func (w *orderHarness) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	wrap := w.fault.toDiscovery
+// dial makes the sidecar's outgoing connections and adds planted faults to them.
+func (h *orderHarness) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	wrap := h.fault.toDiscovery
 	if address == up1 || address == up2 {
-		wrap = w.fault.toUpstream
+		wrap = h.fault.toUpstream
 	}
-	c, err := w.sidecar.Dial(ctx, network, address)
+	c, err := h.sidecar.Dial(ctx, network, address)
 	if err == nil && wrap != nil {
-		c = wrap(w, c)
+		c = wrap(h, c)
 	}
 	return c, err
 }
-
-// The clients.
