--- a/internal/sidecar/orders_client_test.go
+++ b/internal/sidecar/orders_client_test.go
@@ -13,62 +13,64 @@
 	"mosslead/internal/lab/memnet"
 )
 
+// orderClient is a client of the sidecar.
 type orderClient struct {
-	w     *world
+	h     *orderHarness
 	host  *memnet.Host
-	conns []*orderConn // under the world's lock
+	conns []*orderClientConn // guarded by orderHarness.mu
 }
 
-type orderConn struct {
+// orderClientConn is a connection of a client; its fields are guarded by orderHarness.mu.
+type orderClientConn struct {
 	net.Conn
-	out  int  // requests that have no whole answer yet
-	half bool // a body is on its way, the rest of which is still to come
-	dead bool
+	unanswered int  // requests without a complete answer
+	sending    bool // a request is being written, so nothing may be pipelined behind it
+	ended      bool
 }
 
-// send sends a request, on a connection that rests or else a new one. split is what passes between its body's halves.
-func (c *orderClient) send(class string, timeout, split time.Duration, fresh bool) {
-	w := c.w
-	r := w.request(class, timeout)
+// send sends a request on an idle connection or else a new one, and pauses for split between the halves of its body.
+func (c *orderClient) send(class string, timeout, split time.Duration, newConn bool) {
+	h := c.h
+	r := h.newRequest(class, timeout)
 	go func() {
-		line := c.resting(fresh)
-		if line == nil {
+		conn := c.idleConn(newConn)
+		if conn == nil {
 			return
 		}
-		c.sends(line, true)
-		defer c.sends(line, false)
+		c.setSending(conn, true)
+		defer c.setSending(conn, false)
 		text := r.text()
 		if split > 0 && r.body != "" {
 			cut := len(text) - len(r.body)/2
-			if _, err := io.WriteString(line, text[:cut]); err != nil || !w.passes(split) {
+			if _, err := io.WriteString(conn, text[:cut]); err != nil || !h.sleep(split) {
 				return
 			}
 			text = text[cut:]
 		}
-		_, _ = io.WriteString(line, text) // where it fails the client has gone
+		_, _ = io.WriteString(conn, text) // fails if the connection has ended
 	}()
 }
 
-// sendHalf sends a part of a request: of its head, or all but half of its body.
-func (c *orderClient) sendHalf(gap time.Duration) {
-	r := c.w.request("confirm", time.Second)
+// sendPartial sends part of a request: a third of it, or everything but half of its body if delay is 0.
+func (c *orderClient) sendPartial(delay time.Duration) {
+	r := c.h.newRequest("confirm", time.Second)
 	text := r.text()
 	cut := len(text) - len(r.body)/2
-	if gap > 0 {
+	if delay > 0 {
 		cut = len(text) / 3
 	}
 	go func() {
-		if line := c.connect(1); line != nil {
-			c.sends(line, true)
-			_, _ = io.WriteString(line, text[:cut]) // where it fails the connection has ended
+		if conn := c.connect(1); conn != nil {
+			c.setSending(conn, true)
+			_, _ = io.WriteString(conn, text[:cut]) // fails if the connection has ended
 		}
 	}()
 }
 
-// inside is a request that stands in the body of another.
-const inside = "GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000ff\r\n\r\n"
+// embeddedRequest is a request inside the body of another.
+const embeddedRequest = "GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000ff\r\n\r\n"
 
-var junk = []string{
+var malformedRequests = []string{
 	"GET /search/7f3a HTTP/1.1\r\nHost: s\r\n\r\n",
 	"GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\nX-Request-ID: 00000000000000fd\r\n\r\n",
 	"GET /nothing/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\n\r\n",
@@ -76,59 +78,60 @@
 	"GET /search/7f3a HTTP/1.0\r\nX-Request-ID: 00000000000000fe\r\n\r\n",
 	"POST /record/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\nContent-Length: 2\r\n\r\nab",
 	"GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\nX-Timeout: 5\r\n\r\n",
-	fmt.Sprintf("GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\nContent-Length: %d\r\n\r\n%s", len(inside), inside),
-	"POST /confirm/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inside,
+	fmt.Sprintf("GET /search/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\nContent-Length: %d\r\n\r\n%s", len(embeddedRequest), embeddedRequest),
+	"POST /confirm/7f3a HTTP/1.1\r\nHost: s\r\nX-Request-ID: 00000000000000fe\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + embeddedRequest,
 	"\x16\x03\x01\x02\x00\x01",
 	"GET /search/" + strings.Repeat("x", 40<<10),
 }
 
-// junk sends something that is no proper request, and waits.
-func (c *orderClient) junk(n int) {
+// sendMalformed sends a malformed request on a new connection, which it leaves open.
+func (c *orderClient) sendMalformed(n int) {
 	go func() {
-		if line := c.connect(1); line != nil {
-			c.sends(line, true)
-			_, _ = io.WriteString(line, junk[n%len(junk)]) // where it fails the connection has ended
+		if conn := c.connect(1); conn != nil {
+			c.setSending(conn, true)
+			_, _ = io.WriteString(conn, malformedRequests[n%len(malformedRequests)]) // fails if the connection has ended
 		}
 	}()
 }
 
-func (c *orderClient) sends(line *orderConn, on bool) {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
-	line.half = on
+// setSending sets whether a request is being written on a connection.
+func (c *orderClient) setSending(conn *orderClientConn, sending bool) {
+	c.h.mu.Lock()
+	defer c.h.mu.Unlock()
+	conn.sending = sending
 }
 
-// behind sends more on the busiest connection, unless it would come into the middle of a body.
-func (c *orderClient) behind(text func(*orderConn) string) {
-	line := c.busiest()
-	if line == nil {
+// pipeline sends more on the busiest connection, unless a request is being written there.
+func (c *orderClient) pipeline(text func(*orderClientConn) string) {
+	conn := c.busiest()
+	if conn == nil {
 		return
 	}
-	c.w.mu.Lock()
-	half := line.half
-	line.half = true
-	c.w.mu.Unlock()
-	if !half {
-		_, _ = io.WriteString(line, text(line)) // where it fails the connection has ended
-		c.sends(line, false)
+	c.h.mu.Lock()
+	busy := conn.sending
+	conn.sending = true
+	c.h.mu.Unlock()
+	if !busy {
+		_, _ = io.WriteString(conn, text(conn)) // fails if the connection has ended
+		c.setSending(conn, false)
 	}
 }
 
-// request makes up a request.
-func (w *world) request(class string, timeout time.Duration) *orderRequest {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.requested++
-	r := &orderRequest{id: fmt.Sprintf("%016x", 0xa00+w.requested), method: http.MethodPost, class: class, timeout: timeout,
-		target: "/" + class + "/7f3a", body: fmt.Sprintf("the body of %d", w.requested)}
+// newRequest creates a request of a class and registers it.
+func (h *orderHarness) newRequest(class string, timeout time.Duration) *orderRequest {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.requestCount++
+	r := &orderRequest{id: fmt.Sprintf("%016x", 0xa00+h.requestCount), method: http.MethodPost, class: class, timeout: timeout,
+		target: "/" + class + "/7f3a", body: fmt.Sprintf("the body of %d", h.requestCount)}
 	switch class {
 	case "search":
 		r.method, r.body = http.MethodGet, ""
 	case "large":
 		r.class, r.target = "confirm", "/confirm/7f3a"
-		r.body = strings.Repeat(fmt.Sprintf("%7d ", w.requested), 8<<10) // the most that there is
+		r.body = strings.Repeat(fmt.Sprintf("%7d ", h.requestCount), 8<<10) // 64 KiB, the largest body here
 	}
-	w.sent[r.id] = r
+	h.clientRequests[r.id] = r
 	return r
 }
 
@@ -143,76 +146,74 @@
 	return s + "\r\n" + r.body
 }
 
-// resting is a connection for the next request, which it counts; nil: none is to be had.
-func (c *orderClient) resting(fresh bool) *orderConn {
-	w := c.w
-	w.mu.Lock()
-	for i := len(c.conns) - 1; i >= 0 && !fresh; i-- {
-		if l := c.conns[i]; !l.dead && !l.half && l.out == 0 {
-			l.out++
-			l.half = true // before anybody else finds it: what is sent behind must not come into its body
-			w.mu.Unlock()
-			return l
+// idleConn returns a connection for one request and counts the request on it. It returns nil if it cannot connect.
+func (c *orderClient) idleConn(newConn bool) *orderClientConn {
+	h := c.h
+	h.mu.Lock()
+	for i := len(c.conns) - 1; i >= 0 && !newConn; i-- {
+		if conn := c.conns[i]; !conn.ended && !conn.sending && conn.unanswered == 0 {
+			conn.unanswered++
+			conn.sending = true // set now, so that nothing is pipelined into this request
+			h.mu.Unlock()
+			return conn
 		}
 	}
-	w.mu.Unlock()
+	h.mu.Unlock()
 	return c.connect(1)
 }
 
-// connect opens a connection for so many requests.
-func (c *orderClient) connect(out int) *orderConn {
-	w := c.w
-	ctx, cancel := context.WithTimeout(w.ctx, 3*time.Second)
+// connect opens a connection on which the given number of requests will be sent. It returns nil if it cannot connect.
+func (c *orderClient) connect(requests int) *orderClientConn {
+	h := c.h
+	ctx, cancel := context.WithTimeout(h.ctx, 3*time.Second)
 	defer cancel()
 	raw, err := c.host.Dial(ctx, "tcp", "10.0.0.1:9000")
 	if err != nil {
 		return nil
 	}
-	line := &orderConn{Conn: raw, out: out, half: out > 0}
-	w.mu.Lock()
-	c.conns = append(c.conns, line)
-	w.mu.Unlock()
+	conn := &orderClientConn{Conn: raw, unanswered: requests, sending: requests > 0}
+	h.mu.Lock()
+	c.conns = append(c.conns, conn)
+	h.mu.Unlock()
 	go func() {
-		in := bufio.NewReader(line)
+		in := bufio.NewReader(conn)
 		for {
 			resp, err := http.ReadResponse(in, nil)
 			if err == nil {
 				_, err = io.Copy(io.Discard, resp.Body)
 			}
-			w.mu.Lock()
-			line.out = max(line.out-1, 0)
-			line.dead = line.dead || err != nil || resp.Close
-			w.mu.Unlock()
+			h.mu.Lock()
+			conn.unanswered = max(conn.unanswered-1, 0)
+			conn.ended = conn.ended || err != nil || resp.Close
+			h.mu.Unlock()
 			if err != nil {
-				_ = line.Close()
+				_ = conn.Close()
 				return
 			}
 		}
 	}()
-	return line
+	return conn
 }
 
-// busiest is the newest connection that waits for an answer, or else the newest; nil: there is none.
-func (c *orderClient) busiest() *orderConn {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
-	var found *orderConn
-	for _, l := range c.conns {
-		if !l.dead && (found == nil || l.out > 0 || found.out == 0) {
-			found = l
+// busiest returns the newest connection that waits for an answer, or else the newest one; nil if there is none.
+func (c *orderClient) busiest() *orderClientConn {
+	c.h.mu.Lock()
+	defer c.h.mu.Unlock()
+	var best *orderClientConn
+	for _, conn := range c.conns {
+		if !conn.ended && (best == nil || conn.unanswered > 0 || best.unanswered == 0) {
+			best = conn
 		}
 	}
-	return found
+	return best
 }
 
-// passes sleeps, and tells whether the order still goes on.
-func (w *world) passes(d time.Duration) bool {
+// sleep waits for d and reports whether the order is still being played.
+func (h *orderHarness) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
-	case <-w.ctx.Done():
+	case <-h.ctx.Done():
 		return false
 	}
 }
-
-// The upstreams.
--- a/internal/sidecar/orders_upstream_test.go
+++ b/internal/sidecar/orders_upstream_test.go
@@ -12,51 +12,53 @@
 	"mosslead/internal/lab/memnet"
 )
 
+// orderUpstream is an upstream of the sidecar.
 type orderUpstream struct {
-	w      *world
-	number int
-	host   *memnet.Host
-	auto   time.Duration // after which it answers what no act is there for; negative: never
-	// The fields below are under the world's lock.
-	conns   []*upConn
-	plan    []act // for the next requests
-	pending []*upCall
-	down    bool
+	h          *orderHarness
+	number     int
+	host       *memnet.Host
+	autoAnswer time.Duration // delay of its answer to a request for which no action is planned; negative: never
+	// The fields below are guarded by orderHarness.mu.
+	conns          []*orderUpstreamConn
+	plannedAnswers []orderAction // for the next requests, one each
+	pending        []*orderCall
+	down           bool
 }
 
-type upConn struct {
+// orderUpstreamConn is a connection from the sidecar; its fields are guarded by orderHarness.mu.
+type orderUpstreamConn struct {
 	net.Conn
-	calls int
-	out   int // without an answer
-	dead  bool
+	requests   int
+	unanswered int // requests without a complete answer
+	ended      bool
 }
 
-// upCall is a request as an upstream got it.
-type upCall struct {
-	u    *orderUpstream
-	conn *upConn
-	rec  *orderAnswer
+// orderCall is a request that an upstream has received whole.
+type orderCall struct {
+	upstream *orderUpstream
+	conn     *orderUpstreamConn
+	answer   *orderAnswer
 }
 
-// orderAnswer is what an upstream did with a request that it got whole.
+// orderAnswer records how an upstream answered a request that it received whole.
 type orderAnswer struct {
-	id       string
-	port     int // of the connection on the sidecar's side
-	nth      int // request on that connection, from 1
-	status   int
-	never    bool // it says that the request did not run
-	body     string
-	begun    bool
-	complete bool
-	at       time.Duration // of its last byte
-	mark     int           // the record's place after it
-	again    time.Duration // when another answer was sent behind it; 0: none was
+	id           string
+	port         int // the sidecar's port of the connection
+	nth          int // ordinal of the request on that connection, from 1
+	status       int
+	notProcessed bool // the answer says that the request was not processed
+	body         string
+	begun        bool
+	complete     bool
+	at           time.Duration // when its last byte was sent
+	index        int           // number of recorded events by then
+	secondAt     time.Duration // when a second answer was sent after it; 0 if none was
 }
 
 func (u *orderUpstream) listen() {
 	l, err := u.host.Listen(8000)
 	if err != nil {
-		u.w.t.Error(err)
+		u.h.t.Error(err)
 		return
 	}
 	go func() {
@@ -65,16 +67,16 @@
 			if err != nil {
 				return
 			}
-			go u.serve(&upConn{Conn: c})
+			go u.serve(&orderUpstreamConn{Conn: c})
 		}
 	}()
 }
 
-func (u *orderUpstream) serve(c *upConn) {
-	w := u.w
-	w.mu.Lock()
+func (u *orderUpstream) serve(c *orderUpstreamConn) {
+	h := u.h
+	h.mu.Lock()
 	u.conns = append(u.conns, c)
-	w.mu.Unlock()
+	h.mu.Unlock()
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
@@ -82,162 +84,163 @@
 		if err == nil {
 			_, err = io.Copy(io.Discard, req.Body)
 		}
-		w.mu.Lock()
+		h.mu.Lock()
 		if err != nil {
-			c.dead = true
-			w.mu.Unlock()
+			c.ended = true
+			h.mu.Unlock()
 			return
 		}
-		c.calls++
-		c.out++
-		call := &upCall{u, c, &orderAnswer{id: req.Header.Get(headerID), port: c.RemoteAddr().(*net.TCPAddr).Port, nth: c.calls}}
-		w.answers[call.rec.id] = append(w.answers[call.rec.id], call.rec)
+		c.requests++
+		c.unanswered++
+		call := &orderCall{u, c, &orderAnswer{id: req.Header.Get(headerID), port: c.RemoteAddr().(*net.TCPAddr).Port, nth: c.requests}}
+		h.answers[call.answer.id] = append(h.answers[call.answer.id], call.answer)
 		switch {
-		case len(u.plan) > 0:
-			a := u.plan[0]
-			u.plan = u.plan[1:]
-			go call.do(a)
-		case u.auto >= 0:
+		case len(u.plannedAnswers) > 0:
+			a := u.plannedAnswers[0]
+			u.plannedAnswers = u.plannedAnswers[1:]
+			go call.perform(a)
+		case u.autoAnswer >= 0:
 			go func() {
-				if u.auto == 0 || w.passes(u.auto) {
-					call.do(act{kind: answersOK})
+				if u.autoAnswer == 0 || h.sleep(u.autoAnswer) {
+					call.perform(orderAction{kind: answersOK})
 				}
 			}()
 		default:
 			u.pending = append(u.pending, call)
 		}
-		w.mu.Unlock()
+		h.mu.Unlock()
 	}
 }
 
-// answers has the oldest request that waits get what an act says, or else the next one that comes.
-func (u *orderUpstream) answers(a act) {
-	u.w.mu.Lock()
+// answerNext answers the oldest pending request as the action says, or plans the action for the next request.
+func (u *orderUpstream) answerNext(a orderAction) {
+	u.h.mu.Lock()
 	if len(u.pending) == 0 {
-		u.plan = append(u.plan, a)
-		u.w.mu.Unlock()
+		u.plannedAnswers = append(u.plannedAnswers, a)
+		u.h.mu.Unlock()
 		return
 	}
 	call := u.pending[0]
 	u.pending = u.pending[1:]
-	u.w.mu.Unlock()
-	go call.do(a)
+	u.h.mu.Unlock()
+	go call.perform(a)
 }
 
-func (c *upCall) write(text string) { _, _ = io.WriteString(c.conn, text) } // where it fails the sidecar has given up
+func (c *orderCall) write(text string) { _, _ = io.WriteString(c.conn, text) } // fails if the connection has ended
 
-// begins notes what is being answered; whole notes its end.
-func (c *upCall) begins(status int, body string) {
-	c.u.w.mu.Lock()
-	defer c.u.w.mu.Unlock()
-	c.rec.status, c.rec.body, c.rec.begun = status, body, true
+// noteBegun records the status and the intended body of the answer that begins.
+func (c *orderCall) noteBegun(status int, body string) {
+	c.upstream.h.mu.Lock()
+	defer c.upstream.h.mu.Unlock()
+	c.answer.status, c.answer.body, c.answer.begun = status, body, true
 }
 
-func (c *upCall) finish() {
-	w := c.u.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c.rec.complete, c.rec.at, c.rec.mark = true, time.Since(w.begun), len(w.events)
-	c.conn.out--
+// noteComplete records that the whole answer has been sent.
+func (c *orderCall) noteComplete() {
+	h := c.upstream.h
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c.answer.complete, c.answer.at, c.answer.index = true, time.Since(h.begun), len(h.events)
+	c.conn.unanswered--
 }
 
-func (c *upCall) reset() {
+func (c *orderCall) reset() {
 	if r, ok := c.conn.Conn.(interface{ Reset() }); ok {
 		r.Reset()
 	}
 }
 
-// do carries out an act on a request.
-func (c *upCall) do(a act) {
-	w := c.u.w
-	body := fmt.Sprintf("made for %s by %s, %d", c.rec.id, c.u.host.Name(), c.rec.nth)
+// perform answers the request as the action says.
+func (c *orderCall) perform(a orderAction) {
+	h := c.upstream.h
+	body := fmt.Sprintf("made for %s by %s, %d", c.answer.id, c.upstream.host.Name(), c.answer.nth)
 	half, rest := body[:len(body)/2], body[len(body)/2:]
 	switch a.kind {
 	case answersOK:
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write(ok200(body))
-		c.finish()
-	case answersSlowly:
-		c.begins(200, body)
+		c.noteComplete()
+	case answersInTwoParts:
+		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), half))
-		if w.passes(a.gap) {
+		if h.sleep(a.delay) {
 			c.write(rest)
-			c.finish()
+			c.noteComplete()
 		}
 	case answersChunked:
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(half), half))
-		if w.passes(a.gap) {
+		if h.sleep(a.delay) {
 			c.write(fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(rest), rest))
-			c.finish()
+			c.noteComplete()
 		}
 	case answersLarge:
 		body = strings.Repeat(body+"\n", 4000)
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/3]))
-		if w.passes(a.gap) {
+		if h.sleep(a.delay) {
 			c.write(body[len(body)/3:])
-			c.finish()
+			c.noteComplete()
 		}
 	case answersTwice:
-		c.begins(200, body)
+		c.noteBegun(200, body)
 		c.write(ok200(body))
-		c.finish()
-		if a.gap > 0 && !w.passes(a.gap) {
+		c.noteComplete()
+		if a.delay > 0 && !h.sleep(a.delay) {
 			return
 		}
-		w.mu.Lock()
-		newest := c.conn.calls == c.rec.nth // else it would be the answer to what came since, for all that can be told
-		w.mu.Unlock()
+		h.mu.Lock()
+		newest := c.conn.requests == c.answer.nth // otherwise the sidecar would have to take it for the answer to a later request
+		h.mu.Unlock()
 		if newest {
-			w.mu.Lock()
-			c.rec.again = time.Since(w.begun)
-			w.mu.Unlock()
+			h.mu.Lock()
+			c.answer.secondAt = time.Since(h.begun)
+			h.mu.Unlock()
 			c.write(ok200("again " + body))
 		}
 	case answersError:
-		c.begins(500, "")
+		c.noteBegun(500, "")
 		c.write("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n")
-		c.finish()
-	case rejects:
-		c.begins(503, "")
-		w.mu.Lock()
-		c.rec.never = true
-		w.mu.Unlock()
+		c.noteComplete()
+	case answersNotProcessed:
+		c.noteBegun(503, "")
+		h.mu.Lock()
+		c.answer.notProcessed = true
+		h.mu.Unlock()
 		c.write("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-		c.finish()
-	case cutsShort:
-		c.begins(200, body)
+		c.noteComplete()
+	case resetsMidAnswer:
+		c.noteBegun(200, body)
 		c.write(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), half))
-		if a.gap == 0 || w.passes(a.gap) {
+		if a.delay == 0 || h.sleep(a.delay) {
 			c.reset()
 		}
-	case endsUnstated: // in order: that is its end
-		c.begins(200, body)
+	case closesUnsizedAnswer: // the orderly close ends the answer
+		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\n\r\n" + body)
-		if a.gap == 0 || w.passes(a.gap) {
+		if a.delay == 0 || h.sleep(a.delay) {
 			_ = c.conn.Close()
-			c.finish()
+			c.noteComplete()
 		}
-	case cutsUnstated:
-		c.begins(200, body)
+	case resetsUnsizedAnswer:
+		c.noteBegun(200, body)
 		c.write("HTTP/1.1 200 OK\r\n\r\n" + half)
-		if a.gap == 0 || w.passes(a.gap) {
+		if a.delay == 0 || h.sleep(a.delay) {
 			c.reset()
 		}
 	case closesUnanswered:
 		_ = c.conn.Close()
 	case resetsUnanswered:
 		c.reset()
-	case spoils:
+	case answersPartialLine:
 		c.write("HTTP/1.1 2")
-	case spoilsHead:
+	case answersMalformed:
 		c.write("HTTP/9 what?\r\nContent-Length: 0\r\n\r\n")
-	case neverEnds:
-		c.begins(200, strings.Repeat("more", 400))
+	case answersEndlessly:
+		c.noteBegun(200, strings.Repeat("more", 400))
 		c.write("HTTP/1.1 200 OK\r\n\r\n")
 		for range 100 {
-			if c.write("more"); !w.passes(40 * milli) {
+			if c.write("more"); !h.sleep(40 * milli) {
 				return
 			}
 		}
@@ -245,38 +248,36 @@
 	}
 }
 
-// rest gives connections without a request to do.
-func (u *orderUpstream) resting() []*upConn {
-	u.w.mu.Lock()
-	defer u.w.mu.Unlock()
-	var all []*upConn
+// idleConns returns the open connections without a pending request.
+func (u *orderUpstream) idleConns() []*orderUpstreamConn {
+	u.h.mu.Lock()
+	defer u.h.mu.Unlock()
+	var idle []*orderUpstreamConn
 	for _, c := range u.conns {
-		if !c.dead && c.out == 0 {
-			all = append(all, c)
+		if !c.ended && c.unanswered == 0 {
+			idle = append(idle, c)
 		}
 	}
-	return all
+	return idle
 }
 
-// kill ends the upstream's process; another one listens after that long.
-func (u *orderUpstream) kill(back time.Duration) {
-	w := u.w
-	w.mu.Lock()
-	was := u.down
+// kill ends the upstream's process; a new one listens after restartDelay.
+func (u *orderUpstream) kill(restartDelay time.Duration) {
+	h := u.h
+	h.mu.Lock()
+	wasDown := u.down
 	u.down, u.pending = true, nil
-	w.mu.Unlock()
-	if was {
+	h.mu.Unlock()
+	if wasDown {
 		return
 	}
 	u.host.Kill()
 	go func() {
-		if w.passes(back) {
-			w.mu.Lock()
+		if h.sleep(restartDelay) {
+			h.mu.Lock()
 			u.down = false
-			w.mu.Unlock()
+			h.mu.Unlock()
 			u.listen()
 		}
 	}()
 }
-
-// Discovery.
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -12,57 +12,57 @@
 	"mosslead/internal/lab/transcript"
 )
 
-// The parties of an order: two clients, two upstreams and discovery around one sidecar, in a bubble. They do what an
-// order's acts say and know nothing of the sidecar but what comes over the wire.
+// An order is played by two clients, two upstreams and discovery around one sidecar, in a synctest bubble. They carry out the
+// order's actions and know about the sidecar only what they receive from it over the network.
 
 const (
-	milli        = time.Millisecond
-	clientWay    = time.Millisecond
-	discoveryWay = time.Millisecond
-	killWait     = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, as the longest deadline is longer, and 0.7 s
-	oldStays     = 1500 * time.Millisecond // for which an address that discovery has left keeps its open watches
+	milli              = time.Millisecond
+	clientDelay        = time.Millisecond
+	discoveryDelay     = time.Millisecond
+	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, since the longest deadline is longer, plus 0.7 s
+	oldDiscoveryLinger = 1500 * time.Millisecond // how long discovery keeps open watches at its old address after it has moved
 )
 
-var upWays = [2]time.Duration{2 * milli, 3 * milli}
+var upstreamDelays = [2]time.Duration{2 * milli, 3 * milli}
 
-// world is one order being played.
-type world struct {
+// orderHarness plays one order against one sidecar.
+type orderHarness struct {
 	t     *testing.T
 	ctx   context.Context
 	net   *memnet.Network
 	begun time.Time
-	plant plant
+	fault plantedFault
 
 	sidecar *memnet.Host
 	reloads chan Reload
 	stop    context.CancelFunc
-	ended   chan struct{} // the sidecar has
-
-	mu        sync.Mutex
-	on        bool // the record goes on
-	record    transcript.Transcript
-	events    []memnet.Event
-	clients   [2]*orderClient
-	ups       [2]*orderUpstream
-	requested int // requests so far
-	sent      map[string]*orderRequest
-	answers   map[string][]*orderAnswer
-
-	disc        *orderDiscovery // where it is now
-	discoveries []*orderDiscovery
-	complete    bool          // watches begin with the whole list
-	window      time.Duration // for repeats of what is idempotent by key
-	scope       bool          // upstream 2 stands in another zone
-	index       int
-	entries     [2]orderEntry
-	changes     []*orderChange
-	moved       time.Time // SIGHUP
-	termed      time.Time // SIGTERM
-	killed      time.Time // SIGKILL
-	config      func(address string) *Config
+	ended   chan struct{} // closed when the sidecar has ended
+
+	mu             sync.Mutex
+	recording      bool // events are still recorded
+	record         transcript.Transcript
+	events         []memnet.Event
+	clients        [2]*orderClient
+	upstreams      [2]*orderUpstream
+	requestCount   int                       // so far
+	clientRequests map[string]*orderRequest  // by id
+	answers        map[string][]*orderAnswer // by the id of the request
+
+	discovery    *orderDiscovery // the current one
+	discoveries  []*orderDiscovery
+	snapshots    bool          // watches begin with a snapshot of the list
+	dedupWindow  time.Duration // DedupWindow of the class that is idempotent by key
+	twoZones     bool          // upstream 2 is in another zone
+	listIndex    int
+	entries      [2]orderEntry
+	changes      []*orderChange
+	hangupAt     time.Time // time of SIGHUP
+	terminatedAt time.Time // time of SIGTERM
+	killedAt     time.Time // time of SIGKILL
+	newConfig    func(address string) *Config
 }
 
-// orderRequest is a request that a client meant to send.
+// orderRequest is a request that a client sends, perhaps only in part.
 type orderRequest struct {
 	id, method, target, body string
 	class                    string
@@ -70,110 +70,112 @@
 	pipelined                bool
 }
 
-func (w *world) observe(e memnet.Event) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.on {
-		w.record.Take(e)
-		w.events = append(w.events, e)
+// observe records a network event.
+func (h *orderHarness) observe(e memnet.Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.recording {
+		h.record.Take(e)
+		h.events = append(h.events, e)
 	}
 }
 
-// say puts words into the transcript.
-func (w *world) say(from, to, format string, args ...any) { w.record.Say(from, to, format, args...) }
+// note adds a note to the transcript.
+func (h *orderHarness) note(from, to, format string, args ...any) {
+	h.record.Say(from, to, format, args...)
+}
 
-// plant is a fault that is put between the sidecar and the network; each may be nil.
-type plant struct {
-	toUpstream  func(w *world, c net.Conn) net.Conn
-	toClient    func(w *world, c net.Conn) net.Conn
-	toDiscovery func(w *world, c net.Conn) net.Conn
+// plantedFault is a fault between the sidecar and its network or settings; each func may be nil.
+type plantedFault struct {
+	toUpstream  func(h *orderHarness, c net.Conn) net.Conn
+	toClient    func(h *orderHarness, c net.Conn) net.Conn
+	toDiscovery func(h *orderHarness, c net.Conn) net.Conn
 	settings    func(*Config)
-	killsAfter  time.Duration // SIGTERM; 0: when it is time
+	killDelay   time.Duration // from SIGTERM to SIGKILL; 0 means the constant killDelay
 }
 
-func newWorld(t *testing.T, o *order, p plant) *world {
+// newOrderHarness starts the sidecar, its clients, upstreams and discovery for an order.
+func newOrderHarness(t *testing.T, o *order, fault plantedFault) *orderHarness {
 	ctx, cancel := context.WithCancel(t.Context())
-	w := &world{t: t, ctx: ctx, plant: p, reloads: make(chan Reload), ended: make(chan struct{}),
-		sent: map[string]*orderRequest{}, answers: map[string][]*orderAnswer{}, index: 1, scope: o.twoZones, complete: o.complete, window: o.window}
-	w.net = memnet.New(w.observe)
-	w.begun, w.on = time.Now(), true
-	w.record.Begin()
-	for i := range w.clients {
-		w.clients[i] = &orderClient{w: w, host: w.net.Host(fmt.Sprint("client-", i+1), fmt.Sprint("10.0.0.", i+2), clientWay)}
+	h := &orderHarness{t: t, ctx: ctx, fault: fault, reloads: make(chan Reload), ended: make(chan struct{}),
+		clientRequests: map[string]*orderRequest{}, answers: map[string][]*orderAnswer{}, listIndex: 1, twoZones: o.twoZones, snapshots: o.snapshots, dedupWindow: o.dedupWindow}
+	h.net = memnet.New(h.observe)
+	h.begun, h.recording = time.Now(), true
+	h.record.Begin()
+	for i := range h.clients {
+		h.clients[i] = &orderClient{h: h, host: h.net.Host(fmt.Sprint("client-", i+1), fmt.Sprint("10.0.0.", i+2), clientDelay)}
 	}
-	for i := range w.ups {
-		w.entries[i] = orderEntry{status: statusReady}
-		u := &orderUpstream{w: w, number: i, auto: o.auto[i], host: w.net.Host(fmt.Sprint("up-", i+1), fmt.Sprint("10.0.0.1", i+1), upWays[i])}
-		w.ups[i] = u
+	for i := range h.upstreams {
+		h.entries[i] = orderEntry{status: statusReady}
+		u := &orderUpstream{h: h, number: i, autoAnswer: o.autoAnswer[i], host: h.net.Host(fmt.Sprint("up-", i+1), fmt.Sprint("10.0.0.1", i+1), upstreamDelays[i])}
+		h.upstreams[i] = u
 		u.listen()
 	}
-	w.disc = newOrderDiscovery(w, "discovery", "10.0.0.9")
-	w.discoveries = append(w.discoveries, w.disc)
-	known := []string{w.line(0), w.line(1)}
-	w.config = func(address string) *Config {
-		c := testConfig(t, address, known...)
+	h.discovery = newOrderDiscovery(h, "discovery", "10.0.0.9")
+	h.discoveries = append(h.discoveries, h.discovery)
+	entries := []string{h.entryJSON(0), h.entryJSON(1)}
+	h.newConfig = func(address string) *Config {
+		c := testConfig(t, address, entries...)
 		s := &c.Settings
 		s.Hedging, s.MustSubscribe = false, o.onDemand
-		s.Classes[1].DedupWindow = o.window
-		c.dial = w.dial
-		if p.settings != nil {
-			p.settings(c)
+		s.Classes[1].DedupWindow = o.dedupWindow
+		c.dial = h.dial
+		if fault.settings != nil {
+			fault.settings(c)
 		}
 		return c
 	}
-	w.sidecar = w.net.Host("sidecar", "10.0.0.1", 0)
-	l, err := w.sidecar.Listen(9000)
+	h.sidecar = h.net.Host("sidecar", "10.0.0.1", 0)
+	l, err := h.sidecar.Listen(9000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.toClient != nil {
-		l = &plantedListener{l, w}
+	if fault.toClient != nil {
+		l = &faultyListener{l, h}
 	}
-	c := w.config("10.0.0.9:7000")
-	run, stop := context.WithCancel(ctx)
-	w.stop = stop
+	c := h.newConfig("10.0.0.9:7000")
+	runCtx, stop := context.WithCancel(ctx)
+	h.stop = stop
 	go func() {
-		defer close(w.ended)
-		_ = serve(run, c, l, nil, "", w.reloads) // it ends with an error where it is killed
+		defer close(h.ended)
+		_ = serve(runCtx, c, l, nil, "", h.reloads) // returns an error if the sidecar is killed
 	}()
 	t.Cleanup(func() {
 		cancel()
-		w.net.Close()
-		<-w.ended
+		h.net.Close()
+		<-h.ended
 	})
-	return w
+	return h
 }
 
-// plantedListener hands on clients' connections with a fault in them.
-type plantedListener struct {
+// faultyListener adds a planted fault to the connections of clients.
+type faultyListener struct {
 	net.Listener
-	w *world
+	h *orderHarness
 }
 
-func (l *plantedListener) Accept() (net.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.w.plant.toClient(l.w, c), nil
+	return l.h.fault.toClient(l.h, c), nil
 }
 
 // SetDeadline bounds Accept.
-func (l *plantedListener) SetDeadline(t time.Time) error {
+func (l *faultyListener) SetDeadline(t time.Time) error {
 	return l.Listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(t)
 }
 
-// dial is the sidecar's way out.
-func (w *world) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	wrap := w.plant.toDiscovery
+// dial makes the sidecar's outgoing connections and adds planted faults to them.
+func (h *orderHarness) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	wrap := h.fault.toDiscovery
 	if address == upstream1Address || address == upstream2Address {
-		wrap = w.plant.toUpstream
+		wrap = h.fault.toUpstream
 	}
-	c, err := w.sidecar.Dial(ctx, network, address)
+	c, err := h.sidecar.Dial(ctx, network, address)
 	if err == nil && wrap != nil {
-		c = wrap(w, c)
+		c = wrap(h, c)
 	}
 	return c, err
 }
-
-// The clients.
