--- a/internal/circuitbreaker/probe.go
+++ b/internal/circuitbreaker/probe.go
@@ -20,15 +20,15 @@
 	epoch     uint64 // the highest seen; outlasts results and incarnations
 	startedMs int64  // of the incarnation
 	round     uint64 // closings of it
-	from      string
+	leader    string
 	result    message.ProbeResult
 	until     time.Duration // the result is valid until then; 0: none is
 	failedAt  time.Duration // when a probe last failed
 }
 
 // reset begins another incarnation of the upstream. The epoch is the leadership's, and stays.
-func (t *probeState) reset(sinceMs int64) {
-	*t = probeState{epoch: t.epoch, startedMs: sinceMs, failedAt: -evidenceLifetime}
+func (p *probeState) reset(sinceMs int64) {
+	*p = probeState{epoch: p.epoch, startedMs: sinceMs, failedAt: -evidenceLifetime}
 }
 
 func (b *VerdictTracker) onProbe(now time.Duration, e ProbeResult) {
@@ -48,7 +48,7 @@
 		return // a late result of an earlier leader
 	}
 	if e.Withdrawn {
-		if e.From == t.from {
+		if e.From == t.leader {
 			t.epoch, t.until = e.Result.Epoch, 0
 		}
 		return
@@ -56,7 +56,7 @@
 	if !e.Result.OK && e.Result.Count > 0 && (e.Result.Epoch != t.result.Epoch || e.Result.Count != t.result.Count) {
 		t.failedAt = now // one more failed probe than was known
 	}
-	t.epoch, t.from, t.result, t.until = e.Result.Epoch, e.From, e.Result, now+min(e.TTL, message.MaxTTL)
+	t.epoch, t.leader, t.result, t.until = e.Result.Epoch, e.From, e.Result, now+min(e.TTL, message.MaxTTL)
 	t.round = e.Result.Round
 }
 
--- a/internal/circuitbreaker/suspicion.go
+++ b/internal/circuitbreaker/suspicion.go
@@ -16,7 +16,7 @@
 	checkedAt time.Duration
 	lateness  float64 // mean fraction of the time between checks that was too long
 	stoppedAt time.Duration
-	largest   size // members
+	largest   memberCount // members
 }
 
 // NewSelfSuspicion begins at now, for a sidecar that checks itself at least every interval.
@@ -26,22 +26,22 @@
 
 // Check is a check at now, with so many members present; loop is how long the sidecar's loop has left an
 // event waiting. It returns the suspicion for reports, 0 to 1.
-func (d *SelfSuspicion) Check(now time.Duration, present int, loop time.Duration) float64 {
-	gap := max(now-d.checkedAt, loop)
-	d.checkedAt = now
+func (s *SelfSuspicion) Check(now time.Duration, present int, loop time.Duration) float64 {
+	gap := max(now-s.checkedAt, loop)
+	s.checkedAt = now
 	late := 0.0
-	if gap > 2*d.interval { // a single delay happens by chance
-		late = 1 - float64(d.interval)/float64(gap)
+	if gap > 2*s.interval { // a single delay happens by chance
+		late = 1 - float64(s.interval)/float64(gap)
 	}
-	d.lateness += (late - d.lateness) / latenessWindow
+	s.lateness += (late - s.lateness) / latenessWindow
 	if gap > stoppedGap {
-		d.stoppedAt = now
+		s.stoppedAt = now
 	}
-	if present >= d.largest.n || now-d.largest.at > sizeMemory {
-		d.largest = size{present, now}
+	if present >= s.largest.n || now-s.largest.at > sizeMemory {
+		s.largest = memberCount{present, now}
 	}
-	if now-d.stoppedAt < suspicionTime || float64(present) < minVisibleFraction*float64(d.largest.n) {
+	if now-s.stoppedAt < suspicionTime || float64(present) < minVisibleFraction*float64(s.largest.n) {
 		return 1
 	}
-	return min(1, 2*d.lateness)
+	return min(1, 2*s.lateness)
 }
--- a/internal/circuitbreaker/tracker.go
+++ b/internal/circuitbreaker/tracker.go
@@ -131,23 +131,23 @@
 
 // VerdictTracker holds the reports and the verdicts. Not safe for concurrent use.
 type VerdictTracker struct {
-	config    Config
-	startedAt time.Duration // time of the first event
-	listed    map[string]Upstream
-	sites     map[string]int // upstreams by site
-	members   map[string]message.Member
-	sizes     map[string]size // members by site
-	reports   map[subject]map[string]*peerReport
-	scores    map[string]score
-	probes    map[string]*probeState
-	ownProbes map[string]bool // upstreams whose probes this sidecar leads
-	announced map[subject]*announcement
+	config          Config
+	startedAt       time.Duration // time of the first event
+	listed          map[string]Upstream
+	upstreamsBySite map[string]int // upstreams by site
+	members         map[string]message.Member
+	siteSizes       map[string]memberCount // members by site
+	reports         map[subject]map[string]*peerReport
+	scores          map[string]score
+	probes          map[string]*probeState
+	ownProbes       map[string]bool // upstreams whose probes this sidecar leads
+	announced       map[subject]*announcement
 }
 
 // New returns a tracker without reports.
 func New(c Config) *VerdictTracker {
-	return &VerdictTracker{config: c, startedAt: -1, listed: map[string]Upstream{}, sites: map[string]int{}, members: map[string]message.Member{},
-		sizes: map[string]size{}, reports: map[subject]map[string]*peerReport{}, scores: map[string]score{}, probes: map[string]*probeState{},
+	return &VerdictTracker{config: c, startedAt: -1, listed: map[string]Upstream{}, upstreamsBySite: map[string]int{}, members: map[string]message.Member{},
+		siteSizes: map[string]memberCount{}, reports: map[subject]map[string]*peerReport{}, scores: map[string]score{}, probes: map[string]*probeState{},
 		ownProbes: map[string]bool{}, announced: map[subject]*announcement{}}
 }
 
@@ -178,9 +178,9 @@
 			b.ownProbes[e.Upstream] = true
 		}
 	case Roster:
-		b.roster(now, e.Members)
+		b.setMembers(now, e.Members)
 	case EndpointList:
-		b.setList(e.Upstreams)
+		b.setEndpoints(e.Upstreams)
 	}
 }
 
@@ -221,7 +221,7 @@
 		old.newEvidenceAt, ttl = now, min(ttl, servedTTL)
 	}
 	old.incarnation, old.report, old.until = from.Incarnation, r, now+min(ttl, message.MaxTTL)
-	b.contradict(now, s)
+	b.penalizeContradicted(now, s)
 }
 
 // outdated tells whether a report is on an earlier incarnation of an upstream than the list has.
@@ -240,14 +240,14 @@
 	return n
 }
 
-// setList takes in the endpoint list. Reports on an upstream that was removed are void, also if it comes
+// setEndpoints takes in the endpoint list. Reports on an upstream that was removed are void, also if it comes
 // back; the epochs of its probes are not.
-func (b *VerdictTracker) setList(all []Upstream) {
+func (b *VerdictTracker) setEndpoints(all []Upstream) {
 	before := b.listed
-	b.listed, b.sites = map[string]Upstream{}, map[string]int{}
+	b.listed, b.upstreamsBySite = map[string]Upstream{}, map[string]int{}
 	for _, u := range all {
 		b.listed[u.Name] = u
-		b.sites[u.Site]++
+		b.upstreamsBySite[u.Site]++
 		if t := b.probes[u.Name]; t != nil && t.startedMs != u.StartedMs {
 			t.reset(u.StartedMs)
 		}
--- a/internal/circuitbreaker/verdict.go
+++ b/internal/circuitbreaker/verdict.go
@@ -21,10 +21,10 @@
 	maxNamedReporters = 8 // in a reason
 )
 
-// needed is how many independent reporters a verdict takes if n could have met the fault: so many that by
+// requiredReporters is how many independent reporters a verdict takes if n could have met the fault: so many that by
 // chance they are reached less often than maxFalseVerdict, by the Poisson bound on how many of n are wrong at
 // once. Two at least.
-func needed(n int) int {
+func requiredReporters(n int) int {
 	mean := falseReportRate * float64(n)
 	term := math.Exp(-mean) // P(exactly k)
 	above := 1 - term       // P(more than k)
@@ -94,9 +94,9 @@
 // verdict is the verdict on s by now; old is the one that was last announced.
 func (b *VerdictTracker) verdict(now time.Duration, s subject, old *announcement, all accusations) Verdict {
 	u, listed := b.listed[s.upstream]
-	t := b.weigh(now, s, all)
+	t := b.sumWeights(now, s, all)
 	v := Verdict{Upstream: s.upstream, StartedMs: u.StartedMs, Class: s.class, Since: t.since, Round: b.round(s.upstream)}
-	need, siteNeed := float64(needed(b.potentialReporters(""))), float64(needed(b.potentialReporters(b.config.Site)))
+	need, siteNeed := float64(requiredReporters(b.potentialReporters(""))), float64(requiredReporters(b.potentialReporters(b.config.Site)))
 	if old.Open { // hysteresis: an open verdict closes at half a report less
 		need, siteNeed = need-0.5, siteNeed-0.5
 	}
@@ -115,13 +115,13 @@
 	return v
 }
 
-// weigh adds up the reports on s.
-func (b *VerdictTracker) weigh(now time.Duration, s subject, all accusations) *weights {
+// sumWeights adds up the reports on s.
+func (b *VerdictTracker) sumWeights(now time.Duration, s subject, all accusations) *weights {
 	t := &weights{open: map[string]float64{}, served: map[string]float64{}, pathEvidence: map[string]float64{}, serverEvidence: map[string]float64{}, since: now}
 	names := slices.Sorted(maps.Keys(b.reports[s])) // a sum of fractions depends on its order
 	for _, name := range names {
 		r := b.reports[s][name]
-		w, _ := b.weight(now, s, name, r, all)
+		w, _ := b.reportWeight(now, s, name, r, all)
 		if !r.open() || w == 0 {
 			continue
 		}
@@ -137,7 +137,7 @@
 	}
 	for _, name := range names {
 		if r := b.reports[s][name]; !r.open() && r.newEvidenceAt >= t.since { // a success before the fault says nothing
-			w, _ := b.weight(now, s, name, r, all)
+			w, _ := b.reportWeight(now, s, name, r, all)
 			t.served[b.members[name].Site] += w
 		}
 	}
@@ -194,10 +194,10 @@
 			what = evidenceNames[r.report.Evidence]
 		}
 		text := fmt.Sprintf("%s/%s %s %d", b.members[name].Site, name, what, r.report.Count)
-		if w, why := b.weight(now, s, name, r, all); why != "" {
+		if w, why := b.reportWeight(now, s, name, r, all); why != "" {
 			text += fmt.Sprintf(" (counts %.1f: %s)", w, why)
 		}
 		parts = append(parts, text)
 	}
-	return fmt.Sprintf("%d of %d needed: %s", needed(b.potentialReporters("")), b.potentialReporters(""), strings.Join(parts, "; "))
+	return fmt.Sprintf("%d of %d needed: %s", requiredReporters(b.potentialReporters("")), b.potentialReporters(""), strings.Join(parts, "; "))
 }
--- a/internal/circuitbreaker/weight.go
+++ b/internal/circuitbreaker/weight.go
@@ -21,25 +21,25 @@
 	maxAccusedFraction = 0.5              // a reporter that accuses more than this fraction of a site's upstreams is the likelier fault
 )
 
-// size is how many members a site has, or had of late.
-type size struct {
+// memberCount is how many members a site has, or had of late.
+type memberCount struct {
 	n  int
 	at time.Duration // when it had so many last
 }
 
 // score is how often a reporter was contradicted, halved each scoreHalfLife.
 type score struct {
-	v  float64
-	at time.Duration
+	value float64
+	at    time.Duration
 }
 
-func (s score) now(now time.Duration) float64 {
-	return s.v * math.Exp2(-float64(now-s.at)/float64(scoreHalfLife))
+func (sc score) decayed(now time.Duration) float64 {
+	return sc.value * math.Exp2(-float64(now-sc.at)/float64(scoreHalfLife))
 }
 
-// roster takes in who is present. Scores of those that left are retained while they matter, or one would
+// setMembers takes in who is present. Scores of those that left are retained while they matter, or one would
 // leave to be believed again.
-func (b *VerdictTracker) roster(now time.Duration, all []message.Member) {
+func (b *VerdictTracker) setMembers(now time.Duration, all []message.Member) {
 	b.members = map[string]message.Member{}
 	count := map[string]int{}
 	for _, m := range all {
@@ -47,17 +47,17 @@
 		count[m.Site]++
 	}
 	for site, n := range count {
-		if old := b.sizes[site]; n >= old.n || now-old.at > sizeMemory {
-			b.sizes[site] = size{n, now}
+		if old := b.siteSizes[site]; n >= old.n || now-old.at > sizeMemory {
+			b.siteSizes[site] = memberCount{n, now}
 		}
 	}
-	for site, old := range b.sizes {
+	for site, old := range b.siteSizes {
 		if count[site] == 0 && now-old.at > sizeMemory {
-			delete(b.sizes, site)
+			delete(b.siteSizes, site)
 		}
 	}
 	for name, s := range b.scores {
-		if s.now(now) < 0.1 {
+		if s.decayed(now) < 0.1 {
 			delete(b.scores, name)
 		}
 	}
@@ -66,19 +66,19 @@
 // potentialReporters is how many members could have met a fault: of a site, or with "" of all.
 func (b *VerdictTracker) potentialReporters(site string) (n int) {
 	if site != "" {
-		return b.sizes[site].n
+		return b.siteSizes[site].n
 	}
-	for _, s := range b.sizes {
+	for _, s := range b.siteSizes {
 		n += s.n
 	}
 	return n
 }
 
-// contradict lowers the scores of those that accuse s while it serves this sidecar, or as many others as a
+// penalizeContradicted lowers the scores of those that accuse s while it serves this sidecar, or as many others as a
 // verdict takes. Only what a difference of paths can't explain contradicts: the server's own answers, or
 // reports within one site.
-func (b *VerdictTracker) contradict(now time.Duration, s subject) {
-	need := needed(b.potentialReporters(""))
+func (b *VerdictTracker) penalizeContradicted(now time.Duration, s subject) {
+	need := requiredReporters(b.potentialReporters(""))
 	for reporter, r := range b.reports[s] {
 		if !r.open() || r.contradicted {
 			continue
@@ -95,7 +95,7 @@
 		}
 		if against >= need {
 			r.contradicted = true
-			b.scores[reporter] = score{min(maxScore, b.scores[reporter].now(now)+1), now}
+			b.scores[reporter] = score{min(maxScore, b.scores[reporter].decayed(now)+1), now}
 		}
 	}
 }
@@ -126,14 +126,14 @@
 	return all
 }
 
-// overreaches tells whether a reporter accuses too many at a site, or in all.
-func (b *VerdictTracker) overreaches(all accusations, name, site string) bool {
+// accusesTooMany tells whether a reporter accuses too many at a site, or in all.
+func (b *VerdictTracker) accusesTooMany(all accusations, name, site string) bool {
 	n, limit := all[name], maxAccusedFraction
-	return n[site] > 1 && float64(n[site]) > limit*float64(b.sites[site]) || n[""] > 1 && float64(n[""]) > limit*float64(len(b.listed))
+	return n[site] > 1 && float64(n[site]) > limit*float64(b.upstreamsBySite[site]) || n[""] > 1 && float64(n[""]) > limit*float64(len(b.listed))
 }
 
-// weight is how much one report counts, 0 to 1, and why not fully.
-func (b *VerdictTracker) weight(now time.Duration, s subject, name string, r *peerReport, all accusations) (float64, string) {
+// reportWeight is how much one report counts, 0 to 1, and why not fully.
+func (b *VerdictTracker) reportWeight(now time.Duration, s subject, name string, r *peerReport, all accusations) (float64, string) {
 	m, present := b.members[name]
 	switch {
 	case !present:
@@ -144,14 +144,14 @@
 		return 0, "nothing new for long"
 	case r.report.Round < b.round(s.upstream):
 		return 0, "said before it was closed"
-	case b.overreaches(all, name, b.listed[s.upstream].Site):
+	case b.accusesTooMany(all, name, b.listed[s.upstream].Site):
 		return 0, "speaks ill of most upstreams"
 	}
 	w, why := 1-r.report.SelfSuspicion, ""
 	if r.report.SelfSuspicion > 0 {
 		why = "doubts itself"
 	}
-	if bad := b.scores[name].now(now); bad >= 0.1 {
+	if bad := b.scores[name].decayed(now); bad >= 0.1 {
 		w, why = w*math.Exp2(-bad), "was wrong of late"
 	}
 	return w, why
--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -29,16 +29,16 @@
 
 // Gauge follows the pressure of one sidecar.
 type Gauge struct {
-	now message.Pressure
-	at  time.Duration
-	hot bool
+	now       message.Pressure
+	sampledAt time.Duration
+	hot       bool
 }
 
 // Add takes in a sample of the parts, each 0 (idle) to 1 (full), and returns the pressure: each part
 // averaged, and in Total the highest of them, since the scarcest resource is what stops the work.
 func (g *Gauge) Add(now time.Duration, p message.Pressure) message.Pressure {
-	w := 1 - math.Exp(-float64(now-g.at)/float64(smoothingTime))
-	g.at = now
+	w := 1 - math.Exp(-float64(now-g.sampledAt)/float64(smoothingTime))
+	g.sampledAt = now
 	parts, samples := g.now.Parts(), p.Parts()
 	g.now.Total = 0
 	for i, x := range parts {
@@ -77,9 +77,9 @@
 // peer is another sidecar as it was last heard of.
 type peer struct {
 	message.Member
-	pressure float64
-	heardAt  time.Duration
-	inFlight int // requests that were forwarded to it
+	pressure   float64
+	receivedAt time.Duration
+	inFlight   int // requests that were forwarded to it
 }
 
 // Decider chooses where requests go. Not safe for concurrent use.
@@ -103,7 +103,7 @@
 	for _, m := range present {
 		p := before[m.Name]
 		if p == nil || p.Incarnation != m.Incarnation {
-			p = &peer{heardAt: -expiredAfter} // nothing was heard of this process
+			p = &peer{receivedAt: -expiredAfter} // nothing was heard of this process
 		}
 		p.Member = m
 		d.peers[m.Name] = p
@@ -116,7 +116,7 @@
 // OnPressure takes in a peer's pressure.
 func (d *Decider) OnPressure(now time.Duration, name string, total float64) {
 	if p := d.peers[name]; p != nil {
-		p.pressure, p.heardAt = total, now
+		p.pressure, p.receivedAt = total, now
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // effectivePressure is a peer's pressure now: it tends to full with the time since it was received.
 func (d *Decider) effectivePressure(now time.Duration, p *peer) float64 {
-	old := float64(now-p.heardAt-agingAfter) / float64(expiredAfter-agingAfter)
+	old := float64(now-p.receivedAt-agingAfter) / float64(expiredAfter-agingAfter)
 	return p.pressure + (1-p.pressure)*min(max(old, 0), 1)
 }
 
--- a/internal/forwarding/decider_test.go
+++ b/internal/forwarding/decider_test.go
@@ -10,8 +10,8 @@
 
 const second = time.Second
 
-// pressed is a gauge that has settled at these parts.
-func pressed(p message.Pressure) *Gauge {
+// settledGauge is a gauge that has settled at these parts.
+func settledGauge(p message.Pressure) *Gauge {
 	g := &Gauge{}
 	for t := time.Duration(0); t < 10*second; t += second / 10 {
 		g.Add(t, p)
@@ -19,7 +19,7 @@
 	return g
 }
 
-func fleet(d *Decider, now time.Duration, at map[string]float64) {
+func setPeers(d *Decider, now time.Duration, at map[string]float64) {
 	var all []message.Member
 	for name := range at {
 		all = append(all, message.Member{Name: name, Site: name[:1], Forward: "127.0.0.1:1"})
@@ -31,11 +31,11 @@
 }
 
 func TestOneSpikeDoesNotFlip(t *testing.T) {
-	g := pressed(message.Pressure{CPU: 0.6})
+	g := settledGauge(message.Pressure{CPU: 0.6})
 	if g.Add(10*second, message.Pressure{CPU: 1}); g.hot || !g.Accepts() && g.now.Total < coolThreshold {
 		t.Errorf("one sample of 1 made it hot at %v", g.now.Total)
 	}
-	g = pressed(message.Pressure{CPU: 0.9})
+	g = settledGauge(message.Pressure{CPU: 0.9})
 	if g.Add(10*second, message.Pressure{CPU: 0.7}); !g.hot {
 		t.Errorf("one sample of 0.7 cooled it at %v", g.now.Total)
 	}
@@ -64,8 +64,8 @@
 		got := map[string]bool{}
 		for seed := range uint64(20) {
 			d := NewDecider("a", seed)
-			fleet(d, 0, c.peers)
-			if choice, to := d.Choose(c.age, pressed(c.own), c.r); choice == Forward {
+			setPeers(d, 0, c.peers)
+			if choice, to := d.Choose(c.age, settledGauge(c.own), c.r); choice == Forward {
 				got[to] = true
 			}
 		}
@@ -83,8 +83,8 @@
 
 // A peer that refused or broke off gets nothing until it is heard anew.
 func TestAPeerThatDidNotServeIsLeftAlone(t *testing.T) {
-	d, g := NewDecider("a", 1), pressed(message.Pressure{Site: 1})
-	fleet(d, 0, map[string]float64{"b1": 0.1})
+	d, g := NewDecider("a", 1), settledGauge(message.Pressure{Site: 1})
+	setPeers(d, 0, map[string]float64{"b1": 0.1})
 	for _, served := range []bool{true, false} {
 		if choice, _ := d.Choose(0, g, Request{TimeLeft: second}); choice != Forward {
 			t.Fatal("kept")
@@ -102,8 +102,8 @@
 
 // However long the trouble lasts, no more than the stated part is forwarded, and what is out at a peer weighs.
 func TestForwardingHasABudgetAndSpreads(t *testing.T) {
-	d, g := NewDecider("a", 1), pressed(message.Pressure{Site: 1})
-	fleet(d, 0, map[string]float64{"b1": 0.2, "b2": 0.2, "b3": 0.2, "b4": 0.2})
+	d, g := NewDecider("a", 1), settledGauge(message.Pressure{Site: 1})
+	setPeers(d, 0, map[string]float64{"b1": 0.2, "b2": 0.2, "b3": 0.2, "b4": 0.2})
 	to, sent, most := map[string]int{}, 0, 0
 	for range 2000 {
 		if choice, name := d.Choose(0, g, Request{TimeLeft: second}); choice == Forward {
--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -13,8 +13,8 @@
 // broadcast is the record of a key in the queue. It is encoded when it is sent, so that the newest record
 // goes, less the time that it waited.
 type broadcast struct {
-	key message.Key
-	p   *Gossiper
+	key      message.Key
+	gossiper *Gossiper
 }
 
 // Invalidates tells whether b replaces other in the queue.
@@ -29,7 +29,7 @@
 }
 
 // Message encodes the record as it is when it is sent.
-func (b *broadcast) Message() []byte { return b.p.encodeNow(b.key) }
+func (b *broadcast) Message() []byte { return b.gossiper.encodeNow(b.key) }
 
 // Finished implements memberlist.Broadcast.
 func (b *broadcast) Finished() {}
@@ -133,7 +133,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if m.Name == e.self.Name {
-		(*Gossiper)(e).onIncarnation(m.Incarnation)
+		(*Gossiper)(e).onOwnName(m.Incarnation)
 		return
 	}
 	if old, known := e.members[m.Name]; !known || !old.Incarnation.Newer(m.Incarnation) {
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("address: port %q: %w", port, err)
 	}
-	p := newCarrier(c)
+	g := newGossiper(c)
 	conf := memberlist.DefaultLANConfig()
 	conf.AdvertisePort = int(number)
 	if c.Advertise != "" {
@@ -110,34 +110,34 @@
 	conf.TCPTimeout = streamTimeout
 	conf.Name, conf.BindAddr, conf.BindPort = c.Member.Name, host, int(number)
 	conf.Transport, conf.LogOutput, conf.GossipInterval = c.Transport, io.Discard, gossipInterval
-	conf.Delegate, conf.Events, conf.Conflict = (*delegate)(p), (*events)(p), (*conflict)(p)
-	if p.list, err = memberlist.Create(conf); err != nil {
+	conf.Delegate, conf.Events, conf.Conflict = (*delegate)(g), (*events)(g), (*conflict)(g)
+	if g.list, err = memberlist.Create(conf); err != nil {
 		_ = c.Transport.Shutdown() // what is wrong is said by err
 		return nil, fmt.Errorf("taking part at %s: %w", c.Address, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p.stop = stop
-	go p.run(ctx)
-	p.background.Go(func() { p.rejoinLoop(ctx) })
-	return p, nil
+	g.stop = stop
+	go g.run(ctx)
+	g.background.Go(func() { g.rejoinLoop(ctx) })
+	return g, nil
 }
 
-// newCarrier takes part in nothing yet.
-func newCarrier(c Config) *Gossiper {
-	p := &Gossiper{self: c.Member, name: c.Member.Name, inboxes: map[message.Kind]*conflate.Queue[message.Key, message.Record]{}, start: time.Now(), records: newStore(message.MaxRecordsPerOwner),
+// newGossiper takes part in nothing yet.
+func newGossiper(c Config) *Gossiper {
+	g := &Gossiper{self: c.Member, name: c.Member.Name, inboxes: map[message.Kind]*conflate.Queue[message.Key, message.Record]{}, start: time.Now(), records: newStore(message.MaxRecordsPerOwner),
 		seeds:   slices.DeleteFunc(slices.Clone(c.Seeds), func(s string) bool { return s == c.Address || s == c.Advertise }),
 		members: map[string]message.Member{c.Member.Name: c.Member}, departed: map[string]departedMember{}, done: make(chan struct{}),
 		budget: rate.NewLimiter(maxBytesPerSecond, maxBurstBytes)}
 	for _, kind := range []message.Kind{message.Breaker, message.LoadReport, message.Digest, message.Incident, message.Probe, message.PressureRequest} {
-		p.inboxes[kind] = conflate.New[message.Key, message.Record](inboxSize)
+		g.inboxes[kind] = conflate.New[message.Key, message.Record](inboxSize)
 	}
-	p.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 3, NumNodes: p.Present}
-	return p
+	g.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 3, NumNodes: g.Present}
+	return g
 }
 
 // run joins members and removes expired records until ctx ends.
-func (p *Gossiper) run(ctx context.Context) {
-	defer close(p.done)
+func (g *Gossiper) run(ctx context.Context) {
+	defer close(g.done)
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	join := time.NewTimer(0)
@@ -145,12 +145,12 @@
 	for joined := 0; ; {
 		select {
 		case <-join.C:
-			join.Reset(p.join(joined))
+			join.Reset(g.join(joined))
 			joined++
 		case <-sweep.C:
-			p.mu.Lock()
-			p.records.sweep(p.now())
-			p.mu.Unlock()
+			g.mu.Lock()
+			g.records.sweep(g.now())
+			g.mu.Unlock()
 		case <-ctx.Done():
 			return
 		}
@@ -158,16 +158,16 @@
 }
 
 // join joins the seeds, or a member, and returns the wait until the next time.
-func (p *Gossiper) join(joined int) time.Duration {
-	by := p.seeds
-	if others := p.list.Members(); len(others) > 1 {
+func (g *Gossiper) join(joined int) time.Duration {
+	by := g.seeds
+	if others := g.list.Members(); len(others) > 1 {
 		if joined > initialJoins {
 			return rejoinInterval
 		}
 		by = []string{others[rand.IntN(len(others))].Address()}
 	}
 	if len(by) > 0 {
-		if _, err := p.list.Join(by); err != nil {
+		if _, err := g.list.Join(by); err != nil {
 			slog.Debug("join failed", "component", "peers", "err", err)
 		}
 	}
@@ -175,83 +175,83 @@
 	return time.Duration((0.5 + rand.Float64()) * float64(wait))
 }
 
-func (p *Gossiper) now() time.Duration { return time.Since(p.start) }
+func (g *Gossiper) now() time.Duration { return time.Since(g.start) }
 
 // Address is where this process takes part.
-func (p *Gossiper) Address() string { return p.list.LocalNode().Address() }
+func (g *Gossiper) Address() string { return g.list.LocalNode().Address() }
 
 // Leave tells the others that this process leaves, and ends its part. It blocks for leaveTimeout at most.
-func (p *Gossiper) Leave() error {
-	p.stop()
-	<-p.done
-	err := errors.Join(p.list.Leave(leaveTimeout), p.list.Shutdown())
-	p.background.Wait()
+func (g *Gossiper) Leave() error {
+	g.stop()
+	<-g.done
+	err := errors.Join(g.list.Leave(leaveTimeout), g.list.Shutdown())
+	g.background.Wait()
 	return err
 }
 
 // Self is this process's name.
-func (p *Gossiper) Self() string { return p.name }
+func (g *Gossiper) Self() string { return g.name }
 
 // Fenced tells whether a newer process has this one's name: this one sends nothing more, and must not act for
 // others.
-func (p *Gossiper) Fenced() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.fenced
+func (g *Gossiper) Fenced() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.fenced
 }
 
 // Present counts the members that are present, this one too.
-func (p *Gossiper) Present() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.members)
+func (g *Gossiper) Present() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.members)
 }
 
 // Members are those that are present, this one too, sorted by name.
-func (p *Gossiper) Members() []message.Member {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all := make([]message.Member, 0, len(p.members))
-	for _, name := range slices.Sorted(maps.Keys(p.members)) {
-		all = append(all, p.members[name])
+func (g *Gossiper) Members() []message.Member {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	all := make([]message.Member, 0, len(g.members))
+	for _, name := range slices.Sorted(maps.Keys(g.members)) {
+		all = append(all, g.members[name])
 	}
 	return all
 }
 
 // Dropped counts records that their readers did not take in time, and those dropped for an owner's bound.
-func (p *Gossiper) Dropped() (late, over uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, r := range p.inboxes {
+func (g *Gossiper) Dropped() (late, over uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, r := range g.inboxes {
 		late += r.Dropped()
 	}
-	return late, p.records.dropped
+	return late, g.records.dropped
 }
 
 // Inbox holds what others send of a kind, as it comes. It has one reader; without one it stays bounded.
-func (p *Gossiper) Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record] {
-	return p.inboxes[kind]
+func (g *Gossiper) Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record] {
+	return g.inboxes[kind]
 }
 
 // Broadcast sends payload to all members, under a kind and a name of this process's own, valid for ttl. Some
 // members may miss it, so what lasts longer has to be sent again within ttl. withdrawn takes an earlier one
 // back, whose ttl it must have.
-func (p *Gossiper) Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, over bool) error {
-	r, err := p.newRecord(kind, name, payload, ttl, over)
+func (g *Gossiper) Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, over bool) error {
+	r, err := g.newRecord(kind, name, payload, ttl, over)
 	if err != nil {
 		return err
 	}
-	p.mu.Lock()
-	p.records.merge(p.now(), r)
-	p.mu.Unlock()
-	p.enqueue(r.Key)
+	g.mu.Lock()
+	g.records.merge(g.now(), r)
+	g.mu.Unlock()
+	g.enqueue(r.Key)
 	return nil
 }
 
 // SendTo sends payload to one member, in one datagram. The error says that the member is not present, or that
 // the budget is exceeded.
-func (p *Gossiper) SendTo(to string, kind message.Kind, payload any, ttl time.Duration) error {
-	r, err := p.newRecord(kind, "", payload, ttl, false)
+func (g *Gossiper) SendTo(to string, kind message.Kind, payload any, ttl time.Duration) error {
+	r, err := g.newRecord(kind, "", payload, ttl, false)
 	if err != nil {
 		return err
 	}
@@ -259,12 +259,12 @@
 	if err != nil {
 		return err
 	}
-	if !p.budget.AllowN(time.Now(), len(text)) {
+	if !g.budget.AllowN(time.Now(), len(text)) {
 		return errBudgetExceeded
 	}
-	for _, n := range p.list.Members() {
+	for _, n := range g.list.Members() {
 		if n.Name == to {
-			return p.list.SendBestEffort(n, text)
+			return g.list.SendBestEffort(n, text)
 		}
 	}
 	return fmt.Errorf("%s is not there", to)
@@ -276,73 +276,73 @@
 )
 
 // newRecord numbers and checks a record of this process.
-func (p *Gossiper) newRecord(kind message.Kind, name string, payload any, ttl time.Duration, over bool) (r message.Record, err error) {
-	r = message.Record{Key: message.Key{Owner: p.self.Name, Kind: kind, Name: name}, TTL: ttl, Withdrawn: over}
+func (g *Gossiper) newRecord(kind message.Kind, name string, payload any, ttl time.Duration, over bool) (r message.Record, err error) {
+	r = message.Record{Key: message.Key{Owner: g.self.Name, Kind: kind, Name: name}, TTL: ttl, Withdrawn: over}
 	if payload != nil {
 		if r.Body, err = message.Encode(payload); err != nil {
 			return r, err
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.seq++
-	r.Incarnation, r.Seq = p.self.Incarnation, p.seq
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.seq++
+	r.Incarnation, r.Seq = g.self.Incarnation, g.seq
 	if err := r.Check(); err != nil {
 		return r, fmt.Errorf("saying %s: %w", name, err)
 	}
-	if p.fenced {
+	if g.fenced {
 		return r, errFenced
 	}
 	return r, nil
 }
 
 // receive takes in a record, and passes it on if it is new.
-func (p *Gossiper) receive(r message.Record) {
-	if (r.Kind == message.LoadReport || r.Kind == message.PressureRequest) && r.Owner != p.Self() && r.Check() == nil {
-		p.inboxes[r.Kind].Push(r.Key, r, false)
+func (g *Gossiper) receive(r message.Record) {
+	if (r.Kind == message.LoadReport || r.Kind == message.PressureRequest) && r.Owner != g.Self() && r.Check() == nil {
+		g.inboxes[r.Kind].Push(r.Key, r, false)
 		return
 	}
-	p.mu.Lock()
+	g.mu.Lock()
 	var changed bool
-	if r.Owner == p.self.Name {
-		p.onIncarnation(r.Incarnation)
+	if r.Owner == g.self.Name {
+		g.onOwnName(r.Incarnation)
 	} else {
-		changed = p.records.merge(p.now(), r)
+		changed = g.records.merge(g.now(), r)
 	}
-	p.mu.Unlock()
+	g.mu.Unlock()
 	if changed {
-		if inbox := p.inboxes[r.Kind]; inbox != nil { // else of a later schema: carried on, not read
+		if inbox := g.inboxes[r.Kind]; inbox != nil { // else of a later schema: carried on, not read
 			inbox.Push(r.Key, r, r.Withdrawn)
 		}
-		p.enqueue(r.Key)
+		g.enqueue(r.Key)
 	}
 }
 
-// onIncarnation is called, with mu held, for a process under this one's name.
-func (p *Gossiper) onIncarnation(other message.Incarnation) {
-	if !other.Newer(p.self.Incarnation) || p.fenced {
+// onOwnName is called, with mu held, for a process under this one's name.
+func (g *Gossiper) onOwnName(other message.Incarnation) {
+	if !other.Newer(g.self.Incarnation) || g.fenced {
 		return
 	}
-	if p.now() < establishedAfter {
-		p.self.Incarnation.StartedMs = other.StartedMs + 1
-		p.members[p.self.Name] = p.self
+	if g.now() < establishedAfter {
+		g.self.Incarnation.StartedMs = other.StartedMs + 1
+		g.members[g.self.Name] = g.self
 		return
 	}
-	p.fenced = true
-	slog.Warn("a newer process has this name, sharing stopped", "component", "peers", "node", p.self.Name)
+	g.fenced = true
+	slog.Warn("a newer process has this name, sharing stopped", "component", "peers", "node", g.self.Name)
 }
 
 // enqueue queues the record of a key to be sent.
-func (p *Gossiper) enqueue(key message.Key) {
-	p.queue.QueueBroadcast(&broadcast{key: key, p: p})
+func (g *Gossiper) enqueue(key message.Key) {
+	g.queue.QueueBroadcast(&broadcast{key: key, gossiper: g})
 }
 
 // encodeNow is the record of a key as it is to be sent now, less the time that it was stored here; nil: it
 // has expired.
-func (p *Gossiper) encodeNow(key message.Key) []byte {
-	p.mu.Lock()
-	r, ok := p.records.get(p.now(), key)
-	p.mu.Unlock()
+func (g *Gossiper) encodeNow(key message.Key) []byte {
+	g.mu.Lock()
+	r, ok := g.records.get(g.now(), key)
+	g.mu.Unlock()
 	if !ok {
 		return nil
 	}
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -12,7 +12,7 @@
 func TestTheOlderProcessOfANameStandsAside(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Config{Member: message.Member{Name: "n1", Incarnation: message.Incarnation{StartedMs: 1000}}}
-		p := newCarrier(c)
+		p := newGossiper(c)
 		hear := func(started int64) {
 			p.receive(message.Record{Key: message.Key{Owner: "n1", Kind: message.Breaker}, Incarnation: message.Incarnation{StartedMs: started}, Seq: 9, TTL: time.Second})
 		}
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -24,15 +24,15 @@
 }
 
 // memberFailed remembers a member that failed; mu is held.
-func (p *Gossiper) memberFailed(name, address string) {
-	if len(p.departed) < maxDeparted {
-		p.departed[name] = departedMember{address, p.now()}
+func (g *Gossiper) memberFailed(name, address string) {
+	if len(g.departed) < maxDeparted {
+		g.departed[name] = departedMember{address, g.now()}
 	}
 }
 
 // rejoinLoop tries to join departed members until ctx ends. It blocks on connections, and so has a goroutine
 // of its own.
-func (p *Gossiper) rejoinLoop(ctx context.Context) {
+func (g *Gossiper) rejoinLoop(ctx context.Context) {
 	for {
 		wait := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(departedRetryInterval)))
 		select {
@@ -41,8 +41,8 @@
 			wait.Stop()
 			return
 		}
-		if by := p.randomDeparted(); by != "" {
-			if _, err := p.list.Join([]string{by}); err != nil {
+		if by := g.randomDeparted(); by != "" {
+			if _, err := g.list.Join([]string{by}); err != nil {
 				slog.Debug("rejoin of a departed member failed", "component", "peers", "peer", by, "err", err)
 			}
 		}
@@ -50,16 +50,16 @@
 }
 
 // randomDeparted is the address of a departed member; empty: there is none.
-func (p *Gossiper) randomDeparted() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (g *Gossiper) randomDeparted() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	var all []string
-	for name, g := range p.departed {
-		if _, back := p.members[name]; back || p.now()-g.at > departedLifetime {
-			delete(p.departed, name)
+	for name, member := range g.departed {
+		if _, back := g.members[name]; back || g.now()-member.at > departedLifetime {
+			delete(g.departed, name)
 			continue
 		}
-		all = append(all, g.address)
+		all = append(all, member.address)
 	}
 	if len(all) == 0 {
 		return ""
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -11,19 +11,19 @@
 	"mosslead/internal/gossip/message"
 )
 
-// few is the bound in these tests: draws go beyond it.
-const few = 6
+// testBound is the bound in these tests: draws go beyond it.
+const testBound = 6
 
-// said draws a record of few owners and names, so that they meet; what an owner said under a number is one thing.
-func said(t *rapid.T) message.Record {
-	n := rapid.Uint64Range(1, 3*few).Draw(t, "seq")
+// drawRecord draws a record of few owners and names, so that they meet; what an owner said under a number is one thing.
+func drawRecord(t *rapid.T) message.Record {
+	n := rapid.Uint64Range(1, 3*testBound).Draw(t, "seq")
 	own := message.Incarnation{StartedMs: rapid.Int64Range(1, 2).Draw(t, "start")}
 	return message.Record{Key: message.Key{Owner: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), Kind: message.Breaker,
 		Name: fmt.Sprint(n * 7 % (message.MaxRecordsPerOwner + 5))}, Incarnation: own, Seq: n, TTL: time.Minute, Body: []byte{byte(n)}}
 }
 
-func state(rs ...[]message.Record) map[message.Key]uint64 {
-	s := newStore(few)
+func mergeAll(rs ...[]message.Record) map[message.Key]uint64 {
+	s := newStore(testBound)
 	for _, some := range rs {
 		for _, r := range some {
 			s.merge(0, r)
@@ -39,18 +39,18 @@
 // The store is a join-semilattice, over its bound too: order, repetition and grouping make no difference.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := rapid.SliceOfN(rapid.Custom(said), 0, 3*few)
+		draw := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 3*testBound)
 		a, b, c := draw.Draw(t, "a"), draw.Draw(t, "b"), draw.Draw(t, "c")
-		want := state(a, b, c)
+		want := mergeAll(a, b, c)
 		for name, got := range map[string]map[message.Key]uint64{
-			"another order": state(c, b, a), "again": state(a, b, a, c, b, c), "shuffled": state(rapid.Permutation(append(append(append([]message.Record{}, a...), b...), c...)).Draw(t, "order")),
+			"another order": mergeAll(c, b, a), "again": mergeAll(a, b, a, c, b, c), "shuffled": mergeAll(rapid.Permutation(append(append(append([]message.Record{}, a...), b...), c...)).Draw(t, "order")),
 		} {
 			if !maps.Equal(want, got) {
 				t.Fatalf("%s: %d records for %d", name, len(got), len(want))
 			}
 		}
 		for owner, n := range counts(want) {
-			if n > few {
+			if n > testBound {
 				t.Fatalf("%d records of %s", n, owner)
 			}
 		}
@@ -69,7 +69,7 @@
 func TestRecordsAgeAtEachHop(t *testing.T) {
 	r := message.Record{Key: message.Key{Owner: "a", Kind: message.Breaker, Name: "s-1"}, Seq: 1, TTL: 5 * time.Second}
 	for hop, now := 0, time.Duration(0); hop < 3; hop++ {
-		s := newStore(few)
+		s := newStore(testBound)
 		if !s.merge(now, r) {
 			t.Fatalf("hop %d: not taken in", hop)
 		}
@@ -79,7 +79,7 @@
 	if r.TTL != 500*time.Millisecond {
 		t.Fatalf("%v left after three hops of 1.5 s", r.TTL)
 	}
-	if s := newStore(few); s.merge(0, r) && s.merge(time.Second, r) == false {
+	if s := newStore(testBound); s.merge(0, r) && s.merge(time.Second, r) == false {
 		t.Error("a lapsed record stands in the way")
 	}
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -17,9 +17,9 @@
 // links) knows the sender. Streams end with the transport.
 type transport struct {
 	*memberlist.NetTransport
-	from net.IP
-	ctx  context.Context
-	end  context.CancelFunc
+	localIP net.IP
+	ctx     context.Context
+	cancel  context.CancelFunc
 }
 
 func newTransport(host string, port int) (*transport, error) {
@@ -34,15 +34,15 @@
 // DialAddressTimeout opens a stream to a member.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
-	if t.from != nil && !t.from.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: t.from}
+	if t.localIP != nil && !t.localIP.IsUnspecified() {
+		d.LocalAddr = &net.TCPAddr{IP: t.localIP}
 	}
 	c, err := d.DialContext(t.ctx, "tcp", to.Addr)
 	if err != nil {
 		return nil, err
 	}
 	s := &stream{Conn: c}
-	s.stop = context.AfterFunc(t.ctx, func() { _ = c.Close() })
+	s.unregister = context.AfterFunc(t.ctx, func() { _ = c.Close() })
 	return s, nil
 }
 
@@ -53,19 +53,19 @@
 
 // Shutdown closes the sockets, and the streams that this process has opened.
 func (t *transport) Shutdown() error {
-	t.end()
+	t.cancel()
 	return t.NetTransport.Shutdown()
 }
 
 // stream is a connection that ends with its transport.
 type stream struct {
 	net.Conn
-	stop func() bool
+	unregister func() bool
 }
 
 // Close closes the connection. A second call is no error.
 func (s *stream) Close() error {
-	s.stop()
+	s.unregister()
 	if err := s.Conn.Close(); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -69,16 +69,16 @@
 func (k Keys) Lacks(old Keys, free ...string) string {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
 		may := slices.Contains(free, key) || key == Under+"Classes.AimStretch" || strings.HasSuffix(key, ".") ||
-			strings.HasPrefix(key, Under) && !used()[key]
-		if !may && !k.holds(key) {
+			strings.HasPrefix(key, Under) && !readKeys()[key]
+		if !may && !k.contains(key) {
 			return key
 		}
 	}
 	return ""
 }
 
-// holds reports whether a key is present, or an empty list in whose objects it would be.
-func (k Keys) holds(key string) bool {
+// contains reports whether a key is present, or an empty list in whose objects it would be.
+func (k Keys) contains(key string) bool {
 	for i, x := range key {
 		if x == '.' && k[key[:i+1]] {
 			return true
@@ -87,8 +87,8 @@
 	return k[key]
 }
 
-// used are the keys of settings that are read.
-var used = sync.OnceValue(func() Keys {
+// readKeys are the keys of settings that are read.
+var readKeys = sync.OnceValue(func() Keys {
 	keys, err := DocumentKeys(wire.Keys())
 	if err != nil {
 		panic(err) // can't fail for the program's own text
--- a/internal/settings/locate.go
+++ b/internal/settings/locate.go
@@ -16,9 +16,9 @@
 	Key          string
 }
 
-// keyOf maps the settings that a balancer.SettingError names to keys of the file. A field of a list's elements has the list's
+// keyOfSetting maps the settings that a balancer.SettingError names to keys of the file. A field of a list's elements has the list's
 // name as its prefix.
-var keyOf = map[string]string{
+var keyOfSetting = map[string]string{
 	"Classes":           "Classes",
 	"ConnectTimeout":    "Limits.ConnectTimeoutMs",
 	"CrossZoneCost":     "Prices.CrossZone",
@@ -56,63 +56,63 @@
 	var kind *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		return at(text, int(syntax.Offset)-1, "")
+		return placeAt(text, int(syntax.Offset)-1, "")
 	case errors.As(err, &kind):
-		return at(text, int(kind.Offset)-1, kind.Field)
+		return placeAt(text, int(kind.Offset)-1, kind.Field)
 	}
 	var top, object, field string
 	var invalid *balancer.SettingError
 	var key *KeyError
 	switch {
 	case errors.As(err, &invalid):
-		top, object = keyOf[invalid.Setting], invalid.Element
-		field = keyOf[invalid.Setting+"."+invalid.Field]
+		top, object = keyOfSetting[invalid.Setting], invalid.Element
+		field = keyOfSetting[invalid.Setting+"."+invalid.Field]
 	case errors.As(err, &key):
 		top = key.Key
 	}
 	if top == "" {
 		return Place{}
 	}
-	f := finder{text: text, d: json.NewDecoder(bytes.NewReader(text))}
-	f.walk("")
+	l := keyLister{text: text, decoder: json.NewDecoder(bytes.NewReader(text))}
+	l.walk("")
 	best := Place{Key: top}
-	for _, p := range f.found {
+	for _, p := range l.keys {
 		if strings.EqualFold(p.path, top) {
-			best = at(text, p.offset, top)
+			best = placeAt(text, p.offset, top)
 		}
 	}
 	if field == "" {
 		return best
 	}
 	best.Key = top + "." + field
-	for i, p := range f.found { // the last of that name, which overrides earlier ones
+	for i, p := range l.keys { // the last of that name, which overrides earlier ones
 		if !strings.EqualFold(p.path, top+".Name") || p.value != object {
 			continue
 		}
-		best = at(text, p.offset, best.Key) // the object's position, for a field that it lacks
-		for _, q := range f.found {
-			if q.object == f.found[i].object && strings.EqualFold(q.path, top+"."+field) {
-				best = at(text, q.offset, best.Key)
+		best = placeAt(text, p.offset, best.Key) // the object's position, for a field that it lacks
+		for _, q := range l.keys {
+			if q.object == l.keys[i].object && strings.EqualFold(q.path, top+"."+field) {
+				best = placeAt(text, q.offset, best.Key)
 			}
 		}
 	}
 	return best
 }
 
-func at(text []byte, offset int, key string) Place {
+func placeAt(text []byte, offset int, key string) Place {
 	before := text[:max(0, min(offset, len(text)))]
 	return Place{1 + bytes.Count(before, []byte("\n")), len(before) - bytes.LastIndexByte(before, '\n'), key}
 }
 
-// finder lists the keys of a valid JSON text, with their paths. Objects in lists have the path of the list.
-type finder struct {
+// keyLister lists the keys of a valid JSON text, with their paths. Objects in lists have the path of the list.
+type keyLister struct {
 	text    []byte
-	d       *json.Decoder
+	decoder *json.Decoder
 	objects int
-	found   []found
+	keys    []keyPosition
 }
 
-type found struct {
+type keyPosition struct {
 	path   string
 	offset int // of the key's first byte
 	object int // the same number for keys of one object
@@ -120,33 +120,33 @@
 }
 
 // walk reads one value, and returns it if it is a string or number.
-func (f *finder) walk(path string) any {
-	token, err := f.d.Token()
+func (l *keyLister) walk(path string) any {
+	token, err := l.decoder.Token()
 	if err != nil {
 		return nil
 	}
 	switch token {
 	case json.Delim('['):
-		for f.d.More() {
-			f.walk(path)
+		for l.decoder.More() {
+			l.walk(path)
 		}
-		_, _ = f.d.Token()
+		_, _ = l.decoder.Token()
 	case json.Delim('{'):
-		f.objects++
-		object := f.objects
-		for f.d.More() {
-			before := int(f.d.InputOffset())
-			key, err := f.d.Token()
+		l.objects++
+		object := l.objects
+		for l.decoder.More() {
+			before := int(l.decoder.InputOffset())
+			key, err := l.decoder.Token()
 			if err != nil {
 				return nil
 			}
 			word, _ := key.(string)
-			one := found{path: strings.TrimPrefix(path+"."+word, "."), offset: before + max(0, bytes.IndexByte(f.text[before:], '"')), object: object}
-			i := len(f.found)
-			f.found = append(f.found, one)
-			f.found[i].value = f.walk(one.path)
+			one := keyPosition{path: strings.TrimPrefix(path+"."+word, "."), offset: before + max(0, bytes.IndexByte(l.text[before:], '"')), object: object}
+			i := len(l.keys)
+			l.keys = append(l.keys, one)
+			l.keys[i].value = l.walk(one.path)
 		}
-		_, _ = f.d.Token()
+		_, _ = l.decoder.Token()
 	default:
 		return token
 	}
--- a/internal/settings/locate_test.go
+++ b/internal/settings/locate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const whole = `{
+const validFile = `{
  "Balancers": 1, "TickMs": 5, "OverShareWorth": 0.5,
  "Classes": [
   {"Name": "search", "Semantics": "retryable", "AimMs": 500, "DeadlineMs": 1000,
@@ -23,7 +23,7 @@
 // Guards against an error that leaves the operator to search: each setting that the check rejects is told with its line and key,
 // in the file's words. Also against the check's words and keyOf drifting apart.
 func TestWhatIsTurnedDownIsLocated(t *testing.T) {
-	if _, err := Check(1, []byte(whole)); err != nil {
+	if _, err := Check(1, []byte(validFile)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -58,8 +58,8 @@
 		{`"Name": "record"`, `"Name": ""`, 6, "Classes.Name"},
 		{`"SendCap": 5}`, `"SendCap": 5]`, 9, ""}, // no key: the text is no JSON
 	} {
-		text := strings.Replace(whole, c.old, c.new, 1)
-		if text == whole {
+		text := strings.Replace(validFile, c.old, c.new, 1)
+		if text == validFile {
 			t.Fatalf("%q is not there", c.old)
 		}
 		_, err := Check(1, []byte(text))
@@ -79,7 +79,7 @@
 		}
 		Locate([]byte(text), err) // never a crash
 	}
-	if _, err := Check(Schema+1, []byte(whole)); err == nil || Locate([]byte(whole), err) != (Place{}) {
+	if _, err := Check(Schema+1, []byte(validFile)); err == nil || Locate([]byte(validFile), err) != (Place{}) {
 		t.Errorf("a newer schema: %v", err)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-const good = `{"Zone":"a","Discovery":"ask",
+const validDocument = `{"Zone":"a","Discovery":"ask",
  "Classes":[{"Name":"search","Semantics":"retryable","AimMs":500,"DeadlineMs":1000},
   {"Name":"paid","Semantics":"fragile","AimMs":500,"DeadlineMs":1000,"AimStretch":2}],
  "Limits":{"SendCap":3},"Comment":"none reads it","Tenants":[]}`
 
 // Guards against an error that leaves whoever wrote the settings searching, and against a document that a sidecar's file could not hold.
 func TestCheckNamesTheKeyOrThePlace(t *testing.T) {
-	s, err := Check(1, []byte(good))
+	s, err := Check(1, []byte(validDocument))
 	if err != nil || len(s.Classes) != 2 || s.MaxAttempts != 3 {
 		t.Fatalf("read as %+v, %v", s, err)
 	}
@@ -24,12 +24,12 @@
 		"a class twice": {`"paid"`, `"search"`, "Classes search"},
 		"no deadline":   {`"DeadlineMs":1000}`, `"DeadlineMs":0}`, "Classes search Deadline"},
 		"no classes":    {`"Classes"`, `"Class"`, "Classes"},
-		"a list":        {good, `[]`, "line 1"},
-		"nothing":       {good, `null`, "Classes"},
-		"empty":         {good, ``, "unexpected end"},
+		"a list":        {validDocument, `[]`, "line 1"},
+		"nothing":       {validDocument, `null`, "Classes"},
+		"empty":         {validDocument, ``, "unexpected end"},
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
-		if text == good {
+		text := strings.Replace(validDocument, change[0], change[1], 1)
+		if text == validDocument {
 			t.Fatalf("%s: nothing changed", name)
 		}
 		_, err := Check(1, []byte(text))
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, schema := range []int{-1, 0, Schema + 1} {
-		if _, err := Check(schema, []byte(good)); err == nil || !strings.Contains(err.Error(), "schema") {
+		if _, err := Check(schema, []byte(validDocument)); err == nil || !strings.Contains(err.Error(), "schema") {
 			t.Errorf("schema %d: %v", schema, err)
 		}
 	}
@@ -52,7 +52,7 @@
 
 // Guards against settings that lose a limit unseen, and against such as can't drop what nobody reads.
 func TestLacks(t *testing.T) {
-	old, err := DocumentKeys([]byte(good))
+	old, err := DocumentKeys([]byte(validDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,9 +63,9 @@
 		"a stretch":                  {`,"AimStretch":2`, ``, ""},
 		"what nobody reads":          {`"Comment":"none reads it",`, ``, ""},
 		"the zone, which is freed":   {`"Zone":"a",`, ``, ""},
-		"no classes, and a list yet": {good, `{"Classes":[],"Discovery":"ask","Limits":{"SendCap":3},"Tenants":[]}`, ""},
+		"no classes, and a list yet": {validDocument, `{"Classes":[],"Discovery":"ask","Limits":{"SendCap":3},"Tenants":[]}`, ""},
 	} {
-		keys, err := DocumentKeys([]byte(strings.Replace(good, change[0], change[1], 1)))
+		keys, err := DocumentKeys([]byte(strings.Replace(validDocument, change[0], change[1], 1)))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
