--- a/internal/circuitbreaker/probe.go
+++ b/internal/circuitbreaker/probe.go
@@ -6,27 +6,27 @@
 	"mosslead/internal/gossip/message"
 )
 
-// ProbeSteps is how many probes in a row have to succeed before a breaker is closed for all. After each of
-// them but the last, a fraction of the ordinary picks is let through: an upstream that comes back does not
-// get all at once.
+// ProbeSteps is the number of probes that have to succeed in a row before a breaker is closed for all
+// sidecars. After each of them but the last, a fraction of the ordinary picks is let through, so that a
+// recovered upstream does not get the whole load at once.
 const ProbeSteps = 3
 
-// passFractions are the fractions let through after so many steps.
+// passFractions holds the fraction of picks that is let through, by the number of completed steps.
 var passFractions = [ProbeSteps]float64{0, 0.1, 0.4}
 
-// probeState is what is known of an upstream's probes. Only results of the highest epoch seen count, and of
-// those the latest: what is known depends on what was received, not on its order.
+// probeState is the latest probe result of an upstream. Only results of the highest epoch seen count, so
+// a delayed result of an earlier leader changes nothing; of those the latest one counts.
 type probeState struct {
-	epoch     uint64 // the highest seen; outlasts results and incarnations
-	startedMs int64  // of the incarnation
-	round     uint64 // closings of it
-	leader    string
+	epoch     uint64 // highest epoch seen; it is retained when results expire and the upstream restarts
+	startedMs int64  // start of the upstream's incarnation
+	round     uint64 // number of closings of the breaker in this incarnation
+	leader    string // sidecar that sent the result
 	result    message.ProbeResult
-	until     time.Duration // the result is valid until then; 0: none is
+	until     time.Duration // end of the result's validity, or 0 if there is no valid result
 	failedAt  time.Duration // when a probe last failed
 }
 
-// reset begins another incarnation of the upstream. The epoch is the leadership's, and stays.
+// reset starts with another incarnation of the upstream. The epoch belongs to the leadership and stays.
 func (p *probeState) reset(sinceMs int64) {
 	*p = probeState{epoch: p.epoch, startedMs: sinceMs, failedAt: -evidenceLifetime}
 }
@@ -39,52 +39,53 @@
 	if !listed || u.StartedMs != e.Result.StartedMs {
 		return
 	}
-	t := b.probes[u.Name]
-	if t == nil {
-		t = &probeState{startedMs: u.StartedMs, failedAt: -evidenceLifetime}
-		b.probes[u.Name] = t
+	p := b.probes[u.Name]
+	if p == nil {
+		p = &probeState{startedMs: u.StartedMs, failedAt: -evidenceLifetime}
+		b.probes[u.Name] = p
 	}
-	if e.Result.Epoch < t.epoch || e.TTL <= 0 {
-		return // a late result of an earlier leader
+	if e.Result.Epoch < p.epoch || e.TTL <= 0 {
+		return // a delayed result of an earlier leader, or an expired one
 	}
 	if e.Withdrawn {
-		if e.From == t.leader {
-			t.epoch, t.until = e.Result.Epoch, 0
+		if e.From == p.leader {
+			p.epoch, p.until = e.Result.Epoch, 0
 		}
 		return
 	}
-	if !e.Result.OK && e.Result.Count > 0 && (e.Result.Epoch != t.result.Epoch || e.Result.Count != t.result.Count) {
-		t.failedAt = now // one more failed probe than was known
+	if !e.Result.OK && e.Result.Count > 0 && (e.Result.Epoch != p.result.Epoch || e.Result.Count != p.result.Count) {
+		p.failedAt = now // a failed probe that was not known yet
 	}
-	t.epoch, t.leader, t.result, t.until = e.Result.Epoch, e.From, e.Result, now+min(e.TTL, message.MaxTTL)
-	t.round = e.Result.Round
+	p.epoch, p.leader, p.result, p.until = e.Result.Epoch, e.From, e.Result, now+min(e.TTL, message.MaxTTL)
+	p.round = e.Result.Round
 }
 
-// round is how often an upstream's breaker was closed for all, in this incarnation of it.
+// round returns how often an upstream's breaker was closed for all sidecars in its present incarnation.
 func (b *VerdictTracker) round(upstream string) uint64 {
-	if t := b.probes[upstream]; t != nil {
-		return t.round
+	if p := b.probes[upstream]; p != nil {
+		return p.round
 	}
 	return 0
 }
 
-// Round is the closing that reports made now come after.
+// Round returns the number of closings of an upstream's breaker, for reports that are made now.
 func (b *VerdictTracker) Round(upstream string) uint64 { return b.round(upstream) }
 
-// probeFailedAt is when a probe of upstream last failed: that keeps reports of it valid.
+// probeFailedAt returns when a probe of upstream last failed. A failed probe confirms the reports on it.
 func (b *VerdictTracker) probeFailedAt(upstream string) time.Duration {
-	if t := b.probes[upstream]; t != nil {
-		return t.failedAt
+	if p := b.probes[upstream]; p != nil {
+		return p.failedAt
 	}
 	return -evidenceLifetime
 }
 
-// probing tells who probes upstream, how far the probes have come, and what fraction is let through for it.
+// probing returns who probes upstream, how many probes in a row succeeded, and the fraction of picks that is
+// let through.
 func (b *VerdictTracker) probing(now time.Duration, upstream string) (owner ProbeOwner, step int, passFraction float64) {
-	t := b.probes[upstream]
-	if t != nil && now < t.until {
-		if owner = ProbeByPeer; t.result.OK {
-			step = min(t.result.Step, ProbeSteps-1)
+	p := b.probes[upstream]
+	if p != nil && now < p.until {
+		if owner = ProbeByPeer; p.result.OK {
+			step = min(p.result.Step, ProbeSteps-1)
 			passFraction = passFractions[step]
 		}
 	}
--- a/internal/circuitbreaker/tracker.go
+++ b/internal/circuitbreaker/tracker.go
@@ -1,6 +1,6 @@
-// Package circuitbreaker reaches a verdict on an upstream from what several sidecars report of it, so that
-// one that fails for many is ejected by all. It is pure: events and the time in, verdicts out; no I/O and no
-// clock.
+// Package circuitbreaker derives a verdict on an upstream from the reports of several sidecars, so that an
+// upstream that fails for many sidecars is ejected by all. It does no I/O and reads no clock: callers pass
+// events and the time, and get verdicts.
 package circuitbreaker
 
 import (
@@ -16,37 +16,36 @@
 // EndpointList, Tick, or a Batch of them.
 type Event interface{ event() }
 
-// Batch is several events at once. They are evaluated together.
+// Batch holds several events that are evaluated together.
 type Batch []Event
 
-// PeerReport is what another member reports of an upstream, valid for TTL at most. A closed one that counts
-// successes says that the upstream serves its reporter, whatever others report.
+// PeerReport is another member's report on an upstream, valid for TTL at most. If its state is closed and it
+// counts successes, the upstream serves the reporter, whatever others report.
 type PeerReport struct {
-	From      message.Member // name and incarnation; its site is the roster's to tell
+	From      message.Member // name and incarnation; the site is taken from the Roster
 	Report    message.Report
 	TTL       time.Duration
-	Withdrawn bool // taken back
+	Withdrawn bool // the member withdraws the report
 }
 
-// OwnReport is what this sidecar's balancer reports itself. It stays valid until the next one.
+// OwnReport is a report of this sidecar's own balancer. It is valid until the next one, for ownTTL at most.
 type OwnReport struct{ Report message.Report }
 
-// ProbeResult is what the leader of an upstream's probes reports of them, this sidecar too; with Withdrawn,
-// that it sends none any more.
+// ProbeResult is a result from the leader of an upstream's probes, which may be this sidecar.
 type ProbeResult struct {
 	From      string
 	Result    message.ProbeResult
 	TTL       time.Duration
-	Withdrawn bool
+	Withdrawn bool // the leader withdraws its result and sends no more
 }
 
-// ProbeLeadership tells whether this sidecar is the leader of an upstream's probes.
+// ProbeLeadership says that this sidecar became, or is no longer, the leader of an upstream's probes.
 type ProbeLeadership struct {
 	Upstream string
 	Acquired bool
 }
 
-// Roster is who is present, this sidecar too.
+// Roster holds the members that are present, including this sidecar.
 type Roster struct{ Members []message.Member }
 
 // Upstream is an entry of the endpoint list.
@@ -55,11 +54,11 @@
 	StartedMs  int64
 }
 
-// EndpointList is the present list. Reports on another incarnation of an upstream, or on one that is not
-// listed, don't count.
+// EndpointList is the current endpoint list. Reports on another incarnation of an upstream, or on an upstream
+// that is not listed, don't count.
 type EndpointList struct{ Upstreams []Upstream }
 
-// Tick says that time has passed.
+// Tick has verdicts evaluated without other input, since reports expire.
 type Tick struct{}
 
 func (Batch) event()           {}
@@ -71,65 +70,66 @@
 func (EndpointList) event()    {}
 func (Tick) event()            {}
 
-// ProbeOwner tells who probes an upstream.
+// ProbeOwner says who probes an upstream.
 type ProbeOwner uint8
 
-// The owners of probes.
+// The values of ProbeOwner.
 const (
-	ProbeByEach ProbeOwner = iota // nobody leads: each sidecar probes for itself
-	ProbeByPeer                   // another sidecar
-	ProbeBySelf                   // this sidecar, for all
+	ProbeByEach ProbeOwner = iota // there is no leader: each sidecar probes for itself
+	ProbeByPeer                   // another sidecar probes for all
+	ProbeBySelf                   // this sidecar probes for all
 )
 
-// Verdict is the result of the reports on an upstream, for a sidecar that has not met the fault itself.
+// Verdict is the outcome of the reports on an upstream. It also applies to sidecars that have not seen the
+// fault themselves.
 type Verdict struct {
 	Upstream        string
 	StartedMs       int64
-	Class           string // class of the requests that it holds for; empty: all
+	Class           string // class of requests that it applies to, or empty for all classes
 	Open            bool
-	PassFraction    float64       // of the picks that is let through while the breaker closes in steps, 0 to 1
-	Since           time.Duration // when the oldest report that counts was received: an own success after it outweighs the verdict
-	For             time.Duration // how long it is valid
+	PassFraction    float64       // fraction of picks that is let through while the breaker closes in steps, 0 to 1
+	Since           time.Duration // when the oldest report that counts was received; a success of the sidecar itself after this time outweighs the verdict
+	For             time.Duration // how long the verdict is valid
 	Probes          ProbeOwner
-	Step            int    // probes in a row that succeeded, of the closing that is under way
-	Round           uint64 // number of closings so far
-	ProbesSucceeded bool   // it ended by probes that succeeded
-	Changed         bool   // it differs by more than its time
+	Step            int    // number of probes that succeeded in a row while the breaker closes
+	Round           uint64 // number of closings so far in this incarnation
+	ProbesSucceeded bool   // the breaker was closed by successful probes
+	Changed         bool   // more than the validity differs from the previous verdict
 	Reason          string
 }
 
-// Config says who evaluates the reports.
+// Config holds the name and site of the sidecar that evaluates the reports.
 type Config struct{ Self, Site string }
 
-// Bounds on what is stored. What is beyond them is dropped.
+// Bounds on what is stored. Reports beyond them are dropped.
 const (
-	maxSubjects           = 512 // upstreams, and classes of them, that are reported on
-	maxReporters          = 64  // of one subject
-	maxSubjectsOfReporter = 128
-	ownTTL                = time.Minute
-	servedTTL             = 5 * time.Second // a report of success is valid for a moment only
+	maxSubjects           = 512             // upstreams, and classes of requests at them, that are reported on
+	maxReporters          = 64              // reporters of one subject
+	maxSubjectsOfReporter = 128             // subjects that one member reports on
+	ownTTL                = time.Minute     // validity of this sidecar's own reports
+	servedTTL             = 5 * time.Second // longest validity of a report of success
 )
 
-// subject is what a verdict is about: an upstream, or one class of requests at it.
+// subject is what a verdict is on: an upstream, or one class of requests at it.
 type subject struct{ upstream, class string }
 
-func (s subject) compare(t subject) int {
-	return cmp.Or(cmp.Compare(s.upstream, t.upstream), cmp.Compare(s.class, t.class))
+func (s subject) compare(other subject) int {
+	return cmp.Or(cmp.Compare(s.upstream, other.upstream), cmp.Compare(s.class, other.class))
 }
 
-// peerReport is a report as it is stored.
+// peerReport is a stored report.
 type peerReport struct {
 	incarnation   message.Incarnation
 	report        message.Report
-	firstAt       time.Duration // when evidence of this breaker was first received
-	newEvidenceAt time.Duration // when evidence was last received that was new
+	firstAt       time.Duration // when the first evidence of this open (or closed) breaker was received
+	newEvidenceAt time.Duration // when new evidence was last received
 	until         time.Duration
-	contradicted  bool // it lowered its reporter's score, which it does once
+	contradicted  bool // it has already raised its reporter's score
 }
 
 func (r *peerReport) open() bool { return r.report.State != message.Closed }
 
-// VerdictTracker holds the reports and the verdicts. Not safe for concurrent use.
+// VerdictTracker stores reports and derives verdicts from them. It is not safe for concurrent use.
 type VerdictTracker struct {
 	config          Config
 	startedAt       time.Duration // time of the first event
@@ -151,7 +151,7 @@
 		ownProbes: map[string]bool{}, announced: map[subject]*announcement{}}
 }
 
-// Handle takes in what happened at now, and returns the verdicts that have changed or would expire soon.
+// Handle applies an event that happened at now, and returns the verdicts that have changed or would expire soon.
 func (b *VerdictTracker) Handle(now time.Duration, e Event) []Verdict {
 	if b.startedAt < 0 {
 		b.startedAt = now
@@ -163,8 +163,8 @@
 func (b *VerdictTracker) apply(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case Batch:
-		for _, one := range e {
-			b.apply(now, one)
+		for _, event := range e {
+			b.apply(now, event)
 		}
 	case PeerReport:
 		b.onReport(now, e.From, e.Report, e.TTL, e.Withdrawn)
@@ -184,47 +184,47 @@
 	}
 }
 
-// valid tells whether a report can be read: one of a later schema may have kinds that this program does not
-// know.
+// valid reports whether the values of a report are known and in range. A report of a later schema may have
+// kinds that this program does not know.
 func valid(r *message.Report) bool {
 	return r.Upstream != "" && len(r.Upstream) <= message.MaxName && len(r.Class) <= message.MaxName && r.State <= message.HalfOpen &&
 		r.Count >= 0 && (r.State == message.Closed || r.Evidence >= message.ErrorAnswers && r.Evidence <= message.Rejections) && r.SelfSuspicion >= 0 && r.SelfSuspicion <= 1
 }
 
-func (b *VerdictTracker) onReport(now time.Duration, from message.Member, r message.Report, ttl time.Duration, over bool) {
+func (b *VerdictTracker) onReport(now time.Duration, from message.Member, r message.Report, ttl time.Duration, withdrawn bool) {
 	s := subject{r.Upstream, r.Class}
-	by := b.reports[s]
-	if over {
-		delete(by, from.Name)
+	byReporter := b.reports[s]
+	if withdrawn {
+		delete(byReporter, from.Name)
 		return
 	}
 	if !valid(&r) || ttl <= 0 || b.outdated(&r) {
 		return
 	}
-	old := by[from.Name]
-	if old == nil {
-		if len(by) >= maxReporters || by == nil && len(b.reports) >= maxSubjects || b.subjectsOf(from.Name) >= maxSubjectsOfReporter {
+	stored := byReporter[from.Name]
+	if stored == nil {
+		if len(byReporter) >= maxReporters || byReporter == nil && len(b.reports) >= maxSubjects || b.subjectsOf(from.Name) >= maxSubjectsOfReporter {
 			return
 		}
-		old = &peerReport{firstAt: now, newEvidenceAt: now}
-		if by == nil {
-			by = map[string]*peerReport{}
-			b.reports[s] = by
+		stored = &peerReport{firstAt: now, newEvidenceAt: now}
+		if byReporter == nil {
+			byReporter = map[string]*peerReport{}
+			b.reports[s] = byReporter
 		}
-		by[from.Name] = old
-	} else if old.incarnation != from.Incarnation || old.open() != (r.State != message.Closed) || old.report.StartedMs != r.StartedMs || old.report.Round != r.Round {
-		*old = peerReport{firstAt: now, newEvidenceAt: now}
-	} else if old.report.Count != r.Count || old.report.Evidence != r.Evidence {
-		old.newEvidenceAt = now
+		byReporter[from.Name] = stored
+	} else if stored.incarnation != from.Incarnation || stored.open() != (r.State != message.Closed) || stored.report.StartedMs != r.StartedMs || stored.report.Round != r.Round {
+		*stored = peerReport{firstAt: now, newEvidenceAt: now}
+	} else if stored.report.Count != r.Count || stored.report.Evidence != r.Evidence {
+		stored.newEvidenceAt = now
 	}
 	if r.State == message.Closed {
-		old.newEvidenceAt, ttl = now, min(ttl, servedTTL)
+		stored.newEvidenceAt, ttl = now, min(ttl, servedTTL)
 	}
-	old.incarnation, old.report, old.until = from.Incarnation, r, now+min(ttl, message.MaxTTL)
+	stored.incarnation, stored.report, stored.until = from.Incarnation, r, now+min(ttl, message.MaxTTL)
 	b.penalizeContradicted(now, s)
 }
 
-// outdated tells whether a report is on an earlier incarnation of an upstream than the list has.
+// outdated reports whether a report is on an earlier incarnation of an upstream than the listed one.
 func (b *VerdictTracker) outdated(r *message.Report) bool {
 	u, listed := b.listed[r.Upstream]
 	return listed && r.StartedMs < u.StartedMs
@@ -232,53 +232,53 @@
 
 // subjectsOf counts the subjects that a reporter reports on.
 func (b *VerdictTracker) subjectsOf(name string) (n int) {
-	for _, by := range b.reports {
-		if by[name] != nil {
+	for _, byReporter := range b.reports {
+		if byReporter[name] != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// setEndpoints takes in the endpoint list. Reports on an upstream that was removed are void, also if it comes
-// back; the epochs of its probes are not.
-func (b *VerdictTracker) setEndpoints(all []Upstream) {
+// setEndpoints replaces the endpoint list. Reports on an upstream that was removed are dropped, so they don't
+// count if it is listed again; the epochs of its probes are retained.
+func (b *VerdictTracker) setEndpoints(upstreams []Upstream) {
 	before := b.listed
 	b.listed, b.upstreamsBySite = map[string]Upstream{}, map[string]int{}
-	for _, u := range all {
+	for _, u := range upstreams {
 		b.listed[u.Name] = u
 		b.upstreamsBySite[u.Site]++
-		if t := b.probes[u.Name]; t != nil && t.startedMs != u.StartedMs {
-			t.reset(u.StartedMs)
+		if p := b.probes[u.Name]; p != nil && p.startedMs != u.StartedMs {
+			p.reset(u.StartedMs)
 		}
 	}
 	for s := range b.reports {
-		_, was := before[s.upstream]
-		if _, is := b.listed[s.upstream]; was && !is {
+		_, wasListed := before[s.upstream]
+		if _, isListed := b.listed[s.upstream]; wasListed && !isListed {
 			delete(b.reports, s)
 		}
 	}
 	if len(b.probes) > maxSubjects {
 		maps.DeleteFunc(b.probes, func(name string, _ *probeState) bool {
-			_, is := b.listed[name]
-			return !is
+			_, isListed := b.listed[name]
+			return !isListed
 		})
 	}
 }
 
 // sweep drops reports that have expired, or are on an earlier incarnation.
 func (b *VerdictTracker) sweep(now time.Duration) {
-	for s, by := range b.reports {
-		maps.DeleteFunc(by, func(_ string, r *peerReport) bool {
+	for s, byReporter := range b.reports {
+		maps.DeleteFunc(byReporter, func(_ string, r *peerReport) bool {
 			return r.until <= now || b.outdated(&r.report)
 		})
-		if len(by) == 0 {
+		if len(byReporter) == 0 {
 			delete(b.reports, s)
 		}
 	}
 }
 
-// subjects are those with a report or a verdict, sorted.
+// subjects returns the subjects with a report or a verdict, sorted.
 func (b *VerdictTracker) subjects() []subject {
 	all := slices.Collect(maps.Keys(b.reports))
 	for s := range b.announced {
@@ -290,7 +290,7 @@
 	return all
 }
 
-// Open returns the verdicts that are open, as last announced.
+// Open returns the open verdicts, as they were last announced.
 func (b *VerdictTracker) Open() (open []Verdict) {
 	for _, s := range slices.SortedFunc(maps.Keys(b.announced), subject.compare) {
 		if v := b.announced[s]; v.Open {
--- a/internal/circuitbreaker/tracker_test.go
+++ b/internal/circuitbreaker/tracker_test.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	testTime = 10 * time.Second // when things are said in these tests; the tracker has settled
+	testTime = 10 * time.Second // when reports arrive in these tests, well after startupTime
 	ttl      = 5 * time.Second
 )
 
 var siteNames = []string{"makati", "cebu", "davao", "iloilo"}
 
-// newTestTracker is n00's at makati, of a fleet of 4 sites with members each and 4 upstreams each, u0 and u4 at makati.
-func newTestTracker(each int) *VerdictTracker {
+// newTestTracker returns the tracker of n00 at makati. There are 4 sites with perSite members and 4 upstreams
+// each; u0 and u4 are at makati.
+func newTestTracker(perSite int) *VerdictTracker {
 	b := New(Config{Self: "n00", Site: "makati"})
 	var members []message.Member
-	for i := range 4 * each {
+	for i := range 4 * perSite {
 		members = append(members, message.Member{Name: fmt.Sprintf("n%02d", i), Site: siteNames[i%4]})
 	}
 	b.Handle(0, Batch{Roster{members}, EndpointList{testEndpoints(1)}})
 	return b
 }
 
-func testEndpoints(sinceMs int64) (all []Upstream) {
+func testEndpoints(startedMs int64) (all []Upstream) {
 	for i := range 16 {
-		all = append(all, Upstream{Name: fmt.Sprint("u", i), Site: siteNames[i%4], StartedMs: sinceMs})
+		all = append(all, Upstream{Name: fmt.Sprint("u", i), Site: siteNames[i%4], StartedMs: startedMs})
 	}
 	return all
 }
@@ -49,119 +50,121 @@
 }
 
 func (b *VerdictTracker) isOpen(upstream, class string) bool {
-	old := b.announced[subject{upstream, class}]
-	return old != nil && old.Open
+	verdict := b.announced[subject{upstream, class}]
+	return verdict != nil && verdict.Open
 }
 
-// Each hard case by itself: what is said, and whether u5 (at cebu) is open for n00 then.
+// Checks for a sequence of events whether the tracker of n00 opens a verdict on u5, which is at cebu.
 func TestVerdicts(t *testing.T) {
 	silent, errs := failureReport("u5", "", message.Silence), failureReport("u5", "", message.ErrorAnswers)
-	older, doubting, odd, suspect := silent, silent, silent, silent
-	older.StartedMs, doubting.SelfSuspicion, odd.Evidence, suspect.SelfSuspicion = 0, 0.9, 77, Suspicion
-	limit := func(n int) (all Batch) { // of cebu
+	earlierIncarnation, doubting, unknownEvidence, firstFailure := silent, silent, silent, silent
+	earlierIncarnation.StartedMs, doubting.SelfSuspicion, unknownEvidence.Evidence, firstFailure.SelfSuspicion = 0, 0.9, 77, Suspicion
+	mostOfCebu := func(n int) (all Batch) {
 		for _, u := range []string{"u1", "u5", "u9"} {
 			all = append(all, reportFrom(n, failureReport(u, "", message.Silence)))
 		}
 		return all
 	}
-	fromAll := func(n int) (all Batch) {
+	allUpstreams := func(n int) (all Batch) {
 		for i := range 16 {
 			all = append(all, reportFrom(n, failureReport(fmt.Sprint("u", i), "", message.Silence)))
 		}
 		return all
 	}
 	for _, c := range []struct {
-		name string
-		each int
-		what []Event
-		open bool
+		name    string
+		perSite int
+		events  []Event
+		open    bool
 	}{
 		{"two sites", 1, []Event{reportFrom(1, silent), reportFrom(2, silent)}, true},
 		{"one reporter", 1, []Event{reportFrom(1, silent), reportFrom(1, silent)}, false},
 		{"one site", 3, []Event{reportFrom(1, silent), reportFrom(5, silent), reportFrom(9, silent)}, false},
-		{"the own site, by its paths", 3, []Event{reportFrom(4, silent), reportFrom(8, silent)}, true},
-		{"the own site, by errors", 3, []Event{reportFrom(4, errs), reportFrom(8, errs)}, false},
-		{"the own site contradicts itself", 3, []Event{reportFrom(4, silent), reportFrom(8, silent), OwnReport{successFrom(0, "u5").Report}}, false},
-		{"many could have met it", 75, []Event{reportFrom(1, silent), reportFrom(2, silent)}, false},
-		{"many did", 75, []Event{reportFrom(1, silent), reportFrom(2, silent), reportFrom(5, silent), reportFrom(6, silent), reportFrom(3, silent)}, true},
-		{"one site blames, with one more", 75, []Event{reportFrom(1, silent), reportFrom(5, silent), reportFrom(9, silent), reportFrom(13, silent), reportFrom(2, silent)}, false},
-		{"its life before", 1, []Event{reportFrom(1, older), reportFrom(2, older)}, false},
-		{"evidence of a later schema", 1, []Event{reportFrom(1, odd), reportFrom(2, odd)}, false},
-		{"who doubts itself", 1, []Event{reportFrom(1, silent), reportFrom(2, doubting)}, false},
-		{"suspicions alone", 3, []Event{reportFrom(1, suspect), reportFrom(5, suspect), reportFrom(2, suspect), reportFrom(6, suspect)}, false},
-		{"suspicions beside a breaker", 3, []Event{reportFrom(1, silent), reportFrom(2, suspect), reportFrom(6, suspect)}, true},
-		{"who speaks ill of most of the site", 1, []Event{reportFrom(1, silent), limit(2)}, false},
-		{"broken links at two sites", 1, []Event{fromAll(1), fromAll(2)}, false},
-		{"who is not present", 1, []Event{reportFrom(1, silent), reportFrom(99, silent)}, false},
-		{"taken back", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), PeerReport{From: message.Member{Name: "n02"}, Report: silent, Withdrawn: true}}, false},
-		{"others, while its paths from here are well", 3, []Event{reportFrom(1, silent), reportFrom(2, silent), successFrom(4, "u5")}, false},
-		{"a class", 1, []Event{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "c", message.ErrorAnswers))}, false},
-		{"another class each", 1, []Event{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "d", message.ErrorAnswers))}, false},
-		{"dropped by the list and listed again", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), EndpointList{testEndpoints(1)[6:]}, EndpointList{testEndpoints(1)}}, false},
-		{"restarted", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), EndpointList{testEndpoints(2)}}, false},
-		{"reporters restarted", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), Roster{[]message.Member{
+		{"the own site, path evidence", 3, []Event{reportFrom(4, silent), reportFrom(8, silent)}, true},
+		{"the own site, server evidence", 3, []Event{reportFrom(4, errs), reportFrom(8, errs)}, false},
+		{"the own site, where another member is served", 3, []Event{reportFrom(4, silent), reportFrom(8, silent), OwnReport{successFrom(0, "u5").Report}}, false},
+		{"2 reporters of 300 members", 75, []Event{reportFrom(1, silent), reportFrom(2, silent)}, false},
+		{"5 reporters of 300 members, at 3 sites", 75, []Event{reportFrom(1, silent), reportFrom(2, silent), reportFrom(5, silent), reportFrom(6, silent), reportFrom(3, silent)}, true},
+		{"4 reporters at one site and 1 at another", 75, []Event{reportFrom(1, silent), reportFrom(5, silent), reportFrom(9, silent), reportFrom(13, silent), reportFrom(2, silent)}, false},
+		{"reports on an earlier incarnation", 1, []Event{reportFrom(1, earlierIncarnation), reportFrom(2, earlierIncarnation)}, false},
+		{"evidence of a later schema", 1, []Event{reportFrom(1, unknownEvidence), reportFrom(2, unknownEvidence)}, false},
+		{"a reporter with high self-suspicion", 1, []Event{reportFrom(1, silent), reportFrom(2, doubting)}, false},
+		{"first failures only", 3, []Event{reportFrom(1, firstFailure), reportFrom(5, firstFailure), reportFrom(2, firstFailure), reportFrom(6, firstFailure)}, false},
+		{"first failures and an open breaker", 3, []Event{reportFrom(1, silent), reportFrom(2, firstFailure), reportFrom(6, firstFailure)}, true},
+		{"a reporter that accuses most upstreams of the site", 1, []Event{reportFrom(1, silent), mostOfCebu(2)}, false},
+		{"reporters that accuse all upstreams", 1, []Event{allUpstreams(1), allUpstreams(2)}, false},
+		{"a reporter that is not present", 1, []Event{reportFrom(1, silent), reportFrom(99, silent)}, false},
+		{"a withdrawn report", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), PeerReport{From: message.Member{Name: "n02"}, Report: silent, Withdrawn: true}}, false},
+		{"other sites, while the own site is served", 3, []Event{reportFrom(1, silent), reportFrom(2, silent), successFrom(4, "u5")}, false},
+		{"reports on a class, verdict on all classes", 1, []Event{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "c", message.ErrorAnswers))}, false},
+		{"reports on two classes", 1, []Event{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "d", message.ErrorAnswers))}, false},
+		{"removed from the list and listed again", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), EndpointList{testEndpoints(1)[6:]}, EndpointList{testEndpoints(1)}}, false},
+		{"the upstream restarted", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), EndpointList{testEndpoints(2)}}, false},
+		{"a reporter restarted", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), Roster{[]message.Member{
 			{Name: "n01", Site: "cebu", Incarnation: message.Incarnation{StartedMs: 9}}, {Name: "n02", Site: "davao"}}}}, false},
 	} {
-		b := newTestTracker(c.each)
-		for _, e := range c.what {
+		b := newTestTracker(c.perSite)
+		for _, e := range c.events {
 			b.Handle(testTime, e)
 		}
-		now := b.isOpen("u5", "")
-		b.Handle(testTime+2*time.Second, Tick{}) // what was only held back would open
-		if now != c.open || b.isOpen("u5", "") != c.open {
-			t.Errorf("%s: open %v", c.name, !c.open)
+		open := b.isOpen("u5", "")
+		b.Handle(testTime+2*time.Second, Tick{}) // a verdict that was only delayed would open now
+		if open != c.open || b.isOpen("u5", "") != c.open {
+			t.Errorf("%s: verdict on u5 is open: got %v, and %v 2 s later, want %v", c.name, open, b.isOpen("u5", ""), c.open)
 		}
 	}
 }
 
-// Sites that contradict each other, seen from one that says nothing.
+// Guards against a verdict while as many sites are served as report a fault, and against reports of success
+// that are believed longer than servedTTL. The tracker is at a fifth site without reports of its own.
 func TestSitesContradict(t *testing.T) {
 	b := newTestTracker(1)
 	b.config.Site = "quezon"
 	if b.Handle(testTime, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence)), successFrom(3, "u5"), successFrom(0, "u5")}); b.isOpen("u5", "") {
-		t.Error("open though as many sites are served")
+		t.Error("got an open verdict while as many sites are served as report a fault, want closed")
 	}
 	if b.Handle(testTime+servedTTL-time.Millisecond, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))}); b.isOpen("u5", "") {
-		t.Error("their words do not last")
+		t.Error("got an open verdict before servedTTL ended, want the reports of success to count")
 	}
 	if b.Handle(testTime+servedTTL, Tick{}); !b.isOpen("u5", "") {
-		t.Error("their words last for ever")
+		t.Error("got a closed verdict after servedTTL, want the reports of success to have expired")
 	}
 }
 
-// A board that has just begun opens nothing; one that loses sight of others is no bolder; what stands is not shaken by a little
-// doubt; what served before the trouble marks nobody down.
+// Guards against verdicts on too little evidence: a new tracker opens nothing, and one that no longer sees most
+// members requires as many reporters as before. A reporter with some self-suspicion does not close an open
+// verdict, and a success before the fault does not contradict the reporters.
 func TestCaution(t *testing.T) {
-	two := Batch{reportFrom(1, failureReport("u5", "", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "", message.ErrorAnswers))}
+	twoReports := Batch{reportFrom(1, failureReport("u5", "", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "", message.ErrorAnswers))}
 	b := newTestTracker(1)
-	if b.Handle(startupTime/2, two); b.isOpen("u5", "") {
-		t.Error("open before the roster can be whole")
+	if b.Handle(startupTime/2, twoReports); b.isOpen("u5", "") {
+		t.Error("got an open verdict before startupTime, want closed")
 	}
 	if b.Handle(startupTime, Tick{}); !b.isOpen("u5", "") {
-		t.Error("not open after")
+		t.Error("got a closed verdict at startupTime, want open")
 	}
-	unsure := two[1].(PeerReport)
-	unsure.Report.SelfSuspicion = 0.3
-	if b.Handle(testTime, Batch{two[0], unsure}); !b.isOpen("u5", "") {
-		t.Error("closed by a little doubt")
+	unsureReport := twoReports[1].(PeerReport)
+	unsureReport.Report.SelfSuspicion = 0.3
+	if b.Handle(testTime, Batch{twoReports[0], unsureReport}); !b.isOpen("u5", "") {
+		t.Error("got the open verdict closed by a reporter with self-suspicion 0.3, want it open")
 	}
 	b = newTestTracker(1)
-	if b.Handle(testTime, Batch{two[0], unsure}); b.isOpen("u5", "") {
-		t.Error("opened in doubt")
+	if b.Handle(testTime, Batch{twoReports[0], unsureReport}); b.isOpen("u5", "") {
+		t.Error("got a verdict opened by a reporter with self-suspicion 0.3, want closed")
 	}
 	b = newTestTracker(75)
 	b.Handle(testTime, Roster{[]message.Member{{Name: "n00", Site: "makati"}, {Name: "n01", Site: "cebu"}, {Name: "n02", Site: "davao"}, {Name: "n03", Site: "iloilo"}}})
-	if b.Handle(testTime, two); b.isOpen("u5", "") {
-		t.Error("bolder for having lost the others")
+	if b.Handle(testTime, twoReports); b.isOpen("u5", "") {
+		t.Error("got an open verdict by 2 reporters after the roster shrank from 300 to 4 members, want closed")
 	}
 	b = newTestTracker(1)
 	b.Handle(testTime, OwnReport{successFrom(0, "u5").Report})
-	if b.Handle(testTime+time.Second, two); !b.isOpen("u5", "") || len(b.scores) > 0 {
-		t.Error("contradicted by what was before")
+	if b.Handle(testTime+time.Second, twoReports); !b.isOpen("u5", "") || len(b.scores) > 0 {
+		t.Errorf("success before the fault: got an open verdict %v and scores %v, want true and none", b.isOpen("u5", ""), b.scores)
 	}
 }
 
-// Nobody fills the tracker, however much is said.
+// Guards against unbounded memory: many reporters and many subjects are limited.
 func TestTheBoardIsBounded(t *testing.T) {
 	b := newTestTracker(75)
 	var all Batch
@@ -169,75 +172,77 @@
 		all = append(all, reportFrom(i%100, failureReport(fmt.Sprint("x", i/100), "", message.Silence)), reportFrom(i/150, failureReport(fmt.Sprint("y", i), "", message.Silence)))
 	}
 	b.Handle(testTime, all)
-	said := 0
-	for _, by := range b.reports {
-		if said += len(by); len(by) > maxReporters {
-			t.Fatalf("%d reporters of one subject", len(by))
+	stored := 0
+	for _, byReporter := range b.reports {
+		if stored += len(byReporter); len(byReporter) > maxReporters {
+			t.Fatalf("got %d reporters of one subject, want %d at most", len(byReporter), maxReporters)
 		}
 	}
 	if len(b.reports) > maxSubjects || b.subjectsOf("n00") > maxSubjectsOfReporter {
-		t.Errorf("%d subjects, %d of one reporter", len(b.reports), b.subjectsOf("n00"))
+		t.Errorf("got %d subjects and %d of one reporter, want %d and %d at most", len(b.reports), b.subjectsOf("n00"), maxSubjects, maxSubjectsOfReporter)
 	}
 }
 
-// A process that was stopped, whose loop is jammed, or that lost most of the others distrusts itself for a while.
+// Checks that a process distrusts itself for a while if it was stopped, its event loop is blocked, or it lost
+// sight of most members.
 func TestDoubt(t *testing.T) {
 	now := testTime
-	d := NewSelfSuspicion(now, 100*time.Millisecond)
-	look := func(gap time.Duration, present int, loop time.Duration) float64 {
+	suspicion := NewSelfSuspicion(now, 100*time.Millisecond)
+	check := func(gap time.Duration, present int, loopDelay time.Duration) float64 {
 		now += gap
-		return d.Check(now, present, loop)
+		return suspicion.Check(now, present, loopDelay)
 	}
 	for range 50 {
-		if x := look(110*time.Millisecond, 40, 100*time.Millisecond); x != 0 {
-			t.Fatalf("doubt %v with nothing wrong", x)
+		if got := check(110*time.Millisecond, 40, 100*time.Millisecond); got != 0 {
+			t.Fatalf("suspicion in normal operation: got %v, want 0", got)
 		}
 	}
-	if x := look(100*time.Millisecond, 19, 0); x != 1 {
-		t.Errorf("doubt %v of one who lost most", x)
+	if got := check(100*time.Millisecond, 19, 0); got != 1 {
+		t.Errorf("suspicion with 19 of 40 members visible: got %v, want 1", got)
 	}
-	if x := look(100*time.Millisecond, 27, 0); x != 0 {
-		t.Errorf("doubt %v where a third is gone", x)
+	if got := check(100*time.Millisecond, 27, 0); got != 0 {
+		t.Errorf("suspicion with 27 of 40 members visible: got %v, want 0", got)
 	}
 	for _, gap := range [][2]time.Duration{{2 * time.Second, 0}, {100 * time.Millisecond, time.Second}} {
-		if x := look(gap[0], 40, gap[1]); x != 1 {
-			t.Errorf("doubt %v of one who stood still", x)
+		if got := check(gap[0], 40, gap[1]); got != 1 {
+			t.Errorf("suspicion after a gap of %v and a loop delay of %v: got %v, want 1", gap[0], gap[1], got)
 		}
 		for range 29 {
-			look(100*time.Millisecond, 40, 0)
+			check(100*time.Millisecond, 40, 0)
 		}
-		if x := look(200*time.Millisecond, 40, 0); x > 0.2 {
-			t.Errorf("doubt %v long after", x)
+		if got := check(200*time.Millisecond, 40, 0); got > 0.2 {
+			t.Errorf("suspicion 3 s after a stop: got %v, want 0.2 at most", got)
 		}
 	}
 	for range 60 { // stopped for 400 ms in 500
-		look(400*time.Millisecond, 40, 0)
+		check(400*time.Millisecond, 40, 0)
 	}
-	if x := look(400*time.Millisecond, 40, 0); x < 0.9 {
-		t.Errorf("doubt %v of one who starves", x)
+	if got := check(400*time.Millisecond, 40, 0); got < 0.9 {
+		t.Errorf("suspicion with checks every 400 ms: got %v, want 0.9 at least", got)
 	}
 }
 
-// A verdict holds for the class that was spoken of, and lapses with what was said; said anew without anything new it does, too.
+// Checks that a verdict applies to the reported class, and that it ends when the reports expire, also if they
+// are repeated without new evidence.
 func TestAVerdictEnds(t *testing.T) {
 	b := newTestTracker(1)
 	b.Handle(testTime, reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)))
 	v := b.Handle(testTime, reportFrom(2, failureReport("u5", "c", message.ErrorAnswers)))
 	if len(v) != 1 || !v[0].Open || v[0].Class != "c" || v[0].For != ttl || !strings.Contains(v[0].Reason, "cebu/n01 errors 3") {
-		t.Fatalf("told %+v", v)
+		t.Fatalf("got verdicts %+v, want one open verdict on class c for %v that names the report of cebu/n01", v, ttl)
 	}
 	for now := testTime; now < testTime+time.Minute; now += time.Second {
 		b.Handle(now, Batch{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "c", message.ErrorAnswers))})
 		if open := now <= testTime+evidenceLifetime; b.isOpen("u5", "c") != open {
-			t.Fatalf("open %v after %v of repeats", !open, now-testTime)
+			t.Fatalf("verdict is open after %v of repeated reports: got %v, want %v", now-testTime, !open, open)
 		}
 	}
 	if b.Handle(testTime+2*time.Minute, Tick{}); len(b.reports)+len(b.announced) > 0 {
-		t.Errorf("kept %d reports and %d verdicts", len(b.reports), len(b.announced))
+		t.Errorf("got %d stored reports and %d verdicts after all expired, want 0 and 0", len(b.reports), len(b.announced))
 	}
 }
 
-// A reporter that the own successes contradict is believed less, for a while.
+// Checks that reports of a member count less for a while if successes of this sidecar contradicted it.
 func TestALiarIsMarkedDown(t *testing.T) {
 	b := newTestTracker(1)
 	for i := range 3 {
@@ -249,63 +254,64 @@
 	later := testTime + 10*time.Second
 	b.Handle(later, Batch{reportFrom(1, failureReport("u5", "", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "", message.ErrorAnswers))})
 	if b.isOpen("u5", "") {
-		t.Error("believed as if it had never been wrong")
+		t.Error("got an open verdict by a reporter that was contradicted three times, want closed")
 	}
 	later += 10 * time.Minute
 	b.Handle(later, Batch{reportFrom(1, failureReport("u6", "", message.ErrorAnswers)), reportFrom(2, failureReport("u6", "", message.ErrorAnswers))})
 	if !b.isOpen("u6", "") {
-		t.Error("not forgiven in ten minutes")
+		t.Error("got a closed verdict ten minutes after the contradictions, want the reporter to count fully again")
 	}
 }
 
-// What opens and ends again and again is held back.
+// Guards against a verdict that opens and closes with each change of a report.
 func TestNoFlapping(t *testing.T) {
 	b, opened := newTestTracker(1), 0
 	for now := testTime; now < testTime+20*time.Second; now += 200 * time.Millisecond {
-		over := reportFrom(2, failureReport("u5", "", message.Silence))
-		over.Withdrawn = now/(200*time.Millisecond)%2 == 0
-		for _, v := range b.Handle(now, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), over}) {
+		alternating := reportFrom(2, failureReport("u5", "", message.Silence))
+		alternating.Withdrawn = now/(200*time.Millisecond)%2 == 0
+		for _, v := range b.Handle(now, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), alternating}) {
 			if v.Open {
 				opened++
 			}
 		}
 	}
 	if opened == 0 || opened > 6 {
-		t.Errorf("opened %d times in 20 s", opened)
+		t.Errorf("verdict opened %d times in 20 s, want 1 to 6", opened)
 	}
 }
 
-// The holder's probes close the breaker for all in steps; an old holder's do nothing; what comes late from before is void.
+// Checks that the probes of the leader close the breaker for all in steps. Probes of an earlier leader, and
+// reports and probes of an earlier round or incarnation, have no effect.
 func TestTrialsCloseInSteps(t *testing.T) {
 	b := newTestTracker(1)
 	b.Handle(testTime, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))})
-	try := func(epoch uint64, step, count int, round uint64) *announcement {
+	probe := func(epoch uint64, step, count int, round uint64) *announcement {
 		b.Handle(testTime, ProbeResult{From: "n01", TTL: ttl, Result: message.ProbeResult{Upstream: "u5", StartedMs: 1, Epoch: epoch, OK: step > 0, Step: step, Count: count, Round: round}})
 		return b.announced[subject{"u5", ""}]
 	}
-	if v := try(7, 0, 0, 0); v.Probes != ProbeByPeer || v.PassFraction != 0 || !v.Open {
-		t.Fatalf("another holds the trials: %+v", v)
+	if v := probe(7, 0, 0, 0); v.Probes != ProbeByPeer || v.PassFraction != 0 || !v.Open {
+		t.Fatalf("after a failed probe of a peer: got %+v, want an open verdict with ProbeByPeer and no picks let through", v)
 	}
-	if v := try(7, 1, 1, 0); v.PassFraction != passFractions[1] {
-		t.Fatalf("after one step: %+v", v)
+	if v := probe(7, 1, 1, 0); v.PassFraction != passFractions[1] {
+		t.Fatalf("after one step: got %+v, want PassFraction %v", v, passFractions[1])
 	}
-	if v := try(6, ProbeSteps, 9, 1); v.PassFraction != passFractions[1] || !v.Open {
-		t.Fatalf("an earlier epoch was taken: %+v", v)
+	if v := probe(6, ProbeSteps, 9, 1); v.PassFraction != passFractions[1] || !v.Open {
+		t.Fatalf("after a result of an earlier epoch: got %+v, want an open verdict with PassFraction %v", v, passFractions[1])
 	}
-	if v := try(7, ProbeSteps, 3, 1); v.Open {
-		t.Fatalf("not closed: %+v", v)
+	if v := probe(7, ProbeSteps, 3, 1); v.Open {
+		t.Fatalf("after the last step: got %+v, want a closed verdict", v)
 	}
 	b.Handle(testTime, Batch{reportFrom(3, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))})
 	if b.isOpen("u5", "") {
-		t.Error("reports of the round before count")
+		t.Error("got an open verdict by reports of the round before, want closed")
 	}
 	b.Handle(testTime, EndpointList{testEndpoints(2)})
-	if try(9, 1, 1, 5); b.Round("u5") != 0 || b.probes["u5"].epoch != 7 {
-		t.Errorf("of its life before: round %d, epoch %d", b.Round("u5"), b.probes["u5"].epoch)
+	if probe(9, 1, 1, 5); b.Round("u5") != 0 || b.probes["u5"].epoch != 7 {
+		t.Errorf("after a probe result of an earlier incarnation: got round %d and epoch %d, want 0 and 7", b.Round("u5"), b.probes["u5"].epoch)
 	}
 }
 
-// Order, and repetition, make no difference, to what one learns of a probe's success either.
+// Checks that the order and the repetition of reports and probe results make no difference to the verdicts.
 func TestOrderMakesNoDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var events []Event
@@ -319,9 +325,9 @@
 				events = append(events, reportFrom(reporter, r))
 			}
 		}
-		for holder, epoch := range rapid.SliceOfNDistinct(rapid.Uint64Range(1, 3), 0, 3, rapid.ID).Draw(t, "epochs") {
+		for leader, epoch := range rapid.SliceOfNDistinct(rapid.Uint64Range(1, 3), 0, 3, rapid.ID).Draw(t, "epochs") {
 			step := rapid.IntRange(0, ProbeSteps).Draw(t, "step")
-			events = append(events, ProbeResult{From: fmt.Sprintf("n%02d", holder), TTL: ttl, Result: message.ProbeResult{Upstream: "u1", StartedMs: 1,
+			events = append(events, ProbeResult{From: fmt.Sprintf("n%02d", leader), TTL: ttl, Result: message.ProbeResult{Upstream: "u1", StartedMs: 1,
 				Epoch: epoch, OK: step > 0, Step: step, Count: step, Round: uint64(step / ProbeSteps)}})
 		}
 		var views [2]string
@@ -336,12 +342,12 @@
 			}
 		}
 		if views[0] != views[1] {
-			t.Fatalf("one saw\n%sand another\n%s", views[0], views[1])
+			t.Fatalf("the verdicts differ by the order of events: got\n%sand\n%s", views[0], views[1])
 		}
 	})
 }
 
-// Whatever comes: bounds hold, and only what is listed is ever open.
+// Checks for random events that the bounds hold, and that only listed upstreams have open verdicts.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{1, 5, 0, 1, 2, 5, 0, 1, 9, 9, 9, 9})
 	f.Fuzz(func(t *testing.T, script []byte) {
@@ -365,11 +371,11 @@
 			now += time.Duration(z) * time.Millisecond
 			for _, v := range b.Handle(now, e) {
 				if _, listed := b.listed[v.Upstream]; v.Open && (!listed || v.For <= 0 || v.For > message.MaxTTL || v.PassFraction < 0 || v.PassFraction >= 1) {
-					t.Fatalf("told %+v", v)
+					t.Fatalf("got the open verdict %+v (upstream listed: %v), want a listed upstream, For within (0, %v] and PassFraction within [0, 1)", v, listed, message.MaxTTL)
 				}
 			}
 			if len(b.reports) > maxSubjects || len(b.probes) > maxSubjects+16 {
-				t.Fatalf("%d subjects, %d trials", len(b.reports), len(b.probes))
+				t.Fatalf("got %d subjects and %d probed upstreams, want %d and %d at most", len(b.reports), len(b.probes), maxSubjects, maxSubjects+16)
 			}
 		}
 	})
--- a/internal/circuitbreaker/verdict.go
+++ b/internal/circuitbreaker/verdict.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	startupTime       = time.Second      // a tracker that has just begun opens nothing: its roster is incomplete
+	startupTime       = time.Second      // a new tracker opens nothing for this long, since its roster is incomplete
 	falseReportRate   = 1.0 / 200        // probability that a member is wrong about a given upstream
-	maxFalseVerdict   = 1.0 / 50         // probability, at most, that as many are wrong at once as a verdict takes
-	flapWithin        = 30 * time.Second // a verdict that opens again within this after its end is delayed
-	baseFlapDelay     = time.Second      // doubles each time
+	maxFalseVerdict   = 1.0 / 50         // highest accepted probability that as many members as a verdict requires are wrong at once
+	flapWithin        = 30 * time.Second // a verdict that opens again within this time after it closed is delayed
+	baseFlapDelay     = time.Second      // delay of the first reopening; it doubles with each one
 	maxFlapDelay      = 16 * time.Second
-	maxNamedReporters = 8 // in a reason
+	maxNamedReporters = 8 // reporters that a reason lists
 )
 
-// requiredReporters is how many independent reporters a verdict takes if n could have met the fault: so many that by
-// chance they are reached less often than maxFalseVerdict, by the Poisson bound on how many of n are wrong at
-// once. Two at least.
+// requiredReporters returns how many independent reporters a verdict requires if n members could have seen the
+// fault: the smallest number, but at least 2, that is wrong at once with a probability of at most
+// maxFalseVerdict. The number of wrong members among n is taken as Poisson distributed.
 func requiredReporters(n int) int {
 	mean := falseReportRate * float64(n)
 	term := math.Exp(-mean) // P(exactly k)
@@ -37,23 +37,24 @@
 	return max(2, k+1)
 }
 
-// announcement is the verdict that was last returned.
+// announcement is the last verdict that was returned on a subject.
 type announcement struct {
 	Verdict
-	until    time.Duration // its end
+	until    time.Duration // end of its validity
 	closedAt time.Duration // when it last closed
-	flaps    int
+	flaps    int           // openings within flapWithin of the closing before
 }
 
-// weights is the sum of the reports on one subject.
+// weights holds the summed weights of the reports on one subject.
 type weights struct {
-	open, served                 map[string]float64 // by site
-	pathEvidence, serverEvidence map[string]float64 // of open, by site: what may be a fault of the path, and what is one of the server
-	firm                         bool               // one report at least is more than a suspicion
-	since, last                  time.Duration
+	open, served                 map[string]float64 // reports of an open breaker, and of success, by site
+	pathEvidence, serverEvidence map[string]float64 // parts of open, by site: evidence that may be a fault of the path, and of the server
+	firm                         bool               // at least one report is more than a suspicion
+	since, last                  time.Duration      // when the first open report was received, and when the last one expires
 }
 
-// evaluate goes through all subjects. There are few, as only what is open is reported.
+// evaluate returns the verdicts on all subjects that have changed or would expire soon. There are few subjects,
+// since mostly open breakers are reported.
 func (b *VerdictTracker) evaluate(now time.Duration) (changed []Verdict) {
 	b.sweep(now)
 	all := b.accusations()
@@ -73,9 +74,9 @@
 				old.flaps++
 			}
 		}
-		lapses := v.Open && old.until-now < v.For/2 // it would expire before it is announced again
+		expires := v.Open && old.until-now < v.For/2 // it would expire before it is announced again
 		v.Changed = v.Open != old.Open || v.PassFraction != old.PassFraction || v.Probes != old.Probes || v.Open && v.StartedMs != old.StartedMs
-		if v.Changed || lapses {
+		if v.Changed || expires {
 			v.ProbesSucceeded = !v.Open && v.Round > old.Round && v.StartedMs == old.StartedMs
 			v.Reason = b.explain(now, s, all)
 			changed = append(changed, v)
@@ -91,7 +92,7 @@
 	return changed
 }
 
-// verdict is the verdict on s by now; old is the one that was last announced.
+// verdict returns the verdict on s at now; old is the last announced verdict.
 func (b *VerdictTracker) verdict(now time.Duration, s subject, old *announcement, all accusations) Verdict {
 	u, listed := b.listed[s.upstream]
 	t := b.sumWeights(now, s, all)
@@ -104,7 +105,7 @@
 	if s.class == "" {
 		v.Probes, v.Step, v.PassFraction = b.probing(now, s.upstream)
 	}
-	if !v.Open && old.Open && listed && v.StartedMs == old.StartedMs && v.Step > 0 && v.Round == old.Round { // it closes in steps, whoever withdrew a report
+	if !v.Open && old.Open && listed && v.StartedMs == old.StartedMs && v.Step > 0 && v.Round == old.Round { // a breaker that closes in steps stays open even if reports are withdrawn
 		v.Open, t.last = true, b.probes[s.upstream].until
 	}
 	if !v.Open {
@@ -115,64 +116,64 @@
 	return v
 }
 
-// sumWeights adds up the reports on s.
+// sumWeights adds up the weights of the reports on s.
 func (b *VerdictTracker) sumWeights(now time.Duration, s subject, all accusations) *weights {
-	t := &weights{open: map[string]float64{}, served: map[string]float64{}, pathEvidence: map[string]float64{}, serverEvidence: map[string]float64{}, since: now}
-	names := slices.Sorted(maps.Keys(b.reports[s])) // a sum of fractions depends on its order
+	sums := &weights{open: map[string]float64{}, served: map[string]float64{}, pathEvidence: map[string]float64{}, serverEvidence: map[string]float64{}, since: now}
+	names := slices.Sorted(maps.Keys(b.reports[s])) // sorted, since a sum of fractions depends on the order
 	for _, name := range names {
 		r := b.reports[s][name]
-		w, _ := b.reportWeight(now, s, name, r, all)
-		if !r.open() || w == 0 {
+		weight, _ := b.reportWeight(now, s, name, r, all)
+		if !r.open() || weight == 0 {
 			continue
 		}
 		site := b.members[name].Site
-		t.open[site] += w
-		t.firm = t.firm || r.report.SelfSuspicion < Suspicion && w >= 0.5
-		t.since, t.last = min(t.since, r.firstAt), max(t.last, r.until)
+		sums.open[site] += weight
+		sums.firm = sums.firm || r.report.SelfSuspicion < Suspicion && weight >= 0.5
+		sums.since, sums.last = min(sums.since, r.firstAt), max(sums.last, r.until)
 		if isPathEvidence(r.report.Evidence) {
-			t.pathEvidence[site] += w
+			sums.pathEvidence[site] += weight
 		} else {
-			t.serverEvidence[site] += w
+			sums.serverEvidence[site] += weight
 		}
 	}
 	for _, name := range names {
-		if r := b.reports[s][name]; !r.open() && r.newEvidenceAt >= t.since { // a success before the fault says nothing
-			w, _ := b.reportWeight(now, s, name, r, all)
-			t.served[b.members[name].Site] += w
+		if r := b.reports[s][name]; !r.open() && r.newEvidenceAt >= sums.since { // successes before the fault don't count
+			weight, _ := b.reportWeight(now, s, name, r, all)
+			sums.served[b.members[name].Site] += weight
 		}
 	}
-	return t
+	return sums
 }
 
-// fleetQuorum tells whether the fleet agrees: enough weight, of which no site has more than half and so two
-// sites at least, and more sites than those that are served. Evidence that may be the path's does not count
-// where the own site's members are served.
-func (t *weights) fleetQuorum(need float64, own string) bool {
-	sum, open, well := 0.0, 0, 0
-	for _, w := range t.open {
-		if sum += min(w, math.Ceil(need/2)); w >= 0.5 {
+// fleetQuorum reports whether the fleet agrees that the upstream fails. The weight has to reach need, of which
+// one site contributes at most half, so it takes at least two sites; and more sites have to report the fault
+// than are served. If path evidence prevails, it does not hold while the own site's members are served.
+func (w *weights) fleetQuorum(need float64, own string) bool {
+	sum, open, served := 0.0, 0, 0
+	for _, weight := range w.open {
+		if sum += min(weight, math.Ceil(need/2)); weight >= 0.5 {
 			open++
 		}
 	}
-	for site, w := range t.served {
-		if w >= 0.5 && w >= t.open[site] {
-			well++
+	for site, weight := range w.served {
+		if weight >= 0.5 && weight >= w.open[site] {
+			served++
 		}
 	}
-	if own != "" && t.served[own] > t.pathEvidence[own] && total(t.serverEvidence) < total(t.pathEvidence) {
+	if own != "" && w.served[own] > w.pathEvidence[own] && total(w.serverEvidence) < total(w.pathEvidence) {
 		return false
 	}
-	return sum >= need && open > well
+	return sum >= need && open > served
 }
 
-// siteQuorum tells whether the own site agrees that its paths fail, against those of its members that are
-// served.
-func (t *weights) siteQuorum(need float64, own string) bool {
-	return t.pathEvidence[own] >= need && t.pathEvidence[own] > t.served[own]
+// siteQuorum reports whether the own site agrees that its paths to the upstream fail: the weight reaches need,
+// and exceeds that of the members of the site that are served.
+func (w *weights) siteQuorum(need float64, own string) bool {
+	return w.pathEvidence[own] >= need && w.pathEvidence[own] > w.served[own]
 }
 
-func total(by map[string]float64) (sum float64) {
-	for _, w := range by {
+func total(weightBySite map[string]float64) (sum float64) {
+	for _, w := range weightBySite {
 		sum += w
 	}
 	return sum
@@ -180,7 +181,7 @@
 
 var evidenceNames = map[message.Evidence]string{message.ErrorAnswers: "errors", message.BrokenConnections: "breaks", message.Silence: "silence", message.Rejections: "full"}
 
-// explain tells operators who reports what of s, and how far each report counts.
+// explain describes for operators which member reports what on s, and how far each report counts.
 func (b *VerdictTracker) explain(now time.Duration, s subject, all accusations) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(b.reports[s])) {
@@ -189,13 +190,13 @@
 			break
 		}
 		r := b.reports[s][name]
-		what := "serves it"
+		finding := "serves it"
 		if r.open() {
-			what = evidenceNames[r.report.Evidence]
+			finding = evidenceNames[r.report.Evidence]
 		}
-		text := fmt.Sprintf("%s/%s %s %d", b.members[name].Site, name, what, r.report.Count)
-		if w, why := b.reportWeight(now, s, name, r, all); why != "" {
-			text += fmt.Sprintf(" (counts %.1f: %s)", w, why)
+		text := fmt.Sprintf("%s/%s %s %d", b.members[name].Site, name, finding, r.report.Count)
+		if weight, reason := b.reportWeight(now, s, name, r, all); reason != "" {
+			text += fmt.Sprintf(" (counts %.1f: %s)", weight, reason)
 		}
 		parts = append(parts, text)
 	}
--- a/internal/circuitbreaker/weight.go
+++ b/internal/circuitbreaker/weight.go
@@ -7,38 +7,40 @@
 	"mosslead/internal/gossip/message"
 )
 
-// Suspicion is the SelfSuspicion of a report on a first failure: it adds to what others report, and opens
-// nothing without a firm report.
+// Suspicion is the SelfSuspicion of a report on a first failure. Such a report adds weight to others, but
+// opens no verdict unless there is also a report with less self-suspicion.
 const Suspicion = 0.5
 
-// How far a reporter is believed.
+// Limits of how much reports count.
 const (
-	// a site counts as large as it was within this time: who lost sight of others gains no weight by it
+	// sizeMemory is how long a site's largest number of members counts, so that a sidecar that no longer sees
+	// other members does not require fewer reporters.
 	sizeMemory         = 2 * time.Minute
-	scoreHalfLife      = time.Minute // of a bad score
+	scoreHalfLife      = time.Minute // time in which a score halves
 	maxScore           = 8.0
-	evidenceLifetime   = 20 * time.Second // a report that is only repeated counts no longer than this
-	maxAccusedFraction = 0.5              // a reporter that accuses more than this fraction of a site's upstreams is the likelier fault
+	evidenceLifetime   = 20 * time.Second // a report that is repeated without new evidence counts for this long
+	maxAccusedFraction = 0.5              // a reporter that accuses more than this fraction of a site's upstreams is more likely at fault itself
 )
 
-// memberCount is how many members a site has, or had of late.
+// memberCount is a number of members that was seen recently.
 type memberCount struct {
 	n  int
-	at time.Duration // when it had so many last
+	at time.Duration // when this number was last seen
 }
 
-// score is how often a reporter was contradicted, halved each scoreHalfLife.
+// score is how often a reporter was contradicted, halved every scoreHalfLife.
 type score struct {
 	value float64
 	at    time.Duration
 }
 
+// decayed returns the score's value at now.
 func (sc score) decayed(now time.Duration) float64 {
 	return sc.value * math.Exp2(-float64(now-sc.at)/float64(scoreHalfLife))
 }
 
-// setMembers takes in who is present. Scores of those that left are retained while they matter, or one would
-// leave to be believed again.
+// setMembers replaces the roster. Scores of members that left are retained while they matter, or a member
+// could clear its score by leaving.
 func (b *VerdictTracker) setMembers(now time.Duration, all []message.Member) {
 	b.members = map[string]message.Member{}
 	count := map[string]int{}
@@ -63,7 +65,8 @@
 	}
 }
 
-// potentialReporters is how many members could have met a fault: of a site, or with "" of all.
+// potentialReporters returns how many members could have seen a fault: those of site, or of all sites if site
+// is "".
 func (b *VerdictTracker) potentialReporters(site string) (n int) {
 	if site != "" {
 		return b.siteSizes[site].n
@@ -74,44 +77,44 @@
 	return n
 }
 
-// penalizeContradicted lowers the scores of those that accuse s while it serves this sidecar, or as many others as a
-// verdict takes. Only what a difference of paths can't explain contradicts: the server's own answers, or
-// reports within one site.
+// penalizeContradicted raises the scores of the reporters that accuse s while it serves this sidecar, or as
+// many others as a verdict requires. A success contradicts only a report that a difference of paths can't
+// explain: one on the server's own answers, or one from the same site.
 func (b *VerdictTracker) penalizeContradicted(now time.Duration, s subject) {
-	need := requiredReporters(b.potentialReporters(""))
+	required := requiredReporters(b.potentialReporters(""))
 	for reporter, r := range b.reports[s] {
 		if !r.open() || r.contradicted {
 			continue
 		}
-		against := 0
-		for name, w := range b.reports[s] {
+		contradictions := 0
+		for name, other := range b.reports[s] {
 			m, present := b.members[name]
-			if w.open() || !present || w.newEvidenceAt < r.firstAt || isPathEvidence(r.report.Evidence) && b.members[reporter].Site != m.Site {
+			if other.open() || !present || other.newEvidenceAt < r.firstAt || isPathEvidence(r.report.Evidence) && b.members[reporter].Site != m.Site {
 				continue
 			}
-			if against++; name == b.config.Self {
-				against = need
+			if contradictions++; name == b.config.Self {
+				contradictions = required
 			}
 		}
-		if against >= need {
+		if contradictions >= required {
 			r.contradicted = true
 			b.scores[reporter] = score{min(maxScore, b.scores[reporter].decayed(now)+1), now}
 		}
 	}
 }
 
-// accusations count the upstreams that each reporter accuses, of a class of requests perhaps, by site; "" is
-// all of them.
+// accusations is the number of upstreams that each reporter accuses, for all requests or for a class, by
+// reporter and site of the upstream; site "" is the total.
 type accusations map[string]map[string]int
 
 func (b *VerdictTracker) accusations() accusations {
-	all, counted := accusations{}, map[subject]bool{} // by upstream and reporter
-	for s, by := range b.reports {
+	all, counted := accusations{}, map[subject]bool{} // counted has upstream and reporter as its key
+	for s, byReporter := range b.reports {
 		u, listed := b.listed[s.upstream]
 		if !listed {
 			continue
 		}
-		for name, r := range by {
+		for name, r := range byReporter {
 			if !r.open() || counted[subject{s.upstream, name}] {
 				continue
 			}
@@ -126,13 +129,13 @@
 	return all
 }
 
-// accusesTooMany tells whether a reporter accuses too many at a site, or in all.
+// accusesTooMany reports whether a reporter accuses too many upstreams of a site, or in total.
 func (b *VerdictTracker) accusesTooMany(all accusations, name, site string) bool {
 	n, limit := all[name], maxAccusedFraction
 	return n[site] > 1 && float64(n[site]) > limit*float64(b.upstreamsBySite[site]) || n[""] > 1 && float64(n[""]) > limit*float64(len(b.listed))
 }
 
-// reportWeight is how much one report counts, 0 to 1, and why not fully.
+// reportWeight returns how much a report counts, 0 to 1, and the reason if it does not count fully.
 func (b *VerdictTracker) reportWeight(now time.Duration, s subject, name string, r *peerReport, all accusations) (float64, string) {
 	m, present := b.members[name]
 	switch {
@@ -147,17 +150,17 @@
 	case b.accusesTooMany(all, name, b.listed[s.upstream].Site):
 		return 0, "speaks ill of most upstreams"
 	}
-	w, why := 1-r.report.SelfSuspicion, ""
+	weight, reason := 1-r.report.SelfSuspicion, ""
 	if r.report.SelfSuspicion > 0 {
-		why = "doubts itself"
+		reason = "doubts itself"
 	}
-	if bad := b.scores[name].decayed(now); bad >= 0.1 {
-		w, why = w*math.Exp2(-bad), "was wrong of late"
+	if score := b.scores[name].decayed(now); score >= 0.1 {
+		weight, reason = weight*math.Exp2(-score), "was wrong of late"
 	}
-	return w, why
+	return weight, reason
 }
 
-// isPathEvidence tells whether evidence may be of a fault of the path, and not of the server.
+// isPathEvidence reports whether evidence may stem from a fault of the path instead of the server.
 func isPathEvidence(e message.Evidence) bool {
 	return e == message.BrokenConnections || e == message.Silence
 }
