--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -1,5 +1,5 @@
 // Package forwarding decides, by pressure, whether a sidecar serves a request itself or forwards it to
-// another. Pure: no I/O and no clock.
+// another. It does no I/O and reads no clock.
 package forwarding
 
 import (
@@ -10,14 +10,14 @@
 	"mosslead/internal/gossip/message"
 )
 
-// HeaderHop marks a request that a peer has forwarded; its value is 1. It is never forwarded again.
+// HeaderHop marks a request that a peer has forwarded; its value is 1. Such a request is not forwarded again.
 const HeaderHop = "X-Mosslead-Hop"
 
 const (
-	knee                 = 0.7                    // pressure from which requests begin to be answered too late
-	hotThreshold         = 0.85                   // from this pressure on a sidecar looks for others
-	coolThreshold        = 0.65                   // until its pressure has fallen to this; above it a sidecar accepts no forwarded requests
-	smoothingTime        = 500 * time.Millisecond // over which pressure is averaged: one sample does not flip the state
+	knee                 = 0.7                    // pressure above which some requests are answered too late
+	hotThreshold         = 0.85                   // pressure at which a sidecar becomes hot and starts to forward
+	coolThreshold        = 0.65                   // pressure at which it is no longer hot; a sidecar at or above it accepts no forwarded requests
+	smoothingTime        = 500 * time.Millisecond // time over which pressure is averaged, so that one sample does not change the state
 	agingAfter           = time.Second            // a peer's pressure counts as it was for this long
 	expiredAfter         = 4 * time.Second        // and as full from this age on
 	minGain              = 0.1                    // fraction of a request's value that forwarding must bring
@@ -27,15 +27,15 @@
 	minRoundTrips        = 4                      // round trips that must fit into the time that is left
 )
 
-// Gauge follows the pressure of one sidecar.
+// Gauge holds the averaged pressure of one sidecar.
 type Gauge struct {
-	now       message.Pressure
+	now       message.Pressure // as of the latest sample
 	sampledAt time.Duration
 	hot       bool
 }
 
-// Add takes in a sample of the parts, each 0 (idle) to 1 (full), and returns the pressure: each part
-// averaged, and in Total the highest of them, since the scarcest resource is what stops the work.
+// Add adds a sample of the parts, each 0 (idle) to 1 (full), and returns the pressure: the average of each
+// part, and as Total the highest of them, since the scarcest resource limits the sidecar.
 func (g *Gauge) Add(now time.Duration, p message.Pressure) message.Pressure {
 	w := 1 - math.Exp(-float64(now-g.sampledAt)/float64(smoothingTime))
 	g.sampledAt = now
@@ -54,56 +54,56 @@
 	return g.now
 }
 
-// Accepts tells whether a sidecar accepts forwarded requests. They rank behind its own clients' and are
-// rejected first.
+// Accepts reports whether the sidecar accepts forwarded requests. They rank behind requests of its own clients
+// and are rejected first.
 func (g *Gauge) Accepts() bool { return !g.hot && g.now.Total < coolThreshold }
 
-// Choice is what becomes of a request.
+// Choice is where a request is handled.
 type Choice int
 
-// The choices. Rejecting is up to the local admission.
+// The choices. Only the local admission rejects requests.
 const (
-	Local   Choice = iota // this sidecar's balancer decides, as without peers
-	Forward               // to a peer
+	Local   Choice = iota // this sidecar's balancer handles it, as without peers
+	Forward               // it is forwarded to a peer
 )
 
-// Request is what the choice depends on.
+// Request holds what the choice depends on.
 type Request struct {
 	TimeLeft  time.Duration // until the client stops waiting
-	RoundTrip time.Duration // between sites
-	Cost      float64       // of leaving the zone, as a fraction of the request's value
+	RoundTrip time.Duration // round-trip time between sites
+	Cost      float64       // cost of leaving the zone, as a fraction of the request's value
 }
 
-// peer is another sidecar as it was last heard of.
+// peer is another sidecar with its last known pressure.
 type peer struct {
 	message.Member
 	pressure   float64
-	receivedAt time.Duration
-	inFlight   int // requests that were forwarded to it
+	receivedAt time.Duration // when the pressure was received
+	inFlight   int           // requests that were forwarded to it and have not ended
 }
 
-// Decider chooses where requests go. Not safe for concurrent use.
+// Decider chooses where requests are handled. It is not safe for concurrent use.
 type Decider struct {
 	site   string
 	rng    *rand.Rand
 	peers  map[string]*peer
-	order  []*peer // those present that accept forwarded requests
-	tokens float64
+	order  []*peer // present peers that have an address for forwarded requests
+	tokens float64 // budget for forwarding: each arriving request adds maxForwardedFraction, each forwarded one takes 1
 }
 
-// NewDecider returns the Decider of a sidecar at that site, which draws from seed.
+// NewDecider returns the Decider of a sidecar at site; seed seeds its random choices.
 func NewDecider(site string, seed uint64) *Decider {
 	return &Decider{site: site, rng: rand.New(rand.NewPCG(seed, 1)), peers: map[string]*peer{}, tokens: burst}
 }
 
-// SetMembers sets who is present. Without anybody all requests stay local.
+// SetMembers sets the members that are present. Without any, all requests stay local.
 func (d *Decider) SetMembers(present []message.Member) {
 	before := d.peers
 	d.peers, d.order = map[string]*peer{}, nil
 	for _, m := range present {
 		p := before[m.Name]
 		if p == nil || p.Incarnation != m.Incarnation {
-			p = &peer{receivedAt: -expiredAfter} // nothing was heard of this process
+			p = &peer{receivedAt: -expiredAfter} // no pressure of this process is known
 		}
 		p.Member = m
 		d.peers[m.Name] = p
@@ -113,14 +113,15 @@
 	}
 }
 
-// OnPressure takes in a peer's pressure.
+// OnPressure records the pressure that a peer reports.
 func (d *Decider) OnPressure(now time.Duration, name string, total float64) {
 	if p := d.peers[name]; p != nil {
 		p.pressure, p.receivedAt = total, now
 	}
 }
 
-// Choose decides on one arriving request; g is this sidecar's pressure. A request that is forwarded is ended
+// Choose decides on an arriving request, and returns the name of the peer that it is to be forwarded to, if
+// any; g holds this sidecar's pressure. The caller has to report the end of each request that it forwards
 // with Done.
 func (d *Decider) Choose(now time.Duration, g *Gauge, r Request) (Choice, string) {
 	d.tokens = min(d.tokens+maxForwardedFraction, burst)
@@ -160,14 +161,14 @@
 	return Forward, best.Name
 }
 
-// Hot tells whether g's sidecar looks for others. Then it has to ask them for their pressure, see
+// Hot reports whether the sidecar is to forward requests. If so, it has to ask peers for their pressure, see
 // PeersToQuery.
 func (g *Gauge) Hot() bool { return g.hot }
 
-// Now is the pressure as of the latest sample.
+// Now returns the pressure as of the latest sample.
 func (g *Gauge) Now() message.Pressure { return g.now }
 
-// PeersToQuery names up to n random peers to be asked for their pressure.
+// PeersToQuery returns the names of up to n random peers that are to be asked for their pressure.
 func (d *Decider) PeersToQuery(n int) (names []string) {
 	for range min(n, len(d.order)) {
 		names = append(names, d.order[d.rng.IntN(len(d.order))].Name)
@@ -175,8 +176,8 @@
 	return names
 }
 
-// Done ends a forwarded request. A peer that did not serve it counts as full until its pressure is received
-// again.
+// Done records the end of a forwarded request. A peer that did not serve it counts as full until its pressure
+// is received again.
 func (d *Decider) Done(name string, served bool) {
 	p := d.peers[name]
 	if p == nil {
@@ -188,17 +189,17 @@
 	}
 }
 
-// weight is the cost of power of two choices, with pressure in place of latency.
+// weight returns the cost of a peer for the power of two choices, with pressure in place of latency.
 func (d *Decider) weight(now time.Duration, p *peer) float64 {
 	return d.effectivePressure(now, p) * float64(p.inFlight+1)
 }
 
-// effectivePressure is a peer's pressure now: it tends to full with the time since it was received.
+// effectivePressure returns a peer's pressure at now. It rises to full as the received pressure ages.
 func (d *Decider) effectivePressure(now time.Duration, p *peer) float64 {
-	old := float64(now-p.receivedAt-agingAfter) / float64(expiredAfter-agingAfter)
-	return p.pressure + (1-p.pressure)*min(max(old, 0), 1)
+	age := float64(now-p.receivedAt-agingAfter) / float64(expiredAfter-agingAfter)
+	return p.pressure + (1-p.pressure)*min(max(age, 0), 1)
 }
 
-// servedFraction is the fraction of requests that are answered within their objective at a pressure: all up
-// to the knee, none at 1.
+// servedFraction returns the fraction of requests that are answered within their objective at a pressure: all
+// up to the knee, none at 1.
 func servedFraction(pressure float64) float64 { return 1 - max(0, pressure-knee)/(1-knee) }
--- a/internal/forwarding/decider_test.go
+++ b/internal/forwarding/decider_test.go
@@ -10,7 +10,7 @@
 
 const second = time.Second
 
-// settledGauge is a gauge that has settled at these parts.
+// settledGauge returns a gauge whose average has settled at these parts.
 func settledGauge(p message.Pressure) *Gauge {
 	g := &Gauge{}
 	for t := time.Duration(0); t < 10*second; t += second / 10 {
@@ -19,13 +19,14 @@
 	return g
 }
 
-func setPeers(d *Decider, now time.Duration, at map[string]float64) {
-	var all []message.Member
-	for name := range at {
-		all = append(all, message.Member{Name: name, Site: name[:1], Forward: "127.0.0.1:1"})
+// setPeers makes peers with these pressures known to d. The first letter of a name is its site.
+func setPeers(d *Decider, now time.Duration, pressures map[string]float64) {
+	var members []message.Member
+	for name := range pressures {
+		members = append(members, message.Member{Name: name, Site: name[:1], Forward: "127.0.0.1:1"})
 	}
-	d.SetMembers(all)
-	for name, p := range at {
+	d.SetMembers(members)
+	for name, p := range pressures {
 		d.OnPressure(now, name, p)
 	}
 }
@@ -33,33 +34,33 @@
 func TestOneSpikeDoesNotFlip(t *testing.T) {
 	g := settledGauge(message.Pressure{CPU: 0.6})
 	if g.Add(10*second, message.Pressure{CPU: 1}); g.hot || !g.Accepts() && g.now.Total < coolThreshold {
-		t.Errorf("one sample of 1 made it hot at %v", g.now.Total)
+		t.Errorf("after one sample of 1: got hot %v at pressure %v, want a sidecar that is not hot", g.hot, g.now.Total)
 	}
 	g = settledGauge(message.Pressure{CPU: 0.9})
 	if g.Add(10*second, message.Pressure{CPU: 0.7}); !g.hot {
-		t.Errorf("one sample of 0.7 cooled it at %v", g.now.Total)
+		t.Errorf("after one sample of 0.7: got hot %v at pressure %v, want true", g.hot, g.now.Total)
 	}
 }
 
 func TestWhoGetsTheWork(t *testing.T) {
 	process, site := message.Pressure{CPU: 1, Site: 0.2}, message.Pressure{CPU: 0.2, Site: 1}
-	far := Request{TimeLeft: second, RoundTrip: 20 * time.Millisecond, Cost: 0.1}
+	request := Request{TimeLeft: second, RoundTrip: 20 * time.Millisecond, Cost: 0.1}
 	for name, c := range map[string]struct {
 		own   message.Pressure
 		r     Request
 		peers map[string]float64
 		age   time.Duration
-		want  []string // any of them; none: home
+		want  []string // peers that are chosen over many seeds; none if the request stays local
 	}{
-		"nothing is short":                   {message.Pressure{CPU: 0.5}, far, map[string]float64{"a1": 0, "b1": 0}, 0, nil},
-		"only the process is short":          {process, far, map[string]float64{"a1": 0.1, "b1": 0}, 0, []string{"a1"}},
-		"the site is short":                  {site, far, map[string]float64{"a1": 0, "b1": 0.1, "c1": 0.1}, 0, []string{"b1", "c1"}},
-		"the lower pressure of two":          {site, far, map[string]float64{"b1": 0.6, "b2": 0.1}, 0, []string{"b2"}},
-		"all are pressed":                    {site, far, map[string]float64{"b1": 0.8, "c1": 0.9}, 0, nil},
-		"no time for the way":                {site, Request{TimeLeft: 70 * time.Millisecond, RoundTrip: 20 * time.Millisecond}, map[string]float64{"b1": 0}, 0, nil},
-		"crossing costs more than it brings": {site, Request{TimeLeft: second, Cost: 0.95}, map[string]float64{"b1": 0}, 0, nil},
-		"what was heard is old":              {site, far, map[string]float64{"b1": 0, "c1": 0}, 4 * second, nil},
-		"nobody is there":                    {site, far, nil, 0, nil},
+		"no resource is scarce":                  {message.Pressure{CPU: 0.5}, request, map[string]float64{"a1": 0, "b1": 0}, 0, nil},
+		"only the process is short of something": {process, request, map[string]float64{"a1": 0.1, "b1": 0}, 0, []string{"a1"}},
+		"the site is short of something":         {site, request, map[string]float64{"a1": 0, "b1": 0.1, "c1": 0.1}, 0, []string{"b1", "c1"}},
+		"the lower pressure of two":              {site, request, map[string]float64{"b1": 0.6, "b2": 0.1}, 0, []string{"b2"}},
+		"all peers are under pressure":           {site, request, map[string]float64{"b1": 0.8, "c1": 0.9}, 0, nil},
+		"not enough time for the round trips":    {site, Request{TimeLeft: 70 * time.Millisecond, RoundTrip: 20 * time.Millisecond}, map[string]float64{"b1": 0}, 0, nil},
+		"crossing costs more than it gains":      {site, Request{TimeLeft: second, Cost: 0.95}, map[string]float64{"b1": 0}, 0, nil},
+		"the received pressures are expired":     {site, request, map[string]float64{"b1": 0, "c1": 0}, 4 * second, nil},
+		"no peers":                               {site, request, nil, 0, nil},
 	} {
 		got := map[string]bool{}
 		for seed := range uint64(20) {
@@ -71,54 +72,55 @@
 		}
 		for _, want := range c.want {
 			if !got[want] {
-				t.Errorf("%s: never to %s", name, want)
+				t.Errorf("%s: no request was forwarded to %s, want some", name, want)
 			}
 			delete(got, want)
 		}
 		if len(got) > 0 {
-			t.Errorf("%s: to %v", name, got)
+			t.Errorf("%s: requests were forwarded to other peers %v, want none", name, got)
 		}
 	}
 }
 
-// A peer that refused or broke off gets nothing until it is heard anew.
+// Checks that a peer that did not serve a request gets none until its pressure is received again.
 func TestAPeerThatDidNotServeIsLeftAlone(t *testing.T) {
 	d, g := NewDecider("a", 1), settledGauge(message.Pressure{Site: 1})
 	setPeers(d, 0, map[string]float64{"b1": 0.1})
 	for _, served := range []bool{true, false} {
 		if choice, _ := d.Choose(0, g, Request{TimeLeft: second}); choice != Forward {
-			t.Fatal("kept")
+			t.Fatal("request to an idle peer: got Local, want Forward")
 		}
 		d.Done("b1", served)
 	}
 	if choice, _ := d.Choose(0, g, Request{TimeLeft: second}); choice == Forward {
-		t.Error("sent again to one that had just refused")
+		t.Error("after a request that was not served: got Forward, want Local")
 	}
 	d.OnPressure(second, "b1", 0.1)
 	if choice, _ := d.Choose(second, g, Request{TimeLeft: second}); choice != Forward {
-		t.Error("left alone for good")
+		t.Error("after the pressure was received again: got Local, want Forward")
 	}
 }
 
-// However long the trouble lasts, no more than the stated part is forwarded, and what is out at a peer weighs.
+// Checks that under lasting pressure no more than maxForwardedFraction of the requests is forwarded, and that
+// requests in flight spread the load over the peers.
 func TestForwardingHasABudgetAndSpreads(t *testing.T) {
 	d, g := NewDecider("a", 1), settledGauge(message.Pressure{Site: 1})
 	setPeers(d, 0, map[string]float64{"b1": 0.2, "b2": 0.2, "b3": 0.2, "b4": 0.2})
-	to, sent, most := map[string]int{}, 0, 0
+	byPeer, sent, most := map[string]int{}, 0, 0
 	for range 2000 {
 		if choice, name := d.Choose(0, g, Request{TimeLeft: second}); choice == Forward {
-			to[name]++
+			byPeer[name]++
 			sent++
 		}
 	}
 	least := sent
-	for _, n := range to {
+	for _, n := range byPeer {
 		most, least = max(most, n), min(least, n)
 	}
 	if sent > int(2000*maxForwardedFraction+burst) || sent < int(2000*maxForwardedFraction) {
-		t.Errorf("%d of 2000 forwarded", sent)
+		t.Errorf("got %d of 2000 requests forwarded, want %v to %v", sent, int(2000*maxForwardedFraction), int(2000*maxForwardedFraction+burst))
 	}
-	if len(to) != 4 || most > least+least/10 {
-		t.Errorf("spread %s", fmt.Sprint(to))
+	if len(byPeer) != 4 || most > least+least/10 {
+		t.Errorf("got requests by peer %s, want 4 peers that differ by 10%% at most", fmt.Sprint(byPeer))
 	}
 }
--- a/internal/tomlconfig/tomlconfig.go
+++ b/internal/tomlconfig/tomlconfig.go
@@ -1,4 +1,4 @@
-// Package tomlconfig owns the reading of TOML in which an unknown key is an error, and where in a file an error is.
+// Package tomlconfig decodes TOML files strictly: an unknown key is an error, and errors have a position.
 package tomlconfig
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error says where a file is wrong.
+// Error is an error in a TOML file, with its position.
 type Error struct {
 	Line, Column int
-	Key          string // empty: of none
-	Err          error  // nil: nobody knows the key
+	Key          string // path of the key, or empty if the error belongs to no key
+	Err          error  // nil if the key is unknown
 }
 
 func (e *Error) Error() string {
@@ -29,7 +29,7 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// TOML reads text. An error is an *Error wherever the place is known.
+// TOML decodes text into a struct. The error is an *Error if its position is known.
 func TOML(text []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var unknown *toml.StrictMissingError
--- a/internal/tomlconfig/tomlconfig_test.go
+++ b/internal/tomlconfig/tomlconfig_test.go
@@ -23,15 +23,15 @@
 		}
 		err := TOML([]byte(text), &x)
 		if (err == nil) != (want == "") || err != nil && !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want it to begin with %q", text, err, want)
 		}
-		var place *Error
-		if err != nil && !errors.As(err, &place) {
-			t.Errorf("%q: no place in %v", text, err)
+		var located *Error
+		if err != nil && !errors.As(err, &located) {
+			t.Errorf("%q: got %T %v, want an *Error", text, err, err)
 		}
-		var library *toml.DecodeError
-		if place != nil && place.Err != nil && !errors.As(err, &library) {
-			t.Errorf("%q: the library's own error is lost", text)
+		var decodeErr *toml.DecodeError
+		if located != nil && located.Err != nil && !errors.As(err, &decodeErr) {
+			t.Errorf("%q: got %v, want it to wrap a toml.DecodeError", text, err)
 		}
 	}
 }
