--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -10,34 +10,34 @@
 	"mosslead/internal/gossip/message"
 )
 
-// broadcast is the record of a key in the queue. It is encoded when it is sent, so that the newest record
-// goes, less the time that it waited.
+// broadcast is the queue entry of a key. Its record is encoded when it is sent, so that the newest record is
+// sent, with its remaining time to live.
 type broadcast struct {
 	key      message.Key
 	gossiper *Gossiper
 }
 
-// Invalidates tells whether b replaces other in the queue.
+// Invalidates reports whether b replaces other in the queue.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	o, same := other.(*broadcast)
 	return same && o.key == b.key
 }
 
-// Name lets the queue find the broadcast to replace by name.
+// Name returns the name by which the queue finds the broadcast to replace.
 func (b *broadcast) Name() string {
 	return b.key.Owner + "\x00" + strconv.Itoa(int(b.key.Kind)) + "\x00" + b.key.Name
 }
 
-// Message encodes the record as it is when it is sent.
+// Message returns the encoded record as it is at this time.
 func (b *broadcast) Message() []byte { return b.gossiper.encodeNow(b.key) }
 
 // Finished implements memberlist.Broadcast.
 func (b *broadcast) Finished() {}
 
-// delegate is what the library asks of a Gossiper, on goroutines of its own.
+// delegate implements memberlist.Delegate. The library calls it on its own goroutines.
 type delegate Gossiper
 
-// NodeMeta encodes this process. Its bounds were checked, so it fits.
+// NodeMeta returns this process as an encoded Member. Its bounds were checked, so it fits.
 func (d *delegate) NodeMeta(int) []byte {
 	d.mu.Lock()
 	self := d.self
@@ -49,7 +49,7 @@
 	return text
 }
 
-// NotifyMsg takes in a record that came in a datagram.
+// NotifyMsg processes a record that arrived in a datagram.
 func (d *delegate) NotifyMsg(text []byte) {
 	var r message.Record
 	if len(text) > message.MaxRecord || message.Decode(text, &r) != nil {
@@ -58,7 +58,7 @@
 	(*Gossiper)(d).receive(r)
 }
 
-// GetBroadcasts fills a datagram as far as the budget allows.
+// GetBroadcasts returns records for a datagram, as far as the budget allows.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	now := time.Now()
 	limit = min(limit, int(d.budget.TokensAt(now)))
@@ -73,14 +73,14 @@
 	d.budget.AllowN(now, used)
 	sendable := all[:0]
 	for _, text := range all {
-		if len(text) > 0 { // else it lapsed while it waited
+		if len(text) > 0 { // an empty one expired in the queue
 			sendable = append(sendable, text)
 		}
 	}
 	return sendable
 }
 
-// LocalState is all records that are valid, for a push/pull.
+// LocalState returns all valid records, encoded for a push/pull.
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
 	all := d.records.live((*Gossiper)(d).now())
@@ -93,7 +93,7 @@
 	return text
 }
 
-// MergeRemoteState takes in the records of a member's push/pull.
+// MergeRemoteState processes the records of a member's push/pull.
 func (d *delegate) MergeRemoteState(text []byte, _ bool) {
 	var all []message.Record
 	if len(text) > message.MaxState || message.Decode(text, &all) != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// events follows who is present.
+// events implements memberlist.EventDelegate. It keeps the members that are present.
 type events Gossiper
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -113,7 +113,7 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (e *events) NotifyUpdate(n *memberlist.Node) { e.set(n) }
 
-// NotifyLeave removes a member, and remembers one that did not leave by itself.
+// NotifyLeave removes a member, and records a member that failed without leaving.
 func (e *events) NotifyLeave(n *memberlist.Node) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,10 +141,10 @@
 	}
 }
 
-// conflict is told of two processes under one name at two addresses.
+// conflict implements memberlist.ConflictDelegate: it handles two processes with one name at two addresses.
 type conflict Gossiper
 
-// NotifyConflict logs two processes under one name, and lets the newer one win.
+// NotifyConflict logs the conflict, and accepts the other process if it is newer.
 func (c *conflict) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("two members have one name", "component", "peers", "node", existing.Name, "peer", other.Address())
 	(*events)(c).set(other)
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -1,6 +1,6 @@
-// Package gossip knows which sidecars are present, and spreads small records among them. Membership and
-// failure detection are hashicorp/memberlist's (SWIM); records are broadcast with it, and merged here
-// (store.go).
+// Package gossip maintains which sidecars are present, and spreads small records among them. Membership and
+// failure detection (SWIM) are done by hashicorp/memberlist, which also broadcasts the records; they are merged
+// here (store.go).
 package gossip
 
 import (
@@ -25,42 +25,42 @@
 )
 
 const (
-	inboxSize      = 512                    // records of a kind that wait for their reader
-	sweepInterval  = time.Second            // of removing expired records
-	streamTimeout  = 2 * time.Second        // of connecting to a member, and of what goes over the connection
-	leaveTimeout   = 500 * time.Millisecond // for the others to learn that this process leaves
-	rejoinInterval = 5 * time.Second        // while no other member is present
-	// Of many processes that start together some miss each other's messages, as each is told to few while few
-	// are known. So a new process joins initialJoins members in turn, with growing waits from baseJoinDelay on,
-	// before it relies on the library's own pace.
+	inboxSize      = 512                    // records of a kind that wait for their reader, at most
+	sweepInterval  = time.Second            // interval of removing expired records
+	streamTimeout  = 2 * time.Second        // timeout of connecting to a member, and of reads and writes on the connection
+	leaveTimeout   = 500 * time.Millisecond // time for the leave message to reach other members
+	rejoinInterval = 5 * time.Second        // longest mean delay between joins while no other member is present
+	// If many processes start together, some miss each other's join messages, since each message is sent to few
+	// members while few are known. So a new process joins initialJoins members in turn, with delays that grow
+	// from baseJoinDelay, before it relies on the library alone.
 	initialJoins   = 4
 	baseJoinDelay  = 500 * time.Millisecond
 	gossipInterval = 100 * time.Millisecond
 	// maxBytesPerSecond bounds the records that one process sends; the library's health checks and push/pull
-	// come to about 1 KB/s more. What does not go now goes later, the newest record of each key.
+	// add about 1 KB/s. Records beyond the bound are sent later, only the newest one of each key.
 	maxBytesPerSecond = 6 << 10
 	maxBurstBytes     = 16 << 10
-	// establishedAfter is how long a process takes part before a newer one under its name fences it. Before
-	// that, what it receives under its name is left of its predecessor, whose clock was ahead, and it takes a
-	// later start for itself.
+	// establishedAfter is how long a process has run before a newer process with its name fences it. Before
+	// that, a newer incarnation under its name is taken for that of its predecessor, whose clock was ahead, and
+	// the process sets its own start time to a later one.
 	establishedAfter = 5 * time.Second
 )
 
 // Config configures a Gossiper.
 type Config struct {
 	Member    message.Member       // this process
-	Address   string               // host:port, for UDP and TCP; port 0: any
-	Advertise string               // host:port at which the others reach it; default: Address
-	Seeds     []string             // host:port of members to join; none need be present
+	Address   string               // host:port, for UDP and TCP; port 0 selects a free port
+	Advertise string               // host:port at which other members reach this process; default: Address
+	Seeds     []string             // host:port of members to join; they need not be present
 	Transport memberlist.Transport // default: sockets at Address
 }
 
-// Gossiper is this process among the members. Safe for concurrent use; no method but Leave blocks.
+// Gossiper takes part in the gossip for this process. It is safe for concurrent use; only Leave blocks.
 type Gossiper struct {
 	list       *memberlist.Memberlist
 	queue      *memberlist.TransmitLimitedQueue // records to be sent
 	budget     *rate.Limiter
-	inboxes    map[message.Kind]*conflate.Queue[message.Key, message.Record] // by kind; the map does not change
+	inboxes    map[message.Kind]*conflate.Queue[message.Key, message.Record] // by kind; the map does not change after construction
 	start      time.Time
 	seeds      []string
 	stop       context.CancelFunc
@@ -71,15 +71,15 @@
 
 	mu       sync.Mutex
 	self     message.Member
-	fenced   bool
-	seq      uint64
+	fenced   bool   // a newer process has this one's name
+	seq      uint64 // of the latest record of this process
 	records  *store
-	members  map[string]message.Member // present ones, this process too
-	departed map[string]departedMember // members that failed, and did not leave
+	members  map[string]message.Member // present members by name, including this process
+	departed map[string]departedMember // members that failed without leaving, by name
 }
 
-// Join begins to take part. It does not wait for other members: it goes on joining the seeds while none is
-// present. The error names the setting that is invalid.
+// Join starts to take part in the gossip. It does not wait for other members: the seeds are joined again and
+// again while no other member is present. The error names the invalid setting.
 func Join(c Config) (*Gossiper, error) {
 	if err := c.Member.Check(); err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	}
 	if c.Transport == nil {
 		if c.Transport, err = newTransport(host, int(number)); err != nil {
-			return nil, fmt.Errorf("taking part at %s: %w", c.Address, err)
+			return nil, fmt.Errorf("gossip at %s: %w", c.Address, err)
 		}
 	}
 	conf.TCPTimeout = streamTimeout
@@ -112,8 +112,8 @@
 	conf.Transport, conf.LogOutput, conf.GossipInterval = c.Transport, io.Discard, gossipInterval
 	conf.Delegate, conf.Events, conf.Conflict = (*delegate)(g), (*events)(g), (*conflict)(g)
 	if g.list, err = memberlist.Create(conf); err != nil {
-		_ = c.Transport.Shutdown() // what is wrong is said by err
-		return nil, fmt.Errorf("taking part at %s: %w", c.Address, err)
+		_ = c.Transport.Shutdown() // err is the cause; an error of the cleanup adds nothing
+		return nil, fmt.Errorf("gossip at %s: %w", c.Address, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
@@ -122,7 +122,7 @@
 	return g, nil
 }
 
-// newGossiper takes part in nothing yet.
+// newGossiper returns a Gossiper that does not take part in the gossip yet.
 func newGossiper(c Config) *Gossiper {
 	g := &Gossiper{self: c.Member, name: c.Member.Name, inboxes: map[message.Kind]*conflate.Queue[message.Key, message.Record]{}, start: time.Now(), records: newStore(message.MaxRecordsPerOwner),
 		seeds:   slices.DeleteFunc(slices.Clone(c.Seeds), func(s string) bool { return s == c.Address || s == c.Advertise }),
@@ -157,30 +157,33 @@
 	}
 }
 
-// join joins the seeds, or a member, and returns the wait until the next time.
+// join joins the seeds, or a random member if any is present, and returns the delay until the next call. joined
+// is the number of calls before.
 func (g *Gossiper) join(joined int) time.Duration {
-	by := g.seeds
+	addresses := g.seeds
 	if others := g.list.Members(); len(others) > 1 {
 		if joined > initialJoins {
 			return rejoinInterval
 		}
-		by = []string{others[rand.IntN(len(others))].Address()}
+		addresses = []string{others[rand.IntN(len(others))].Address()}
 	}
-	if len(by) > 0 {
-		if _, err := g.list.Join(by); err != nil {
+	if len(addresses) > 0 {
+		if _, err := g.list.Join(addresses); err != nil {
 			slog.Debug("join failed", "component", "peers", "err", err)
 		}
 	}
-	wait := min(baseJoinDelay<<min(joined, 10), rejoinInterval)
-	return time.Duration((0.5 + rand.Float64()) * float64(wait))
+	delay := min(baseJoinDelay<<min(joined, 10), rejoinInterval)
+	return time.Duration((0.5 + rand.Float64()) * float64(delay))
 }
 
+// now returns the time since start.
 func (g *Gossiper) now() time.Duration { return time.Since(g.start) }
 
-// Address is where this process takes part.
+// Address returns the host:port at which this process takes part.
 func (g *Gossiper) Address() string { return g.list.LocalNode().Address() }
 
-// Leave tells the others that this process leaves, and ends its part. It blocks for leaveTimeout at most.
+// Leave informs the other members that this process leaves, and stops the gossip. It waits for leaveTimeout at
+// most for the members to be informed.
 func (g *Gossiper) Leave() error {
 	g.stop()
 	<-g.done
@@ -189,25 +192,25 @@
 	return err
 }
 
-// Self is this process's name.
+// Self returns the name of this process.
 func (g *Gossiper) Self() string { return g.name }
 
-// Fenced tells whether a newer process has this one's name: this one sends nothing more, and must not act for
-// others.
+// Fenced reports whether a newer process has this one's name. A fenced process broadcasts nothing more, and
+// must not act for others.
 func (g *Gossiper) Fenced() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fenced
 }
 
-// Present counts the members that are present, this one too.
+// Present returns the number of members that are present, including this one.
 func (g *Gossiper) Present() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.members)
 }
 
-// Members are those that are present, this one too, sorted by name.
+// Members returns the members that are present, including this one, sorted by name.
 func (g *Gossiper) Members() []message.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,26 +221,28 @@
 	return all
 }
 
-// Dropped counts records that their readers did not take in time, and those dropped for an owner's bound.
-func (g *Gossiper) Dropped() (late, over uint64) {
+// Dropped returns the number of records that readers did not read in time, and of those dropped because their
+// owner had too many.
+func (g *Gossiper) Dropped() (late, overBound uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, r := range g.inboxes {
-		late += r.Dropped()
+	for _, inbox := range g.inboxes {
+		late += inbox.Dropped()
 	}
 	return late, g.records.dropped
 }
 
-// Inbox holds what others send of a kind, as it comes. It has one reader; without one it stays bounded.
+// Inbox returns the queue of the records of a kind that other members send. It is for one reader, and bounded
+// if nobody reads it.
 func (g *Gossiper) Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record] {
 	return g.inboxes[kind]
 }
 
-// Broadcast sends payload to all members, under a kind and a name of this process's own, valid for ttl. Some
-// members may miss it, so what lasts longer has to be sent again within ttl. withdrawn takes an earlier one
-// back, whose ttl it must have.
-func (g *Gossiper) Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, over bool) error {
-	r, err := g.newRecord(kind, name, payload, ttl, over)
+// Broadcast sends payload to all members as the record of this process with that kind and name, valid for ttl.
+// Some members may miss it, so a record that is to stay valid has to be sent again within ttl. If withdrawn is
+// true, the call withdraws an earlier record, and must have the same ttl.
+func (g *Gossiper) Broadcast(kind message.Kind, name string, payload any, ttl time.Duration, withdrawn bool) error {
+	r, err := g.newRecord(kind, name, payload, ttl, withdrawn)
 	if err != nil {
 		return err
 	}
@@ -248,8 +253,8 @@
 	return nil
 }
 
-// SendTo sends payload to one member, in one datagram. The error says that the member is not present, or that
-// the budget is exceeded.
+// SendTo sends payload to one member, in one datagram. It returns an error if the member is not present, or the
+// budget is exceeded.
 func (g *Gossiper) SendTo(to string, kind message.Kind, payload any, ttl time.Duration) error {
 	r, err := g.newRecord(kind, "", payload, ttl, false)
 	if err != nil {
@@ -267,17 +272,17 @@
 			return g.list.SendBestEffort(n, text)
 		}
 	}
-	return fmt.Errorf("%s is not there", to)
+	return fmt.Errorf("member %s is not present", to)
 }
 
 var (
 	errFenced         = errors.New("a newer process has this one's name")
-	errBudgetExceeded = errors.New("the budget of bytes is spent")
+	errBudgetExceeded = errors.New("the budget of bytes to send is exceeded")
 )
 
-// newRecord numbers and checks a record of this process.
-func (g *Gossiper) newRecord(kind message.Kind, name string, payload any, ttl time.Duration, over bool) (r message.Record, err error) {
-	r = message.Record{Key: message.Key{Owner: g.self.Name, Kind: kind, Name: name}, TTL: ttl, Withdrawn: over}
+// newRecord returns a checked record of this process with the next sequence number.
+func (g *Gossiper) newRecord(kind message.Kind, name string, payload any, ttl time.Duration, withdrawn bool) (r message.Record, err error) {
+	r = message.Record{Key: message.Key{Owner: g.self.Name, Kind: kind, Name: name}, TTL: ttl, Withdrawn: withdrawn}
 	if payload != nil {
 		if r.Body, err = message.Encode(payload); err != nil {
 			return r, err
@@ -288,7 +293,7 @@
 	g.seq++
 	r.Incarnation, r.Seq = g.self.Incarnation, g.seq
 	if err := r.Check(); err != nil {
-		return r, fmt.Errorf("saying %s: %w", name, err)
+		return r, fmt.Errorf("record %s: %w", name, err)
 	}
 	if g.fenced {
 		return r, errFenced
@@ -296,7 +301,8 @@
 	return r, nil
 }
 
-// receive takes in a record, and passes it on if it is new.
+// receive processes a record of another member. A new broadcast record is stored, queued for its reader and
+// sent on; a record for this member only is just queued for its reader.
 func (g *Gossiper) receive(r message.Record) {
 	if (r.Kind == message.LoadReport || r.Kind == message.PressureRequest) && r.Owner != g.Self() && r.Check() == nil {
 		g.inboxes[r.Kind].Push(r.Key, r, false)
@@ -311,14 +317,15 @@
 	}
 	g.mu.Unlock()
 	if changed {
-		if inbox := g.inboxes[r.Kind]; inbox != nil { // else of a later schema: carried on, not read
+		if inbox := g.inboxes[r.Kind]; inbox != nil { // a kind of a later schema is sent on, but not read
 			inbox.Push(r.Key, r, r.Withdrawn)
 		}
 		g.enqueue(r.Key)
 	}
 }
 
-// onOwnName is called, with mu held, for a process under this one's name.
+// onOwnName handles a message of a process with this one's name. A newer process fences this one, see
+// establishedAfter. The caller holds mu.
 func (g *Gossiper) onOwnName(other message.Incarnation) {
 	if !other.Newer(g.self.Incarnation) || g.fenced {
 		return
@@ -332,13 +339,12 @@
 	slog.Warn("a newer process has this name, sharing stopped", "component", "peers", "node", g.self.Name)
 }
 
-// enqueue queues the record of a key to be sent.
+// enqueue adds the record of a key to the records to be sent.
 func (g *Gossiper) enqueue(key message.Key) {
 	g.queue.QueueBroadcast(&broadcast{key: key, gossiper: g})
 }
 
-// encodeNow is the record of a key as it is to be sent now, less the time that it was stored here; nil: it
-// has expired.
+// encodeNow returns the encoded record of a key with its remaining time to live, or nil if it has expired.
 func (g *Gossiper) encodeNow(key message.Key) []byte {
 	g.mu.Lock()
 	r, ok := g.records.get(g.now(), key)
@@ -347,7 +353,7 @@
 		return nil
 	}
 	text, err := message.Encode(r)
-	if err != nil { // it was read or worded by us
+	if err != nil { // cannot happen: the record was decoded or encoded by this process
 		return nil
 	}
 	return text
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -8,27 +8,28 @@
 	"mosslead/internal/gossip/message"
 )
 
-// What a process hears under its own name early is left of the one before; later it is a newer process, and it stands aside.
+// Checks that a process takes a newer incarnation under its name for its predecessor if it arrives early, and
+// is fenced by it if it arrives after establishedAfter.
 func TestTheOlderProcessOfANameStandsAside(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Config{Member: message.Member{Name: "n1", Incarnation: message.Incarnation{StartedMs: 1000}}}
-		p := newGossiper(c)
-		hear := func(started int64) {
-			p.receive(message.Record{Key: message.Key{Owner: "n1", Kind: message.Breaker}, Incarnation: message.Incarnation{StartedMs: started}, Seq: 9, TTL: time.Second})
+		g := newGossiper(c)
+		receiveFrom := func(started int64) {
+			g.receive(message.Record{Key: message.Key{Owner: "n1", Kind: message.Breaker}, Incarnation: message.Incarnation{StartedMs: started}, Seq: 9, TTL: time.Second})
 		}
-		hear(5000) // by a clock that was ahead
-		if p.Fenced() || p.Members()[0].Incarnation.StartedMs != 5001 {
-			t.Fatalf("fenced %v, incarnation %+v", p.Fenced(), p.Members()[0].Incarnation)
+		receiveFrom(5000) // predecessor whose clock was ahead
+		if g.Fenced() || g.Members()[0].Incarnation.StartedMs != 5001 {
+			t.Fatalf("after an early record of a newer incarnation: got fenced %v and incarnation %+v, want false and start 5001", g.Fenced(), g.Members()[0].Incarnation)
 		}
 		time.Sleep(establishedAfter)
-		if hear(4000); p.Fenced() {
-			t.Fatal("an older process fences a newer one")
+		if receiveFrom(4000); g.Fenced() {
+			t.Fatal("got fenced by an older process, want not fenced")
 		}
-		if hear(9000); !p.Fenced() {
-			t.Fatal("a newer process does not fence the older one")
+		if receiveFrom(9000); !g.Fenced() {
+			t.Fatal("got not fenced by a newer process, want fenced")
 		}
-		if p.Broadcast(message.Digest, "", message.Summary{}, time.Second, false) == nil {
-			t.Error("it goes on saying")
+		if g.Broadcast(message.Digest, "", message.Summary{}, time.Second, false) == nil {
+			t.Error("Broadcast of a fenced process: got no error, want one")
 		}
 	})
 }
--- a/internal/gossip/message/encoding.go
+++ b/internal/gossip/message/encoding.go
@@ -6,27 +6,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// One encoding for all messages: deterministic, so that equal messages are equal bytes, and bounded when
-// decoded.
+// All messages have one encoding. It is deterministic, so that equal messages have equal bytes, and decoding is
+// bounded.
 var (
-	encMode, _ = cbor.CoreDetEncOptions().EncMode() // fixed options: they have no error
+	encMode, _ = cbor.CoreDetEncOptions().EncMode() // these fixed options cause no error
 	decMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 )
 
-// Encode encodes v, one of this package's types.
+// Encode returns the encoding of v, a value of one of this package's types.
 func Encode(v any) ([]byte, error) {
 	text, err := encMode.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("wording %T: %w", v, err)
+		return nil, fmt.Errorf("encoding %T: %w", v, err)
 	}
 	return text, nil
 }
 
-// Decode decodes one message into v; the caller has bounded its length. Fields of a later schema are ignored;
-// anything after the message is an error.
+// Decode decodes one message into v; the caller has to bound its length. Fields of a later schema are ignored;
+// bytes after the message are an error.
 func Decode(text []byte, v any) error {
 	if err := decMode.Unmarshal(text, v); err != nil {
-		return fmt.Errorf("reading %T: %w", v, err)
+		return fmt.Errorf("decoding %T: %w", v, err)
 	}
 	return nil
 }
--- a/internal/gossip/message/golden_test.go
+++ b/internal/gossip/message/golden_test.go
@@ -8,7 +8,8 @@
 	"mosslead/internal/golden"
 )
 
-// Sidecars of two versions gossip with each other for days. The bytes of each message are what they have in common.
+// Guards against a change of the encoded bytes of a message: during an update, sidecars of two versions gossip
+// with each other for days.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	var text strings.Builder
 	for _, message := range []any{&Member{}, &Record{}, &Report{}, &Pressure{}, &ProbeResult{}, &Summary{}, &Announcement{}} {
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -7,62 +7,62 @@
 	"time"
 )
 
-// Departed members are tried again. When the links between two halves were cut for long, each half has
-// declared the other dead and told its own members so; and nobody speaks to dead members but for the
-// library's push/pull, which picks among the present ones. Without this, a site that was cut off for 30 s was
-// still missing at the others 11 s after its links were healed.
+// Departed members are joined again. If the links between two halves of the fleet are cut for long, each half
+// declares the other dead, and the library no longer contacts dead members: its push/pull picks among the
+// present ones. Without rejoining, a site that was cut off for 30 s was still missing at the other sites 11 s
+// after its links were restored.
 const (
-	departedRetryInterval = time.Second      // one departed member is tried this often, by each member
-	departedLifetime      = 10 * time.Minute // a departed member is forgotten after this: a process that comes back joins by itself
-	maxDeparted           = 1024             // that are remembered
+	departedRetryInterval = time.Second      // mean interval at which each member tries to join one departed member
+	departedLifetime      = 10 * time.Minute // time until a departed member is forgotten; a process that restarts joins by itself
+	maxDeparted           = 1024             // departed members that are remembered
 )
 
 // departedMember is a member that failed.
 type departedMember struct {
 	address string
-	at      time.Duration
+	at      time.Duration // when it failed
 }
 
-// memberFailed remembers a member that failed; mu is held.
+// memberFailed records a member that failed. The caller holds mu.
 func (g *Gossiper) memberFailed(name, address string) {
 	if len(g.departed) < maxDeparted {
 		g.departed[name] = departedMember{address, g.now()}
 	}
 }
 
-// rejoinLoop tries to join departed members until ctx ends. It blocks on connections, and so has a goroutine
-// of its own.
+// rejoinLoop tries to join departed members until ctx ends. It has its own goroutine, since it blocks on
+// connections.
 func (g *Gossiper) rejoinLoop(ctx context.Context) {
 	for {
-		wait := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(departedRetryInterval)))
+		timer := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(departedRetryInterval)))
 		select {
-		case <-wait.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return
 		}
-		if by := g.randomDeparted(); by != "" {
-			if _, err := g.list.Join([]string{by}); err != nil {
-				slog.Debug("rejoin of a departed member failed", "component", "peers", "peer", by, "err", err)
+		if address := g.randomDeparted(); address != "" {
+			if _, err := g.list.Join([]string{address}); err != nil {
+				slog.Debug("rejoin of a departed member failed", "component", "peers", "peer", address, "err", err)
 			}
 		}
 	}
 }
 
-// randomDeparted is the address of a departed member; empty: there is none.
+// randomDeparted returns the address of a random departed member, or "" if there is none.
 func (g *Gossiper) randomDeparted() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var all []string
+	var addresses []string
 	for name, member := range g.departed {
-		if _, back := g.members[name]; back || g.now()-member.at > departedLifetime {
+		if _, present := g.members[name]; present || g.now()-member.at > departedLifetime {
 			delete(g.departed, name)
 			continue
 		}
-		all = append(all, member.address)
+		addresses = append(addresses, member.address)
 	}
-	if len(all) == 0 {
+	if len(addresses) == 0 {
 		return ""
 	}
-	return all[rand.IntN(len(all))]
+	return addresses[rand.IntN(len(addresses))]
 }
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -7,20 +7,20 @@
 	"mosslead/internal/gossip/message"
 )
 
-// store holds the newest record of each key until it expires, and of each owner the newest maxPerOwner
-// records. Pure: it is given the time, of any monotonic clock.
+// store holds the newest record of each key until it expires, and for each owner the newest maxPerOwner
+// records. Callers pass the time, from any monotonic clock.
 //
-// Without time it is a join-semilattice: of one key the later record wins, in a total order, and of one owner
-// the largest records by (incarnation, sequence). What the bound leaves out lies below maxPerOwner keys whose
-// records only ever rise, so no order of merging brings it back. Time only removes records, by each member's
-// own clock.
+// Apart from expiry it is a join-semilattice: for one key the later record wins, in a total order, and for one
+// owner the largest records by (incarnation, sequence). A record that the bound drops is older than the records
+// of maxPerOwner keys, which are only replaced by newer ones, so no order of merging restores it. Expiry only
+// removes records, by each member's own clock.
 type store struct {
 	maxPerOwner int
 	owners      map[string]map[message.Key]*storedRecord
-	dropped     uint64 // records left out for the bound
+	dropped     uint64 // number of records dropped because of maxPerOwner
 }
 
-// storedRecord is a record and its end.
+// storedRecord is a record and the time when it expires.
 type storedRecord struct {
 	message.Record
 	until time.Duration
@@ -30,49 +30,49 @@
 	return &store{maxPerOwner: maxPerOwner, owners: map[string]map[message.Key]*storedRecord{}}
 }
 
-// merge takes r in, and tells whether it was new.
+// merge stores r if it is new, and reports whether it was stored.
 func (s *store) merge(now time.Duration, r message.Record) bool {
 	if r.Check() != nil {
 		return false
 	}
-	own := s.owners[r.Owner]
-	if old := own[r.Key]; old != nil && now < old.until && !r.Supersedes(&old.Record) {
+	records := s.owners[r.Owner]
+	if old := records[r.Key]; old != nil && now < old.until && !r.Supersedes(&old.Record) {
 		return false
 	}
-	if own == nil {
-		own = map[message.Key]*storedRecord{}
-		s.owners[r.Owner] = own
+	if records == nil {
+		records = map[message.Key]*storedRecord{}
+		s.owners[r.Owner] = records
 	}
-	own[r.Key] = &storedRecord{r, now + r.TTL}
-	if len(own) <= s.maxPerOwner {
+	records[r.Key] = &storedRecord{r, now + r.TTL}
+	if len(records) <= s.maxPerOwner {
 		return true
 	}
 	s.dropped++
 	oldest := r.Key
-	for key, h := range own {
-		if own[oldest].Supersedes(&h.Record) {
+	for key, stored := range records {
+		if records[oldest].Supersedes(&stored.Record) {
 			oldest = key
 		}
 	}
-	delete(own, oldest)
+	delete(records, oldest)
 	return oldest != r.Key
 }
 
-// get is the record of a key with its remaining time to live; false: there is none.
+// get returns the record of a key with its remaining time to live; the boolean is false if there is none.
 func (s *store) get(now time.Duration, key message.Key) (message.Record, bool) {
-	h := s.owners[key.Owner][key]
-	if h == nil || h.until <= now {
+	stored := s.owners[key.Owner][key]
+	if stored == nil || stored.until <= now {
 		return message.Record{}, false
 	}
-	r := h.Record
-	r.TTL = h.until - now
+	r := stored.Record
+	r.TTL = stored.until - now
 	return r, true
 }
 
-// live are the records that have not expired, with their remaining time to live.
+// live returns the records that have not expired, with their remaining time to live.
 func (s *store) live(now time.Duration) (all []message.Record) {
-	for _, own := range s.owners {
-		for key := range own {
+	for _, records := range s.owners {
+		for key := range records {
 			if r, ok := s.get(now, key); ok {
 				all = append(all, r)
 			}
@@ -83,9 +83,9 @@
 
 // sweep removes expired records.
 func (s *store) sweep(now time.Duration) {
-	for owner, own := range s.owners {
-		maps.DeleteFunc(own, func(_ message.Key, h *storedRecord) bool { return h.until <= now })
-		if len(own) == 0 {
+	for owner, records := range s.owners {
+		maps.DeleteFunc(records, func(_ message.Key, stored *storedRecord) bool { return stored.until <= now })
+		if len(records) == 0 {
 			delete(s.owners, owner)
 		}
 	}
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -11,21 +11,23 @@
 	"mosslead/internal/gossip/message"
 )
 
-// testBound is the bound in these tests: draws go beyond it.
+// testBound is the bound per owner in these tests; the drawn records exceed it.
 const testBound = 6
 
-// drawRecord draws a record of few owners and names, so that they meet; what an owner said under a number is one thing.
+// drawRecord draws a record of few owners and names, so that keys coincide. The sequence number of an owner
+// determines the rest of its record.
 func drawRecord(t *rapid.T) message.Record {
 	n := rapid.Uint64Range(1, 3*testBound).Draw(t, "seq")
-	own := message.Incarnation{StartedMs: rapid.Int64Range(1, 2).Draw(t, "start")}
+	incarnation := message.Incarnation{StartedMs: rapid.Int64Range(1, 2).Draw(t, "start")}
 	return message.Record{Key: message.Key{Owner: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner"), Kind: message.Breaker,
-		Name: fmt.Sprint(n * 7 % (message.MaxRecordsPerOwner + 5))}, Incarnation: own, Seq: n, TTL: time.Minute, Body: []byte{byte(n)}}
+		Name: fmt.Sprint(n * 7 % (message.MaxRecordsPerOwner + 5))}, Incarnation: incarnation, Seq: n, TTL: time.Minute, Body: []byte{byte(n)}}
 }
 
-func mergeAll(rs ...[]message.Record) map[message.Key]uint64 {
+// mergeAll merges lists of records into a new store, and returns sequence number and incarnation by key.
+func mergeAll(lists ...[]message.Record) map[message.Key]uint64 {
 	s := newStore(testBound)
-	for _, some := range rs {
-		for _, r := range some {
+	for _, records := range lists {
+		for _, r := range records {
 			s.merge(0, r)
 		}
 	}
@@ -36,7 +38,8 @@
 	return got
 }
 
-// The store is a join-semilattice, over its bound too: order, repetition and grouping make no difference.
+// Checks that the store is a join-semilattice, also beyond its bound: order, repetition and grouping of the
+// records make no difference.
 func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 3*testBound)
@@ -46,12 +49,12 @@
 			"another order": mergeAll(c, b, a), "again": mergeAll(a, b, a, c, b, c), "shuffled": mergeAll(rapid.Permutation(append(append(append([]message.Record{}, a...), b...), c...)).Draw(t, "order")),
 		} {
 			if !maps.Equal(want, got) {
-				t.Fatalf("%s: %d records for %d", name, len(got), len(want))
+				t.Fatalf("%s: got records %v, want %v", name, got, want)
 			}
 		}
 		for owner, n := range counts(want) {
 			if n > testBound {
-				t.Fatalf("%d records of %s", n, owner)
+				t.Fatalf("owner %s: got %d records, want %d at most", owner, n, testBound)
 			}
 		}
 	})
@@ -65,21 +68,21 @@
 	return n
 }
 
-// A record is believed no longer than its owner said, however many hands it goes through.
+// Checks that a record expires after the time to live that its owner set, however many members pass it on.
 func TestRecordsAgeAtEachHop(t *testing.T) {
 	r := message.Record{Key: message.Key{Owner: "a", Kind: message.Breaker, Name: "s-1"}, Seq: 1, TTL: 5 * time.Second}
 	for hop, now := 0, time.Duration(0); hop < 3; hop++ {
 		s := newStore(testBound)
 		if !s.merge(now, r) {
-			t.Fatalf("hop %d: not taken in", hop)
+			t.Fatalf("hop %d: merge returned false, want true", hop)
 		}
 		now += 1500 * time.Millisecond
 		r, _ = s.get(now, r.Key)
 	}
 	if r.TTL != 500*time.Millisecond {
-		t.Fatalf("%v left after three hops of 1.5 s", r.TTL)
+		t.Fatalf("TTL after three hops of 1.5 s: got %v, want 500ms", r.TTL)
 	}
 	if s := newStore(testBound); s.merge(0, r) && s.merge(time.Second, r) == false {
-		t.Error("a lapsed record stands in the way")
+		t.Error("merge of the record after its expiry returned false, want true")
 	}
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -12,12 +12,12 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is the library's sockets, with streams that leave from the address of this process, as its
-// datagrams do. So what stands between the members (a firewall, an address translation, the laboratory's
-// links) knows the sender. Streams end with the transport.
+// transport is the library's transport, except that streams have this process's address as their source, as
+// its datagrams do. So a firewall, an address translation or the laboratory's links between the members can
+// identify the sender. Shutdown closes the streams too.
 type transport struct {
 	*memberlist.NetTransport
-	localIP net.IP
+	localIP net.IP // nil if the host is not an IP address
 	ctx     context.Context
 	cancel  context.CancelFunc
 }
@@ -27,8 +27,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("sockets: %w", err)
 	}
-	ctx, end := context.WithCancel(context.Background())
-	return &transport{t, net.ParseIP(host), ctx, end}, nil
+	ctx, cancel := context.WithCancel(context.Background())
+	return &transport{t, net.ParseIP(host), ctx, cancel}, nil
 }
 
 // DialAddressTimeout opens a stream to a member.
@@ -51,19 +51,19 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: to}, timeout)
 }
 
-// Shutdown closes the sockets, and the streams that this process has opened.
+// Shutdown closes the sockets and the streams that this process has opened.
 func (t *transport) Shutdown() error {
 	t.cancel()
 	return t.NetTransport.Shutdown()
 }
 
-// stream is a connection that ends with its transport.
+// stream is a connection that is closed when its transport shuts down.
 type stream struct {
 	net.Conn
 	unregister func() bool
 }
 
-// Close closes the connection. A second call is no error.
+// Close closes the connection. A second call returns no error.
 func (s *stream) Close() error {
 	s.unregister()
 	if err := s.Conn.Close(); !errors.Is(err, net.ErrClosed) {
