--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -14,15 +14,15 @@
 // Under is the prefix of the keys of settings in a sidecar's file.
 const Under = "settings."
 
-// Keys is the set of keys in a JSON object, with the path of keys in inner objects. Of the objects in a list it has the keys
-// common to all; of an empty list it has the list's path and a dot. (Decoding into a struct can't tell an absent key from
-// one that is 0.)
+// Keys is the set of keys in a JSON object; keys of inner objects have their path as a prefix. For a list it has the keys that
+// all objects in the list have, and for an empty list the list's path with a dot. (Decoding into a struct can't distinguish an
+// absent key from one that is 0.)
 type Keys map[string]bool
 
-// KeysOf returns the keys of an object, without those inside the sealed ones.
+// KeysOf returns the keys of an object, except those inside the values of the keys in sealed.
 func KeysOf(text []byte, sealed ...string) (Keys, error) {
-	var file map[string]any
-	if err := json.Unmarshal(text, &file); err != nil {
+	var object map[string]any
+	if err := json.Unmarshal(text, &object); err != nil {
 		return nil, err
 	}
 	keys := Keys{}
@@ -39,9 +39,9 @@
 		case []any:
 			counts := map[string]int{}
 			for _, x := range v {
-				one := Keys{}
-				walk(path, x, one)
-				for key := range one {
+				elementKeys := Keys{}
+				walk(path, x, elementKeys)
+				for key := range elementKeys {
 					counts[key]++
 				}
 			}
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	walk("", file, keys)
+	walk("", object, keys)
 	return keys, nil
 }
 
@@ -64,20 +64,20 @@
 	return KeysOf(fmt.Appendf(nil, `{"settings":%s}`, text))
 }
 
-// Lacks returns the first of the old keys that is missing, or "" if none is: a missing key would be read as a limit or a cost
-// that was never set. Keys that are not read, that are optional, or that the caller exempts may be missing.
-func (k Keys) Lacks(old Keys, free ...string) string {
+// Lacks returns the first of the old keys that is missing, or "" if none is. A missing key would be read as a limit or cost
+// that was never set. Keys may be missing if they are not read, are optional, or are listed in exempt.
+func (k Keys) Lacks(old Keys, exempt ...string) string {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
-		may := slices.Contains(free, key) || key == Under+"Classes.AimStretch" || strings.HasSuffix(key, ".") ||
+		mayBeMissing := slices.Contains(exempt, key) || key == Under+"Classes.AimStretch" || strings.HasSuffix(key, ".") ||
 			strings.HasPrefix(key, Under) && !readKeys()[key]
-		if !may && !k.contains(key) {
+		if !mayBeMissing && !k.contains(key) {
 			return key
 		}
 	}
 	return ""
 }
 
-// contains reports whether a key is present, or an empty list in whose objects it would be.
+// contains reports whether k has a key, or the empty list in whose objects the key would be.
 func (k Keys) contains(key string) bool {
 	for i, x := range key {
 		if x == '.' && k[key[:i+1]] {
@@ -87,11 +87,11 @@
 	return k[key]
 }
 
-// readKeys are the keys of settings that are read.
+// readKeys returns the keys of settings that the program reads.
 var readKeys = sync.OnceValue(func() Keys {
 	keys, err := DocumentKeys(wire.Keys())
 	if err != nil {
-		panic(err) // can't fail for the program's own text
+		panic(err) // cannot happen: the text is the program's own
 	}
 	return keys
 })
--- a/internal/settings/locate_test.go
+++ b/internal/settings/locate_test.go
@@ -20,8 +20,8 @@
  "Tenants": [{"Name": "a", "Fraction": 0.5}]
 }`
 
-// Guards against an error that leaves the operator to search: each setting that the check rejects is told with its line and key,
-// in the file's words. Also against the check's words and keyOf drifting apart.
+// Guards against an error that leaves the operator to search: for each setting that Check rejects, Locate returns its line and
+// its key in the file. Also guards against settings that balancer names and keyOfSetting lacks.
 func TestWhatIsTurnedDownIsLocated(t *testing.T) {
 	if _, err := Check(1, []byte(validFile)); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 		{`"Fraction": 0.5`, `"Fraction": 1.5`, 13, "Tenants.Fraction"},
 		{`"retryable"`, `"often"`, 4, "Classes.Semantics"},
 		{`"AimMs": 500, "DeadlineMs": 1000,`, `"AimMs": -1, "DeadlineMs": 1000,`, 4, "Classes.AimMs"},
-		{`"AimMs": 500, "DeadlineMs": 1000,`, `"AimMs": 500,`, 4, "Classes.DeadlineMs"}, // absent: its object's name
+		{`"AimMs": 500, "DeadlineMs": 1000,`, `"AimMs": 500,`, 4, "Classes.DeadlineMs"}, // absent: the line of the object's name
 		{`"Importance": 1`, `"Importance": -1`, 5, "Classes.Importance"},
 		{`"LateShare": 0.5`, `"LateShare": 5`, 5, "Classes.LateShare"},
 		{`"AimStretch": 1`, `"AimStretch": -1`, 5, "Classes.AimStretch"},
@@ -56,30 +56,30 @@
 		{`"DedupWindowMs": 6000`, `"DedupWindowMs": -6`, 7, "Classes.DedupWindowMs"},
 		{`"Name": "record"`, `"Name": "search"`, 6, "Classes.Name"},
 		{`"Name": "record"`, `"Name": ""`, 6, "Classes.Name"},
-		{`"SendCap": 5}`, `"SendCap": 5]`, 9, ""}, // no key: the text is no JSON
+		{`"SendCap": 5}`, `"SendCap": 5]`, 9, ""}, // no key, as the text is not JSON
 	} {
 		text := strings.Replace(validFile, c.old, c.new, 1)
 		if text == validFile {
-			t.Fatalf("%q is not there", c.old)
+			t.Fatalf("the test's settings do not contain %q", c.old)
 		}
 		_, err := Check(1, []byte(text))
 		if err == nil {
-			t.Errorf("%s passes", c.new)
+			t.Errorf("Check of settings with %s: got no error, want one", c.new)
 			continue
 		}
-		if p := Locate([]byte(text), err); p.Line != c.line || p.Key != c.key || p.Column < 1 {
-			t.Errorf("%s: %v: at %+v, want line %d, %s", c.new, err, p, c.line, c.key)
+		if place := Locate([]byte(text), err); place.Line != c.line || place.Key != c.key || place.Column < 1 {
+			t.Errorf("%s: error %v is located at %+v, want line %d and key %q", c.new, err, place, c.line, c.key)
 		}
 	}
 	for _, text := range []string{`{}`, `null`, `[]`, ``, `{"Classes":[]}`, `{"Classes":[{}]}`} {
 		_, err := Check(1, []byte(text))
 		if err == nil {
-			t.Errorf("%q passes", text)
+			t.Errorf("Check of %q: got no error, want one", text)
 			continue
 		}
-		Locate([]byte(text), err) // never a crash
+		Locate([]byte(text), err) // must not panic
 	}
 	if _, err := Check(Schema+1, []byte(validFile)); err == nil || Locate([]byte(validFile), err) != (Place{}) {
-		t.Errorf("a newer schema: %v", err)
+		t.Errorf("Check of a newer schema: got %v at %+v, want an error without a position", err, Locate([]byte(validFile), err))
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings defines the documents with the settings of a service: their schema, and the checks that a sidecar's own
-// file gets too. It does no I/O.
+// Package settings defines the documents with the settings of a service: their schema, and the checks, which also apply to a
+// sidecar's own file. It does no I/O.
 package settings
 
 import (
@@ -12,12 +12,12 @@
 	"mosslead/internal/wire"
 )
 
-// Schema is the newest schema of settings that this program understands. A document of a newer one is rejected, and the
+// Schema is the newest schema of settings that this program understands. A document of a newer schema is rejected, and the
 // settings in force stay.
 const Schema = 1
 
-// Check decodes and checks the settings of a document of that schema, the object that a sidecar's file has under "settings". An
-// error names the key, or line and column.
+// Check decodes and checks the settings of a document of that schema. text is the object that a sidecar's file has under
+// "settings". An error names the key, or line and column.
 func Check(schema int, text []byte) (wire.Settings, error) {
 	if schema < 1 || schema > Schema {
 		return wire.Settings{}, fmt.Errorf("schema %d, and this program understands 1 to %d", schema, Schema)
@@ -25,8 +25,8 @@
 	return Read(text, text)
 }
 
-// Read decodes and checks settings: part is the object, and text that which it is a part of, a sidecar's file or itself. An
-// error names the key, or line and column in text.
+// Read decodes and checks settings. part is the object with the settings, and text contains it: a sidecar's file, or the object
+// itself. An error names the key, or line and column in text.
 func Read(text, part []byte) (wire.Settings, error) {
 	s, err := wire.DecodeSettings(part)
 	if err != nil {
@@ -39,25 +39,25 @@
 	if keys["Limits.SendCap"] && s.MaxAttempts < 1 {
 		return wire.Settings{}, &KeyError{"Limits.SendCap", fmt.Sprintf("%d is not above 0", s.MaxAttempts)}
 	}
-	if _, err := balancer.New(s.Settings, 1); err != nil { // whatever the seed is
+	if _, err := balancer.New(s.Settings, 1); err != nil { // the seed makes no difference to the check
 		return wire.Settings{}, err
 	}
 	return s, nil
 }
 
-// Located adds the position in text to an error of encoding/json, which counts from the start of the part it was given.
+// Located adds the position in text to an error of encoding/json, whose offset counts from the start of part.
 func Located(text, part []byte, err error) error {
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	at := max(0, bytes.Index(text, part))
+	var wrongType *json.UnmarshalTypeError
+	offset := max(0, bytes.Index(text, part))
 	switch {
 	case errors.As(err, &syntax):
-		at += int(syntax.Offset)
-	case errors.As(err, &kind):
-		at += int(kind.Offset)
+		offset += int(syntax.Offset)
+	case errors.As(err, &wrongType):
+		offset += int(wrongType.Offset)
 	default:
 		return err
 	}
-	before := text[:min(at, len(text))]
+	before := text[:min(offset, len(text))]
 	return fmt.Errorf("line %d, column %d: %w", 1+bytes.Count(before, []byte("\n")), len(before)-1-bytes.LastIndexByte(before, '\n'), err)
 }
