--- a/internal/circuitbreaker/probe.go
+++ b/internal/circuitbreaker/probe.go
@@ -27,8 +27,8 @@
 }
 
 // reset starts with another incarnation of the upstream. The epoch belongs to the leadership and stays.
-func (p *probeState) reset(sinceMs int64) {
-	*p = probeState{epoch: p.epoch, startedMs: sinceMs, failedAt: -evidenceLifetime}
+func (p *probeState) reset(startedMs int64) {
+	*p = probeState{epoch: p.epoch, startedMs: startedMs, failedAt: -evidenceLifetime}
 }
 
 func (b *VerdictTracker) onProbe(now time.Duration, e ProbeResult) {
--- a/internal/circuitbreaker/tracker.go
+++ b/internal/circuitbreaker/tracker.go
@@ -58,7 +58,7 @@
 // that is not listed, don't count.
 type EndpointList struct{ Upstreams []Upstream }
 
-// Tick has verdicts evaluated without other input, since reports expire.
+// Tick causes the verdicts to be evaluated without other input, since reports expire.
 type Tick struct{}
 
 func (Batch) event()           {}
@@ -110,7 +110,7 @@
 	servedTTL             = 5 * time.Second // longest validity of a report of success
 )
 
-// subject is what a verdict is on: an upstream, or one class of requests at it.
+// subject is what a verdict applies to: an upstream, or one class of requests at it.
 type subject struct{ upstream, class string }
 
 func (s subject) compare(other subject) int {
@@ -132,11 +132,11 @@
 // VerdictTracker stores reports and derives verdicts from them. It is not safe for concurrent use.
 type VerdictTracker struct {
 	config          Config
-	startedAt       time.Duration // time of the first event
-	listed          map[string]Upstream
-	upstreamsBySite map[string]int // upstreams by site
+	startedAt       time.Duration       // time of the first event
+	listed          map[string]Upstream // by name
+	upstreamsBySite map[string]int      // number of listed upstreams, by site
 	members         map[string]message.Member
-	siteSizes       map[string]memberCount // members by site
+	siteSizes       map[string]memberCount // recent number of members, by site
 	reports         map[subject]map[string]*peerReport
 	scores          map[string]score
 	probes          map[string]*probeState
--- a/internal/circuitbreaker/verdict.go
+++ b/internal/circuitbreaker/verdict.go
@@ -22,8 +22,8 @@
 )
 
 // requiredReporters returns how many independent reporters a verdict requires if n members could have seen the
-// fault: the smallest number, but at least 2, that is wrong at once with a probability of at most
-// maxFalseVerdict. The number of wrong members among n is taken as Poisson distributed.
+// fault: the smallest number, but at least 2, such that as many members are wrong at once with a probability
+// of at most maxFalseVerdict. The number of wrong members is taken as Poisson distributed.
 func requiredReporters(n int) int {
 	mean := falseReportRate * float64(n)
 	term := math.Exp(-mean) // P(exactly k)
--- a/internal/circuitbreaker/weight.go
+++ b/internal/circuitbreaker/weight.go
@@ -108,7 +108,7 @@
 type accusations map[string]map[string]int
 
 func (b *VerdictTracker) accusations() accusations {
-	all, counted := accusations{}, map[subject]bool{} // counted has upstream and reporter as its key
+	all, counted := accusations{}, map[subject]bool{} // the key of counted is upstream and reporter
 	for s, byReporter := range b.reports {
 		u, listed := b.listed[s.upstream]
 		if !listed {
--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -41,9 +41,9 @@
 	g.sampledAt = now
 	parts, samples := g.now.Parts(), p.Parts()
 	g.now.Total = 0
-	for i, x := range parts {
-		*x += w * (min(max(*samples[i], 0), 1) - *x)
-		g.now.Total = max(g.now.Total, *x)
+	for i, part := range parts {
+		*part += w * (min(max(*samples[i], 0), 1) - *part)
+		g.now.Total = max(g.now.Total, *part)
 	}
 	switch {
 	case g.now.Total >= hotThreshold:
--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -42,17 +42,17 @@
 	d.mu.Lock()
 	self := d.self
 	d.mu.Unlock()
-	text, err := message.Encode(self)
+	encoded, err := message.Encode(self)
 	if err != nil {
 		return nil
 	}
-	return text
+	return encoded
 }
 
 // NotifyMsg processes a record that arrived in a datagram.
-func (d *delegate) NotifyMsg(text []byte) {
+func (d *delegate) NotifyMsg(encoded []byte) {
 	var r message.Record
-	if len(text) > message.MaxRecord || message.Decode(text, &r) != nil {
+	if len(encoded) > message.MaxRecord || message.Decode(encoded, &r) != nil {
 		return
 	}
 	(*Gossiper)(d).receive(r)
@@ -65,16 +65,16 @@
 	if limit <= 0 {
 		return nil
 	}
-	all := d.queue.GetBroadcasts(overhead, limit)
+	messages := d.queue.GetBroadcasts(overhead, limit)
 	used := 0
-	for _, text := range all {
-		used += overhead + len(text)
+	for _, encoded := range messages {
+		used += overhead + len(encoded)
 	}
 	d.budget.AllowN(now, used)
-	sendable := all[:0]
-	for _, text := range all {
-		if len(text) > 0 { // an empty one expired in the queue
-			sendable = append(sendable, text)
+	sendable := messages[:0]
+	for _, encoded := range messages {
+		if len(encoded) > 0 { // an empty one expired in the queue
+			sendable = append(sendable, encoded)
 		}
 	}
 	return sendable
@@ -83,23 +83,23 @@
 // LocalState returns all valid records, encoded for a push/pull.
 func (d *delegate) LocalState(bool) []byte {
 	d.mu.Lock()
-	all := d.records.live((*Gossiper)(d).now())
+	records := d.records.live((*Gossiper)(d).now())
 	d.mu.Unlock()
-	text, err := message.Encode(all)
-	if err != nil || len(text) > message.MaxState {
-		slog.Warn("gossip state not sent", "component", "peers", "bytes", len(text), "err", err)
+	encoded, err := message.Encode(records)
+	if err != nil || len(encoded) > message.MaxState {
+		slog.Warn("gossip state not sent", "component", "peers", "bytes", len(encoded), "err", err)
 		return nil
 	}
-	return text
+	return encoded
 }
 
 // MergeRemoteState processes the records of a member's push/pull.
-func (d *delegate) MergeRemoteState(text []byte, _ bool) {
-	var all []message.Record
-	if len(text) > message.MaxState || message.Decode(text, &all) != nil {
+func (d *delegate) MergeRemoteState(encoded []byte, _ bool) {
+	var records []message.Record
+	if len(encoded) > message.MaxState || message.Decode(encoded, &records) != nil {
 		return
 	}
-	for _, r := range all {
+	for _, r := range records {
 		(*Gossiper)(d).receive(r)
 	}
 }
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -1,4 +1,4 @@
-// Package gossip maintains which sidecars are present, and spreads small records among them. Membership and
+// Package gossip tracks which sidecars are present, and spreads small records among them. Membership and
 // failure detection (SWIM) are done by hashicorp/memberlist, which also broadcasts the records; they are merged
 // here (store.go).
 package gossip
@@ -88,27 +88,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("address: %w", err)
 	}
-	number, err := strconv.ParseUint(port, 10, 16)
+	portNumber, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
 		return nil, fmt.Errorf("address: port %q: %w", port, err)
 	}
 	g := newGossiper(c)
 	conf := memberlist.DefaultLANConfig()
-	conf.AdvertisePort = int(number)
+	conf.AdvertisePort = int(portNumber)
 	if c.Advertise != "" {
-		at, err := net.ResolveTCPAddr("tcp", c.Advertise)
+		advertised, err := net.ResolveTCPAddr("tcp", c.Advertise)
 		if err != nil {
 			return nil, fmt.Errorf("advertise: %w", err)
 		}
-		conf.AdvertiseAddr, conf.AdvertisePort = at.IP.String(), at.Port
+		conf.AdvertiseAddr, conf.AdvertisePort = advertised.IP.String(), advertised.Port
 	}
 	if c.Transport == nil {
-		if c.Transport, err = newTransport(host, int(number)); err != nil {
+		if c.Transport, err = newTransport(host, int(portNumber)); err != nil {
 			return nil, fmt.Errorf("gossip at %s: %w", c.Address, err)
 		}
 	}
 	conf.TCPTimeout = streamTimeout
-	conf.Name, conf.BindAddr, conf.BindPort = c.Member.Name, host, int(number)
+	conf.Name, conf.BindAddr, conf.BindPort = c.Member.Name, host, int(portNumber)
 	conf.Transport, conf.LogOutput, conf.GossipInterval = c.Transport, io.Discard, gossipInterval
 	conf.Delegate, conf.Events, conf.Conflict = (*delegate)(g), (*events)(g), (*conflict)(g)
 	if g.list, err = memberlist.Create(conf); err != nil {
@@ -142,11 +142,11 @@
 	defer sweep.Stop()
 	join := time.NewTimer(0)
 	defer join.Stop()
-	for joined := 0; ; {
+	for attempt := 0; ; {
 		select {
 		case <-join.C:
-			join.Reset(g.join(joined))
-			joined++
+			join.Reset(g.join(attempt))
+			attempt++
 		case <-sweep.C:
 			g.mu.Lock()
 			g.records.sweep(g.now())
@@ -157,12 +157,12 @@
 	}
 }
 
-// join joins the seeds, or a random member if any is present, and returns the delay until the next call. joined
-// is the number of calls before.
-func (g *Gossiper) join(joined int) time.Duration {
+// join joins the seeds, or a random member if any is present, and returns the delay until the next call.
+// attempt is the number of calls before.
+func (g *Gossiper) join(attempt int) time.Duration {
 	addresses := g.seeds
 	if others := g.list.Members(); len(others) > 1 {
-		if joined > initialJoins {
+		if attempt > initialJoins {
 			return rejoinInterval
 		}
 		addresses = []string{others[rand.IntN(len(others))].Address()}
@@ -172,7 +172,7 @@
 			slog.Debug("join failed", "component", "peers", "err", err)
 		}
 	}
-	delay := min(baseJoinDelay<<min(joined, 10), rejoinInterval)
+	delay := min(baseJoinDelay<<min(attempt, 10), rejoinInterval)
 	return time.Duration((0.5 + rand.Float64()) * float64(delay))
 }
 
@@ -260,16 +260,16 @@
 	if err != nil {
 		return err
 	}
-	text, err := message.Encode(r)
+	encoded, err := message.Encode(r)
 	if err != nil {
 		return err
 	}
-	if !g.budget.AllowN(time.Now(), len(text)) {
+	if !g.budget.AllowN(time.Now(), len(encoded)) {
 		return errBudgetExceeded
 	}
 	for _, n := range g.list.Members() {
 		if n.Name == to {
-			return g.list.SendBestEffort(n, text)
+			return g.list.SendBestEffort(n, encoded)
 		}
 	}
 	return fmt.Errorf("member %s is not present", to)
@@ -352,9 +352,9 @@
 	if !ok {
 		return nil
 	}
-	text, err := message.Encode(r)
+	encoded, err := message.Encode(r)
 	if err != nil { // cannot happen: the record was decoded or encoded by this process
 		return nil
 	}
-	return text
+	return encoded
 }
--- a/internal/gossip/message/encoding.go
+++ b/internal/gossip/message/encoding.go
@@ -15,17 +15,17 @@
 
 // Encode returns the encoding of v, a value of one of this package's types.
 func Encode(v any) ([]byte, error) {
-	text, err := encMode.Marshal(v)
+	encoded, err := encMode.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("encoding %T: %w", v, err)
 	}
-	return text, nil
+	return encoded, nil
 }
 
 // Decode decodes one message into v; the caller has to bound its length. Fields of a later schema are ignored;
 // bytes after the message are an error.
-func Decode(text []byte, v any) error {
-	if err := decMode.Unmarshal(text, v); err != nil {
+func Decode(encoded []byte, v any) error {
+	if err := decMode.Unmarshal(encoded, v); err != nil {
 		return fmt.Errorf("decoding %T: %w", v, err)
 	}
 	return nil
--- a/internal/gossip/message/message.go
+++ b/internal/gossip/message/message.go
@@ -50,7 +50,7 @@
 // Check returns an error if a member is out of bounds.
 func (m *Member) Check() error {
 	if m.Name == "" || max(len(m.Name), len(m.Site), len(m.Version), len(m.Forward)) > MaxName {
-		return fmt.Errorf("%w: a member's name, site, version and address hold 1 to %d bytes", errBounds, MaxName)
+		return fmt.Errorf("%w: a member's name has to have 1 to %d bytes, and its site, version and address no more", errBounds, MaxName)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	Incarnation Incarnation   `cbor:"4,keyasint"` // of the owner
 	Seq         uint64        `cbor:"5,keyasint"` // sequence number, which rises with each record of the owner's process
 	TTL         time.Duration `cbor:"6,keyasint"` // remaining time to live when sent; each member measures it by its own monotonic clock
-	Withdrawn   bool          `cbor:"7,keyasint"` // the owner takes the record back; stored until its TTL ends
+	Withdrawn   bool          `cbor:"7,keyasint"` // the owner withdraws the record, which is stored until its TTL ends
 	Body        []byte        `cbor:"8,keyasint"` // encoded value of the kind's type
 }
 
@@ -98,11 +98,11 @@
 func (r *Record) Check() error {
 	switch {
 	case r.Owner == "" || len(r.Owner) > MaxName || len(r.Name) > 2*MaxName:
-		return fmt.Errorf("%w: names of %d and %d bytes", errBounds, len(r.Owner), len(r.Name))
+		return fmt.Errorf("%w: owner's name of %d bytes, record's name of %d bytes", errBounds, len(r.Owner), len(r.Name))
 	case len(r.Body) > MaxBody:
-		return fmt.Errorf("%w: a body of %d bytes", errBounds, len(r.Body))
+		return fmt.Errorf("%w: body of %d bytes", errBounds, len(r.Body))
 	case r.TTL <= 0 || r.TTL > MaxTTL: // the sender has a broken clock, or sends false values
-		return fmt.Errorf("%w: a time to live of %v", errBounds, r.TTL)
+		return fmt.Errorf("%w: time to live of %v", errBounds, r.TTL)
 	}
 	return nil
 }
