--- a/internal/durable/crashfs/crashes.go
+++ b/internal/durable/crashfs/crashes.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	subsetsOf = 8   // unsynced calls of which every subset is enumerated; of more calls, random subsets
-	everyByte = 128 // bytes of a write that is torn at every byte; a longer one is torn at its ends and
-	tears     = 12  // at this many random bytes
+	maxEnumeratedOps   = 8   // unsynced calls of which every subset is enumerated; of more calls, random subsets
+	maxTornAtEveryByte = 128 // bytes of a write that is torn at every byte; a longer one is torn at its ends and
+	randomTears        = 12  // at this many random bytes
 )
 
 // Crashes calls found with each state in which the disk may be after a power loss behind ops[:n], for every n from 0 to the
@@ -19,11 +19,11 @@
 	f.mu.Unlock()
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for n := range len(ops) + 1 {
-		open := unsafe(ops[:n])
+		open := unsyncedOps(ops[:n])
 		for _, chosen := range subsets(open, rng) {
-			for _, tear := range cuts(ops, chosen, rng) {
+			for _, tear := range tearOffsets(ops, chosen, rng) {
 				states++
-				if !found(n, disk(ops[:n], open, chosen, tear)) {
+				if !found(n, diskState(ops[:n], open, chosen, tear)) {
 					return states
 				}
 			}
@@ -32,8 +32,8 @@
 	return states
 }
 
-// unsafe returns the calls that are not known to be on disk.
-func unsafe(ops []op) (at []int) {
+// unsyncedOps returns the calls that are not known to be on disk.
+func unsyncedOps(ops []op) (at []int) {
 	for i, o := range ops {
 		switch o.kind {
 		case write:
@@ -59,34 +59,34 @@
 		}
 		return s
 	}
-	if len(of) <= subsetsOf {
+	if len(of) <= maxEnumeratedOps {
 		for mask := range uint64(1) << len(of) {
 			all = append(all, pick(mask))
 		}
 		return all
 	}
 	all = append(all, nil, of)
-	for range 1<<subsetsOf - 2 {
+	for range 1<<maxEnumeratedOps - 2 {
 		all = append(all, pick(rng.Uint64()))
 	}
 	return all
 }
 
-// cuts returns the lengths to which the last write of a subset is torn; -1: it is complete.
-func cuts(ops []op, chosen []int, rng *rand.Rand) []int {
+// tearOffsets returns the lengths to which the last write of a subset is torn; -1: it is complete.
+func tearOffsets(ops []op, chosen []int, rng *rand.Rand) []int {
 	last := lastWrite(ops, chosen)
 	if last < 0 {
 		return []int{-1}
 	}
 	n := len(ops[last].data)
 	at := []int{-1, 0, n - 1}
-	if n <= everyByte {
+	if n <= maxTornAtEveryByte {
 		at = []int{-1}
 		for i := range n {
 			at = append(at, i)
 		}
 	} else {
-		for range tears {
+		for range randomTears {
 			at = append(at, 1+rng.IntN(n-1))
 		}
 	}
@@ -103,9 +103,9 @@
 	return last
 }
 
-// disk returns the files after a crash: all durable calls and the chosen ones of the others (open), the last write cut to
+// diskState returns the files after a crash: all durable calls and the chosen ones of the others (open), the last write cut to
 // tear bytes.
-func disk(ops []op, open, chosen []int, tear int) map[string][]byte {
+func diskState(ops []op, open, chosen []int, tear int) map[string][]byte {
 	last := lastWrite(ops, chosen)
 	content := map[int][]byte{}
 	names := map[string]int{}
--- a/internal/durable/crashfs/crashfs.go
+++ b/internal/durable/crashfs/crashfs.go
@@ -113,7 +113,7 @@
 	if i == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &file{f: f, inode: i, name: name}, nil
+	return &file{fs: f, inode: i, name: name}, nil
 }
 
 // Create implements durable.FS.
@@ -133,7 +133,7 @@
 	i := &inode{id: f.inodes}
 	f.files[name] = i
 	f.ops = append(f.ops, op{kind: create, name: name, inode: i.id})
-	return &file{f: f, inode: i, name: name}, nil
+	return &file{fs: f, inode: i, name: name}, nil
 }
 
 // Rename implements durable.FS.
@@ -194,42 +194,42 @@
 
 // file implements durable.File.
 type file struct {
-	f     *FS
-	inode *inode
-	name  string
-	at    int
+	fs         *FS
+	inode      *inode
+	name       string
+	readOffset int
 }
 
 func (o *file) Read(p []byte) (int, error) {
-	o.f.mu.Lock()
-	defer o.f.mu.Unlock()
-	if err := o.f.failure("read", o.name, false); err != nil {
+	o.fs.mu.Lock()
+	defer o.fs.mu.Unlock()
+	if err := o.fs.failure("read", o.name, false); err != nil {
 		return 0, err
 	}
-	if o.at >= len(o.inode.data) {
+	if o.readOffset >= len(o.inode.data) {
 		return 0, io.EOF
 	}
-	n := copy(p, o.inode.data[o.at:])
-	o.at += n
+	n := copy(p, o.inode.data[o.readOffset:])
+	o.readOffset += n
 	return n, nil
 }
 
 func (o *file) Write(p []byte) (int, error) {
-	o.f.mu.Lock()
-	defer o.f.mu.Unlock()
-	err := o.f.failure("write", o.name, true)
+	o.fs.mu.Lock()
+	defer o.fs.mu.Unlock()
+	err := o.fs.failure("write", o.name, true)
 	n := len(p)
 	switch {
 	case err != nil:
 		n /= 2
-	case o.f.space >= 0 && n > o.f.space:
-		n, err = o.f.space, &fs.PathError{Op: "write", Path: o.name, Err: syscall.ENOSPC}
+	case o.fs.space >= 0 && n > o.fs.space:
+		n, err = o.fs.space, &fs.PathError{Op: "write", Path: o.name, Err: syscall.ENOSPC}
 	}
-	if o.f.space >= 0 {
-		o.f.space -= n
+	if o.fs.space >= 0 {
+		o.fs.space -= n
 	}
-	if n > 0 && !o.f.readOnly {
-		o.f.ops = append(o.f.ops, op{kind: write, inode: o.inode.id, offset: len(o.inode.data), data: slices.Clone(p[:n])})
+	if n > 0 && !o.fs.readOnly {
+		o.fs.ops = append(o.fs.ops, op{kind: write, inode: o.inode.id, offset: len(o.inode.data), data: slices.Clone(p[:n])})
 		o.inode.data = append(o.inode.data, p[:n]...)
 	}
 	return n, err
@@ -238,17 +238,17 @@
 // Sync implements durable.File. After a failed sync nothing is durable, and a later one that succeeds does not make the
 // earlier writes durable, as on real kernels.
 func (o *file) Sync() error {
-	o.f.mu.Lock()
-	defer o.f.mu.Unlock()
-	if err := o.f.failure("sync", o.name, false); err != nil {
-		for i := range o.f.ops { // lost, also for a later sync
-			if x := &o.f.ops[i]; x.kind == write && x.inode == o.inode.id && !o.f.synced(i) {
+	o.fs.mu.Lock()
+	defer o.fs.mu.Unlock()
+	if err := o.fs.failure("sync", o.name, false); err != nil {
+		for i := range o.fs.ops { // lost, also for a later sync
+			if x := &o.fs.ops[i]; x.kind == write && x.inode == o.inode.id && !o.fs.synced(i) {
 				x.data, x.offset = nil, -1
 			}
 		}
 		return err
 	}
-	o.f.ops = append(o.f.ops, op{kind: syncFile, inode: o.inode.id})
+	o.fs.ops = append(o.fs.ops, op{kind: syncFile, inode: o.inode.id})
 	return nil
 }
 
@@ -259,7 +259,7 @@
 
 // Close implements durable.File. It does not sync.
 func (o *file) Close() error {
-	o.f.mu.Lock()
-	defer o.f.mu.Unlock()
-	return o.f.failure("close", o.name, false)
+	o.fs.mu.Lock()
+	defer o.fs.mu.Unlock()
+	return o.fs.failure("close", o.name, false)
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -19,24 +19,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const boxMost = 1 << 16
+const maxValueBytes = 1 << 16
 
-// attempt is one change of a key: what it was to be, which call it began before, and whether it was confirmed, by when.
-type attempt struct {
-	key, value string // value "": taken away
-	begun      int
-	confirmed  int // -1: it failed
+// changeAttempt is one change of a key: what it was to be, which call it began before, and whether it was confirmed, by when.
+type changeAttempt struct {
+	key, value  string // value "": taken away
+	begunAt     int
+	confirmedAt int // -1: it failed
 }
 
-// tableRun makes changes to a table and keeps account of them.
-func tableRun(t *testing.T, f *crashfs.FS, n, size int) (run []attempt) {
+// applyChanges makes changes to a table and keeps account of them.
+func applyChanges(t *testing.T, f *crashfs.FS, n, size int) (run []changeAttempt) {
 	t.Helper()
 	table, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		return nil // the failing call was one of the reader's: nothing was changed
 	}
 	for i := range n {
-		a := attempt{key: fmt.Sprintf("u%d", i%5), value: fmt.Sprintf("%d%s", i, strings.Repeat("x", size)), begun: f.Ops(), confirmed: -1}
+		a := changeAttempt{key: fmt.Sprintf("u%d", i%5), value: fmt.Sprintf("%d%s", i, strings.Repeat("x", size)), begunAt: f.Ops(), confirmedAt: -1}
 		if i%3 == 2 {
 			a.value = ""
 			err = table.Delete(a.key)
@@ -44,7 +44,7 @@
 			err = table.Set(a.key, a.value)
 		}
 		if err == nil {
-			a.confirmed = f.Ops()
+			a.confirmedAt = f.Ops()
 		}
 		run = append(run, a)
 	}
@@ -54,18 +54,18 @@
 	return run
 }
 
-// wrong says what a state has that it must not have after n calls: of each key, its last confirmed value or one tried
+// findMismatch says what a state has that it must not have after n calls: of each key, its last confirmed value or one tried
 // since.
-func wrong(run []attempt, n int, got map[string]string) string {
+func findMismatch(run []changeAttempt, n int, got map[string]string) string {
 	allowed := map[string][]string{}
 	for _, a := range run {
 		if allowed[a.key] == nil {
 			allowed[a.key] = []string{""}
 		}
 		switch {
-		case a.confirmed >= 0 && a.confirmed <= n:
+		case a.confirmedAt >= 0 && a.confirmedAt <= n:
 			allowed[a.key] = []string{a.value}
-		case a.begun <= n:
+		case a.begunAt <= n:
 			allowed[a.key] = append(allowed[a.key], a.value)
 		}
 	}
@@ -82,8 +82,8 @@
 	return ""
 }
 
-// crashTable reads back every state that a crash during the run can leave.
-func crashTable(t *testing.T, f *crashfs.FS, run []attempt) int {
+// checkCrashStates reads back every state that a crash during the run can leave.
+func checkCrashStates(t *testing.T, f *crashfs.FS, run []changeAttempt) int {
 	t.Helper()
 	return f.Crashes(1, func(n int, disk map[string][]byte) bool {
 		got, corruptions, err := durable.ReadKeyValueLog(crashfs.From(disk), "bans")
@@ -97,7 +97,7 @@
 				return false
 			}
 		}
-		if w := wrong(run, n, got); w != "" {
+		if w := findMismatch(run, n, got); w != "" {
 			t.Errorf("after %d calls: %s", n, w)
 			return false
 		}
@@ -109,9 +109,9 @@
 // was not synced, and the last write torn at every byte.
 func TestEveryCrashOfATableReadsBackAsOldOrNew(t *testing.T) {
 	f := crashfs.New()
-	states := crashTable(t, f, tableRun(t, f, 60, 10))
+	states := checkCrashStates(t, f, applyChanges(t, f, 60, 10))
 	large := crashfs.New() // grows beyond the bound: segments are written anew in between
-	states += crashTable(t, large, tableRun(t, large, 120, 900))
+	states += checkCrashStates(t, large, applyChanges(t, large, 120, 900))
 	t.Logf("%d states of a disk", states)
 	if states < 3000 {
 		t.Errorf("%d states tried, some thousands wanted", states)
@@ -120,23 +120,23 @@
 
 func TestEveryCrashOfABoxReadsBackAsOldOrNew(t *testing.T) {
 	f := crashfs.New()
-	box := durable.NewSnapshotFile(f, "list", boxMost)
-	var run []attempt
+	box := durable.NewSnapshotFile(f, "list", maxValueBytes)
+	var run []changeAttempt
 	for i := range 12 {
-		a := attempt{key: "k", value: strings.Repeat(fmt.Sprint(i%10), 10+i*17), begun: f.Ops()}
+		a := changeAttempt{key: "k", value: strings.Repeat(fmt.Sprint(i%10), 10+i*17), begunAt: f.Ops()}
 		if err := box.Write([]byte(a.value)); err != nil {
 			t.Fatal(err)
 		}
-		a.confirmed = f.Ops()
+		a.confirmedAt = f.Ops()
 		run = append(run, a)
 	}
 	states := f.Crashes(1, func(n int, disk map[string][]byte) bool {
-		got, corruptions, err := durable.NewSnapshotFile(crashfs.From(disk), "list", boxMost).Read()
+		got, corruptions, err := durable.NewSnapshotFile(crashfs.From(disk), "list", maxValueBytes).Read()
 		if err != nil || len(corruptions) > 0 {
 			t.Errorf("after %d calls: %v, %v", n, corruptions, err)
 			return false
 		}
-		if w := wrong(run, n, map[string]string{"k": string(got)}); w != "" {
+		if w := findMismatch(run, n, map[string]string{"k": string(got)}); w != "" {
 			t.Errorf("after %d calls: %s", n, w)
 			return false
 		}
@@ -162,12 +162,12 @@
 				}
 				return nil
 			})
-			run := tableRun(t, f, 12, 10)
+			run := applyChanges(t, f, 12, 10)
 			f.Fail(nil)
-			states += crashTable(t, f, run)
+			states += checkCrashStates(t, f, run)
 			if len(run) > 0 {
 				// One failure is over with the next change: the last is confirmed.
-				if last := run[len(run)-1]; last.confirmed < 0 && nth < 4 {
+				if last := run[len(run)-1]; last.confirmedAt < 0 && nth < 4 {
 					t.Errorf("%s, failing once: the last change was not confirmed", call)
 				}
 			}
@@ -191,7 +191,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			box := durable.NewSnapshotFile(f, "list", boxMost)
+			box := durable.NewSnapshotFile(f, "list", maxValueBytes)
 			if err := errors.Join(table.Set("a", "1"), box.Write([]byte("one"))); err != nil {
 				t.Fatal(err)
 			}
@@ -212,7 +212,7 @@
 			if err != nil || len(corruptions) > 0 || !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
 				t.Errorf("read back: %v, %v, %v", got, corruptions, err)
 			}
-			if value, corruptions, err := durable.NewSnapshotFile(f, "list", boxMost).Read(); string(value) != "three" || len(corruptions) > 0 || err != nil {
+			if value, corruptions, err := durable.NewSnapshotFile(f, "list", maxValueBytes).Read(); string(value) != "three" || len(corruptions) > 0 || err != nil {
 				t.Errorf("read back: %q, %v, %v", value, corruptions, err)
 			}
 			for file := range f.Files() {
@@ -231,7 +231,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := durable.NewSnapshotFile(f, "list", boxMost)
+	box := durable.NewSnapshotFile(f, "list", maxValueBytes)
 	want := map[string]string{}
 	for i := range 6 {
 		key := fmt.Sprint("u", i)
@@ -249,7 +249,7 @@
 			files[name][bit/8] ^= 1 << (bit % 8)
 			disk := crashfs.From(files)
 			got, corruptions, err := durable.ReadKeyValueLog(disk, "bans")
-			value, more, err2 := durable.NewSnapshotFile(disk, "list", boxMost).Read()
+			value, more, err2 := durable.NewSnapshotFile(disk, "list", maxValueBytes).Read()
 			if len(corruptions)+len(more) == 0 && err == nil && err2 == nil {
 				t.Fatalf("%s, bit %d: not seen", name, bit)
 			}
@@ -275,7 +275,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(table.Set("a", "1"), table.Close(), durable.NewSnapshotFile(f, "list", boxMost).Write([]byte("x"))); err != nil {
+	if err := errors.Join(table.Set("a", "1"), table.Close(), durable.NewSnapshotFile(f, "list", maxValueBytes).Write([]byte("x"))); err != nil {
 		t.Fatal(err)
 	}
 	files := f.Files()
@@ -285,7 +285,7 @@
 	if _, _, err := durable.OpenKeyValueLog(crashfs.From(files), "bans"); err == nil || !strings.Contains(err.Error(), "newer version") {
 		t.Errorf("table: %v", err)
 	}
-	box := durable.NewSnapshotFile(crashfs.From(files), "list", boxMost)
+	box := durable.NewSnapshotFile(crashfs.From(files), "list", maxValueBytes)
 	if err := box.Write([]byte("y")); err == nil || !strings.Contains(err.Error(), "newer version") {
 		t.Errorf("box: %v", err)
 	}
@@ -294,7 +294,7 @@
 // Many callers share syncs; what grows is bounded.
 func TestCommitsAreShared(t *testing.T) {
 	dir := t.TempDir()
-	f := &counting{FS: durable.OS(dir)}
+	f := &syncCounter{FS: durable.OS(dir)}
 	table, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		t.Fatal(err)
@@ -328,23 +328,23 @@
 	}
 }
 
-// counting counts syncs of files.
-type counting struct {
+// syncCounter counts syncs of files.
+type syncCounter struct {
 	durable.FS
 	syncs int // by the committer alone
 }
 
 type countedFile struct {
 	durable.File
-	f *counting
+	counter *syncCounter
 }
 
-func (c *counting) Create(name string) (durable.File, error) {
+func (c *syncCounter) Create(name string) (durable.File, error) {
 	f, err := c.FS.Create(name)
 	return &countedFile{f, c}, err
 }
 
-func (c *countedFile) Sync() error { c.f.syncs++; return c.File.Sync() }
+func (c *countedFile) Sync() error { c.counter.syncs++; return c.File.Sync() }
 
 func TestLockIsForOneProcess(t *testing.T) {
 	dir := t.TempDir()
@@ -388,7 +388,7 @@
 			f.Fatal(err)
 		}
 	}
-	if err := errors.Join(table.Close(), durable.NewSnapshotFile(disk, "list", boxMost).Write([]byte("value"))); err != nil {
+	if err := errors.Join(table.Close(), durable.NewSnapshotFile(disk, "list", maxValueBytes).Write([]byte("value"))); err != nil {
 		f.Fatal(err)
 	}
 	files := disk.Files()
@@ -404,7 +404,7 @@
 				t.Errorf("%q: %q is nowhere in the file", key, value)
 			}
 		}
-		value, corruptions, err := durable.NewSnapshotFile(disk, "list", boxMost).Read()
+		value, corruptions, err := durable.NewSnapshotFile(disk, "list", maxValueBytes).Read()
 		if err == nil && len(corruptions) == 0 && !bytes.HasSuffix(box, value) {
 			t.Errorf("%q is not in the file", value)
 		}
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -15,16 +15,16 @@
 //
 //	4 bytes magic | 4 bytes length | 8 bytes number | 4 bytes CRC32C | payload
 const (
-	frameHead = 20
+	frameHeaderBytes = 20
 	// Version is that of the format. A file of another version is neither read nor changed.
 	Version = 1
 )
 
 var (
-	boxMagic    = [4]byte{'M', 'B', 'X', '0' + Version}
-	headMagic   = [4]byte{'M', 'T', 'H', '0' + Version} // of the head of a log segment
-	recordMagic = [4]byte{'M', 'T', 'R', '0' + Version}
-	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
+	snapshotMagic = [4]byte{'M', 'B', 'X', '0' + Version}
+	segmentMagic  = [4]byte{'M', 'T', 'H', '0' + Version} // of the head of a log segment
+	recordMagic   = [4]byte{'M', 'T', 'R', '0' + Version}
+	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Errors of frames.
@@ -58,18 +58,18 @@
 		}
 		return 0, nil, 0, errMagic
 	}
-	if len(b) < frameHead {
+	if len(b) < frameHeaderBytes {
 		return 0, nil, 0, errShort
 	}
 	length := binary.LittleEndian.Uint32(b[4:])
 	if uint64(length) > uint64(maxBytes) {
 		return 0, nil, 0, errLength
 	}
-	size = frameHead + int(length)
+	size = frameHeaderBytes + int(length)
 	if len(b) < size {
 		return 0, nil, 0, errShort
 	}
-	payload = b[frameHead:size]
+	payload = b[frameHeaderBytes:size]
 	if checksum(b[:16], payload) != binary.LittleEndian.Uint32(b[16:]) {
 		return 0, nil, 0, errChecksum
 	}
--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxEntryBytes = 1 << 10 // bytes of a key with its value
-	maxTableBytes = 4 << 20 // bytes of a segment
-	compactOver   = 32 << 10
-	queued        = 64 // changes that may wait for the disk; further calls block
+	maxEntryBytes         = 1 << 10 // bytes of a key with its value
+	maxSegmentBytes       = 4 << 20 // bytes of a segment
+	compactThresholdBytes = 32 << 10
+	maxQueuedChanges      = 64 // changes that may wait for the disk; further calls block
 )
 
 // KeyValueLog stores small entries by key, as a log with group commit: each change is a record at its end, and all changes
@@ -25,22 +25,22 @@
 	fs   FS
 	name string
 
-	changes chan tableChange
-	ended   chan struct{}
-	closing sync.Once
+	changes   chan entryChange
+	stopped   chan struct{}
+	closeOnce sync.Once
 
 	mu      sync.Mutex // guards what other goroutines read
 	entries map[string]string
 
 	// Owned by the committing goroutine.
-	log     File // nil: the next commit writes a new segment
-	segment uint64
-	number  uint64
-	size    int
-	used    int // bytes that a compacted segment would have
+	segmentFile    File // nil: the next commit writes a new segment
+	segment        uint64
+	sequence       uint64
+	size           int
+	compactedBytes int // bytes that a compacted segment would have
 }
 
-type tableChange struct {
+type entryChange struct {
 	key, value string
 	remove     bool
 	done       chan error
@@ -49,7 +49,7 @@
 // OpenKeyValueLog opens the log of that name for reading and writing. Damaged records are returned as corruptions, all
 // others are kept. It fails if the file system does, or if a newer version of the program has written the log.
 func OpenKeyValueLog(f FS, name string) (*KeyValueLog, []Corruption, error) {
-	t := &KeyValueLog{fs: f, name: name, changes: make(chan tableChange, queued), ended: make(chan struct{}), entries: map[string]string{}}
+	t := &KeyValueLog{fs: f, name: name, changes: make(chan entryChange, maxQueuedChanges), stopped: make(chan struct{}), entries: map[string]string{}}
 	corruptions, err := t.load()
 	if err != nil {
 		return nil, corruptions, err
@@ -77,26 +77,26 @@
 
 // Set sets the value of a key. It blocks until that is durable; after an error it may or may not be.
 func (t *KeyValueLog) Set(key, value string) error {
-	return t.change(tableChange{key: key, value: value})
+	return t.change(entryChange{key: key, value: value})
 }
 
 // Delete removes a key, as durably as Set.
-func (t *KeyValueLog) Delete(key string) error { return t.change(tableChange{key: key, remove: true}) }
+func (t *KeyValueLog) Delete(key string) error { return t.change(entryChange{key: key, remove: true}) }
 
-func (t *KeyValueLog) change(c tableChange) error {
+func (t *KeyValueLog) change(c entryChange) error {
 	if n := len(c.key) + len(c.value); n > maxEntryBytes {
 		return fmt.Errorf("%s: an entry of %d bytes, %d at most", t.name, n, maxEntryBytes)
 	}
 	c.done = make(chan error, 1)
 	select {
 	case t.changes <- c:
-	case <-t.ended:
+	case <-t.stopped:
 		return ErrClosed
 	}
 	select {
 	case err := <-c.done:
 		return err
-	case <-t.ended:
+	case <-t.stopped:
 		select {
 		case err := <-c.done: // it was part of the last commit
 			return err
@@ -108,22 +108,22 @@
 
 // Close commits the waiting changes and closes the log. It may be called again.
 func (t *KeyValueLog) Close() error {
-	t.closing.Do(func() { t.changes <- tableChange{} })
-	<-t.ended
+	t.closeOnce.Do(func() { t.changes <- entryChange{} })
+	<-t.stopped
 	return nil
 }
 
 // commit takes all waiting changes and commits them together, until Close.
 func (t *KeyValueLog) commit() {
-	defer close(t.ended)
+	defer close(t.stopped)
 	defer func() {
-		if t.log != nil {
-			_ = t.log.Close() // all of it is durable
+		if t.segmentFile != nil {
+			_ = t.segmentFile.Close() // all of it is durable
 		}
 	}()
 	for {
-		batch, more := []tableChange{<-t.changes}, true
-		for more && len(batch) < queued {
+		batch, more := []entryChange{<-t.changes}, true
+		for more && len(batch) < maxQueuedChanges {
 			select {
 			case c := <-t.changes:
 				batch = append(batch, c)
@@ -131,7 +131,7 @@
 				more = false
 			}
 		}
-		end := slices.IndexFunc(batch, func(c tableChange) bool { return c.done == nil })
+		end := slices.IndexFunc(batch, func(c entryChange) bool { return c.done == nil })
 		if end >= 0 {
 			batch = batch[:end]
 		}
@@ -148,10 +148,10 @@
 }
 
 // write makes a batch durable, at the end of the segment or in a new one.
-func (t *KeyValueLog) write(batch []tableChange) error {
+func (t *KeyValueLog) write(batch []entryChange) error {
 	next := maps.Clone(t.entries)
 	var records []byte
-	number := t.number
+	number := t.sequence
 	for _, c := range batch {
 		number++
 		records = appendFrame(records, recordMagic, number, encodeChange(c))
@@ -162,9 +162,9 @@
 		}
 	}
 	err := errors.New("no log is open")
-	if t.log != nil && t.size+len(records) <= max(compactOver, 4*t.used) {
-		if _, err = t.log.Write(records); err == nil {
-			err = t.log.Sync()
+	if t.segmentFile != nil && t.size+len(records) <= max(compactThresholdBytes, 4*t.compactedBytes) {
+		if _, err = t.segmentFile.Write(records); err == nil {
+			err = t.segmentFile.Sync()
 		}
 		if err == nil {
 			t.size += len(records)
@@ -175,7 +175,7 @@
 			return fmt.Errorf("writing %s: %w", t.name, err)
 		}
 	}
-	t.number = number
+	t.sequence = number
 	t.mu.Lock()
 	t.entries = next
 	t.mu.Unlock()
@@ -184,18 +184,18 @@
 
 // rewrite starts a new segment that holds these entries. The previous one stays until the next rewrite.
 func (t *KeyValueLog) rewrite(entries map[string]string, number uint64) error {
-	if t.log != nil {
-		_ = t.log.Close() // no longer used, whatever the error
-		t.log = nil
+	if t.segmentFile != nil {
+		_ = t.segmentFile.Close() // no longer used, whatever the error
+		t.segmentFile = nil
 	}
 	var text []byte
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
-		text = appendFrame(text, recordMagic, number, encodeChange(tableChange{key: key, value: entries[key]}))
+		text = appendFrame(text, recordMagic, number, encodeChange(entryChange{key: key, value: entries[key]}))
 	}
 	head := binary.LittleEndian.AppendUint64(nil, uint64(len(text)))
-	text = append(appendFrame(nil, headMagic, number, head), text...)
+	text = append(appendFrame(nil, segmentMagic, number, head), text...)
 	next := t.segment + 1
-	fresh := t.name + temporary
+	fresh := t.name + temporarySuffix
 	if err := t.fs.Remove(fresh); err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 		err = log.Sync()
 	}
 	if err == nil {
-		err = t.fs.Rename(fresh, t.file(next))
+		err = t.fs.Rename(fresh, t.segmentName(next))
 	}
 	t.segment = next // also after an error: the next attempt must not use the same name
 	if err == nil {
@@ -218,25 +218,27 @@
 		_ = t.fs.Remove(fresh) // if that fails too, the next attempt removes it
 		return err
 	}
-	t.log, t.size, t.used = log, len(text), len(text)
-	t.clean()
+	t.segmentFile, t.size, t.compactedBytes = log, len(text), len(text)
+	t.removeOldSegments()
 	return nil
 }
 
-// clean removes all segments but the latest two. What fails is tried again the next time.
-func (t *KeyValueLog) clean() {
+// removeOldSegments removes all segments but the latest two. What fails is tried again the next time.
+func (t *KeyValueLog) removeOldSegments() {
 	segments, err := t.segments()
 	if err != nil {
 		return
 	}
 	for _, s := range segments {
 		if s+1 < t.segment {
-			_ = t.fs.Remove(t.file(s))
+			_ = t.fs.Remove(t.segmentName(s))
 		}
 	}
 }
 
-func (t *KeyValueLog) file(segment uint64) string { return fmt.Sprintf("%s.%016x", t.name, segment) }
+func (t *KeyValueLog) segmentName(segment uint64) string {
+	return fmt.Sprintf("%s.%016x", t.name, segment)
+}
 
 // segments returns the numbers of the segments, the newest first.
 func (t *KeyValueLog) segments() (all []uint64, err error) {
@@ -267,8 +269,8 @@
 		t.segment = segments[0]
 	}
 	for _, s := range segments {
-		name := t.file(s)
-		text, err := readFile(t.fs, name, maxTableBytes)
+		name := t.segmentName(s)
+		text, err := readFile(t.fs, name, maxSegmentBytes)
 		if err != nil && !errors.Is(err, errLength) {
 			return corruptions, fmt.Errorf("reading %s: %w", name, err)
 		}
@@ -288,18 +290,18 @@
 
 // replay applies the records of a segment. It fails, and applies none, if its head is damaged.
 func (t *KeyValueLog) replay(name string, text []byte) (corruptions []Corruption, err error) {
-	number, head, at, err := readFrame(text, headMagic, maxEntryBytes)
+	number, head, at, err := readFrame(text, segmentMagic, maxEntryBytes)
 	if err != nil {
 		return nil, err
 	}
 	if len(head) != 8 {
 		return nil, errLength
 	}
-	base := at + int(min(binary.LittleEndian.Uint64(head), maxTableBytes)) // written completely before the segment was renamed into place
+	base := at + int(min(binary.LittleEndian.Uint64(head), maxSegmentBytes)) // written completely before the segment was renamed into place
 	entries := map[string]string{}
 	for at < len(text) {
 		n, payload, size, err := readFrame(text[at:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1)
-		var c tableChange
+		var c entryChange
 		if err == nil {
 			c, err = decodeChange(payload)
 		}
@@ -332,13 +334,13 @@
 	if at < base && len(corruptions) == 0 {
 		corruptions = append(corruptions, Corruption{File: name, At: int64(at), Err: errShort})
 	}
-	t.entries, t.number = entries, number
+	t.entries, t.sequence = entries, number
 	return corruptions, nil
 }
 
 // resync returns the offset of the next intact record after a damaged one, or a negative number if there is none.
 func resync(text []byte, from int, after uint64) int {
-	for at := from; at+frameHead <= len(text); at++ {
+	for at := from; at+frameHeaderBytes <= len(text); at++ {
 		if text[at] != recordMagic[0] {
 			continue
 		}
@@ -350,7 +352,7 @@
 }
 
 // A change is encoded as 0 (set) or 1 (removed), the length of the key, the key, and the value.
-func encodeChange(c tableChange) []byte {
+func encodeChange(c entryChange) []byte {
 	b := []byte{0}
 	if c.remove {
 		b[0] = 1
@@ -360,7 +362,7 @@
 	return append(b, c.value...)
 }
 
-func decodeChange(b []byte) (c tableChange, err error) {
+func decodeChange(b []byte) (c entryChange, err error) {
 	if len(b) < 2 || b[0] > 1 {
 		return c, errors.New("no change")
 	}
@@ -369,5 +371,5 @@
 		return c, errors.New("no key")
 	}
 	rest := b[1+size:]
-	return tableChange{key: string(rest[:n]), value: string(rest[n:]), remove: b[0] == 1}, nil
+	return entryChange{key: string(rest[:n]), value: string(rest[n:]), remove: b[0] == 1}, nil
 }
--- a/internal/durable/lossy.go
+++ b/internal/durable/lossy.go
@@ -18,7 +18,7 @@
 	lossyMu.Lock()
 	defer lossyMu.Unlock()
 	if lossy[dir] == nil {
-		lossy[dir] = &lossyFS{under: osFS{dir}, pending: map[string]*lossyFile{}}
+		lossy[dir] = &lossyFS{disk: osFS{dir}, pending: map[string]*lossyFile{}}
 	}
 	return lossy[dir]
 }
@@ -29,17 +29,17 @@
 )
 
 type lossyFS struct {
-	under   osFS
+	disk    osFS
 	mu      sync.Mutex
 	pending map[string]*lossyFile // names that changed since the last sync; nil: removed
 }
 
 type lossyFile struct {
-	f      *lossyFS
-	data   []byte // as the process sees it
-	safe   []byte // the content as of the last sync
-	named  string // its name on disk; empty: none
-	reader *bytes.Reader
+	fs          *lossyFS
+	data        []byte // as the process sees it
+	synced      []byte // the content as of the last sync
+	durableName string // its name on disk; empty: none
+	reader      *bytes.Reader
 }
 
 func (l *lossyFS) Open(name string) (File, error) {
@@ -47,18 +47,18 @@
 	defer l.mu.Unlock()
 	file, changed := l.pending[name]
 	if !changed {
-		return l.under.Open(name)
+		return l.disk.Open(name)
 	}
 	if file == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &lossyFile{f: l, reader: bytes.NewReader(slices.Clone(file.data))}, nil
+	return &lossyFile{fs: l, reader: bytes.NewReader(slices.Clone(file.data))}, nil
 }
 
 func (l *lossyFS) Create(name string) (File, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	file := &lossyFile{f: l}
+	file := &lossyFile{fs: l}
 	l.pending[name] = file
 	return file, nil
 }
@@ -84,7 +84,7 @@
 func (l *lossyFS) List() ([]string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	names, err := l.under.List()
+	names, err := l.disk.List()
 	all := map[string]bool{}
 	for _, name := range names {
 		all[name] = true
@@ -103,30 +103,30 @@
 	defer l.mu.Unlock()
 	for name, file := range l.pending {
 		if file == nil {
-			if err := l.under.Remove(name); err != nil {
+			if err := l.disk.Remove(name); err != nil {
 				return err
 			}
 			continue
 		}
-		file.named = name
+		file.durableName = name
 		if err := file.writeNamed(); err != nil {
 			return err
 		}
 	}
 	l.pending = map[string]*lossyFile{}
-	return l.under.Sync()
+	return l.disk.Sync()
 }
 
 // writeNamed writes the synced content under its durable name.
 func (f *lossyFile) writeNamed() error {
-	if f.named == "" {
+	if f.durableName == "" {
 		return nil
 	}
-	const fresh = "lossy" + temporary
-	if err := writeNew(f.f.under, fresh, f.safe, true); err != nil {
+	const fresh = "lossy" + temporarySuffix
+	if err := writeNew(f.fs.disk, fresh, f.synced, true); err != nil {
 		return err
 	}
-	return f.f.under.Rename(fresh, f.named)
+	return f.fs.disk.Rename(fresh, f.durableName)
 }
 
 func (f *lossyFile) Read(p []byte) (int, error) {
@@ -137,16 +137,16 @@
 }
 
 func (f *lossyFile) Write(p []byte) (int, error) {
-	f.f.mu.Lock()
-	defer f.f.mu.Unlock()
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
 	f.data = append(f.data, p...)
 	return len(p), nil
 }
 
 func (f *lossyFile) Sync() error {
-	f.f.mu.Lock()
-	defer f.f.mu.Unlock()
-	f.safe = slices.Clone(f.data)
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	f.synced = slices.Clone(f.data)
 	return f.writeNamed()
 }
 
--- a/internal/durable/snapshotfile.go
+++ b/internal/durable/snapshotfile.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-const temporary = ".tmp"
+const temporarySuffix = ".tmp"
 
 // SnapshotFile stores one value of bounded size, in two generations: a write replaces the older one, and a read returns the
 // newest that is complete. Not safe for concurrent use.
@@ -14,7 +14,7 @@
 	name       string
 	maxBytes   int
 	generation uint64 // of the newest value on disk
-	read       bool
+	loaded     bool
 }
 
 // NewSnapshotFile returns the file of that name, for values of maxBytes at most. It does not access the disk.
@@ -22,8 +22,8 @@
 	return &SnapshotFile{fs: f, name: name, maxBytes: maxBytes}
 }
 
-// slot returns the name of the file of a generation: generations alternate between two files.
-func (b *SnapshotFile) slot(generation uint64) string {
+// slotName returns the name of the file of a generation: generations alternate between two files.
+func (b *SnapshotFile) slotName(generation uint64) string {
 	return fmt.Sprintf("%s.%d", b.name, generation%2)
 }
 
@@ -32,8 +32,8 @@
 func (b *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
 	found := false
 	for i := range uint64(2) {
-		name := b.slot(i)
-		text, err := readFile(b.fs, name, b.maxBytes+frameHead)
+		name := b.slotName(i)
+		text, err := readFile(b.fs, name, b.maxBytes+frameHeaderBytes)
 		if missing(err) {
 			continue
 		}
@@ -41,7 +41,7 @@
 		var payload []byte
 		if err == nil {
 			var size int
-			if generation, payload, size, err = readFrame(text, boxMagic, b.maxBytes); err == nil && size != len(text) {
+			if generation, payload, size, err = readFrame(text, snapshotMagic, b.maxBytes); err == nil && size != len(text) {
 				err = errors.New("more in it than was written")
 			}
 			if err == nil && generation%2 != i {
@@ -59,7 +59,7 @@
 			found, value, b.generation = true, payload, generation
 		}
 	}
-	b.read = true
+	b.loaded = true
 	return value, corruptions, nil
 }
 
@@ -74,16 +74,16 @@
 	if len(value) > b.maxBytes {
 		return fmt.Errorf("writing %s: %d bytes of %d at most", b.name, len(value), b.maxBytes)
 	}
-	if !b.read { // the next generation must be above those on disk
+	if !b.loaded { // the next generation must be above those on disk
 		if _, _, err := b.Read(); err != nil {
 			return err
 		}
 	}
 	next := b.generation + 1
-	fresh := b.name + temporary
-	err := writeNew(b.fs, fresh, appendFrame(nil, boxMagic, next, value), safe)
+	fresh := b.name + temporarySuffix
+	err := writeNew(b.fs, fresh, appendFrame(nil, snapshotMagic, next, value), safe)
 	if err == nil {
-		if err = b.fs.Rename(fresh, b.slot(next)); err == nil && safe {
+		if err = b.fs.Rename(fresh, b.slotName(next)); err == nil && safe {
 			err = b.fs.Sync()
 		}
 	}
--- a/internal/statestore/settings_test.go
+++ b/internal/statestore/settings_test.go
@@ -11,8 +11,8 @@
 	"mosslead/internal/registry/api"
 )
 
-// settled writes settings as a process that ends in order.
-func settled(t *testing.T, dir string, k Settings) {
+// storeSettings writes settings as a process that ends in order.
+func storeSettings(t *testing.T, dir string, k Settings) {
 	t.Helper()
 	s := New(dir, "s1")
 	err := s.Lock()
@@ -24,13 +24,13 @@
 	}
 }
 
-var ofOrders = Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Revision: 9, Schema: 1, Settings: json.RawMessage(`{"Zone":"a"}`)},
+var orderSettings = Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Revision: 9, Schema: 1, Settings: json.RawMessage(`{"Zone":"a"}`)},
 	Seen: map[string]int64{"south": 12, "north": 3}}
 
 // Guards against settings that come back as others, that age, that are another sidecar's, or that are read by one that follows none.
 func TestSettingsAreKept(t *testing.T) {
 	dir := t.TempDir()
-	settled(t, dir, ofOrders)
+	storeSettings(t, dir, orderSettings)
 	late := noon.Add(1000 * time.Hour)
 	k, err := New(dir, "s1").Load(late)
 	if err != nil || k.Settings == nil || k.Settings.Service != "orders" || k.Settings.Document.Revision != 9 ||
@@ -52,7 +52,7 @@
 // Guards against damaged settings that are used, or that a repair leaves in place.
 func TestDamagedSettings(t *testing.T) {
 	dir := t.TempDir()
-	settled(t, dir, ofOrders)
+	storeSettings(t, dir, orderSettings)
 	files, err := filepath.Glob(filepath.Join(dir, "settings.*"))
 	if err != nil || len(files) != 1 {
 		t.Fatalf("files %v, %v", files, err)
@@ -80,7 +80,7 @@
 // Guards against settings that end process after process: a crash loop sets them aside with the list.
 func TestCrashLoopSetsSettingsAside(t *testing.T) {
 	dir := t.TempDir()
-	settled(t, dir, ofOrders)
+	storeSettings(t, dir, orderSettings)
 	for i := range crashLoopExits + 1 {
 		s := New(dir, "s1")
 		if err := s.Lock(); err != nil {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -32,7 +32,7 @@
 	SettledAfter = 10 * time.Second
 
 	maxFileBytes      = 8 << 20
-	quarantined       = 8 // files that are kept aside at most
+	maxQuarantined    = 8 // files that are kept aside at most
 	banPrefix         = "ban/"
 	nameKey           = "sidecar"
 	lockTimeout       = time.Second // a process that was killed releases the lock within this
@@ -247,7 +247,7 @@
 			aside = append(aside, d.File) // of a table the whole part is still needed, see Open
 		}
 	}
-	if err := durable.Quarantine(s.dir, aside, quarantined, now); err != nil {
+	if err := durable.Quarantine(s.dir, aside, maxQuarantined, now); err != nil {
 		k.Notes = append(k.Notes, err.Error())
 	}
 	if err := s.writeIncarnation(); err != nil {
@@ -288,7 +288,7 @@
 			aside = append(aside, d.File)
 		}
 	}
-	return bans, durable.Quarantine(s.dir, aside, quarantined, now)
+	return bans, durable.Quarantine(s.dir, aside, maxQuarantined, now)
 }
 
 // Ban stores a ban. Once it has returned nil, the ban is durable.
@@ -428,7 +428,7 @@
 			aside = append(aside, d.File)
 		}
 	}
-	if err := durable.Quarantine(dir, aside, quarantined, now); err != nil {
+	if err := durable.Quarantine(dir, aside, maxQuarantined, now); err != nil {
 		return nil, err
 	}
 	_, err = s.Open(now)
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -18,8 +18,8 @@
 
 const listing = `{"index":7,"snapshot":true,"endpoints":[{"name":"u0"},{"name":"u1"}]}`
 
-// lived begins a process of the sidecar at a time, lets it write, and ends it.
-func lived(t *testing.T, dir, name string, at time.Time, settled, clean bool) Loaded {
+// runProcess begins a process of the sidecar at a time, lets it write, and ends it.
+func runProcess(t *testing.T, dir, name string, at time.Time, settled, clean bool) Loaded {
 	t.Helper()
 	s := New(dir, name)
 	if err := s.Lock(); err != nil {
@@ -55,7 +55,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			lived(t, dir, "s1", noon, true, true)
+			runProcess(t, dir, "s1", noon, true, true)
 			k, err := New(dir, "s1").Load(noon.Add(c.after))
 			if err != nil || k.Bans["u1"] == "" || k.Crashed {
 				t.Errorf("%v, bans %v, crashed %v", err, k.Bans, k.Crashed)
@@ -69,8 +69,8 @@
 
 func TestAnotherSidecarsStateIsPutAside(t *testing.T) {
 	dir := t.TempDir()
-	lived(t, dir, "s1", noon, true, true)
-	k := lived(t, dir, "s2", noon, true, true)
+	runProcess(t, dir, "s1", noon, true, true)
+	k := runProcess(t, dir, "s2", noon, true, true)
 	if len(k.Bans) > 0 || k.List != nil || len(k.Notes) == 0 {
 		t.Errorf("used: %+v", k)
 	}
@@ -87,7 +87,7 @@
 	dir := t.TempDir()
 	var aside []bool
 	for range 6 {
-		k := lived(t, dir, "s1", noon, false, false)
+		k := runProcess(t, dir, "s1", noon, false, false)
 		aside = append(aside, k.SetAside)
 		if k.SetAside && (k.List != nil || k.SuspectList == nil || k.Snapshot != nil || k.Bans["u1"] == "") {
 			t.Errorf("set aside: %+v", k)
@@ -96,8 +96,8 @@
 	if want := []bool{false, false, false, true, false, false}; !slices.Equal(aside, want) {
 		t.Errorf("set aside at %v, want %v", aside, want)
 	}
-	lived(t, dir, "s1", noon, true, false) // one that lived long: the count begins anew
-	if k := lived(t, dir, "s1", noon, false, false); k.SetAside || !k.Crashed {
+	runProcess(t, dir, "s1", noon, true, false) // one that lived long: the count begins anew
+	if k := runProcess(t, dir, "s1", noon, false, false); k.SetAside || !k.Crashed {
 		t.Errorf("after one that settled: %+v", k)
 	}
 }
@@ -123,21 +123,21 @@
 		return n, size
 	}
 	for range 10 {
-		lived(t, dir, "s1", noon, false, false)
+		runProcess(t, dir, "s1", noon, false, false)
 	}
 	files, size := count()
 	for range 200 {
-		lived(t, dir, "s1", noon, false, false)
+		runProcess(t, dir, "s1", noon, false, false)
 	}
-	if n, s := count(); n > files+quarantined || s > 2*size {
+	if n, s := count(); n > files+maxQuarantined || s > 2*size {
 		t.Errorf("%d files of %d bytes after 10 restarts, %d of %d after 210", files, size, n, s)
 	}
 }
 
 func TestCheckAndRepair(t *testing.T) {
 	dir := t.TempDir()
-	lived(t, dir, "s1", noon, true, true)
-	lived(t, dir, "s1", noon, true, true)
+	runProcess(t, dir, "s1", noon, true, true)
+	runProcess(t, dir, "s1", noon, true, true)
 	if s, corruptions, err := Summarize(dir, noon); err != nil || len(corruptions) > 0 || s.Upstreams != 2 || s.ListIndex != 7 || s.Ended != "clean" || len(s.Ejected) != 1 || s.Sidecar != "s1" {
 		t.Errorf("whole: %+v, %v, %v", s, corruptions, err)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		reply, err := h.batch(text)
+		reply, err := h.handleBatch(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
@@ -113,7 +113,7 @@
 	return text, err
 }
 
-func (h *adapter) batch(text []byte) ([]action, error) {
+func (h *adapter) handleBatch(text []byte) ([]action, error) {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
 		return nil, fmt.Errorf("not a batch: %w", err)
@@ -126,14 +126,14 @@
 			return nil, fmt.Errorf("event %d: %w", n, err)
 		}
 		var err error
-		if reply, err = h.event(now, &e, reply); err != nil {
+		if reply, err = h.handleEvent(now, &e, reply); err != nil {
 			return nil, fmt.Errorf("event %d (%s): %w", n, e.Verb, err)
 		}
 	}
 	return reply, nil
 }
 
-func (h *adapter) event(now time.Duration, e *event, reply []action) ([]action, error) {
+func (h *adapter) handleEvent(now time.Duration, e *event, reply []action) ([]action, error) {
 	switch e.Verb {
 	case "Inventory":
 		h.lists[e.Table] = endpoints(e.Endpoints)
