--- a/internal/durable/crashfs/crashes.go
+++ b/internal/durable/crashfs/crashes.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	maxEnumeratedOps   = 8   // unsynced calls of which every subset is enumerated; of more calls, random subsets
-	maxTornAtEveryByte = 128 // bytes of a write that is torn at every byte; a longer one is torn at its ends and
-	randomTears        = 12  // at this many random bytes
+	maxEnumeratedOps   = 8   // every subset of up to this many unsynced calls is tried; of more calls, random subsets
+	maxTornAtEveryByte = 128 // a write of up to this many bytes is torn at every byte; a longer one at its ends and at random bytes
+	randomTears        = 12  // number of random bytes at which a longer write is torn
 )
 
-// Crashes calls found with each state in which the disk may be after a power loss behind ops[:n], for every n from 0 to the
-// number of calls, until found returns false. found owns the map. Crashes returns the number of states.
-func (f *FS) Crashes(seed uint64, found func(n int, disk map[string][]byte) bool) (states int) {
+// Crashes calls visit with each state in which the disk may be if power is lost after the first n recorded calls, for every
+// n from 0 to the number of calls, until visit returns false. visit owns the map. Crashes returns the number of states.
+func (f *FS) Crashes(seed uint64, visit func(n int, disk map[string][]byte) bool) (states int) {
 	f.mu.Lock()
 	ops := slices.Clone(f.ops)
 	f.mu.Unlock()
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for n := range len(ops) + 1 {
-		open := unsyncedOps(ops[:n])
-		for _, chosen := range subsets(open, rng) {
+		unsynced := unsyncedOps(ops[:n])
+		for _, chosen := range subsets(unsynced, rng) {
 			for _, tear := range tearOffsets(ops, chosen, rng) {
 				states++
-				if !found(n, diskState(ops[:n], open, chosen, tear)) {
+				if !visit(n, diskState(ops[:n], unsynced, chosen, tear)) {
 					return states
 				}
 			}
@@ -32,67 +32,68 @@
 	return states
 }
 
-// unsyncedOps returns the calls that are not known to be on disk.
-func unsyncedOps(ops []op) (at []int) {
+// unsyncedOps returns the indexes of the calls that are not known to be on disk.
+func unsyncedOps(ops []op) (indexes []int) {
 	for i, o := range ops {
 		switch o.kind {
 		case write:
-			if !slices.ContainsFunc(ops[i:], func(x op) bool { return x.kind == syncFile && x.inode == o.inode }) {
-				at = append(at, i)
+			if !slices.ContainsFunc(ops[i:], func(later op) bool { return later.kind == syncFile && later.inode == o.inode }) {
+				indexes = append(indexes, i)
 			}
 		case create, rename, remove:
-			if !slices.ContainsFunc(ops[i:], func(x op) bool { return x.kind == syncDir }) {
-				at = append(at, i)
+			if !slices.ContainsFunc(ops[i:], func(later op) bool { return later.kind == syncDir }) {
+				indexes = append(indexes, i)
 			}
 		}
 	}
-	return at
+	return indexes
 }
 
-// subsets returns all subsets of a few calls; of many, the empty one, the full one, and random ones.
-func subsets(of []int, rng *rand.Rand) (all [][]int) {
-	pick := func(mask uint64) (s []int) {
-		for i, at := range of {
+// subsets returns all subsets of up to maxEnumeratedOps calls; of more, the empty one, the full one, and random ones.
+func subsets(indexes []int, rng *rand.Rand) (all [][]int) {
+	pick := func(mask uint64) (subset []int) {
+		for i, index := range indexes {
 			if i < 64 && mask&(1<<i) != 0 {
-				s = append(s, at)
+				subset = append(subset, index)
 			}
 		}
-		return s
+		return subset
 	}
-	if len(of) <= maxEnumeratedOps {
-		for mask := range uint64(1) << len(of) {
+	if len(indexes) <= maxEnumeratedOps {
+		for mask := range uint64(1) << len(indexes) {
 			all = append(all, pick(mask))
 		}
 		return all
 	}
-	all = append(all, nil, of)
+	all = append(all, nil, indexes)
 	for range 1<<maxEnumeratedOps - 2 {
 		all = append(all, pick(rng.Uint64()))
 	}
 	return all
 }
 
-// tearOffsets returns the lengths to which the last write of a subset is torn; -1: it is complete.
+// tearOffsets returns the lengths to which the last write of a subset is cut; -1 stands for the complete write.
 func tearOffsets(ops []op, chosen []int, rng *rand.Rand) []int {
 	last := lastWrite(ops, chosen)
 	if last < 0 {
 		return []int{-1}
 	}
 	n := len(ops[last].data)
-	at := []int{-1, 0, n - 1}
+	offsets := []int{-1, 0, n - 1}
 	if n <= maxTornAtEveryByte {
-		at = []int{-1}
+		offsets = []int{-1}
 		for i := range n {
-			at = append(at, i)
+			offsets = append(offsets, i)
 		}
 	} else {
 		for range randomTears {
-			at = append(at, 1+rng.IntN(n-1))
+			offsets = append(offsets, 1+rng.IntN(n-1))
 		}
 	}
-	return at
+	return offsets
 }
 
+// lastWrite returns the index of the last write in a subset, or -1 if there is none.
 func lastWrite(ops []op, chosen []int) int {
 	last := -1
 	for _, i := range chosen {
@@ -103,14 +104,14 @@
 	return last
 }
 
-// diskState returns the files after a crash: all durable calls and the chosen ones of the others (open), the last write cut to
-// tear bytes.
-func diskState(ops []op, open, chosen []int, tear int) map[string][]byte {
+// diskState returns the files after a crash: those that result from all durable calls and the chosen ones of the unsynced
+// calls, with the last chosen write cut to tear bytes (-1: complete).
+func diskState(ops []op, unsynced, chosen []int, tear int) map[string][]byte {
 	last := lastWrite(ops, chosen)
 	content := map[int][]byte{}
 	names := map[string]int{}
 	for i, o := range ops {
-		if slices.Contains(open, i) && !slices.Contains(chosen, i) {
+		if slices.Contains(unsynced, i) && !slices.Contains(chosen, i) {
 			continue
 		}
 		switch o.kind {
@@ -122,12 +123,12 @@
 			if o.offset < 0 || len(data) == 0 {
 				continue
 			}
-			c := content[o.inode]
-			for len(c) < o.offset+len(data) { // a hole reads as zeros
-				c = append(c, 0)
+			fileData := content[o.inode]
+			for len(fileData) < o.offset+len(data) { // a hole reads as zeros
+				fileData = append(fileData, 0)
 			}
-			copy(c[o.offset:], data)
-			content[o.inode] = c
+			copy(fileData[o.offset:], data)
+			content[o.inode] = fileData
 		case create:
 			names[o.name] = o.inode
 		case rename:
@@ -139,9 +140,9 @@
 			delete(names, o.name)
 		}
 	}
-	found := map[string][]byte{}
+	files := map[string][]byte{}
 	for name, inode := range names {
-		found[name] = slices.Clone(content[inode])
+		files[name] = slices.Clone(content[inode])
 	}
-	return found
+	return files
 }
--- a/internal/durable/crashfs/crashfs.go
+++ b/internal/durable/crashfs/crashfs.go
@@ -1,9 +1,9 @@
 // Package crashfs implements durable.FS in memory, with simulated power loss: it records every call, and enumerates the
-// states in which a disk may be found after a crash. It can also fail calls, run out of space and turn read-only.
+// states in which the disk may be after a crash. It can also make calls fail, run out of space and become read-only.
 //
-// After a crash a file has the content of its last sync and any subset of the writes since, in any order, the last one torn
-// at any byte; the directory has the names of its last sync and any subset of the changes since. That is more loss than a
-// journalling file system allows.
+// After a crash a file has the content of its last sync and any subset of the writes since then, in any order, the last of
+// them cut at any byte; the directory has the names of its last sync and any subset of the changes since then. A
+// journalling file system loses less than that.
 package crashfs
 
 import (
@@ -20,10 +20,10 @@
 type FS struct {
 	mu       sync.Mutex
 	ops      []op
-	files    map[string]*inode // as the process sees it
-	inodes   int
+	files    map[string]*inode // by name, as the process sees them
+	inodes   int               // number of inodes created
 	fail     func(call string, name string) error
-	space    int // bytes that may still be written; below 0: any number
+	space    int // bytes that can still be written; below 0: unlimited
 	readOnly bool
 }
 
@@ -43,12 +43,12 @@
 	syncDir
 )
 
-// op is a recorded call that changed something.
+// op is a recorded call that changed or synced something.
 type op struct {
 	kind     kind
 	name, to string
 	inode    int
-	offset   int
+	offset   int // of a write; -1: the write was lost in a failed sync
 	data     []byte
 }
 
@@ -65,31 +65,32 @@
 	return f
 }
 
-// Fail sets a function that is called before each call, with the call's name (create, write, sync, close, rename, remove,
-// syncdir, list, open) and the file's; if it returns an error, the call fails. A write that fails has written a part.
+// Fail sets a function that runs before each call and is passed the name of the call (create, write, sync, close, rename,
+// remove, syncdir, list, open, read) and the name of the file. If it returns an error, the call fails with it. A write that
+// fails has written half of its bytes.
 func (f *FS) Fail(fail func(call, name string) error) { f.mu.Lock(); f.fail = fail; f.mu.Unlock() }
 
 // LimitSpace sets how many more bytes can be written; a negative number lifts the limit.
 func (f *FS) LimitSpace(bytes int) { f.mu.Lock(); f.space = bytes; f.mu.Unlock() }
 
-// ReadOnly sets whether every call that changes something fails.
+// ReadOnly sets whether calls that create, write, rename or remove a file fail.
 func (f *FS) ReadOnly(on bool) { f.mu.Lock(); f.readOnly = on; f.mu.Unlock() }
 
-// Ops returns the number of calls that have changed something.
+// Ops returns the number of calls recorded so far: successful ones that changed or synced something, and partial writes.
 func (f *FS) Ops() int { f.mu.Lock(); defer f.mu.Unlock(); return len(f.ops) }
 
-// Files returns the files as the process sees them.
+// Files returns a copy of the files as the process sees them.
 func (f *FS) Files() map[string][]byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := map[string][]byte{}
-	for name, i := range f.files {
-		all[name] = slices.Clone(i.data)
+	for name, node := range f.files {
+		all[name] = slices.Clone(node.data)
 	}
 	return all
 }
 
-// failure returns the error with which a call has to fail; mu is held.
+// failure returns the error with which a call has to fail, or nil if it may go on. mu must be held.
 func (f *FS) failure(call, name string, changes bool) error {
 	if f.fail != nil {
 		if err := f.fail(call, name); err != nil {
@@ -109,11 +110,11 @@
 	if err := f.failure("open", name, false); err != nil {
 		return nil, err
 	}
-	i := f.files[name]
-	if i == nil {
+	node := f.files[name]
+	if node == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &file{fs: f, inode: i, name: name}, nil
+	return &file{fs: f, inode: node, name: name}, nil
 }
 
 // Create implements durable.FS.
@@ -130,10 +131,10 @@
 		return nil, &fs.PathError{Op: "create", Path: name, Err: syscall.ENOSPC}
 	}
 	f.inodes++
-	i := &inode{id: f.inodes}
-	f.files[name] = i
-	f.ops = append(f.ops, op{kind: create, name: name, inode: i.id})
-	return &file{fs: f, inode: i, name: name}, nil
+	node := &inode{id: f.inodes}
+	f.files[name] = node
+	f.ops = append(f.ops, op{kind: create, name: name, inode: node.id})
+	return &file{fs: f, inode: node, name: name}, nil
 }
 
 // Rename implements durable.FS.
@@ -143,13 +144,13 @@
 	if err := f.failure("rename", from, true); err != nil {
 		return err
 	}
-	i := f.files[from]
-	if i == nil {
+	node := f.files[from]
+	if node == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
 	delete(f.files, from)
-	f.files[to] = i
-	f.ops = append(f.ops, op{kind: rename, name: from, to: to, inode: i.id})
+	f.files[to] = node
+	f.ops = append(f.ops, op{kind: rename, name: from, to: to, inode: node.id})
 	return nil
 }
 
@@ -200,66 +201,66 @@
 	readOffset int
 }
 
-func (o *file) Read(p []byte) (int, error) {
-	o.fs.mu.Lock()
-	defer o.fs.mu.Unlock()
-	if err := o.fs.failure("read", o.name, false); err != nil {
+func (f *file) Read(p []byte) (int, error) {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	if err := f.fs.failure("read", f.name, false); err != nil {
 		return 0, err
 	}
-	if o.readOffset >= len(o.inode.data) {
+	if f.readOffset >= len(f.inode.data) {
 		return 0, io.EOF
 	}
-	n := copy(p, o.inode.data[o.readOffset:])
-	o.readOffset += n
+	n := copy(p, f.inode.data[f.readOffset:])
+	f.readOffset += n
 	return n, nil
 }
 
-func (o *file) Write(p []byte) (int, error) {
-	o.fs.mu.Lock()
-	defer o.fs.mu.Unlock()
-	err := o.fs.failure("write", o.name, true)
+func (f *file) Write(p []byte) (int, error) {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	err := f.fs.failure("write", f.name, true)
 	n := len(p)
 	switch {
 	case err != nil:
 		n /= 2
-	case o.fs.space >= 0 && n > o.fs.space:
-		n, err = o.fs.space, &fs.PathError{Op: "write", Path: o.name, Err: syscall.ENOSPC}
+	case f.fs.space >= 0 && n > f.fs.space:
+		n, err = f.fs.space, &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 	}
-	if o.fs.space >= 0 {
-		o.fs.space -= n
+	if f.fs.space >= 0 {
+		f.fs.space -= n
 	}
-	if n > 0 && !o.fs.readOnly {
-		o.fs.ops = append(o.fs.ops, op{kind: write, inode: o.inode.id, offset: len(o.inode.data), data: slices.Clone(p[:n])})
-		o.inode.data = append(o.inode.data, p[:n]...)
+	if n > 0 && !f.fs.readOnly {
+		f.fs.ops = append(f.fs.ops, op{kind: write, inode: f.inode.id, offset: len(f.inode.data), data: slices.Clone(p[:n])})
+		f.inode.data = append(f.inode.data, p[:n]...)
 	}
 	return n, err
 }
 
-// Sync implements durable.File. After a failed sync nothing is durable, and a later one that succeeds does not make the
-// earlier writes durable, as on real kernels.
-func (o *file) Sync() error {
-	o.fs.mu.Lock()
-	defer o.fs.mu.Unlock()
-	if err := o.fs.failure("sync", o.name, false); err != nil {
-		for i := range o.fs.ops { // lost, also for a later sync
-			if x := &o.fs.ops[i]; x.kind == write && x.inode == o.inode.id && !o.fs.synced(i) {
-				x.data, x.offset = nil, -1
+// Sync implements durable.File. A failed sync loses the writes since the last sync: a later sync that succeeds does not make
+// them durable, as on real kernels.
+func (f *file) Sync() error {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	if err := f.fs.failure("sync", f.name, false); err != nil {
+		for i := range f.fs.ops { // not durable after a later sync either
+			if written := &f.fs.ops[i]; written.kind == write && written.inode == f.inode.id && !f.fs.synced(i) {
+				written.data, written.offset = nil, -1
 			}
 		}
 		return err
 	}
-	o.fs.ops = append(o.fs.ops, op{kind: syncFile, inode: o.inode.id})
+	f.fs.ops = append(f.fs.ops, op{kind: syncFile, inode: f.inode.id})
 	return nil
 }
 
 // synced reports whether the write at ops[i] was followed by a sync of its file.
 func (f *FS) synced(i int) bool {
-	return slices.ContainsFunc(f.ops[i:], func(x op) bool { return x.kind == syncFile && x.inode == f.ops[i].inode })
+	return slices.ContainsFunc(f.ops[i:], func(later op) bool { return later.kind == syncFile && later.inode == f.ops[i].inode })
 }
 
 // Close implements durable.File. It does not sync.
-func (o *file) Close() error {
-	o.fs.mu.Lock()
-	defer o.fs.mu.Unlock()
-	return o.fs.failure("close", o.name, false)
+func (f *file) Close() error {
+	f.fs.mu.Lock()
+	defer f.fs.mu.Unlock()
+	return f.fs.failure("close", f.name, false)
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -21,44 +21,44 @@
 
 const maxValueBytes = 1 << 16
 
-// changeAttempt is one change of a key: what it was to be, which call it began before, and whether it was confirmed, by when.
+// changeAttempt is one attempt to change a key. Times are numbers of calls that the file system had recorded.
 type changeAttempt struct {
-	key, value  string // value "": taken away
+	key, value  string // an empty value removes the key
 	begunAt     int
-	confirmedAt int // -1: it failed
+	confirmedAt int // -1: the change failed
 }
 
-// applyChanges makes changes to a table and keeps account of them.
-func applyChanges(t *testing.T, f *crashfs.FS, n, size int) (run []changeAttempt) {
+// applyChanges opens a log, makes n changes with values of at least size bytes, and returns them.
+func applyChanges(t *testing.T, f *crashfs.FS, n, size int) (attempts []changeAttempt) {
 	t.Helper()
-	table, _, err := durable.OpenKeyValueLog(f, "bans")
+	log, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
-		return nil // the failing call was one of the reader's: nothing was changed
+		return nil // a call of the reader failed: nothing was changed
 	}
 	for i := range n {
 		a := changeAttempt{key: fmt.Sprintf("u%d", i%5), value: fmt.Sprintf("%d%s", i, strings.Repeat("x", size)), begunAt: f.Ops(), confirmedAt: -1}
 		if i%3 == 2 {
 			a.value = ""
-			err = table.Delete(a.key)
+			err = log.Delete(a.key)
 		} else {
-			err = table.Set(a.key, a.value)
+			err = log.Set(a.key, a.value)
 		}
 		if err == nil {
 			a.confirmedAt = f.Ops()
 		}
-		run = append(run, a)
+		attempts = append(attempts, a)
 	}
-	if err := table.Close(); err != nil {
+	if err := log.Close(); err != nil {
 		t.Error(err)
 	}
-	return run
+	return attempts
 }
 
-// findMismatch says what a state has that it must not have after n calls: of each key, its last confirmed value or one tried
-// since.
-func findMismatch(run []changeAttempt, n int, got map[string]string) string {
+// findMismatch describes an entry that must not exist after n calls, and returns "" if there is none. A key may have the last
+// value that was confirmed, or one that was attempted since then.
+func findMismatch(attempts []changeAttempt, n int, got map[string]string) string {
 	allowed := map[string][]string{}
-	for _, a := range run {
+	for _, a := range attempts {
 		if allowed[a.key] == nil {
 			allowed[a.key] = []string{""}
 		}
@@ -71,73 +71,73 @@
 	}
 	for key, values := range allowed {
 		if !slices.Contains(values, got[key]) {
-			return fmt.Sprintf("%s is %.20q, not one of %.60q", key, got[key], values)
+			return fmt.Sprintf("%s: got %.20q, want one of %.60q", key, got[key], values)
 		}
 	}
 	for key := range got {
 		if allowed[key] == nil {
-			return key + " was never set"
+			return key + ": got an entry, want none, as the key was never set"
 		}
 	}
 	return ""
 }
 
-// checkCrashStates reads back every state that a crash during the run can leave.
-func checkCrashStates(t *testing.T, f *crashfs.FS, run []changeAttempt) int {
+// checkCrashStates reads every disk state that a crash during the changes can leave, and returns the number of states.
+func checkCrashStates(t *testing.T, f *crashfs.FS, attempts []changeAttempt) int {
 	t.Helper()
 	return f.Crashes(1, func(n int, disk map[string][]byte) bool {
 		got, corruptions, err := durable.ReadKeyValueLog(crashfs.From(disk), "bans")
 		if err != nil {
-			t.Errorf("after %d calls: %v", n, err)
+			t.Errorf("after %d calls: got error %v reading the log, want none", n, err)
 			return false
 		}
-		for _, d := range corruptions {
-			if !d.Torn {
-				t.Errorf("after %d calls: a crash passes for damage: %v", n, d)
+		for _, corruption := range corruptions {
+			if !corruption.Torn {
+				t.Errorf("after %d calls: got corruption %v, want only torn writes", n, corruption)
 				return false
 			}
 		}
-		if w := findMismatch(run, n, got); w != "" {
-			t.Errorf("after %d calls: %s", n, w)
+		if mismatch := findMismatch(attempts, n, got); mismatch != "" {
+			t.Errorf("after %d calls: %s", n, mismatch)
 			return false
 		}
 		return true
 	})
 }
 
-// Guards against a ban lost after its yes, or half a value: the power goes after every call, with every subset of what
-// was not synced, and the last write torn at every byte.
+// Guards against losing a ban that was confirmed, and against reading a part of a value. Power is lost after every call, with
+// every subset of the unsynced calls, and the last write is torn at every byte.
 func TestEveryCrashOfATableReadsBackAsOldOrNew(t *testing.T) {
 	f := crashfs.New()
 	states := checkCrashStates(t, f, applyChanges(t, f, 60, 10))
-	large := crashfs.New() // grows beyond the bound: segments are written anew in between
+	large := crashfs.New() // exceeds the compaction threshold, so that new segments are written
 	states += checkCrashStates(t, large, applyChanges(t, large, 120, 900))
 	t.Logf("%d states of a disk", states)
 	if states < 3000 {
-		t.Errorf("%d states tried, some thousands wanted", states)
+		t.Errorf("got %d disk states, want at least 3000", states)
 	}
 }
 
 func TestEveryCrashOfABoxReadsBackAsOldOrNew(t *testing.T) {
 	f := crashfs.New()
-	box := durable.NewSnapshotFile(f, "list", maxValueBytes)
-	var run []changeAttempt
+	file := durable.NewSnapshotFile(f, "list", maxValueBytes)
+	var attempts []changeAttempt
 	for i := range 12 {
 		a := changeAttempt{key: "k", value: strings.Repeat(fmt.Sprint(i%10), 10+i*17), begunAt: f.Ops()}
-		if err := box.Write([]byte(a.value)); err != nil {
+		if err := file.Write([]byte(a.value)); err != nil {
 			t.Fatal(err)
 		}
 		a.confirmedAt = f.Ops()
-		run = append(run, a)
+		attempts = append(attempts, a)
 	}
 	states := f.Crashes(1, func(n int, disk map[string][]byte) bool {
 		got, corruptions, err := durable.NewSnapshotFile(crashfs.From(disk), "list", maxValueBytes).Read()
 		if err != nil || len(corruptions) > 0 {
-			t.Errorf("after %d calls: %v, %v", n, corruptions, err)
+			t.Errorf("after %d calls: got corruptions %v, error %v, want none", n, corruptions, err)
 			return false
 		}
-		if w := findMismatch(run, n, map[string]string{"k": string(got)}); w != "" {
-			t.Errorf("after %d calls: %s", n, w)
+		if mismatch := findMismatch(attempts, n, map[string]string{"k": string(got)}); mismatch != "" {
+			t.Errorf("after %d calls: %s", n, mismatch)
 			return false
 		}
 		return true
@@ -145,8 +145,8 @@
 	t.Logf("%d states of a disk", states)
 }
 
-// Guards against taking for safe what is not: each call in turn fails once, also a sync that succeeds the next time, and
-// then every crash is tried again.
+// Guards against confirming a change that is not durable. Each kind of call fails once, at its first to eighth use, and every
+// crash is tried after it. A sync that failed succeeds the next time.
 func TestNothingConfirmedIsLostToACallThatFails(t *testing.T) {
 	states := 0
 	for _, call := range []string{"create", "write", "sync", "close", "rename", "remove", "syncdir", "list", "open", "read"} {
@@ -162,24 +162,24 @@
 				}
 				return nil
 			})
-			run := applyChanges(t, f, 12, 10)
+			attempts := applyChanges(t, f, 12, 10)
 			f.Fail(nil)
-			states += checkCrashStates(t, f, run)
-			if len(run) > 0 {
-				// One failure is over with the next change: the last is confirmed.
-				if last := run[len(run)-1]; last.confirmedAt < 0 && nth < 4 {
-					t.Errorf("%s, failing once: the last change was not confirmed", call)
+			states += checkCrashStates(t, f, attempts)
+			if len(attempts) > 0 {
+				// A single failure affects one change only, so the last change must be confirmed.
+				if last := attempts[len(attempts)-1]; last.confirmedAt < 0 && nth < 4 {
+					t.Errorf("call %s fails once, at use %d: the last change got no confirmation, want one", call, nth+1)
 				}
 			}
 			if t.Failed() {
-				t.Fatalf("%s number %d failing", call, nth+1)
+				t.Fatalf("checks failed with call %s failing at use %d", call, nth+1)
 			}
 		}
 	}
 	t.Logf("%d states of a disk", states)
 }
 
-// A full or read-only disk costs confirmations and nothing else; writing goes on by itself once it can.
+// While the disk is full or read-only, changes fail and nothing else is lost; once it is writable, changes succeed again.
 func TestFullAndReadOnlyDisksPass(t *testing.T) {
 	for name, c := range map[string]struct{ begin, end func(*crashfs.FS) }{
 		"full":      {func(f *crashfs.FS) { f.LimitSpace(10) }, func(f *crashfs.FS) { f.LimitSpace(-1) }},
@@ -187,60 +187,60 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := crashfs.New()
-			table, _, err := durable.OpenKeyValueLog(f, "bans")
+			log, _, err := durable.OpenKeyValueLog(f, "bans")
 			if err != nil {
 				t.Fatal(err)
 			}
-			box := durable.NewSnapshotFile(f, "list", maxValueBytes)
-			if err := errors.Join(table.Set("a", "1"), box.Write([]byte("one"))); err != nil {
+			snapshot := durable.NewSnapshotFile(f, "list", maxValueBytes)
+			if err := errors.Join(log.Set("a", "1"), snapshot.Write([]byte("one"))); err != nil {
 				t.Fatal(err)
 			}
 			c.begin(f)
 			for range 3 {
-				if table.Set("b", "2") == nil || box.Write([]byte("two")) == nil {
-					t.Error("confirmed without room")
+				if log.Set("b", "2") == nil || snapshot.Write([]byte("two")) == nil {
+					t.Errorf("disk %s: got a change confirmed, want an error", name)
 				}
 			}
-			if got := table.Entries(); len(got) != 1 || got["a"] != "1" {
-				t.Errorf("holds %v", got)
+			if got := log.Entries(); len(got) != 1 || got["a"] != "1" {
+				t.Errorf("got entries %v, want only a=1", got)
 			}
 			c.end(f)
-			if err := errors.Join(table.Set("c", "3"), box.Write([]byte("three")), table.Close()); err != nil {
-				t.Errorf("after it passed: %v", err)
+			if err := errors.Join(log.Set("c", "3"), snapshot.Write([]byte("three")), log.Close()); err != nil {
+				t.Errorf("changes on a writable disk: got error %v, want none", err)
 			}
 			got, corruptions, err := durable.ReadKeyValueLog(crashfs.From(f.Files()), "bans")
 			if err != nil || len(corruptions) > 0 || !maps.Equal(got, map[string]string{"a": "1", "c": "3"}) {
-				t.Errorf("read back: %v, %v, %v", got, corruptions, err)
+				t.Errorf("got entries %v, corruptions %v, error %v, want a=1 and c=3 without corruption", got, corruptions, err)
 			}
 			if value, corruptions, err := durable.NewSnapshotFile(f, "list", maxValueBytes).Read(); string(value) != "three" || len(corruptions) > 0 || err != nil {
-				t.Errorf("read back: %q, %v, %v", value, corruptions, err)
+				t.Errorf("got value %q, corruptions %v, error %v, want three without corruption", value, corruptions, err)
 			}
-			for file := range f.Files() {
-				if strings.HasSuffix(file, ".tmp") {
-					t.Errorf("%s was left", file)
+			for leftover := range f.Files() {
+				if strings.HasSuffix(leftover, ".tmp") {
+					t.Errorf("got temporary file %s, want none left", leftover)
 				}
 			}
 		})
 	}
 }
 
-// A flipped bit anywhere is seen, and costs at most the entry that it hits, or a step back of a box.
+// Every flipped bit is detected. It loses at most the entry that it is in, or the newest value of a SnapshotFile.
 func TestFlippedBitsAreSeen(t *testing.T) {
 	f := crashfs.New()
-	table, _, err := durable.OpenKeyValueLog(f, "bans")
+	log, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := durable.NewSnapshotFile(f, "list", maxValueBytes)
+	snapshot := durable.NewSnapshotFile(f, "list", maxValueBytes)
 	want := map[string]string{}
 	for i := range 6 {
 		key := fmt.Sprint("u", i)
 		want[key] = "banned"
-		if err := errors.Join(table.Set(key, "banned"), box.Write(fmt.Appendf(nil, "value %d", i))); err != nil {
+		if err := errors.Join(log.Set(key, "banned"), snapshot.Write(fmt.Appendf(nil, "value %d", i))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := table.Close(); err != nil {
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for name, data := range f.Files() {
@@ -249,33 +249,33 @@
 			files[name][bit/8] ^= 1 << (bit % 8)
 			disk := crashfs.From(files)
 			got, corruptions, err := durable.ReadKeyValueLog(disk, "bans")
-			value, more, err2 := durable.NewSnapshotFile(disk, "list", maxValueBytes).Read()
-			if len(corruptions)+len(more) == 0 && err == nil && err2 == nil {
-				t.Fatalf("%s, bit %d: not seen", name, bit)
+			value, snapshotCorruptions, snapshotErr := durable.NewSnapshotFile(disk, "list", maxValueBytes).Read()
+			if len(corruptions)+len(snapshotCorruptions) == 0 && err == nil && snapshotErr == nil {
+				t.Fatalf("%s, bit %d flipped: got no corruption and no error, want one", name, bit)
 			}
-			for key, x := range got {
-				if want[key] != x {
-					t.Fatalf("%s, bit %d: %s is %q", name, bit, key, x)
+			for key, gotValue := range got {
+				if want[key] != gotValue {
+					t.Fatalf("%s, bit %d flipped: key %s: got %q, want %q", name, bit, key, gotValue, want[key])
 				}
 			}
 			if err == nil && len(got) < len(want)-1 && !strings.HasSuffix(name, "0000000000000001") {
-				t.Fatalf("%s, bit %d: %d entries of %d are left", name, bit, len(got), len(want))
+				t.Fatalf("%s, bit %d flipped: got %d entries, want at least %d", name, bit, len(got), len(want)-1)
 			}
-			if err2 == nil && string(value) != "value 5" && string(value) != "value 4" {
-				t.Fatalf("%s, bit %d: the box holds %q", name, bit, value)
+			if snapshotErr == nil && string(value) != "value 5" && string(value) != "value 4" {
+				t.Fatalf("%s, bit %d flipped: got snapshot value %q, want value 5 or value 4", name, bit, value)
 			}
 		}
 	}
 }
 
-// What a newer version wrote is left alone, and said.
+// Files of a newer version are neither read nor changed, and the error says so.
 func TestNewerFormIsRefused(t *testing.T) {
 	f := crashfs.New()
-	table, _, err := durable.OpenKeyValueLog(f, "bans")
+	log, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(table.Set("a", "1"), table.Close(), durable.NewSnapshotFile(f, "list", maxValueBytes).Write([]byte("x"))); err != nil {
+	if err := errors.Join(log.Set("a", "1"), log.Close(), durable.NewSnapshotFile(f, "list", maxValueBytes).Write([]byte("x"))); err != nil {
 		t.Fatal(err)
 	}
 	files := f.Files()
@@ -283,55 +283,55 @@
 		files[name][3]++ // the version in the magic
 	}
 	if _, _, err := durable.OpenKeyValueLog(crashfs.From(files), "bans"); err == nil || !strings.Contains(err.Error(), "newer version") {
-		t.Errorf("table: %v", err)
+		t.Errorf("log of a newer version: got error %v, want one with \"newer version\"", err)
 	}
-	box := durable.NewSnapshotFile(crashfs.From(files), "list", maxValueBytes)
-	if err := box.Write([]byte("y")); err == nil || !strings.Contains(err.Error(), "newer version") {
-		t.Errorf("box: %v", err)
+	snapshot := durable.NewSnapshotFile(crashfs.From(files), "list", maxValueBytes)
+	if err := snapshot.Write([]byte("y")); err == nil || !strings.Contains(err.Error(), "newer version") {
+		t.Errorf("snapshot file of a newer version: got error %v, want one with \"newer version\"", err)
 	}
 }
 
-// Many callers share syncs; what grows is bounded.
+// Changes that wait at the same time share a sync, and the number of segments stays bounded.
 func TestCommitsAreShared(t *testing.T) {
 	dir := t.TempDir()
 	f := &syncCounter{FS: durable.OS(dir)}
-	table, _, err := durable.OpenKeyValueLog(f, "bans")
+	log, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
+	var callers sync.WaitGroup
 	for i := range 400 {
-		all.Add(1)
+		callers.Add(1)
 		go func() {
-			defer all.Done()
-			if err := table.Set(fmt.Sprint(i%7), strings.Repeat("y", 500)); err != nil {
+			defer callers.Done()
+			if err := log.Set(fmt.Sprint(i%7), strings.Repeat("y", 500)); err != nil {
 				t.Error(err)
 			}
 		}()
 	}
-	all.Wait()
-	if err := table.Close(); err != nil {
+	callers.Wait()
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if f.syncs >= 200 {
-		t.Errorf("%d syncs for 400 changes that came together", f.syncs)
+		t.Errorf("got %d syncs for 400 concurrent changes, want fewer than 200", f.syncs)
 	}
-	if err := table.Set("late", "1"); !errors.Is(err, durable.ErrClosed) {
-		t.Errorf("after its end: %v", err)
+	if err := log.Set("late", "1"); !errors.Is(err, durable.ErrClosed) {
+		t.Errorf("Set after Close: got error %v, want %v", err, durable.ErrClosed)
 	}
 	names, err := f.List()
 	if err != nil || len(names) > 2 {
-		t.Errorf("%d files: %v (%v)", len(names), names, err)
+		t.Errorf("got %d files %v, error %v, want at most 2 files", len(names), names, err)
 	}
-	if again, corruptions, err := durable.ReadKeyValueLog(f, "bans"); len(again) != 7 || len(corruptions) > 0 || err != nil {
-		t.Errorf("read back %d entries, %v, %v", len(again), corruptions, err)
+	if entries, corruptions, err := durable.ReadKeyValueLog(f, "bans"); len(entries) != 7 || len(corruptions) > 0 || err != nil {
+		t.Errorf("got %d entries, corruptions %v, error %v, want 7 entries without corruption", len(entries), corruptions, err)
 	}
 }
 
-// syncCounter counts syncs of files.
+// syncCounter is an FS that counts the syncs of files.
 type syncCounter struct {
 	durable.FS
-	syncs int // by the committer alone
+	syncs int // written by the committing goroutine only
 }
 
 type countedFile struct {
@@ -353,16 +353,16 @@
 		t.Fatal(err)
 	}
 	if _, err := durable.TryLock(dir); !errors.Is(err, durable.ErrLocked) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("locking twice: got error %v, want %v", err, durable.ErrLocked)
 	}
 	if !first.Holds(dir) {
-		t.Error("the lock does not hold")
+		t.Error("Holds after TryLock: got false, want true")
 	}
 	if err := durable.OS(dir).Remove("LOCK"); err != nil {
 		t.Fatal(err)
 	}
 	if first.Holds(dir) {
-		t.Error("the lock of a directory that was deleted holds")
+		t.Error("Holds after the lock file was deleted: got true, want false")
 	}
 	if err := first.Release(); err != nil {
 		t.Fatal(err)
@@ -376,37 +376,37 @@
 	}
 }
 
-// Whatever lies on the disk, reading ends, and what it gives was written whole by somebody.
+// Whatever the files contain, reading them ends, and returns only data that is in the files.
 func FuzzReaders(f *testing.F) {
 	disk := crashfs.New()
-	table, _, err := durable.OpenKeyValueLog(disk, "bans")
+	log, _, err := durable.OpenKeyValueLog(disk, "bans")
 	if err != nil {
 		f.Fatal(err)
 	}
 	for i := range 4 {
-		if err := table.Set(fmt.Sprint("u", i), "v"); err != nil {
+		if err := log.Set(fmt.Sprint("u", i), "v"); err != nil {
 			f.Fatal(err)
 		}
 	}
-	if err := errors.Join(table.Close(), durable.NewSnapshotFile(disk, "list", maxValueBytes).Write([]byte("value"))); err != nil {
+	if err := errors.Join(log.Close(), durable.NewSnapshotFile(disk, "list", maxValueBytes).Write([]byte("value"))); err != nil {
 		f.Fatal(err)
 	}
 	files := disk.Files()
 	f.Add(files["bans.0000000000000001"], files["list.1"])
-	f.Fuzz(func(t *testing.T, segment, box []byte) {
-		disk := crashfs.From(map[string][]byte{"bans.0000000000000001": segment, "list.1": box})
+	f.Fuzz(func(t *testing.T, segment, snapshot []byte) {
+		disk := crashfs.From(map[string][]byte{"bans.0000000000000001": segment, "list.1": snapshot})
 		entries, corruptions, err := durable.ReadKeyValueLog(disk, "bans")
 		if err == nil && len(corruptions) == 0 && len(entries) > 0 && !bytes.Contains(segment, []byte("MTR1")) {
-			t.Errorf("entries %v out of nothing", entries)
+			t.Errorf("got entries %v from a segment without a record, want none", entries)
 		}
 		for key, value := range entries {
 			if !bytes.Contains(segment, []byte(key)) || !bytes.Contains(segment, []byte(value)) {
-				t.Errorf("%q: %q is nowhere in the file", key, value)
+				t.Errorf("got entry %q: %q, want only entries that are in the file", key, value)
 			}
 		}
 		value, corruptions, err := durable.NewSnapshotFile(disk, "list", maxValueBytes).Read()
-		if err == nil && len(corruptions) == 0 && !bytes.HasSuffix(box, value) {
-			t.Errorf("%q is not in the file", value)
+		if err == nil && len(corruptions) == 0 && !bytes.HasSuffix(snapshot, value) {
+			t.Errorf("got value %q, want one that ends the file", value)
 		}
 	})
 }
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -10,48 +10,48 @@
 	"io/fs"
 )
 
-// Everything is written in frames: magic, the length of the payload, a rising sequence number, the CRC32C of all of these
-// and the payload, and the payload. Integers are little-endian.
+// All data is written in frames: the magic, the length of the payload, a sequence number that never falls, the CRC32C of
+// these and of the payload, and the payload. Integers are little-endian.
 //
-//	4 bytes magic | 4 bytes length | 8 bytes number | 4 bytes CRC32C | payload
+//	4 bytes magic | 4 bytes length | 8 bytes sequence number | 4 bytes CRC32C | payload
 const (
 	frameHeaderBytes = 20
-	// Version is that of the format. A file of another version is neither read nor changed.
+	// Version is the version of the format. Files of a newer version are neither read nor changed.
 	Version = 1
 )
 
 var (
 	snapshotMagic = [4]byte{'M', 'B', 'X', '0' + Version}
-	segmentMagic  = [4]byte{'M', 'T', 'H', '0' + Version} // of the head of a log segment
+	segmentMagic  = [4]byte{'M', 'T', 'H', '0' + Version} // of the header of a log segment
 	recordMagic   = [4]byte{'M', 'T', 'R', '0' + Version}
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Errors of frames.
+// Errors of readFrame and readFile.
 var (
 	errShort    = errors.New("cut short")
-	errMagic    = errors.New("not of this form")
+	errMagic    = errors.New("unknown format")
 	errNewer    = errors.New("written by a newer version")
 	errChecksum = errors.New("wrong checksum")
-	errLength   = errors.New("longer than anything that is written")
+	errLength   = errors.New("longer than the maximum")
 )
 
 // appendFrame appends a frame to b.
-func appendFrame(b []byte, magic [4]byte, number uint64, payload []byte) []byte {
-	at := len(b)
+func appendFrame(b []byte, magic [4]byte, sequence uint64, payload []byte) []byte {
+	start := len(b)
 	b = append(b, magic[:]...)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
-	b = binary.LittleEndian.AppendUint64(b, number)
-	b = binary.LittleEndian.AppendUint32(b, checksum(b[at:], payload))
+	b = binary.LittleEndian.AppendUint64(b, sequence)
+	b = binary.LittleEndian.AppendUint32(b, checksum(b[start:], payload))
 	return append(b, payload...)
 }
 
-func checksum(head, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, payload)
+func checksum(header, payload []byte) uint32 {
+	return crc32.Update(crc32.Checksum(header, castagnoli), castagnoli, payload)
 }
 
-// readFrame decodes the frame at the start of b. The payload is a part of b.
-func readFrame(b []byte, magic [4]byte, maxBytes int) (number uint64, payload []byte, size int, err error) {
+// readFrame decodes the frame at the start of b, which is size bytes long. The payload is a subslice of b.
+func readFrame(b []byte, magic [4]byte, maxBytes int) (sequence uint64, payload []byte, size int, err error) {
 	if len(b) >= 4 && !bytes.Equal(b[:4], magic[:]) {
 		if bytes.Equal(b[:3], magic[:3]) && b[3] > magic[3] && b[3] <= '9' {
 			return 0, nil, 0, errNewer
@@ -76,22 +76,22 @@
 	return binary.LittleEndian.Uint64(b[8:]), payload, size, nil
 }
 
-// Corruption describes a part of a file that is not as it was written.
+// Corruption describes a part of a file whose content is not what was written.
 type Corruption struct {
 	File string
-	At   int64 // offset of its first byte
+	At   int64 // offset of its first byte in the file
 	Err  error
-	Torn bool // the rest of a write that a crash cut short before it was confirmed: no data is lost
+	Torn bool // it is the rest of a write that a crash cut short before it was confirmed: no confirmed data is lost
 }
 
-func (d Corruption) String() string {
-	if d.Torn {
-		return fmt.Sprintf("%s: byte %d: torn write, nothing confirmed is lost: %v", d.File, d.At, d.Err)
+func (c Corruption) String() string {
+	if c.Torn {
+		return fmt.Sprintf("%s: byte %d: torn write, nothing confirmed is lost: %v", c.File, c.At, c.Err)
 	}
-	return fmt.Sprintf("%s: byte %d: %v", d.File, d.At, d.Err)
+	return fmt.Sprintf("%s: byte %d: %v", c.File, c.At, c.Err)
 }
 
-// readFile reads a file; a file larger than the bound is an error.
+// readFile reads a file, and fails with errLength if it is larger than maxBytes.
 func readFile(f FS, name string, maxBytes int) ([]byte, error) {
 	file, err := f.Open(name)
 	if err != nil {
@@ -108,10 +108,10 @@
 	return text, nil
 }
 
-// writeNew creates a file with this content, and with sync makes the content durable. Its name becomes durable with
-// FS.Sync.
-func writeNew(f FS, name string, text []byte, safe bool) (err error) {
-	if err := f.Remove(name); err != nil { // left by a crash
+// writeNew creates a file with this content, in place of a file of the same name. With sync, the content is durable when
+// writeNew returns; the name becomes durable with FS.Sync.
+func writeNew(f FS, name string, text []byte, sync bool) (err error) {
+	if err := f.Remove(name); err != nil { // a crash may have left one
 		return err
 	}
 	file, err := f.Create(name)
@@ -122,11 +122,11 @@
 	if err == nil && n < len(text) {
 		err = io.ErrShortWrite
 	}
-	if err == nil && safe {
+	if err == nil && sync {
 		err = file.Sync()
 	}
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		_ = f.Remove(name) // if that fails too, the next write removes it
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -1,9 +1,9 @@
-// Package durable stores files that must outlive a process. They are written completely or not at all, and
-// never trusted when read: everything has a version, a length and a checksum.
+// Package durable stores files that must outlive a process. Data is written completely or not at all, and is checked when
+// it is read: it has a version, a length and a checksum.
 //
 // A SnapshotFile holds one value, in two generations; a KeyValueLog holds small entries, none of which is
-// lost once Set or Delete has returned nil. A DirLock makes one process the writer of a directory. All of
-// them write through FS, so that tests can cut the power between any two calls.
+// lost once Set or Delete has returned nil. A DirLock makes one process the only writer of a directory. A SnapshotFile and a
+// KeyValueLog write through FS, so that tests can simulate power loss between any two calls.
 package durable
 
 import (
@@ -22,9 +22,9 @@
 	Open(name string) (File, error)
 	// Create creates a file for writing; it fails if the file exists.
 	Create(name string) (File, error)
-	// Rename renames a file, and atomically replaces another.
+	// Rename renames a file, and atomically replaces any file of the new name.
 	Rename(from, to string) error
-	// Remove removes a file; it is no error if there is none.
+	// Remove removes a file. It returns nil if there is none.
 	Remove(name string) error
 	// List returns the names of the regular files.
 	List() ([]string, error)
@@ -32,8 +32,8 @@
 	Sync() error
 }
 
-// File is an open file. What was written is durable once Sync has returned nil. After an error of any call it is unknown
-// how much is durable, and the file must not be used again.
+// File is an open file. The data written is durable once Sync has returned nil. After an error of any call it is unknown
+// how much of it is durable, and the file must not be used again.
 type File interface {
 	io.Reader
 	io.Writer
@@ -50,12 +50,12 @@
 func (o osFS) Open(name string) (File, error) {
 	f, err := os.Open(o.path(name))
 	if err != nil {
-		return nil, err // not an interface that holds a nil *os.File
+		return nil, err // returning f would make a File that is not nil and holds a nil *os.File
 	}
 	return f, nil
 }
 
-// Create implements FS. It creates the directory again if that was deleted while the process ran.
+// Create implements FS. It creates the directory if it is missing.
 func (o osFS) Create(name string) (File, error) {
 	const flags = os.O_WRONLY | os.O_CREATE | os.O_EXCL
 	f, err := os.OpenFile(o.path(name), flags, 0o600)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// DirLock is the lock of a directory: its holder is the one process that writes there. It ends with the
-// process.
+// DirLock is the lock of a directory: only the process that holds it writes there. The kernel releases it when the process
+// ends.
 type DirLock struct{ f *os.File }
 
 const lockName = "LOCK"
@@ -137,15 +137,15 @@
 	return &DirLock{f}, nil
 }
 
-// Holds reports whether the lock is still that of the directory: it is not once the directory has been deleted, or replaced
+// Holds reports whether the lock still protects the directory: it does not once the directory has been deleted, or replaced
 // by a copy.
 func (l *DirLock) Holds(dir string) bool {
 	own, err := l.f.Stat()
 	if err != nil {
 		return false
 	}
-	there, err := os.Stat(filepath.Join(dir, lockName))
-	return err == nil && os.SameFile(own, there)
+	current, err := os.Stat(filepath.Join(dir, lockName))
+	return err == nil && os.SameFile(own, current)
 }
 
 // Release releases the lock.
--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	maxEntryBytes         = 1 << 10 // bytes of a key with its value
-	maxSegmentBytes       = 4 << 20 // bytes of a segment
+	maxEntryBytes         = 1 << 10 // maximum bytes of a key with its value
+	maxSegmentBytes       = 4 << 20 // maximum bytes of a segment
 	compactThresholdBytes = 32 << 10
-	maxQueuedChanges      = 64 // changes that may wait for the disk; further calls block
+	maxQueuedChanges      = 64 // changes that can wait for the disk; further calls block
 )
 
-// KeyValueLog stores small entries by key, as a log with group commit: each change is a record at its end, and all changes
-// that wait together become durable with one sync. The log is compacted into a new segment when it has grown, and after
-// a failed write, since nothing may be appended to a file whose content on disk is unknown. Safe for concurrent use.
+// KeyValueLog stores small entries by key, as a log with group commit: each change is appended as a record, and all changes
+// that wait at the same time become durable with one sync. The log is compacted into a new segment when it has grown, and
+// after a failed write, since nothing may be appended to a file whose content on disk is unknown. Safe for concurrent use.
 type KeyValueLog struct {
 	fs   FS
 	name string
@@ -29,15 +29,15 @@
 	stopped   chan struct{}
 	closeOnce sync.Once
 
-	mu      sync.Mutex // guards what other goroutines read
+	mu      sync.Mutex // guards entries, which other goroutines read
 	entries map[string]string
 
 	// Owned by the committing goroutine.
-	segmentFile    File // nil: the next commit writes a new segment
+	segmentFile    File // the open segment; nil: the next commit writes a new segment
 	segment        uint64
 	sequence       uint64
 	size           int
-	compactedBytes int // bytes that a compacted segment would have
+	compactedBytes int // size of the segment when it was last compacted
 }
 
 type entryChange struct {
@@ -49,56 +49,56 @@
 // OpenKeyValueLog opens the log of that name for reading and writing. Damaged records are returned as corruptions, all
 // others are kept. It fails if the file system does, or if a newer version of the program has written the log.
 func OpenKeyValueLog(f FS, name string) (*KeyValueLog, []Corruption, error) {
-	t := &KeyValueLog{fs: f, name: name, changes: make(chan entryChange, maxQueuedChanges), stopped: make(chan struct{}), entries: map[string]string{}}
-	corruptions, err := t.load()
+	l := &KeyValueLog{fs: f, name: name, changes: make(chan entryChange, maxQueuedChanges), stopped: make(chan struct{}), entries: map[string]string{}}
+	corruptions, err := l.load()
 	if err != nil {
 		return nil, corruptions, err
 	}
-	go t.commit()
-	return t, corruptions, nil
+	go l.commit()
+	return l, corruptions, nil
 }
 
 // ReadKeyValueLog reads the log of that name, and writes nothing.
 func ReadKeyValueLog(f FS, name string) (map[string]string, []Corruption, error) {
-	t := &KeyValueLog{fs: f, name: name, entries: map[string]string{}}
-	corruptions, err := t.load()
-	return t.entries, corruptions, err
+	l := &KeyValueLog{fs: f, name: name, entries: map[string]string{}}
+	corruptions, err := l.load()
+	return l.entries, corruptions, err
 }
 
 // Entries returns all entries.
-func (t *KeyValueLog) Entries() map[string]string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return maps.Clone(t.entries)
+func (l *KeyValueLog) Entries() map[string]string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return maps.Clone(l.entries)
 }
 
-// ErrClosed is returned after Close.
-var ErrClosed = errors.New("the table is closed")
+// ErrClosed is returned by Set and Delete after Close.
+var ErrClosed = errors.New("the log is closed")
 
-// Set sets the value of a key. It blocks until that is durable; after an error it may or may not be.
-func (t *KeyValueLog) Set(key, value string) error {
-	return t.change(entryChange{key: key, value: value})
+// Set sets the value of a key, and blocks until the change is durable. After an error it may or may not be durable.
+func (l *KeyValueLog) Set(key, value string) error {
+	return l.change(entryChange{key: key, value: value})
 }
 
 // Delete removes a key, as durably as Set.
-func (t *KeyValueLog) Delete(key string) error { return t.change(entryChange{key: key, remove: true}) }
+func (l *KeyValueLog) Delete(key string) error { return l.change(entryChange{key: key, remove: true}) }
 
-func (t *KeyValueLog) change(c entryChange) error {
+func (l *KeyValueLog) change(c entryChange) error {
 	if n := len(c.key) + len(c.value); n > maxEntryBytes {
-		return fmt.Errorf("%s: an entry of %d bytes, %d at most", t.name, n, maxEntryBytes)
+		return fmt.Errorf("%s: entry has %d bytes, maximum is %d", l.name, n, maxEntryBytes)
 	}
 	c.done = make(chan error, 1)
 	select {
-	case t.changes <- c:
-	case <-t.stopped:
+	case l.changes <- c:
+	case <-l.stopped:
 		return ErrClosed
 	}
 	select {
 	case err := <-c.done:
 		return err
-	case <-t.stopped:
+	case <-l.stopped:
 		select {
-		case err := <-c.done: // it was part of the last commit
+		case err := <-c.done: // the change was part of the last commit
 			return err
 		default:
 			return ErrClosed
@@ -106,26 +106,26 @@
 	}
 }
 
-// Close commits the waiting changes and closes the log. It may be called again.
-func (t *KeyValueLog) Close() error {
-	t.closeOnce.Do(func() { t.changes <- entryChange{} })
-	<-t.stopped
+// Close commits the waiting changes and closes the log. It may be called more than once.
+func (l *KeyValueLog) Close() error {
+	l.closeOnce.Do(func() { l.changes <- entryChange{} })
+	<-l.stopped
 	return nil
 }
 
-// commit takes all waiting changes and commits them together, until Close.
-func (t *KeyValueLog) commit() {
-	defer close(t.stopped)
+// commit repeatedly takes all waiting changes and commits them together, until Close.
+func (l *KeyValueLog) commit() {
+	defer close(l.stopped)
 	defer func() {
-		if t.segmentFile != nil {
-			_ = t.segmentFile.Close() // all of it is durable
+		if l.segmentFile != nil {
+			_ = l.segmentFile.Close() // all of it is durable
 		}
 	}()
 	for {
-		batch, more := []entryChange{<-t.changes}, true
+		batch, more := []entryChange{<-l.changes}, true
 		for more && len(batch) < maxQueuedChanges {
 			select {
-			case c := <-t.changes:
+			case c := <-l.changes:
 				batch = append(batch, c)
 			default:
 				more = false
@@ -136,7 +136,7 @@
 			batch = batch[:end]
 		}
 		if len(batch) > 0 {
-			err := t.write(batch)
+			err := l.write(batch)
 			for _, c := range batch {
 				c.done <- err
 			}
@@ -147,107 +147,107 @@
 	}
 }
 
-// write makes a batch durable, at the end of the segment or in a new one.
-func (t *KeyValueLog) write(batch []entryChange) error {
-	next := maps.Clone(t.entries)
+// write makes a batch durable, by appending it to the segment or by starting a new one.
+func (l *KeyValueLog) write(batch []entryChange) error {
+	entries := maps.Clone(l.entries)
 	var records []byte
-	number := t.sequence
+	sequence := l.sequence
 	for _, c := range batch {
-		number++
-		records = appendFrame(records, recordMagic, number, encodeChange(c))
+		sequence++
+		records = appendFrame(records, recordMagic, sequence, encodeChange(c))
 		if c.remove {
-			delete(next, c.key)
+			delete(entries, c.key)
 		} else {
-			next[c.key] = c.value
+			entries[c.key] = c.value
 		}
 	}
-	err := errors.New("no log is open")
-	if t.segmentFile != nil && t.size+len(records) <= max(compactThresholdBytes, 4*t.compactedBytes) {
-		if _, err = t.segmentFile.Write(records); err == nil {
-			err = t.segmentFile.Sync()
+	err := errors.New("no segment is open")
+	if l.segmentFile != nil && l.size+len(records) <= max(compactThresholdBytes, 4*l.compactedBytes) {
+		if _, err = l.segmentFile.Write(records); err == nil {
+			err = l.segmentFile.Sync()
 		}
 		if err == nil {
-			t.size += len(records)
+			l.size += len(records)
 		}
 	}
 	if err != nil {
-		if err = t.rewrite(next, number); err != nil {
-			return fmt.Errorf("writing %s: %w", t.name, err)
+		if err = l.rewrite(entries, sequence); err != nil {
+			return fmt.Errorf("writing %s: %w", l.name, err)
 		}
 	}
-	t.sequence = number
-	t.mu.Lock()
-	t.entries = next
-	t.mu.Unlock()
+	l.sequence = sequence
+	l.mu.Lock()
+	l.entries = entries
+	l.mu.Unlock()
 	return nil
 }
 
-// rewrite starts a new segment that holds these entries. The previous one stays until the next rewrite.
-func (t *KeyValueLog) rewrite(entries map[string]string, number uint64) error {
-	if t.segmentFile != nil {
-		_ = t.segmentFile.Close() // no longer used, whatever the error
-		t.segmentFile = nil
+// rewrite starts a new segment with these entries. The previous segment stays until the next rewrite.
+func (l *KeyValueLog) rewrite(entries map[string]string, sequence uint64) error {
+	if l.segmentFile != nil {
+		_ = l.segmentFile.Close() // the file is not used again, so an error does not matter
+		l.segmentFile = nil
 	}
 	var text []byte
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
-		text = appendFrame(text, recordMagic, number, encodeChange(entryChange{key: key, value: entries[key]}))
+		text = appendFrame(text, recordMagic, sequence, encodeChange(entryChange{key: key, value: entries[key]}))
 	}
-	head := binary.LittleEndian.AppendUint64(nil, uint64(len(text)))
-	text = append(appendFrame(nil, segmentMagic, number, head), text...)
-	next := t.segment + 1
-	fresh := t.name + temporarySuffix
-	if err := t.fs.Remove(fresh); err != nil {
+	header := binary.LittleEndian.AppendUint64(nil, uint64(len(text)))
+	text = append(appendFrame(nil, segmentMagic, sequence, header), text...)
+	segment := l.segment + 1
+	tmpName := l.name + temporarySuffix
+	if err := l.fs.Remove(tmpName); err != nil {
 		return err
 	}
-	log, err := t.fs.Create(fresh)
+	file, err := l.fs.Create(tmpName)
 	if err != nil {
 		return err
 	}
-	if _, err = log.Write(text); err == nil {
-		err = log.Sync()
+	if _, err = file.Write(text); err == nil {
+		err = file.Sync()
 	}
 	if err == nil {
-		err = t.fs.Rename(fresh, t.segmentName(next))
+		err = l.fs.Rename(tmpName, l.segmentName(segment))
 	}
-	t.segment = next // also after an error: the next attempt must not use the same name
+	l.segment = segment // also after an error: the next attempt must not use the same name
 	if err == nil {
-		err = t.fs.Sync()
+		err = l.fs.Sync()
 	}
 	if err != nil {
-		_ = log.Close()
-		_ = t.fs.Remove(fresh) // if that fails too, the next attempt removes it
+		_ = file.Close()
+		_ = l.fs.Remove(tmpName) // if that fails too, the next attempt removes it
 		return err
 	}
-	t.segmentFile, t.size, t.compactedBytes = log, len(text), len(text)
-	t.removeOldSegments()
+	l.segmentFile, l.size, l.compactedBytes = file, len(text), len(text)
+	l.removeOldSegments()
 	return nil
 }
 
-// removeOldSegments removes all segments but the latest two. What fails is tried again the next time.
-func (t *KeyValueLog) removeOldSegments() {
-	segments, err := t.segments()
+// removeOldSegments removes all segments but the latest two. A removal that fails is tried again at the next rewrite.
+func (l *KeyValueLog) removeOldSegments() {
+	segments, err := l.segments()
 	if err != nil {
 		return
 	}
 	for _, s := range segments {
-		if s+1 < t.segment {
-			_ = t.fs.Remove(t.segmentName(s))
+		if s+1 < l.segment {
+			_ = l.fs.Remove(l.segmentName(s))
 		}
 	}
 }
 
-func (t *KeyValueLog) segmentName(segment uint64) string {
-	return fmt.Sprintf("%s.%016x", t.name, segment)
+func (l *KeyValueLog) segmentName(segment uint64) string {
+	return fmt.Sprintf("%s.%016x", l.name, segment)
 }
 
 // segments returns the numbers of the segments, the newest first.
-func (t *KeyValueLog) segments() (all []uint64, err error) {
-	names, err := t.fs.List()
+func (l *KeyValueLog) segments() (all []uint64, err error) {
+	names, err := l.fs.List()
 	if err != nil && !missing(err) {
 		return nil, err
 	}
 	for _, name := range names {
-		if text, ok := strings.CutPrefix(name, t.name+"."); ok && len(text) == 16 {
+		if text, ok := strings.CutPrefix(name, l.name+"."); ok && len(text) == 16 {
 			if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 				all = append(all, n)
 			}
@@ -258,26 +258,26 @@
 	return all, nil
 }
 
-// load reads the newest segment whose head is intact. The first change then starts a new segment, so that nothing is ever
-// appended behind the rest of a write that a crash cut short.
-func (t *KeyValueLog) load() (corruptions []Corruption, err error) {
-	segments, err := t.segments()
+// load reads the newest segment whose header is intact. The first change then starts a new segment, so that nothing is
+// appended after a write that a crash cut short.
+func (l *KeyValueLog) load() (corruptions []Corruption, err error) {
+	segments, err := l.segments()
 	if err != nil {
-		return nil, fmt.Errorf("reading %s: %w", t.name, err)
+		return nil, fmt.Errorf("reading %s: %w", l.name, err)
 	}
 	if len(segments) > 0 {
-		t.segment = segments[0]
+		l.segment = segments[0]
 	}
 	for _, s := range segments {
-		name := t.segmentName(s)
-		text, err := readFile(t.fs, name, maxSegmentBytes)
+		name := l.segmentName(s)
+		text, err := readFile(l.fs, name, maxSegmentBytes)
 		if err != nil && !errors.Is(err, errLength) {
 			return corruptions, fmt.Errorf("reading %s: %w", name, err)
 		}
 		if err == nil {
-			var found []Corruption
-			if found, err = t.replay(name, text); err == nil {
-				return append(corruptions, found...), nil
+			var replayed []Corruption
+			if replayed, err = l.replay(name, text); err == nil {
+				return append(corruptions, replayed...), nil
 			}
 		}
 		if errors.Is(err, errNewer) {
@@ -288,70 +288,70 @@
 	return corruptions, nil
 }
 
-// replay applies the records of a segment. It fails, and applies none, if its head is damaged.
-func (t *KeyValueLog) replay(name string, text []byte) (corruptions []Corruption, err error) {
-	number, head, at, err := readFrame(text, segmentMagic, maxEntryBytes)
+// replay applies the records of a segment. It fails, and applies none, if the header is damaged.
+func (l *KeyValueLog) replay(name string, text []byte) (corruptions []Corruption, err error) {
+	sequence, header, offset, err := readFrame(text, segmentMagic, maxEntryBytes)
 	if err != nil {
 		return nil, err
 	}
-	if len(head) != 8 {
+	if len(header) != 8 {
 		return nil, errLength
 	}
-	base := at + int(min(binary.LittleEndian.Uint64(head), maxSegmentBytes)) // written completely before the segment was renamed into place
+	baseEnd := offset + int(min(binary.LittleEndian.Uint64(header), maxSegmentBytes)) // records before this offset were complete when the segment got its name
 	entries := map[string]string{}
-	for at < len(text) {
-		n, payload, size, err := readFrame(text[at:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1)
+	for offset < len(text) {
+		n, payload, size, err := readFrame(text[offset:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1)
 		var c entryChange
 		if err == nil {
 			c, err = decodeChange(payload)
 		}
-		if err == nil && (at < base && n != number || at >= base && n <= number) {
-			err = errors.New("a record out of its place")
+		if err == nil && (offset < baseEnd && n != sequence || offset >= baseEnd && n <= sequence) {
+			err = errors.New("record out of sequence")
 		}
 		if errors.Is(err, errNewer) {
 			return nil, err
 		}
 		if err != nil {
-			next := resync(text, at+1, number)
-			torn := next < 0 && at >= base
-			corruptions = append(corruptions, Corruption{File: name, At: int64(at), Err: err, Torn: torn})
+			next := resync(text, offset+1, sequence)
+			torn := next < 0 && offset >= baseEnd
+			corruptions = append(corruptions, Corruption{File: name, At: int64(offset), Err: err, Torn: torn})
 			if next < 0 {
 				break
 			}
-			at = next
+			offset = next
 			continue
 		}
-		if at >= base {
-			number = n
+		if offset >= baseEnd {
+			sequence = n
 		}
 		if c.remove {
 			delete(entries, c.key)
 		} else {
 			entries[c.key] = c.value
 		}
-		at += size
+		offset += size
 	}
-	if at < base && len(corruptions) == 0 {
-		corruptions = append(corruptions, Corruption{File: name, At: int64(at), Err: errShort})
+	if offset < baseEnd && len(corruptions) == 0 {
+		corruptions = append(corruptions, Corruption{File: name, At: int64(offset), Err: errShort})
 	}
-	t.entries, t.sequence = entries, number
+	l.entries, l.sequence = entries, sequence
 	return corruptions, nil
 }
 
-// resync returns the offset of the next intact record after a damaged one, or a negative number if there is none.
-func resync(text []byte, from int, after uint64) int {
-	for at := from; at+frameHeaderBytes <= len(text); at++ {
-		if text[at] != recordMagic[0] {
+// resync returns the offset of the next intact record at or after from, or a negative number if there is none.
+func resync(text []byte, from int, minSequence uint64) int {
+	for offset := from; offset+frameHeaderBytes <= len(text); offset++ {
+		if text[offset] != recordMagic[0] {
 			continue
 		}
-		if n, _, _, err := readFrame(text[at:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1); err == nil && n >= after {
-			return at
+		if n, _, _, err := readFrame(text[offset:], recordMagic, maxEntryBytes+binary.MaxVarintLen64+1); err == nil && n >= minSequence {
+			return offset
 		}
 	}
 	return -1
 }
 
-// A change is encoded as 0 (set) or 1 (removed), the length of the key, the key, and the value.
+// encodeChange encodes a change as a byte, 0 (set) or 1 (removed), the length of the key, the key, and the value.
 func encodeChange(c entryChange) []byte {
 	b := []byte{0}
 	if c.remove {
@@ -364,11 +364,11 @@
 
 func decodeChange(b []byte) (c entryChange, err error) {
 	if len(b) < 2 || b[0] > 1 {
-		return c, errors.New("no change")
+		return c, errors.New("malformed change")
 	}
 	n, size := binary.Uvarint(b[1:])
 	if size <= 0 || n > uint64(len(b)-1-size) {
-		return c, errors.New("no key")
+		return c, errors.New("malformed key")
 	}
 	rest := b[1+size:]
 	return entryChange{key: string(rest[:n]), value: string(rest[n:]), remove: b[0] == 1}, nil
--- a/internal/durable/lossy.go
+++ b/internal/durable/lossy.go
@@ -11,9 +11,9 @@
 	"sync"
 )
 
-// OS returns the directory dir as an FS that loses unsynced data when the process ends: content is written when a file is
-// synced, and names change when the directory is. It simulates power loss in experiments with real processes, and must
-// not be built into a program for production.
+// OS returns the directory dir as an FS that loses unsynced data when the process ends: it writes content when a file is
+// synced, and changes names when the directory is synced. It simulates power loss in experiments with real processes, and
+// must not be built into a program for production.
 func OS(dir string) FS {
 	lossyMu.Lock()
 	defer lossyMu.Unlock()
@@ -31,14 +31,14 @@
 type lossyFS struct {
 	disk    osFS
 	mu      sync.Mutex
-	pending map[string]*lossyFile // names that changed since the last sync; nil: removed
+	pending map[string]*lossyFile // by name, the files whose name changed since the last sync; nil: removed
 }
 
 type lossyFile struct {
 	fs          *lossyFS
-	data        []byte // as the process sees it
+	data        []byte // the content as the process sees it
 	synced      []byte // the content as of the last sync
-	durableName string // its name on disk; empty: none
+	durableName string // name on disk; empty: none
 	reader      *bytes.Reader
 }
 
@@ -97,7 +97,7 @@
 	return slices.Sorted(maps.Keys(all)), err
 }
 
-// Sync implements FS: it makes the names durable, each with its synced content.
+// Sync implements FS. It makes the names durable, each with the synced content of its file.
 func (l *lossyFS) Sync() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,16 +117,16 @@
 	return l.disk.Sync()
 }
 
-// writeNamed writes the synced content under its durable name.
+// writeNamed writes the synced content under the durable name, if there is one.
 func (f *lossyFile) writeNamed() error {
 	if f.durableName == "" {
 		return nil
 	}
-	const fresh = "lossy" + temporarySuffix
-	if err := writeNew(f.fs.disk, fresh, f.synced, true); err != nil {
+	const tmpName = "lossy" + temporarySuffix
+	if err := writeNew(f.fs.disk, tmpName, f.synced, true); err != nil {
 		return err
 	}
-	return f.fs.disk.Rename(fresh, f.durableName)
+	return f.fs.disk.Rename(tmpName, f.durableName)
 }
 
 func (f *lossyFile) Read(p []byte) (int, error) {
--- a/internal/durable/quarantine.go
+++ b/internal/durable/quarantine.go
@@ -12,33 +12,33 @@
 
 const quarantineDir = "quarantine"
 
-// Quarantine moves files of a directory into a subdirectory, for people to inspect, and keeps the latest of all that were
-// moved there, up to maxFiles. A file that is missing is no error.
+// Quarantine moves files of a directory into a subdirectory, for people to inspect, and deletes all but the latest maxFiles
+// there. A missing file is not an error.
 func Quarantine(dir string, names []string, maxFiles int, now time.Time) error {
-	aside := filepath.Join(dir, quarantineDir)
+	subdir := filepath.Join(dir, quarantineDir)
 	if len(names) == 0 {
 		return nil
 	}
-	if err := os.MkdirAll(aside, 0o700); err != nil {
+	if err := os.MkdirAll(subdir, 0o700); err != nil {
 		return fmt.Errorf("quarantine: %w", err)
 	}
-	var all error
+	var errs error
 	for _, name := range names {
-		to := fmt.Sprintf("%s-%s", now.UTC().Format("20060102T150405.000000"), name)
-		if err := os.Rename(filepath.Join(dir, name), filepath.Join(aside, to)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			all = errors.Join(all, fmt.Errorf("quarantine: %w", err))
+		newName := fmt.Sprintf("%s-%s", now.UTC().Format("20060102T150405.000000"), name)
+		if err := os.Rename(filepath.Join(dir, name), filepath.Join(subdir, newName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			errs = errors.Join(errs, fmt.Errorf("quarantine: %w", err))
 		}
 	}
-	entries, err := os.ReadDir(aside) // sorted by name, and so by time
+	entries, err := os.ReadDir(subdir) // sorted by name, and therefore by time
 	if err != nil {
-		return errors.Join(all, fmt.Errorf("quarantine: %w", err))
+		return errors.Join(errs, fmt.Errorf("quarantine: %w", err))
 	}
 	for _, e := range entries[:max(0, len(entries)-maxFiles)] {
-		if err := os.Remove(filepath.Join(aside, e.Name())); err != nil {
-			all = errors.Join(all, fmt.Errorf("quarantine: %w", err))
+		if err := os.Remove(filepath.Join(subdir, e.Name())); err != nil {
+			errs = errors.Join(errs, fmt.Errorf("quarantine: %w", err))
 		}
 	}
-	return all
+	return errs
 }
 
 // Quarantined returns the names of the quarantined files.
--- a/internal/durable/snapshotfile.go
+++ b/internal/durable/snapshotfile.go
@@ -7,8 +7,8 @@
 
 const temporarySuffix = ".tmp"
 
-// SnapshotFile stores one value of bounded size, in two generations: a write replaces the older one, and a read returns the
-// newest that is complete. Not safe for concurrent use.
+// SnapshotFile stores one value of bounded size, in two generations: a write replaces the older generation, and a read
+// returns the newest intact one. Not safe for concurrent use.
 type SnapshotFile struct {
 	fs         FS
 	name       string
@@ -17,23 +17,23 @@
 	loaded     bool
 }
 
-// NewSnapshotFile returns the file of that name, for values of maxBytes at most. It does not access the disk.
+// NewSnapshotFile returns the file of that name, for values of up to maxBytes. It does not access the disk.
 func NewSnapshotFile(f FS, name string, maxBytes int) *SnapshotFile {
 	return &SnapshotFile{fs: f, name: name, maxBytes: maxBytes}
 }
 
-// slotName returns the name of the file of a generation: generations alternate between two files.
-func (b *SnapshotFile) slotName(generation uint64) string {
-	return fmt.Sprintf("%s.%d", b.name, generation%2)
+// slotName returns the name of the file that holds a generation: generations alternate between two files.
+func (s *SnapshotFile) slotName(generation uint64) string {
+	return fmt.Sprintf("%s.%d", s.name, generation%2)
 }
 
-// Read returns the newest complete value, or nil if there is none, and the corruptions of what could not be used. It fails
+// Read returns the newest intact value, or nil if there is none, and a corruption for each file that is damaged. It fails
 // if the file system does, or if a newer version of the program has written the file.
-func (b *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
+func (s *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
 	found := false
-	for i := range uint64(2) {
-		name := b.slotName(i)
-		text, err := readFile(b.fs, name, b.maxBytes+frameHeaderBytes)
+	for slot := range uint64(2) {
+		name := s.slotName(slot)
+		text, err := readFile(s.fs, name, s.maxBytes+frameHeaderBytes)
 		if missing(err) {
 			continue
 		}
@@ -41,11 +41,11 @@
 		var payload []byte
 		if err == nil {
 			var size int
-			if generation, payload, size, err = readFrame(text, snapshotMagic, b.maxBytes); err == nil && size != len(text) {
-				err = errors.New("more in it than was written")
+			if generation, payload, size, err = readFrame(text, snapshotMagic, s.maxBytes); err == nil && size != len(text) {
+				err = errors.New("data after the end of the frame")
 			}
-			if err == nil && generation%2 != i {
-				err = errors.New("a value of the other file's")
+			if err == nil && generation%2 != slot {
+				err = errors.New("generation belongs to the other file")
 			}
 		} else if !errors.Is(err, errLength) {
 			return nil, corruptions, fmt.Errorf("reading %s: %w", name, err)
@@ -55,41 +55,41 @@
 			return nil, corruptions, fmt.Errorf("%s: %w", name, err)
 		case err != nil:
 			corruptions = append(corruptions, Corruption{File: name, Err: err})
-		case !found || generation > b.generation:
-			found, value, b.generation = true, payload, generation
+		case !found || generation > s.generation:
+			found, value, s.generation = true, payload, generation
 		}
 	}
-	b.loaded = true
+	s.loaded = true
 	return value, corruptions, nil
 }
 
-// Write replaces the value. Once it has returned nil the value is durable; after an error either value may be
-// read.
-func (b *SnapshotFile) Write(value []byte) error { return b.write(value, true) }
+// Write replaces the value. Once it has returned nil the new value is durable; after an error, Read may return the old or
+// the new value.
+func (s *SnapshotFile) Write(value []byte) error { return s.write(value, true) }
 
-// WriteUnsynced is Write without a sync: the value outlives the process, but perhaps not a crash of the machine.
-func (b *SnapshotFile) WriteUnsynced(value []byte) error { return b.write(value, false) }
+// WriteUnsynced is Write without a sync: the value outlives the process, but may be lost if the machine crashes.
+func (s *SnapshotFile) WriteUnsynced(value []byte) error { return s.write(value, false) }
 
-func (b *SnapshotFile) write(value []byte, safe bool) error {
-	if len(value) > b.maxBytes {
-		return fmt.Errorf("writing %s: %d bytes of %d at most", b.name, len(value), b.maxBytes)
+func (s *SnapshotFile) write(value []byte, sync bool) error {
+	if len(value) > s.maxBytes {
+		return fmt.Errorf("writing %s: value has %d bytes, maximum is %d", s.name, len(value), s.maxBytes)
 	}
-	if !b.loaded { // the next generation must be above those on disk
-		if _, _, err := b.Read(); err != nil {
+	if !s.loaded { // the next generation must be above those on disk
+		if _, _, err := s.Read(); err != nil {
 			return err
 		}
 	}
-	next := b.generation + 1
-	fresh := b.name + temporarySuffix
-	err := writeNew(b.fs, fresh, appendFrame(nil, snapshotMagic, next, value), safe)
+	next := s.generation + 1
+	tmpName := s.name + temporarySuffix
+	err := writeNew(s.fs, tmpName, appendFrame(nil, snapshotMagic, next, value), sync)
 	if err == nil {
-		if err = b.fs.Rename(fresh, b.slotName(next)); err == nil && safe {
-			err = b.fs.Sync()
+		if err = s.fs.Rename(tmpName, s.slotName(next)); err == nil && sync {
+			err = s.fs.Sync()
 		}
 	}
-	if err != nil { // the next write uses the same slot: the other holds the last value known to be complete
-		return fmt.Errorf("writing %s: %w", b.name, err)
+	if err != nil { // the next write uses the same slot, as the other one holds the last value known to be intact
+		return fmt.Errorf("writing %s: %w", s.name, err)
 	}
-	b.generation = next
+	s.generation = next
 	return nil
 }
