--- a/internal/statestore/golden_test.go
+++ b/internal/statestore/golden_test.go
@@ -10,13 +10,13 @@
 	"mosslead/internal/golden"
 )
 
-// A sidecar starts with what an earlier version of it wrote.
+// Guards against renaming a stored field: a sidecar must read what an earlier version wrote.
 func TestStoredFormsKeepTheirKeys(t *testing.T) {
 	golden.JSON(t, "stored", &List{}, &Snapshot{}, &Incarnation{}, &Settings{}, &balancer.Snapshot{})
 }
 
-// testdata/written is a state directory that revision 835c747 wrote. All of it is read: bans, list, estimates and the life of
-// the process before.
+// testdata/written is a state directory that revision 835c747 wrote. All of it must be read: bans, list, snapshot and the
+// incarnation of the previous process.
 func TestDirectoryOfAnEarlierVersionIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/written")); err != nil {
@@ -24,7 +24,7 @@
 	}
 	summary, corruptions, err := Summarize(dir, noon.Add(time.Second))
 	if err != nil || len(corruptions) > 0 {
-		t.Fatalf("error %v, damages %v", err, corruptions)
+		t.Fatalf("got error %v, corruptions %v, want none", err, corruptions)
 	}
 	summary.Dir = ""
 	text, err := json.MarshalIndent(summary, "", " ")
@@ -32,9 +32,9 @@
 		t.Fatal(err)
 	}
 	golden.Equal(t, "written", string(text)+"\n")
-	k, err := New(dir, "s1").Load(noon.Add(time.Second))
+	l, err := New(dir, "s1").Load(noon.Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "written-values", golden.Values([]any{k.Name, k.Bans, k.List, k.Snapshot, k.Incarnation, k.Crashed})+"\n")
+	golden.Equal(t, "written-values", golden.Values([]any{l.Name, l.Bans, l.List, l.Snapshot, l.Incarnation, l.Crashed})+"\n")
 }
--- a/internal/statestore/settings.go
+++ b/internal/statestore/settings.go
@@ -8,38 +8,38 @@
 	"mosslead/internal/registry/api"
 )
 
-// Settings is the document with the settings of the sidecar's service that was last in force. However old it
-// is, it is better than the file's settings: the list service sends what has changed since.
+// Settings holds the settings document of the sidecar's service that was last in force. It is preferred to the settings of
+// the configuration file at any age, since the list service sends the changes made since then.
 type Settings struct {
 	SavedMs  int64            `json:"SavedMs"`
 	Service  string           `json:"Service"`
-	Document api.Document     `json:"Document"` // Revision 0: none was in force yet
+	Document api.Document     `json:"Document"` // Revision is 0 if none was in force yet
 	Seen     map[string]int64 `json:"Seen"`     // highest revision received, by the region that owns it
 }
 
-// LoadSettings reads the settings into what LoadFirst has returned, for a sidecar that follows those of its
-// service. Whether they are usable is up to the reader of settings.
-func (s *Store) LoadSettings(k *Loaded) error {
-	if k.SetAside || k.foreign {
+// LoadSettings reads the settings into the result of LoadFirst, for a sidecar that follows the settings of its service. The
+// caller decides whether they are usable.
+func (s *Store) LoadSettings(l *Loaded) error {
+	if l.SetAside || l.foreign {
 		return nil
 	}
-	text, err := read(s.settings, k)
+	text, err := read(s.settings, l)
 	if err != nil {
 		return err
 	}
-	var loaded Settings
-	if decode(k, text, &loaded) {
-		k.Settings = &loaded
+	var settings Settings
+	if decode(l, text, &settings) {
+		l.Settings = &settings
 	}
 	return nil
 }
 
 // WriteSettings stores the settings.
-func (s *Store) WriteSettings(loaded Settings, now time.Time) error {
-	loaded.SavedMs = now.UnixMilli()
-	text, err := json.Marshal(loaded)
+func (s *Store) WriteSettings(settings Settings, now time.Time) error {
+	settings.SavedMs = now.UnixMilli()
+	text, err := json.Marshal(settings)
 	if err != nil {
-		return fmt.Errorf("wording the settings: %w", err)
+		return fmt.Errorf("encoding the settings: %w", err)
 	}
 	return s.settings.Write(text)
 }
@@ -48,16 +48,16 @@
 type SettingsSummary struct {
 	Service string  `json:"service"`
 	Region  string  `json:"region,omitempty"`
-	Version int64   `json:"version"` // 0: none was in force
+	Version int64   `json:"version"` // 0 if none was in force
 	Deleted bool    `json:"deleted,omitempty"`
 	AgeS    float64 `json:"age_s"`
 }
 
-func (k *Loaded) settingsSummary(now time.Time) *SettingsSummary {
-	if k.Settings == nil {
+func (l *Loaded) settingsSummary(now time.Time) *SettingsSummary {
+	if l.Settings == nil {
 		return nil
 	}
-	d := k.Settings.Document
-	return &SettingsSummary{Service: k.Settings.Service, Region: d.Region, Version: d.Revision, Deleted: d.Deleted,
-		AgeS: now.Sub(time.UnixMilli(k.Settings.SavedMs)).Seconds()}
+	document := l.Settings.Document
+	return &SettingsSummary{Service: l.Settings.Service, Region: document.Region, Version: document.Revision, Deleted: document.Deleted,
+		AgeS: now.Sub(time.UnixMilli(l.Settings.SavedMs)).Seconds()}
 }
--- a/internal/statestore/settings_test.go
+++ b/internal/statestore/settings_test.go
@@ -11,15 +11,15 @@
 	"mosslead/internal/registry/api"
 )
 
-// storeSettings writes settings as a process that ends in order.
-func storeSettings(t *testing.T, dir string, k Settings) {
+// storeSettings writes settings as a process that exits cleanly.
+func storeSettings(t *testing.T, dir string, settings Settings) {
 	t.Helper()
 	s := New(dir, "s1")
 	err := s.Lock()
 	if err == nil {
 		_, err = s.Open(noon)
 	}
-	if err = errors.Join(err, s.WriteSettings(k, noon), s.Release(true)); err != nil {
+	if err = errors.Join(err, s.WriteSettings(settings, noon), s.Release(true)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -27,35 +27,36 @@
 var orderSettings = Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Revision: 9, Schema: 1, Settings: json.RawMessage(`{"Zone":"a"}`)},
 	Seen: map[string]int64{"south": 12, "north": 3}}
 
-// Guards against settings that come back as others, that age, that are another sidecar's, or that are read by one that follows none.
+// Guards against stored settings that change, that expire, that another sidecar uses, or that are read by LoadFirst, which a
+// sidecar calls alone if it follows no settings of a service.
 func TestSettingsAreKept(t *testing.T) {
 	dir := t.TempDir()
 	storeSettings(t, dir, orderSettings)
-	late := noon.Add(1000 * time.Hour)
-	k, err := New(dir, "s1").Load(late)
-	if err != nil || k.Settings == nil || k.Settings.Service != "orders" || k.Settings.Document.Revision != 9 ||
-		string(k.Settings.Document.Settings) != `{"Zone":"a"}` || k.Settings.Seen["south"] != 12 || k.Settings.Seen["north"] != 3 {
-		t.Errorf("kept %+v, %v", k.Settings, err)
+	later := noon.Add(1000 * time.Hour)
+	l, err := New(dir, "s1").Load(later)
+	if err != nil || l.Settings == nil || l.Settings.Service != "orders" || l.Settings.Document.Revision != 9 ||
+		string(l.Settings.Document.Settings) != `{"Zone":"a"}` || l.Settings.Seen["south"] != 12 || l.Settings.Seen["north"] != 3 {
+		t.Errorf("got settings %+v, error %v, want %+v", l.Settings, err, orderSettings)
 	}
-	if k, err = New(dir, "s1").LoadFirst(late); err != nil || k.Settings != nil {
-		t.Errorf("one that follows none reads %+v, %v", k.Settings, err)
+	if l, err = New(dir, "s1").LoadFirst(later); err != nil || l.Settings != nil {
+		t.Errorf("LoadFirst: got settings %+v, error %v, want none", l.Settings, err)
 	}
-	if k, err = New(dir, "s2").Load(late); err != nil || k.Settings != nil {
-		t.Errorf("another sidecar reads %+v, %v", k.Settings, err)
+	if l, err = New(dir, "s2").Load(later); err != nil || l.Settings != nil {
+		t.Errorf("another sidecar: got settings %+v, error %v, want none", l.Settings, err)
 	}
 	s, _, err := Summarize(dir, noon.Add(time.Minute))
 	if err != nil || s.Settings == nil || *s.Settings != (SettingsSummary{Service: "orders", Region: "south", Version: 9, AgeS: 60}) {
-		t.Errorf("shown as %+v, %v", s.Settings, err)
+		t.Errorf("got summary %+v, error %v, want orders of region south at version 9, 60 s old", s.Settings, err)
 	}
 }
 
-// Guards against damaged settings that are used, or that a repair leaves in place.
+// Guards against damaged settings that are used, or that Repair leaves in place.
 func TestDamagedSettings(t *testing.T) {
 	dir := t.TempDir()
 	storeSettings(t, dir, orderSettings)
 	files, err := filepath.Glob(filepath.Join(dir, "settings.*"))
 	if err != nil || len(files) != 1 {
-		t.Fatalf("files %v, %v", files, err)
+		t.Fatalf("got settings files %v, error %v, want 1 file", files, err)
 	}
 	text, err := os.ReadFile(files[0])
 	if err != nil {
@@ -65,19 +66,19 @@
 	if err := os.WriteFile(files[0], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, err := New(dir, "s1").Load(noon)
-	if err != nil || k.Settings != nil || len(k.Corruptions) != 1 {
-		t.Errorf("kept %+v, damages %v, %v", k.Settings, k.Corruptions, err)
+	l, err := New(dir, "s1").Load(noon)
+	if err != nil || l.Settings != nil || len(l.Corruptions) != 1 {
+		t.Errorf("damaged file: got settings %+v, corruptions %v, error %v, want no settings and 1 corruption", l.Settings, l.Corruptions, err)
 	}
 	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
-		t.Errorf("dropped %v, %v", dropped, err)
+		t.Errorf("Repair: got dropped %v, error %v, want 1 dropped", dropped, err)
 	}
-	if k, err = New(dir, "s1").Load(noon); err != nil || k.Settings != nil || len(k.Corruptions) != 0 {
-		t.Errorf("after the repair %+v, damages %v, %v", k.Settings, k.Corruptions, err)
+	if l, err = New(dir, "s1").Load(noon); err != nil || l.Settings != nil || len(l.Corruptions) != 0 {
+		t.Errorf("after Repair: got settings %+v, corruptions %v, error %v, want none", l.Settings, l.Corruptions, err)
 	}
 }
 
-// Guards against settings that end process after process: a crash loop sets them aside with the list.
+// Guards against settings that make every process crash: after a crash loop they are set aside with the list.
 func TestCrashLoopSetsSettingsAside(t *testing.T) {
 	dir := t.TempDir()
 	storeSettings(t, dir, orderSettings)
@@ -86,12 +87,12 @@
 		if err := s.Lock(); err != nil {
 			t.Fatal(err)
 		}
-		k, err := s.LoadFirst(noon)
-		if err = errors.Join(err, s.LoadSettings(&k)); err != nil {
+		l, err := s.LoadFirst(noon)
+		if err = errors.Join(err, s.LoadSettings(&l)); err != nil {
 			t.Fatal(err)
 		}
-		if k = s.Begin(k, noon); (k.Settings == nil) != (i == crashLoopExits) || k.SetAside != (i == crashLoopExits) {
-			t.Errorf("start %d: settings %+v, set aside %v", i+1, k.Settings, k.SetAside)
+		if l = s.Begin(l, noon); (l.Settings == nil) != (i == crashLoopExits) || l.SetAside != (i == crashLoopExits) {
+			t.Errorf("start %d: got settings %+v, set aside %v, want them set aside: %v", i+1, l.Settings, l.SetAside, i == crashLoopExits)
 		}
 		if err := s.Release(false); err != nil {
 			t.Fatal(err)
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -1,8 +1,9 @@
-// Package statestore defines what a sidecar persists: its form, what of it is believed, and for how long.
+// Package statestore defines the state that a sidecar persists: its format, which parts a restarted process uses, and for how
+// long they stay usable.
 //
-// A state directory holds bans (a KeyValueLog: none is lost once confirmed) and, each in a SnapshotFile, the
-// endpoint list, the balancer's snapshot, the settings of its service and the sidecar's own incarnation.
-// Nothing in it is needed: without it, or with any part of it lost, a sidecar starts as if it had none.
+// A state directory holds bans (in a KeyValueLog: none is lost once confirmed) and, each in a SnapshotFile, the endpoint list,
+// the balancer's snapshot, the settings of the sidecar's service and the sidecar's incarnation. A sidecar starts without any
+// part that is missing or lost.
 package statestore
 
 import (
@@ -20,68 +21,68 @@
 	"mosslead/internal/durable"
 )
 
-// How long things stay usable. Times are of the machine's clock, which may have been set meanwhile: what
-// seems to come from the future is of unknown age.
+// Limits of age. Times are those of the machine's clock, which may have been set in the meantime: a value with a time in the
+// future is of unknown age.
 const (
-	MaxListAge     = 24 * time.Hour   // an older list names machines that are gone
-	MaxSnapshotAge = 10 * time.Minute // no load of that age is true
-	ClockSlack     = 2 * time.Second  // a time this far in the future counts as now
+	MaxListAge     = 24 * time.Hour   // an older list names machines that no longer exist
+	MaxSnapshotAge = 10 * time.Minute // older load measurements no longer hold
+	ClockSlack     = 2 * time.Second  // a time up to this far in the future counts as now
 
-	crashLoopExits = 3 // unclean exits soon after the start, in a row, that make the state suspect
-	// SettledAfter is how long a process lives before its exit says nothing of the state that it began with.
+	crashLoopExits = 3 // consecutive unclean exits soon after the start that make the state suspect
+	// SettledAfter is the time after which the exit of a process is no longer attributed to the state that it started with.
 	SettledAfter = 10 * time.Second
 
 	maxFileBytes      = 8 << 20
-	maxQuarantined    = 8 // files that are kept aside at most
+	maxQuarantined    = 8 // maximum number of files in quarantine
 	banPrefix         = "ban/"
 	nameKey           = "sidecar"
-	lockTimeout       = time.Second // a process that was killed releases the lock within this
+	lockTimeout       = time.Second // a killed process releases the lock within this time
 	lockRetryInterval = 5 * time.Millisecond
 )
 
-// List is the endpoint list as last received. On disk its first line is a JSON object of all but Listing,
-// which follows as it came: it is large, and a start waits for it.
+// List is the endpoint list as last received. On disk the first line is a JSON object with all fields but Listing; Listing
+// follows as it was received, since it is large and a start waits until it is read.
 type List struct {
 	SavedMs int64  `json:"SavedMs"` // Unix time, milliseconds
-	Source  string `json:"Source"`  // address of the discovery that sent it: revisions of another one mean nothing
-	Listing []byte `json:"-"`       // in discovery's form
+	Source  string `json:"Source"`  // address of the discovery that sent it; its revisions can't be compared with another discovery's
+	Listing []byte `json:"-"`       // in discovery's format
 }
 
-// Snapshot is the balancer's snapshot.
+// Snapshot is the balancer's snapshot with the time at which it was saved.
 type Snapshot struct {
 	SavedMs  int64             `json:"SavedMs"`
 	Balancer balancer.Snapshot `json:"Learnt"`
 }
 
-// Incarnation is one process of the sidecar.
+// Incarnation describes one process of the sidecar.
 type Incarnation struct {
 	Name       string `json:"Name"` // of the sidecar
 	StartedMs  int64  `json:"StartedMs"`
-	CleanExit  bool   `json:"Clean"`    // it ended in order
-	Settled    bool   `json:"Settled"`  // it lived for SettledAfter
-	EarlyExits int    `json:"Early"`    // unclean exits soon after the start, in a row, before this one
-	SetAside   bool   `json:"SetAside"` // the state was set aside for them, once
+	CleanExit  bool   `json:"Clean"`    // the process exited cleanly
+	Settled    bool   `json:"Settled"`  // the process ran for at least SettledAfter
+	EarlyExits int    `json:"Early"`    // consecutive unclean exits soon after the start, before this process
+	SetAside   bool   `json:"SetAside"` // the state was set aside because of the early exits; it happens once per crash loop
 }
 
-// Loaded is what was found.
+// Loaded is the state that was read from a directory.
 type Loaded struct {
-	Name        string            // sidecar that it is of; empty: none has written yet
-	Bans        map[string]string // since when, by upstream
-	List        *List             // nil: none that is usable
-	Snapshot    *Snapshot         // nil: none that is usable
-	Settings    *Settings         // nil: none, or not read
-	Incarnation Incarnation       // of the process before
-	Crashed     bool              // that process ended unclean
-	Notes       []string          // what was not used, and why
+	Name        string            // name of the sidecar that wrote it; empty if none has
+	Bans        map[string]string // time of the ban (RFC 3339), by upstream
+	List        *List             // nil if there is no usable one
+	Snapshot    *Snapshot         // nil if there is no usable one
+	Settings    *Settings         // nil if there are none, or LoadSettings was not called
+	Incarnation Incarnation       // of the previous process
+	Crashed     bool              // the previous process did not exit cleanly
+	Notes       []string          // the parts that were not used, each with the reason, and errors
 	Corruptions []durable.Corruption
-	SetAside    bool  // the state was set aside for a crash loop
-	SuspectList *List // then: the list, for when there is no other
+	SetAside    bool  // the state was set aside because of a crash loop
+	SuspectList *List // the list that was set aside, for use if there is no other
 
-	foreign bool // another sidecar's
+	foreign bool // the state belongs to another sidecar
 }
 
-// Store is a sidecar's state directory. Reading needs no lock; writing does. Not safe for concurrent use but
-// for Ban and Unban.
+// Store is a sidecar's state directory. Reading needs no lock; writing does. Only Ban, Unban and LoadSnapshot are safe for
+// concurrent use.
 type Store struct {
 	dir, name    string
 	lock         *durable.DirLock
@@ -93,171 +94,171 @@
 	incarnation  Incarnation
 }
 
-// New is the state directory of the sidecar of that name. It does not touch the disk.
+// New returns the state directory dir of the sidecar of that name. It does not access the disk.
 func New(dir, name string) *Store {
 	f := durable.OS(dir)
 	return &Store{dir: dir, name: name, list: durable.NewSnapshotFile(f, "list", maxFileBytes), snapshot: durable.NewSnapshotFile(f, "learnt", maxFileBytes),
 		settings: durable.NewSnapshotFile(f, "settings", maxFileBytes), incarnations: durable.NewSnapshotFile(f, "life", maxFileBytes)}
 }
 
-// Lock makes this process the one that writes. It waits for a moment, as the kernel takes its time with a process that
-// was killed; ErrLocked of package durable: another process writes.
+// Lock makes this process the only writer. It retries for lockTimeout, since the kernel does not release the lock of a killed
+// process at once. It fails with durable.ErrLocked if another process holds the lock.
 func (s *Store) Lock() (err error) {
-	for end := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
-		if s.lock, err = durable.TryLock(s.dir); !errors.Is(err, durable.ErrLocked) || time.Now().After(end) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+		if s.lock, err = durable.TryLock(s.dir); !errors.Is(err, durable.ErrLocked) || time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// TryLock is Lock without the wait.
+// TryLock is Lock without retries.
 func (s *Store) TryLock() (err error) {
 	s.lock, err = durable.TryLock(s.dir)
 	return err
 }
 
-// Load reads everything. The error says that the directory can't be read, or was written by a newer version:
-// then nothing of it may be used or written.
+// Load reads all of the state. It fails if the directory can't be read, or was written by a newer version; then no part of it
+// may be used or written.
 func (s *Store) Load(now time.Time) (Loaded, error) {
-	k, err := s.LoadFirst(now)
+	l, err := s.LoadFirst(now)
 	if err != nil {
-		return k, err
+		return l, err
 	}
-	return k, errors.Join(s.LoadSettings(&k), s.LoadSnapshot(&k, now))
+	return l, errors.Join(s.LoadSettings(&l), s.LoadSnapshot(&l, now))
 }
 
-// LoadSnapshot reads the snapshot into what LoadFirst has returned: a start need not wait for it. It is safe
-// beside any other call.
-func (s *Store) LoadSnapshot(k *Loaded, now time.Time) error {
-	if k.SetAside || k.foreign {
+// LoadSnapshot reads the snapshot into the result of LoadFirst. It is separate so that a start need not wait for it, and is
+// safe to call concurrently with any other method.
+func (s *Store) LoadSnapshot(l *Loaded, now time.Time) error {
+	if l.SetAside || l.foreign {
 		return nil
 	}
 	var snapshot Snapshot
-	text, err := read(durable.NewSnapshotFile(durable.OS(s.dir), "learnt", maxFileBytes), k)
-	if err != nil || !decode(k, text, &snapshot) {
+	text, err := read(durable.NewSnapshotFile(durable.OS(s.dir), "learnt", maxFileBytes), l)
+	if err != nil || !decode(l, text, &snapshot) {
 		return err
 	}
-	if k.fresh("what was learnt", snapshot.SavedMs, MaxSnapshotAge, now) {
-		k.Snapshot = &snapshot
+	if l.fresh("what was learnt", snapshot.SavedMs, MaxSnapshotAge, now) {
+		l.Snapshot = &snapshot
 	}
 	return nil
 }
 
-// LoadFirst is Load without the snapshot.
-func (s *Store) LoadFirst(now time.Time) (k Loaded, err error) {
+// LoadFirst is Load without the snapshot and the settings.
+func (s *Store) LoadFirst(now time.Time) (l Loaded, err error) {
 	entries, corruptions, err := durable.ReadKeyValueLog(durable.OS(s.dir), "bans")
-	k.Corruptions = corruptions
+	l.Corruptions = corruptions
 	if err != nil {
-		return k, err
+		return l, err
 	}
-	k.Name = entries[nameKey]
-	k.Bans = map[string]string{}
+	l.Name = entries[nameKey]
+	l.Bans = map[string]string{}
 	for key, since := range entries {
 		if id, ok := strings.CutPrefix(key, banPrefix); ok {
-			k.Bans[id] = since
+			l.Bans[id] = since
 		}
 	}
-	text, err := read(s.incarnations, &k)
+	text, err := read(s.incarnations, &l)
 	if err != nil {
-		return k, err
+		return l, err
 	}
-	decode(&k, text, &k.Incarnation)
-	if k.Name == "" {
-		k.Name = k.Incarnation.Name
+	decode(&l, text, &l.Incarnation)
+	if l.Name == "" {
+		l.Name = l.Incarnation.Name
 	}
-	if text, err = read(s.list, &k); err != nil {
-		return k, err
+	if text, err = read(s.list, &l); err != nil {
+		return l, err
 	}
 	var list List
-	head, listing, _ := bytes.Cut(text, []byte("\n"))
-	if decode(&k, head, &list) && k.fresh("list", list.SavedMs, MaxListAge, now) {
+	header, listing, _ := bytes.Cut(text, []byte("\n"))
+	if decode(&l, header, &list) && l.fresh("list", list.SavedMs, MaxListAge, now) {
 		list.Listing = listing
-		k.List = &list
+		l.List = &list
 	}
-	k.Crashed = k.Incarnation.StartedMs > 0 && !k.Incarnation.CleanExit
-	if s.name != "" && k.Name != "" && k.Name != s.name {
-		k.Notes = append(k.Notes, fmt.Sprintf("it is the state of %q: nothing of it is used", k.Name))
-		k.Bans, k.List, k.Incarnation, k.Crashed, k.foreign = map[string]string{}, nil, Incarnation{}, false, true
+	l.Crashed = l.Incarnation.StartedMs > 0 && !l.Incarnation.CleanExit
+	if s.name != "" && l.Name != "" && l.Name != s.name {
+		l.Notes = append(l.Notes, fmt.Sprintf("the directory holds the state of sidecar %q: none of it is used", l.Name))
+		l.Bans, l.List, l.Incarnation, l.Crashed, l.foreign = map[string]string{}, nil, Incarnation{}, false, true
 	}
-	return k, nil
+	return l, nil
 }
 
-// read is the value of a file; nil: there is none.
-func read(b *durable.SnapshotFile, k *Loaded) ([]byte, error) {
-	text, corruptions, err := b.Read()
-	k.Corruptions = append(k.Corruptions, corruptions...)
+// read returns the value of a file, or nil if there is none, and records the file's corruptions.
+func read(f *durable.SnapshotFile, l *Loaded) ([]byte, error) {
+	text, corruptions, err := f.Read()
+	l.Corruptions = append(l.Corruptions, corruptions...)
 	return text, err
 }
 
-// decode decodes the value of a file; false: there is none, or it is of no known form.
-func decode(k *Loaded, text []byte, into any) bool {
+// decode decodes the value of a file, and reports whether there was one that could be decoded.
+func decode(l *Loaded, text []byte, into any) bool {
 	if text == nil {
 		return false
 	}
-	if err := json.Unmarshal(text, into); err != nil { // whole, and of no form that is known: a mistake of some version's
-		k.Notes = append(k.Notes, fmt.Sprintf("not understood: %v", err))
+	if err := json.Unmarshal(text, into); err != nil { // the checksum is right, so a version of this program wrote malformed data
+		l.Notes = append(l.Notes, fmt.Sprintf("a stored value can't be decoded: %v", err))
 		return false
 	}
 	return true
 }
 
-// fresh tells whether what was saved at a time is still usable.
-func (k *Loaded) fresh(what string, savedMs int64, limit time.Duration, now time.Time) bool {
+// fresh reports whether a value saved at that time is still usable. A list saved in the future is.
+func (l *Loaded) fresh(name string, savedMs int64, maxAge time.Duration, now time.Time) bool {
 	age := now.Sub(time.UnixMilli(savedMs))
 	switch {
-	case age < -ClockSlack && limit < MaxListAge:
-		k.Notes = append(k.Notes, fmt.Sprintf("%s: written %v in the future, so of unknown age: not used", what, -age.Round(time.Second)))
+	case age < -ClockSlack && maxAge < MaxListAge:
+		l.Notes = append(l.Notes, fmt.Sprintf("%s: written %v in the future, so of unknown age: not used", name, -age.Round(time.Second)))
 		return false
-	case age > limit:
-		k.Notes = append(k.Notes, fmt.Sprintf("%s: %v old: not used", what, age.Round(time.Second)))
+	case age > maxAge:
+		l.Notes = append(l.Notes, fmt.Sprintf("%s: %v old: not used", name, age.Round(time.Second)))
 		return false
 	}
 	return true
 }
 
-// Begin records the start of a process before anything that was read is used, and returns what may be used:
-// after a crash loop the list and the snapshot are set aside, once. The lock must be held.
-func (s *Store) Begin(k Loaded, now time.Time) Loaded {
-	s.incarnation = Incarnation{Name: s.name, StartedMs: now.UnixMilli(), SetAside: k.Incarnation.SetAside}
-	if k.Crashed && !k.Incarnation.Settled {
-		s.incarnation.EarlyExits = k.Incarnation.EarlyExits + 1
+// Begin records the start of a process, and returns the state that it may use: after a crash loop the list, the snapshot and
+// the settings are set aside, once. It must be called before the loaded state is used, and with the lock held.
+func (s *Store) Begin(l Loaded, now time.Time) Loaded {
+	s.incarnation = Incarnation{Name: s.name, StartedMs: now.UnixMilli(), SetAside: l.Incarnation.SetAside}
+	if l.Crashed && !l.Incarnation.Settled {
+		s.incarnation.EarlyExits = l.Incarnation.EarlyExits + 1
 	} else {
 		s.incarnation.SetAside = false
 	}
-	var aside []string
+	var files []string
 	if s.incarnation.EarlyExits >= crashLoopExits && !s.incarnation.SetAside {
 		s.incarnation.SetAside = true
-		what := "list and learning"
-		if k.Settings != nil {
-			what = "list, learning and settings"
+		parts := "list and learning"
+		if l.Settings != nil {
+			parts = "list, learning and settings"
 		}
-		k.List, k.Snapshot, k.Settings, k.SetAside, k.SuspectList = nil, nil, nil, true, k.List
-		k.Notes = append(k.Notes, fmt.Sprintf("%d processes in a row ended soon after their start: %s are set aside, bans stay", s.incarnation.EarlyExits, what))
-		aside = []string{"learnt.0", "learnt.1", "settings.0", "settings.1"} // the list stays: see Suspect
+		l.List, l.Snapshot, l.Settings, l.SetAside, l.SuspectList = nil, nil, nil, true, l.List
+		l.Notes = append(l.Notes, fmt.Sprintf("%d processes in a row ended soon after their start: %s are set aside, bans stay", s.incarnation.EarlyExits, parts))
+		files = []string{"learnt.0", "learnt.1", "settings.0", "settings.1"} // the list's files stay, for SuspectList
 	}
-	if k.Name != "" && k.Name != s.name {
+	if l.Name != "" && l.Name != s.name {
 		names, err := durable.OS(s.dir).List()
 		if err != nil {
-			k.Notes = append(k.Notes, err.Error())
+			l.Notes = append(l.Notes, err.Error())
 		}
-		aside = slices.DeleteFunc(names, func(n string) bool { return n == "LOCK" })
+		files = slices.DeleteFunc(names, func(n string) bool { return n == "LOCK" })
 	}
-	for _, d := range k.Corruptions {
-		if !d.Torn && !slices.Contains(aside, d.File) && !strings.HasPrefix(d.File, "bans.") {
-			aside = append(aside, d.File) // of a table the whole part is still needed, see Open
+	for _, corruption := range l.Corruptions {
+		if !corruption.Torn && !slices.Contains(files, corruption.File) && !strings.HasPrefix(corruption.File, "bans.") {
+			files = append(files, corruption.File) // intact records of bans are still needed, see Open
 		}
 	}
-	if err := durable.Quarantine(s.dir, aside, maxQuarantined, now); err != nil {
-		k.Notes = append(k.Notes, err.Error())
+	if err := durable.Quarantine(s.dir, files, maxQuarantined, now); err != nil {
+		l.Notes = append(l.Notes, err.Error())
 	}
 	if err := s.writeIncarnation(); err != nil {
-		k.Notes = append(k.Notes, err.Error())
+		l.Notes = append(l.Notes, err.Error())
 	}
-	return k
+	return l
 }
 
-// writeIncarnation does not wait for the disk: the incarnation is needed after the end of a process, not of
-// the machine.
+// writeIncarnation stores the incarnation without waiting for the disk: it matters after a crash of the process, not of the
+// machine.
 func (s *Store) writeIncarnation() error {
 	text, err := json.Marshal(s.incarnation)
 	if err != nil {
@@ -268,27 +269,27 @@
 
 // Open opens the bans for writing, and returns those in force. The lock must be held.
 func (s *Store) Open(now time.Time) (map[string]string, error) {
-	table, corruptions, err := durable.OpenKeyValueLog(durable.OS(s.dir), "bans")
+	log, corruptions, err := durable.OpenKeyValueLog(durable.OS(s.dir), "bans")
 	if err != nil {
 		return nil, err
 	}
-	s.bans = table
+	s.bans = log
 	bans := map[string]string{}
-	for key, since := range table.Entries() {
+	for key, since := range log.Entries() {
 		if id, ok := strings.CutPrefix(key, banPrefix); ok {
 			bans[id] = since
 		}
 	}
-	if err := table.Set(nameKey, s.name); err != nil { // writes all that is whole anew
+	if err := log.Set(nameKey, s.name); err != nil { // writes all intact entries to a new segment
 		return bans, err
 	}
-	var aside []string
-	for _, d := range corruptions {
-		if !d.Torn && !slices.Contains(aside, d.File) {
-			aside = append(aside, d.File)
+	var files []string
+	for _, corruption := range corruptions {
+		if !corruption.Torn && !slices.Contains(files, corruption.File) {
+			files = append(files, corruption.File)
 		}
 	}
-	return bans, durable.Quarantine(s.dir, aside, maxQuarantined, now)
+	return bans, durable.Quarantine(s.dir, files, maxQuarantined, now)
 }
 
 // Ban stores a ban. Once it has returned nil, the ban is durable.
@@ -299,34 +300,35 @@
 // Unban removes a ban, as durably as Ban.
 func (s *Store) Unban(id string) error { return s.bans.Delete(banPrefix + id) }
 
-// WriteList stores a list in discovery's form.
+// WriteList stores a list in discovery's format.
 func (s *Store) WriteList(source string, listing []byte, now time.Time) error {
-	head, err := json.Marshal(List{SavedMs: now.UnixMilli(), Source: source})
+	header, err := json.Marshal(List{SavedMs: now.UnixMilli(), Source: source})
 	if err != nil {
-		return fmt.Errorf("wording the list: %w", err)
+		return fmt.Errorf("encoding the list: %w", err)
 	}
-	return s.list.Write(slices.Concat(head, []byte("\n"), listing))
+	return s.list.Write(slices.Concat(header, []byte("\n"), listing))
 }
 
 // WriteSnapshot stores the balancer's snapshot.
-func (s *Store) WriteSnapshot(l balancer.Snapshot, now time.Time) error {
-	text, err := json.Marshal(Snapshot{now.UnixMilli(), l})
+func (s *Store) WriteSnapshot(snapshot balancer.Snapshot, now time.Time) error {
+	text, err := json.Marshal(Snapshot{now.UnixMilli(), snapshot})
 	if err != nil {
-		return fmt.Errorf("wording what was learnt: %w", err)
+		return fmt.Errorf("encoding what was learnt: %w", err)
 	}
 	return s.snapshot.Write(text)
 }
 
-// Settled records that this process has lived for SettledAfter.
+// Settled records that this process has run for SettledAfter.
 func (s *Store) Settled() error {
 	s.incarnation.Settled, s.incarnation.EarlyExits, s.incarnation.SetAside = true, 0, false
 	return s.writeIncarnation()
 }
 
-// Holds tells whether this process still has the directory: not after that was deleted or restored.
+// Holds reports whether this process still holds the lock of the directory. It does not once the directory has been deleted
+// or replaced by a copy.
 func (s *Store) Holds() bool { return s.lock != nil && s.lock.Holds(s.dir) }
 
-// Release ends the writing, clean or not, and lets the next process write. It may be called again.
+// Release closes the store and releases the lock. With clean it first records a clean exit. It may be called more than once.
 func (s *Store) Release(clean bool) (err error) {
 	if s.bans != nil {
 		err = s.bans.Close()
@@ -364,73 +366,73 @@
 	Corruptions       []string          `json:"damages,omitempty"`
 }
 
-// Summarize reads a directory beside its writer, and writes nothing.
+// Summarize reads a directory without taking the lock, and writes nothing.
 func Summarize(dir string, now time.Time) (Summary, []durable.Corruption, error) {
 	s := Summary{Dir: filepath.Clean(dir), Ended: "unclean, or it runs"}
-	k, err := New(dir, "").Load(now)
-	s.Sidecar, s.Bans, s.Notes, s.EarlyExits = k.Name, k.Bans, k.Notes, k.Incarnation.EarlyExits
-	for _, d := range k.Corruptions {
-		s.Corruptions = append(s.Corruptions, d.String())
+	l, err := New(dir, "").Load(now)
+	s.Sidecar, s.Bans, s.Notes, s.EarlyExits = l.Name, l.Bans, l.Notes, l.Incarnation.EarlyExits
+	for _, corruption := range l.Corruptions {
+		s.Corruptions = append(s.Corruptions, corruption.String())
 	}
 	if err != nil {
-		return s, k.Corruptions, err
+		return s, l.Corruptions, err
 	}
-	if k.Incarnation.CleanExit {
+	if l.Incarnation.CleanExit {
 		s.Ended = "clean"
 	}
-	if k.Incarnation.StartedMs > 0 {
-		s.Started = time.UnixMilli(k.Incarnation.StartedMs).UTC().Format(time.RFC3339)
+	if l.Incarnation.StartedMs > 0 {
+		s.Started = time.UnixMilli(l.Incarnation.StartedMs).UTC().Format(time.RFC3339)
 	}
-	if k.List != nil {
-		var l struct {
+	if l.List != nil {
+		var list struct {
 			Index     int64
 			Endpoints []struct{}
 		}
-		if err := json.Unmarshal(k.List.Listing, &l); err != nil {
+		if err := json.Unmarshal(l.List.Listing, &list); err != nil {
 			s.Notes = append(s.Notes, fmt.Sprintf("list: %v", err))
 		}
-		s.ListSource, s.ListIndex, s.Upstreams = k.List.Source, l.Index, len(l.Endpoints)
-		s.ListAgeS = now.Sub(time.UnixMilli(k.List.SavedMs)).Seconds()
-	}
-	s.Settings = k.settingsSummary(now)
-	if k.Snapshot != nil {
-		s.SnapshotAgeS = now.Sub(time.UnixMilli(k.Snapshot.SavedMs)).Seconds()
-		s.SnapshotEndpoints = len(k.Snapshot.Balancer.Endpoints)
-		for _, id := range slices.Sorted(maps.Keys(k.Snapshot.Balancer.Endpoints)) {
-			if k.Snapshot.Balancer.Endpoints[id].EjectedFor > 0 {
+		s.ListSource, s.ListIndex, s.Upstreams = l.List.Source, list.Index, len(list.Endpoints)
+		s.ListAgeS = now.Sub(time.UnixMilli(l.List.SavedMs)).Seconds()
+	}
+	s.Settings = l.settingsSummary(now)
+	if l.Snapshot != nil {
+		s.SnapshotAgeS = now.Sub(time.UnixMilli(l.Snapshot.SavedMs)).Seconds()
+		s.SnapshotEndpoints = len(l.Snapshot.Balancer.Endpoints)
+		for _, id := range slices.Sorted(maps.Keys(l.Snapshot.Balancer.Endpoints)) {
+			if l.Snapshot.Balancer.Endpoints[id].EjectedFor > 0 {
 				s.Ejected = append(s.Ejected, id)
 			}
 		}
 	}
 	s.Quarantined, err = durable.Quarantined(dir)
-	return s, k.Corruptions, err
+	return s, l.Corruptions, err
 }
 
-// Repair keeps what is complete and quarantines the rest. It takes the lock, so that no sidecar writes
-// meanwhile, and returns what it dropped.
+// Repair keeps the intact parts of a directory, quarantines the damaged files, and returns the damage. It takes the lock, so
+// that no sidecar writes in the meantime.
 func Repair(dir string, now time.Time) (dropped []durable.Corruption, err error) {
 	s := New(dir, "")
 	if err := s.TryLock(); err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, s.Release(false)) }()
-	k, err := s.Load(now)
+	l, err := s.Load(now)
 	if err != nil {
 		return nil, err
 	}
-	if len(k.Corruptions) == 0 {
+	if len(l.Corruptions) == 0 {
 		return nil, nil
 	}
-	s.name = k.Name
-	var aside []string
-	for _, d := range k.Corruptions {
-		if !strings.HasPrefix(d.File, "bans.") {
-			aside = append(aside, d.File)
+	s.name = l.Name
+	var files []string
+	for _, corruption := range l.Corruptions {
+		if !strings.HasPrefix(corruption.File, "bans.") {
+			files = append(files, corruption.File)
 		}
 	}
-	if err := durable.Quarantine(dir, aside, maxQuarantined, now); err != nil {
+	if err := durable.Quarantine(dir, files, maxQuarantined, now); err != nil {
 		return nil, err
 	}
 	_, err = s.Open(now)
-	return k.Corruptions, err
+	return l.Corruptions, err
 }
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -18,34 +18,35 @@
 
 const listing = `{"index":7,"snapshot":true,"endpoints":[{"name":"u0"},{"name":"u1"}]}`
 
-// runProcess begins a process of the sidecar at a time, lets it write, and ends it.
-func runProcess(t *testing.T, dir, name string, at time.Time, settled, clean bool) Loaded {
+// runProcess starts a process of the sidecar at the given time, lets it write all of its state, and ends it. It returns what
+// the process loaded.
+func runProcess(t *testing.T, dir, name string, now time.Time, settled, clean bool) Loaded {
 	t.Helper()
 	s := New(dir, name)
 	if err := s.Lock(); err != nil {
 		t.Fatal(err)
 	}
-	k, err := s.Load(at)
+	l, err := s.Load(now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k = s.Begin(k, at)
-	_, err = s.Open(at)
-	err = errors.Join(err, s.Ban("u1", at), s.WriteList("127.0.0.1:1", json.RawMessage(listing), at),
-		s.WriteSnapshot(balancer.Snapshot{MeanLatency: 1, Endpoints: map[string]balancer.EndpointSnapshot{"u0": {PeakEWMA: 2, EjectedFor: time.Second}}}, at))
+	l = s.Begin(l, now)
+	_, err = s.Open(now)
+	err = errors.Join(err, s.Ban("u1", now), s.WriteList("127.0.0.1:1", json.RawMessage(listing), now),
+		s.WriteSnapshot(balancer.Snapshot{MeanLatency: 1, Endpoints: map[string]balancer.EndpointSnapshot{"u0": {PeakEWMA: 2, EjectedFor: time.Second}}}, now))
 	if settled {
 		err = errors.Join(err, s.Settled())
 	}
 	if err = errors.Join(err, s.Release(clean)); err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return l
 }
 
 func TestWhatIsKeptComesBackForAsLongAsItIsWorthSomething(t *testing.T) {
 	for name, c := range map[string]struct {
-		after               time.Duration
-		list, learnt, noted bool
+		after                 time.Duration
+		list, snapshot, notes bool
 	}{
 		"at once":                   {time.Second, true, true, false},
 		"after a while":             {time.Hour, true, false, true},
@@ -56,12 +57,12 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			runProcess(t, dir, "s1", noon, true, true)
-			k, err := New(dir, "s1").Load(noon.Add(c.after))
-			if err != nil || k.Bans["u1"] == "" || k.Crashed {
-				t.Errorf("%v, bans %v, crashed %v", err, k.Bans, k.Crashed)
+			l, err := New(dir, "s1").Load(noon.Add(c.after))
+			if err != nil || l.Bans["u1"] == "" || l.Crashed {
+				t.Errorf("got error %v, bans %v, crashed %v, want a ban of u1 and no crash", err, l.Bans, l.Crashed)
 			}
-			if (k.List != nil) != c.list || (k.Snapshot != nil) != c.learnt || (len(k.Notes) > 0) != c.noted {
-				t.Errorf("list %v, learnt %v, notes %v", k.List, k.Snapshot, k.Notes)
+			if (l.List != nil) != c.list || (l.Snapshot != nil) != c.snapshot || (len(l.Notes) > 0) != c.notes {
+				t.Errorf("got list %v, snapshot %v, notes %v, want list: %v, snapshot: %v, notes: %v", l.List, l.Snapshot, l.Notes, c.list, c.snapshot, c.notes)
 			}
 		})
 	}
@@ -70,39 +71,39 @@
 func TestAnotherSidecarsStateIsPutAside(t *testing.T) {
 	dir := t.TempDir()
 	runProcess(t, dir, "s1", noon, true, true)
-	k := runProcess(t, dir, "s2", noon, true, true)
-	if len(k.Bans) > 0 || k.List != nil || len(k.Notes) == 0 {
-		t.Errorf("used: %+v", k)
+	l := runProcess(t, dir, "s2", noon, true, true)
+	if len(l.Bans) > 0 || l.List != nil || len(l.Notes) == 0 {
+		t.Errorf("got %+v, want no bans, no list and a note", l)
 	}
 	if names, err := durable.Quarantined(dir); err != nil || len(names) == 0 {
-		t.Errorf("in quarantine: %v, %v", names, err)
+		t.Errorf("got quarantined files %v, error %v, want some files", names, err)
 	}
-	if k, err := New(dir, "s2").Load(noon); err != nil || k.Name != "s2" || len(k.Bans) != 1 || len(k.Notes) > 0 {
-		t.Errorf("after it: %+v, %v", k, err)
+	if l, err := New(dir, "s2").Load(noon); err != nil || l.Name != "s2" || len(l.Bans) != 1 || len(l.Notes) > 0 {
+		t.Errorf("second process of s2: got %+v, error %v, want 1 ban and no notes", l, err)
 	}
 }
 
-// A crash loop suspects the state: after three early ends list and learning are set aside, once; bans are not.
+// After three unclean exits soon after the start, the list and the snapshot are set aside once. Bans are kept.
 func TestCrashLoopSetsTheStateAsideOnce(t *testing.T) {
 	dir := t.TempDir()
 	var aside []bool
 	for range 6 {
-		k := runProcess(t, dir, "s1", noon, false, false)
-		aside = append(aside, k.SetAside)
-		if k.SetAside && (k.List != nil || k.SuspectList == nil || k.Snapshot != nil || k.Bans["u1"] == "") {
-			t.Errorf("set aside: %+v", k)
+		l := runProcess(t, dir, "s1", noon, false, false)
+		aside = append(aside, l.SetAside)
+		if l.SetAside && (l.List != nil || l.SuspectList == nil || l.Snapshot != nil || l.Bans["u1"] == "") {
+			t.Errorf("got %+v, want no list, a suspect list, no snapshot and a ban of u1", l)
 		}
 	}
 	if want := []bool{false, false, false, true, false, false}; !slices.Equal(aside, want) {
-		t.Errorf("set aside at %v, want %v", aside, want)
+		t.Errorf("got state set aside at starts %v, want %v", aside, want)
 	}
-	runProcess(t, dir, "s1", noon, true, false) // one that lived long: the count begins anew
-	if k := runProcess(t, dir, "s1", noon, false, false); k.SetAside || !k.Crashed {
-		t.Errorf("after one that settled: %+v", k)
+	runProcess(t, dir, "s1", noon, true, false) // a process that settled resets the count of early exits
+	if l := runProcess(t, dir, "s1", noon, false, false); l.SetAside || !l.Crashed {
+		t.Errorf("after a process that settled: got %+v, want a crash and nothing set aside", l)
 	}
 }
 
-// Hundreds of restarts leave no garbage.
+// Hundreds of restarts must not make the directory grow.
 func TestRestartsDoNotGrow(t *testing.T) {
 	dir := t.TempDir()
 	count := func() (n int, size int64) {
@@ -130,7 +131,7 @@
 		runProcess(t, dir, "s1", noon, false, false)
 	}
 	if n, s := count(); n > files+maxQuarantined || s > 2*size {
-		t.Errorf("%d files of %d bytes after 10 restarts, %d of %d after 210", files, size, n, s)
+		t.Errorf("got %d files of %d bytes after 210 restarts, want at most %d files of %d bytes", n, s, files+maxQuarantined, 2*size)
 	}
 }
 
@@ -139,7 +140,7 @@
 	runProcess(t, dir, "s1", noon, true, true)
 	runProcess(t, dir, "s1", noon, true, true)
 	if s, corruptions, err := Summarize(dir, noon); err != nil || len(corruptions) > 0 || s.Upstreams != 2 || s.ListIndex != 7 || s.Ended != "clean" || len(s.Ejected) != 1 || s.Sidecar != "s1" {
-		t.Errorf("whole: %+v, %v, %v", s, corruptions, err)
+		t.Errorf("intact directory: got %+v, corruptions %v, error %v, want sidecar s1, clean, 2 upstreams at index 7, 1 ejected, no corruption", s, corruptions, err)
 	}
 	path := filepath.Join(dir, "list.0")
 	text, err := os.ReadFile(path)
@@ -152,41 +153,41 @@
 	}
 	_, corruptions, err := Summarize(dir, noon)
 	if err != nil || len(corruptions) != 1 || !strings.Contains(corruptions[0].String(), "list.0: byte 0: wrong checksum") {
-		t.Errorf("damaged: %v, %v", corruptions, err)
+		t.Errorf("damaged list: got corruptions %v, error %v, want a wrong checksum of list.0", corruptions, err)
 	}
 	s := New(dir, "s1")
 	if err := s.Lock(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Repair(dir, noon); !errors.Is(err, durable.ErrLocked) {
-		t.Errorf("beside a process that writes: %v", err)
+		t.Errorf("Repair while a process holds the lock: got error %v, want %v", err, durable.ErrLocked)
 	}
 	if err := s.Release(false); err != nil {
 		t.Fatal(err)
 	}
 	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
-		t.Errorf("repair: %v, %v", dropped, err)
+		t.Errorf("Repair: got dropped %v, error %v, want 1 dropped", dropped, err)
 	}
 	if s, corruptions, err := Summarize(dir, noon); err != nil || len(corruptions) > 0 || s.Upstreams != 2 || len(s.Quarantined) != 1 || len(s.Bans) != 1 {
-		t.Errorf("repaired: %+v, %v, %v", s, corruptions, err)
+		t.Errorf("after Repair: got %+v, corruptions %v, error %v, want 2 upstreams, 1 quarantined file, 1 ban, no corruption", s, corruptions, err)
 	}
 }
 
-// A directory that is deleted under the process is noticed.
+// Holds returns false once the directory has been deleted, and the lock can then be acquired again.
 func TestDeletedDirectoryIsNoticed(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	s := New(dir, "s1")
 	if err := s.Lock(); err != nil || !s.Holds() {
-		t.Fatalf("%v, holds %v", err, s.Holds())
+		t.Fatalf("Lock: got error %v, Holds %v, want none and true", err, s.Holds())
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	if s.Holds() {
-		t.Error("a directory that is gone is held")
+		t.Error("Holds after the directory was deleted: got true, want false")
 	}
 	if err := errors.Join(s.Release(false), s.Lock()); err != nil || !s.Holds() {
-		t.Errorf("taken up anew: %v", err)
+		t.Errorf("second Lock: got error %v, Holds %v, want none and true", err, s.Holds())
 	}
 	if err := s.Release(false); err != nil {
 		t.Fatal(err)
