--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what this program encodes with recorded bytes: messages between processes of two versions, stored
-// data, configuration keys. A field that is renamed without its encoded name being kept fails the test of its package. For tests
-// only; `go test -update` records anew, which a change of a format that is meant has to explain.
+// Package golden compares the encodings of this program with recorded ones: messages between processes of two versions, stored
+// data, configuration keys. The test of a package fails if a field is renamed and its encoded name changes with it. For tests
+// only. `go test -update` records the encodings again; a commit that does so has to explain why the format changes.
 package golden
 
 import (
@@ -19,7 +19,8 @@
 	goldie.New(t, goldie.WithFixtureDir("testdata/golden"), goldie.WithNameSuffix(".txt"), goldie.WithDiffEngine(goldie.Simple)).Assert(t, name, []byte(text))
 }
 
-// JSON compares the encodings of values, one a line. Each value is a pointer, and is filled first, see Fill.
+// JSON compares the JSON encodings of values, one per line, with the file testdata/golden/NAME.txt. Each value is a pointer;
+// JSON fills it with Fill first.
 func JSON(t *testing.T, name string, values ...any) {
 	t.Helper()
 	var text strings.Builder
@@ -34,13 +35,14 @@
 	Equal(t, name, text.String())
 }
 
-// Fill sets every exported field below v, a pointer, to a value of its own, the same in each run.
+// Fill sets every exported field reachable from the pointer v to a value that depends on the field's position only: true for
+// booleans, numbered values for other types.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n, 0)
 }
 
-const maxDepth = 8 // of types that contain themselves
+const maxDepth = 8 // limits the recursion into types that contain themselves
 
 func fill(v reflect.Value, n *int, depth int) {
 	if depth > maxDepth || !v.CanSet() {
@@ -85,7 +87,8 @@
 	}
 }
 
-// Values prints the values below v in the order of their fields, without names: what a decoder made of a recorded text.
+// Values returns the values in v as text, in the order of the fields and without their names. Tests use it to compare decoded
+// data with a recorded text.
 func Values(v any) string {
 	var text strings.Builder
 	values(&text, reflect.ValueOf(v))
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -10,7 +10,7 @@
 	"mosslead/internal/golden"
 )
 
-// The keys of the platform's settings are the platform's. Each is read into the setting that it stands for.
+// Guards against renaming a key of the platform's settings, or reading it into another field.
 func TestSettingsKeepTheirKeys(t *testing.T) {
 	golden.Equal(t, "keys", string(Keys())+"\n")
 	s, err := DecodeSettings([]byte(`{"Balancers":3,"Discovery":"ask","OverShareWorth":0.25,"TickMs":4,"WorthBy":"work","Zone":"z",
@@ -26,7 +26,7 @@
 	golden.Equal(t, "settings", golden.Values(s)+"\n")
 }
 
-// The simulator's events are read from the fields that its page names, and actions are written with them.
+// Guards against renaming a field of the simulator's events and actions.
 func TestSimulatorMessagesKeepTheirFields(t *testing.T) {
 	var text strings.Builder
 	for _, line := range []string{
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,29 +9,29 @@
 	"mosslead/balancer"
 )
 
-// Settings are the start-up parameters: those of the balancer, and those that only a real sidecar needs.
+// Settings holds the start-up parameters: those of the balancer, and those that only a real sidecar needs.
 type Settings struct {
 	balancer.Settings
-	ConnIdle time.Duration // upstreams close connections that are idle for this long
+	ConnIdle time.Duration // idle time after which upstreams close a connection
 }
 
 // DecodeSettings decodes start-up parameters, the object Env on the wire.
 func DecodeSettings(raw []byte) (Settings, error) {
-	var e settingsFile
-	if err := json.Unmarshal(raw, &e); err != nil {
+	var f settingsFile
+	if err := json.Unmarshal(raw, &f); err != nil {
 		return Settings{}, fmt.Errorf("not start-up parameters: %w", err)
 	}
-	return Settings{Settings: e.settings(), ConnIdle: duration(e.Limits.ConnIdleMs)}, nil
+	return Settings{Settings: f.settings(), ConnIdle: duration(f.Limits.ConnIdleMs)}, nil
 }
 
-// settingsFile holds the start-up parameters that are used, under the platform's names.
+// settingsFile holds the start-up parameters that are used, encoded under the platform's names.
 type settingsFile struct {
 	FleetSize float64     `json:"Balancers"`
 	Classes   []classFile `json:"Classes"`
 	Discovery string      `json:"Discovery"`
 	Limits    struct {
 		Cancelling       bool    `json:"Cancelling"`
-		Probes           bool    `json:"Probes"` // a known key without effect
+		Probes           bool    `json:"Probes"` // accepted, but has no effect
 		RetryAfter       bool    `json:"RetryAfter"`
 		SecondCopies     bool    `json:"SecondCopies"`
 		ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
@@ -75,50 +75,50 @@
 
 // Keys returns an object with all start-up parameters that are used.
 func Keys() []byte {
-	var e settingsFile
-	e.Classes, e.Tenants = append(e.Classes, classFile{}), append(e.Tenants, tenantFile{})
-	text, err := json.Marshal(e)
+	var f settingsFile
+	f.Classes, f.Tenants = append(f.Classes, classFile{}), append(f.Tenants, tenantFile{})
+	text, err := json.Marshal(f)
 	if err != nil {
 		panic(err) // can't fail for plain fields
 	}
 	return text
 }
 
-// unknownName is an effect or group that the balancer rejects by an error that names the field.
+// unknownName is the Idempotency or KeyScope of an unknown name. The balancer rejects it with an error that names the field.
 const unknownName = -1
 
-func (e *settingsFile) settings() balancer.Settings {
+func (f *settingsFile) settings() balancer.Settings {
 	s := balancer.Settings{
-		FleetSize:         count(e.FleetSize),
-		Zone:              e.Zone,
-		MustSubscribe:     e.Discovery == "ask",
-		Tick:              duration(e.TickMs),
-		MaxAttempts:       count(e.Limits.SendCap),
-		Hedging:           e.Limits.SecondCopies,
-		Cancellation:      e.Limits.Cancelling,
-		RetryAfter:        e.Limits.RetryAfter,
-		MaxRetryAfter:     duration(e.Limits.MaxRetryAfterMs),
-		ConnectTimeout:    duration(e.Limits.ConnectTimeoutMs),
-		CrossZoneCost:     e.Costs.CrossZone,
-		OverQuotaFraction: e.OverQuotaFraction,
-		WeightByWork:      e.WeightBy == "work",
-		SlowStartCapacity: e.SlowStart.ColdFrom,
-		SlowStartWindow:   duration(e.SlowStart.WarmUpMs),
-		OverloadMultiple:  e.SlowStart.FallMultiple,
-		OverloadDuration:  duration(e.SlowStart.FallMs),
+		FleetSize:         count(f.FleetSize),
+		Zone:              f.Zone,
+		MustSubscribe:     f.Discovery == "ask",
+		Tick:              duration(f.TickMs),
+		MaxAttempts:       count(f.Limits.SendCap),
+		Hedging:           f.Limits.SecondCopies,
+		Cancellation:      f.Limits.Cancelling,
+		RetryAfter:        f.Limits.RetryAfter,
+		MaxRetryAfter:     duration(f.Limits.MaxRetryAfterMs),
+		ConnectTimeout:    duration(f.Limits.ConnectTimeoutMs),
+		CrossZoneCost:     f.Costs.CrossZone,
+		OverQuotaFraction: f.OverQuotaFraction,
+		WeightByWork:      f.WeightBy == "work",
+		SlowStartCapacity: f.SlowStart.ColdFrom,
+		SlowStartWindow:   duration(f.SlowStart.WarmUpMs),
+		OverloadMultiple:  f.SlowStart.FallMultiple,
+		OverloadDuration:  duration(f.SlowStart.FallMs),
 	}
-	for _, c := range e.Classes {
+	for _, c := range f.Classes {
 		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, LatencyObjective: duration(c.LatencyObjectiveMs), ObjectiveStretch: c.ObjectiveStretch,
 			Deadline: duration(c.DeadlineMs), PriorityWeight: c.PriorityWeight, LateValueFraction: c.LateValueFraction,
 			Idempotency: idempotency(c.Idempotency), KeyScope: keyScope(c.KeyScope), DedupWindow: duration(c.DedupWindowMs), Stream: c.Stream})
 	}
-	for _, t := range e.Tenants {
+	for _, t := range f.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	return s
 }
 
-// count decodes an integer that may be written with a fraction of 0. It saturates.
+// count converts an integer that may be written with a fraction of 0. It saturates at -1 and at the largest int32.
 func count(x float64) int { return int(min(max(x, -1), math.MaxInt32)) }
 
 func idempotency(name string) balancer.Idempotency {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire is the edge to the platform: it maps the names of the simulator's messages and of the platform's settings, once, to the
-// types of package balancer, and back. It makes no decisions.
+// Package wire converts the simulator's messages and the platform's settings to the types of package balancer, and back. All
+// names that the platform defines are in this package. It makes no decisions.
 package wire
 
 import (
@@ -14,7 +14,7 @@
 	"mosslead/balancer"
 )
 
-// timerCookie identifies the only timer of an instance.
+// timerCookie is the cookie of an instance's timer. There is only one timer, so it is always the same.
 const timerCookie = "w"
 
 type batch struct {
@@ -22,7 +22,7 @@
 	Events []json.RawMessage `json:"in"`
 }
 
-// event holds the fields of all verbs that are decoded.
+// event holds the decoded fields of all event verbs.
 type event struct {
 	Verb       string        `json:"verb"`
 	Instance   int           `json:"I"`
@@ -54,7 +54,7 @@
 	Weight    float64 `json:"Weight"`
 }
 
-// action is any action on the wire.
+// action is an action of any verb on the wire.
 type action struct {
 	Verb         string  `json:"verb"`
 	Instance     int     `json:"I"`
@@ -69,20 +69,21 @@
 	Text         string  `json:"ReasonText,omitempty"`
 }
 
-// flagHintValid is the bit of Bits that says CostHintMs may be used.
+// flagHintValid is the bit of event.Flags that is set if CostHintMs is valid.
 const flagHintValid = 1
 
-// adapter holds the instances in this process, and the numbered lists that they share as messages.
+// adapter holds the balancer instances of this process, and the endpoint lists, by table number, that their events refer to.
 type adapter struct {
 	balancers map[int]*balancer.Balancer
 	lists     map[int][]balancer.Endpoint
-	actions   []balancer.Action
+	actions   []balancer.Action // buffer that is reused for each decision
 }
 
-// Serve answers batches from in on out until in ends. Its error names the line that could not be handled.
+// Serve reads batches from in, one per line, and writes their replies to out until in ends. Its error names the line that
+// failed.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	h := &adapter{balancers: map[int]*balancer.Balancer{}, lists: map[int][]balancer.Endpoint{}}
+	a := &adapter{balancers: map[int]*balancer.Balancer{}, lists: map[int][]balancer.Endpoint{}}
 	for line := 1; ; line++ {
 		text, err := readLine(r)
 		if errors.Is(err, io.EOF) {
@@ -91,7 +92,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		reply, err := h.handleBatch(text)
+		reply, err := a.handleBatch(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
@@ -113,7 +114,7 @@
 	return text, err
 }
 
-func (h *adapter) handleBatch(text []byte) ([]action, error) {
+func (a *adapter) handleBatch(text []byte) ([]action, error) {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
 		return nil, fmt.Errorf("not a batch: %w", err)
@@ -126,17 +127,17 @@
 			return nil, fmt.Errorf("event %d: %w", n, err)
 		}
 		var err error
-		if reply, err = h.handleEvent(now, &e, reply); err != nil {
+		if reply, err = a.handleEvent(now, &e, reply); err != nil {
 			return nil, fmt.Errorf("event %d (%s): %w", n, e.Verb, err)
 		}
 	}
 	return reply, nil
 }
 
-func (h *adapter) handleEvent(now time.Duration, e *event, reply []action) ([]action, error) {
+func (a *adapter) handleEvent(now time.Duration, e *event, reply []action) ([]action, error) {
 	switch e.Verb {
 	case "Inventory":
-		h.lists[e.Table] = endpoints(e.Endpoints)
+		a.lists[e.Table] = endpoints(e.Endpoints)
 		return reply, nil
 	case "PowerOn":
 		if e.Settings == nil {
@@ -146,40 +147,40 @@
 		if err != nil {
 			return nil, err
 		}
-		h.balancers[e.Instance] = b
+		a.balancers[e.Instance] = b
 		return reply, nil
 	}
-	translated := h.translate(e)
+	translated := a.translate(e)
 	if translated == nil && e.Verb != "Teardown" {
-		return reply, nil // a verb that this adapter does not know
+		return reply, nil // this adapter does not know the event
 	}
-	b := h.balancers[e.Instance]
+	b := a.balancers[e.Instance]
 	if b == nil {
 		return nil, fmt.Errorf("instance %d was never started", e.Instance)
 	}
 	if e.Verb == "Teardown" {
-		delete(h.balancers, e.Instance)
+		delete(a.balancers, e.Instance)
 		return reply, nil
 	}
-	return h.decide(b, now, e.Instance, translated, reply), nil
+	return a.decide(b, now, e.Instance, translated, reply), nil
 }
 
-// decide makes one decision; a panic becomes a BailOut with its text.
-func (h *adapter) decide(b *balancer.Balancer, now time.Duration, inst int, e balancer.Event, reply []action) (out []action) {
+// decide passes one event to the balancer and appends its actions to reply. A panic becomes a BailOut action with its text.
+func (a *adapter) decide(b *balancer.Balancer, now time.Duration, instance int, e balancer.Event, reply []action) (out []action) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = append(reply, action{Verb: "BailOut", Instance: inst, Text: fmt.Sprint(p)})
+			out = append(reply, action{Verb: "BailOut", Instance: instance, Text: fmt.Sprint(p)})
 		}
 	}()
-	h.actions = b.Handle(now, e, h.actions[:0])
-	for i := range h.actions {
-		reply = append(reply, encode(inst, &h.actions[i]))
+	a.actions = b.Handle(now, e, a.actions[:0])
+	for i := range a.actions {
+		reply = append(reply, encode(instance, &a.actions[i]))
 	}
 	return reply
 }
 
-// translate returns the balancer's event; nil for an unknown verb.
-func (h *adapter) translate(e *event) balancer.Event {
+// translate returns the balancer's event, or nil if the verb or the scope of the list is unknown.
+func (a *adapter) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case "Topology":
 		kinds := map[string]balancer.UpdateKind{"INCREMENTAL": balancer.Delta, "FULL": balancer.FullState,
@@ -191,7 +192,7 @@
 		if kind == balancer.WatchFailed {
 			return balancer.EndpointUpdate{Kind: kind}
 		}
-		return balancer.EndpointUpdate{Kind: kind, Endpoints: h.lists[e.Table]}
+		return balancer.EndpointUpdate{Kind: kind, Endpoints: a.lists[e.Table]}
 	case "Order":
 		r := balancer.Request{ID: e.ID, Class: e.Class, ExpiresAt: duration(e.ExpiresMs)}
 		r.Tenant, _ = e.Tenant.(string)
@@ -212,29 +213,29 @@
 	return nil
 }
 
-func encode(inst int, a *balancer.Action) action {
+func encode(instance int, a *balancer.Action) action {
 	switch a.Kind {
 	case balancer.StartAttempt:
-		return action{Verb: "Try", Instance: inst, ID: a.ID, Upstream: a.Upstream, TimeoutMs: milliseconds(a.Timeout)}
+		return action{Verb: "Try", Instance: instance, ID: a.ID, Upstream: a.Upstream, TimeoutMs: milliseconds(a.Timeout)}
 	case balancer.CancelAttempt:
-		hop := a.Attempt
-		return action{Verb: "Retract", Instance: inst, ID: a.ID, Attempt: &hop}
+		attempt := a.Attempt
+		return action{Verb: "Retract", Instance: instance, ID: a.ID, Attempt: &attempt}
 	case balancer.Reject:
-		return action{Verb: "Refuse", Instance: inst, ID: a.ID, RetryAfterMs: milliseconds(a.RetryAfter)}
+		return action{Verb: "Refuse", Instance: instance, ID: a.ID, RetryAfterMs: milliseconds(a.RetryAfter)}
 	case balancer.Fail:
-		return action{Verb: "Error", Instance: inst, ID: a.ID}
+		return action{Verb: "Error", Instance: instance, ID: a.ID}
 	case balancer.SetTimer:
-		return action{Verb: "Defer", Instance: inst, AtMs: milliseconds(a.At), Cookie: timerCookie}
+		return action{Verb: "Defer", Instance: instance, AtMs: milliseconds(a.At), Cookie: timerCookie}
 	case balancer.Subscribe:
-		return action{Verb: "Watch", Instance: inst, Enable: true}
+		return action{Verb: "Watch", Instance: instance, Enable: true}
 	case balancer.Log:
-		return action{Verb: "Emit", Instance: inst, Text: a.LogLine()}
+		return action{Verb: "Emit", Instance: instance, Text: a.LogLine()}
 	}
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
 
-// attemptResult maps completion codes. An attempt with an unknown one may have been processed, and counts as an error
-// answer.
+// attemptResult returns the result for a completion code. An attempt with an unknown code may have been processed, and counts
+// as a server error.
 func attemptResult(code int) balancer.Result {
 	switch code {
 	case 200:
@@ -261,7 +262,7 @@
 	for i, e := range entries {
 		state, known := states[e.State]
 		if !known {
-			state = balancer.Removed // removed, or in an unknown state
+			state = balancer.Removed // the entry is removed, or its state is unknown
 		}
 		list[i] = balancer.Endpoint{Upstream: e.Upstream, Zone: e.Zone, Cell: e.Cell, Machine: e.Machine,
 			State: state, StartedAt: duration(e.StartedMs), Weight: e.Weight}
@@ -269,7 +270,7 @@
 	return list
 }
 
-// seed converts any integer on the wire, signed or not, to the balancer's seed.
+// seed converts any 64-bit integer on the wire, signed or unsigned, to the balancer's seed.
 func seed(n json.Number) uint64 {
 	var u uint64
 	if _, err := fmt.Sscan(n.String(), &u); err == nil {
@@ -279,7 +280,8 @@
 	return uint64(i)
 }
 
-// duration converts microseconds. It saturates at about 142 years, so that a sum with a clock time does not overflow.
+// duration converts milliseconds, rounded to microseconds. It saturates at about 142 years, so that a sum with a clock time
+// does not overflow.
 func duration(ms float64) time.Duration {
 	const limit = 1 << 52
 	return time.Duration(math.Round(min(max(ms*1000, -limit), limit))) * time.Microsecond
