--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxEntryBytes         = 1 << 10 // maximum bytes of a key with its value
-	maxSegmentBytes       = 4 << 20 // maximum bytes of a segment
-	compactThresholdBytes = 32 << 10
-	maxQueuedChanges      = 64 // changes that can wait for the disk; further calls block
+	maxEntryBytes         = 1 << 10  // maximum bytes of a key with its value
+	maxSegmentBytes       = 4 << 20  // maximum bytes of a segment
+	compactThresholdBytes = 32 << 10 // a segment may grow to this size before growth compacts it
+	maxQueuedChanges      = 64       // changes that can wait for the disk; further calls block
 )
 
 // KeyValueLog stores small entries by key, as a log with group commit: each change is appended as a record, and all changes
