--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -58,11 +58,11 @@
 	yieldTime = 2 * time.Second
 	// HandoverMargin is by how much another has to be fitter for a hand-over.
 	HandoverMargin = 100
-	// A leader that failed at its work does not campaign for baseRest, doubled up to maxRest each time that it
+	// A leader that failed at its work does not campaign for baseCooldown, doubled up to maxRest each time that it
 	// fails again within strikeMemory.
-	baseRest     = 30 * time.Second
-	maxRest      = 5 * time.Minute
-	strikeMemory = 10 * time.Minute
+	baseCooldown      = 30 * time.Second
+	maxCooldown       = 5 * time.Minute
+	workFailureWindow = 10 * time.Minute
 )
 
 // maxBackoff is the longest wait after a request without a response: a lease and a third.
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -73,9 +73,9 @@
 	fitness     float64
 	stopped     bool
 
-	pending Op     // operation of the request that has no response yet
-	id      uint64 // of that request
-	sentAt  time.Duration
+	pending   Op     // operation of the request that has no response yet
+	requestID uint64 // of that request
+	sentAt    time.Duration
 
 	held            bool
 	epoch           uint64
@@ -85,11 +85,11 @@
 	releasePending  bool          // the service may not know of that release
 	releaseDeadline time.Duration // the lease has ended by itself at that time
 
-	nextRequestAt time.Duration // no request before
-	failures      int           // in a row
-	restUntil     time.Duration // no campaign before
-	strikes       int
-	lastStrikeAt  time.Duration
+	nextRequestAt     time.Duration // no request before
+	failures          int           // in a row
+	cooldownUntil     time.Duration // no campaign before
+	workFailures      int
+	lastWorkFailureAt time.Duration
 
 	actions []Action
 }
@@ -123,7 +123,7 @@
 			c.release(now, "not wanted any more")
 		}
 	case Response:
-		if c.pending != None && e.ID == c.id {
+		if c.pending != None && e.ID == c.requestID {
 			c.onResponse(now, e)
 		}
 	case WorkFailed:
@@ -137,7 +137,7 @@
 	if c.pending != None && now >= c.sentAt+c.config.Timeout {
 		c.onResponse(now, Response{})
 	}
-	c.request(now)
+	c.sendNextRequest(now)
 	return c.actions
 }
 
@@ -159,13 +159,13 @@
 	case c.held:
 		earlier(c.nextRequestAt)
 	case c.campaigning:
-		earlier(max(c.nextRequestAt, c.restUntil))
+		earlier(max(c.nextRequestAt, c.cooldownUntil))
 	}
 	return at, ok
 }
 
-// request sends the next request if it is due.
-func (c *Elector) request(now time.Duration) {
+// sendNextRequest sends the next sendNextRequest if it is due.
+func (c *Elector) sendNextRequest(now time.Duration) {
 	if c.releasePending && now >= c.releaseDeadline {
 		c.releasePending = false
 	}
@@ -187,14 +187,14 @@
 	case c.stopped:
 		c.emit(Done{})
 		return
-	case c.campaigning && now >= max(c.nextRequestAt, c.restUntil):
+	case c.campaigning && now >= max(c.nextRequestAt, c.cooldownUntil):
 		c.pending, claim.Epoch = Acquire, c.releasedEpoch
 	default:
 		return
 	}
-	c.id++
+	c.requestID++
 	c.sentAt = now
-	c.emit(Request{c.id, c.pending, claim, c.config.Timeout})
+	c.emit(Request{c.requestID, c.pending, claim, c.config.Timeout})
 }
 
 func (c *Elector) emit(a Action) { c.actions = append(c.actions, a) }
@@ -234,7 +234,7 @@
 		c.emit(Acquired{c.epoch, c.expiresAt, false})
 		if g.BetterFitness >= c.fitness+HandoverMargin && now >= c.acquiredAt+minTenure {
 			c.release(now, "handed on to a better one")
-			c.restUntil = max(c.restUntil, now+yieldTime)
+			c.cooldownUntil = max(c.cooldownUntil, now+yieldTime)
 		}
 	case op == Renew && c.held:
 		c.expire("another holds it")
@@ -282,12 +282,12 @@
 	if !c.held {
 		return
 	}
-	if now > c.lastStrikeAt+strikeMemory {
-		c.strikes = 0
+	if now > c.lastWorkFailureAt+workFailureWindow {
+		c.workFailures = 0
 	}
-	c.restUntil = now + min(baseRest<<min(c.strikes, 10), maxRest)
-	c.strikes++
-	c.lastStrikeAt = now
+	c.cooldownUntil = now + min(baseCooldown<<min(c.workFailures, 10), maxCooldown)
+	c.workFailures++
+	c.lastWorkFailureAt = now
 	c.release(now, "it fails at it")
 }
 
@@ -304,7 +304,7 @@
 	b = append(b, flags)
 	put := func(d time.Duration) { b = binary.AppendVarint(b, int64(d)) }
 	put(max(0, c.nextRequestAt-now))
-	put(max(0, c.restUntil-now))
+	put(max(0, c.cooldownUntil-now))
 	put(time.Duration(min(c.failures, 5)))
 	put(time.Duration(highest - c.releasedEpoch))
 	put(time.Duration(c.fitness * 1000))
@@ -319,9 +319,9 @@
 	if c.releasePending {
 		put(max(0, c.releaseDeadline-now))
 	}
-	if c.strikes > 0 && now <= c.lastStrikeAt+strikeMemory {
-		put(time.Duration(c.strikes))
-		put(now - c.lastStrikeAt)
+	if c.workFailures > 0 && now <= c.lastWorkFailureAt+workFailureWindow {
+		put(time.Duration(c.workFailures))
+		put(now - c.lastWorkFailureAt)
 	}
 	return b
 }
@@ -331,5 +331,5 @@
 	if c.pending == None {
 		return 0
 	}
-	return c.id
+	return c.requestID
 }
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -14,28 +14,28 @@
 	"mosslead/internal/registry/api"
 )
 
-// crowd is candidates for one leadership, in a time of its own.
-type crowd struct {
-	t       *testing.T
-	now     time.Duration
-	service *memory.Service
-	all     []lease.Elector
+// electorGroup is candidates for one leadership, in a time of its own.
+type electorGroup struct {
+	t        *testing.T
+	now      time.Duration
+	service  *memory.Service
+	electors []lease.Elector
 }
 
-func newCrowd(t *testing.T, n int) *crowd {
-	c := &crowd{t: t}
+func newElectorGroup(t *testing.T, n int) *electorGroup {
+	c := &electorGroup{t: t}
 	c.service = memory.New(func() time.Duration { return c.now })
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
-		c.all = append(c.all, lease.NewElector(lease.Config{Name: "d", Holder: fmt.Sprint(i), Random: rng.Float64}, 0))
-		c.tell(i, lease.Campaign{On: true})
+		c.electors = append(c.electors, lease.NewElector(lease.Config{Name: "d", Holder: fmt.Sprint(i), Random: rng.Float64}, 0))
+		c.handle(i, lease.Campaign{On: true})
 	}
 	return c
 }
 
-// tell has a candidate handle an event, and its calls carried out at once.
-func (c *crowd) tell(i int, e lease.Event) {
-	for _, a := range c.all[i].Handle(c.now, e) {
+// handle has a candidate handle an event, and its calls carried out at once.
+func (c *electorGroup) handle(i int, e lease.Event) {
+	for _, a := range c.electors[i].Handle(c.now, e) {
 		call, ok := a.(lease.Request)
 		if !ok {
 			continue
@@ -51,16 +51,16 @@
 			err = c.service.ReleaseLeadership(c.t.Context(), call.Claim)
 		}
 		answer.Known = err == nil
-		c.tell(i, answer)
+		c.handle(i, answer)
 	}
 }
 
 // holder is who may act; -1: nobody.
-func (c *crowd) holder() int {
+func (c *electorGroup) holder() int {
 	c.t.Helper()
 	found := -1
-	for i := range c.all {
-		if _, ok := c.all[i].Holds(c.now); ok {
+	for i := range c.electors {
+		if _, ok := c.electors[i].Holds(c.now); ok {
 			if found >= 0 {
 				c.t.Fatalf("%d and %d may act", found, i)
 			}
@@ -70,13 +70,13 @@
 	return found
 }
 
-// run lets time pass until over says so, and gives how much.
-func (c *crowd) run(limit time.Duration, over func() bool) time.Duration {
+// runUntil lets time pass until over says so, and gives how much.
+func (c *electorGroup) runUntil(limit time.Duration, over func() bool) time.Duration {
 	c.t.Helper()
 	for begun := c.now; ; c.now += 10 * time.Millisecond {
-		for i := range c.all {
-			if at, ok := c.all[i].Next(); ok && at <= c.now {
-				c.tell(i, nil)
+		for i := range c.electors {
+			if at, ok := c.electors[i].Next(); ok && at <= c.now {
+				c.handle(i, nil)
 			}
 		}
 		if took := c.now - begun; over() {
@@ -87,50 +87,50 @@
 	}
 }
 
-func (c *crowd) pass(d time.Duration) {
+func (c *electorGroup) advance(d time.Duration) {
 	c.t.Helper()
 	end := c.now + d
-	c.run(d, func() bool { return c.now >= end })
+	c.runUntil(d, func() bool { return c.now >= end })
 }
 
 // What 300 candidates cost the service: as many calls a second as leadership.go says, held, handed on, and while nobody is answered.
 func TestThreeHundredCandidates(t *testing.T) {
-	c := newCrowd(t, 300)
+	c := newElectorGroup(t, 300)
 	rate := func(what string, limit float64) {
 		t.Helper()
 		before := c.service.Calls()
-		c.pass(20 * time.Second)
+		c.advance(20 * time.Second)
 		if got := float64(c.service.Calls()-before) / 20; got > limit {
 			t.Errorf("%s: %.1f calls a second, at most %.0f", what, got, limit)
 		}
 	}
 	held := func() bool { return c.holder() >= 0 }
-	c.run(lease.DefaultStartDelay, held)
-	c.pass(time.Minute)
+	c.runUntil(lease.DefaultStartDelay, held)
+	c.advance(time.Minute)
 	rate("held", 12)
-	c.tell(c.holder(), lease.Stop{})
-	c.run(time.Second, held)
+	c.handle(c.holder(), lease.Stop{})
+	c.runUntil(time.Second, held)
 	c.service.Down(true)
-	c.pass(lease.DefaultLease)
+	c.advance(lease.DefaultLease)
 	if who := c.holder(); who >= 0 {
 		t.Errorf("%d acts without a service for a lease", who)
 	}
-	c.pass(10 * time.Second)
+	c.advance(10 * time.Second)
 	rate("down", 105)
 	c.service.Down(false)
-	c.run(lease.DefaultLease+time.Second, held)
+	c.runUntil(lease.DefaultLease+time.Second, held)
 }
 
-// silent is a service that does not answer renewals any more once it is cut.
-type silent struct {
+// partitionedService is a service that does not answer renewals any more once it is cut.
+type partitionedService struct {
 	*memory.Service
-	mu  sync.Mutex
-	cut bool
+	mu          sync.Mutex
+	partitioned bool
 }
 
-func (s *silent) RenewLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
+func (s *partitionedService) RenewLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	s.mu.Lock()
-	cut := s.cut
+	cut := s.partitioned
 	s.mu.Unlock()
 	if cut {
 		<-ctx.Done()
@@ -144,13 +144,13 @@
 func TestTheDutyGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := memory.New(nil)
-		var cuts [3]*silent
+		var cuts [3]*partitionedService
 		var all [3]*lease.Runner
 		ctx, end := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		defer func() { end(); running.Wait() }()
 		for i := range all {
-			cuts[i] = &silent{Service: service}
+			cuts[i] = &partitionedService{Service: service}
 			all[i] = lease.NewRunner(cuts[i], lease.Config{Name: "d", Holder: fmt.Sprint(i)}, func(lease.Action) {})
 			all[i].Campaign(true, 0)
 			running.Go(func() { all[i].Run(ctx) })
@@ -178,7 +178,7 @@
 		first := next(lease.DefaultStartDelay, -1)
 		epoch, _ := all[first].Holds(time.Now())
 		cuts[first].mu.Lock()
-		cuts[first].cut = true
+		cuts[first].partitioned = true
 		cuts[first].mu.Unlock()
 		second := next(lease.DefaultLease+lease.DefaultLease/10+time.Second, first)
 		if now, _ := all[second].Holds(time.Now()); now <= epoch {
--- a/internal/lease/explore/explore.go
+++ b/internal/lease/explore/explore.go
@@ -19,38 +19,38 @@
 // The scale of the model: a lease is three ticks, a margin one, an answer is waited for two, and a clock stands still at most once in a lease, which is
 // the drift that the margin is for.
 const (
-	Tick     = time.Second
-	Lease    = 3 * Tick
-	Margin   = Tick
-	oneStill = int(Lease / Tick)
+	Tick          = time.Second
+	Lease         = 3 * Tick
+	Margin        = Tick
+	stallInterval = int(Lease / Tick)
 )
 
 // Bounds are how often something may happen on a path, and how long the paths are.
 type Bounds struct {
-	Depth     int // steps
-	Ticks     int
-	Stops     int
-	Elections int
-	Wishes    int // a candidate gives up, and wants the leadership again
-	Delays    int // an entry of the log is not committed at once
-	Acts      int // that are begun; whether one could be is looked at in each state anyway
+	Depth       int // steps
+	Ticks       int
+	Pauses      int
+	Elections   int
+	Withdrawals int // a candidate gives up, and wants the leadership again
+	Delays      int // an entry of the log is not committed at once
+	Actions     int // that are begun; whether one could be is looked at in each state anyway
 }
 
 // Faults are planted, to see that they are found.
 type Faults struct {
-	NoMargin bool // a holder acts to its lease's very end
-	NoFence  bool // who is acted upon looks at no epoch
-	NoTurns  bool // the log takes the leader's word for it that a term is over, whatever was renewed since
+	NoMargin    bool // a holder acts to its lease's very end
+	NoFence     bool // who is acted upon looks at no epoch
+	NoTermCheck bool // the log takes the leader's word for it that a term is over, whatever was renewed since
 }
 
-// Found is what an exploration came to.
-type Found = modelcheck.Result
+// Result is what an exploration came to.
+type Result = modelcheck.Result
 
 // Run explores breadth first.
-func Run(b Bounds, f Faults) Found { return modelcheck.Search(begin(b, f), b.Depth, nil) }
+func Run(b Bounds, f Faults) Result { return modelcheck.Search(newState(b, f), b.Depth, nil) }
 
 func (f Faults) config(who int) lease.Config {
-	c := lease.Config{Name: name, Holder: holder(who), Lease: Lease, Margin: Margin, Timeout: 2 * Tick,
+	c := lease.Config{Name: leadershipName, Holder: holderName(who), Lease: Lease, Margin: Margin, Timeout: 2 * Tick,
 		StartDelay: time.Nanosecond, Random: func() float64 { return 0 }}
 	if f.NoMargin {
 		c.Margin = time.Nanosecond
@@ -58,6 +58,6 @@
 	return c
 }
 
-const name = "d"
+const leadershipName = "d"
 
-func holder(who int) string { return fmt.Sprint("h", who) }
+func holderName(who int) string { return fmt.Sprint("h", who) }
--- a/internal/lease/explore/explore_test.go
+++ b/internal/lease/explore/explore_test.go
@@ -17,15 +17,15 @@
 		breaks bool
 	}{
 		{"time, lost and late messages", Bounds{Depth: 10, Ticks: any}, Faults{}, false},
-		{"a stop", Bounds{Depth: 8, Ticks: any, Stops: 1}, Faults{}, false},
+		{"a stop", Bounds{Depth: 8, Ticks: any, Pauses: 1}, Faults{}, false},
 		{"a late commit", Bounds{Depth: 8, Ticks: any, Delays: 1}, Faults{}, false},
 		{"a new leader", Bounds{Depth: 8, Ticks: any, Elections: 1, Delays: 1}, Faults{}, false},
-		{"handing on, and acts", Bounds{Depth: 12, Ticks: 1, Wishes: 1, Acts: 2}, Faults{}, false},
-		{"giving up, and late messages", Bounds{Depth: 11, Ticks: 3, Wishes: 1}, Faults{}, false},
-		{"all at once", Bounds{Depth: 6, Ticks: any, Stops: 1, Elections: 1, Wishes: 1, Delays: 1, Acts: 1}, Faults{}, false},
+		{"handing on, and acts", Bounds{Depth: 12, Ticks: 1, Withdrawals: 1, Actions: 2}, Faults{}, false},
+		{"giving up, and late messages", Bounds{Depth: 11, Ticks: 3, Withdrawals: 1}, Faults{}, false},
+		{"all at once", Bounds{Depth: 6, Ticks: any, Pauses: 1, Elections: 1, Withdrawals: 1, Delays: 1, Actions: 1}, Faults{}, false},
 		{"no margin", Bounds{Depth: 8, Ticks: any}, Faults{NoMargin: true}, true},
-		{"no look at epochs", Bounds{Depth: 10, Wishes: 1, Acts: 2}, Faults{NoFence: true}, true},
-		{"no look at turns", Bounds{Depth: 8, Ticks: any, Delays: 1}, Faults{NoTurns: true}, true},
+		{"no look at epochs", Bounds{Depth: 10, Withdrawals: 1, Actions: 2}, Faults{NoFence: true}, true},
+		{"no look at turns", Bounds{Depth: 8, Ticks: any, Delays: 1}, Faults{NoTermCheck: true}, true},
 	} {
 		if !x.breaks {
 			x.b.Depth += *deeper
--- a/internal/lease/explore/steps.go
+++ b/internal/lease/explore/steps.go
@@ -10,7 +10,7 @@
 // Steps are all that may happen next.
 func (s *state) Steps(add func(name string, do func(*state))) {
 	for still := range 4 { // a bit for each clock that stands still
-		if s.left.Ticks == 0 || still&1 != 0 && s.of[0].rested < oneStill || still&2 != 0 && s.of[1].rested < oneStill {
+		if s.remaining.Ticks == 0 || still&1 != 0 && s.candidates[0].ticksSinceStall < stallInterval || still&2 != 0 && s.candidates[1].ticksSinceStall < stallInterval {
 			continue
 		}
 		add(fmt.Sprint("tick", still), func(n *state) { n.tick(still) })
@@ -18,64 +18,64 @@
 	if len(s.log) > 0 {
 		add("commit", func(n *state) { n.commit(true) })
 	}
-	if s.left.Elections > 0 {
+	if s.remaining.Elections > 0 {
 		for _, keeps := range []bool{true, false} {
-			add(fmt.Sprint("elect ", keeps), func(n *state) { n.left.Elections--; n.elect(keeps) })
+			add(fmt.Sprint("elect ", keeps), func(n *state) { n.remaining.Elections--; n.elect(keeps) })
 			if len(s.log) == 0 {
 				break // no difference
 			}
 		}
 	}
-	for i := range s.of {
-		s.stepsOf(i, add)
+	for i := range s.candidates {
+		s.candidateSteps(i, add)
 	}
 }
 
-func (s *state) stepsOf(i int, add func(string, func(*state))) {
-	c := &s.of[i]
-	for k, call := range c.calls {
-		add(fmt.Sprintf("%s's call %d arrives", holder(i), call.Op), func(n *state) {
-			n.of[i].calls = slices.Delete(n.of[i].calls, k, k+1)
-			n.arrive(i, call)
+func (s *state) candidateSteps(i int, add func(string, func(*state))) {
+	c := &s.candidates[i]
+	for k, call := range c.requests {
+		add(fmt.Sprintf("%s's call %d arrives", holderName(i), call.Op), func(n *state) {
+			n.candidates[i].requests = slices.Delete(n.candidates[i].requests, k, k+1)
+			n.receiveRequest(i, call)
 			for len(n.log) > 0 {
 				n.commit(true)
 			}
 		})
-		if s.left.Delays > 0 {
-			add(fmt.Sprintf("%s's call %d is in the log", holder(i), call.Op), func(n *state) {
-				n.left.Delays--
-				n.of[i].calls = slices.Delete(n.of[i].calls, k, k+1)
-				n.arrive(i, call)
+		if s.remaining.Delays > 0 {
+			add(fmt.Sprintf("%s's call %d is in the log", holderName(i), call.Op), func(n *state) {
+				n.remaining.Delays--
+				n.candidates[i].requests = slices.Delete(n.candidates[i].requests, k, k+1)
+				n.receiveRequest(i, call)
 			})
 		}
 	}
-	if a := c.answer; a != nil && !c.stopped {
-		add(fmt.Sprintf("%s is answered %s %d", holder(i), a.Grant.Holder, a.Grant.Epoch), func(n *state) {
-			n.of[i].answer = nil
-			n.tell(i, *a)
+	if a := c.response; a != nil && !c.paused {
+		add(fmt.Sprintf("%s is answered %s %d", holderName(i), a.Grant.Holder, a.Grant.Epoch), func(n *state) {
+			n.candidates[i].response = nil
+			n.handle(i, *a)
 		})
 	}
 	epoch, acts := c.Holds(c.clock)
 	switch {
-	case c.act != 0:
-		add(holder(i)+"'s act arrives", func(n *state) { n.take(i) })
-	case acts && !c.stopped && s.left.Acts > 0:
-		add(fmt.Sprintf("%s acts under %d", holder(i), epoch), func(n *state) { n.left.Acts--; n.of[i].act = epoch })
+	case c.actionEpoch != 0:
+		add(holderName(i)+"'s act arrives", func(n *state) { n.receiveAction(i) })
+	case acts && !c.paused && s.remaining.Actions > 0:
+		add(fmt.Sprintf("%s acts under %d", holderName(i), epoch), func(n *state) { n.remaining.Actions--; n.candidates[i].actionEpoch = epoch })
 	}
 	switch {
-	case c.stopped:
-		add(holder(i)+" goes on", func(n *state) { n.of[i].stopped = false; n.tell(i, nil) })
-	case s.left.Stops > 0:
-		add(holder(i)+" is stopped", func(n *state) { n.left.Stops--; n.of[i].stopped = true })
+	case c.paused:
+		add(holderName(i)+" goes on", func(n *state) { n.candidates[i].paused = false; n.handle(i, nil) })
+	case s.remaining.Pauses > 0:
+		add(holderName(i)+" is stopped", func(n *state) { n.remaining.Pauses--; n.candidates[i].paused = true })
 	}
-	if !c.stopped && (!c.wants || s.left.Wishes > 0) {
-		add(fmt.Sprintf("%s wants it: %v", holder(i), !c.wants), func(n *state) {
-			x := &n.of[i]
-			if x.wants {
-				n.left.Wishes--
+	if !c.paused && (!c.campaigning || s.remaining.Withdrawals > 0) {
+		add(fmt.Sprintf("%s wants it: %v", holderName(i), !c.campaigning), func(n *state) {
+			x := &n.candidates[i]
+			if x.campaigning {
+				n.remaining.Withdrawals--
 			}
-			x.wants = !x.wants
-			n.tell(i, lease.Campaign{On: x.wants})
+			x.campaigning = !x.campaigning
+			n.handle(i, lease.Campaign{On: x.campaigning})
 		})
 	}
 }
@@ -83,17 +83,17 @@
 // tick is the next point of time; each clock goes on with it unless its bit in still says not.
 func (s *state) tick(still int) {
 	s.now += Tick
-	s.left.Ticks--
-	for i := range s.of {
-		c := &s.of[i]
+	s.remaining.Ticks--
+	for i := range s.candidates {
+		c := &s.candidates[i]
 		if still&(1<<i) != 0 {
-			c.rested = 1
+			c.ticksSinceStall = 1
 		} else {
-			c.rested = min(c.rested+1, oneStill)
+			c.ticksSinceStall = min(c.ticksSinceStall+1, stallInterval)
 			c.clock += Tick
 		}
-		if at, ok := c.Next(); ok && at <= c.clock && !c.stopped {
-			s.tell(i, nil)
+		if at, ok := c.Next(); ok && at <= c.clock && !c.paused {
+			s.handle(i, nil)
 		}
 	}
 }
--- a/internal/lease/fence.go
+++ b/internal/lease/fence.go
@@ -7,16 +7,16 @@
 
 // CurrentLease is the lease of a leader, for all that act as the leader. Safe for concurrent use.
 type CurrentLease struct {
-	mu    sync.Mutex
-	epoch uint64
-	until time.Time // on the holder's monotonic clock, less the margin
+	mu        sync.Mutex
+	epoch     uint64
+	expiresAt time.Time // on the holder's monotonic clock, less the margin
 }
 
 // set begins or extends a lease.
 func (h *CurrentLease) set(epoch uint64, until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.epoch, h.until = epoch, until
+	h.epoch, h.expiresAt = epoch, until
 }
 
 // clear ends it at once.
@@ -27,7 +27,7 @@
 func (h *CurrentLease) Holds(now time.Time) (epoch uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.epoch, now.Before(h.until)
+	return h.epoch, now.Before(h.expiresAt)
 }
 
 // maxFenced bounds the leaderships that a Fence knows.
--- a/internal/lease/memory/memory.go
+++ b/internal/lease/memory/memory.go
@@ -16,11 +16,11 @@
 type Service struct {
 	now func() time.Duration
 
-	mu    sync.Mutex
-	list  *list.List
-	terms leasetable.Table
-	down  bool
-	calls int
+	mu     sync.Mutex
+	list   *list.List
+	leases leasetable.Table
+	down   bool
+	calls  int
 }
 
 // New is a service that nobody has asked yet. now is its clock; nil: the time from here on.
@@ -29,7 +29,7 @@
 		now = func() time.Duration { return time.Since(begin) }
 	}
 	s := &Service{now: now, list: list.New(1)}
-	s.terms.Lead(now(), nil)
+	s.leases.Lead(now(), nil)
 	return s
 }
 
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		s.terms.Lead(s.now(), s.list.Leaderships())
+		s.leases.Lead(s.now(), s.list.Leaderships())
 	}
 	s.down = down
 }
@@ -60,21 +60,21 @@
 
 // AcquireLeadership implements leadership.Service.
 func (s *Service) AcquireLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
-	return s.do(list.AcquireLeadership, c)
+	return s.apply(list.AcquireLeadership, c)
 }
 
 // RenewLeadership implements leadership.Service.
 func (s *Service) RenewLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
-	return s.do(list.RenewLeadership, c)
+	return s.apply(list.RenewLeadership, c)
 }
 
 // ReleaseLeadership implements leadership.Service.
 func (s *Service) ReleaseLeadership(_ context.Context, c api.LeadershipClaim) error {
-	_, err := s.do(list.ReleaseLeadership, c)
+	_, err := s.apply(list.ReleaseLeadership, c)
 	return err
 }
 
-func (s *Service) do(op string, c api.LeadershipClaim) (api.LeadershipGrant, error) {
+func (s *Service) apply(op string, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -88,7 +88,7 @@
 	claim := &list.LeadershipClaim{LeadershipClaim: c}
 	if op == list.AcquireLeadership {
 		d, isHeld := s.list.Leadership(c.Name)
-		over, after, acquire := s.terms.Decide(now, d, isHeld, c)
+		over, after, acquire := s.leases.Decide(now, d, isHeld, c)
 		if !acquire {
 			g := d.Grant()
 			g.RetryAfterMs = after.Milliseconds()
@@ -100,8 +100,8 @@
 	g := r.Leadership.Grant()
 	g.Name = c.Name
 	if r.Err == nil {
-		s.terms.Committed(now, r.Leadership)
-		g.BetterFitness = s.terms.Renewed(now, c)
+		s.leases.Committed(now, r.Leadership)
+		g.BetterFitness = s.leases.Renewed(now, c)
 	}
 	return g, nil
 }
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -18,9 +18,9 @@
 	startedAt time.Time
 	wake      chan struct{}
 
-	mu       sync.Mutex
-	campaign *Campaign // not handled yet
-	failed   bool
+	mu         sync.Mutex
+	campaign   *Campaign // not handled yet
+	workFailed bool
 }
 
 // NewRunner prepares an elector. onChange gets Acquired and Expired, on Run's goroutine; Holds is false
@@ -40,7 +40,7 @@
 // ReportFailure says that this process fails at the work of the leader. It loses the leadership for a while.
 func (r *Runner) ReportFailure() {
 	r.mu.Lock()
-	r.failed = true
+	r.workFailed = true
 	r.mu.Unlock()
 	r.wakeUp()
 }
@@ -57,7 +57,7 @@
 func (r *Runner) Run(ctx context.Context) {
 	now := func() time.Duration { return time.Since(r.startedAt) }
 	x := NewElector(r.config, now())
-	calls := r.caller()
+	calls := r.startCaller()
 	defer calls.close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -86,7 +86,7 @@
 		select {
 		case <-over:
 			events, over = []Event{Stop{}}, nil
-		case a := <-calls.answers:
+		case a := <-calls.responses:
 			events = []Event{a}
 		case <-timer.C:
 			events = []Event{nil}
@@ -100,22 +100,22 @@
 func (r *Runner) takeInputs() (events []Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.failed {
+	if r.workFailed {
 		events = append(events, WorkFailed{})
 	}
 	if r.campaign != nil {
 		events = append(events, *r.campaign)
 	}
-	r.failed, r.campaign = false, nil
+	r.workFailed, r.campaign = false, nil
 	return events
 }
 
 // caller sends requests on a goroutine of its own, one at a time: each cancels the one before.
 type caller struct {
-	work    chan requestJob
-	answers chan Response // a response to a cancelled request may still arrive
-	ended   chan struct{}
-	cancel  context.CancelFunc // of the latest request; nil: there was none
+	jobs      chan requestJob
+	responses chan Response // a response to a cancelled request may still arrive
+	stopped   chan struct{}
+	cancel    context.CancelFunc // of the latest request; nil: there was none
 }
 
 type requestJob struct {
@@ -123,18 +123,18 @@
 	Request
 }
 
-func (r *Runner) caller() *caller {
-	c := &caller{work: make(chan requestJob), answers: make(chan Response, 1), ended: make(chan struct{})}
+func (r *Runner) startCaller() *caller {
+	c := &caller{jobs: make(chan requestJob), responses: make(chan Response, 1), stopped: make(chan struct{})}
 	go func() {
-		defer close(c.ended)
-		for j := range c.work {
-			c.answers <- r.call(j.ctx, j.Request)
+		defer close(c.stopped)
+		for j := range c.jobs {
+			c.responses <- r.callService(j.ctx, j.Request)
 		}
 	}()
 	return c
 }
 
-func (c *caller) end() {
+func (c *caller) cancelPending() {
 	if c.cancel != nil {
 		c.cancel()
 	}
@@ -142,31 +142,31 @@
 
 // call cancels the request before, and sends one.
 func (c *caller) call(ctx context.Context, x Request) {
-	c.end()
+	c.cancelPending()
 	ctx, c.cancel = context.WithTimeout(ctx, x.Timeout)
 	for {
 		select {
-		case c.work <- requestJob{ctx, x}:
+		case c.jobs <- requestJob{ctx, x}:
 			return
-		case <-c.answers: // to a call that was ended
+		case <-c.responses: // to a call that was ended
 		}
 	}
 }
 
 // close cancels the pending request, and returns once the goroutine has ended.
 func (c *caller) close() {
-	c.end()
-	close(c.work)
+	c.cancelPending()
+	close(c.jobs)
 	for {
 		select {
-		case <-c.answers:
-		case <-c.ended:
+		case <-c.responses:
+		case <-c.stopped:
 			return
 		}
 	}
 }
 
-func (r *Runner) call(ctx context.Context, c Request) (a Response) {
+func (r *Runner) callService(ctx context.Context, c Request) (a Response) {
 	a.ID = c.ID
 	var err error
 	switch c.Op {
--- a/internal/lease/transcript_test.go
+++ b/internal/lease/transcript_test.go
@@ -12,64 +12,64 @@
 	"mosslead/internal/lease/memory"
 )
 
-// play is candidates for the probes of s-1, their service, and one that is acted upon, 2 ms apart.
-type play struct {
+// scenario is candidates for the probes of s-1, their service, and one that is acted upon, 2 ms apart.
+type scenario struct {
 	*testing.T
 	record  transcript.Transcript
 	service *memory.Service
 	target  transcript.DutyTarget
-	all     sync.WaitGroup
+	running sync.WaitGroup
 }
 
-// player is one candidate.
-type player struct {
+// scenarioCandidate is one candidate.
+type scenarioCandidate struct {
 	*transcript.Candidate
-	end context.CancelFunc // as SIGTERM
+	shutDown context.CancelFunc // as SIGTERM
 }
 
-const trials = "trials/s-1"
+const leadershipName = "trials/s-1"
 
-func (p *play) candidate(name string, fitness float64) *player {
+func (p *scenario) candidate(name string, fitness float64) *scenarioCandidate {
 	ctx, end := context.WithCancel(p.Context())
-	c := &player{transcript.NewCandidate(&p.record, p.service, 2*time.Millisecond, name, trials), end}
+	c := &scenarioCandidate{transcript.NewCandidate(&p.record, p.service, 2*time.Millisecond, name, leadershipName), end}
 	c.Campaign(true, fitness)
-	p.all.Go(func() { c.Run(ctx) })
+	p.running.Go(func() { c.Run(ctx) })
 	p.Cleanup(func() {
 		end()
-		p.all.Wait()
+		p.running.Wait()
 	})
 	return c
 }
 
-// acts has a candidate look whether it holds, and act some time later.
-func (p *play) acts(c *player, late time.Duration, want bool) {
+// act has a candidate look whether it holds, and act some time later.
+func (p *scenario) act(c *scenarioCandidate, late time.Duration, want bool) {
 	p.Helper()
 	epoch, ok := c.Holds(time.Now())
 	if !ok {
 		p.Error("holds nothing")
 	}
 	time.Sleep(late)
-	if p.target.Act(c.Line.Name, trials, epoch) != want {
+	if p.target.Act(c.Line.Name, leadershipName, epoch) != want {
 		p.Errorf("taken %v, want %v", !want, want)
 	}
 }
 
-var approved = []struct {
+var scenarios = []struct {
 	name, shows string // shows is the line that it is about
-	script      func(*play)
+	script      func(*scenario)
 }{
-	{"take", "a > itself: may act under epoch 1", func(p *play) {
+	{"take", "a > itself: may act under epoch 1", func(p *scenario) {
 		a := p.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
 		p.candidate("b", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.acts(a, 0, true)
+		p.act(a, 0, true)
 	}},
-	{"renew", "a > service: renew", func(p *play) {
+	{"renew", "a > service: renew", func(p *scenario) {
 		p.candidate("a", 400)
 		time.Sleep(2 * time.Second)
 	}},
-	{"lapse-after-a-stop", "may not act any more under epoch 1: its lease is over", func(p *play) {
+	{"lapse-after-a-stop", "may not act any more under epoch 1: its lease is over", func(p *scenario) {
 		a := p.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
 		cont := a.Stop()
@@ -79,28 +79,28 @@
 		cont()
 		time.Sleep(100 * time.Millisecond)
 	}},
-	{"answers-lost", "may not act any more under epoch 1: its lease is over", func(p *play) {
+	{"answers-lost", "may not act any more under epoch 1: its lease is over", func(p *scenario) {
 		a := p.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
 		a.Line.Cut(true)
 		time.Sleep(3 * time.Second)
 	}},
-	{"hand-on-at-the-end", "may not act any more under epoch 1: it ends", func(p *play) {
+	{"hand-on-at-the-end", "may not act any more under epoch 1: it ends", func(p *scenario) {
 		a := p.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
 		p.candidate("b", 400)
 		time.Sleep(100 * time.Millisecond)
-		a.end()
+		a.shutDown()
 		time.Sleep(600 * time.Millisecond)
 	}},
-	{"hand-on-to-a-better", "handed on to a better one", func(p *play) {
+	{"hand-on-to-a-better", "handed on to a better one", func(p *scenario) {
 		p.candidate("a", 400)
 		time.Sleep(9200 * time.Millisecond)
 		p.record.Begin()
 		p.candidate("b", 900)
 		time.Sleep(1700 * time.Millisecond)
 	}},
-	{"no-quorum", "fails: no leader", func(p *play) {
+	{"no-quorum", "fails: no leader", func(p *scenario) {
 		p.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
 		p.service.Down(true)
@@ -108,24 +108,24 @@
 		p.service.Down(false)
 		time.Sleep(3 * time.Second)
 	}},
-	{"fenced", "target > a: refused", func(p *play) {
+	{"fenced", "target > a: refused", func(p *scenario) {
 		a := p.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.acts(a, 0, true)
+		p.act(a, 0, true)
 		cont := a.Stop()
 		late := make(chan struct{})
 		go func() { // it has looked, and is stopped before it acts
-			p.acts(a, 4*time.Second, false)
+			p.act(a, 4*time.Second, false)
 			close(late)
 		}()
 		time.Sleep(3 * time.Second)
 		b := p.candidate("b", 400)
 		time.Sleep(950 * time.Millisecond)
-		p.acts(b, 0, true)
+		p.act(b, 0, true)
 		<-late
 		cont()
 	}},
-	{"failed-at-it", "may not act any more under epoch 1: it fails at it", func(p *play) {
+	{"failed-at-it", "may not act any more under epoch 1: it fails at it", func(p *scenario) {
 		a := p.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
 		p.candidate("b", 400)
@@ -137,11 +137,11 @@
 
 // Guards against any change of what candidates and the service tell each other that nobody has looked at.
 func TestApprovedTranscripts(t *testing.T) {
-	for _, a := range approved {
+	for _, a := range scenarios {
 		t.Run(a.name, func(t *testing.T) {
 			text := ""
 			synctest.Test(t, func(t *testing.T) {
-				p := &play{T: t, service: memory.New(nil)}
+				p := &scenario{T: t, service: memory.New(nil)}
 				p.target.Record = &p.record
 				p.record.Begin()
 				a.script(p)
