--- a/internal/federation/chunks.go
+++ b/internal/federation/chunks.go
@@ -14,9 +14,9 @@
 
 // Bounds of a chunk: other commands of the own region get in between two chunks.
 const (
-	MaxChunkEntries = 500
-	MaxChunkBytes   = 256 << 10
-	entryBytes      = 128 // of an entry beside its text, encoded, at most
+	MaxChunkEntries    = 500
+	MaxChunkBytes      = 256 << 10
+	entryOverheadBytes = 128 // of an entry beside its text, encoded, at most
 )
 
 // ChunkLimit bounds a chunk. One entry or document goes in at any rate.
@@ -40,7 +40,7 @@
 	case l.Revision < replicated.SeenRevision:
 		return nil, "", fmt.Sprintf("its version goes back from %d to %d", replicated.SeenRevision, l.Revision)
 	}
-	entries := changed(replicated, l)
+	entries := changedEndpoints(replicated, l)
 	if n := len(replicated.Entries) + len(entries); n > 2*api.MaxEndpoints {
 		return nil, "", fmt.Sprintf("it tells of %d entries", n)
 	}
@@ -73,7 +73,7 @@
 	if len(entries) == 0 && len(documents) == 0 && l.Revision == replicated.Revision && replicated.SeenRevision == replicated.Revision {
 		return nil, anomaly, ""
 	}
-	return b.cut(list.Chunk{Region: region, From: replicated.Revision, To: l.Revision, Part: replicated.NextPart}, entries, documents), anomaly, ""
+	return b.split(list.Chunk{Region: region, From: replicated.Revision, To: l.Revision, Part: replicated.NextPart}, entries, documents), anomaly, ""
 }
 
 // equalDocuments tells whether two documents of one revision have the same content.
@@ -81,9 +81,9 @@
 	return a.Deleted == b.Deleted && a.Schema == b.Schema && bytes.Equal(a.Settings, b.Settings)
 }
 
-// changed are the endpoints that differ from what is replicated, in the event's order, and then those that it
+// changedEndpoints are the endpoints that differ from what is replicated, in the event's order, and then those that it
 // removes.
-func changed(replicated list.Replicated, l api.WatchEvent) (entries []api.Endpoint) {
+func changedEndpoints(replicated list.Replicated, l api.WatchEvent) (entries []api.Endpoint) {
 	named := make(map[string]bool, len(l.Endpoints))
 	for _, e := range l.Endpoints {
 		named[e.Name] = true
@@ -102,8 +102,8 @@
 	return entries
 }
 
-// cut makes chunks of bounded size, documents first: settings are to be in force before the many entries of a heal.
-func (b ChunkLimit) cut(p list.Chunk, entries []api.Endpoint, documents []api.Document) (chunks []list.Chunk) {
+// split makes chunks of bounded size, documents first: settings are to be in force before the many entries of a heal.
+func (b ChunkLimit) split(p list.Chunk, entries []api.Endpoint, documents []api.Document) (chunks []list.Chunk) {
 	size := 0
 	next := func(bytes int) {
 		if full := len(p.Entries) == b.Entries || size+bytes > b.Bytes; full && size > 0 {
@@ -113,11 +113,11 @@
 		size += bytes
 	}
 	for _, d := range documents {
-		next(entryBytes + len(d.Service) + len(d.Region) + len(d.Settings))
+		next(entryOverheadBytes + len(d.Service) + len(d.Region) + len(d.Settings))
 		p.Documents = append(p.Documents, d)
 	}
 	for _, e := range entries {
-		next(entryBytes + len(e.Name) + len(e.Address) + len(e.Zone) + len(e.Machine))
+		next(entryOverheadBytes + len(e.Name) + len(e.Address) + len(e.Zone) + len(e.Machine))
 		p.Entries = append(p.Entries, e)
 	}
 	p.Last = true
--- a/internal/federation/chunks_test.go
+++ b/internal/federation/chunks_test.go
@@ -33,12 +33,12 @@
 	r.apply(list.Command{Op: list.Register, Name: name, Registration: &api.Registration{Address: address, Weight: 1}})
 }
 
-func (r *region) settle(op, service, text string, on int64) list.Result {
+func (r *region) changeDocument(op, service, text string, on int64) list.Result {
 	return r.apply(list.Command{Op: op, Name: service, IfRevision: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(text)}})
 }
 
-// copied is a replica of the region as it is now.
-func (r *region) copied(t interface{ Fatal(...any) }, history int) *region {
+// clone is a replica of the region as it is now.
+func (r *region) clone(t interface{ Fatal(...any) }, history int) *region {
 	text, err := json.Marshal(r.list.State())
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	return &region{r.name, list.Load(s, history)}
 }
 
-func (r *region) tells(from int64) api.WatchEvent {
+func (r *region) ownChanges(from int64) api.WatchEvent {
 	l := r.list.OwnChangesSince(from)
 	l.Region = r.name
 	return l
@@ -58,14 +58,14 @@
 
 // watcher is a sidecar of a region: what the lines of a watch make of it.
 type watcher struct {
-	at      int64
-	entries map[string]api.Endpoint
+	revision int64
+	entries  map[string]api.Endpoint
 }
 
-func (w *watcher) hear(l *list.List) (wrong string) {
-	told := l.ChangesSince(w.at)
-	if told.Revision < w.at {
-		return fmt.Sprintf("version %d after %d", told.Revision, w.at)
+func (w *watcher) read(l *list.List) (wrong string) {
+	told := l.ChangesSince(w.revision)
+	if told.Revision < w.revision {
+		return fmt.Sprintf("version %d after %d", told.Revision, w.revision)
 	}
 	if told.Snapshot {
 		w.entries = map[string]api.Endpoint{}
@@ -81,7 +81,7 @@
 			w.entries[e.Name] = e
 		}
 	}
-	w.at = told.Revision
+	w.revision = told.Revision
 	if want := byName(l.Full().Endpoints); !maps.Equal(w.entries, want) {
 		return fmt.Sprintf("a watcher has %v, and the list is %v", w.entries, want)
 	}
@@ -96,10 +96,10 @@
 	return m
 }
 
-// seen is the highest of what was seen of other regions in one: none of it may go back.
-type seen map[string]int64
+// highestSeen is the highest of what was highestSeen of other regions in one: none of it may go back.
+type highestSeen map[string]int64
 
-func (s seen) look(l *list.List) (wrong string) {
+func (s highestSeen) check(l *list.List) (wrong string) {
 	at := func(what string, version int64) {
 		if version < s[what] {
 			wrong = fmt.Sprintf("%s is at %d after %d", what, version, s[what])
@@ -117,18 +117,18 @@
 	return wrong
 }
 
-// play draws what happens in two regions and between them: changes of both; listings from the other's newest replica, from one
+// runScenario draws what happens in two regions and between them: changes of both; listings from the other's newest replica, from one
 // that is behind, or from a copy of before that goes on by itself; chunks that are lost, come twice, or come late; and a follower's
 // list that goes through a snapshot. careless plants a follower that takes in what is older. It gives what went wrong.
-func play(t *rapid.T, careless bool) (wrong string) {
+func runScenario(t *rapid.T, careless bool) (wrong string) {
 	history := rapid.IntRange(2, 20).Draw(t, "history")
 	north, south := newRegion("north", history), newRegion("south", history)
 	if careless {
 		south.list.SkipRegionChecks()
 	}
-	behind := []*region{north.copied(t, history)}
+	behind := []*region{north.clone(t, history)}
 	var late []list.Chunk // that were proposed once
-	w, had := watcher{at: -1}, seen{}
+	w, had := watcher{revision: -1}, highestSeen{}
 	steps := rapid.IntRange(1, 60).Draw(t, "steps")
 	for i := range steps {
 		of := rapid.SampledFrom([]*region{north, north, south}).Draw(t, "region")
@@ -147,9 +147,9 @@
 			if d.Revision > 0 && rapid.IntRange(0, 3).Draw(t, "delete") == 0 {
 				op = list.DeleteDocument
 			}
-			of.settle(op, service, fmt.Sprintf(`{"by":"%s %d"}`, of.name, i), d.Revision)
+			of.changeDocument(op, service, fmt.Sprintf(`{"by":"%s %d"}`, of.name, i), d.Revision)
 		case "copy":
-			behind = append(behind, north.copied(t, history))
+			behind = append(behind, north.clone(t, history))
 		case "follow":
 			source := north
 			if k := rapid.IntRange(-3, len(behind)-1).Draw(t, "source"); k >= 0 {
@@ -163,7 +163,7 @@
 			if rapid.Bool().Draw(t, "whole") {
 				from = -1
 			}
-			told := source.tells(from)
+			told := source.ownChanges(from)
 			if careless {
 				replicated.SeenRevision, replicated.Documents = 0, nil
 			}
@@ -177,7 +177,7 @@
 					return fmt.Sprintf("%+v: %v", p, r.Err)
 				}
 				late = append(late, p)
-				if wrong = had.look(south.list); wrong != "" {
+				if wrong = had.check(south.list); wrong != "" {
 					return wrong
 				}
 			}
@@ -187,7 +187,7 @@
 			}
 		case "snapshot":
 			before, _ := json.Marshal(south.list.State())
-			south = south.copied(t, history)
+			south = south.clone(t, history)
 			if after, _ := json.Marshal(south.list.State()); string(after) != string(before) {
 				return fmt.Sprintf("a snapshot of a snapshot is another one:\n%s\n%s", before, after)
 			}
@@ -195,11 +195,11 @@
 				south.list.SkipRegionChecks()
 			}
 		}
-		if wrong = had.look(south.list); wrong != "" {
+		if wrong = had.check(south.list); wrong != "" {
 			return wrong
 		}
 		if rapid.Bool().Draw(t, "the watcher reads") {
-			if wrong = w.hear(south.list); wrong != "" {
+			if wrong = w.read(south.list); wrong != "" {
 				return wrong
 			}
 		}
@@ -213,7 +213,7 @@
 	for north.list.Revision() < south.list.Replicated("north").SeenRevision { // a copy went on beyond it
 		north.register("last", fmt.Sprint("127.0.0.1:", north.list.Revision()+10))
 	}
-	chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.tells(-1))
+	chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
 	if anomaly != "" || rejected != "" {
 		return anomaly + rejected
 	}
@@ -223,22 +223,22 @@
 		}
 	}
 	replicated := south.list.Replicated("north")
-	if want := byName(north.tells(-1).Endpoints); !maps.Equal(replicated.Entries, want) || replicated.Revision != north.list.Revision() {
+	if want := byName(north.ownChanges(-1).Endpoints); !maps.Equal(replicated.Entries, want) || replicated.Revision != north.list.Revision() {
 		return fmt.Sprintf("held at %d: %v, and it is at %d: %v", replicated.Revision, replicated.Entries, north.list.Revision(), want)
 	}
-	for _, d := range north.tells(-1).Documents {
+	for _, d := range north.ownChanges(-1).Documents {
 		if h := replicated.Documents[d.Service]; h.Revision != d.Revision || h.Deleted != d.Deleted || string(h.Settings) != string(d.Settings) {
 			return fmt.Sprintf("held %+v of %+v", h, d)
 		}
 	}
-	return w.hear(south.list)
+	return w.read(south.list)
 }
 
 // Whatever order things come in, a follower goes on only, takes no harm from what comes twice, late or not at all, and has in the
 // end what the other has; its watchers have its list at each step.
 func TestAFollowerOnlyGoesOn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if wrong := play(t, false); wrong != "" {
+		if wrong := runScenario(t, false); wrong != "" {
 			t.Fatal(wrong)
 		}
 	})
@@ -249,7 +249,7 @@
 	found := ""
 	rapid.Check(t, func(t *rapid.T) {
 		if found == "" {
-			found = play(t, true)
+			found = runScenario(t, true)
 		}
 	})
 	if !strings.Contains(found, " after ") {
@@ -262,17 +262,17 @@
 func TestTenThousandEntriesToCatchUp(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	south.register("own", "127.0.0.1:1")
-	w := watcher{at: -1}
+	w := watcher{revision: -1}
 	for i := range 10_000 {
 		north.register(fmt.Sprint("u", i), "127.0.0.1:1")
 	}
 	for i := range 20 {
-		north.settle(list.PutDocument, fmt.Sprint("s", i), `{"x":"`+strings.Repeat("y", 30<<10)+`"}`, 0)
+		north.changeDocument(list.PutDocument, fmt.Sprint("s", i), `{"x":"`+strings.Repeat("y", 30<<10)+`"}`, 0)
 	}
-	had, writes, taken := seen{}, 0, 0
+	had, writes, taken := highestSeen{}, 0, 0
 	catchUp := func(most int, from int64) {
 		t.Helper()
-		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.tells(from))
+		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.ownChanges(from))
 		if anomaly != "" || rejected != "" {
 			t.Fatal(anomaly, rejected)
 		}
@@ -294,7 +294,7 @@
 			taken++
 			writes++
 			south.register("own", fmt.Sprint("127.0.0.1:", 1+writes))
-			if wrong := w.hear(south.list) + had.look(south.list); wrong != "" {
+			if wrong := w.read(south.list) + had.check(south.list); wrong != "" {
 				t.Fatal(wrong)
 			}
 			if got := w.entries["own"].Address; got != fmt.Sprint("127.0.0.1:", 1+writes) {
@@ -307,7 +307,7 @@
 		t.Fatalf("in the middle: %d, seen %d, %d entries", h.Revision, h.SeenRevision, len(h.Entries))
 	}
 	north.apply(list.Command{Op: list.Deregister, Name: "u0"}) // was taken in; goes meanwhile
-	north.settle(list.PutDocument, "s0", `{"x":"repaired"}`, 10_001)
+	north.changeDocument(list.PutDocument, "s0", `{"x":"repaired"}`, 10_001)
 	first := taken
 	catchUp(-1, -1)
 	h := south.list.Replicated("north")
@@ -317,7 +317,7 @@
 	if rest := taken - first; rest > 20 {
 		t.Errorf("%d pieces after %d: what was taken in comes again", rest, first)
 	}
-	if chunks, _, _ := Chunks("north", h, north.tells(-1)); len(chunks) != 0 {
+	if chunks, _, _ := Chunks("north", h, north.ownChanges(-1)); len(chunks) != 0 {
 		t.Errorf("%d pieces without news", len(chunks))
 	}
 }
@@ -327,7 +327,7 @@
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	follow := func(by, of *region) (anomaly string) {
 		t.Helper()
-		chunks, anomaly, rejected := Chunks(of.name, by.list.Replicated(of.name), of.tells(-1))
+		chunks, anomaly, rejected := Chunks(of.name, by.list.Replicated(of.name), of.ownChanges(-1))
 		if rejected != "" {
 			t.Fatal(rejected)
 		}
@@ -347,25 +347,25 @@
 			}
 		}
 	}
-	south.settle(list.PutDocument, "s", `1`, 0)
-	north.settle(list.PutDocument, "s", `2`, 0)
+	south.changeDocument(list.PutDocument, "s", `1`, 0)
+	north.changeDocument(list.PutDocument, "s", `2`, 0)
 	heal()
 	is("north", `2`)
-	if r := south.settle(list.PutDocument, "s", `3`, 1); r.Err == nil || r.Err.Code != api.CodeConflict || !strings.Contains(r.Err.Text, "region north") {
+	if r := south.changeDocument(list.PutDocument, "s", `3`, 1); r.Err == nil || r.Err.Code != api.CodeConflict || !strings.Contains(r.Err.Text, "region north") {
 		t.Errorf("a put to the region that does not own it: %+v", r)
 	}
 	if n := len(south.list.Documents()); n != 2 {
 		t.Errorf("%d documents are listed", n)
 	}
-	if r := north.settle(list.DeleteDocument, "s", "", 1); r.Err != nil {
+	if r := north.changeDocument(list.DeleteDocument, "s", "", 1); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	heal()
 	is("south", `1`)
-	if r := south.settle(list.PutDocument, "s", `4`, 1); r.Err != nil {
+	if r := south.changeDocument(list.PutDocument, "s", `4`, 1); r.Err != nil {
 		t.Fatal(r.Err)
 	}
-	if r := south.settle(list.DeleteDocument, "s", "", south.list.Revision()); r.Err != nil {
+	if r := south.changeDocument(list.DeleteDocument, "s", "", south.list.Revision()); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	heal()
@@ -377,10 +377,10 @@
 
 	// The owner, put back to an old copy that then goes on beyond what was seen: its entries are as it says, and the settings that
 	// are older than those held are set aside and told.
-	old := north.copied(t, list.CompactionWindow)
-	north.settle(list.PutDocument, "t", `1`, 0)
-	old.settle(list.PutDocument, "t", `other`, 0)
-	north.settle(list.PutDocument, "t", `2`, north.list.Revision())
+	old := north.clone(t, list.CompactionWindow)
+	north.changeDocument(list.PutDocument, "t", `1`, 0)
+	old.changeDocument(list.PutDocument, "t", `other`, 0)
+	north.changeDocument(list.PutDocument, "t", `2`, north.list.Revision())
 	heal()
 	for range 9 {
 		old.register("u", fmt.Sprint("127.0.0.1:", old.list.Revision()+1))
@@ -405,7 +405,7 @@
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	take := func(of *region) (anomaly string) {
 		t.Helper()
-		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), of.tells(-1))
+		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), of.ownChanges(-1))
 		if rejected != "" {
 			t.Fatal(rejected)
 		}
@@ -416,9 +416,9 @@
 		}
 		return anomaly
 	}
-	old := north.copied(t, list.CompactionWindow)
-	north.settle(list.PutDocument, "s", `1`, 0)
-	old.settle(list.PutDocument, "s", `2`, 0)
+	old := north.clone(t, list.CompactionWindow)
+	north.changeDocument(list.PutDocument, "s", `1`, 0)
+	old.changeDocument(list.PutDocument, "s", `2`, 0)
 	for range 2 { // what is the same is not anomalous
 		if anomaly := take(north); anomaly != "" {
 			t.Errorf("the owner: %q", anomaly)
@@ -433,7 +433,7 @@
 	if d, _ := south.list.Document("s"); string(d.Settings) != `1` {
 		t.Errorf("held: %+v", d)
 	}
-	old.settle(list.DeleteDocument, "s", "", 1)
+	old.changeDocument(list.DeleteDocument, "s", "", 1)
 	if anomaly := take(old); anomaly != "" {
 		t.Errorf("a version later: %q", anomaly)
 	}
@@ -446,7 +446,7 @@
 // was not held by then, does not take away: what was worked out is refused, and worked out anew.
 func TestAPieceThatComesLate(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
-	north.settle(list.PutDocument, "s", `1`, 0)
+	north.changeDocument(list.PutDocument, "s", `1`, 0)
 	north.register("a", "127.0.0.1:1")
 	north.register("b", "127.0.0.1:2")
 	one := ChunkLimit{Entries: 1, Bytes: 1}
@@ -456,7 +456,7 @@
 		}
 		return nil
 	}
-	first, _, _ := one.Chunks("north", south.list.Replicated("north"), north.tells(-1))
+	first, _, _ := one.Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
 	if len(first) != 3 {
 		t.Fatalf("%d pieces", len(first))
 	}
@@ -465,7 +465,7 @@
 	}
 	north.apply(list.Command{Op: list.Deregister, Name: "a"})
 	for _, late := range []bool{true, false} {
-		chunks, _, _ := one.Chunks("north", south.list.Replicated("north"), north.tells(-1))
+		chunks, _, _ := one.Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
 		if late {
 			_ = take(first[1])
 		}
@@ -475,7 +475,7 @@
 			}
 		}
 		replicated := south.list.Replicated("north")
-		if want := byName(north.tells(-1).Endpoints); replicated.Revision == north.list.Revision() && !maps.Equal(replicated.Entries, want) {
+		if want := byName(north.ownChanges(-1).Endpoints); replicated.Revision == north.list.Revision() && !maps.Equal(replicated.Entries, want) {
 			t.Fatalf("held whole at %d: %v, and it is %v", replicated.Revision, replicated.Entries, want)
 		} else if !late && replicated.Revision != north.list.Revision() {
 			t.Errorf("held at %d of %d", replicated.Revision, north.list.Revision())
--- a/internal/federation/explore/explore.go
+++ b/internal/federation/explore/explore.go
@@ -24,35 +24,37 @@
 
 // Bounds are how often something may happen on a path, and how long the paths are.
 type Bounds struct {
-	Depth     int  // steps
-	Empty     bool // the follower holds nothing at first; else all of the owner's first two changes, of which one source has one
-	Changes   int  // by the owner
-	Losses    int  // a watch or a chunk is lost
-	Lates     int  // a chunk is carried out after who proposed it gave it up
-	Repeats   int  // a line is taken in a second time, or a chunk carried out
-	Elections int  // another leader begins
-	Starts    int  // the follower starts again
-	Backs     int  // the owner is put back
-	Barrier   bool // a leader begins as the program's does, see begins; else the log alone keeps leaders apart
-	Reads     int  // of the sidecar
+	Depth      int  // steps
+	Empty      bool // the follower holds nothing at first; else all of the owner's first two changes, of which one source has one
+	Changes    int  // by the owner
+	Losses     int  // a watch or a chunk is lost
+	LateChunks int  // a chunk is carried out after who proposed it gave it up
+	Duplicates int  // a line is taken in a second time, or a chunk carried out
+	Elections  int  // another leader begins
+	Restarts   int  // the follower starts again
+	Restores   int  // the owner is put back
+	Barrier    bool // a leader begins as the program's does, see begins; else the log alone keeps leaders apart
+	Reads      int  // of the sidecar
 }
 
 // Faults are planted, to see that they are found.
 type Faults struct {
-	NoSeen    bool // neither the leader nor the log looks at the highest version that was begun
-	NoFrom    bool // the log does not look at where a chunk goes on from
-	NoTurns   bool // the log does not look at how many chunks were taken in
-	GoesOn    bool // a leader goes on behind a chunk that was lost
-	Forgets   bool // documents that a whole list does not name are gone
-	NoSilence bool // a leader asks for what changed however long the owner was silent
-	NoHighest bool // the sidecar takes in whatever it is told
+	NoSeenCheck       bool // neither the leader nor the log looks at the highest version that was begun
+	NoFromCheck       bool // the log does not look at where a chunk goes on from
+	NoPartCheck       bool // the log does not look at how many chunks were taken in
+	ContinueAfterLoss bool // a leader goes on behind a chunk that was lost
+	DropUnnamed       bool // documents that a whole list does not name are gone
+	NoResync          bool // a leader asks for what changed however long the owner was silent
+	AcceptOlder       bool // the sidecar takes in whatever it is told
 }
 
-// Found is what an exploration came to.
-type Found = modelcheck.Result
+// Result is what an exploration came to.
+type Result = modelcheck.Result
 
 // Run explores breadth first. Whether what is held can be healed is looked at in each state.
-func Run(b Bounds, f Faults) Found { return modelcheck.Search(begin(b, f), b.Depth, (*state).heal) }
+func Run(b Bounds, f Faults) Result {
+	return modelcheck.Search(newState(b, f), b.Depth, (*state).checkConvergence)
+}
 
 const (
 	north   = "north" // the owner
@@ -60,6 +62,6 @@
 	service = "s"     // the one that the sidecar is of
 )
 
-func source(at int) string { return [...]string{"the fresh source", "the lagging source"}[at] }
+func sourceName(at int) string { return [...]string{"the fresh source", "the lagging source"}[at] }
 
-func leading(who int) string { return fmt.Sprint("leader ", who) }
+func leaderName(who int) string { return fmt.Sprint("leader ", who) }
--- a/internal/federation/explore/promises.go
+++ b/internal/federation/explore/promises.go
@@ -12,11 +12,11 @@
 
 // Broken names a promise that does not hold, in what a step came to.
 func (s *state) Broken(before *state) string {
-	if s.why != "" {
-		return s.why
+	if s.violation != "" {
+		return s.violation
 	}
-	if s.sidecar.Revision < before.sidecar.Revision {
-		return fmt.Sprintf("the sidecar has version %d after %d", s.sidecar.Revision, before.sidecar.Revision)
+	if s.sidecarDocument.Revision < before.sidecarDocument.Revision {
+		return fmt.Sprintf("the sidecar has version %d after %d", s.sidecarDocument.Revision, before.sidecarDocument.Revision)
 	}
 	if s.follower.List == before.follower.List {
 		return ""
@@ -30,43 +30,43 @@
 		switch {
 		case !there:
 			return fmt.Sprintf("the settings of %s are held no more; they were at version %d, deleted %v", name, w.Revision, w.Deleted)
-		case d.Revision < w.Revision, d.Revision == w.Revision && !alike(d, w):
+		case d.Revision < w.Revision, d.Revision == w.Revision && !equalDocuments(d, w):
 			return fmt.Sprintf("the settings of %s are %+v after %+v", name, d, w)
 		}
 	}
 	for name, e := range replicated.Entries {
-		if w, there := was.Entries[name]; there && !s.back && number(e) < number(w) {
-			return fmt.Sprintf("the entry %s is as of change %d after %d", name, number(e), number(w))
+		if w, there := was.Entries[name]; there && !s.restored && changeNumber(e) < changeNumber(w) {
+			return fmt.Sprintf("the entry %s is as of change %d after %d", name, changeNumber(e), changeNumber(w))
 		}
 	}
-	if wrong := s.unissued(replicated); wrong != "" {
+	if wrong := s.checkIssued(replicated); wrong != "" {
 		return wrong
 	}
-	if !s.back && replicated.Revision > 0 && replicated.Revision == replicated.SeenRevision {
-		if p := s.issued[replicated.Revision-1]; !p.is(replicated) {
+	if !s.restored && replicated.Revision > 0 && replicated.Revision == replicated.SeenRevision {
+		if p := s.issuedViews[replicated.Revision-1]; !p.matches(replicated) {
 			return fmt.Sprintf("held whole at %d is %+v, and it was %+v", replicated.Revision, replicated, p)
 		}
 	}
-	return s.ownTouched()
+	return s.checkOwn()
 }
 
-// unissued names what is held that the owner never issued.
-func (s *state) unissued(replicated list.Replicated) string {
+// checkIssued names what is held that the owner never issued.
+func (s *state) checkIssued(replicated list.Replicated) string {
 	for name, d := range replicated.Documents {
-		if !slices.ContainsFunc(s.issued, func(p past) bool { i, there := p.documents[name]; return there && alike(i, d) }) {
+		if !slices.ContainsFunc(s.issuedViews, func(p ownerView) bool { i, there := p.documents[name]; return there && equalDocuments(i, d) }) {
 			return fmt.Sprintf("the owner never issued %+v", d)
 		}
 	}
 	for name, e := range replicated.Entries {
-		if !slices.ContainsFunc(s.issued, func(p past) bool { i, there := p.entries[name]; return there && i == e }) {
+		if !slices.ContainsFunc(s.issuedViews, func(p ownerView) bool { i, there := p.entries[name]; return there && i == e }) {
 			return fmt.Sprintf("the owner never issued %+v", e)
 		}
 	}
 	return ""
 }
 
-// ownTouched names what of the follower's own is not as it wrote it.
-func (s *state) ownTouched() string {
+// checkOwn names what of the follower's own is not as it wrote it.
+func (s *state) checkOwn() string {
 	own := s.follower.OwnChangesSince(-1)
 	if len(own.Endpoints) != 2 || len(own.Documents) != 1 || own.Documents[0].Revision != 3 || own.Documents[0].Region != south {
 		return fmt.Sprintf("the follower's own are %+v", own)
@@ -79,49 +79,49 @@
 	return ""
 }
 
-// is tells whether what is held is all of what the owner told once.
-func (p past) is(replicated list.Replicated) bool {
-	return maps.Equal(replicated.Entries, p.entries) && maps.EqualFunc(replicated.Documents, p.documents, alike)
+// matches tells whether what matches held matches all of what the owner told once.
+func (p ownerView) matches(replicated list.Replicated) bool {
+	return maps.Equal(replicated.Entries, p.entries) && maps.EqualFunc(replicated.Documents, p.documents, equalDocuments)
 }
 
-func alike(a, b api.Document) bool {
+func equalDocuments(a, b api.Document) bool {
 	return a.Service == b.Service && a.Region == b.Region && a.Revision == b.Revision && a.Deleted == b.Deleted && string(a.Settings) == string(b.Settings)
 }
 
-// number is which of the owner's changes an entry is of.
-func number(e api.Endpoint) int {
+// changeNumber is which of the owner's changes an entry is of.
+func changeNumber(e api.Endpoint) int {
 	n, _ := strconv.Atoi(e.Address)
 	return n
 }
 
-// settleMost is more steps than any heal takes here.
-const settleMost = 64
+// maxSettleSteps is more steps than any heal takes here.
+const maxSettleSteps = 64
 
 // settle is a fair continuation: one leader, the one that began last, and all links up, until there is nothing more to do. It is
 // false where that does not come to an end.
 func (s *state) settle() bool {
-	s.behind, s.late, s.left = s.owner, nil, Bounds{}
-	s.leaders[1-s.newest] = leader{}
-	if !s.leaders[s.newest].leads {
-		s.lead(s.newest)
+	s.laggingOwner, s.lateChunks, s.remaining = s.owner, nil, Bounds{}
+	s.leaders[1-s.newestLeader] = leader{}
+	if !s.leaders[s.newestLeader].leading {
+		s.startLeader(s.newestLeader)
 	}
 	rejected := 0
-	for range settleMost {
-		l := &s.leaders[s.newest]
+	for range maxSettleSteps {
+		l := &s.leaders[s.newestLeader]
 		switch {
 		case len(l.chunks) > 0:
-			s.propose(s.newest)
-		case len(l.lines) > 0:
-			s.applyChunk(s.newest)
-			if l.sync.Rejected != "" {
+			s.propose(s.newestLeader)
+		case len(l.events) > 0:
+			s.applyEvent(s.newestLeader)
+			if l.syncState.Rejected != "" {
 				if rejected++; rejected > 2 {
 					return true // it is said, and stays so until the owner goes on
 				}
 			}
-		case !l.watches:
-			s.watch(s.newest, 0)
+		case !l.watching:
+			s.startWatch(s.newestLeader, 0)
 		default:
-			if s.line(s.newest); len(l.lines) == 0 {
+			if s.receiveEvent(s.newestLeader); len(l.events) == 0 {
 				return true
 			}
 		}
@@ -129,26 +129,26 @@
 	return false
 }
 
-// heal names what a fair continuation from here leaves undone: the follower has all of the owner's, or says what it sets aside,
+// checkConvergence names what a fair continuation from here leaves undone: the follower has all of the owner's, or says what it sets aside,
 // which it has no cause for where the owner was not put back; and the sidecar has what the follower tells.
-func (s *state) heal() string {
+func (s *state) checkConvergence() string {
 	n := s.Clone()
 	if !n.settle() {
 		return "healing does not end"
 	}
-	sync, replicated := n.leaders[n.newest].sync, n.follower.Replicated(north)
-	owner := s.now
+	sync, replicated := n.leaders[n.newestLeader].syncState, n.follower.Replicated(north)
+	owner := s.currentView
 	switch {
-	case !s.back && (sync.Rejected != "" || sync.Anomaly != ""):
+	case !s.restored && (sync.Rejected != "" || sync.Anomaly != ""):
 		return fmt.Sprintf("set aside without cause: %s%s", sync.Rejected, sync.Anomaly)
 	case sync.Rejected == "" && !maps.Equal(replicated.Entries, owner.entries), sync.Rejected == "" && replicated.Revision != n.owner.Revision():
 		return fmt.Sprintf("healed at %d: entries are %v, and the owner's at %d %v", replicated.Revision, replicated.Entries, n.owner.Revision(), owner.entries)
-	case sync.Rejected == "" && sync.Anomaly == "" && !maps.EqualFunc(replicated.Documents, owner.documents, alike):
+	case sync.Rejected == "" && sync.Anomaly == "" && !maps.EqualFunc(replicated.Documents, owner.documents, equalDocuments):
 		return fmt.Sprintf("healed, nothing said: documents are %+v, and the owner's %+v", replicated.Documents, owner.documents)
 	}
-	n.read(n.follower)
-	if d, _ := n.follower.Document(service); !alike(d, n.sidecar) {
-		return fmt.Sprintf("healed: the sidecar has %+v, and is told %+v", n.sidecar, d)
+	n.readSettings(n.follower)
+	if d, _ := n.follower.Document(service); !equalDocuments(d, n.sidecarDocument) {
+		return fmt.Sprintf("healed: the sidecar has %+v, and is told %+v", n.sidecarDocument, d)
 	}
 	return ""
 }
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -14,78 +14,80 @@
 )
 
 const (
-	history  = 1 // changed entries that the owner remembers: with the third change the first is forgotten
-	underWay = 2 // lines of a watch, and chunks that were given up
+	history     = 1 // changed entries that the owner remembers: with the third change the first is forgotten
+	maxInFlight = 2 // lines of a watch, and chunks that were given up
 )
 
-// one is the bound of chunks here: each is one entry or document.
-var one = federation.ChunkLimit{Entries: 1, Bytes: 1}
+// oneItem is the bound of chunks here: each is oneItem entry or document.
+var oneItem = federation.ChunkLimit{Entries: 1, Bytes: 1}
 
-// frozen is a list that states may share once it has a key. Each change of such a one goes through a snapshot.
-type frozen struct {
+// sharedList is a list that states may share once it has a key. Each change of such a one goes through a snapshot.
+type sharedList struct {
 	*list.List
 	key []byte
 }
 
-func (f *frozen) change(do func(*list.List)) {
+func (f *sharedList) change(do func(*list.List)) {
 	if f.key != nil {
-		*f = frozen{List: list.Load(f.State(), history)}
+		*f = sharedList{List: list.Load(f.State(), history)}
 	}
 	do(f.List)
 }
 
-// freeze makes the key.
-func (f *frozen) freeze() {
+// setKey makes the key.
+func (f *sharedList) setKey() {
 	if f.key == nil {
 		f.key, _ = json.Marshal(f.State()) // of plain words and numbers
 	}
 }
 
-// past is what the owner's list once told.
-type past struct {
+// ownerView is what the owner's list once told.
+type ownerView struct {
 	entries   map[string]api.Endpoint
 	documents map[string]api.Document
 }
 
 // leader is a replica of the follower that takes itself for its leader.
 type leader struct {
-	leads    bool
-	sync     federation.SyncState
-	unheard  bool // the owner was, for long
-	watches  bool
-	source   int
-	at       int64 // what the watch has told up to
-	lines    []api.WatchEvent
-	chunks   []list.Chunk // of the line that was taken last, to be proposed one by one
-	snapshot bool         // it was one
-	anomaly  string       // what of it is not taken in
-	forgets  []string     // documents, see Faults
+	leading          bool
+	syncState        federation.SyncState
+	silent           bool // the owner was, for long
+	watching         bool
+	source           int
+	watchRevision    int64 // what the watch has told up to
+	events           []api.WatchEvent
+	chunks           []list.Chunk // of the line that was taken last, to be proposed one by one
+	snapshot         bool         // it was one
+	anomaly          string       // what of it is not taken in
+	droppedDocuments []string     // documents, see Faults
 }
 
-func (l *leader) drop() { l.watches, l.lines, l.chunks, l.forgets = false, nil, nil, nil }
+func (l *leader) endWatch() {
+	l.watching, l.events, l.chunks, l.droppedDocuments = false, nil, nil, nil
+}
 
 type state struct {
-	left     Bounds
-	faults   Faults
-	owner    frozen
-	behind   frozen // the owner's replica that lags
-	follower frozen
-	lags     frozen // the follower's replica that does
-	issued   []past // by the owner's changes
-	now      past   // what the owner tells
-	changes  string // the owner's, in one word each
-	back     bool   // the owner was put back
-	leaders  [2]leader
-	newest   int // which of them began last
-	late     []list.Chunk
-	sidecar  api.Document
-	why      string // a promise was broken by the step itself
+	remaining       Bounds
+	faults          Faults
+	owner           sharedList
+	laggingOwner    sharedList // the owner's replica that lags
+	follower        sharedList
+	laggingFollower sharedList  // the follower's replica that does
+	issuedViews     []ownerView // by the owner's changes
+	currentView     ownerView   // what the owner tells
+	changeLog       string      // the owner's, in one word each
+	restored        bool        // the owner was put back
+	leaders         [2]leader
+	newestLeader    int // which of them began last
+	lateChunks      []list.Chunk
+	sidecarDocument api.Document
+	violation       string // a promise was broken by the step itself
 }
 
-func begin(b Bounds, f Faults) *state {
-	s := &state{left: b, faults: f}
-	for _, l := range []*frozen{&s.owner, &s.behind, &s.follower, &s.lags} {
-		*l = frozen{List: list.New(history)}
+func newState(b Bounds, f Faults) *state {
+	s := &state{remaining: b, faults: f}
+	for _, l := range []*sharedList{&s.owner, &s.laggingOwner, &s.follower, &s.laggingFollower} {
+		*l = sharedList{List: list.New(history)}
 	}
 	s.follower.change(func(l *list.List) {
 		for _, name := range []string{"a", "o"} { // a has a namesake in north
@@ -94,42 +96,42 @@
 		on := int64(0)
 		l.Apply(list.Command{Op: list.PutDocument, Region: south, Name: "own", IfRevision: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(`{}`)}})
 	})
-	s.leaders[0].leads = true
-	s.issue("+a")
-	s.freeze()
-	s.lags, s.behind = s.follower, s.owner
-	s.issue("+" + service)
+	s.leaders[0].leading = true
+	s.changeOwner("+a")
+	s.setKeys()
+	s.laggingFollower, s.laggingOwner = s.follower, s.owner
+	s.changeOwner("+" + service)
 	if !b.Empty {
-		behind := s.behind
+		behind := s.laggingOwner
 		s.settle()
-		s.freeze()
-		s.left, s.behind, s.lags = b, behind, s.follower
+		s.setKeys()
+		s.remaining, s.laggingOwner, s.laggingFollower = b, behind, s.follower
 	}
-	s.freeze()
+	s.setKeys()
 	return s
 }
 
 // Clone implements modelcheck.State.
 func (s *state) Clone() *state {
 	c := *s
-	c.issued, c.late = slices.Clip(s.issued), slices.Clone(s.late)
+	c.issuedViews, c.lateChunks = slices.Clip(s.issuedViews), slices.Clone(s.lateChunks)
 	for i := range c.leaders {
 		l := &c.leaders[i]
-		l.lines = slices.Clone(l.lines)
+		l.events = slices.Clone(l.events)
 	}
 	return &c
 }
 
-func (s *state) freeze() {
-	for _, l := range []*frozen{&s.owner, &s.behind, &s.follower, &s.lags} {
-		l.freeze()
+func (s *state) setKeys() {
+	for _, l := range []*sharedList{&s.owner, &s.laggingOwner, &s.follower, &s.laggingFollower} {
+		l.setKey()
 	}
 }
 
-// issue is a change by the owner: + or - and an entry, or a service.
-func (s *state) issue(what string) {
-	s.changes += what + " "
-	n := len(s.issued) + 1 // in each text that is issued, so that no two are alike
+// changeOwner is a change by the owner: + or - and an entry, or a service.
+func (s *state) changeOwner(what string) {
+	s.changeLog += what + " "
+	n := len(s.issuedViews) + 1 // in each text that is issued, so that no two are alike
 	c := list.Command{Region: north, Name: what[1:]}
 	s.owner.change(func(l *list.List) {
 		switch {
@@ -145,16 +147,16 @@
 			c.Op = list.Deregister
 		}
 		if r := l.Apply(c); r.Err != nil {
-			s.why = fmt.Sprintf("the owner refuses %s: %v", what, r.Err)
+			s.violation = fmt.Sprintf("the owner refuses %s: %v", what, r.Err)
 		}
 	})
-	s.now = s.told()
-	s.issued = append(s.issued, s.now)
+	s.currentView = s.ownerView()
+	s.issuedViews = append(s.issuedViews, s.currentView)
 }
 
-// told is what the owner's list tells now.
-func (s *state) told() past {
-	p := past{map[string]api.Endpoint{}, map[string]api.Document{}}
+// ownerView is what the owner's list tells now.
+func (s *state) ownerView() ownerView {
+	p := ownerView{map[string]api.Endpoint{}, map[string]api.Document{}}
 	all := s.owner.OwnChangesSince(-1)
 	for _, e := range all.Endpoints {
 		p.entries[e.Name] = e
@@ -165,11 +167,11 @@
 	return p
 }
 
-// tells is the next line of a watch that was told up to from; false: there is nothing to tell.
-func (s *state) tells(at int, from int64) (api.WatchEvent, bool) {
+// nextEvent is the next line of a watch that was told up to from; false: there is nothing to tell.
+func (s *state) nextEvent(at int, from int64) (api.WatchEvent, bool) {
 	of := s.owner
 	if at == 1 {
-		of = s.behind
+		of = s.laggingOwner
 	}
 	if from == of.Revision() {
 		return api.WatchEvent{}, false
@@ -179,71 +181,71 @@
 	return l, l.Snapshot || len(l.Endpoints) > 0 || len(l.Documents) > 0
 }
 
-// watch begins a watch, with its first line if there is one.
-func (s *state) watch(who, at int) {
+// startWatch begins a startWatch, with its first line if there is one.
+func (s *state) startWatch(who, at int) {
 	l := &s.leaders[who]
-	l.watches, l.source = true, at
-	l.at = l.sync.NextRevision(s.follower.Replicated(north).Revision, l.unheard)
-	l.unheard = false
-	s.line(who)
+	l.watching, l.source = true, at
+	l.watchRevision = l.syncState.NextRevision(s.follower.Replicated(north).Revision, l.silent)
+	l.silent = false
+	s.receiveEvent(who)
 }
 
-// line is one line more on a watch.
-func (s *state) line(who int) {
+// receiveEvent is one receiveEvent more on a watch.
+func (s *state) receiveEvent(who int) {
 	l := &s.leaders[who]
-	if told, any := s.tells(l.source, l.at); any {
-		l.lines, l.at = append(l.lines, told), told.Revision
+	if told, any := s.nextEvent(l.source, l.watchRevision); any {
+		l.events, l.watchRevision = append(l.events, told), told.Revision
 	}
 }
 
-// applyChunk has a leader work out what a line comes to.
-func (s *state) applyChunk(who int) {
+// applyEvent has a leader work out what a line comes to.
+func (s *state) applyEvent(who int) {
 	l := &s.leaders[who]
-	told := l.lines[0]
-	l.lines = l.lines[1:]
+	told := l.events[0]
+	l.events = l.events[1:]
 	replicated := s.follower.Replicated(north)
-	if s.faults.NoSeen {
+	if s.faults.NoSeenCheck {
 		replicated.SeenRevision = 0
 	}
-	chunks, anomaly, rejected := one.Chunks(north, replicated, told)
+	chunks, anomaly, rejected := oneItem.Chunks(north, replicated, told)
 	if rejected != "" {
-		l.sync.Record(told.Snapshot, "", rejected)
-		l.drop()
+		l.syncState.Record(told.Snapshot, "", rejected)
+		l.endWatch()
 		return
 	}
 	l.chunks, l.snapshot, l.anomaly = chunks, told.Snapshot, anomaly
-	if s.faults.Forgets && told.Snapshot {
+	if s.faults.DropUnnamed && told.Snapshot {
 		for name := range replicated.Documents {
 			if !slices.ContainsFunc(told.Documents, func(d api.Document) bool { return d.Service == name }) {
-				l.forgets = append(l.forgets, name)
+				l.droppedDocuments = append(l.droppedDocuments, name)
 			}
 		}
 	}
-	s.chunkApplied(who)
+	s.recordIfApplied(who)
 }
 
-// chunkApplied notes that a line was taken in, once nothing of it is left.
-func (s *state) chunkApplied(who int) {
+// recordIfApplied notes that a line was taken in, once nothing of it is left.
+func (s *state) recordIfApplied(who int) {
 	if l := &s.leaders[who]; len(l.chunks) == 0 {
-		l.sync.Record(l.snapshot, l.anomaly, "")
-		l.anomaly, l.forgets = "", nil
+		l.syncState.Record(l.snapshot, l.anomaly, "")
+		l.anomaly, l.droppedDocuments = "", nil
 	}
 }
 
-// carryOut is a chunk that is committed.
-func (s *state) carryOut(p list.Chunk, forgets []string) (err *api.Error) {
+// commitChunk is a chunk that is committed.
+func (s *state) commitChunk(p list.Chunk, forgets []string) (err *api.Error) {
 	s.follower.change(func(l *list.List) {
-		if s.faults.NoFrom {
+		if s.faults.NoFromCheck {
 			p.From = l.Replicated(north).Revision
 		}
-		if s.faults.NoTurns {
+		if s.faults.NoPartCheck {
 			p.Part = l.Replicated(north).NextPart
 		}
-		if s.faults.NoSeen || p.Last && len(forgets) > 0 {
+		if s.faults.NoSeenCheck || p.Last && len(forgets) > 0 {
 			of := l.State()
 			for i := range of.Regions {
 				o := &of.Regions[i]
-				if s.faults.NoSeen {
+				if s.faults.NoSeenCheck {
 					o.SeenRevision = min(o.SeenRevision, p.To)
 				}
 				o.Documents = slices.DeleteFunc(o.Documents, func(d api.Document) bool { return p.Last && slices.Contains(forgets, d.Service) })
@@ -260,49 +262,49 @@
 	l := &s.leaders[who]
 	p := l.chunks[0]
 	l.chunks = l.chunks[1:]
-	if err := s.carryOut(p, l.forgets); err != nil {
-		s.unanswered(who)
+	if err := s.commitChunk(p, l.droppedDocuments); err != nil {
+		s.failProposal(who)
 		return
 	}
-	s.chunkApplied(who)
+	s.recordIfApplied(who)
 }
 
-// unanswered is a chunk of which a leader does not hear that it was carried out.
-func (s *state) unanswered(who int) {
+// failProposal is a chunk of which a leader does not hear that it was carried out.
+func (s *state) failProposal(who int) {
 	l := &s.leaders[who]
-	l.sync.Record(l.snapshot, "", "unanswered")
-	l.drop()
+	l.syncState.Record(l.snapshot, "", "unanswered")
+	l.endWatch()
 }
 
-// lead has a replica of the follower begin to lead.
-func (s *state) lead(who int) {
-	s.leaders[who] = leader{leads: true}
-	s.newest = who
+// startLeader has a replica of the follower begin to startLeader.
+func (s *state) startLeader(who int) {
+	s.leaders[who] = leader{leading: true}
+	s.newestLeader = who
 }
 
-// begins is lead for one that did not lead. With a barrier, as in the program, all that is in the log was carried out by then and
+// elect is lead for one that did not lead. With a barrier, as in the program, all that is in the log was carried out by then and
 // the rest never is: what was given up, whose leader leads no more, and whatever the former leader still proposes.
-func (s *state) begins(who int) {
-	if s.left.Barrier {
-		s.late, s.leaders[1-who] = nil, leader{}
+func (s *state) elect(who int) {
+	if s.remaining.Barrier {
+		s.lateChunks, s.leaders[1-who] = nil, leader{}
 	}
-	s.lead(who)
+	s.startLeader(who)
 }
 
-// read has the sidecar read at a replica of the follower.
-func (s *state) read(at frozen) {
-	if d, found := at.Document(service); found && (d.Revision >= s.sidecar.Revision || s.faults.NoHighest) {
-		s.sidecar = d
+// readSettings has the sidecar readSettings at a replica of the follower.
+func (s *state) readSettings(at sharedList) {
+	if d, found := at.Document(service); found && (d.Revision >= s.sidecarDocument.Revision || s.faults.AcceptOlder) {
+		s.sidecarDocument = d
 	}
 }
 
 // Hash is one of the key; two keys with the same one are taken for the same state, by a chance of 1 in 2^128 for a pair.
 func (s *state) Hash() (h modelcheck.Hash) {
-	s.freeze()
+	s.setKeys()
 	sum := sha256.New()
-	l := s.left
-	_, _ = fmt.Fprint(sum, l.Changes, l.Losses, l.Lates, l.Repeats, l.Elections, l.Starts, l.Backs, l.Reads, s.changes, s.back, s.newest, s.sidecar.Revision, string(s.sidecar.Settings))
-	for _, l := range []frozen{s.owner, s.behind, s.follower, s.lags} {
+	l := s.remaining
+	_, _ = fmt.Fprint(sum, l.Changes, l.Losses, l.LateChunks, l.Duplicates, l.Elections, l.Restarts, l.Restores, l.Reads, s.changeLog, s.restored, s.newestLeader, s.sidecarDocument.Revision, string(s.sidecarDocument.Settings))
+	for _, l := range []sharedList{s.owner, s.laggingOwner, s.follower, s.laggingFollower} {
 		sum.Write(l.key)
 	}
 	keyOf := func(p list.Chunk) {
@@ -316,15 +318,15 @@
 	}
 	for i := range s.leaders {
 		l := &s.leaders[i]
-		_, _ = fmt.Fprint(sum, "|L", l.leads, l.sync, l.unheard, l.watches, l.source, l.at, l.snapshot, l.anomaly, l.forgets)
-		for _, x := range l.lines {
+		_, _ = fmt.Fprint(sum, "|L", l.leading, l.syncState, l.silent, l.watching, l.source, l.watchRevision, l.snapshot, l.anomaly, l.droppedDocuments)
+		for _, x := range l.events {
 			keyOf(list.Chunk{From: int64(len(x.Endpoints)), To: x.Revision, Last: x.Snapshot, Entries: x.Endpoints, Documents: x.Documents})
 		}
 		for _, p := range l.chunks {
 			keyOf(p)
 		}
 	}
-	for _, p := range s.late {
+	for _, p := range s.lateChunks {
 		keyOf(p)
 	}
 	copy(h[:], sum.Sum(nil))
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -31,13 +31,13 @@
 
 // node is a state and the path to it.
 type node[S any] struct {
-	s    S
-	from *node[S]
-	step string
+	state  S
+	parent *node[S]
+	step   string
 }
 
 func (n *node[S]) path() (steps []string) {
-	for ; n.from != nil; n = n.from {
+	for ; n.parent != nil; n = n.parent {
 		steps = append(steps, n.step)
 	}
 	slices.Reverse(steps)
@@ -46,22 +46,22 @@
 
 type step[S any] struct {
 	name   string
-	s      S
+	state  S
 	broken string
 	hash   Hash
 }
 
-// expanded is what can follow one state.
-type expanded[S any] struct {
-	amiss string
-	steps []step[S]
+// expansion is what can follow one state.
+type expansion[S any] struct {
+	violation string
+	steps     []step[S]
 }
 
 // Search goes through all states that follow first within maxDepth steps. check, if it is not nil, is called
 // with each state, the last ones too, and returns what is wrong with it.
 func Search[S State[S]](first S, maxDepth int, check func(S) string) Result {
 	seen := map[Hash]struct{}{first.Hash(): {}}
-	level := []*node[S]{{s: first}}
+	level := []*node[S]{{state: first}}
 	var none S
 	for depth := 0; ; depth++ {
 		if depth == maxDepth && check == nil {
@@ -70,8 +70,8 @@
 		var next []*node[S]
 		for part := range slices.Chunk(level, 1024) {
 			for i, x := range expand(part, depth < maxDepth, check) {
-				if x.amiss != "" {
-					return Result{len(seen), depth, x.amiss, part[i].path()}
+				if x.violation != "" {
+					return Result{len(seen), depth, x.violation, part[i].path()}
 				}
 				for _, x := range x.steps {
 					if x.broken != "" {
@@ -81,9 +81,9 @@
 						continue
 					}
 					seen[x.hash] = struct{}{}
-					next = append(next, &node[S]{x.s, part[i], x.name})
+					next = append(next, &node[S]{x.state, part[i], x.name})
 				}
-				part[i].s = none // its way stays, itself is not needed any more
+				part[i].state = none // its way stays, itself is not needed any more
 			}
 		}
 		if level = next; len(level) == 0 {
@@ -93,28 +93,28 @@
 }
 
 // expand expands each node, on all processors. The order of the result does not depend on them.
-func expand[S State[S]](part []*node[S], expandStates bool, check func(S) string) []expanded[S] {
-	all := make([]expanded[S], len(part))
+func expand[S State[S]](part []*node[S], expandStates bool, check func(S) string) []expansion[S] {
+	all := make([]expansion[S], len(part))
 	var at atomic.Int64
 	var work sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		work.Go(func() {
 			for i := int(at.Add(1)) - 1; i < len(part); i = int(at.Add(1)) - 1 {
-				s, x := part[i].s, &all[i]
+				s, x := part[i].state, &all[i]
 				if check != nil {
-					x.amiss = check(s)
+					x.violation = check(s)
 				}
-				if !expandStates || x.amiss != "" {
+				if !expandStates || x.violation != "" {
 					continue
 				}
 				s.Steps(func(name string, do func(S)) {
 					next := s.Clone()
 					do(next)
-					x.steps = append(x.steps, step[S]{name: name, s: next})
+					x.steps = append(x.steps, step[S]{name: name, state: next})
 				})
 				for j := range x.steps {
 					y := &x.steps[j]
-					y.broken, y.hash = y.s.Broken(s), y.s.Hash()
+					y.broken, y.hash = y.state.Broken(s), y.state.Hash()
 				}
 			}
 		})
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -8,8 +8,8 @@
 
 // count is a model of a number from 0 to 9, which may grow by one or double, and must not be 7.
 type count struct {
-	n    int
-	free bool // 7 breaks nothing
+	n          int
+	allowSeven bool // 7 breaks nothing
 }
 
 func (c *count) Clone() *count { x := *c; return &x }
@@ -24,7 +24,7 @@
 }
 
 func (c *count) Broken(before *count) string {
-	if c.n == 7 && !c.free {
+	if c.n == 7 && !c.allowSeven {
 		return "seven"
 	}
 	return ""
@@ -51,7 +51,7 @@
 		"no step, nothing to be at": {most: 0, states: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := Search(&count{free: x.free}, x.most, x.look)
+			f := Search(&count{allowSeven: x.free}, x.most, x.look)
 			path := []string{}
 			if x.path != "" {
 				path = strings.Split(x.path, ", ")
