--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -1,9 +1,9 @@
-// Package lease holds leaderships: leases that one process has at a time, each under an epoch that rises with
-// every holder. The holder checks its lease at each action that it takes as leader, and whoever is acted upon
-// refuses an older epoch (Fence).
+// Package lease implements leader election with leases. A leadership is a lease that at most one process holds
+// at a time, under an epoch that rises with every holder. The holder checks its lease before each action that
+// it takes as leader, and the target of the action rejects an older epoch (Fence).
 //
-// elector.go decides and is pure; runner.go carries it out; fence.go is what leaders and those that they act
-// upon check. Package lease/explore goes through the protocol state by state.
+// elector.go is the state machine, without I/O; runner.go carries out its actions; fence.go has the checks of
+// leaders and of their targets. Package lease/explore checks the protocol by state exploration.
 package lease
 
 import (
@@ -14,11 +14,11 @@
 	"mosslead/internal/registry/api"
 )
 
-// Service is the list service's side of leaderships. An error means that the leadership is not held until a
-// later response says so.
+// Service grants leaderships; the list service implements it. A call that returns an error neither grants nor
+// extends a lease as far as the caller knows.
 type Service interface {
-	// AcquireLeadership grants the leadership to the claim's holder, under a new epoch, unless another's lease
-	// is valid. The grant names the holder.
+	// AcquireLeadership grants the leadership to the claim's holder, under a new epoch, unless another
+	// holder's lease is valid. The grant names the holder.
 	AcquireLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error)
 	// RenewLeadership extends the lease of the holder under c.Epoch if it still is the holder. The grant names
 	// the holder.
@@ -29,43 +29,43 @@
 
 // Config configures an Elector.
 type Config struct {
-	Name   string        // of the leadership
-	Holder string        // name of this process; no other has it, and no earlier process of the same member had
+	Name   string        // name of the leadership
+	Holder string        // name of this process; no other process has it, nor had an earlier process of the same member
 	Lease  time.Duration // length of the lease; default: DefaultLease
-	// Margin is taken off the lease's end: the holder's clock may run slower than the service's by Margin/Lease.
-	// Default: a tenth of the lease, which is a hundred times the drift of a clock that works.
+	// Margin is subtracted from the lease's end: the holder's clock may run slower than the service's by
+	// Margin/Lease. Default: a tenth of the lease, which is a hundred times the drift of a working clock.
 	Margin time.Duration
-	// Timeout is how long a response is waited for. Default: DefaultTimeout, or less, so that a failed renewal
-	// leaves time for others.
+	// Timeout is how long to wait for a response. Default: DefaultTimeout, or less if the lease is short, so
+	// that a failed renewal leaves time for others.
 	Timeout    time.Duration
 	StartDelay time.Duration  // the first request is sent within this time; default: DefaultStartDelay
 	Random     func() float64 // returns at least 0 and below 1; default: rand.Float64
 }
 
-// Times of an elector. With them a leadership costs the service one request a second of its holder and at
-// most ten of those that wait (leasetable.RetrySpacing), whatever their number. While the service answers
-// nobody, each elector sends a request every 2 to 4 s (maxBackoff): 100 requests a second of 300 electors.
+// Times of an elector. With them a leadership costs the service one request a second from its holder and at
+// most ten from all waiting candidates together (leasetable.RetrySpacing). While the service does not answer,
+// each elector sends a request every 2 to 4 s (maxBackoff): 100 requests a second from 300 electors.
 const (
 	DefaultLease      = 3 * time.Second
 	DefaultStartDelay = 3 * time.Second
 	DefaultTimeout    = time.Second // of a request
 	renewalsPerLease  = 3
 	baseBackoff       = 200 * time.Millisecond
-	jitter            = 20 * time.Millisecond // after a time that the service named
-	// A leader hands over to a fitter one only after minTenure, and does not campaign for yieldTime then: two
-	// whose fitness changes hand over to and fro no faster.
+	jitter            = 20 * time.Millisecond // added to the service's retry time
+	// A leader hands over to a fitter candidate only after minTenure, and does not campaign for yieldTime
+	// afterwards. This limits how often two processes with changing fitness hand over to each other.
 	minTenure = 10 * time.Second
 	yieldTime = 2 * time.Second
-	// HandoverMargin is by how much another has to be fitter for a hand-over.
+	// HandoverMargin is by how much a candidate's fitness has to exceed the leader's for a handover.
 	HandoverMargin = 100
-	// A leader that failed at its work does not campaign for baseCooldown, doubled up to maxRest each time that it
-	// fails again within strikeMemory.
+	// A leader that failed at its work does not campaign for baseCooldown. Each further failure within
+	// workFailureWindow doubles that time, up to maxCooldown.
 	baseCooldown      = 30 * time.Second
 	maxCooldown       = 5 * time.Minute
 	workFailureWindow = 10 * time.Minute
 )
 
-// maxBackoff is the longest wait after a request without a response: a lease and a third.
+// maxBackoff returns the longest wait after a request without a response: 4/3 of a lease.
 func (c *Config) maxBackoff() time.Duration { return c.Lease + c.Lease/3 }
 
 func (c *Config) setDefaults() {
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -7,12 +7,12 @@
 	"mosslead/internal/registry/api"
 )
 
-// Op is what a request asks of the service.
+// Op is the operation of a request to the service.
 type Op uint8
 
 // The operations.
 const (
-	None Op = iota //
+	None Op = iota // no request
 	Acquire
 	Renew
 	Release
@@ -22,79 +22,81 @@
 type Event any
 
 type (
-	// Campaign says whether the leadership is wanted, and how fit this process is for it: 0 to api.MaxFitness.
+	// Campaign starts or stops campaigning. Fitness is how fit this process is to lead: 0 to api.MaxFitness.
 	Campaign struct {
 		On      bool
 		Fitness float64
 	}
-	// Response is the result of the request with that ID. Unless Known, its outcome is unknown or it failed.
+	// Response is the result of the request with that ID. If Known is false, the request failed or its
+	// outcome is unknown.
 	Response struct {
 		ID    uint64
 		Known bool
 		Grant api.LeadershipGrant
 	}
-	// WorkFailed says that this process fails at the work of the leader.
+	// WorkFailed reports that this process fails at the work of the leader.
 	WorkFailed struct{}
 	// Stop releases the leadership and ends the elector.
 	Stop struct{}
 )
 
-// Action is what is to be done: one of the types below.
+// Action is an output of an Elector: one of the types below.
 type Action any
 
 type (
-	// Request is a call of the service. It makes every earlier request void.
+	// Request is a call of the service. It invalidates every earlier request.
 	Request struct {
 		ID      uint64
 		Op      Op
 		Claim   api.LeadershipClaim
 		Timeout time.Duration
 	}
-	// Acquired says that the lease is valid until ExpiresAt; New: it was not before.
+	// Acquired reports that the lease is valid until ExpiresAt. New means that it was not valid before.
 	Acquired struct {
 		Epoch     uint64
 		ExpiresAt time.Duration
 		New       bool
 	}
-	// Expired says that the lease is no longer valid.
+	// Expired reports that the lease is no longer valid.
 	Expired struct {
 		Epoch  uint64
 		Reason string
 	}
-	// Done says that nothing more will be done.
+	// Done is the last action, after Stop.
 	Done struct{}
 )
 
-// Elector is one process's part in the election for one leadership. It is pure: times are passed in,
-// monotonic from any origin, and a copy is another elector in the same state. Not safe for concurrent use.
+// Elector is the state machine of one process in the election for one leadership. It does no I/O and reads no
+// clock: times are passed in, monotonic from any origin. A copy is an independent elector in the same state.
+// Not safe for concurrent use.
 type Elector struct {
 	config      Config
 	campaigning bool
 	fitness     float64
 	stopped     bool
 
-	pending   Op     // operation of the request that has no response yet
-	requestID uint64 // of that request
-	sentAt    time.Duration
+	pending   Op            // operation of the request that has no response yet
+	requestID uint64        // ID of the latest request
+	sentAt    time.Duration // time of the latest request
 
 	held            bool
 	epoch           uint64
-	expiresAt       time.Duration // of the lease, less the margin
+	expiresAt       time.Duration // end of the lease, less the margin
 	acquiredAt      time.Duration
-	releasedEpoch   uint64        // the latest epoch that was released: no response makes it valid again
-	releasePending  bool          // the service may not know of that release
-	releaseDeadline time.Duration // the lease has ended by itself at that time
+	releasedEpoch   uint64        // the latest epoch that was released; a grant up to it is ignored
+	releasePending  bool          // the service may not know of the release yet
+	releaseDeadline time.Duration // by then the lease has expired at the service too
 
-	nextRequestAt     time.Duration // no request before
-	failures          int           // in a row
-	cooldownUntil     time.Duration // no campaign before
-	workFailures      int
+	nextRequestAt     time.Duration // no request is sent before
+	failures          int           // requests in a row without a known outcome
+	cooldownUntil     time.Duration // no request to acquire is sent before
+	workFailures      int           // recent failures at the work, see workFailureWindow
 	lastWorkFailureAt time.Duration
 
 	actions []Action
 }
 
-// NewElector returns an elector that begins at now, and does not campaign.
+// NewElector returns an elector that starts at now and does not campaign yet.
 func NewElector(c Config, now time.Duration) Elector {
 	c.setDefaults()
 	return Elector{config: c, nextRequestAt: now + c.random(c.StartDelay)}
@@ -104,232 +106,232 @@
 	return time.Duration(c.Random() * float64(limit))
 }
 
-// Holds tells whether the lease is valid, and under which epoch. It is asked at each action that the leader
-// takes, and the action carries the epoch.
-func (c *Elector) Holds(now time.Duration) (epoch uint64, ok bool) {
-	return c.epoch, c.held && now < c.expiresAt
+// Holds reports whether the lease is valid, and returns its epoch. The leader calls it before each action, and
+// the action carries the epoch.
+func (e *Elector) Holds(now time.Duration) (epoch uint64, ok bool) {
+	return e.epoch, e.held && now < e.expiresAt
 }
 
-// Handle takes in an event at now, and returns what is to be done.
-func (c *Elector) Handle(now time.Duration, event Event) []Action {
-	c.actions = nil
-	if c.held && now >= c.expiresAt {
-		c.expire("its lease is over")
+// Handle processes an event at time now, and returns the actions to carry out.
+func (e *Elector) Handle(now time.Duration, event Event) []Action {
+	e.actions = nil
+	if e.held && now >= e.expiresAt {
+		e.expire("its lease is over")
 	}
-	switch e := event.(type) {
+	switch ev := event.(type) {
 	case Campaign:
-		c.campaigning, c.fitness = e.On, e.Fitness
-		if c.held && !c.campaigning {
-			c.release(now, "not wanted any more")
+		e.campaigning, e.fitness = ev.On, ev.Fitness
+		if e.held && !e.campaigning {
+			e.release(now, "not wanted any more")
 		}
 	case Response:
-		if c.pending != None && e.ID == c.requestID {
-			c.onResponse(now, e)
+		if e.pending != None && ev.ID == e.requestID {
+			e.onResponse(now, ev)
 		}
 	case WorkFailed:
-		c.onWorkFailed(now)
+		e.onWorkFailed(now)
 	case Stop:
-		c.stopped, c.campaigning = true, false
-		if c.held {
-			c.release(now, "it ends")
+		e.stopped, e.campaigning = true, false
+		if e.held {
+			e.release(now, "it ends")
 		}
 	}
-	if c.pending != None && now >= c.sentAt+c.config.Timeout {
-		c.onResponse(now, Response{})
+	if e.pending != None && now >= e.sentAt+e.config.Timeout {
+		e.onResponse(now, Response{})
 	}
-	c.sendNextRequest(now)
-	return c.actions
+	e.sendNextRequest(now)
+	return e.actions
 }
 
-// Next is when Handle is to be called at the latest if nothing else happens; false: never.
-func (c *Elector) Next() (at time.Duration, ok bool) {
+// Next returns the time by which Handle is to be called even if no event comes. ok is false if there is none.
+func (e *Elector) Next() (at time.Duration, ok bool) {
 	earlier := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
-	if c.held {
-		earlier(c.expiresAt)
+	if e.held {
+		earlier(e.expiresAt)
 	}
 	switch {
-	case c.pending != None:
-		earlier(c.sentAt + c.config.Timeout)
-	case c.releasePending:
-		earlier(min(c.nextRequestAt, c.releaseDeadline))
-	case c.held:
-		earlier(c.nextRequestAt)
-	case c.campaigning:
-		earlier(max(c.nextRequestAt, c.cooldownUntil))
+	case e.pending != None:
+		earlier(e.sentAt + e.config.Timeout)
+	case e.releasePending:
+		earlier(min(e.nextRequestAt, e.releaseDeadline))
+	case e.held:
+		earlier(e.nextRequestAt)
+	case e.campaigning:
+		earlier(max(e.nextRequestAt, e.cooldownUntil))
 	}
 	return at, ok
 }
 
 // sendNextRequest sends the next sendNextRequest if it is due.
-func (c *Elector) sendNextRequest(now time.Duration) {
-	if c.releasePending && now >= c.releaseDeadline {
-		c.releasePending = false
+func (e *Elector) sendNextRequest(now time.Duration) {
+	if e.releasePending && now >= e.releaseDeadline {
+		e.releasePending = false
 	}
-	if c.pending != None {
+	if e.pending != None {
 		return
 	}
-	claim := api.LeadershipClaim{Name: c.config.Name, Holder: c.config.Holder, LeaseMs: c.config.Lease.Milliseconds(), Fitness: c.fitness}
+	claim := api.LeadershipClaim{Name: e.config.Name, Holder: e.config.Holder, LeaseMs: e.config.Lease.Milliseconds(), Fitness: e.fitness}
 	switch {
-	case c.releasePending:
-		if now < c.nextRequestAt {
+	case e.releasePending:
+		if now < e.nextRequestAt {
 			return
 		}
-		c.pending, claim.Epoch = Release, c.releasedEpoch
-	case c.held:
-		if now < c.nextRequestAt {
+		e.pending, claim.Epoch = Release, e.releasedEpoch
+	case e.held:
+		if now < e.nextRequestAt {
 			return
 		}
-		c.pending, claim.Epoch = Renew, c.epoch
-	case c.stopped:
-		c.emit(Done{})
+		e.pending, claim.Epoch = Renew, e.epoch
+	case e.stopped:
+		e.emit(Done{})
 		return
-	case c.campaigning && now >= max(c.nextRequestAt, c.cooldownUntil):
-		c.pending, claim.Epoch = Acquire, c.releasedEpoch
+	case e.campaigning && now >= max(e.nextRequestAt, e.cooldownUntil):
+		e.pending, claim.Epoch = Acquire, e.releasedEpoch
 	default:
 		return
 	}
-	c.requestID++
-	c.sentAt = now
-	c.emit(Request{c.requestID, c.pending, claim, c.config.Timeout})
+	e.requestID++
+	e.sentAt = now
+	e.emit(Request{e.requestID, e.pending, claim, e.config.Timeout})
 }
 
-func (c *Elector) emit(a Action) { c.actions = append(c.actions, a) }
+func (e *Elector) emit(a Action) { e.actions = append(e.actions, a) }
 
-// onResponse takes in the response to the pending request.
-func (c *Elector) onResponse(now time.Duration, a Response) {
-	op := c.pending
-	c.pending = None
-	if !a.Known {
-		c.failures++
-		c.nextRequestAt = now + c.backoff(op)
+// onResponse processes the response to the pending request.
+func (e *Elector) onResponse(now time.Duration, r Response) {
+	op := e.pending
+	e.pending = None
+	if !r.Known {
+		e.failures++
+		e.nextRequestAt = now + e.backoff(op)
 		return
 	}
-	c.failures = 0
-	g := a.Grant
-	until := c.sentAt + min(c.config.Lease, time.Duration(g.LeaseMs)*time.Millisecond) - c.config.Margin
+	e.failures = 0
+	g := r.Grant
+	until := e.sentAt + min(e.config.Lease, time.Duration(g.LeaseMs)*time.Millisecond) - e.config.Margin
 	switch {
 	case op == Release:
-		c.releasePending = false
-		c.nextRequestAt = now
-	case op == Acquire && g.HeldBy(c.config.Holder, c.releasedEpoch):
-		c.epoch = g.Epoch
+		e.releasePending = false
+		e.nextRequestAt = now
+	case op == Acquire && g.HeldBy(e.config.Holder, e.releasedEpoch):
+		e.epoch = g.Epoch
 		switch {
-		case !c.campaigning: // it was when the request was sent
-			c.expiresAt = until
-			c.release(now, "")
+		case !e.campaigning: // campaigning stopped after the request was sent
+			e.expiresAt = until
+			e.release(now, "")
 		case now >= until: // the lease ended before its response came
-			c.nextRequestAt = now + c.backoff(op)
+			e.nextRequestAt = now + e.backoff(op)
 		default:
-			c.held, c.expiresAt, c.acquiredAt = true, until, now
-			c.nextRequestAt = c.sentAt + c.renewAfter()
-			c.emit(Acquired{c.epoch, until, true})
+			e.held, e.expiresAt, e.acquiredAt = true, until, now
+			e.nextRequestAt = e.sentAt + e.renewAfter()
+			e.emit(Acquired{e.epoch, until, true})
 		}
-	case op == Renew && c.held && g.HeldBy(c.config.Holder, c.epoch-1) && g.Epoch == c.epoch:
-		c.expiresAt = max(c.expiresAt, until)
-		c.nextRequestAt = c.sentAt + c.renewAfter()
-		c.emit(Acquired{c.epoch, c.expiresAt, false})
-		if g.BetterFitness >= c.fitness+HandoverMargin && now >= c.acquiredAt+minTenure {
-			c.release(now, "handed on to a better one")
-			c.cooldownUntil = max(c.cooldownUntil, now+yieldTime)
+	case op == Renew && e.held && g.HeldBy(e.config.Holder, e.epoch-1) && g.Epoch == e.epoch:
+		e.expiresAt = max(e.expiresAt, until)
+		e.nextRequestAt = e.sentAt + e.renewAfter()
+		e.emit(Acquired{e.epoch, e.expiresAt, false})
+		if g.BetterFitness >= e.fitness+HandoverMargin && now >= e.acquiredAt+minTenure {
+			e.release(now, "handed on to a better one")
+			e.cooldownUntil = max(e.cooldownUntil, now+yieldTime)
 		}
-	case op == Renew && c.held:
-		c.expire("another holds it")
-		c.nextRequestAt = now + c.backoff(op)
-	default: // rejected, or expired meanwhile
-		c.nextRequestAt = now + max(time.Duration(g.RetryAfterMs)*time.Millisecond, baseBackoff) + c.config.random(jitter)
+	case op == Renew && e.held:
+		e.expire("another holds it")
+		e.nextRequestAt = now + e.backoff(op)
+	default: // the claim was rejected, or the lease expired during the renewal
+		e.nextRequestAt = now + max(time.Duration(g.RetryAfterMs)*time.Millisecond, baseBackoff) + e.config.random(jitter)
 	}
 }
 
-// backoff is the wait after a request of that operation that failed.
-func (c *Elector) backoff(op Op) time.Duration {
-	limit := min(baseBackoff<<min(c.failures, 10), c.config.maxBackoff())
-	if op != Acquire && c.held || op == Release { // the lease is still valid
-		limit = min(limit, c.config.Lease/(2*renewalsPerLease))
+// backoff returns the wait after a failed request of that operation.
+func (e *Elector) backoff(op Op) time.Duration {
+	limit := min(baseBackoff<<min(e.failures, 10), e.config.maxBackoff())
+	if op != Acquire && e.held || op == Release { // the lease may still be valid at the service
+		limit = min(limit, e.config.Lease/(2*renewalsPerLease))
 	}
-	return limit/2 + c.config.random(limit/2)
+	return limit/2 + e.config.random(limit/2)
 }
 
-// renewAfter is the time from a renewal to the next.
-func (c *Elector) renewAfter() time.Duration {
-	interval := c.config.Lease / renewalsPerLease
-	return interval - c.config.random(interval/8)
+// renewAfter returns the time from one renewal to the next.
+func (e *Elector) renewAfter() time.Duration {
+	interval := e.config.Lease / renewalsPerLease
+	return interval - e.config.random(interval/8)
 }
 
-func (c *Elector) expire(why string) {
-	c.held = false
-	c.emit(Expired{c.epoch, why})
+func (e *Elector) expire(reason string) {
+	e.held = false
+	e.emit(Expired{e.epoch, reason})
 }
 
-// release ends the lease here first, and then tells the service. A renewal that is under way no longer
-// matters, whether it arrives before the release or after it.
-func (c *Elector) release(now time.Duration, why string) {
-	if c.held {
-		c.expire(why)
+// release ends the lease here first, and then schedules the request that ends it at the service. A pending
+// renewal is abandoned: it has no effect whether it arrives before the release or after it.
+func (e *Elector) release(now time.Duration, reason string) {
+	if e.held {
+		e.expire(reason)
 	}
-	if c.pending == Renew {
-		c.pending = None
+	if e.pending == Renew {
+		e.pending = None
 	}
-	c.releasedEpoch, c.releasePending, c.releaseDeadline = c.epoch, true, c.expiresAt+c.config.Margin
-	c.nextRequestAt, c.failures = now, 0
+	e.releasedEpoch, e.releasePending, e.releaseDeadline = e.epoch, true, e.expiresAt+e.config.Margin
+	e.nextRequestAt, e.failures = now, 0
 }
 
-// onWorkFailed releases a leadership at whose work this process fails, and rests.
-func (c *Elector) onWorkFailed(now time.Duration) {
-	if !c.held {
+// onWorkFailed releases the leadership because this process fails at its work, and starts a cooldown.
+func (e *Elector) onWorkFailed(now time.Duration) {
+	if !e.held {
 		return
 	}
-	if now > c.lastWorkFailureAt+workFailureWindow {
-		c.workFailures = 0
+	if now > e.lastWorkFailureAt+workFailureWindow {
+		e.workFailures = 0
 	}
-	c.cooldownUntil = now + min(baseCooldown<<min(c.workFailures, 10), maxCooldown)
-	c.workFailures++
-	c.lastWorkFailureAt = now
-	c.release(now, "it fails at it")
+	e.cooldownUntil = now + min(baseCooldown<<min(e.workFailures, 10), maxCooldown)
+	e.workFailures++
+	e.lastWorkFailureAt = now
+	e.release(now, "it fails at it")
 }
 
-// AppendKey appends all that the future may depend on, for state exploration: times from now on, epochs
-// counted down from the highest, and nothing for what no longer matters. The id of the pending request is
-// left out.
-func (c *Elector) AppendKey(b []byte, now time.Duration, highest uint64) []byte {
-	flags := byte(c.pending)
-	for i, on := range []bool{c.campaigning, c.stopped, c.held, c.releasePending} {
-		if on {
+// AppendKey appends everything that the elector's future may depend on, for state exploration: times relative
+// to now, epochs as their distance from highest, and nothing that no longer matters. The ID of the pending
+// request is left out.
+func (e *Elector) AppendKey(b []byte, now time.Duration, highest uint64) []byte {
+	flags := byte(e.pending)
+	for i, set := range []bool{e.campaigning, e.stopped, e.held, e.releasePending} {
+		if set {
 			flags |= 8 << i
 		}
 	}
 	b = append(b, flags)
 	put := func(d time.Duration) { b = binary.AppendVarint(b, int64(d)) }
-	put(max(0, c.nextRequestAt-now))
-	put(max(0, c.cooldownUntil-now))
-	put(time.Duration(min(c.failures, 5)))
-	put(time.Duration(highest - c.releasedEpoch))
-	put(time.Duration(c.fitness * 1000))
-	if c.pending != None {
-		put(c.sentAt - now)
+	put(max(0, e.nextRequestAt-now))
+	put(max(0, e.cooldownUntil-now))
+	put(time.Duration(min(e.failures, 5)))
+	put(time.Duration(highest - e.releasedEpoch))
+	put(time.Duration(e.fitness * 1000))
+	if e.pending != None {
+		put(e.sentAt - now)
 	}
-	if c.held {
-		put(time.Duration(highest - c.epoch))
-		put(max(0, c.expiresAt-now))
-		put(min(now-c.acquiredAt, minTenure))
+	if e.held {
+		put(time.Duration(highest - e.epoch))
+		put(max(0, e.expiresAt-now))
+		put(min(now-e.acquiredAt, minTenure))
 	}
-	if c.releasePending {
-		put(max(0, c.releaseDeadline-now))
+	if e.releasePending {
+		put(max(0, e.releaseDeadline-now))
 	}
-	if c.workFailures > 0 && now <= c.lastWorkFailureAt+workFailureWindow {
-		put(time.Duration(c.workFailures))
-		put(now - c.lastWorkFailureAt)
+	if e.workFailures > 0 && now <= e.lastWorkFailureAt+workFailureWindow {
+		put(time.Duration(e.workFailures))
+		put(now - e.lastWorkFailureAt)
 	}
 	return b
 }
 
-// PendingID is the id of the request that has no response yet; 0: none.
-func (c *Elector) PendingID() uint64 {
-	if c.pending == None {
+// PendingID returns the ID of the request that has no response yet, or 0 if there is none.
+func (e *Elector) PendingID() uint64 {
+	if e.pending == None {
 		return 0
 	}
-	return c.requestID
+	return e.requestID
 }
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -14,7 +14,7 @@
 	"mosslead/internal/registry/api"
 )
 
-// electorGroup is candidates for one leadership, in a time of its own.
+// electorGroup is a group of candidates for one leadership, with a simulated clock.
 type electorGroup struct {
 	t        *testing.T
 	now      time.Duration
@@ -23,46 +23,46 @@
 }
 
 func newElectorGroup(t *testing.T, n int) *electorGroup {
-	c := &electorGroup{t: t}
-	c.service = memory.New(func() time.Duration { return c.now })
+	g := &electorGroup{t: t}
+	g.service = memory.New(func() time.Duration { return g.now })
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
-		c.electors = append(c.electors, lease.NewElector(lease.Config{Name: "d", Holder: fmt.Sprint(i), Random: rng.Float64}, 0))
-		c.handle(i, lease.Campaign{On: true})
+		g.electors = append(g.electors, lease.NewElector(lease.Config{Name: "d", Holder: fmt.Sprint(i), Random: rng.Float64}, 0))
+		g.handle(i, lease.Campaign{On: true})
 	}
-	return c
+	return g
 }
 
-// handle has a candidate handle an event, and its calls carried out at once.
-func (c *electorGroup) handle(i int, e lease.Event) {
-	for _, a := range c.electors[i].Handle(c.now, e) {
-		call, ok := a.(lease.Request)
+// handle passes an event to a candidate, and carries out its requests at once.
+func (g *electorGroup) handle(i int, event lease.Event) {
+	for _, action := range g.electors[i].Handle(g.now, event) {
+		request, ok := action.(lease.Request)
 		if !ok {
 			continue
 		}
-		answer := lease.Response{ID: call.ID}
+		response := lease.Response{ID: request.ID}
 		var err error
-		switch call.Op {
+		switch request.Op {
 		case lease.Acquire:
-			answer.Grant, err = c.service.AcquireLeadership(c.t.Context(), call.Claim)
+			response.Grant, err = g.service.AcquireLeadership(g.t.Context(), request.Claim)
 		case lease.Renew:
-			answer.Grant, err = c.service.RenewLeadership(c.t.Context(), call.Claim)
+			response.Grant, err = g.service.RenewLeadership(g.t.Context(), request.Claim)
 		case lease.Release:
-			err = c.service.ReleaseLeadership(c.t.Context(), call.Claim)
+			err = g.service.ReleaseLeadership(g.t.Context(), request.Claim)
 		}
-		answer.Known = err == nil
-		c.handle(i, answer)
+		response.Known = err == nil
+		g.handle(i, response)
 	}
 }
 
-// holder is who may act; -1: nobody.
-func (c *electorGroup) holder() int {
-	c.t.Helper()
+// holder returns the index of the elector that holds the lease, or -1 if none does.
+func (g *electorGroup) holder() int {
+	g.t.Helper()
 	found := -1
-	for i := range c.electors {
-		if _, ok := c.electors[i].Holds(c.now); ok {
+	for i := range g.electors {
+		if _, ok := g.electors[i].Holds(g.now); ok {
 			if found >= 0 {
-				c.t.Fatalf("%d and %d may act", found, i)
+				g.t.Fatalf("at %v: electors %d and %d hold the lease, want one at most", g.now, found, i)
 			}
 			found = i
 		}
@@ -70,58 +70,60 @@
 	return found
 }
 
-// runUntil lets time pass until over says so, and gives how much.
-func (c *electorGroup) runUntil(limit time.Duration, over func() bool) time.Duration {
-	c.t.Helper()
-	for begun := c.now; ; c.now += 10 * time.Millisecond {
-		for i := range c.electors {
-			if at, ok := c.electors[i].Next(); ok && at <= c.now {
-				c.handle(i, nil)
+// runUntil advances time until done returns true, and returns the time elapsed. It fails the test after limit.
+func (g *electorGroup) runUntil(limit time.Duration, done func() bool) time.Duration {
+	g.t.Helper()
+	for start := g.now; ; g.now += 10 * time.Millisecond {
+		for i := range g.electors {
+			if at, ok := g.electors[i].Next(); ok && at <= g.now {
+				g.handle(i, nil)
 			}
 		}
-		if took := c.now - begun; over() {
-			return took
-		} else if took >= limit {
-			c.t.Fatalf("at %v, after %v: %d holds it", c.now, took, c.holder())
+		if elapsed := g.now - start; done() {
+			return elapsed
+		} else if elapsed >= limit {
+			g.t.Fatalf("at %v: the condition does not hold after %v, want within %v; holder is %d", g.now, elapsed, limit, g.holder())
 		}
 	}
 }
 
-func (c *electorGroup) advance(d time.Duration) {
-	c.t.Helper()
-	end := c.now + d
-	c.runUntil(d, func() bool { return c.now >= end })
+// advance lets d pass.
+func (g *electorGroup) advance(d time.Duration) {
+	g.t.Helper()
+	end := g.now + d
+	g.runUntil(d, func() bool { return g.now >= end })
 }
 
-// What 300 candidates cost the service: as many calls a second as leadership.go says, held, handed on, and while nobody is answered.
+// Guards the request rates that config.go states: with 300 candidates, while the leadership is held and while the service does not
+// answer.
 func TestThreeHundredCandidates(t *testing.T) {
-	c := newElectorGroup(t, 300)
-	rate := func(what string, limit float64) {
+	g := newElectorGroup(t, 300)
+	rate := func(phase string, limit float64) {
 		t.Helper()
-		before := c.service.Calls()
-		c.advance(20 * time.Second)
-		if got := float64(c.service.Calls()-before) / 20; got > limit {
-			t.Errorf("%s: %.1f calls a second, at most %.0f", what, got, limit)
+		before := g.service.Calls()
+		g.advance(20 * time.Second)
+		if got := float64(g.service.Calls()-before) / 20; got > limit {
+			t.Errorf("%s: got %.1f calls a second, want at most %.0f", phase, got, limit)
 		}
 	}
-	held := func() bool { return c.holder() >= 0 }
-	c.runUntil(lease.DefaultStartDelay, held)
-	c.advance(time.Minute)
+	held := func() bool { return g.holder() >= 0 }
+	g.runUntil(lease.DefaultStartDelay, held)
+	g.advance(time.Minute)
 	rate("held", 12)
-	c.handle(c.holder(), lease.Stop{})
-	c.runUntil(time.Second, held)
-	c.service.Down(true)
-	c.advance(lease.DefaultLease)
-	if who := c.holder(); who >= 0 {
-		t.Errorf("%d acts without a service for a lease", who)
+	g.handle(g.holder(), lease.Stop{})
+	g.runUntil(time.Second, held)
+	g.service.Down(true)
+	g.advance(lease.DefaultLease)
+	if holder := g.holder(); holder >= 0 {
+		t.Errorf("elector %d holds the lease after %v without a service, want none", holder, lease.DefaultLease)
 	}
-	c.advance(10 * time.Second)
+	g.advance(10 * time.Second)
 	rate("down", 105)
-	c.service.Down(false)
-	c.runUntil(lease.DefaultLease+time.Second, held)
+	g.service.Down(false)
+	g.runUntil(lease.DefaultLease+time.Second, held)
 }
 
-// partitionedService is a service that does not answer renewals any more once it is cut.
+// partitionedService is a service that stops answering renewals once partitioned is set.
 type partitionedService struct {
 	*memory.Service
 	mu          sync.Mutex
@@ -130,74 +132,74 @@
 
 func (s *partitionedService) RenewLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	s.mu.Lock()
-	cut := s.partitioned
+	partitioned := s.partitioned
 	s.mu.Unlock()
-	if cut {
+	if partitioned {
 		<-ctx.Done()
 		return api.LeadershipGrant{}, ctx.Err()
 	}
 	return s.Service.RenewLeadership(ctx, c)
 }
 
-// A holder that is cut off acts to its own lease's end and no longer, another takes over within lease, margin and a second; one
-// that fails at it, or is less fit, hands it on and does not have it back at once.
+// A partitioned holder holds the lease no longer than until its own clock ends it, and another candidate takes over within lease,
+// margin and a second. A holder that fails at its work, or is less fit, hands over and does not get the leadership back at once.
 func TestTheDutyGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := memory.New(nil)
-		var cuts [3]*partitionedService
-		var all [3]*lease.Runner
-		ctx, end := context.WithCancel(t.Context())
+		var services [3]*partitionedService
+		var runners [3]*lease.Runner
+		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		defer func() { end(); running.Wait() }()
-		for i := range all {
-			cuts[i] = &partitionedService{Service: service}
-			all[i] = lease.NewRunner(cuts[i], lease.Config{Name: "d", Holder: fmt.Sprint(i)}, func(lease.Action) {})
-			all[i].Campaign(true, 0)
-			running.Go(func() { all[i].Run(ctx) })
+		defer func() { cancel(); running.Wait() }()
+		for i := range runners {
+			services[i] = &partitionedService{Service: service}
+			runners[i] = lease.NewRunner(services[i], lease.Config{Name: "d", Holder: fmt.Sprint(i)}, func(lease.Action) {})
+			runners[i].Campaign(true, 0)
+			running.Go(func() { runners[i].Run(ctx) })
 		}
-		next := func(limit time.Duration, than int) (who int) {
+		awaitHolder := func(limit time.Duration, previous int) (holder int) {
 			t.Helper()
-			for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-				who = -1
-				for i, r := range all {
+			for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+				holder = -1
+				for i, r := range runners {
 					if _, ok := r.Holds(time.Now()); ok {
-						if who >= 0 {
-							t.Fatalf("%d and %d may act", who, i)
+						if holder >= 0 {
+							t.Fatalf("runners %d and %d hold the lease, want one at most", holder, i)
 						}
-						who = i
+						holder = i
 					}
 				}
-				if who >= 0 && who != than {
-					return who
+				if holder >= 0 && holder != previous {
+					return holder
 				}
-				if time.Since(begun) > limit {
-					t.Fatalf("nobody but %d after %v", who, limit)
+				if time.Since(start) > limit {
+					t.Fatalf("got holder %d after %v, want another than %d", holder, limit, previous)
 				}
 			}
 		}
-		first := next(lease.DefaultStartDelay, -1)
-		epoch, _ := all[first].Holds(time.Now())
-		cuts[first].mu.Lock()
-		cuts[first].partitioned = true
-		cuts[first].mu.Unlock()
-		second := next(lease.DefaultLease+lease.DefaultLease/10+time.Second, first)
-		if now, _ := all[second].Holds(time.Now()); now <= epoch {
-			t.Errorf("epoch %d after %d", now, epoch)
+		first := awaitHolder(lease.DefaultStartDelay, -1)
+		epoch, _ := runners[first].Holds(time.Now())
+		services[first].mu.Lock()
+		services[first].partitioned = true
+		services[first].mu.Unlock()
+		second := awaitHolder(lease.DefaultLease+lease.DefaultLease/10+time.Second, first)
+		if nextEpoch, _ := runners[second].Holds(time.Now()); nextEpoch <= epoch {
+			t.Errorf("got epoch %d, want one above %d", nextEpoch, epoch)
 		}
-		all[second].ReportFailure()
-		next(time.Second, second)
+		runners[second].ReportFailure()
+		awaitHolder(time.Second, second)
 		for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-			if _, ok := all[second].Holds(time.Now()); ok {
-				t.Fatal("who failed has it again")
+			if _, ok := runners[second].Holds(time.Now()); ok {
+				t.Fatalf("runner %d holds the lease again within 20 s of its failure, want another holder", second)
 			}
 		}
 		third := 3 - first - second
-		if now := next(time.Second, -1); now == third { // the one that is cut off can be the better one too
+		if holder := awaitHolder(time.Second, -1); holder == third { // the partitioned runner may be the fitter candidate as well
 			third = first
 		}
-		all[third].Campaign(true, 500)
-		if who := next(15*time.Second, 3-second-third); who != third {
-			t.Errorf("handed on to %d, and %d is better", who, third)
+		runners[third].Campaign(true, 500)
+		if holder := awaitHolder(15*time.Second, 3-second-third); holder != third {
+			t.Errorf("got holder %d after the handover, want %d, the fitter one", holder, third)
 		}
 	})
 }
--- a/internal/lease/explore/explore.go
+++ b/internal/lease/explore/explore.go
@@ -1,11 +1,11 @@
-// Package explore owns the proof by exhaustion that the protocol of leaderships keeps its promises: two candidates (the state
-// machine that sidecars run), one service (the list and the terms that replicas run) and one who is acted upon are taken
-// through every order of what may happen, to a depth.
+// Package explore checks the invariants of the leadership protocol by exhaustive state exploration. The model has two candidates
+// (the elector that sidecars run), one service (the list and the lease table that replicas run) and one target of the leader's
+// actions. The exploration takes them through every order of steps, to a depth.
 //
-// A step is one of: a tick of time, in which each candidate's clock may stand still as often as the drift allows; a message
-// that arrives, of those under way, in any order; one that never arrives is lost; an entry of the log that is committed only later; a new
-// leader, with or without what was not committed; an act that is begun, and its arrival; a candidate that is stopped, or goes on;
-// one that gives the leadership up and wants it again. How often each happens on a path is bounded, when is not.
+// A step is one of: a tick of time, in which a candidate's clock may stand still as often as the drift allows; the arrival of a
+// message in flight, in any order (a message that never arrives is lost); the late commit of a log entry; an election of a new
+// leader of the service, with or without the uncommitted entries; the start of an action, and its arrival; a candidate that is
+// paused or resumed, or that stops campaigning or starts again. Bounds limit how often each step occurs on a path, not when.
 package explore
 
 import (
@@ -16,41 +16,41 @@
 	"mosslead/internal/modelcheck"
 )
 
-// The scale of the model: a lease is three ticks, a margin one, an answer is waited for two, and a clock stands still at most once in a lease, which is
-// the drift that the margin is for.
+// The scale of the model: a lease is three ticks, the margin is one, the timeout of a request is two. A clock stands still for at
+// most one tick in a lease, which is the drift that the margin allows for.
 const (
 	Tick          = time.Second
 	Lease         = 3 * Tick
 	Margin        = Tick
-	stallInterval = int(Lease / Tick)
+	stallInterval = int(Lease / Tick) // in ticks, between two stalls of a clock
 )
 
-// Bounds are how often something may happen on a path, and how long the paths are.
+// Bounds limit the length of a path, and how often each kind of step occurs on it.
 type Bounds struct {
-	Depth       int // steps
+	Depth       int // the length of a path in steps
 	Ticks       int
 	Pauses      int
 	Elections   int
-	Withdrawals int // a candidate gives up, and wants the leadership again
-	Delays      int // an entry of the log is not committed at once
-	Actions     int // that are begun; whether one could be is looked at in each state anyway
+	Withdrawals int // a candidate stops campaigning; it may start again at any time
+	Delays      int // a log entry is not committed at once
+	Actions     int // actions that are started; Broken checks in each state who could act, whatever the bound
 }
 
-// Faults are planted, to see that they are found.
+// Faults are faults injected into the model, to test that the exploration finds them.
 type Faults struct {
-	NoMargin    bool // a holder acts to its lease's very end
-	NoFence     bool // who is acted upon looks at no epoch
-	NoTermCheck bool // the log takes the leader's word for it that a term is over, whatever was renewed since
+	NoMargin    bool // a holder acts until the very end of its lease
+	NoFence     bool // the target accepts an action under an older epoch
+	NoTermCheck bool // the log ends a term that the leader took for expired, even if it was renewed since
 }
 
-// Result is what an exploration came to.
+// Result is the result of an exploration.
 type Result = modelcheck.Result
 
-// Run explores breadth first.
+// Run explores the model breadth first.
 func Run(b Bounds, f Faults) Result { return modelcheck.Search(newState(b, f), b.Depth, nil) }
 
-func (f Faults) config(who int) lease.Config {
-	c := lease.Config{Name: leadershipName, Holder: holderName(who), Lease: Lease, Margin: Margin, Timeout: 2 * Tick,
+func (f Faults) config(candidate int) lease.Config {
+	c := lease.Config{Name: leadershipName, Holder: holderName(candidate), Lease: Lease, Margin: Margin, Timeout: 2 * Tick,
 		StartDelay: time.Nanosecond, Random: func() float64 { return 0 }}
 	if f.NoMargin {
 		c.Margin = time.Nanosecond
@@ -60,4 +60,4 @@
 
 const leadershipName = "d"
 
-func holderName(who int) string { return fmt.Sprint("h", who) }
+func holderName(candidate int) string { return fmt.Sprint("h", candidate) }
--- a/internal/lease/explore/explore_test.go
+++ b/internal/lease/explore/explore_test.go
@@ -5,35 +5,35 @@
 	"testing"
 )
 
-var deeper = flag.Int("deeper", 0, "steps by which to go deeper where nothing is planted")
+var deeper = flag.Int("deeper", 0, "steps to add to the depth of the cases without an injected fault")
 
-// The promises hold on every path, and each planted fault breaks one.
+// The invariants hold on every path, and each injected fault breaks one.
 func TestExplore(t *testing.T) {
-	const any = 99
-	for _, x := range []struct {
+	const unlimited = 99
+	for _, test := range []struct {
 		name   string
-		b      Bounds
-		f      Faults
+		bounds Bounds
+		faults Faults
 		breaks bool
 	}{
-		{"time, lost and late messages", Bounds{Depth: 10, Ticks: any}, Faults{}, false},
-		{"a stop", Bounds{Depth: 8, Ticks: any, Pauses: 1}, Faults{}, false},
-		{"a late commit", Bounds{Depth: 8, Ticks: any, Delays: 1}, Faults{}, false},
-		{"a new leader", Bounds{Depth: 8, Ticks: any, Elections: 1, Delays: 1}, Faults{}, false},
-		{"handing on, and acts", Bounds{Depth: 12, Ticks: 1, Withdrawals: 1, Actions: 2}, Faults{}, false},
-		{"giving up, and late messages", Bounds{Depth: 11, Ticks: 3, Withdrawals: 1}, Faults{}, false},
-		{"all at once", Bounds{Depth: 6, Ticks: any, Pauses: 1, Elections: 1, Withdrawals: 1, Delays: 1, Actions: 1}, Faults{}, false},
-		{"no margin", Bounds{Depth: 8, Ticks: any}, Faults{NoMargin: true}, true},
-		{"no look at epochs", Bounds{Depth: 10, Withdrawals: 1, Actions: 2}, Faults{NoFence: true}, true},
-		{"no look at turns", Bounds{Depth: 8, Ticks: any, Delays: 1}, Faults{NoTermCheck: true}, true},
+		{"time, lost and late messages", Bounds{Depth: 10, Ticks: unlimited}, Faults{}, false},
+		{"a pause", Bounds{Depth: 8, Ticks: unlimited, Pauses: 1}, Faults{}, false},
+		{"a late commit", Bounds{Depth: 8, Ticks: unlimited, Delays: 1}, Faults{}, false},
+		{"a new leader", Bounds{Depth: 8, Ticks: unlimited, Elections: 1, Delays: 1}, Faults{}, false},
+		{"a handover, and actions", Bounds{Depth: 12, Ticks: 1, Withdrawals: 1, Actions: 2}, Faults{}, false},
+		{"a withdrawal, and late messages", Bounds{Depth: 11, Ticks: 3, Withdrawals: 1}, Faults{}, false},
+		{"all at once", Bounds{Depth: 6, Ticks: unlimited, Pauses: 1, Elections: 1, Withdrawals: 1, Delays: 1, Actions: 1}, Faults{}, false},
+		{"no margin", Bounds{Depth: 8, Ticks: unlimited}, Faults{NoMargin: true}, true},
+		{"no check of epochs", Bounds{Depth: 10, Withdrawals: 1, Actions: 2}, Faults{NoFence: true}, true},
+		{"no check of terms", Bounds{Depth: 8, Ticks: unlimited, Delays: 1}, Faults{NoTermCheck: true}, true},
 	} {
-		if !x.breaks {
-			x.b.Depth += *deeper
+		if !test.breaks {
+			test.bounds.Depth += *deeper
 		}
-		f := Run(x.b, x.f)
-		t.Logf("%s: %d states, to depth %d; %s %q", x.name, f.States, f.Depth, f.Broken, f.Path)
-		if (f.Broken != "") != x.breaks {
-			t.Errorf("%s: broken is %q", x.name, f.Broken)
+		result := Run(test.bounds, test.faults)
+		t.Logf("%s: %d states, to depth %d; violation %q on path %q", test.name, result.States, result.Depth, result.Broken, result.Path)
+		if (result.Broken != "") != test.breaks {
+			t.Errorf("%s: got violation %q on path %q, want a violation: %v", test.name, result.Broken, result.Path, test.breaks)
 		}
 	}
 }
--- a/internal/lease/explore/state.go
+++ b/internal/lease/explore/state.go
@@ -14,37 +14,40 @@
 	"mosslead/internal/registry/list"
 )
 
-// maxInFlight is how many calls, and how many answers, of a candidate may be under way: the oldest beyond are lost.
+// maxInFlight is how many requests of a candidate may be in flight; beyond it the oldest is lost. Of the responses, only the one to
+// the pending request is kept.
 const maxInFlight = 2
 
+// candidate is an elector with its clock and its messages in flight.
 type candidate struct {
 	lease.Elector
-	clock           time.Duration // its own
-	ticksSinceStall int           // ticks since its clock stood still, oneStill at most
+	clock           time.Duration // the candidate's own time
+	ticksSinceStall int           // ticks since its clock last stood still, at most stallInterval
 	paused          bool
 	campaigning     bool
-	requests        []lease.Request // to the service
-	response        *lease.Response // from it, to the call that is out
-	actionEpoch     uint64          // an act under this epoch is under way; 0: none
+	requests        []lease.Request // in flight to the service
+	response        *lease.Response // in flight from the service, to the pending request
+	actionEpoch     uint64          // epoch of the action in flight; 0 if there is none
 }
 
-// entry is one of the log that is not committed yet.
+// entry is an uncommitted entry of the service's log.
 type entry struct {
 	command   list.Command
 	candidate int
 	requestID uint64
 }
 
+// state is a state of the model.
 type state struct {
-	remaining  Bounds
+	remaining  Bounds // steps that may still occur
 	faults     Faults
 	now        time.Duration
-	list       *list.List // shared by states until one changes it, as terms
+	list       *list.List // shared by states until one changes it; leases too
 	leases     *leasetable.Table
-	log        []entry
+	log        []entry // uncommitted
 	candidates [2]candidate
-	fenceEpoch uint64 // the fence: the highest epoch it has seen
-	violation  string // a promise was broken by an act that was taken
+	fenceEpoch uint64 // the highest epoch that the target has seen
+	violation  string // the invariant that an accepted action broke; empty if none
 }
 
 func newState(b Bounds, f Faults) *state {
@@ -68,12 +71,12 @@
 	return &c
 }
 
-// handle has a candidate handle an event.
-func (s *state) handle(who int, e lease.Event) {
-	c := &s.candidates[who]
-	for _, a := range c.Handle(c.clock, e) {
-		if call, ok := a.(lease.Request); ok {
-			c.requests = append(c.requests, call)
+// handle passes an event to a candidate, and sends its requests.
+func (s *state) handle(candidate int, e lease.Event) {
+	c := &s.candidates[candidate]
+	for _, action := range c.Handle(c.clock, e) {
+		if request, ok := action.(lease.Request); ok {
+			c.requests = append(c.requests, request)
 			c.requests = c.requests[max(0, len(c.requests)-maxInFlight):]
 		}
 	}
@@ -82,41 +85,42 @@
 	}
 }
 
-// unshare makes what the service has this state's alone.
+// unshare copies the service's list and leases, so that this state may change them.
 func (s *state) unshare() {
 	s.list = list.Load(s.list.State(), 1)
-	own := s.leases.Clone()
-	s.leases = &own
+	leases := s.leases.Clone()
+	s.leases = &leases
 }
 
-// receiveRequest is a call at the leader.
-func (s *state) receiveRequest(who int, call lease.Request) {
+// receiveRequest processes a request at the service's leader: it responds, or appends an entry to the log.
+func (s *state) receiveRequest(candidate int, request lease.Request) {
 	s.unshare()
-	claim := &list.LeadershipClaim{LeadershipClaim: call.Claim}
-	op := map[lease.Op]string{lease.Acquire: list.AcquireLeadership, lease.Renew: list.RenewLeadership, lease.Release: list.ReleaseLeadership}[call.Op]
-	if call.Op == lease.Acquire {
+	claim := &list.LeadershipClaim{LeadershipClaim: request.Claim}
+	op := map[lease.Op]string{lease.Acquire: list.AcquireLeadership, lease.Renew: list.RenewLeadership, lease.Release: list.ReleaseLeadership}[request.Op]
+	if request.Op == lease.Acquire {
 		d, held := s.list.Leadership(leadershipName)
-		over, after, ask := s.leases.Decide(s.now, d, held, call.Claim)
-		if !ask {
+		expired, retryAfter, acquire := s.leases.Decide(s.now, d, held, request.Claim)
+		if !acquire {
 			g := d.Grant()
-			g.RetryAfterMs = after.Milliseconds()
-			s.respond(who, call.ID, g)
+			g.RetryAfterMs = retryAfter.Milliseconds()
+			s.respond(candidate, request.ID, g)
 			return
 		}
-		claim.ExpiredTerm = over
+		claim.ExpiredTerm = expired
 	}
-	s.log = append(s.log, entry{list.Command{Op: op, Claim: claim}, who, call.ID})
+	s.log = append(s.log, entry{list.Command{Op: op, Claim: claim}, candidate, request.ID})
 }
 
-func (s *state) respond(who int, id uint64, g api.LeadershipGrant) {
-	c := &s.candidates[who]
-	if id == c.PendingID() { // another is not read
+// respond sends a response, which is dropped if the candidate no longer waits for it.
+func (s *state) respond(candidate int, id uint64, g api.LeadershipGrant) {
+	c := &s.candidates[candidate]
+	if id == c.PendingID() {
 		c.response = &lease.Response{ID: id, Known: true, Grant: g}
 	}
 }
 
-// commit carries out the first entry of the log; told says whether there is a leader that answers.
-func (s *state) commit(told bool) {
+// commit applies the first entry of the log. respond says whether there is still a leader that sends the response.
+func (s *state) commit(respond bool) {
 	s.unshare()
 	e := s.log[0]
 	s.log = s.log[1:]
@@ -126,7 +130,7 @@
 		e.command.Claim = &claim
 	}
 	r := s.list.Apply(e.command)
-	if !told {
+	if !respond {
 		return
 	}
 	if r.Err == nil {
@@ -139,9 +143,9 @@
 	s.respond(e.candidate, e.requestID, g)
 }
 
-// elect begins another leader, with what was not committed or without.
-func (s *state) elect(keeps bool) {
-	for keeps && len(s.log) > 0 {
+// elect starts another leader of the service. keepLog says whether the uncommitted entries are committed first, or lost.
+func (s *state) elect(keepLog bool) {
+	for keepLog && len(s.log) > 0 {
 		s.commit(false)
 	}
 	s.log = nil
@@ -149,20 +153,20 @@
 	s.leases.Lead(s.now, s.list.Leaderships())
 }
 
-// receiveAction is an act that reaches the one acted upon.
-func (s *state) receiveAction(who int) {
-	epoch := s.candidates[who].actionEpoch
-	s.candidates[who].actionEpoch = 0
+// receiveAction processes the arrival of a candidate's action at the target.
+func (s *state) receiveAction(candidate int) {
+	epoch := s.candidates[candidate].actionEpoch
+	s.candidates[candidate].actionEpoch = 0
 	if epoch < s.fenceEpoch {
 		if s.faults.NoFence {
-			s.violation = fmt.Sprintf("an act under epoch %d was taken after one under %d", epoch, s.fenceEpoch)
+			s.violation = fmt.Sprintf("an action under epoch %d was accepted after one under epoch %d", epoch, s.fenceEpoch)
 		}
 		return
 	}
 	s.fenceEpoch = epoch
 }
 
-// Broken names a promise that does not hold.
+// Broken returns the invariant that does not hold, or an empty string.
 func (s *state) Broken(*state) string {
 	if s.violation != "" {
 		return s.violation
@@ -171,56 +175,57 @@
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		if epoch, ok := c.Holds(c.clock); ok && (d.Holder != holderName(i) || d.Epoch != epoch) {
-			return fmt.Sprintf("%s may act under epoch %d, and the duty is of %q under %d", holderName(i), epoch, d.Holder, d.Epoch)
+			return fmt.Sprintf("%s may act under epoch %d, but the leadership is held by %q under epoch %d", holderName(i), epoch, d.Holder, d.Epoch)
 		}
 	}
 	return ""
 }
 
-// Hash is one of the key; two keys with the same one are taken for the same state, by a chance of 1 in 2^128 for a pair.
+// Hash returns a hash of the key. Two keys with equal hashes are taken for the same state; the chance of that is 1 in 2^128 for a
+// pair.
 func (s *state) Hash() (h modelcheck.Hash) {
 	sum := sha256.Sum256(s.key(make([]byte, 0, 256)))
 	copy(h[:], sum[:])
 	return h
 }
 
-// key is the state up to what makes no difference: where time and epochs begin, and the ids of calls.
+// key appends an encoding of the state without what makes no difference: the origins of time and epochs, and the IDs of requests.
 func (s *state) key(b []byte) []byte {
 	d, held := s.list.Leadership(leadershipName)
 	highest := s.list.Epoch()
 	if !held {
 		d.Epoch = highest
 	}
-	put := func(all ...uint64) {
-		for _, x := range all {
-			b = binary.AppendUvarint(b, x)
+	put := func(values ...uint64) {
+		for _, v := range values {
+			b = binary.AppendUvarint(b, v)
 		}
 	}
-	bit := func(on bool) uint64 {
-		if on {
+	bit := func(set bool) uint64 {
+		if set {
 			return 1
 		}
 		return 0
 	}
-	l := s.remaining
-	put(uint64(l.Ticks), uint64(l.Pauses), uint64(l.Elections), uint64(l.Withdrawals), uint64(l.Delays), uint64(l.Actions), bit(held), highest-d.Epoch, highest-s.fenceEpoch)
+	remaining := s.remaining
+	put(uint64(remaining.Ticks), uint64(remaining.Pauses), uint64(remaining.Elections), uint64(remaining.Withdrawals), uint64(remaining.Delays), uint64(remaining.Actions), bit(held), highest-d.Epoch, highest-s.fenceEpoch)
 	b = s.leases.AppendKey(append(b, d.Holder...), s.now, d)
 	for _, e := range s.log {
 		put(uint64(e.candidate), uint64(e.command.Op[2]), highest-e.command.Claim.Epoch, bit(e.requestID == s.candidates[e.candidate].PendingID()))
-		if over := e.command.Claim.ExpiredTerm; over != nil {
-			put(highest-over.Epoch, d.Renewals-over.Renewals)
+		if expired := e.command.Claim.ExpiredTerm; expired != nil {
+			put(highest-expired.Epoch, d.Renewals-expired.Renewals)
 		}
 	}
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		b = c.AppendKey(append(b, '|'), c.clock, highest)
 		put(uint64(c.ticksSinceStall), bit(c.paused), bit(c.campaigning), bit(c.actionEpoch != 0), highest-c.actionEpoch*bit(c.actionEpoch != 0), uint64(len(c.requests)))
-		for _, x := range c.requests {
-			put(uint64(x.Op), highest-x.Claim.Epoch, bit(x.ID == c.PendingID()))
+		for _, request := range c.requests {
+			put(uint64(request.Op), highest-request.Claim.Epoch, bit(request.ID == c.PendingID()))
 		}
-		if a := c.response; a != nil {
-			put(1, highest-a.Grant.Epoch, uint64(a.Grant.RetryAfterMs))
-			b = append(b, a.Grant.Holder...)
+		if response := c.response; response != nil {
+			put(1, highest-response.Grant.Epoch, uint64(response.Grant.RetryAfterMs))
+			b = append(b, response.Grant.Holder...)
 		}
 	}
 	return b
--- a/internal/lease/explore/steps.go
+++ b/internal/lease/explore/steps.go
@@ -7,22 +7,22 @@
 	"mosslead/internal/lease"
 )
 
-// Steps are all that may happen next.
+// Steps adds all steps that may come next.
 func (s *state) Steps(add func(name string, do func(*state))) {
-	for still := range 4 { // a bit for each clock that stands still
-		if s.remaining.Ticks == 0 || still&1 != 0 && s.candidates[0].ticksSinceStall < stallInterval || still&2 != 0 && s.candidates[1].ticksSinceStall < stallInterval {
+	for stalled := range 4 { // a bit mask of the candidates whose clocks stand still
+		if s.remaining.Ticks == 0 || stalled&1 != 0 && s.candidates[0].ticksSinceStall < stallInterval || stalled&2 != 0 && s.candidates[1].ticksSinceStall < stallInterval {
 			continue
 		}
-		add(fmt.Sprint("tick", still), func(n *state) { n.tick(still) })
+		add(fmt.Sprint("tick", stalled), func(n *state) { n.tick(stalled) })
 	}
 	if len(s.log) > 0 {
 		add("commit", func(n *state) { n.commit(true) })
 	}
 	if s.remaining.Elections > 0 {
-		for _, keeps := range []bool{true, false} {
-			add(fmt.Sprint("elect ", keeps), func(n *state) { n.remaining.Elections--; n.elect(keeps) })
+		for _, keepLog := range []bool{true, false} {
+			add(fmt.Sprint("elect ", keepLog), func(n *state) { n.remaining.Elections--; n.elect(keepLog) })
 			if len(s.log) == 0 {
-				break // no difference
+				break // with an empty log both are the same
 			}
 		}
 	}
@@ -31,62 +31,63 @@
 	}
 }
 
+// candidateSteps adds the steps of one candidate and its messages.
 func (s *state) candidateSteps(i int, add func(string, func(*state))) {
 	c := &s.candidates[i]
-	for k, call := range c.requests {
-		add(fmt.Sprintf("%s's call %d arrives", holderName(i), call.Op), func(n *state) {
+	for k, request := range c.requests {
+		add(fmt.Sprintf("%s's request of operation %d arrives and is committed", holderName(i), request.Op), func(n *state) {
 			n.candidates[i].requests = slices.Delete(n.candidates[i].requests, k, k+1)
-			n.receiveRequest(i, call)
+			n.receiveRequest(i, request)
 			for len(n.log) > 0 {
 				n.commit(true)
 			}
 		})
 		if s.remaining.Delays > 0 {
-			add(fmt.Sprintf("%s's call %d is in the log", holderName(i), call.Op), func(n *state) {
+			add(fmt.Sprintf("%s's request of operation %d arrives and is not committed yet", holderName(i), request.Op), func(n *state) {
 				n.remaining.Delays--
 				n.candidates[i].requests = slices.Delete(n.candidates[i].requests, k, k+1)
-				n.receiveRequest(i, call)
+				n.receiveRequest(i, request)
 			})
 		}
 	}
-	if a := c.response; a != nil && !c.paused {
-		add(fmt.Sprintf("%s is answered %s %d", holderName(i), a.Grant.Holder, a.Grant.Epoch), func(n *state) {
+	if response := c.response; response != nil && !c.paused {
+		add(fmt.Sprintf("%s receives the response: holder %q, epoch %d", holderName(i), response.Grant.Holder, response.Grant.Epoch), func(n *state) {
 			n.candidates[i].response = nil
-			n.handle(i, *a)
+			n.handle(i, *response)
 		})
 	}
-	epoch, acts := c.Holds(c.clock)
+	epoch, ok := c.Holds(c.clock)
 	switch {
 	case c.actionEpoch != 0:
-		add(holderName(i)+"'s act arrives", func(n *state) { n.receiveAction(i) })
-	case acts && !c.paused && s.remaining.Actions > 0:
-		add(fmt.Sprintf("%s acts under %d", holderName(i), epoch), func(n *state) { n.remaining.Actions--; n.candidates[i].actionEpoch = epoch })
+		add(holderName(i)+"'s action arrives", func(n *state) { n.receiveAction(i) })
+	case ok && !c.paused && s.remaining.Actions > 0:
+		add(fmt.Sprintf("%s starts an action under epoch %d", holderName(i), epoch), func(n *state) { n.remaining.Actions--; n.candidates[i].actionEpoch = epoch })
 	}
 	switch {
 	case c.paused:
-		add(holderName(i)+" goes on", func(n *state) { n.candidates[i].paused = false; n.handle(i, nil) })
+		add(holderName(i)+" resumes", func(n *state) { n.candidates[i].paused = false; n.handle(i, nil) })
 	case s.remaining.Pauses > 0:
-		add(holderName(i)+" is stopped", func(n *state) { n.remaining.Pauses--; n.candidates[i].paused = true })
+		add(holderName(i)+" is paused", func(n *state) { n.remaining.Pauses--; n.candidates[i].paused = true })
 	}
 	if !c.paused && (!c.campaigning || s.remaining.Withdrawals > 0) {
-		add(fmt.Sprintf("%s wants it: %v", holderName(i), !c.campaigning), func(n *state) {
-			x := &n.candidates[i]
-			if x.campaigning {
+		add(fmt.Sprintf("%s campaigns: %v", holderName(i), !c.campaigning), func(n *state) {
+			candidate := &n.candidates[i]
+			if candidate.campaigning {
 				n.remaining.Withdrawals--
 			}
-			x.campaigning = !x.campaigning
-			n.handle(i, lease.Campaign{On: x.campaigning})
+			candidate.campaigning = !candidate.campaigning
+			n.handle(i, lease.Campaign{On: candidate.campaigning})
 		})
 	}
 }
 
-// tick is the next point of time; each clock goes on with it unless its bit in still says not.
-func (s *state) tick(still int) {
+// tick advances time by one tick. Each candidate's clock advances too, unless its bit in stalled is set.
+func (s *state) tick(stalled int) {
 	s.now += Tick
 	s.remaining.Ticks--
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		if still&(1<<i) != 0 {
+		if stalled&(1<<i) != 0 {
 			c.ticksSinceStall = 1
 		} else {
 			c.ticksSinceStall = min(c.ticksSinceStall+1, stallInterval)
--- a/internal/lease/fence.go
+++ b/internal/lease/fence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CurrentLease is the lease of a leader, for all that act as the leader. Safe for concurrent use.
+// CurrentLease is the lease of a leader, read before each action as the leader. Safe for concurrent use.
 type CurrentLease struct {
 	mu        sync.Mutex
 	epoch     uint64
@@ -13,36 +13,36 @@
 }
 
 // set begins or extends a lease.
-func (h *CurrentLease) set(epoch uint64, until time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.epoch, h.expiresAt = epoch, until
+func (l *CurrentLease) set(epoch uint64, until time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.epoch, l.expiresAt = epoch, until
 }
 
-// clear ends it at once.
-func (h *CurrentLease) clear() { h.set(0, time.Time{}) }
+// clear ends the lease at once.
+func (l *CurrentLease) clear() { l.set(0, time.Time{}) }
 
-// Holds tells whether the lease is valid at now, and under which epoch. It is asked at each action that the
-// leader takes, and the action carries the epoch.
-func (h *CurrentLease) Holds(now time.Time) (epoch uint64, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.epoch, now.Before(h.expiresAt)
+// Holds reports whether the lease is valid at now, and returns its epoch. The leader calls it before each
+// action, and the action carries the epoch.
+func (l *CurrentLease) Holds(now time.Time) (epoch uint64, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.epoch, now.Before(l.expiresAt)
 }
 
-// maxFenced bounds the leaderships that a Fence knows.
+// maxFenced is the number of leaderships that a Fence holds at most.
 const maxFenced = 4096
 
-// Fence holds the highest epoch that was seen of each leadership, at those that a leader acts upon: epochs
-// are fencing tokens. It is in memory only, and accepts the first epoch after a restart. Safe for concurrent
-// use.
+// Fence holds the highest epoch seen of each leadership, in the target of a leader's actions: epochs are
+// fencing tokens. It is kept in memory only, so that after a restart it accepts any first epoch. Safe for
+// concurrent use.
 type Fence struct {
 	mu      sync.Mutex
 	highest map[string]uint64
 }
 
-// Admit tells whether an action under epoch may be accepted: not after a higher epoch was seen, not under
-// epoch 0, and not for more than maxFenced leaderships.
+// Admit reports whether to accept an action under epoch. It rejects epoch 0, an epoch below the highest seen,
+// and a new leadership if maxFenced are known.
 func (f *Fence) Admit(name string, epoch uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lease/memory/memory.go
+++ b/internal/lease/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory owns a service of leaderships in one process's memory: the list and the terms of a replica without log and network,
-// for whoever tries candidates out.
+// Package memory implements lease.Service in one process's memory: the list and the lease table of a replica,
+// without log and network, for tests of candidates.
 package memory
 
 import (
@@ -12,7 +12,7 @@
 	"mosslead/internal/registry/list"
 )
 
-// Service implements leadership.Service. Safe for concurrent use.
+// Service implements lease.Service. Safe for concurrent use.
 type Service struct {
 	now func() time.Duration
 
@@ -23,7 +23,7 @@
 	calls  int
 }
 
-// New is a service that nobody has asked yet. now is its clock; nil: the time from here on.
+// New returns a service without leaderships. now is its clock; if it is nil, the time since this call is used.
 func New(now func() time.Duration) *Service {
 	if begin := time.Now(); now == nil {
 		now = func() time.Duration { return time.Since(begin) }
@@ -33,7 +33,7 @@
 	return s
 }
 
-// Down has it answer nobody, or all again after an election.
+// Down stops the service from answering, or starts it again as a newly elected leader.
 func (s *Service) Down(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,14 +43,14 @@
 	s.down = down
 }
 
-// Calls counts calls, those that were not answered too.
+// Calls returns the number of calls so far, including those that were not answered.
 func (s *Service) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Leadership is a leadership as it is now.
+// Leadership returns the present state of a leadership.
 func (s *Service) Leadership(name string) api.LeadershipGrant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,17 +58,17 @@
 	return d.Grant()
 }
 
-// AcquireLeadership implements leadership.Service.
+// AcquireLeadership implements lease.Service.
 func (s *Service) AcquireLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return s.apply(list.AcquireLeadership, c)
 }
 
-// RenewLeadership implements leadership.Service.
+// RenewLeadership implements lease.Service.
 func (s *Service) RenewLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	return s.apply(list.RenewLeadership, c)
 }
 
-// ReleaseLeadership implements leadership.Service.
+// ReleaseLeadership implements lease.Service.
 func (s *Service) ReleaseLeadership(_ context.Context, c api.LeadershipClaim) error {
 	_, err := s.apply(list.ReleaseLeadership, c)
 	return err
@@ -88,13 +88,13 @@
 	claim := &list.LeadershipClaim{LeadershipClaim: c}
 	if op == list.AcquireLeadership {
 		d, isHeld := s.list.Leadership(c.Name)
-		over, after, acquire := s.leases.Decide(now, d, isHeld, c)
+		expired, retryAfter, acquire := s.leases.Decide(now, d, isHeld, c)
 		if !acquire {
 			g := d.Grant()
-			g.RetryAfterMs = after.Milliseconds()
+			g.RetryAfterMs = retryAfter.Milliseconds()
 			return g, nil
 		}
-		claim.ExpiredTerm = over
+		claim.ExpiredTerm = expired
 	}
 	r := s.list.Apply(list.Command{Op: op, Claim: claim})
 	g := r.Leadership.Grant()
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -8,8 +8,8 @@
 	"mosslead/internal/registry/api"
 )
 
-// Runner carries out an Elector. Run is its one goroutine; all other methods may be called from anywhere and
-// do not block.
+// Runner drives an Elector with a clock and calls of the service. Run is its event loop; the other methods may
+// be called from any goroutine and do not block.
 type Runner struct {
 	CurrentLease
 	service   Service
@@ -19,17 +19,17 @@
 	wake      chan struct{}
 
 	mu         sync.Mutex
-	campaign   *Campaign // not handled yet
+	campaign   *Campaign // not handled yet; nil if there is none
 	workFailed bool
 }
 
-// NewRunner prepares an elector. onChange gets Acquired and Expired, on Run's goroutine; Holds is false
-// already when it gets Expired.
+// NewRunner returns a Runner, which starts with Run. onChange is called on Run's goroutine with each Acquired
+// and Expired; when it gets Expired, Holds already reports false.
 func NewRunner(s Service, c Config, onChange func(Action)) *Runner {
 	return &Runner{service: s, config: c, onChange: onChange, startedAt: time.Now(), wake: make(chan struct{}, 1)}
 }
 
-// Campaign says whether the leadership is wanted, and how fit this process is for it.
+// Campaign starts or stops campaigning, and sets how fit this process is to lead: 0 to api.MaxFitness.
 func (r *Runner) Campaign(on bool, fitness float64) {
 	r.mu.Lock()
 	r.campaign = &Campaign{on, min(max(fitness, 0), api.MaxFitness)}
@@ -37,7 +37,8 @@
 	r.wakeUp()
 }
 
-// ReportFailure says that this process fails at the work of the leader. It loses the leadership for a while.
+// ReportFailure reports that this process fails at the work of the leader. If it leads, it releases the
+// leadership and does not campaign for a while.
 func (r *Runner) ReportFailure() {
 	r.mu.Lock()
 	r.workFailed = true
@@ -52,23 +53,23 @@
 	}
 }
 
-// Run takes part in the election until ctx ends, and then releases what it holds. It returns within about two
-// timeouts, or when the lease has ended.
+// Run takes part in the election until ctx ends, and then releases the lease. It returns within about two
+// timeouts after that, or when the lease has ended.
 func (r *Runner) Run(ctx context.Context) {
 	now := func() time.Duration { return time.Since(r.startedAt) }
-	x := NewElector(r.config, now())
-	calls := r.startCaller()
-	defer calls.close()
+	elector := NewElector(r.config, now())
+	caller := r.startCaller()
+	defer caller.close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	over := ctx.Done()
+	done := ctx.Done()
 	events := []Event{nil}
 	for {
 		for _, e := range events {
-			for _, a := range x.Handle(now(), e) {
+			for _, a := range elector.Handle(now(), e) {
 				switch a := a.(type) {
 				case Request:
-					calls.call(context.WithoutCancel(ctx), a)
+					caller.call(context.WithoutCancel(ctx), a)
 				case Acquired:
 					r.set(a.Epoch, r.startedAt.Add(a.ExpiresAt))
 					r.onChange(a)
@@ -80,13 +81,13 @@
 				}
 			}
 		}
-		if at, ok := x.Next(); ok {
+		if at, ok := elector.Next(); ok {
 			timer.Reset(max(0, at-now()))
 		}
 		select {
-		case <-over:
-			events, over = []Event{Stop{}}, nil
-		case a := <-calls.responses:
+		case <-done:
+			events, done = []Event{Stop{}}, nil
+		case a := <-caller.responses:
 			events = []Event{a}
 		case <-timer.C:
 			events = []Event{nil}
@@ -96,7 +97,7 @@
 	}
 }
 
-// takeInputs returns the events since it was last called.
+// takeInputs returns the inputs since its last call, as events.
 func (r *Runner) takeInputs() (events []Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,12 +111,12 @@
 	return events
 }
 
-// caller sends requests on a goroutine of its own, one at a time: each cancels the one before.
+// caller sends requests on its own goroutine, one at a time: each request cancels the previous one.
 type caller struct {
 	jobs      chan requestJob
 	responses chan Response // a response to a cancelled request may still arrive
 	stopped   chan struct{}
-	cancel    context.CancelFunc // of the latest request; nil: there was none
+	cancel    context.CancelFunc // cancels the latest request; nil before the first
 }
 
 type requestJob struct {
@@ -127,8 +128,8 @@
 	c := &caller{jobs: make(chan requestJob), responses: make(chan Response, 1), stopped: make(chan struct{})}
 	go func() {
 		defer close(c.stopped)
-		for j := range c.jobs {
-			c.responses <- r.callService(j.ctx, j.Request)
+		for job := range c.jobs {
+			c.responses <- r.callService(job.ctx, job.Request)
 		}
 	}()
 	return c
@@ -140,15 +141,15 @@
 	}
 }
 
-// call cancels the request before, and sends one.
-func (c *caller) call(ctx context.Context, x Request) {
+// call cancels the previous request, and starts this one.
+func (c *caller) call(ctx context.Context, request Request) {
 	c.cancelPending()
-	ctx, c.cancel = context.WithTimeout(ctx, x.Timeout)
+	ctx, c.cancel = context.WithTimeout(ctx, request.Timeout)
 	for {
 		select {
-		case c.jobs <- requestJob{ctx, x}:
+		case c.jobs <- requestJob{ctx, request}:
 			return
-		case <-c.responses: // to a call that was ended
+		case <-c.responses: // response to the cancelled request
 		}
 	}
 }
@@ -166,17 +167,17 @@
 	}
 }
 
-func (r *Runner) callService(ctx context.Context, c Request) (a Response) {
-	a.ID = c.ID
+func (r *Runner) callService(ctx context.Context, request Request) (response Response) {
+	response.ID = request.ID
 	var err error
-	switch c.Op {
+	switch request.Op {
 	case Acquire:
-		a.Grant, err = r.service.AcquireLeadership(ctx, c.Claim)
+		response.Grant, err = r.service.AcquireLeadership(ctx, request.Claim)
 	case Renew:
-		a.Grant, err = r.service.RenewLeadership(ctx, c.Claim)
+		response.Grant, err = r.service.RenewLeadership(ctx, request.Claim)
 	case Release:
-		err = r.service.ReleaseLeadership(ctx, c.Claim)
+		err = r.service.ReleaseLeadership(ctx, request.Claim)
 	}
-	a.Known = err == nil
-	return a
+	response.Known = err == nil
+	return response
 }
--- a/internal/lease/transcript_test.go
+++ b/internal/lease/transcript_test.go
@@ -12,7 +12,7 @@
 	"mosslead/internal/lease/memory"
 )
 
-// scenario is candidates for the probes of s-1, their service, and one that is acted upon, 2 ms apart.
+// scenario has candidates for one leadership, their service 2 ms away, and the target of their actions.
 type scenario struct {
 	*testing.T
 	record  transcript.Transcript
@@ -21,135 +21,136 @@
 	running sync.WaitGroup
 }
 
-// scenarioCandidate is one candidate.
+// scenarioCandidate is one candidate of a scenario.
 type scenarioCandidate struct {
 	*transcript.Candidate
-	shutDown context.CancelFunc // as SIGTERM
+	shutDown context.CancelFunc // ends the candidate as SIGTERM does
 }
 
 const leadershipName = "trials/s-1"
 
-func (p *scenario) candidate(name string, fitness float64) *scenarioCandidate {
-	ctx, end := context.WithCancel(p.Context())
-	c := &scenarioCandidate{transcript.NewCandidate(&p.record, p.service, 2*time.Millisecond, name, leadershipName), end}
+// candidate starts a candidate that campaigns.
+func (s *scenario) candidate(name string, fitness float64) *scenarioCandidate {
+	ctx, cancel := context.WithCancel(s.Context())
+	c := &scenarioCandidate{transcript.NewCandidate(&s.record, s.service, 2*time.Millisecond, name, leadershipName), cancel}
 	c.Campaign(true, fitness)
-	p.running.Go(func() { c.Run(ctx) })
-	p.Cleanup(func() {
-		end()
-		p.running.Wait()
+	s.running.Go(func() { c.Run(ctx) })
+	s.Cleanup(func() {
+		cancel()
+		s.running.Wait()
 	})
 	return c
 }
 
-// act has a candidate look whether it holds, and act some time later.
-func (p *scenario) act(c *scenarioCandidate, late time.Duration, want bool) {
-	p.Helper()
+// act has a candidate check its lease and act after a delay. want is whether the target accepts the action.
+func (s *scenario) act(c *scenarioCandidate, delay time.Duration, want bool) {
+	s.Helper()
 	epoch, ok := c.Holds(time.Now())
 	if !ok {
-		p.Error("holds nothing")
+		s.Errorf("candidate %s holds no lease, want it to hold one", c.Line.Name)
 	}
-	time.Sleep(late)
-	if p.target.Act(c.Line.Name, leadershipName, epoch) != want {
-		p.Errorf("taken %v, want %v", !want, want)
+	time.Sleep(delay)
+	if s.target.Act(c.Line.Name, leadershipName, epoch) != want {
+		s.Errorf("action of %s under epoch %d: got accepted %v, want %v", c.Line.Name, epoch, !want, want)
 	}
 }
 
 var scenarios = []struct {
-	name, shows string // shows is the line that it is about
-	script      func(*scenario)
+	name, keyLine string // keyLine is the line, or part of one, that the transcript must have
+	script        func(*scenario)
 }{
-	{"take", "a > itself: may act under epoch 1", func(p *scenario) {
-		a := p.candidate("a", 400)
+	{"take", "a > itself: may act under epoch 1", func(s *scenario) {
+		a := s.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.candidate("b", 400)
+		s.candidate("b", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.act(a, 0, true)
+		s.act(a, 0, true)
 	}},
-	{"renew", "a > service: renew", func(p *scenario) {
-		p.candidate("a", 400)
+	{"renew", "a > service: renew", func(s *scenario) {
+		s.candidate("a", 400)
 		time.Sleep(2 * time.Second)
 	}},
-	{"lapse-after-a-stop", "may not act any more under epoch 1: its lease is over", func(p *scenario) {
-		a := p.candidate("a", 400)
+	{"lapse-after-a-stop", "may not act any more under epoch 1: its lease is over", func(s *scenario) {
+		a := s.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
-		cont := a.Stop()
+		resume := a.Stop()
 		time.Sleep(3 * time.Second)
-		p.candidate("b", 400)
+		s.candidate("b", 400)
 		time.Sleep(time.Second)
-		cont()
+		resume()
 		time.Sleep(100 * time.Millisecond)
 	}},
-	{"answers-lost", "may not act any more under epoch 1: its lease is over", func(p *scenario) {
-		a := p.candidate("a", 400)
+	{"answers-lost", "may not act any more under epoch 1: its lease is over", func(s *scenario) {
+		a := s.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
 		a.Line.Cut(true)
 		time.Sleep(3 * time.Second)
 	}},
-	{"hand-on-at-the-end", "may not act any more under epoch 1: it ends", func(p *scenario) {
-		a := p.candidate("a", 400)
+	{"hand-on-at-the-end", "may not act any more under epoch 1: it ends", func(s *scenario) {
+		a := s.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.candidate("b", 400)
+		s.candidate("b", 400)
 		time.Sleep(100 * time.Millisecond)
 		a.shutDown()
 		time.Sleep(600 * time.Millisecond)
 	}},
-	{"hand-on-to-a-better", "handed on to a better one", func(p *scenario) {
-		p.candidate("a", 400)
+	{"hand-on-to-a-better", "handed on to a better one", func(s *scenario) {
+		s.candidate("a", 400)
 		time.Sleep(9200 * time.Millisecond)
-		p.record.Begin()
-		p.candidate("b", 900)
+		s.record.Begin()
+		s.candidate("b", 900)
 		time.Sleep(1700 * time.Millisecond)
 	}},
-	{"no-quorum", "fails: no leader", func(p *scenario) {
-		p.candidate("a", 400)
+	{"no-quorum", "fails: no leader", func(s *scenario) {
+		s.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.service.Down(true)
+		s.service.Down(true)
 		time.Sleep(4 * time.Second)
-		p.service.Down(false)
+		s.service.Down(false)
 		time.Sleep(3 * time.Second)
 	}},
-	{"fenced", "target > a: refused", func(p *scenario) {
-		a := p.candidate("a", 400)
+	{"fenced", "target > a: refused", func(s *scenario) {
+		a := s.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.act(a, 0, true)
-		cont := a.Stop()
-		late := make(chan struct{})
-		go func() { // it has looked, and is stopped before it acts
-			p.act(a, 4*time.Second, false)
-			close(late)
+		s.act(a, 0, true)
+		resume := a.Stop()
+		acted := make(chan struct{})
+		go func() { // a has checked its lease, and is stopped before its action arrives
+			s.act(a, 4*time.Second, false)
+			close(acted)
 		}()
 		time.Sleep(3 * time.Second)
-		b := p.candidate("b", 400)
+		b := s.candidate("b", 400)
 		time.Sleep(950 * time.Millisecond)
-		p.act(b, 0, true)
-		<-late
-		cont()
+		s.act(b, 0, true)
+		<-acted
+		resume()
 	}},
-	{"failed-at-it", "may not act any more under epoch 1: it fails at it", func(p *scenario) {
-		a := p.candidate("a", 400)
+	{"failed-at-it", "may not act any more under epoch 1: it fails at it", func(s *scenario) {
+		a := s.candidate("a", 400)
 		time.Sleep(20 * time.Millisecond)
-		p.candidate("b", 400)
+		s.candidate("b", 400)
 		time.Sleep(100 * time.Millisecond)
 		a.ReportFailure()
 		time.Sleep(600 * time.Millisecond)
 	}},
 }
 
-// Guards against any change of what candidates and the service tell each other that nobody has looked at.
+// Guards the messages between candidates and the service: they must be those of the approved transcripts.
 func TestApprovedTranscripts(t *testing.T) {
-	for _, a := range scenarios {
-		t.Run(a.name, func(t *testing.T) {
+	for _, test := range scenarios {
+		t.Run(test.name, func(t *testing.T) {
 			text := ""
 			synctest.Test(t, func(t *testing.T) {
-				p := &scenario{T: t, service: memory.New(nil)}
-				p.target.Record = &p.record
-				p.record.Begin()
-				a.script(p)
+				s := &scenario{T: t, service: memory.New(nil)}
+				s.target.Record = &s.record
+				s.record.Begin()
+				test.script(s)
 				synctest.Wait()
-				p.record.Stop()
-				text = p.record.Text()
+				s.record.Stop()
+				text = s.record.Text()
 			})
-			approve.Text(t, a.name, a.shows, text)
+			approve.Text(t, test.name, test.keyLine, text)
 		})
 	}
 }
