--- a/internal/federation/chunks.go
+++ b/internal/federation/chunks.go
@@ -1,5 +1,5 @@
-// Package federation turns what another region's list service sends into chunks for this region's log: it
-// decides what of it is plausible, and how much goes into one chunk. Pure: no I/O and no clock.
+// Package federation turns watch events from another region's list service into chunks for this region's log.
+// It decides which of their content is plausible, and bounds the size of chunks. It does no I/O and reads no clock.
 package federation
 
 import (
@@ -12,87 +12,87 @@
 	"mosslead/internal/registry/list"
 )
 
-// Bounds of a chunk: other commands of the own region get in between two chunks.
+// Bounds of a chunk. They let other commands of this region get into the log between two chunks.
 const (
 	MaxChunkEntries    = 500
 	MaxChunkBytes      = 256 << 10
-	entryOverheadBytes = 128 // of an entry beside its text, encoded, at most
+	entryOverheadBytes = 128 // upper bound of the encoded size of an entry or document, without its texts
 )
 
-// ChunkLimit bounds a chunk. One entry or document goes in at any rate.
+// ChunkLimit bounds a chunk. A single entry or document may exceed Bytes.
 type ChunkLimit struct{ Entries, Bytes int }
 
-// Chunks are those with the program's limit, see ChunkLimit.Chunks.
-func Chunks(region string, replicated list.Replicated, l api.WatchEvent) (chunks []list.Chunk, anomaly, rejected string) {
-	return ChunkLimit{MaxChunkEntries, MaxChunkBytes}.Chunks(region, replicated, l)
+// Chunks calls ChunkLimit.Chunks with the limits MaxChunkEntries and MaxChunkBytes.
+func Chunks(region string, replicated list.Replicated, event api.WatchEvent) (chunks []list.Chunk, anomaly, rejected string) {
+	return ChunkLimit{MaxChunkEntries, MaxChunkBytes}.Chunks(region, replicated, event)
 }
 
-// Chunks are the steps from what is replicated of a region to what its list says; none if nothing has
-// changed. rejected says why the event is not applied, and then there are no chunks; anomaly says what part
-// of it is not, beside chunks that are.
+// Chunks returns the chunks that bring the replicated state of a region up to an event of its list; none if
+// nothing has changed. rejected says why the event is not applied, in which case there are no chunks; anomaly
+// names a part of the event that is left out of the chunks.
 //
-// An endpoint that a snapshot does not name is removed. A document is not: whoever deletes one stores that it
-// is deleted, so a list that does not name it has lost it.
-func (b ChunkLimit) Chunks(region string, replicated list.Replicated, l api.WatchEvent) (chunks []list.Chunk, anomaly, rejected string) {
+// An endpoint that a snapshot does not name is removed. A document is not: a deleted document stays in its
+// list, marked as deleted, so a list that does not name it has lost it.
+func (l ChunkLimit) Chunks(region string, replicated list.Replicated, event api.WatchEvent) (chunks []list.Chunk, anomaly, rejected string) {
 	switch {
-	case l.Region != region:
-		return nil, "", fmt.Sprintf("it says that it is region %q", l.Region)
-	case l.Revision < replicated.SeenRevision:
-		return nil, "", fmt.Sprintf("its version goes back from %d to %d", replicated.SeenRevision, l.Revision)
+	case event.Region != region:
+		return nil, "", fmt.Sprintf("it says that it is region %q", event.Region)
+	case event.Revision < replicated.SeenRevision:
+		return nil, "", fmt.Sprintf("its version goes back from %d to %d", replicated.SeenRevision, event.Revision)
 	}
-	entries := changedEndpoints(replicated, l)
+	entries := changedEndpoints(replicated, event)
 	if n := len(replicated.Entries) + len(entries); n > 2*api.MaxEndpoints {
 		return nil, "", fmt.Sprintf("it tells of %d entries", n)
 	}
 	var documents []api.Document
 	named := map[string]bool{}
-	for _, d := range l.Documents {
-		was, there := replicated.Documents[d.Service]
+	for _, d := range event.Documents {
+		old, ok := replicated.Documents[d.Service]
 		named[d.Service] = true
 		d.Region = region
 		switch {
 		case d.Service == "" || len(d.Service) > api.MaxName || len(d.Settings) > 6*api.MaxSettings:
 			anomaly = "it tells of settings that are out of bounds"
-		case d.Revision < 1 || d.Revision > l.Revision:
-			anomaly = fmt.Sprintf("the settings of %s are at version %d of a list at %d", d.Service, d.Revision, l.Revision)
-		case there && d.Revision < was.Revision:
-			anomaly = fmt.Sprintf("the settings of %s go back from version %d to %d", d.Service, was.Revision, d.Revision)
-		case there && d.Revision == was.Revision && !equalDocuments(d, was):
+		case d.Revision < 1 || d.Revision > event.Revision:
+			anomaly = fmt.Sprintf("the settings of %s are at version %d of a list at %d", d.Service, d.Revision, event.Revision)
+		case ok && d.Revision < old.Revision:
+			anomaly = fmt.Sprintf("the settings of %s go back from version %d to %d", d.Service, old.Revision, d.Revision)
+		case ok && d.Revision == old.Revision && !equalDocuments(d, old):
 			anomaly = fmt.Sprintf("the settings of %s at version %d are others than those that are held", d.Service, d.Revision)
-		case !there || d.Revision > was.Revision:
+		case !ok || d.Revision > old.Revision:
 			documents = append(documents, d)
 		}
 	}
-	if l.Snapshot {
+	if event.Snapshot {
 		for _, service := range slices.Sorted(maps.Keys(replicated.Documents)) {
 			if d := replicated.Documents[service]; !named[service] {
 				anomaly = fmt.Sprintf("the settings of %s, held at version %d, are unknown to it", service, d.Revision)
 			}
 		}
 	}
-	if len(entries) == 0 && len(documents) == 0 && l.Revision == replicated.Revision && replicated.SeenRevision == replicated.Revision {
+	if len(entries) == 0 && len(documents) == 0 && event.Revision == replicated.Revision && replicated.SeenRevision == replicated.Revision {
 		return nil, anomaly, ""
 	}
-	return b.split(list.Chunk{Region: region, From: replicated.Revision, To: l.Revision, Part: replicated.NextPart}, entries, documents), anomaly, ""
+	return l.split(list.Chunk{Region: region, From: replicated.Revision, To: event.Revision, Part: replicated.NextPart}, entries, documents), anomaly, ""
 }
 
-// equalDocuments tells whether two documents of one revision have the same content.
+// equalDocuments reports whether two documents of one revision have the same content.
 func equalDocuments(a, b api.Document) bool {
 	return a.Deleted == b.Deleted && a.Schema == b.Schema && bytes.Equal(a.Settings, b.Settings)
 }
 
-// changedEndpoints are the endpoints that differ from what is replicated, in the event's order, and then those that it
-// removes.
-func changedEndpoints(replicated list.Replicated, l api.WatchEvent) (entries []api.Endpoint) {
-	named := make(map[string]bool, len(l.Endpoints))
-	for _, e := range l.Endpoints {
+// changedEndpoints returns the endpoints of an event that differ from what is replicated, in the event's order,
+// and then those that a snapshot removes.
+func changedEndpoints(replicated list.Replicated, event api.WatchEvent) (entries []api.Endpoint) {
+	named := make(map[string]bool, len(event.Endpoints))
+	for _, e := range event.Endpoints {
 		named[e.Name] = true
-		was, there := replicated.Entries[e.Name]
-		if e.Status == api.Removed && there || e.Status != api.Removed && was != e {
+		old, ok := replicated.Entries[e.Name]
+		if e.Status == api.Removed && ok || e.Status != api.Removed && old != e {
 			entries = append(entries, e)
 		}
 	}
-	if l.Snapshot {
+	if event.Snapshot {
 		for _, name := range slices.Sorted(maps.Keys(replicated.Entries)) {
 			if !named[name] {
 				entries = append(entries, api.Endpoint{Name: name, Status: api.Removed})
@@ -102,24 +102,24 @@
 	return entries
 }
 
-// split makes chunks of bounded size, documents first: settings are to be in force before the many entries of a heal.
-func (b ChunkLimit) split(p list.Chunk, entries []api.Endpoint, documents []api.Document) (chunks []list.Chunk) {
-	size := 0
-	next := func(bytes int) {
-		if full := len(p.Entries) == b.Entries || size+bytes > b.Bytes; full && size > 0 {
-			chunks = append(chunks, p)
-			p.Part, p.Entries, p.Documents, size = p.Part+1, nil, nil, 0
+// split makes chunks of bounded size, documents first: settings come into force before the many entries of a resync.
+func (l ChunkLimit) split(chunk list.Chunk, entries []api.Endpoint, documents []api.Document) (chunks []list.Chunk) {
+	used := 0
+	reserve := func(size int) {
+		if full := len(chunk.Entries) == l.Entries || used+size > l.Bytes; full && used > 0 {
+			chunks = append(chunks, chunk)
+			chunk.Part, chunk.Entries, chunk.Documents, used = chunk.Part+1, nil, nil, 0
 		}
-		size += bytes
+		used += size
 	}
 	for _, d := range documents {
-		next(entryOverheadBytes + len(d.Service) + len(d.Region) + len(d.Settings))
-		p.Documents = append(p.Documents, d)
+		reserve(entryOverheadBytes + len(d.Service) + len(d.Region) + len(d.Settings))
+		chunk.Documents = append(chunk.Documents, d)
 	}
 	for _, e := range entries {
-		next(entryOverheadBytes + len(e.Name) + len(e.Address) + len(e.Zone) + len(e.Machine))
-		p.Entries = append(p.Entries, e)
+		reserve(entryOverheadBytes + len(e.Name) + len(e.Address) + len(e.Zone) + len(e.Machine))
+		chunk.Entries = append(chunk.Entries, e)
 	}
-	p.Last = true
-	return append(chunks, p)
+	chunk.Last = true
+	return append(chunks, chunk)
 }
--- a/internal/federation/chunks_test.go
+++ b/internal/federation/chunks_test.go
@@ -14,7 +14,7 @@
 	"mosslead/internal/registry/list"
 )
 
-// region is one region's list, as its log makes it.
+// region is the list of one region, to which commands are applied as from its log.
 type region struct {
 	name string
 	list *list.List
@@ -33,11 +33,12 @@
 	r.apply(list.Command{Op: list.Register, Name: name, Registration: &api.Registration{Address: address, Weight: 1}})
 }
 
-func (r *region) changeDocument(op, service, text string, on int64) list.Result {
-	return r.apply(list.Command{Op: op, Name: service, IfRevision: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(text)}})
+// changeDocument puts or deletes the settings of a service, on condition that they are at a revision.
+func (r *region) changeDocument(op, service, text string, revision int64) list.Result {
+	return r.apply(list.Command{Op: op, Name: service, IfRevision: &revision, Document: &api.Document{Schema: 1, Settings: json.RawMessage(text)}})
 }
 
-// clone is a replica of the region as it is now.
+// clone returns a replica of the region as it is now, loaded from a snapshot.
 func (r *region) clone(t interface{ Fatal(...any) }, history int) *region {
 	text, err := json.Marshal(r.list.State())
 	if err != nil {
@@ -50,30 +51,32 @@
 	return &region{r.name, list.Load(s, history)}
 }
 
+// ownChanges returns the event that a watch from another region gets of the changes after revision from; -1 is the full list.
 func (r *region) ownChanges(from int64) api.WatchEvent {
-	l := r.list.OwnChangesSince(from)
-	l.Region = r.name
-	return l
+	event := r.list.OwnChangesSince(from)
+	event.Region = r.name
+	return event
 }
 
-// watcher is a sidecar of a region: what the lines of a watch make of it.
+// watcher is a sidecar of a region, with the entries that result from the events of its watch.
 type watcher struct {
 	revision int64
 	entries  map[string]api.Endpoint
 }
 
-func (w *watcher) read(l *list.List) (wrong string) {
-	told := l.ChangesSince(w.revision)
-	if told.Revision < w.revision {
-		return fmt.Sprintf("version %d after %d", told.Revision, w.revision)
+// read applies the next event of the list. It returns what is wrong, or an empty string.
+func (w *watcher) read(l *list.List) (violation string) {
+	event := l.ChangesSince(w.revision)
+	if event.Revision < w.revision {
+		return fmt.Sprintf("the watcher gets version %d after %d", event.Revision, w.revision)
 	}
-	if told.Snapshot {
+	if event.Snapshot {
 		w.entries = map[string]api.Endpoint{}
 	}
 	seen := map[string]bool{}
-	for _, e := range told.Endpoints {
+	for _, e := range event.Endpoints {
 		if seen[e.Name] {
-			return e.Name + " twice"
+			return "entry " + e.Name + " is listed twice in one event"
 		}
 		if seen[e.Name] = true; e.Status == api.Removed {
 			delete(w.entries, e.Name)
@@ -81,136 +84,137 @@
 			w.entries[e.Name] = e
 		}
 	}
-	w.revision = told.Revision
+	w.revision = event.Revision
 	if want := byName(l.Full().Endpoints); !maps.Equal(w.entries, want) {
-		return fmt.Sprintf("a watcher has %v, and the list is %v", w.entries, want)
+		return fmt.Sprintf("the watcher has %v, want %v as in the list", w.entries, want)
 	}
 	return ""
 }
 
-func byName(all []api.Endpoint) map[string]api.Endpoint {
+func byName(entries []api.Endpoint) map[string]api.Endpoint {
 	m := map[string]api.Endpoint{}
-	for _, e := range all {
+	for _, e := range entries {
 		m[e.Name] = e
 	}
 	return m
 }
 
-// highestSeen is the highest of what was highestSeen of other regions in one: none of it may go back.
+// highestSeen holds the highest revisions seen of what a list replicates from other regions. None of them may go back.
 type highestSeen map[string]int64
 
-func (s highestSeen) check(l *list.List) (wrong string) {
-	at := func(what string, version int64) {
-		if version < s[what] {
-			wrong = fmt.Sprintf("%s is at %d after %d", what, version, s[what])
+// check updates the revisions. It returns one that has gone back, or an empty string.
+func (h highestSeen) check(l *list.List) (violation string) {
+	checkRevision := func(name string, revision int64) {
+		if revision < h[name] {
+			violation = fmt.Sprintf("%s is at %d after %d", name, revision, h[name])
 		}
-		s[what] = version
+		h[name] = revision
 	}
 	for _, other := range l.Regions() {
-		h := l.Replicated(other)
-		at(other, h.Revision)
-		at(other+" seen", h.SeenRevision)
-		for service, d := range h.Documents {
-			at("settings of "+service+" by "+other, d.Revision)
+		replicated := l.Replicated(other)
+		checkRevision(other, replicated.Revision)
+		checkRevision(other+" seen", replicated.SeenRevision)
+		for service, d := range replicated.Documents {
+			checkRevision("settings of "+service+" by "+other, d.Revision)
 		}
 	}
-	return wrong
+	return violation
 }
 
-// runScenario draws what happens in two regions and between them: changes of both; listings from the other's newest replica, from one
-// that is behind, or from a copy of before that goes on by itself; chunks that are lost, come twice, or come late; and a follower's
-// list that goes through a snapshot. careless plants a follower that takes in what is older. It gives what went wrong.
-func runScenario(t *rapid.T, careless bool) (wrong string) {
+// runScenario runs a random scenario with two regions: changes in both; events from the owner's newest replica, from a stale copy, or
+// from a stale copy that continues by itself; chunks that are lost, duplicated or late; and a follower's list that is loaded from a
+// snapshot. acceptOlder injects a follower that applies older revisions. It returns what went wrong, or an empty string.
+func runScenario(t *rapid.T, acceptOlder bool) (violation string) {
 	history := rapid.IntRange(2, 20).Draw(t, "history")
 	north, south := newRegion("north", history), newRegion("south", history)
-	if careless {
+	if acceptOlder {
 		south.list.SkipRegionChecks()
 	}
-	behind := []*region{north.clone(t, history)}
-	var late []list.Chunk // that were proposed once
-	w, had := watcher{revision: -1}, highestSeen{}
+	copies := []*region{north.clone(t, history)}
+	var late []list.Chunk // chunks that were applied and may come again
+	w, seen := watcher{revision: -1}, highestSeen{}
 	steps := rapid.IntRange(1, 60).Draw(t, "steps")
 	for i := range steps {
-		of := rapid.SampledFrom([]*region{north, north, south}).Draw(t, "region")
+		r := rapid.SampledFrom([]*region{north, north, south}).Draw(t, "region")
 		name := fmt.Sprint("u", rapid.IntRange(0, 4).Draw(t, "name"))
 		service := fmt.Sprint("s", rapid.IntRange(0, 1).Draw(t, "service"))
-		switch rapid.SampledFrom([]string{"register", "register", "leave", "ban", "put", "put", "delete", "copy", "follow", "follow", "follow", "late", "snapshot"}).Draw(t, "what") {
+		switch rapid.SampledFrom([]string{"register", "register", "leave", "ban", "put", "put", "delete", "copy", "follow", "follow", "follow", "late", "snapshot"}).Draw(t, "step") {
 		case "register":
-			of.register(name, fmt.Sprint("127.0.0.1:", i+1))
+			r.register(name, fmt.Sprint("127.0.0.1:", i+1))
 		case "leave":
-			of.apply(list.Command{Op: list.Deregister, Name: name})
+			r.apply(list.Command{Op: list.Deregister, Name: name})
 		case "ban":
-			of.apply(list.Command{Op: list.SetAdminState, Name: name, AdminState: rapid.SampledFrom([]string{"", api.AdminBan, api.AdminDrain}).Draw(t, "hand")})
+			r.apply(list.Command{Op: list.SetAdminState, Name: name, AdminState: rapid.SampledFrom([]string{"", api.AdminBan, api.AdminDrain}).Draw(t, "admin state")})
 		case "put", "delete":
-			d, _ := of.list.Document(service)
+			d, _ := r.list.Document(service)
 			op := list.PutDocument
 			if d.Revision > 0 && rapid.IntRange(0, 3).Draw(t, "delete") == 0 {
 				op = list.DeleteDocument
 			}
-			of.changeDocument(op, service, fmt.Sprintf(`{"by":"%s %d"}`, of.name, i), d.Revision)
+			r.changeDocument(op, service, fmt.Sprintf(`{"by":"%s %d"}`, r.name, i), d.Revision)
 		case "copy":
-			behind = append(behind, north.clone(t, history))
+			copies = append(copies, north.clone(t, history))
 		case "follow":
 			source := north
-			if k := rapid.IntRange(-3, len(behind)-1).Draw(t, "source"); k >= 0 {
-				source = behind[k]
-				if rapid.Bool().Draw(t, "it goes on") {
+			if k := rapid.IntRange(-3, len(copies)-1).Draw(t, "source"); k >= 0 {
+				source = copies[k]
+				if rapid.Bool().Draw(t, "the copy continues") {
 					source.register("only in a copy", fmt.Sprint("127.0.0.1:", i+1))
 				}
 			}
 			replicated := south.list.Replicated("north")
 			from := replicated.Revision
-			if rapid.Bool().Draw(t, "whole") {
+			if rapid.Bool().Draw(t, "full list") {
 				from = -1
 			}
-			told := source.ownChanges(from)
-			if careless {
+			event := source.ownChanges(from)
+			if acceptOlder {
 				replicated.SeenRevision, replicated.Documents = 0, nil
 			}
-			// One entry or document a chunk, so that small plays have many.
-			chunks, _, rejected := ChunkLimit{Entries: 1, Bytes: 1}.Chunks("north", replicated, told)
-			if !careless && (rejected != "") != (told.Revision < replicated.SeenRevision) {
-				return fmt.Sprintf("seen up to %d, told version %d: %q", replicated.SeenRevision, told.Revision, rejected)
+			// One entry or document per chunk, so that small scenarios have many chunks.
+			chunks, _, rejected := ChunkLimit{Entries: 1, Bytes: 1}.Chunks("north", replicated, event)
+			if !acceptOlder && (rejected != "") != (event.Revision < replicated.SeenRevision) {
+				return fmt.Sprintf("with version %d seen, an event at version %d: got rejection %q", replicated.SeenRevision, event.Revision, rejected)
 			}
-			for _, p := range chunks[:rapid.IntRange(0, len(chunks)).Draw(t, "pieces that arrive")] {
-				if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
-					return fmt.Sprintf("%+v: %v", p, r.Err)
+			for _, chunk := range chunks[:rapid.IntRange(0, len(chunks)).Draw(t, "chunks that arrive")] {
+				if result := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &chunk}); result.Err != nil {
+					return fmt.Sprintf("chunk %+v is rejected: %v", chunk, result.Err)
 				}
-				late = append(late, p)
-				if wrong = had.check(south.list); wrong != "" {
-					return wrong
+				late = append(late, chunk)
+				if violation = seen.check(south.list); violation != "" {
+					return violation
 				}
 			}
 		case "late":
 			if len(late) > 0 {
-				south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &late[rapid.IntRange(0, len(late)-1).Draw(t, "piece")]})
+				south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &late[rapid.IntRange(0, len(late)-1).Draw(t, "chunk")]})
 			}
 		case "snapshot":
 			before, _ := json.Marshal(south.list.State())
 			south = south.clone(t, history)
 			if after, _ := json.Marshal(south.list.State()); string(after) != string(before) {
-				return fmt.Sprintf("a snapshot of a snapshot is another one:\n%s\n%s", before, after)
+				return fmt.Sprintf("the snapshot of a loaded snapshot differs:\nbefore %s\nnow %s", before, after)
 			}
-			if careless {
+			if acceptOlder {
 				south.list.SkipRegionChecks()
 			}
 		}
-		if wrong = had.check(south.list); wrong != "" {
-			return wrong
+		if violation = seen.check(south.list); violation != "" {
+			return violation
 		}
 		if rapid.Bool().Draw(t, "the watcher reads") {
-			if wrong = w.read(south.list); wrong != "" {
-				return wrong
+			if violation = w.read(south.list); violation != "" {
+				return violation
 			}
 		}
 	}
-	if careless {
+	if acceptOlder {
 		return ""
 	}
-	// Once the newest is told whole, it is held as it is; but settings that a copy invented at the same versions can't be told
-	// from others, and none was.
+	// A full list from the newest replica replaces what is replicated. Only settings that a copy has changed to other content at
+	// the same revision would remain, and no copy changes settings here.
 	north.register("last", "127.0.0.1:9")
-	for north.list.Revision() < south.list.Replicated("north").SeenRevision { // a copy went on beyond it
+	for north.list.Revision() < south.list.Replicated("north").SeenRevision { // a copy has continued beyond north's revision
 		north.register("last", fmt.Sprint("127.0.0.1:", north.list.Revision()+10))
 	}
 	chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
@@ -218,47 +222,47 @@
 		return anomaly + rejected
 	}
 	for range 2 { // the second time changes nothing
-		for _, p := range chunks {
-			south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p})
+		for _, chunk := range chunks {
+			south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &chunk})
 		}
 	}
 	replicated := south.list.Replicated("north")
 	if want := byName(north.ownChanges(-1).Endpoints); !maps.Equal(replicated.Entries, want) || replicated.Revision != north.list.Revision() {
-		return fmt.Sprintf("held at %d: %v, and it is at %d: %v", replicated.Revision, replicated.Entries, north.list.Revision(), want)
+		return fmt.Sprintf("replicated at %d: %v, want %d: %v", replicated.Revision, replicated.Entries, north.list.Revision(), want)
 	}
 	for _, d := range north.ownChanges(-1).Documents {
-		if h := replicated.Documents[d.Service]; h.Revision != d.Revision || h.Deleted != d.Deleted || string(h.Settings) != string(d.Settings) {
-			return fmt.Sprintf("held %+v of %+v", h, d)
+		if document := replicated.Documents[d.Service]; document.Revision != d.Revision || document.Deleted != d.Deleted || string(document.Settings) != string(d.Settings) {
+			return fmt.Sprintf("replicated document %+v, want %+v", document, d)
 		}
 	}
 	return w.read(south.list)
 }
 
-// Whatever order things come in, a follower goes on only, takes no harm from what comes twice, late or not at all, and has in the
-// end what the other has; its watchers have its list at each step.
+// In any order of events, what a follower replicates never goes back, and lost, late and duplicated chunks do no harm. At the end it
+// has what the owner has; its watchers have its list at each step.
 func TestAFollowerOnlyGoesOn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if wrong := runScenario(t, false); wrong != "" {
-			t.Fatal(wrong)
+		if violation := runScenario(t, false); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// The same plays find a follower that takes in what is older.
+// The same scenarios detect a follower that applies older revisions.
 func TestAFollowerThatGoesBackIsFound(t *testing.T) {
-	found := ""
+	violation := ""
 	rapid.Check(t, func(t *rapid.T) {
-		if found == "" {
-			found = runScenario(t, true)
+		if violation == "" {
+			violation = runScenario(t, true)
 		}
 	})
-	if !strings.Contains(found, " after ") {
-		t.Errorf("found: %q", found)
+	if !strings.Contains(violation, " after ") {
+		t.Errorf("got violation %q, want one with the text %q", violation, " after ")
 	}
 }
 
-// Ten thousand entries to catch up: bounded chunks, documents first, the own region's writes told between any two, and a source
-// that is killed in the middle of a chunk costs the rest of it alone.
+// A follower catches up on ten thousand entries: chunks are bounded, documents come first, and the follower's own changes reach its
+// watchers between any two chunks. If the source or the leader is killed on the way, only the remaining entries are sent again.
 func TestTenThousandEntriesToCatchUp(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	south.register("own", "127.0.0.1:1")
@@ -269,221 +273,223 @@
 	for i := range 20 {
 		north.changeDocument(list.PutDocument, fmt.Sprint("s", i), `{"x":"`+strings.Repeat("y", 30<<10)+`"}`, 0)
 	}
-	had, writes, taken := highestSeen{}, 0, 0
-	catchUp := func(most int, from int64) {
+	seen, writes, applied := highestSeen{}, 0, 0
+	catchUp := func(stopBefore int, from int64) {
 		t.Helper()
 		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), north.ownChanges(from))
 		if anomaly != "" || rejected != "" {
-			t.Fatal(anomaly, rejected)
+			t.Fatalf("got anomaly %q and rejection %q, want neither", anomaly, rejected)
 		}
 		documents := 0
-		for i, p := range chunks {
-			text, err := json.Marshal(p)
-			if err != nil || len(p.Entries) > MaxChunkEntries || len(text) > MaxChunkBytes+api.MaxSettings {
-				t.Fatalf("piece %d has %d entries and %d bytes, %v", i, len(p.Entries), len(text), err)
+		for i, chunk := range chunks {
+			text, err := json.Marshal(chunk)
+			if err != nil || len(chunk.Entries) > MaxChunkEntries || len(text) > MaxChunkBytes+api.MaxSettings {
+				t.Fatalf("chunk %d: got %d entries, %d bytes, error %v, want at most %d entries, %d bytes, no error", i, len(chunk.Entries), len(text), err, MaxChunkEntries, MaxChunkBytes+api.MaxSettings)
 			}
-			if documents += len(p.Documents); len(p.Documents) > 0 && documents > len(p.Documents) && len(chunks[i-1].Entries) > 0 {
-				t.Errorf("documents after entries, in piece %d", i)
+			if documents += len(chunk.Documents); len(chunk.Documents) > 0 && documents > len(chunk.Documents) && len(chunks[i-1].Entries) > 0 {
+				t.Errorf("chunk %d has %d documents and follows a chunk with %d entries, want documents first", i, len(chunk.Documents), len(chunks[i-1].Entries))
 			}
-			if i == most {
+			if i == stopBefore {
 				return
 			}
-			if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
+			if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &chunk}); r.Err != nil {
 				t.Fatal(r.Err)
 			}
-			taken++
+			applied++
 			writes++
 			south.register("own", fmt.Sprint("127.0.0.1:", 1+writes))
-			if wrong := w.read(south.list) + had.check(south.list); wrong != "" {
-				t.Fatal(wrong)
+			if violation := w.read(south.list) + seen.check(south.list); violation != "" {
+				t.Fatal(violation)
 			}
 			if got := w.entries["own"].Address; got != fmt.Sprint("127.0.0.1:", 1+writes) {
-				t.Fatalf("after piece %d a watcher has the own entry at %s", i, got)
+				t.Fatalf("after chunk %d: the watcher has the own entry at %s, want port %d", i, got, 1+writes)
 			}
 		}
 	}
-	catchUp(7, -1) // the source is killed, or the leader
-	if h := south.list.Replicated("north"); h.Revision != 0 || h.SeenRevision != north.list.Revision() || len(h.Entries) == 0 {
-		t.Fatalf("in the middle: %d, seen %d, %d entries", h.Revision, h.SeenRevision, len(h.Entries))
+	catchUp(7, -1) // the source or the leader is killed before chunk 7
+	if replicated := south.list.Replicated("north"); replicated.Revision != 0 || replicated.SeenRevision != north.list.Revision() || len(replicated.Entries) == 0 {
+		t.Fatalf("catching up: replicated at %d, seen %d, %d entries; want 0, %d and some entries", replicated.Revision, replicated.SeenRevision, len(replicated.Entries), north.list.Revision())
 	}
-	north.apply(list.Command{Op: list.Deregister, Name: "u0"}) // was taken in; goes meanwhile
+	north.apply(list.Command{Op: list.Deregister, Name: "u0"}) // removed after it was replicated
 	north.changeDocument(list.PutDocument, "s0", `{"x":"repaired"}`, 10_001)
-	first := taken
+	first := applied
 	catchUp(-1, -1)
-	h := south.list.Replicated("north")
-	if h.Revision != north.list.Revision() || len(h.Entries) != 9_999 || len(h.Documents) != 20 || string(h.Documents["s0"].Settings) != `{"x":"repaired"}` {
-		t.Errorf("at %d of %d: %d entries, %d documents", h.Revision, north.list.Revision(), len(h.Entries), len(h.Documents))
+	replicated := south.list.Replicated("north")
+	if replicated.Revision != north.list.Revision() || len(replicated.Entries) != 9_999 || len(replicated.Documents) != 20 || string(replicated.Documents["s0"].Settings) != `{"x":"repaired"}` {
+		t.Errorf("got version %d, %d entries, %d documents, s0 at %s; want version %d, 9999 entries, 20 documents, s0 repaired",
+			replicated.Revision, len(replicated.Entries), len(replicated.Documents), replicated.Documents["s0"].Settings, north.list.Revision())
 	}
-	if rest := taken - first; rest > 20 {
-		t.Errorf("%d pieces after %d: what was taken in comes again", rest, first)
+	if again := applied - first; again > 20 {
+		t.Errorf("got %d chunks after the first %d, want at most 20: applied entries are sent again", again, first)
 	}
-	if chunks, _, _ := Chunks("north", h, north.ownChanges(-1)); len(chunks) != 0 {
-		t.Errorf("%d pieces without news", len(chunks))
+	if chunks, _, _ := Chunks("north", replicated, north.ownChanges(-1)); len(chunks) != 0 {
+		t.Errorf("got %d chunks for an unchanged list, want none", len(chunks))
 	}
 }
 
-// What is owned twice after a cut, and what comes back, is told the same way in both regions; a deleted document stays gone.
+// Settings that two regions have put for one service during a partition resolve to the same region's in both, also once that region
+// has deleted its own. A document that both have deleted stays deleted.
 func TestTheSmallerRegionsSettingsAreTold(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
-	follow := func(by, of *region) (anomaly string) {
+	follow := func(follower, source *region) (anomaly string) {
 		t.Helper()
-		chunks, anomaly, rejected := Chunks(of.name, by.list.Replicated(of.name), of.ownChanges(-1))
+		chunks, anomaly, rejected := Chunks(source.name, follower.list.Replicated(source.name), source.ownChanges(-1))
 		if rejected != "" {
-			t.Fatal(rejected)
+			t.Fatalf("got rejection %q, want none", rejected)
 		}
-		for _, p := range chunks {
-			if r := by.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
+		for _, chunk := range chunks {
+			if r := follower.apply(list.Command{Op: list.ReplicateRegion, Chunk: &chunk}); r.Err != nil {
 				t.Fatal(r.Err)
 			}
 		}
 		return anomaly
 	}
-	heal := func() { t.Helper(); follow(north, south); follow(south, north) }
-	is := func(owner, text string) {
+	exchange := func() { t.Helper(); follow(north, south); follow(south, north) }
+	wantDocument := func(owner, text string) {
 		t.Helper()
 		for _, r := range []*region{north, south} {
 			if d, _ := r.list.Document("s"); d.Region != owner || string(d.Settings) != text {
-				t.Errorf("in %s: %+v, want %s of %s", r.name, d, text, owner)
+				t.Errorf("in region %s: got document %+v, want settings %s of region %s", r.name, d, text, owner)
 			}
 		}
 	}
 	south.changeDocument(list.PutDocument, "s", `1`, 0)
 	north.changeDocument(list.PutDocument, "s", `2`, 0)
-	heal()
-	is("north", `2`)
+	exchange()
+	wantDocument("north", `2`)
 	if r := south.changeDocument(list.PutDocument, "s", `3`, 1); r.Err == nil || r.Err.Code != api.CodeConflict || !strings.Contains(r.Err.Text, "region north") {
-		t.Errorf("a put to the region that does not own it: %+v", r)
+		t.Errorf("put in a region that does not own the settings: got %+v, want error %s that names region north", r, api.CodeConflict)
 	}
 	if n := len(south.list.Documents()); n != 2 {
-		t.Errorf("%d documents are listed", n)
+		t.Errorf("got %d documents in the list, want 2", n)
 	}
 	if r := north.changeDocument(list.DeleteDocument, "s", "", 1); r.Err != nil {
 		t.Fatal(r.Err)
 	}
-	heal()
-	is("south", `1`)
+	exchange()
+	wantDocument("south", `1`)
 	if r := south.changeDocument(list.PutDocument, "s", `4`, 1); r.Err != nil {
 		t.Fatal(r.Err)
 	}
 	if r := south.changeDocument(list.DeleteDocument, "s", "", south.list.Revision()); r.Err != nil {
 		t.Fatal(r.Err)
 	}
-	heal()
+	exchange()
 	for _, r := range []*region{north, south} {
 		if d, found := r.list.Document("s"); !found || !d.Deleted {
-			t.Errorf("in %s: %+v", r.name, d)
+			t.Errorf("in region %s: got document %+v, found %v, want a deleted one", r.name, d, found)
 		}
 	}
 
-	// The owner, put back to an old copy that then goes on beyond what was seen: its entries are as it says, and the settings that
-	// are older than those held are set aside and told.
-	old := north.clone(t, list.CompactionWindow)
+	// The owner is restored to an old copy, which then continues beyond the revision seen. Its entries are replicated; its settings,
+	// which are older than the replicated ones, are set aside, and an anomaly is reported.
+	restored := north.clone(t, list.CompactionWindow)
 	north.changeDocument(list.PutDocument, "t", `1`, 0)
-	old.changeDocument(list.PutDocument, "t", `other`, 0)
+	restored.changeDocument(list.PutDocument, "t", `other`, 0)
 	north.changeDocument(list.PutDocument, "t", `2`, north.list.Revision())
-	heal()
+	exchange()
 	for range 9 {
-		old.register("u", fmt.Sprint("127.0.0.1:", old.list.Revision()+1))
+		restored.register("u", fmt.Sprint("127.0.0.1:", restored.list.Revision()+1))
 	}
-	if anomaly := follow(south, old); !strings.Contains(anomaly, "settings of t go back") {
-		t.Errorf("an old copy: %q", anomaly)
+	if anomaly := follow(south, restored); !strings.Contains(anomaly, "settings of t go back") {
+		t.Errorf("restored owner: got anomaly %q, want settings of t that go back", anomaly)
 	}
 	if d, _ := south.list.Document("t"); string(d.Settings) != `2` {
-		t.Errorf("after an old copy: %+v", d)
+		t.Errorf("restored owner: got document %+v, want settings 2", d)
 	}
 	if !slices.ContainsFunc(south.list.Full().Endpoints, func(e api.Endpoint) bool { return e.Name == "u" }) {
-		t.Error("its entries are not as it says")
+		t.Errorf("restored owner: got entries %+v, want u among them", south.list.Full().Endpoints)
 	}
 	if _, _, rejected := Chunks("north", south.list.Replicated("north"), api.WatchEvent{Revision: 1 << 40, Region: "west"}); rejected == "" {
-		t.Error("another region's list is taken for north's")
+		t.Error("event of region west as of north: got no rejection, want one")
 	}
 }
 
-// An owner that was put back to an old copy can put other settings at a version that was told before: they are not taken in, which
-// would change what a version says, and that is told.
+// An owner that was restored to an old copy can put other settings at a revision that it has sent before. They are not applied, since
+// the content of a revision must not change, and an anomaly is reported.
 func TestOtherSettingsAtOneVersion(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
-	take := func(of *region) (anomaly string) {
+	replicate := func(source *region) (anomaly string) {
 		t.Helper()
-		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), of.ownChanges(-1))
+		chunks, anomaly, rejected := Chunks("north", south.list.Replicated("north"), source.ownChanges(-1))
 		if rejected != "" {
-			t.Fatal(rejected)
+			t.Fatalf("got rejection %q, want none", rejected)
 		}
-		for _, p := range chunks {
-			if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
+		for _, chunk := range chunks {
+			if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &chunk}); r.Err != nil {
 				t.Fatal(r.Err)
 			}
 		}
 		return anomaly
 	}
-	old := north.clone(t, list.CompactionWindow)
+	restored := north.clone(t, list.CompactionWindow)
 	north.changeDocument(list.PutDocument, "s", `1`, 0)
-	old.changeDocument(list.PutDocument, "s", `2`, 0)
-	for range 2 { // what is the same is not anomalous
-		if anomaly := take(north); anomaly != "" {
-			t.Errorf("the owner: %q", anomaly)
+	restored.changeDocument(list.PutDocument, "s", `2`, 0)
+	for range 2 { // an unchanged document is no anomaly
+		if anomaly := replicate(north); anomaly != "" {
+			t.Errorf("owner: got anomaly %q, want none", anomaly)
 		}
 	}
-	for range 2 { // at the same version of the list, and at a higher one
-		if anomaly := take(old); !strings.Contains(anomaly, "settings of s at version 1 are others") {
-			t.Errorf("an old copy that went on: %q", anomaly)
+	for range 2 { // at the same revision of the list, and at a higher one
+		if anomaly := replicate(restored); !strings.Contains(anomaly, "settings of s at version 1 are others") {
+			t.Errorf("restored owner: got anomaly %q, want other settings of s at version 1", anomaly)
 		}
-		old.register("u", "127.0.0.1:1")
+		restored.register("u", "127.0.0.1:1")
 	}
 	if d, _ := south.list.Document("s"); string(d.Settings) != `1` {
-		t.Errorf("held: %+v", d)
+		t.Errorf("got document %+v, want settings 1", d)
 	}
-	old.changeDocument(list.DeleteDocument, "s", "", 1)
-	if anomaly := take(old); anomaly != "" {
-		t.Errorf("a version later: %q", anomaly)
+	restored.changeDocument(list.DeleteDocument, "s", "", 1)
+	if anomaly := replicate(restored); anomaly != "" {
+		t.Errorf("restored owner, at the next version: got anomaly %q, want none", anomaly)
 	}
 	if d, _ := south.list.Document("s"); !d.Deleted {
-		t.Errorf("held: %+v", d)
+		t.Errorf("got document %+v, want a deleted one", d)
 	}
 }
 
-// A chunk that its leader gave up is carried out after the next listing was worked out, and takes in an entry that this one, since it
-// was not held by then, does not take away: what was worked out is refused, and worked out anew.
+// A chunk that its leader abandoned is committed after the chunks of the next event were computed. It adds an entry that these chunks
+// do not remove, since it was not replicated when they were computed. The log rejects them, and they are computed again.
 func TestAPieceThatComesLate(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	north.changeDocument(list.PutDocument, "s", `1`, 0)
 	north.register("a", "127.0.0.1:1")
 	north.register("b", "127.0.0.1:2")
-	one := ChunkLimit{Entries: 1, Bytes: 1}
-	take := func(p list.Chunk) error {
-		if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &p}); r.Err != nil {
+	limit := ChunkLimit{Entries: 1, Bytes: 1}
+	apply := func(chunk list.Chunk) error {
+		if r := south.apply(list.Command{Op: list.ReplicateRegion, Chunk: &chunk}); r.Err != nil {
 			return r.Err
 		}
 		return nil
 	}
-	first, _, _ := one.Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
+	first, _, _ := limit.Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
 	if len(first) != 3 {
-		t.Fatalf("%d pieces", len(first))
+		t.Fatalf("got %d chunks, want 3", len(first))
 	}
-	if err := take(first[0]); err != nil {
+	if err := apply(first[0]); err != nil {
 		t.Fatal(err)
 	}
 	north.apply(list.Command{Op: list.Deregister, Name: "a"})
 	for _, late := range []bool{true, false} {
-		chunks, _, _ := one.Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
+		chunks, _, _ := limit.Chunks("north", south.list.Replicated("north"), north.ownChanges(-1))
 		if late {
-			_ = take(first[1])
+			_ = apply(first[1])
 		}
-		for _, p := range chunks {
-			if take(p) != nil {
+		for _, chunk := range chunks {
+			if apply(chunk) != nil {
 				break
 			}
 		}
 		replicated := south.list.Replicated("north")
 		if want := byName(north.ownChanges(-1).Endpoints); replicated.Revision == north.list.Revision() && !maps.Equal(replicated.Entries, want) {
-			t.Fatalf("held whole at %d: %v, and it is %v", replicated.Revision, replicated.Entries, want)
+			t.Fatalf("replicated at %d: got entries %v, want %v", replicated.Revision, replicated.Entries, want)
 		} else if !late && replicated.Revision != north.list.Revision() {
-			t.Errorf("held at %d of %d", replicated.Revision, north.list.Revision())
+			t.Errorf("replicated at %d, want %d", replicated.Revision, north.list.Revision())
 		}
 	}
-	for _, p := range first { // of what is over
-		if take(p) == nil {
-			t.Errorf("%+v was taken in", p)
+	for _, chunk := range first { // they precede what is replicated now
+		if apply(chunk) == nil {
+			t.Errorf("chunk %+v is applied, want it rejected", chunk)
 		}
 	}
 }
--- a/internal/federation/explore/explore.go
+++ b/internal/federation/explore/explore.go
@@ -1,19 +1,19 @@
-// Package explore owns the proof by exhaustion that a region's documents and entries are followed without going back: an owner of
-// two replicas, a fresh one and one that may lag; a follower's log, in which two replicas may both take themselves for the leader
-// that follows; and a sidecar that reads at a replica of the follower that is up to date or at one that lags. They are taken through
-// every order of what may happen, to a depth.
+// Package explore checks the replication of one region's documents and entries to another by exhaustive state exploration: what is
+// replicated must never go back. The model has an owner with two replicas, one up to date and one that may lag; a follower's log, in
+// which two replicas may both act as the leader that replicates; and a sidecar that reads at a replica of the follower that is up to
+// date, or at one that lags. The exploration takes them through every order of steps, to a depth.
 //
-// A step is one of: a change by the owner, which forgets what changed before the last few; a replica that catches up; a watch that
-// begins at either source, and one line more on it; one that is lost with all that is under way; a line that is taken in, or comes
-// twice; a chunk that is carried out, is lost, or is given up by who proposed it and carried out later; another leader, beside the
-// former, and the former's end; a follower that starts again from its snapshot; an owner that is put back to the copy that lagged,
-// and goes on from there; a sidecar that reads. How often each happens on a path is bounded, when is not.
+// A step is one of: a change by the owner, whose history keeps only the last changes; a replica that catches up; a leader that starts
+// a watch at either replica of the owner, receives one more event, or loses the watch with all its events; an event that is applied,
+// once or twice; a proposed chunk that is committed, is lost, or is abandoned by its leader and committed later; a new leader beside
+// the former one, and the former one's end; a restart of the follower from its snapshot; a restore of the owner to its lagging
+// replica, from which it continues; a read by the sidecar. Bounds limit how often each step occurs on a path, not when.
 //
-// Lists, chunks and how a leader stands are the program's own; the sidecar's rule and the order of a watch's lines are worded anew
-// in a few lines. An owner that is put back is silent for so long that a leader asks for the whole list, as the program's is after
-// its 10 s; one that is back beyond what was seen before that is not explored, nor is what several owners say of one service, nor a
-// takeover. Where an owner is put back, leaders begin behind a barrier: a chunk of before that were carried out behind the first
-// listing after it would not be undone until the whole list is told again.
+// Lists, chunks and a leader's sync state are the program's own code; the sidecar's rule and the order of watch events are modelled
+// in a few lines. A restored owner is silent for so long that a leader requests the full list, as the program's leader does after
+// 10 s. Not explored are a restored owner that exceeds the highest revision seen before that request, documents that several owners
+// have for one service, and takeovers. With a restored owner, leaders start behind a barrier: a chunk from before the restore that is
+// committed after the first full list would not be undone before the next full list.
 package explore
 
 import (
@@ -22,36 +22,36 @@
 	"mosslead/internal/modelcheck"
 )
 
-// Bounds are how often something may happen on a path, and how long the paths are.
+// Bounds limit the length of a path, and how often each kind of step occurs on it.
 type Bounds struct {
-	Depth      int  // steps
-	Empty      bool // the follower holds nothing at first; else all of the owner's first two changes, of which one source has one
-	Changes    int  // by the owner
+	Depth      int  // the length of a path in steps
+	Empty      bool // the follower starts with nothing; otherwise with the owner's first two changes, of which the lagging replica has one
+	Changes    int  // changes by the owner
 	Losses     int  // a watch or a chunk is lost
-	LateChunks int  // a chunk is carried out after who proposed it gave it up
-	Duplicates int  // a line is taken in a second time, or a chunk carried out
-	Elections  int  // another leader begins
-	Restarts   int  // the follower starts again
-	Restores   int  // the owner is put back
-	Barrier    bool // a leader begins as the program's does, see begins; else the log alone keeps leaders apart
-	Reads      int  // of the sidecar
+	LateChunks int  // a chunk is committed after its leader abandoned it
+	Duplicates int  // an event is applied, or a chunk committed, a second time
+	Elections  int  // another leader starts
+	Restarts   int  // the follower restarts from its snapshot
+	Restores   int  // the owner is restored to its lagging replica
+	Barrier    bool // leaders start as in the program, see elect; otherwise only the log separates them
+	Reads      int  // reads by the sidecar
 }
 
-// Faults are planted, to see that they are found.
+// Faults are faults injected into the model, to test that the exploration finds them.
 type Faults struct {
-	NoSeenCheck       bool // neither the leader nor the log looks at the highest version that was begun
-	NoFromCheck       bool // the log does not look at where a chunk goes on from
-	NoPartCheck       bool // the log does not look at how many chunks were taken in
-	ContinueAfterLoss bool // a leader goes on behind a chunk that was lost
-	DropUnnamed       bool // documents that a whole list does not name are gone
-	NoResync          bool // a leader asks for what changed however long the owner was silent
-	AcceptOlder       bool // the sidecar takes in whatever it is told
+	NoSeenCheck       bool // neither the leader nor the log checks the highest revision seen
+	NoFromCheck       bool // the log does not check the revision from which a chunk continues
+	NoPartCheck       bool // the log does not check how many chunks were applied
+	ContinueAfterLoss bool // a leader continues with the next chunk after one was lost
+	DropUnnamed       bool // documents that a full list does not name are removed
+	NoResync          bool // a leader requests changes only, however long the owner was silent
+	AcceptOlder       bool // the sidecar accepts an older revision
 }
 
-// Result is what an exploration came to.
+// Result is the result of an exploration.
 type Result = modelcheck.Result
 
-// Run explores breadth first. Whether what is held can be healed is looked at in each state.
+// Run explores the model breadth first, and checks in each state that the replication converges from there.
 func Run(b Bounds, f Faults) Result {
 	return modelcheck.Search(newState(b, f), b.Depth, (*state).checkConvergence)
 }
@@ -59,9 +59,12 @@
 const (
 	north   = "north" // the owner
 	south   = "south" // the follower
-	service = "s"     // the one that the sidecar is of
+	service = "s"     // the sidecar's service
 )
 
-func sourceName(at int) string { return [...]string{"the fresh source", "the lagging source"}[at] }
+// sourceName returns the name of a replica of the owner: 0 is the one up to date, 1 the lagging one.
+func sourceName(source int) string {
+	return [...]string{"the owner's up-to-date replica", "the owner's lagging replica"}[source]
+}
 
-func leaderName(who int) string { return fmt.Sprint("leader ", who) }
+func leaderName(i int) string { return fmt.Sprint("leader ", i) }
--- a/internal/federation/explore/promises.go
+++ b/internal/federation/explore/promises.go
@@ -10,7 +10,7 @@
 	"mosslead/internal/registry/list"
 )
 
-// Broken names a promise that does not hold, in what a step came to.
+// Broken returns the invariant that this state or the step to it breaks, or an empty string.
 func (s *state) Broken(before *state) string {
 	if s.violation != "" {
 		return s.violation
@@ -21,84 +21,84 @@
 	if s.follower.List == before.follower.List {
 		return ""
 	}
-	replicated, was := s.follower.Replicated(north), before.follower.Replicated(north)
-	if replicated.Revision < was.Revision || replicated.SeenRevision < was.SeenRevision {
-		return fmt.Sprintf("held at %d, seen %d, after %d, seen %d", replicated.Revision, replicated.SeenRevision, was.Revision, was.SeenRevision)
+	replicated, previous := s.follower.Replicated(north), before.follower.Replicated(north)
+	if replicated.Revision < previous.Revision || replicated.SeenRevision < previous.SeenRevision {
+		return fmt.Sprintf("replicated at %d, seen %d, after %d, seen %d", replicated.Revision, replicated.SeenRevision, previous.Revision, previous.SeenRevision)
 	}
-	for name, w := range was.Documents {
-		d, there := replicated.Documents[name]
+	for name, old := range previous.Documents {
+		d, ok := replicated.Documents[name]
 		switch {
-		case !there:
-			return fmt.Sprintf("the settings of %s are held no more; they were at version %d, deleted %v", name, w.Revision, w.Deleted)
-		case d.Revision < w.Revision, d.Revision == w.Revision && !equalDocuments(d, w):
-			return fmt.Sprintf("the settings of %s are %+v after %+v", name, d, w)
+		case !ok:
+			return fmt.Sprintf("the settings of %s are no longer replicated; they were at version %d, deleted %v", name, old.Revision, old.Deleted)
+		case d.Revision < old.Revision, d.Revision == old.Revision && !equalDocuments(d, old):
+			return fmt.Sprintf("the settings of %s are %+v after %+v", name, d, old)
 		}
 	}
 	for name, e := range replicated.Entries {
-		if w, there := was.Entries[name]; there && !s.restored && changeNumber(e) < changeNumber(w) {
-			return fmt.Sprintf("the entry %s is as of change %d after %d", name, changeNumber(e), changeNumber(w))
+		if old, ok := previous.Entries[name]; ok && !s.restored && changeNumber(e) < changeNumber(old) {
+			return fmt.Sprintf("the entry %s is of change %d after change %d", name, changeNumber(e), changeNumber(old))
 		}
 	}
-	if wrong := s.checkIssued(replicated); wrong != "" {
-		return wrong
+	if violation := s.checkIssued(replicated); violation != "" {
+		return violation
 	}
 	if !s.restored && replicated.Revision > 0 && replicated.Revision == replicated.SeenRevision {
-		if p := s.issuedViews[replicated.Revision-1]; !p.matches(replicated) {
-			return fmt.Sprintf("held whole at %d is %+v, and it was %+v", replicated.Revision, replicated, p)
+		if view := s.issuedViews[replicated.Revision-1]; !view.matches(replicated) {
+			return fmt.Sprintf("replicated completely at %d: %+v, but the owner had %+v", replicated.Revision, replicated, view)
 		}
 	}
 	return s.checkOwn()
 }
 
-// checkIssued names what is held that the owner never issued.
+// checkIssued returns what is replicated although the owner never issued it, or an empty string.
 func (s *state) checkIssued(replicated list.Replicated) string {
 	for name, d := range replicated.Documents {
-		if !slices.ContainsFunc(s.issuedViews, func(p ownerView) bool { i, there := p.documents[name]; return there && equalDocuments(i, d) }) {
+		if !slices.ContainsFunc(s.issuedViews, func(view ownerView) bool { issued, ok := view.documents[name]; return ok && equalDocuments(issued, d) }) {
 			return fmt.Sprintf("the owner never issued %+v", d)
 		}
 	}
 	for name, e := range replicated.Entries {
-		if !slices.ContainsFunc(s.issuedViews, func(p ownerView) bool { i, there := p.entries[name]; return there && i == e }) {
+		if !slices.ContainsFunc(s.issuedViews, func(view ownerView) bool { issued, ok := view.entries[name]; return ok && issued == e }) {
 			return fmt.Sprintf("the owner never issued %+v", e)
 		}
 	}
 	return ""
 }
 
-// checkOwn names what of the follower's own is not as it wrote it.
+// checkOwn returns what has changed of the follower's own entries and documents, or an empty string.
 func (s *state) checkOwn() string {
 	own := s.follower.OwnChangesSince(-1)
 	if len(own.Endpoints) != 2 || len(own.Documents) != 1 || own.Documents[0].Revision != 3 || own.Documents[0].Region != south {
-		return fmt.Sprintf("the follower's own are %+v", own)
+		return fmt.Sprintf("the follower's own entries and documents have changed to %+v", own)
 	}
 	for _, e := range s.follower.Full().Endpoints {
 		if (e.Name == "a" || e.Name == "o") && e.Address != "own" {
-			return fmt.Sprintf("the follower's own entry is told as %+v", e)
+			return fmt.Sprintf("the follower's list has its own entry as %+v", e)
 		}
 	}
 	return ""
 }
 
-// matches tells whether what matches held matches all of what the owner told once.
-func (p ownerView) matches(replicated list.Replicated) bool {
-	return maps.Equal(replicated.Entries, p.entries) && maps.EqualFunc(replicated.Documents, p.documents, equalDocuments)
+// matches reports whether what is replicated is exactly the view.
+func (v ownerView) matches(replicated list.Replicated) bool {
+	return maps.Equal(replicated.Entries, v.entries) && maps.EqualFunc(replicated.Documents, v.documents, equalDocuments)
 }
 
 func equalDocuments(a, b api.Document) bool {
 	return a.Service == b.Service && a.Region == b.Region && a.Revision == b.Revision && a.Deleted == b.Deleted && string(a.Settings) == string(b.Settings)
 }
 
-// changeNumber is which of the owner's changes an entry is of.
+// changeNumber returns the number of the owner's change that an entry is of.
 func changeNumber(e api.Endpoint) int {
 	n, _ := strconv.Atoi(e.Address)
 	return n
 }
 
-// maxSettleSteps is more steps than any heal takes here.
+// maxSettleSteps is more steps than settle takes in any state of the model.
 const maxSettleSteps = 64
 
-// settle is a fair continuation: one leader, the one that began last, and all links up, until there is nothing more to do. It is
-// false where that does not come to an end.
+// settle continues with the leader that started last and without faults until no step remains. It returns false if that does not end
+// within maxSettleSteps.
 func (s *state) settle() bool {
 	s.laggingOwner, s.lateChunks, s.remaining = s.owner, nil, Bounds{}
 	s.leaders[1-s.newestLeader] = leader{}
@@ -115,7 +115,7 @@
 			s.applyEvent(s.newestLeader)
 			if l.syncState.Rejected != "" {
 				if rejected++; rejected > 2 {
-					return true // it is said, and stays so until the owner goes on
+					return true // the rejection is reported, and lasts until the owner's next change
 				}
 			}
 		case !l.watching:
@@ -129,26 +129,26 @@
 	return false
 }
 
-// checkConvergence names what a fair continuation from here leaves undone: the follower has all of the owner's, or says what it sets aside,
-// which it has no cause for where the owner was not put back; and the sidecar has what the follower tells.
+// checkConvergence returns what settle leaves wrong, or an empty string. The follower must have everything of the owner or report what
+// it has set aside, for which there is no cause unless the owner was restored; the sidecar must have what the follower's list has.
 func (s *state) checkConvergence() string {
-	n := s.Clone()
-	if !n.settle() {
-		return "healing does not end"
+	settled := s.Clone()
+	if !settled.settle() {
+		return "the replication does not settle"
 	}
-	sync, replicated := n.leaders[n.newestLeader].syncState, n.follower.Replicated(north)
-	owner := s.currentView
+	sync, replicated := settled.leaders[settled.newestLeader].syncState, settled.follower.Replicated(north)
+	view := s.currentView
 	switch {
 	case !s.restored && (sync.Rejected != "" || sync.Anomaly != ""):
 		return fmt.Sprintf("set aside without cause: %s%s", sync.Rejected, sync.Anomaly)
-	case sync.Rejected == "" && !maps.Equal(replicated.Entries, owner.entries), sync.Rejected == "" && replicated.Revision != n.owner.Revision():
-		return fmt.Sprintf("healed at %d: entries are %v, and the owner's at %d %v", replicated.Revision, replicated.Entries, n.owner.Revision(), owner.entries)
-	case sync.Rejected == "" && sync.Anomaly == "" && !maps.EqualFunc(replicated.Documents, owner.documents, equalDocuments):
-		return fmt.Sprintf("healed, nothing said: documents are %+v, and the owner's %+v", replicated.Documents, owner.documents)
-	}
-	n.readSettings(n.follower)
-	if d, _ := n.follower.Document(service); !equalDocuments(d, n.sidecarDocument) {
-		return fmt.Sprintf("healed: the sidecar has %+v, and is told %+v", n.sidecarDocument, d)
+	case sync.Rejected == "" && !maps.Equal(replicated.Entries, view.entries), sync.Rejected == "" && replicated.Revision != settled.owner.Revision():
+		return fmt.Sprintf("settled at %d: entries are %v, but the owner's at %d are %v", replicated.Revision, replicated.Entries, settled.owner.Revision(), view.entries)
+	case sync.Rejected == "" && sync.Anomaly == "" && !maps.EqualFunc(replicated.Documents, view.documents, equalDocuments):
+		return fmt.Sprintf("settled without an anomaly: documents are %+v, but the owner's are %+v", replicated.Documents, view.documents)
+	}
+	settled.readSettings(settled.follower)
+	if d, _ := settled.follower.Document(service); !equalDocuments(d, settled.sidecarDocument) {
+		return fmt.Sprintf("settled: the sidecar has %+v, but the follower's list has %+v", settled.sidecarDocument, d)
 	}
 	return ""
 }
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -14,87 +14,91 @@
 )
 
 const (
-	history     = 1 // changed entries that the owner remembers: with the third change the first is forgotten
-	maxInFlight = 2 // lines of a watch, and chunks that were given up
+	history     = 1 // length of the owner's change history: the third change compacts the first away
+	maxInFlight = 2 // events of a watch, and abandoned chunks
 )
 
-// oneItem is the bound of chunks here: each is oneItem entry or document.
+// oneItem bounds chunks to one entry or document.
 var oneItem = federation.ChunkLimit{Entries: 1, Bytes: 1}
 
-// sharedList is a list that states may share once it has a key. Each change of such a one goes through a snapshot.
+// sharedList is a list that states share once its key is set. From then on a change is made to a copy.
 type sharedList struct {
 	*list.List
 	key []byte
 }
 
-func (f *sharedList) change(do func(*list.List)) {
-	if f.key != nil {
-		*f = sharedList{List: list.Load(f.State(), history)}
+// change applies do to the list, or to a copy if the list is shared.
+func (l *sharedList) change(do func(*list.List)) {
+	if l.key != nil {
+		*l = sharedList{List: list.Load(l.State(), history)}
 	}
-	do(f.List)
+	do(l.List)
 }
 
-// setKey makes the key.
-func (f *sharedList) setKey() {
-	if f.key == nil {
-		f.key, _ = json.Marshal(f.State()) // of plain words and numbers
+// setKey sets the key, which makes the list shared.
+func (l *sharedList) setKey() {
+	if l.key == nil {
+		l.key, _ = json.Marshal(l.State()) // strings and numbers only, so it cannot fail
 	}
 }
 
-// ownerView is what the owner's list once told.
+// ownerView is the content of the owner's list at one time.
 type ownerView struct {
 	entries   map[string]api.Endpoint
 	documents map[string]api.Document
 }
 
-// leader is a replica of the follower that takes itself for its leader.
+// leader is a replica of the follower that acts as its leader.
 type leader struct {
-	leading          bool
+	leading          bool // false once it has ended
 	syncState        federation.SyncState
-	silent           bool // the owner was, for long
+	silent           bool // the owner was silent for long, and may have been restored
 	watching         bool
-	source           int
-	watchRevision    int64 // what the watch has told up to
-	events           []api.WatchEvent
-	chunks           []list.Chunk // of the line that was taken last, to be proposed one by one
-	snapshot         bool         // it was one
-	anomaly          string       // what of it is not taken in
-	droppedDocuments []string     // documents, see Faults
+	source           int              // index of the owner\'s replica that it watches, see sourceName
+	watchRevision    int64            // revision of the latest event
+	events           []api.WatchEvent // received and not applied yet
+	chunks           []list.Chunk     // of the event applied last, to be proposed one by one
+	snapshot         bool             // that event was one
+	anomaly          string           // what is left out of its chunks
+	droppedDocuments []string         // services whose documents it removes, see Faults.DropUnnamed
 }
 
+// endWatch drops the watch with its events and chunks.
 func (l *leader) endWatch() {
 	l.watching, l.events, l.chunks, l.droppedDocuments = false, nil, nil, nil
 }
 
+// state is a state of the model.
 type state struct {
-	remaining       Bounds
+	remaining       Bounds // steps that may still occur
 	faults          Faults
 	owner           sharedList
-	laggingOwner    sharedList // the owner's replica that lags
+	laggingOwner    sharedList // the owner's lagging replica
 	follower        sharedList
-	laggingFollower sharedList  // the follower's replica that does
-	issuedViews     []ownerView // by the owner's changes
-	currentView     ownerView   // what the owner tells
-	changeLog       string      // the owner's, in one word each
-	restored        bool        // the owner was put back
+	laggingFollower sharedList  // the follower's lagging replica
+	issuedViews     []ownerView // after each change by the owner
+	currentView     ownerView   // the owner's list now
+	changeLog       string      // the changes by the owner, one word each
+	restored        bool        // the owner was restored
 	leaders         [2]leader
-	newestLeader    int // which of them began last
-	lateChunks      []list.Chunk
-	sidecarDocument api.Document
-	violation       string // a promise was broken by the step itself
+	newestLeader    int          // index of the leader that started last
+	lateChunks      []list.Chunk // may be committed later
+	sidecarDocument api.Document // the settings that the sidecar has
+	violation       string       // the invariant that the step itself broke; empty if none
 }
 
+// newState returns the first state of an exploration.
 func newState(b Bounds, f Faults) *state {
 	s := &state{remaining: b, faults: f}
 	for _, l := range []*sharedList{&s.owner, &s.laggingOwner, &s.follower, &s.laggingFollower} {
 		*l = sharedList{List: list.New(history)}
 	}
 	s.follower.change(func(l *list.List) {
-		for _, name := range []string{"a", "o"} { // a has a namesake in north
+		for _, name := range []string{"a", "o"} { // north has an entry a too
 			l.Apply(list.Command{Op: list.Register, Region: south, Name: name, Registration: &api.Registration{Address: "own", Weight: 1}})
 		}
-		on := int64(0)
-		l.Apply(list.Command{Op: list.PutDocument, Region: south, Name: "own", IfRevision: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(`{}`)}})
+		revision := int64(0)
+		l.Apply(list.Command{Op: list.PutDocument, Region: south, Name: "own", IfRevision: &revision, Document: &api.Document{Schema: 1, Settings: json.RawMessage(`{}`)}})
 	})
 	s.leaders[0].leading = true
 	s.changeOwner("+a")
@@ -102,10 +106,10 @@
 	s.laggingFollower, s.laggingOwner = s.follower, s.owner
 	s.changeOwner("+" + service)
 	if !b.Empty {
-		behind := s.laggingOwner
+		lagging := s.laggingOwner
 		s.settle()
 		s.setKeys()
-		s.remaining, s.laggingOwner, s.laggingFollower = b, behind, s.follower
+		s.remaining, s.laggingOwner, s.laggingFollower = b, lagging, s.follower
 	}
 	s.setKeys()
 	return s
@@ -122,183 +126,184 @@
 	return &c
 }
 
+// setKeys sets the keys of all lists.
 func (s *state) setKeys() {
 	for _, l := range []*sharedList{&s.owner, &s.laggingOwner, &s.follower, &s.laggingFollower} {
 		l.setKey()
 	}
 }
 
-// changeOwner is a change by the owner: + or - and an entry, or a service.
-func (s *state) changeOwner(what string) {
-	s.changeLog += what + " "
-	n := len(s.issuedViews) + 1 // in each text that is issued, so that no two are alike
-	c := list.Command{Region: north, Name: what[1:]}
+// changeOwner applies a change by the owner. change is + or -, followed by the name of an entry or the service.
+func (s *state) changeOwner(change string) {
+	s.changeLog += change + " "
+	n := len(s.issuedViews) + 1 // part of each address and settings, so that all differ
+	c := list.Command{Region: north, Name: change[1:]}
 	s.owner.change(func(l *list.List) {
 		switch {
 		case c.Name == service:
 			d, _ := l.Document(service)
 			c.Op, c.IfRevision = list.DeleteDocument, &d.Revision
-			if what[0] == '+' {
+			if change[0] == '+' {
 				c.Op, c.Document = list.PutDocument, &api.Document{Schema: 1, Settings: json.RawMessage(strconv.Itoa(n))}
 			}
-		case what[0] == '+':
+		case change[0] == '+':
 			c.Op, c.Registration = list.Register, &api.Registration{Address: strconv.Itoa(n), Weight: 1}
 		default:
 			c.Op = list.Deregister
 		}
 		if r := l.Apply(c); r.Err != nil {
-			s.violation = fmt.Sprintf("the owner refuses %s: %v", what, r.Err)
+			s.violation = fmt.Sprintf("the owner rejects %s: %v", change, r.Err)
 		}
 	})
 	s.currentView = s.ownerView()
 	s.issuedViews = append(s.issuedViews, s.currentView)
 }
 
-// ownerView is what the owner's list tells now.
+// ownerView returns the content of the owner's list now.
 func (s *state) ownerView() ownerView {
-	p := ownerView{map[string]api.Endpoint{}, map[string]api.Document{}}
-	all := s.owner.OwnChangesSince(-1)
-	for _, e := range all.Endpoints {
-		p.entries[e.Name] = e
+	view := ownerView{map[string]api.Endpoint{}, map[string]api.Document{}}
+	changes := s.owner.OwnChangesSince(-1)
+	for _, e := range changes.Endpoints {
+		view.entries[e.Name] = e
 	}
-	for _, d := range all.Documents {
-		p.documents[d.Service] = d
+	for _, d := range changes.Documents {
+		view.documents[d.Service] = d
 	}
-	return p
+	return view
 }
 
-// nextEvent is the next line of a watch that was told up to from; false: there is nothing to tell.
-func (s *state) nextEvent(at int, from int64) (api.WatchEvent, bool) {
-	of := s.owner
-	if at == 1 {
-		of = s.laggingOwner
+// nextEvent returns the next event of a watch at a source, after revision from. ok is false if there is none.
+func (s *state) nextEvent(source int, from int64) (api.WatchEvent, bool) {
+	owner := s.owner
+	if source == 1 {
+		owner = s.laggingOwner
 	}
-	if from == of.Revision() {
+	if from == owner.Revision() {
 		return api.WatchEvent{}, false
 	}
-	l := of.OwnChangesSince(from)
-	l.Region = north
-	return l, l.Snapshot || len(l.Endpoints) > 0 || len(l.Documents) > 0
+	event := owner.OwnChangesSince(from)
+	event.Region = north
+	return event, event.Snapshot || len(event.Endpoints) > 0 || len(event.Documents) > 0
 }
 
-// startWatch begins a startWatch, with its first line if there is one.
-func (s *state) startWatch(who, at int) {
-	l := &s.leaders[who]
-	l.watching, l.source = true, at
+// startWatch starts a leader's watch, with the first event if there is one.
+func (s *state) startWatch(i, source int) {
+	l := &s.leaders[i]
+	l.watching, l.source = true, source
 	l.watchRevision = l.syncState.NextRevision(s.follower.Replicated(north).Revision, l.silent)
 	l.silent = false
-	s.receiveEvent(who)
+	s.receiveEvent(i)
 }
 
-// receiveEvent is one receiveEvent more on a watch.
-func (s *state) receiveEvent(who int) {
-	l := &s.leaders[who]
-	if told, any := s.nextEvent(l.source, l.watchRevision); any {
-		l.events, l.watchRevision = append(l.events, told), told.Revision
+// receiveEvent adds the next event to a leader's watch, if there is one.
+func (s *state) receiveEvent(i int) {
+	l := &s.leaders[i]
+	if event, ok := s.nextEvent(l.source, l.watchRevision); ok {
+		l.events, l.watchRevision = append(l.events, event), event.Revision
 	}
 }
 
-// applyEvent has a leader work out what a line comes to.
-func (s *state) applyEvent(who int) {
-	l := &s.leaders[who]
-	told := l.events[0]
+// applyEvent has a leader turn its next event into chunks.
+func (s *state) applyEvent(i int) {
+	l := &s.leaders[i]
+	event := l.events[0]
 	l.events = l.events[1:]
 	replicated := s.follower.Replicated(north)
 	if s.faults.NoSeenCheck {
 		replicated.SeenRevision = 0
 	}
-	chunks, anomaly, rejected := oneItem.Chunks(north, replicated, told)
+	chunks, anomaly, rejected := oneItem.Chunks(north, replicated, event)
 	if rejected != "" {
-		l.syncState.Record(told.Snapshot, "", rejected)
+		l.syncState.Record(event.Snapshot, "", rejected)
 		l.endWatch()
 		return
 	}
-	l.chunks, l.snapshot, l.anomaly = chunks, told.Snapshot, anomaly
-	if s.faults.DropUnnamed && told.Snapshot {
+	l.chunks, l.snapshot, l.anomaly = chunks, event.Snapshot, anomaly
+	if s.faults.DropUnnamed && event.Snapshot {
 		for name := range replicated.Documents {
-			if !slices.ContainsFunc(told.Documents, func(d api.Document) bool { return d.Service == name }) {
+			if !slices.ContainsFunc(event.Documents, func(d api.Document) bool { return d.Service == name }) {
 				l.droppedDocuments = append(l.droppedDocuments, name)
 			}
 		}
 	}
-	s.recordIfApplied(who)
+	s.recordIfApplied(i)
 }
 
-// recordIfApplied notes that a line was taken in, once nothing of it is left.
-func (s *state) recordIfApplied(who int) {
-	if l := &s.leaders[who]; len(l.chunks) == 0 {
+// recordIfApplied records the event in the sync state once all its chunks are committed.
+func (s *state) recordIfApplied(i int) {
+	if l := &s.leaders[i]; len(l.chunks) == 0 {
 		l.syncState.Record(l.snapshot, l.anomaly, "")
 		l.anomaly, l.droppedDocuments = "", nil
 	}
 }
 
-// commitChunk is a chunk that is committed.
-func (s *state) commitChunk(p list.Chunk, forgets []string) (err *api.Error) {
+// commitChunk applies a chunk to the follower's list, with the faults of the log.
+func (s *state) commitChunk(chunk list.Chunk, dropped []string) (err *api.Error) {
 	s.follower.change(func(l *list.List) {
 		if s.faults.NoFromCheck {
-			p.From = l.Replicated(north).Revision
+			chunk.From = l.Replicated(north).Revision
 		}
 		if s.faults.NoPartCheck {
-			p.Part = l.Replicated(north).NextPart
+			chunk.Part = l.Replicated(north).NextPart
 		}
-		if s.faults.NoSeenCheck || p.Last && len(forgets) > 0 {
-			of := l.State()
-			for i := range of.Regions {
-				o := &of.Regions[i]
+		if s.faults.NoSeenCheck || chunk.Last && len(dropped) > 0 {
+			snapshot := l.State()
+			for i := range snapshot.Regions {
+				region := &snapshot.Regions[i]
 				if s.faults.NoSeenCheck {
-					o.SeenRevision = min(o.SeenRevision, p.To)
+					region.SeenRevision = min(region.SeenRevision, chunk.To)
 				}
-				o.Documents = slices.DeleteFunc(o.Documents, func(d api.Document) bool { return p.Last && slices.Contains(forgets, d.Service) })
+				region.Documents = slices.DeleteFunc(region.Documents, func(d api.Document) bool { return chunk.Last && slices.Contains(dropped, d.Service) })
 			}
-			*l = *list.Load(of, history)
+			*l = *list.Load(snapshot, history)
 		}
-		err = l.Apply(list.Command{Op: list.ReplicateRegion, Region: south, Chunk: &p}).Err
+		err = l.Apply(list.Command{Op: list.ReplicateRegion, Region: south, Chunk: &chunk}).Err
 	})
 	return err
 }
 
-// propose is a leader's next chunk, which is carried out and answered.
-func (s *state) propose(who int) {
-	l := &s.leaders[who]
-	p := l.chunks[0]
+// propose commits a leader's next chunk, and gives the leader the result.
+func (s *state) propose(i int) {
+	l := &s.leaders[i]
+	chunk := l.chunks[0]
 	l.chunks = l.chunks[1:]
-	if err := s.commitChunk(p, l.droppedDocuments); err != nil {
-		s.failProposal(who)
+	if err := s.commitChunk(chunk, l.droppedDocuments); err != nil {
+		s.failProposal(i)
 		return
 	}
-	s.recordIfApplied(who)
+	s.recordIfApplied(i)
 }
 
-// failProposal is a chunk of which a leader does not hear that it was carried out.
-func (s *state) failProposal(who int) {
-	l := &s.leaders[who]
+// failProposal ends a leader's watch because it gets no result for a chunk.
+func (s *state) failProposal(i int) {
+	l := &s.leaders[i]
 	l.syncState.Record(l.snapshot, "", "unanswered")
 	l.endWatch()
 }
 
-// startLeader has a replica of the follower begin to startLeader.
-func (s *state) startLeader(who int) {
-	s.leaders[who] = leader{leading: true}
-	s.newestLeader = who
+// startLeader makes a replica of the follower a leader.
+func (s *state) startLeader(i int) {
+	s.leaders[i] = leader{leading: true}
+	s.newestLeader = i
 }
 
-// elect is lead for one that did not lead. With a barrier, as in the program, all that is in the log was carried out by then and
-// the rest never is: what was given up, whose leader leads no more, and whatever the former leader still proposes.
-func (s *state) elect(who int) {
+// elect starts a new leader. With a barrier, as in the program, every earlier entry of the log has been committed or never will be:
+// abandoned chunks are dropped, and the former leader stops.
+func (s *state) elect(i int) {
 	if s.remaining.Barrier {
-		s.lateChunks, s.leaders[1-who] = nil, leader{}
+		s.lateChunks, s.leaders[1-i] = nil, leader{}
 	}
-	s.startLeader(who)
+	s.startLeader(i)
 }
 
-// readSettings has the sidecar readSettings at a replica of the follower.
-func (s *state) readSettings(at sharedList) {
-	if d, found := at.Document(service); found && (d.Revision >= s.sidecarDocument.Revision || s.faults.AcceptOlder) {
+// readSettings has the sidecar read its settings at a replica of the follower.
+func (s *state) readSettings(replica sharedList) {
+	if d, found := replica.Document(service); found && (d.Revision >= s.sidecarDocument.Revision || s.faults.AcceptOlder) {
 		s.sidecarDocument = d
 	}
 }
 
-// Hash is one of the key; two keys with the same one are taken for the same state, by a chance of 1 in 2^128 for a pair.
+// Hash returns a hash of the state. Two states with equal hashes are taken for the same; the chance of that is 1 in 2^128 for a pair.
 func (s *state) Hash() (h modelcheck.Hash) {
 	s.setKeys()
 	sum := sha256.New()
@@ -307,27 +312,27 @@
 	for _, l := range []sharedList{s.owner, s.laggingOwner, s.follower, s.laggingFollower} {
 		sum.Write(l.key)
 	}
-	keyOf := func(p list.Chunk) {
-		_, _ = fmt.Fprint(sum, "|", p.From, p.To, p.Part, p.Last)
-		for _, e := range p.Entries {
+	addChunk := func(chunk list.Chunk) {
+		_, _ = fmt.Fprint(sum, "|", chunk.From, chunk.To, chunk.Part, chunk.Last)
+		for _, e := range chunk.Entries {
 			_, _ = fmt.Fprint(sum, e.Name, e.Address, e.Status)
 		}
-		for _, d := range p.Documents {
+		for _, d := range chunk.Documents {
 			_, _ = fmt.Fprint(sum, d.Service, d.Revision, string(d.Settings))
 		}
 	}
 	for i := range s.leaders {
 		l := &s.leaders[i]
 		_, _ = fmt.Fprint(sum, "|L", l.leading, l.syncState, l.silent, l.watching, l.source, l.watchRevision, l.snapshot, l.anomaly, l.droppedDocuments)
-		for _, x := range l.events {
-			keyOf(list.Chunk{From: int64(len(x.Endpoints)), To: x.Revision, Last: x.Snapshot, Entries: x.Endpoints, Documents: x.Documents})
+		for _, event := range l.events {
+			addChunk(list.Chunk{From: int64(len(event.Endpoints)), To: event.Revision, Last: event.Snapshot, Entries: event.Endpoints, Documents: event.Documents})
 		}
-		for _, p := range l.chunks {
-			keyOf(p)
+		for _, chunk := range l.chunks {
+			addChunk(chunk)
 		}
 	}
-	for _, p := range s.lateChunks {
-		keyOf(p)
+	for _, chunk := range s.lateChunks {
+		addChunk(chunk)
 	}
 	copy(h[:], sum.Sum(nil))
 	return h
--- a/internal/federation/explore/steps.go
+++ b/internal/federation/explore/steps.go
@@ -8,7 +8,7 @@
 	"mosslead/internal/registry/list"
 )
 
-// Steps are all that may happen next.
+// Steps adds all steps that may come next.
 func (s *state) Steps(add func(name string, do func(*state))) {
 	s.ownerSteps(add)
 	for i := range s.leaders {
@@ -16,51 +16,52 @@
 			s.leaderSteps(i, add)
 		}
 	}
-	for k, p := range s.lateChunks {
-		add(fmt.Sprintf("late piece %d from %d to %d", p.Part, p.From, p.To), func(n *state) {
+	for k, chunk := range s.lateChunks {
+		add(fmt.Sprintf("late chunk %d from %d to %d is committed", chunk.Part, chunk.From, chunk.To), func(n *state) {
 			n.lateChunks = slices.Delete(n.lateChunks, k, k+1)
-			_ = n.commitChunk(p, nil) // nobody is answered
+			_ = n.commitChunk(chunk, nil) // no leader waits for the result
 		})
 	}
-	switch who := 1 - s.newestLeader; {
+	switch other := 1 - s.newestLeader; {
 	case !s.leaders[s.newestLeader].leading:
-		add(fmt.Sprintf("%s begins", leaderName(s.newestLeader)), func(n *state) { n.elect(n.newestLeader) })
+		add(fmt.Sprintf("%s starts", leaderName(s.newestLeader)), func(n *state) { n.elect(n.newestLeader) })
 	case s.remaining.Elections > 0:
-		add(fmt.Sprintf("%s begins", leaderName(who)), func(n *state) { n.remaining.Elections--; n.elect(who) })
+		add(fmt.Sprintf("%s starts", leaderName(other)), func(n *state) { n.remaining.Elections--; n.elect(other) })
 	}
 	if s.remaining.Restarts > 0 {
-		add("the follower starts again", func(n *state) { n.remaining.Restarts--; n.restartFollower() })
+		add("the follower restarts", func(n *state) { n.remaining.Restarts--; n.restartFollower() })
 	}
 	if s.remaining.Reads > 0 {
 		add("the sidecar reads", func(n *state) { n.remaining.Reads--; n.readSettings(n.follower) })
 		if s.laggingFollower.List != s.follower.List {
-			add("the sidecar reads at the replica that lags", func(n *state) { n.remaining.Reads--; n.readSettings(n.laggingFollower) })
-			add("the follower's replica catches up", func(n *state) { n.laggingFollower = n.follower })
+			add("the sidecar reads at the lagging replica", func(n *state) { n.remaining.Reads--; n.readSettings(n.laggingFollower) })
+			add("the follower's lagging replica catches up", func(n *state) { n.laggingFollower = n.follower })
 		}
 	}
 }
 
+// ownerSteps adds the steps of the owner and its lagging replica.
 func (s *state) ownerSteps(add func(string, func(*state))) {
 	if s.remaining.Changes > 0 {
-		whats := []string{"+a", "+b", "+" + service}
+		changes := []string{"+a", "+b", "+" + service}
 		for _, name := range []string{"a", "b"} {
-			if _, there := s.currentView.entries[name]; there {
-				whats = append(whats, "-"+name)
+			if _, ok := s.currentView.entries[name]; ok {
+				changes = append(changes, "-"+name)
 			}
 		}
-		if d, there := s.currentView.documents[service]; there && !d.Deleted {
-			whats = append(whats, "-"+service)
+		if d, ok := s.currentView.documents[service]; ok && !d.Deleted {
+			changes = append(changes, "-"+service)
 		}
-		for _, what := range whats {
-			add("owner "+what, func(n *state) { n.remaining.Changes--; n.changeOwner(what) })
+		for _, change := range changes {
+			add("owner "+change, func(n *state) { n.remaining.Changes--; n.changeOwner(change) })
 		}
 	}
 	if s.owner.List == s.laggingOwner.List {
 		return
 	}
-	add("the lagging source catches up", func(n *state) { n.laggingOwner = n.owner })
+	add("the owner's lagging replica catches up", func(n *state) { n.laggingOwner = n.owner })
 	if s.remaining.Restores > 0 {
-		add("the owner is put back", func(n *state) {
+		add("the owner is restored", func(n *state) {
 			n.remaining.Restores--
 			n.owner, n.restored = n.laggingOwner, true
 			n.currentView = n.ownerView()
@@ -73,36 +74,37 @@
 	}
 }
 
+// leaderSteps adds the steps of one leader.
 func (s *state) leaderSteps(i int, add func(string, func(*state))) {
 	l := &s.leaders[i]
-	who := leaderName(i)
+	name := leaderName(i)
 	switch {
 	case !l.watching && len(l.events) == 0 && len(l.chunks) == 0:
-		for at := range 2 {
-			if at == 1 && s.laggingOwner.List == s.owner.List {
-				break // no difference
+		for source := range 2 {
+			if source == 1 && s.laggingOwner.List == s.owner.List {
+				break // both replicas are the same
 			}
-			add(fmt.Sprintf("%s watches %s", who, sourceName(at)), func(n *state) { n.startWatch(i, at) })
+			add(fmt.Sprintf("%s watches %s", name, sourceName(source)), func(n *state) { n.startWatch(i, source) })
 		}
 	case l.watching && len(l.events) < maxInFlight:
-		if _, any := s.nextEvent(l.source, l.watchRevision); any {
-			add(fmt.Sprintf("%s is told one line more", who), func(n *state) { n.receiveEvent(i) })
+		if _, ok := s.nextEvent(l.source, l.watchRevision); ok {
+			add(fmt.Sprintf("%s receives one more event", name), func(n *state) { n.receiveEvent(i) })
 		}
 	}
 	if l.watching && s.remaining.Losses > 0 {
-		add(fmt.Sprintf("%s loses its watch", who), func(n *state) {
+		add(fmt.Sprintf("%s loses its watch", name), func(n *state) {
 			n.remaining.Losses--
 			n.leaders[i].watching, n.leaders[i].events = false, nil
 		})
 	}
 	if len(l.events) > 0 && len(l.chunks) == 0 {
-		add(fmt.Sprintf("%s takes a line to %d", who, l.events[0].Revision), func(n *state) { n.applyEvent(i) })
+		add(fmt.Sprintf("%s applies an event to %d", name, l.events[0].Revision), func(n *state) { n.applyEvent(i) })
 		if s.remaining.Duplicates > 0 {
-			add(fmt.Sprintf("%s takes a line to %d, which comes again", who, l.events[0].Revision), func(n *state) {
+			add(fmt.Sprintf("%s applies an event to %d, which comes again", name, l.events[0].Revision), func(n *state) {
 				n.remaining.Duplicates--
-				again := n.leaders[i].events[0]
+				event := n.leaders[i].events[0]
 				n.applyEvent(i)
-				n.leaders[i].events = append(slices.Clone(n.leaders[i].events), again)
+				n.leaders[i].events = append(slices.Clone(n.leaders[i].events), event)
 			})
 		}
 	}
@@ -110,13 +112,13 @@
 		s.chunkSteps(i, l.chunks[0], add)
 	}
 	if i != s.newestLeader {
-		add(fmt.Sprintf("%s ends", who), func(n *state) { n.leaders[i] = leader{} })
+		add(fmt.Sprintf("%s ends", name), func(n *state) { n.leaders[i] = leader{} })
 	}
 }
 
-// chunkSteps are what may become of the next chunk that a leader proposes.
-func (s *state) chunkSteps(i int, p list.Chunk, add func(string, func(*state))) {
-	name := fmt.Sprintf("%s's piece %d from %d to %d", leaderName(i), p.Part, p.From, p.To)
+// chunkSteps adds what may happen to the next chunk that a leader proposes.
+func (s *state) chunkSteps(i int, chunk list.Chunk, add func(string, func(*state))) {
+	name := fmt.Sprintf("%s's chunk %d from %d to %d", leaderName(i), chunk.Part, chunk.From, chunk.To)
 	add(name, func(n *state) { n.propose(i) })
 	if s.remaining.Losses > 0 {
 		add(name+" is lost", func(n *state) {
@@ -129,33 +131,33 @@
 		})
 	}
 	if s.remaining.LateChunks > 0 && len(s.lateChunks) < maxInFlight {
-		add(name+" is given up", func(n *state) {
+		add(name+" is abandoned", func(n *state) {
 			n.remaining.LateChunks--
 			n.failProposal(i)
 			n.leaders[i].leading = !n.remaining.Barrier
-			n.lateChunks = append(n.lateChunks, p)
+			n.lateChunks = append(n.lateChunks, chunk)
 		})
 	}
 	if s.remaining.Duplicates > 0 && len(s.lateChunks) < maxInFlight && !s.remaining.Barrier {
 		add(name+", which comes again", func(n *state) {
 			n.remaining.Duplicates--
 			n.propose(i)
-			n.lateChunks = append(n.lateChunks, p)
+			n.lateChunks = append(n.lateChunks, chunk)
 		})
 	}
 }
 
-// restartFollower has the follower restartFollower again from its snapshot, as it is on a disk.
+// restartFollower loads the follower from its snapshot, and starts a leader.
 func (s *state) restartFollower() {
-	before := s.follower.key // of a state that was seen
-	var of list.State
-	if err := json.Unmarshal(before, &of); err != nil {
-		s.violation = fmt.Sprintf("the follower's snapshot: %v", err)
+	before := s.follower.key // set in every explored state
+	var snapshot list.State
+	if err := json.Unmarshal(before, &snapshot); err != nil {
+		s.violation = fmt.Sprintf("the follower's snapshot cannot be decoded: %v", err)
 		return
 	}
-	s.follower = sharedList{List: list.Load(of, history)}
+	s.follower = sharedList{List: list.Load(snapshot, history)}
 	if s.follower.setKey(); string(s.follower.key) != string(before) {
-		s.violation = fmt.Sprintf("the follower's snapshot is not as it was: %s and %s", s.follower.key, before)
+		s.violation = fmt.Sprintf("the follower's snapshot differs once it is loaded: got %s, want %s", s.follower.key, before)
 	}
 	s.leaders = [2]leader{}
 	s.elect(s.newestLeader)
--- a/internal/federation/syncstate.go
+++ b/internal/federation/syncstate.go
@@ -1,23 +1,23 @@
 package federation
 
-// SyncState is how the replication of one region goes on.
+// SyncState is the state of the replication of one region.
 type SyncState struct {
-	Synced   bool   // all of the list was taken in since, and nothing in doubt after that
-	Anomaly  string // what of it is not taken in
-	Rejected string // why the last of it was not
+	Synced   bool   // a full list was applied, and nothing since then makes another one necessary
+	Anomaly  string // what was left out, since the last full list; empty if nothing
+	Rejected string // why the last event was rejected; empty if it was applied
 }
 
-// NextRevision is the revision from which changes are requested, given the replicated one; -1: the full list
-// is. silent tells that the region sent nothing for so long that it may have been restored to an earlier
-// state.
-func (s *SyncState) NextRevision(replicated int64, unheard bool) int64 {
-	if s.Synced = s.Synced && !unheard; !s.Synced {
+// NextRevision returns the revision since which to request changes, which is the replicated one, or -1 to request
+// the full list. silent says that the region has sent nothing for so long that it may have been restored to an
+// earlier state.
+func (s *SyncState) NextRevision(replicated int64, silent bool) int64 {
+	if s.Synced = s.Synced && !silent; !s.Synced {
 		return -1
 	}
 	return replicated
 }
 
-// Record takes in what became of an event.
+// Record records the outcome of an event.
 func (s *SyncState) Record(snapshot bool, anomaly, rejected string) {
 	s.Rejected = rejected
 	switch {
--- a/internal/lease/transcript_test.go
+++ b/internal/lease/transcript_test.go
@@ -12,7 +12,7 @@
 	"mosslead/internal/lease/memory"
 )
 
-// scenario has candidates for one leadership, their service 2 ms away, and the target of their actions.
+// scenario has candidates for the leadership of the trials of s-1, their service 2 ms away, and the target of their actions.
 type scenario struct {
 	*testing.T
 	record  transcript.Transcript
