--- a/internal/conflate/queue.go
+++ b/internal/conflate/queue.go
@@ -1,5 +1,5 @@
-// Package conflate provides a bounded queue in which a newer value of a key replaces the one that waits.
-// Pushing never blocks.
+// Package conflate provides a bounded queue in which a newer value of a key replaces the queued one. Pushing never
+// blocks.
 package conflate
 
 import (
@@ -14,84 +14,84 @@
 	ready chan struct{}
 
 	mu      sync.Mutex
-	order   *list.List // of *slot, the oldest first
+	order   *list.List // of *item, the oldest first
 	byKey   map[K]*list.Element
 	dropped uint64
 }
 
-// item is a value that waits.
+// item is a queued value.
 type item[K comparable, V any] struct {
 	key         K
 	value       V
-	mustDeliver bool // it is never dropped
+	mustDeliver bool // the value is never dropped
 }
 
-// New returns a queue for limit keys, one at least.
+// New returns a queue for limit keys, or for one if limit is below 1.
 func New[K comparable, V any](limit int) *Queue[K, V] {
 	return &Queue[K, V]{max: max(limit, 1), ready: make(chan struct{}, 1), order: list.New(), byKey: map[K]*list.Element{}}
 }
 
-// Push adds a value, or replaces the one that waits under the same key, in its place. When the queue is full
-// the oldest value without mustDeliver is dropped. A value with mustDeliver is never dropped, nor is one that
-// replaces it: the end of a ban or of a leadership must arrive. Such values may exceed the bound, so
-// producers have to bound their keys.
-func (r *Queue[K, V]) Push(key K, v V, mustDeliver bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if e := r.byKey[key]; e != nil {
-		s := e.Value.(*item[K, V])
-		s.value, s.mustDeliver = v, s.mustDeliver || mustDeliver
-		return // whoever put the first has woken the taker
+// Push adds a value, or replaces the queued value of the same key, which keeps its place. When the queue is full,
+// the oldest value without mustDeliver is dropped; if there is none, the new value is, unless it has mustDeliver.
+// A value with mustDeliver is never dropped, nor is one that replaces it: the end of a ban or of a leadership must
+// arrive. Such values may exceed the bound, so producers have to bound their keys.
+func (q *Queue[K, V]) Push(key K, v V, mustDeliver bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if e := q.byKey[key]; e != nil {
+		queued := e.Value.(*item[K, V])
+		queued.value, queued.mustDeliver = v, queued.mustDeliver || mustDeliver
+		return // Ready was signalled when the key was queued
 	}
-	if r.order.Len() >= r.max && !r.dropOldest() && !mustDeliver {
-		r.dropped++
+	if q.order.Len() >= q.max && !q.dropOldest() && !mustDeliver {
+		q.dropped++
 		return
 	}
-	r.byKey[key] = r.order.PushBack(&item[K, V]{key, v, mustDeliver})
+	q.byKey[key] = q.order.PushBack(&item[K, V]{key, v, mustDeliver})
 	select {
-	case r.ready <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// dropOldest makes space, if any value may be dropped.
-func (r *Queue[K, V]) dropOldest() bool {
-	for e := r.order.Front(); e != nil; e = e.Next() {
-		if s := e.Value.(*item[K, V]); !s.mustDeliver {
-			r.order.Remove(e)
-			delete(r.byKey, s.key)
-			r.dropped++
+// dropOldest drops the oldest value without mustDeliver, and reports whether there was one.
+func (q *Queue[K, V]) dropOldest() bool {
+	for e := q.order.Front(); e != nil; e = e.Next() {
+		if queued := e.Value.(*item[K, V]); !queued.mustDeliver {
+			q.order.Remove(e)
+			delete(q.byKey, queued.key)
+			q.dropped++
 			return true
 		}
 	}
 	return false
 }
 
-// Ready is readable when there may be something to pop. That of a nil Queue never is.
-func (r *Queue[K, V]) Ready() <-chan struct{} {
-	if r == nil {
+// Ready returns a channel that is readable when there may be a value to pop. That of a nil Queue never is.
+func (q *Queue[K, V]) Ready() <-chan struct{} {
+	if q == nil {
 		return nil
 	}
-	return r.ready
+	return q.ready
 }
 
-// Pop removes the oldest value; false: there is none. The consumer pops until then each time that Ready was
-// readable.
-func (r *Queue[K, V]) Pop() (v V, ok bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	e := r.order.Front()
+// Pop removes and returns the oldest value; ok is false if there is none. Each time that Ready was readable, the
+// consumer must pop until there is none.
+func (q *Queue[K, V]) Pop() (v V, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	e := q.order.Front()
 	if e == nil {
 		return v, false
 	}
-	s := r.order.Remove(e).(*item[K, V])
-	delete(r.byKey, s.key)
-	return s.value, true
+	queued := q.order.Remove(e).(*item[K, V])
+	delete(q.byKey, queued.key)
+	return queued.value, true
 }
 
-// Dropped counts the values that were dropped.
-func (r *Queue[K, V]) Dropped() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.dropped
+// Dropped returns the number of dropped values.
+func (q *Queue[K, V]) Dropped() uint64 {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.dropped
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -1,5 +1,5 @@
-// Package modelcheck searches through every order of the steps of a small model, breadth first and to a
-// depth, so that a path to a broken invariant is one of the shortest.
+// Package modelcheck explores every order of the steps of a small model, breadth first and to a depth. A path that
+// it finds to a broken invariant is therefore one of the shortest.
 package modelcheck
 
 import (
@@ -9,33 +9,35 @@
 	"sync/atomic"
 )
 
-// Hash tells states apart.
+// Hash identifies a state: states with equal hashes are taken for the same.
 type Hash [16]byte
 
-// State is a state of a model, of type S. What a clone shares must not be changed.
+// State is a state of a model, of type S. Data that a clone shares with its original must not be changed.
 type State[S any] interface {
 	Clone() S
 	// Steps adds all steps that may come next, each with a name and its effect on a clone.
 	Steps(add func(name string, do func(S)))
-	Broken(before S) string // the invariant that does not hold here, or on the way from before; empty: all hold
+	// Broken returns the invariant that does not hold here, or on the step from before; empty if all hold.
+	Broken(before S) string
 	Hash() Hash
 }
 
 // Result is the result of a search.
 type Result struct {
-	States int      // that differ
-	Depth  int      // to which all states were seen
-	Broken string   // the invariant that does not hold; empty: all hold
-	Path   []string // the steps to where it breaks, one of the shortest paths
+	States int      // number of different states seen
+	Depth  int      // all states up to this depth were seen
+	Broken string   // the invariant that does not hold; empty if all hold
+	Path   []string // one of the shortest paths of steps to where it breaks
 }
 
-// node is a state and the path to it.
+// node is a state and the last step of the path to it.
 type node[S any] struct {
 	state  S
 	parent *node[S]
 	step   string
 }
 
+// path returns the names of the steps from the first state to n.
 func (n *node[S]) path() (steps []string) {
 	for ; n.parent != nil; n = n.parent {
 		steps = append(steps, n.step)
@@ -44,6 +46,7 @@
 	return steps
 }
 
+// step is a step from a state, with the state after it.
 type step[S any] struct {
 	name   string
 	state  S
@@ -51,39 +54,39 @@
 	hash   Hash
 }
 
-// expansion is what can follow one state.
+// expansion is the result of checking one state, and the steps from it.
 type expansion[S any] struct {
 	violation string
 	steps     []step[S]
 }
 
-// Search goes through all states that follow first within maxDepth steps. check, if it is not nil, is called
-// with each state, the last ones too, and returns what is wrong with it.
+// Search explores all states that can be reached from first within maxDepth steps. check, if it is not nil, is
+// called with each state, including those at maxDepth, and returns what is wrong with it, or an empty string.
 func Search[S State[S]](first S, maxDepth int, check func(S) string) Result {
 	seen := map[Hash]struct{}{first.Hash(): {}}
 	level := []*node[S]{{state: first}}
-	var none S
+	var zero S
 	for depth := 0; ; depth++ {
 		if depth == maxDepth && check == nil {
 			return Result{States: len(seen), Depth: maxDepth}
 		}
 		var next []*node[S]
-		for part := range slices.Chunk(level, 1024) {
-			for i, x := range expand(part, depth < maxDepth, check) {
-				if x.violation != "" {
-					return Result{len(seen), depth, x.violation, part[i].path()}
+		for batch := range slices.Chunk(level, 1024) {
+			for i, expanded := range expand(batch, depth < maxDepth, check) {
+				if expanded.violation != "" {
+					return Result{len(seen), depth, expanded.violation, batch[i].path()}
 				}
-				for _, x := range x.steps {
-					if x.broken != "" {
-						return Result{len(seen), depth, x.broken, append(part[i].path(), x.name)}
+				for _, step := range expanded.steps {
+					if step.broken != "" {
+						return Result{len(seen), depth, step.broken, append(batch[i].path(), step.name)}
 					}
-					if _, ok := seen[x.hash]; ok {
+					if _, ok := seen[step.hash]; ok {
 						continue
 					}
-					seen[x.hash] = struct{}{}
-					next = append(next, &node[S]{x.state, part[i], x.name})
+					seen[step.hash] = struct{}{}
+					next = append(next, &node[S]{step.state, batch[i], step.name})
 				}
-				part[i].state = none // its way stays, itself is not needed any more
+				batch[i].state = zero // only the path is still needed
 			}
 		}
 		if level = next; len(level) == 0 {
@@ -92,33 +95,34 @@
 	}
 }
 
-// expand expands each node, on all processors. The order of the result does not depend on them.
-func expand[S State[S]](part []*node[S], expandStates bool, check func(S) string) []expansion[S] {
-	all := make([]expansion[S], len(part))
-	var at atomic.Int64
-	var work sync.WaitGroup
+// expand expands the nodes of a batch in parallel. The order of the result does not depend on the number of
+// processors.
+func expand[S State[S]](batch []*node[S], withSteps bool, check func(S) string) []expansion[S] {
+	results := make([]expansion[S], len(batch))
+	var taken atomic.Int64
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		work.Go(func() {
-			for i := int(at.Add(1)) - 1; i < len(part); i = int(at.Add(1)) - 1 {
-				s, x := part[i].state, &all[i]
+		workers.Go(func() {
+			for i := int(taken.Add(1)) - 1; i < len(batch); i = int(taken.Add(1)) - 1 {
+				s, result := batch[i].state, &results[i]
 				if check != nil {
-					x.violation = check(s)
+					result.violation = check(s)
 				}
-				if !expandStates || x.violation != "" {
+				if !withSteps || result.violation != "" {
 					continue
 				}
 				s.Steps(func(name string, do func(S)) {
 					next := s.Clone()
 					do(next)
-					x.steps = append(x.steps, step[S]{name: name, state: next})
+					result.steps = append(result.steps, step[S]{name: name, state: next})
 				})
-				for j := range x.steps {
-					y := &x.steps[j]
-					y.broken, y.hash = y.state.Broken(s), y.state.Hash()
+				for j := range result.steps {
+					st := &result.steps[j]
+					st.broken, st.hash = st.state.Broken(s), st.state.Hash()
 				}
 			}
 		})
 	}
-	work.Wait()
-	return all
+	workers.Wait()
+	return results
 }
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// count is a model of a number from 0 to 9, which may grow by one or double, and must not be 7.
+// count is a model of a number, initially 0. A step adds one to it below 9, or doubles it from 1 to 4. It must not be 7.
 type count struct {
 	n          int
-	allowSeven bool // 7 breaks nothing
+	allowSeven bool // 7 breaks no invariant
 }
 
 func (c *count) Clone() *count { x := *c; return &x }
@@ -33,31 +33,31 @@
 func (c *count) Hash() (h Hash) { h[0] = byte(c.n); return h }
 
 func TestSearch(t *testing.T) {
-	for name, x := range map[string]struct {
-		free   bool
-		most   int
-		look   func(*count) string
-		states int
-		depth  int
-		broken string
-		path   string
+	for name, test := range map[string]struct {
+		allowSeven bool
+		maxDepth   int
+		check      func(*count) string
+		states     int
+		depth      int
+		broken     string
+		path       string
 	}{
-		"not deep enough":           {most: 4, states: 8, depth: 4}, // 0; 1; 2; 3, 4; 5, 6, 8
-		"the shortest way":          {most: 9, states: 8, depth: 4, broken: "seven", path: "one more, one more, one more, double, one more"},
-		"all there is":              {free: true, most: 30, states: 10, depth: 5},
-		"all there is, looked at":   {free: true, most: 30, look: func(*count) string { return "" }, states: 10, depth: 5},
-		"amiss at the last depth":   {free: true, most: 3, look: func(c *count) string { return strings.Repeat("four", c.n/4) }, states: 5, depth: 3, broken: "four", path: "one more, one more, double"},
-		"no step, and it is amiss":  {most: 0, look: func(*count) string { return "at once" }, states: 1, broken: "at once"},
-		"no step, nothing to be at": {most: 0, states: 1},
+		"not deep enough":               {maxDepth: 4, states: 8, depth: 4}, // the states by depth: 0; 1; 2; 3, 4; 5, 6, 8
+		"the shortest path":             {maxDepth: 9, states: 8, depth: 4, broken: "seven", path: "one more, one more, one more, double, one more"},
+		"all states":                    {allowSeven: true, maxDepth: 30, states: 10, depth: 5},
+		"all states, each checked":      {allowSeven: true, maxDepth: 30, check: func(*count) string { return "" }, states: 10, depth: 5},
+		"check fails at the last depth": {allowSeven: true, maxDepth: 3, check: func(c *count) string { return strings.Repeat("four", c.n/4) }, states: 5, depth: 3, broken: "four", path: "one more, one more, double"},
+		"no step, check fails":          {maxDepth: 0, check: func(*count) string { return "at once" }, states: 1, broken: "at once"},
+		"no step, no check":             {maxDepth: 0, states: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := Search(&count{allowSeven: x.free}, x.most, x.look)
+			result := Search(&count{allowSeven: test.allowSeven}, test.maxDepth, test.check)
 			path := []string{}
-			if x.path != "" {
-				path = strings.Split(x.path, ", ")
+			if test.path != "" {
+				path = strings.Split(test.path, ", ")
 			}
-			if f.States != x.states || f.Depth != x.depth || f.Broken != x.broken || !slices.Equal(f.Path, path) && len(f.Path)+len(path) > 0 {
-				t.Errorf("%+v", f)
+			if result.States != test.states || result.Depth != test.depth || result.Broken != test.broken || !slices.Equal(result.Path, path) && len(result.Path)+len(path) > 0 {
+				t.Errorf("got %+v, want %d states, depth %d, violation %q, path %q", result, test.states, test.depth, test.broken, path)
 			}
 		})
 	}
