--- a/internal/federation/explore/promises.go
+++ b/internal/federation/explore/promises.go
@@ -97,8 +97,8 @@
 // maxSettleSteps is more steps than settle takes in any state of the model.
 const maxSettleSteps = 64
 
-// settle continues with the leader that started last and without faults until no step remains. It returns false if that does not end
-// within maxSettleSteps.
+// settle continues until no step remains: with the leader that started last, the owner's up-to-date replica, and nothing lost or late.
+// It returns false if that does not end within maxSettleSteps.
 func (s *state) settle() bool {
 	s.laggingOwner, s.lateChunks, s.remaining = s.owner, nil, Bounds{}
 	s.leaders[1-s.newestLeader] = leader{}
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -48,13 +48,13 @@
 	documents map[string]api.Document
 }
 
-// leader is a replica of the follower that acts as its leader.
+// leader is a replica of the follower that may act as its leader.
 type leader struct {
-	leading          bool // false once it has ended
+	leading          bool // it acts as the leader
 	syncState        federation.SyncState
 	silent           bool // the owner was silent for long, and may have been restored
 	watching         bool
-	source           int              // index of the owner\'s replica that it watches, see sourceName
+	source           int              // index of the owner's replica that it watches, see sourceName
 	watchRevision    int64            // revision of the latest event
 	events           []api.WatchEvent // received and not applied yet
 	chunks           []list.Chunk     // of the event applied last, to be proposed one by one
@@ -76,7 +76,7 @@
 	laggingOwner    sharedList // the owner's lagging replica
 	follower        sharedList
 	laggingFollower sharedList  // the follower's lagging replica
-	issuedViews     []ownerView // after each change by the owner
+	issuedViews     []ownerView // the owner's list after each of its changes
 	currentView     ownerView   // the owner's list now
 	changeLog       string      // the changes by the owner, one word each
 	restored        bool        // the owner was restored
--- a/internal/lease/explore/steps.go
+++ b/internal/lease/explore/steps.go
@@ -20,7 +20,7 @@
 	}
 	if s.remaining.Elections > 0 {
 		for _, keepLog := range []bool{true, false} {
-			add(fmt.Sprint("elect ", keepLog), func(n *state) { n.remaining.Elections--; n.elect(keepLog) })
+			add(fmt.Sprint("election, log kept: ", keepLog), func(n *state) { n.remaining.Elections--; n.elect(keepLog) })
 			if len(s.log) == 0 {
 				break // with an empty log both are the same
 			}
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -114,8 +114,8 @@
 // caller sends requests on its own goroutine, one at a time: each request cancels the previous one.
 type caller struct {
 	jobs      chan requestJob
-	responses chan Response // a response to a cancelled request may still arrive
-	stopped   chan struct{}
+	responses chan Response      // a response to a cancelled request may still arrive
+	stopped   chan struct{}      // closed when the goroutine has ended
 	cancel    context.CancelFunc // cancels the latest request; nil before the first
 }
 
