--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -14,318 +14,325 @@
 )
 
 const (
-	history  = 1 // changed entries that the owner remembers: with the third change the first is forgotten
-	underWay = 2 // lines of a watch, and chunks that were given up
+	history     = 1 // length of the owner's change history: the third change compacts the first away
+	maxInFlight = 2 // events of a watch, and abandoned chunks
 )
 
-// one is the bound of chunks here: each is one entry or document.
-var one = federation.ChunkLimit{Entries: 1, Bytes: 1}
+// oneItem bounds chunks to one entry or document.
+var oneItem = federation.ChunkLimit{Entries: 1, Bytes: 1}
 
-// frozen is a list that states may share once it has a key. Each change of such a one goes through a snapshot.
-type frozen struct {
+// sharedList is a list that states share once its key is set. From then on a change is made to a copy.
+type sharedList struct {
 	*list.List
 	key []byte
 }
 
-func (f *frozen) change(do func(*list.List)) {
-	if f.key != nil {
-		*f = frozen{List: list.Load(f.State(), history)}
+// change applies do to the list, or to a copy if the list is shared.
+func (l *sharedList) change(do func(*list.List)) {
+	if l.key != nil {
+		*l = sharedList{List: list.Load(l.State(), history)}
 	}
-	do(f.List)
+	do(l.List)
 }
 
-// freeze makes the key.
-func (f *frozen) freeze() {
-	if f.key == nil {
-		f.key, _ = json.Marshal(f.State()) // of plain words and numbers
+// setKey sets the key, which makes the list shared.
+func (l *sharedList) setKey() {
+	if l.key == nil {
+		l.key, _ = json.Marshal(l.State()) // strings and numbers only, so it cannot fail
 	}
 }
 
-// past is what the owner's list once told.
-type past struct {
+// ownerView is the content of the owner's list at one time.
+type ownerView struct {
 	entries   map[string]api.Endpoint
 	documents map[string]api.Document
 }
 
-// leader is a replica of the follower that takes itself for its leader.
+// leader is a replica of the follower that may act as its leader.
 type leader struct {
-	leads    bool
-	sync     federation.SyncState
-	unheard  bool // the owner was, for long
-	watches  bool
-	source   int
-	at       int64 // what the watch has told up to
-	lines    []api.WatchEvent
-	chunks   []list.Chunk // of the line that was taken last, to be proposed one by one
-	snapshot bool         // it was one
-	anomaly  string       // what of it is not taken in
-	forgets  []string     // documents, see Faults
+	leading          bool // it acts as the leader
+	syncState        federation.SyncState
+	silent           bool // the owner was silent for long, and may have been restored
+	watching         bool
+	source           int              // index of the owner's replica that it watches, see sourceName
+	watchRevision    int64            // revision of the latest event
+	events           []api.WatchEvent // received and not applied yet
+	chunks           []list.Chunk     // of the event applied last, to be proposed one by one
+	snapshot         bool             // that event was one
+	anomaly          string           // what is left out of its chunks
+	droppedDocuments []string         // services whose documents it removes, see Faults.DropUnnamed
 }
 
-func (l *leader) drop() { l.watches, l.lines, l.chunks, l.forgets = false, nil, nil, nil }
+// endWatch drops the watch with its events and chunks.
+func (l *leader) endWatch() {
+	l.watching, l.events, l.chunks, l.droppedDocuments = false, nil, nil, nil
+}
 
+// state is a state of the model.
 type state struct {
-	left     Bounds
-	faults   Faults
-	owner    frozen
-	behind   frozen // the owner's replica that lags
-	follower frozen
-	lags     frozen // the follower's replica that does
-	issued   []past // by the owner's changes
-	now      past   // what the owner tells
-	changes  string // the owner's, in one word each
-	back     bool   // the owner was put back
-	leaders  [2]leader
-	newest   int // which of them began last
-	late     []list.Chunk
-	sidecar  api.Document
-	why      string // a promise was broken by the step itself
+	remaining       Bounds // steps that may still occur
+	faults          Faults
+	owner           sharedList
+	laggingOwner    sharedList // the owner's lagging replica
+	follower        sharedList
+	laggingFollower sharedList  // the follower's lagging replica
+	issuedViews     []ownerView // the owner's list after each of its changes
+	currentView     ownerView   // the owner's list now
+	changeLog       string      // the changes by the owner, one word each
+	restored        bool        // the owner was restored
+	leaders         [2]leader
+	newestLeader    int          // index of the leader that started last
+	lateChunks      []list.Chunk // may be committed later
+	sidecarDocument api.Document // the settings that the sidecar has
+	violation       string       // the invariant that the step itself broke; empty if none
 }
 
-func begin(b Bounds, f Faults) *state {
-	s := &state{left: b, faults: f}
-	for _, l := range []*frozen{&s.owner, &s.behind, &s.follower, &s.lags} {
-		*l = frozen{List: list.New(history)}
+// newState returns the first state of an exploration.
+func newState(b Bounds, f Faults) *state {
+	s := &state{remaining: b, faults: f}
+	for _, l := range []*sharedList{&s.owner, &s.laggingOwner, &s.follower, &s.laggingFollower} {
+		*l = sharedList{List: list.New(history)}
 	}
 	s.follower.change(func(l *list.List) {
-		for _, name := range []string{"a", "o"} { // a has a namesake in north
+		for _, name := range []string{"a", "o"} { // north has an entry a too
 			l.Apply(list.Command{Op: list.Register, Region: south, Name: name, Registration: &api.Registration{Address: "own", Weight: 1}})
 		}
-		on := int64(0)
-		l.Apply(list.Command{Op: list.PutDocument, Region: south, Name: "own", IfRevision: &on, Document: &api.Document{Schema: 1, Settings: json.RawMessage(`{}`)}})
+		revision := int64(0)
+		l.Apply(list.Command{Op: list.PutDocument, Region: south, Name: "own", IfRevision: &revision, Document: &api.Document{Schema: 1, Settings: json.RawMessage(`{}`)}})
 	})
-	s.leaders[0].leads = true
-	s.issue("+a")
-	s.freeze()
-	s.lags, s.behind = s.follower, s.owner
-	s.issue("+" + service)
+	s.leaders[0].leading = true
+	s.changeOwner("+a")
+	s.setKeys()
+	s.laggingFollower, s.laggingOwner = s.follower, s.owner
+	s.changeOwner("+" + service)
 	if !b.Empty {
-		behind := s.behind
+		lagging := s.laggingOwner
 		s.settle()
-		s.freeze()
-		s.left, s.behind, s.lags = b, behind, s.follower
+		s.setKeys()
+		s.remaining, s.laggingOwner, s.laggingFollower = b, lagging, s.follower
 	}
-	s.freeze()
+	s.setKeys()
 	return s
 }
 
 // Clone implements modelcheck.State.
 func (s *state) Clone() *state {
 	c := *s
-	c.issued, c.late = slices.Clip(s.issued), slices.Clone(s.late)
+	c.issuedViews, c.lateChunks = slices.Clip(s.issuedViews), slices.Clone(s.lateChunks)
 	for i := range c.leaders {
 		l := &c.leaders[i]
-		l.lines = slices.Clone(l.lines)
+		l.events = slices.Clone(l.events)
 	}
 	return &c
 }
 
-func (s *state) freeze() {
-	for _, l := range []*frozen{&s.owner, &s.behind, &s.follower, &s.lags} {
-		l.freeze()
+// setKeys sets the keys of all lists.
+func (s *state) setKeys() {
+	for _, l := range []*sharedList{&s.owner, &s.laggingOwner, &s.follower, &s.laggingFollower} {
+		l.setKey()
 	}
 }
 
-// issue is a change by the owner: + or - and an entry, or a service.
-func (s *state) issue(what string) {
-	s.changes += what + " "
-	n := len(s.issued) + 1 // in each text that is issued, so that no two are alike
-	c := list.Command{Region: north, Name: what[1:]}
+// changeOwner applies a change by the owner. change is + or -, followed by the name of an entry or the service.
+func (s *state) changeOwner(change string) {
+	s.changeLog += change + " "
+	n := len(s.issuedViews) + 1 // part of each address and settings, so that all differ
+	c := list.Command{Region: north, Name: change[1:]}
 	s.owner.change(func(l *list.List) {
 		switch {
 		case c.Name == service:
 			d, _ := l.Document(service)
 			c.Op, c.IfRevision = list.DeleteDocument, &d.Revision
-			if what[0] == '+' {
+			if change[0] == '+' {
 				c.Op, c.Document = list.PutDocument, &api.Document{Schema: 1, Settings: json.RawMessage(strconv.Itoa(n))}
 			}
-		case what[0] == '+':
+		case change[0] == '+':
 			c.Op, c.Registration = list.Register, &api.Registration{Address: strconv.Itoa(n), Weight: 1}
 		default:
 			c.Op = list.Deregister
 		}
 		if r := l.Apply(c); r.Err != nil {
-			s.why = fmt.Sprintf("the owner refuses %s: %v", what, r.Err)
+			s.violation = fmt.Sprintf("the owner rejects %s: %v", change, r.Err)
 		}
 	})
-	s.now = s.told()
-	s.issued = append(s.issued, s.now)
+	s.currentView = s.ownerView()
+	s.issuedViews = append(s.issuedViews, s.currentView)
 }
 
-// told is what the owner's list tells now.
-func (s *state) told() past {
-	p := past{map[string]api.Endpoint{}, map[string]api.Document{}}
-	all := s.owner.OwnChangesSince(-1)
-	for _, e := range all.Endpoints {
-		p.entries[e.Name] = e
+// ownerView returns the content of the owner's list now.
+func (s *state) ownerView() ownerView {
+	view := ownerView{map[string]api.Endpoint{}, map[string]api.Document{}}
+	changes := s.owner.OwnChangesSince(-1)
+	for _, e := range changes.Endpoints {
+		view.entries[e.Name] = e
 	}
-	for _, d := range all.Documents {
-		p.documents[d.Service] = d
+	for _, d := range changes.Documents {
+		view.documents[d.Service] = d
 	}
-	return p
+	return view
 }
 
-// tells is the next line of a watch that was told up to from; false: there is nothing to tell.
-func (s *state) tells(at int, from int64) (api.WatchEvent, bool) {
-	of := s.owner
-	if at == 1 {
-		of = s.behind
+// nextEvent returns the next event of a watch at a source, after revision from. ok is false if there is none.
+func (s *state) nextEvent(source int, from int64) (api.WatchEvent, bool) {
+	owner := s.owner
+	if source == 1 {
+		owner = s.laggingOwner
 	}
-	if from == of.Revision() {
+	if from == owner.Revision() {
 		return api.WatchEvent{}, false
 	}
-	l := of.OwnChangesSince(from)
-	l.Region = north
-	return l, l.Snapshot || len(l.Endpoints) > 0 || len(l.Documents) > 0
+	event := owner.OwnChangesSince(from)
+	event.Region = north
+	return event, event.Snapshot || len(event.Endpoints) > 0 || len(event.Documents) > 0
 }
 
-// watch begins a watch, with its first line if there is one.
-func (s *state) watch(who, at int) {
-	l := &s.leaders[who]
-	l.watches, l.source = true, at
-	l.at = l.sync.NextRevision(s.follower.Replicated(north).Revision, l.unheard)
-	l.unheard = false
-	s.line(who)
+// startWatch starts a leader's watch, with the first event if there is one.
+func (s *state) startWatch(i, source int) {
+	l := &s.leaders[i]
+	l.watching, l.source = true, source
+	l.watchRevision = l.syncState.NextRevision(s.follower.Replicated(north).Revision, l.silent)
+	l.silent = false
+	s.receiveEvent(i)
 }
 
-// line is one line more on a watch.
-func (s *state) line(who int) {
-	l := &s.leaders[who]
-	if told, any := s.tells(l.source, l.at); any {
-		l.lines, l.at = append(l.lines, told), told.Revision
+// receiveEvent adds the next event to a leader's watch, if there is one.
+func (s *state) receiveEvent(i int) {
+	l := &s.leaders[i]
+	if event, ok := s.nextEvent(l.source, l.watchRevision); ok {
+		l.events, l.watchRevision = append(l.events, event), event.Revision
 	}
 }
 
-// applyChunk has a leader work out what a line comes to.
-func (s *state) applyChunk(who int) {
-	l := &s.leaders[who]
-	told := l.lines[0]
-	l.lines = l.lines[1:]
+// applyEvent has a leader turn its next event into chunks.
+func (s *state) applyEvent(i int) {
+	l := &s.leaders[i]
+	event := l.events[0]
+	l.events = l.events[1:]
 	replicated := s.follower.Replicated(north)
-	if s.faults.NoSeen {
+	if s.faults.NoSeenCheck {
 		replicated.SeenRevision = 0
 	}
-	chunks, anomaly, rejected := one.Chunks(north, replicated, told)
+	chunks, anomaly, rejected := oneItem.Chunks(north, replicated, event)
 	if rejected != "" {
-		l.sync.Record(told.Snapshot, "", rejected)
-		l.drop()
+		l.syncState.Record(event.Snapshot, "", rejected)
+		l.endWatch()
 		return
 	}
-	l.chunks, l.snapshot, l.anomaly = chunks, told.Snapshot, anomaly
-	if s.faults.Forgets && told.Snapshot {
+	l.chunks, l.snapshot, l.anomaly = chunks, event.Snapshot, anomaly
+	if s.faults.DropUnnamed && event.Snapshot {
 		for name := range replicated.Documents {
-			if !slices.ContainsFunc(told.Documents, func(d api.Document) bool { return d.Service == name }) {
-				l.forgets = append(l.forgets, name)
+			if !slices.ContainsFunc(event.Documents, func(d api.Document) bool { return d.Service == name }) {
+				l.droppedDocuments = append(l.droppedDocuments, name)
 			}
 		}
 	}
-	s.chunkApplied(who)
+	s.recordIfApplied(i)
 }
 
-// chunkApplied notes that a line was taken in, once nothing of it is left.
-func (s *state) chunkApplied(who int) {
-	if l := &s.leaders[who]; len(l.chunks) == 0 {
-		l.sync.Record(l.snapshot, l.anomaly, "")
-		l.anomaly, l.forgets = "", nil
+// recordIfApplied records the event in the sync state once all its chunks are committed.
+func (s *state) recordIfApplied(i int) {
+	if l := &s.leaders[i]; len(l.chunks) == 0 {
+		l.syncState.Record(l.snapshot, l.anomaly, "")
+		l.anomaly, l.droppedDocuments = "", nil
 	}
 }
 
-// carryOut is a chunk that is committed.
-func (s *state) carryOut(p list.Chunk, forgets []string) (err *api.Error) {
+// commitChunk applies a chunk to the follower's list, with the faults of the log.
+func (s *state) commitChunk(chunk list.Chunk, dropped []string) (err *api.Error) {
 	s.follower.change(func(l *list.List) {
-		if s.faults.NoFrom {
-			p.From = l.Replicated(north).Revision
+		if s.faults.NoFromCheck {
+			chunk.From = l.Replicated(north).Revision
 		}
-		if s.faults.NoTurns {
-			p.Part = l.Replicated(north).NextPart
+		if s.faults.NoPartCheck {
+			chunk.Part = l.Replicated(north).NextPart
 		}
-		if s.faults.NoSeen || p.Last && len(forgets) > 0 {
-			of := l.State()
-			for i := range of.Regions {
-				o := &of.Regions[i]
-				if s.faults.NoSeen {
-					o.SeenRevision = min(o.SeenRevision, p.To)
+		if s.faults.NoSeenCheck || chunk.Last && len(dropped) > 0 {
+			snapshot := l.State()
+			for i := range snapshot.Regions {
+				region := &snapshot.Regions[i]
+				if s.faults.NoSeenCheck {
+					region.SeenRevision = min(region.SeenRevision, chunk.To)
 				}
-				o.Documents = slices.DeleteFunc(o.Documents, func(d api.Document) bool { return p.Last && slices.Contains(forgets, d.Service) })
+				region.Documents = slices.DeleteFunc(region.Documents, func(d api.Document) bool { return chunk.Last && slices.Contains(dropped, d.Service) })
 			}
-			*l = *list.Load(of, history)
+			*l = *list.Load(snapshot, history)
 		}
-		err = l.Apply(list.Command{Op: list.ReplicateRegion, Region: south, Chunk: &p}).Err
+		err = l.Apply(list.Command{Op: list.ReplicateRegion, Region: south, Chunk: &chunk}).Err
 	})
 	return err
 }
 
-// propose is a leader's next chunk, which is carried out and answered.
-func (s *state) propose(who int) {
-	l := &s.leaders[who]
-	p := l.chunks[0]
+// propose commits a leader's next chunk, and gives the leader the result.
+func (s *state) propose(i int) {
+	l := &s.leaders[i]
+	chunk := l.chunks[0]
 	l.chunks = l.chunks[1:]
-	if err := s.carryOut(p, l.forgets); err != nil {
-		s.unanswered(who)
+	if err := s.commitChunk(chunk, l.droppedDocuments); err != nil {
+		s.failProposal(i)
 		return
 	}
-	s.chunkApplied(who)
+	s.recordIfApplied(i)
 }
 
-// unanswered is a chunk of which a leader does not hear that it was carried out.
-func (s *state) unanswered(who int) {
-	l := &s.leaders[who]
-	l.sync.Record(l.snapshot, "", "unanswered")
-	l.drop()
+// failProposal ends a leader's watch because it gets no result for a chunk.
+func (s *state) failProposal(i int) {
+	l := &s.leaders[i]
+	l.syncState.Record(l.snapshot, "", "unanswered")
+	l.endWatch()
 }
 
-// lead has a replica of the follower begin to lead.
-func (s *state) lead(who int) {
-	s.leaders[who] = leader{leads: true}
-	s.newest = who
+// startLeader makes a replica of the follower a leader.
+func (s *state) startLeader(i int) {
+	s.leaders[i] = leader{leading: true}
+	s.newestLeader = i
 }
 
-// begins is lead for one that did not lead. With a barrier, as in the program, all that is in the log was carried out by then and
-// the rest never is: what was given up, whose leader leads no more, and whatever the former leader still proposes.
-func (s *state) begins(who int) {
-	if s.left.Barrier {
-		s.late, s.leaders[1-who] = nil, leader{}
+// elect starts a new leader. With a barrier, as in the program, every earlier entry of the log has been committed or never will be:
+// abandoned chunks are dropped, and the former leader stops.
+func (s *state) elect(i int) {
+	if s.remaining.Barrier {
+		s.lateChunks, s.leaders[1-i] = nil, leader{}
 	}
-	s.lead(who)
+	s.startLeader(i)
 }
 
-// read has the sidecar read at a replica of the follower.
-func (s *state) read(at frozen) {
-	if d, found := at.Document(service); found && (d.Revision >= s.sidecar.Revision || s.faults.NoHighest) {
-		s.sidecar = d
+// readSettings has the sidecar read its settings at a replica of the follower.
+func (s *state) readSettings(replica sharedList) {
+	if d, found := replica.Document(service); found && (d.Revision >= s.sidecarDocument.Revision || s.faults.AcceptOlder) {
+		s.sidecarDocument = d
 	}
 }
 
-// Hash is one of the key; two keys with the same one are taken for the same state, by a chance of 1 in 2^128 for a pair.
+// Hash returns a hash of the state. Two states with equal hashes are taken for the same; the chance of that is 1 in 2^128 for a pair.
 func (s *state) Hash() (h modelcheck.Hash) {
-	s.freeze()
+	s.setKeys()
 	sum := sha256.New()
-	l := s.left
-	_, _ = fmt.Fprint(sum, l.Changes, l.Losses, l.Lates, l.Repeats, l.Elections, l.Starts, l.Backs, l.Reads, s.changes, s.back, s.newest, s.sidecar.Revision, string(s.sidecar.Settings))
-	for _, l := range []frozen{s.owner, s.behind, s.follower, s.lags} {
+	l := s.remaining
+	_, _ = fmt.Fprint(sum, l.Changes, l.Losses, l.LateChunks, l.Duplicates, l.Elections, l.Restarts, l.Restores, l.Reads, s.changeLog, s.restored, s.newestLeader, s.sidecarDocument.Revision, string(s.sidecarDocument.Settings))
+	for _, l := range []sharedList{s.owner, s.laggingOwner, s.follower, s.laggingFollower} {
 		sum.Write(l.key)
 	}
-	keyOf := func(p list.Chunk) {
-		_, _ = fmt.Fprint(sum, "|", p.From, p.To, p.Part, p.Last)
-		for _, e := range p.Entries {
+	addChunk := func(chunk list.Chunk) {
+		_, _ = fmt.Fprint(sum, "|", chunk.From, chunk.To, chunk.Part, chunk.Last)
+		for _, e := range chunk.Entries {
 			_, _ = fmt.Fprint(sum, e.Name, e.Address, e.Status)
 		}
-		for _, d := range p.Documents {
+		for _, d := range chunk.Documents {
 			_, _ = fmt.Fprint(sum, d.Service, d.Revision, string(d.Settings))
 		}
 	}
 	for i := range s.leaders {
 		l := &s.leaders[i]
-		_, _ = fmt.Fprint(sum, "|L", l.leads, l.sync, l.unheard, l.watches, l.source, l.at, l.snapshot, l.anomaly, l.forgets)
-		for _, x := range l.lines {
-			keyOf(list.Chunk{From: int64(len(x.Endpoints)), To: x.Revision, Last: x.Snapshot, Entries: x.Endpoints, Documents: x.Documents})
+		_, _ = fmt.Fprint(sum, "|L", l.leading, l.syncState, l.silent, l.watching, l.source, l.watchRevision, l.snapshot, l.anomaly, l.droppedDocuments)
+		for _, event := range l.events {
+			addChunk(list.Chunk{From: int64(len(event.Endpoints)), To: event.Revision, Last: event.Snapshot, Entries: event.Endpoints, Documents: event.Documents})
 		}
-		for _, p := range l.chunks {
-			keyOf(p)
+		for _, chunk := range l.chunks {
+			addChunk(chunk)
 		}
 	}
-	for _, p := range s.late {
-		keyOf(p)
+	for _, chunk := range s.lateChunks {
+		addChunk(chunk)
 	}
 	copy(h[:], sum.Sum(nil))
 	return h
--- a/internal/lease/memory/memory.go
+++ b/internal/lease/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory owns a service of leaderships in one process's memory: the list and the terms of a replica without log and network,
-// for whoever tries candidates out.
+// Package memory implements lease.Service in one process's memory: the list and the lease table of a replica,
+// without log and network, for tests of candidates.
 package memory
 
 import (
@@ -12,45 +12,45 @@
 	"mosslead/internal/registry/list"
 )
 
-// Service implements leadership.Service. Safe for concurrent use.
+// Service implements lease.Service. Safe for concurrent use.
 type Service struct {
 	now func() time.Duration
 
-	mu    sync.Mutex
-	list  *list.List
-	terms leasetable.Table
-	down  bool
-	calls int
+	mu     sync.Mutex
+	list   *list.List
+	leases leasetable.Table
+	down   bool
+	calls  int
 }
 
-// New is a service that nobody has asked yet. now is its clock; nil: the time from here on.
+// New returns a service without leaderships. now is its clock; if it is nil, the time since this call is used.
 func New(now func() time.Duration) *Service {
 	if begin := time.Now(); now == nil {
 		now = func() time.Duration { return time.Since(begin) }
 	}
 	s := &Service{now: now, list: list.New(1)}
-	s.terms.Lead(now(), nil)
+	s.leases.Lead(now(), nil)
 	return s
 }
 
-// Down has it answer nobody, or all again after an election.
+// Down stops the service from answering, or starts it again as a newly elected leader.
 func (s *Service) Down(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		s.terms.Lead(s.now(), s.list.Leaderships())
+		s.leases.Lead(s.now(), s.list.Leaderships())
 	}
 	s.down = down
 }
 
-// Calls counts calls, those that were not answered too.
+// Calls returns the number of calls so far, including those that were not answered.
 func (s *Service) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Leadership is a leadership as it is now.
+// Leadership returns the present state of a leadership.
 func (s *Service) Leadership(name string) api.LeadershipGrant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,23 +58,23 @@
 	return d.Grant()
 }
 
-// AcquireLeadership implements leadership.Service.
+// AcquireLeadership implements lease.Service.
 func (s *Service) AcquireLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
-	return s.do(list.AcquireLeadership, c)
+	return s.apply(list.AcquireLeadership, c)
 }
 
-// RenewLeadership implements leadership.Service.
+// RenewLeadership implements lease.Service.
 func (s *Service) RenewLeadership(_ context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
-	return s.do(list.RenewLeadership, c)
+	return s.apply(list.RenewLeadership, c)
 }
 
-// ReleaseLeadership implements leadership.Service.
+// ReleaseLeadership implements lease.Service.
 func (s *Service) ReleaseLeadership(_ context.Context, c api.LeadershipClaim) error {
-	_, err := s.do(list.ReleaseLeadership, c)
+	_, err := s.apply(list.ReleaseLeadership, c)
 	return err
 }
 
-func (s *Service) do(op string, c api.LeadershipClaim) (api.LeadershipGrant, error) {
+func (s *Service) apply(op string, c api.LeadershipClaim) (api.LeadershipGrant, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -88,20 +88,20 @@
 	claim := &list.LeadershipClaim{LeadershipClaim: c}
 	if op == list.AcquireLeadership {
 		d, isHeld := s.list.Leadership(c.Name)
-		over, after, acquire := s.terms.Decide(now, d, isHeld, c)
+		expired, retryAfter, acquire := s.leases.Decide(now, d, isHeld, c)
 		if !acquire {
 			g := d.Grant()
-			g.RetryAfterMs = after.Milliseconds()
+			g.RetryAfterMs = retryAfter.Milliseconds()
 			return g, nil
 		}
-		claim.ExpiredTerm = over
+		claim.ExpiredTerm = expired
 	}
 	r := s.list.Apply(list.Command{Op: op, Claim: claim})
 	g := r.Leadership.Grant()
 	g.Name = c.Name
 	if r.Err == nil {
-		s.terms.Committed(now, r.Leadership)
-		g.BetterFitness = s.terms.Renewed(now, c)
+		s.leases.Committed(now, r.Leadership)
+		g.BetterFitness = s.leases.Renewed(now, c)
 	}
 	return g, nil
 }
