--- a/deploy/sites_test.go
+++ b/deploy/sites_test.go
@@ -15,7 +15,7 @@
 )
 
 // Of the two customers whose sites are given from outside, the names stand here; those of the sites in this folder are read.
-var customers = []string{
+var customerNames = []string{
 	"manila-orders", "order-api",
 	"makati", "cebu", "davao", "iloilo", "std-4", "small-3",
 	"plan-read", "charge-ship",
@@ -27,16 +27,16 @@
 	"trent-buses", "city-trams", "derby-road", "soar-valley", "peak-link", "erewash-coaches", "charnwood-bus", "vale-rider", "wolds-community",
 }
 
-type named struct{ Name string }
+type namedItem struct{ Name string }
 
 type site struct {
 	Name string
 	Net  struct{ Zones []string }
 	Tier []struct {
 		Name string
-		Kind []named
+		Kind []namedItem
 	}
-	Class, Tenant []named
+	Class, Tenant []namedItem
 }
 
 // namesOf lists all that a site has given a name: itself, tiers, zones, kinds of machine, classes and tenants.
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	names := append([]string{s.Name}, s.Net.Zones...)
-	groups := [][]named{s.Class, s.Tenant}
+	groups := [][]namedItem{s.Class, s.Tenant}
 	for _, tier := range s.Tier {
 		names = append(names, tier.Name)
 		groups = append(groups, tier.Kind)
@@ -65,9 +65,9 @@
 	return names, nil
 }
 
-// find walks the Go sources that are no tests, and the deploy file, and says where one of the names stands as a whole word,
+// findNames walks the Go sources that are no tests, and the deploy file, and says where one of the names stands as a whole word,
 // in any letter case, its parts joined by a hyphen, an underscore, a blank or nothing.
-func find(fsys fs.FS, names []string) ([]string, error) {
+func findNames(fsys fs.FS, names []string) ([]string, error) {
 	words := make([]string, len(names))
 	for i, name := range names {
 		words[i] = strings.ReplaceAll(regexp.QuoteMeta(name), "-", "[-_ ]?")
@@ -107,7 +107,7 @@
 	if err != nil || len(files) < 2 {
 		t.Fatalf("sites here: %v, %v; two are wanted", files, err)
 	}
-	names := customers
+	names := customerNames
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -119,7 +119,7 @@
 		}
 		names = append(names, of...)
 	}
-	found, err := find(os.DirFS(".."), names)
+	found, err := findNames(os.DirFS(".."), names)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 		t.Error("a site without classes has names")
 	}
 	file := func(text string) *fstest.MapFile { return &fstest.MapFile{Data: []byte(text)} }
-	found, err := find(fstest.MapFS{
+	found, err := findNames(fstest.MapFS{
 		"balancer/a.go":          file("package balancer\n\n// no loaf, no order, no quaysides, no track-2\nvar a = \"Loaf-Order\"\n"),
 		"internal/b/b.go":        file("package b\n\nfunc init() { loafOrder(); b() }\n"),
 		"internal/b/c.go":        file("package b // quayside"),
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -30,7 +30,7 @@
 		Long: "Works the load of a fleet and the table of docs/CAPACITY.md out of the fleet's figures and of measures at smaller sizes. What was\n" +
 			"not measured is said so. --page renews what is worked out in a page, and leaves the rest of it.",
 		Example: "  mosslead lab capacity\n  mosslead lab capacity --fleet mine.toml -o json\n  mosslead lab capacity --page docs/CAPACITY.md\n  mosslead lab capacity measure watchers",
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 	}
 	format := outputFlag(c)
 	c.Flags().StringVar(&fleet, "fleet", capacityFleet, "the fleet's figures and what is assumed")
@@ -110,7 +110,7 @@
 		Long: "Takes what roles spent on a day out of results of `mosslead lab scale -o json` at four sizes or more, and writes scale-DAY.json with\n" +
 			"what they say of --predict sidecars. With --check the results are of that size, and are written beside the prediction.",
 		Example: "  mosslead lab capacity take steady 100.json 200.json 400.json 800.json\n  mosslead lab capacity take steady --check 1812.json",
-		Args:    args(cobra.MinimumNArgs(2)),
+		Args:    checkArgs(cobra.MinimumNArgs(2)),
 	}
 	c.Flags().StringVar(&measures, "measures", capacityMeasures, "directory of measures")
 	c.Flags().IntVar(&predict, "predict", 1812, "sidecars, hollow and real, of which a play is predicted")
@@ -150,7 +150,7 @@
 		Long: "Plays a measure at several sizes on this machine, each for some seconds, and writes NAME.json with what they say of a size that was\n" +
 			"not played. With --check that size is played, and what came is written beside the prediction. Measures: " + strings.Join(plays.Names(), ", ") + ".",
 		Example: "  mosslead lab capacity measure watchers\n  mosslead lab capacity measure watchers --check",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 	}
 	format := outputFlag(c)
 	c.Flags().StringVar(&measures, "measures", capacityMeasures, "directory of measures")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,9 +18,9 @@
 
 // The exit statuses.
 const (
-	done   = 0
-	failed = 1
-	usage  = 2
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2
 )
 
 // usageError is a mistake of the caller's: a flag, an argument, a file that can't be read as it should.
@@ -30,36 +30,36 @@
 
 // app is what commands share.
 type app struct {
-	out, err io.Writer
-	terminal bool // err is one
-	log      *slog.Logger
-	verbose  bool
+	stdout, stderr io.Writer
+	terminal       bool // err is one
+	log            *slog.Logger
+	verbose        bool
 }
 
 // Main runs the command and gives its exit status. SIGINT and SIGTERM end its context.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	a := &app{out: os.Stdout, err: os.Stderr, terminal: term.IsTerminal(int(os.Stderr.Fd()))}
+	a := &app{stdout: os.Stdout, stderr: os.Stderr, terminal: term.IsTerminal(int(os.Stderr.Fd()))}
 	return a.run(ctx, args)
 }
 
 func (a *app) run(ctx context.Context, args []string) int {
 	root := a.root()
 	root.SetArgs(args)
-	root.SetOut(a.out)
-	root.SetErr(a.err)
+	root.SetOut(a.stdout)
+	root.SetErr(a.stderr)
 	err := root.ExecuteContext(ctx)
 	var wrong usageError
 	switch {
 	case err == nil:
-		return done
+		return exitOK
 	case errors.As(err, &wrong):
-		_, _ = fmt.Fprintf(a.err, "mosslead: %v\n", err)
-		return usage
+		_, _ = fmt.Fprintf(a.stderr, "mosslead: %v\n", err)
+		return exitUsage
 	}
-	_, _ = fmt.Fprintf(a.err, "mosslead: %v\n", err)
-	return failed
+	_, _ = fmt.Fprintf(a.stderr, "mosslead: %v\n", err)
+	return exitFailed
 }
 
 func (a *app) root() *cobra.Command {
@@ -77,7 +77,7 @@
 			if a.verbose {
 				level = slog.LevelInfo
 			}
-			a.log = a.logAt(level)
+			a.log = a.newLogger(level)
 		},
 	})
 	root.PersistentFlags().BoolVarP(&a.verbose, "verbose", "v", false, "log what happens, not only what goes wrong")
@@ -86,17 +86,17 @@
 	return root
 }
 
-// logAt logs to the error output: text on a terminal, JSON lines otherwise.
-func (a *app) logAt(level slog.Level) *slog.Logger {
+// newLogger logs to the error output: text on a terminal, JSON lines otherwise.
+func (a *app) newLogger(level slog.Level) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	if a.terminal {
-		return slog.New(slog.NewTextHandler(a.err, options))
+		return slog.New(slog.NewTextHandler(a.stderr, options))
 	}
-	return slog.New(slog.NewJSONHandler(a.err, options))
+	return slog.New(slog.NewJSONHandler(a.stderr, options))
 }
 
-// serverLog is that of a command that serves: what happens is said too.
-func (a *app) serverLog() *slog.Logger { return a.logAt(slog.LevelInfo) }
+// newServerLogger is that of a command that serves: what happens is said too.
+func (a *app) newServerLogger() *slog.Logger { return a.newLogger(slog.LevelInfo) }
 
 // version is the module's, with the revision that it was built from.
 func version() string {
@@ -113,8 +113,8 @@
 	return v
 }
 
-// args turns a mistake in the number of arguments into one of usage.
-func args(check cobra.PositionalArgs) cobra.PositionalArgs {
+// checkArgs turns a mistake in the number of arguments into one of usage.
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, given []string) error {
 		if err := check(c, given); err != nil {
 			return usageError{fmt.Errorf("%s: %w (see %s --help)", c.CommandPath(), err, c.CommandPath())}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -18,7 +18,7 @@
 func call(t *testing.T, args ...string) (status int, out, said string) {
 	t.Helper()
 	var o, e bytes.Buffer
-	status = (&app{out: &o, err: &e}).run(context.Background(), args)
+	status = (&app{stdout: &o, stderr: &e}).run(context.Background(), args)
 	return status, o.String(), e.String()
 }
 
@@ -63,7 +63,7 @@
 		{[]string{"state", "show", bad}, "is not a directory"},
 	} {
 		status, out, said := call(t, c.args...)
-		if status != usage || out != "" || !strings.Contains(said, c.want) || strings.Count(said, "\n") != 1 {
+		if status != exitUsage || out != "" || !strings.Contains(said, c.want) || strings.Count(said, "\n") != 1 {
 			t.Errorf("%v: status %d, printed %q, said %q; want %q", c.args, status, out, said, c.want)
 		}
 	}
@@ -72,7 +72,7 @@
 func TestEveryCommandHasHelpWithAnExample(t *testing.T) {
 	walk := func(path []string) {
 		status, out, _ := call(t, append(path, "--help")...)
-		if status != done || !strings.Contains(out, "Examples:\n  ") || !strings.Contains(out, "mosslead") {
+		if status != exitOK || !strings.Contains(out, "Examples:\n  ") || !strings.Contains(out, "mosslead") {
 			t.Errorf("%v --help: status %d, %q", path, status, out)
 		}
 	}
@@ -84,7 +84,7 @@
 	for _, args := range [][]string{{"--version"}, {"completion", "bash"}, {"lab", "faults"}, {"lab", "list", "--dir", "../../experiments"},
 		{"lab", "capacity", "--fleet", "../../experiments/capacity.toml", "--measures", "../../docs/capacity"},
 		{"lab", "capacity", "--fleet", "../../experiments/capacity.toml", "--measures", "../../docs/capacity", "-o", "json"}} {
-		if status, out, said := call(t, args...); status != done || out == "" || said != "" {
+		if status, out, said := call(t, args...); status != exitOK || out == "" || said != "" {
 			t.Errorf("%v: status %d, said %q", args, status, said)
 		}
 	}
@@ -104,25 +104,25 @@
 		s.WriteSettings(statestore.Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Revision: 41}}, time.Now())); err != nil {
 		t.Fatal(err)
 	}
-	if status, out, _ := call(t, "state", "check", dir); status != done || out != "" { // beside the process that writes
+	if status, out, _ := call(t, "state", "check", dir); status != exitOK || out != "" { // beside the process that writes
 		t.Errorf("check: status %d, %q", status, out)
 	}
-	if status, _, said := call(t, "state", "repair", dir); status != failed || !strings.Contains(said, "a sidecar writes there") {
+	if status, _, said := call(t, "state", "repair", dir); status != exitFailed || !strings.Contains(said, "a sidecar writes there") {
 		t.Errorf("repair beside it: status %d, %q", status, said)
 	}
 	if err := s.Release(true); err != nil {
 		t.Fatal(err)
 	}
-	if status, out, _ := call(t, "state", "show", dir); status != done || !strings.Contains(out, "u1 since") || !strings.Contains(out, "version 3 of here") || !strings.Contains(out, "of orders: version 41 of south, 0s old") {
+	if status, out, _ := call(t, "state", "show", dir); status != exitOK || !strings.Contains(out, "u1 since") || !strings.Contains(out, "version 3 of here") || !strings.Contains(out, "of orders: version 41 of south, 0s old") {
 		t.Errorf("show: status %d, %q", status, out)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "list.1"), []byte("MBX1 and no more"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if status, out, said := call(t, "state", "check", dir); status != failed || !strings.HasPrefix(out, "list.1: byte 0: cut short") || !strings.Contains(said, "1 damages") {
+	if status, out, said := call(t, "state", "check", dir); status != exitFailed || !strings.HasPrefix(out, "list.1: byte 0: cut short") || !strings.Contains(said, "1 damages") {
 		t.Errorf("check: status %d, %q, %q", status, out, said)
 	}
-	if status, out, _ := call(t, "state", "repair", dir); status != done || !strings.HasPrefix(out, "dropped list.1") {
+	if status, out, _ := call(t, "state", "repair", dir); status != exitOK || !strings.HasPrefix(out, "dropped list.1") {
 		t.Errorf("repair: status %d, %q", status, out)
 	}
 	status, out, _ := call(t, "state", "show", dir, "-o", "json")
@@ -130,7 +130,7 @@
 		Bans        map[string]string
 		Quarantined []string
 	}
-	if err := json.Unmarshal([]byte(out), &shown); status != done || err != nil || len(shown.Bans) != 1 || len(shown.Quarantined) != 1 {
+	if err := json.Unmarshal([]byte(out), &shown); status != exitOK || err != nil || len(shown.Bans) != 1 || len(shown.Quarantined) != 1 {
 		t.Errorf("show -o json: status %d, %v, %s", status, err, out)
 	}
 }
--- a/internal/cli/config_status.go
+++ b/internal/cli/config_status.go
@@ -17,14 +17,14 @@
 	"mosslead/internal/registry/client"
 )
 
-// namedMost is how many of those in whom a document is not in force a table names; -o json has as many as the service names.
-const namedMost = 20
+// maxListedSidecars is how many of those in whom a document is not in force a table names; -o json has as many as the service names.
+const maxListedSidecars = 20
 
 // regionStatus is what one region says of the settings at its own sidecars.
 type regionStatus struct {
 	Region   string        `json:"region"`
 	Rollouts []api.Rollout `json:"rollouts"`
-	Failed   string        `json:"failed,omitempty"` // why it says nothing
+	Error    string        `json:"failed,omitempty"` // why it says nothing
 }
 
 func (a *app) configStatus(at *string) *cobra.Command {
@@ -36,7 +36,7 @@
 			"still in force; unheard, heard once and not for a minute. Other regions are asked too where they are named with --region. Exits\n" +
 			"with 1 where one of them does not answer.",
 		Example: "  mosslead config status\n  mosslead config status orders --registry 10.1.0.1:7600 --region north=10.2.0.1:7600,10.2.0.2:7600 -o json",
-		Args:    args(cobra.MaximumNArgs(1)),
+		Args:    checkArgs(cobra.MaximumNArgs(1)),
 	}
 	format := outputFlag(c)
 	c.Flags().StringArrayVar(&others, "region", nil, "another region to ask, NAME=host:port,host:port; may be repeated")
@@ -44,16 +44,16 @@
 		if *format != "table" && *format != "json" {
 			return usageError{fmt.Errorf("--output: table or json, not %q", *format)}
 		}
-		all, err := regions(*at, others)
+		all, err := parseRegions(*at, others)
 		if err != nil {
 			return err
 		}
-		said := a.rollouts(c, all)
+		said := a.readRollouts(c, all)
 		found := len(given) == 0
 		var silent []string
 		for i := range said {
 			s := &said[i]
-			if s.Failed != "" {
+			if s.Error != "" {
 				silent = append(silent, s.Region)
 			}
 			if len(given) == 1 {
@@ -66,7 +66,7 @@
 		case err != nil:
 			return err
 		case len(silent) == 1 && len(said) == 1:
-			return errors.New("no answer: " + said[0].Failed)
+			return errors.New("no answer: " + said[0].Error)
 		case len(silent) > 0:
 			return fmt.Errorf("no answer from %s", strings.Join(silent, ", "))
 		case !found:
@@ -77,14 +77,14 @@
 	return c
 }
 
-// asked is a region to ask.
-type asked struct {
+// regionClient is a region to ask.
+type regionClient struct {
 	name    string // empty: whichever answers
 	service *client.Client
 }
 
-// regions are the one at the replicas at, and the others, each NAME=host:port,host:port.
-func regions(at string, others []string) ([]asked, error) {
+// parseRegions are the one at the replicas at, and the others, each NAME=host:port,host:port.
+func parseRegions(at string, others []string) ([]regionClient, error) {
 	names, addresses := []string{""}, []string{at}
 	for _, text := range others {
 		name, list, ok := strings.Cut(text, "=")
@@ -96,7 +96,7 @@
 		}
 		names, addresses = append(names, name), append(addresses, list)
 	}
-	var all []asked
+	var all []regionClient
 	for i, name := range names {
 		list, err := client.Addresses(addresses[i])
 		if err != nil && name == "" {
@@ -104,14 +104,14 @@
 		} else if err != nil {
 			return nil, usageError{fmt.Errorf("--region %s: %w", name, err)}
 		}
-		all = append(all, asked{name, client.New(list)})
+		all = append(all, regionClient{name, client.New(list)})
 	}
 	return all, nil
 }
 
-// rollouts asks all regions at once: one that is cut off must not take the time of the others.
-func (a *app) rollouts(c *cobra.Command, all []asked) []regionStatus {
-	ctx, cancel := context.WithTimeout(c.Context(), callPatience)
+// readRollouts asks all regions at once: one that is cut off must not take the time of the others.
+func (a *app) readRollouts(c *cobra.Command, all []regionClient) []regionStatus {
+	ctx, cancel := context.WithTimeout(c.Context(), callTimeout)
 	defer cancel()
 	said := make([]regionStatus, len(all))
 	var asking sync.WaitGroup
@@ -121,9 +121,9 @@
 			answer, err := r.service.Rollouts(ctx)
 			switch {
 			case err != nil:
-				said[i] = regionStatus{Region: cmp.Or(r.name, "the region at --registry"), Failed: err.Error()}
+				said[i] = regionStatus{Region: cmp.Or(r.name, "the region at --registry"), Error: err.Error()}
 			case r.name != "" && answer.Region != r.name:
-				said[i] = regionStatus{Region: r.name, Failed: fmt.Sprintf("region %q answers there", answer.Region)}
+				said[i] = regionStatus{Region: r.name, Error: fmt.Sprintf("region %q answers there", answer.Region)}
 			default:
 				said[i] = regionStatus{Region: answer.Region, Rollouts: answer.Rollouts}
 			}
@@ -147,18 +147,18 @@
 	}
 	for _, s := range said {
 		for _, r := range s.Rollouts {
-			others(w, s.Region, r)
+			writeNotInForce(w, s.Region, r)
 		}
 	}
 	for _, s := range said {
-		if s.Failed != "" {
-			_, _ = fmt.Fprintf(w, "\n%s: %s\n", s.Region, s.Failed)
+		if s.Error != "" {
+			_, _ = fmt.Fprintf(w, "\n%s: %s\n", s.Region, s.Error)
 		}
 	}
 }
 
-// others names those in whom a document is not in force, and why as far as they say.
-func others(w io.Writer, region string, r api.Rollout) {
+// writeNotInForce names those in whom a document is not in force, and why as far as they say.
+func writeNotInForce(w io.Writer, region string, r api.Rollout) {
 	if len(r.NotInForce) == 0 {
 		return
 	}
@@ -167,7 +167,7 @@
 		where = " in " + region
 	}
 	_, _ = fmt.Fprintf(w, "\n%s version %d is not in force%s at:\n", r.Service, r.Revision, where)
-	for _, x := range r.NotInForce[:min(len(r.NotInForce), namedMost)] {
+	for _, x := range r.NotInForce[:min(len(r.NotInForce), maxListedSidecars)] {
 		has := "its file's settings"
 		if x.Revision > 0 {
 			has = fmt.Sprint("version ", x.Revision)
@@ -186,7 +186,7 @@
 		}
 		_, _ = fmt.Fprintf(w, "  %s\thas %s\t%s\n", x.Node, has, oneLine(why))
 	}
-	if left := r.Behind + r.Rejected + r.Silent - min(len(r.NotInForce), namedMost); left > 0 {
+	if left := r.Behind + r.Rejected + r.Silent - min(len(r.NotInForce), maxListedSidecars); left > 0 {
 		_, _ = fmt.Fprintf(w, "  and %d more\n", left)
 	}
 }
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -17,26 +17,26 @@
 	"mosslead/internal/registry/api"
 )
 
-const orders = `{"Balancers":1,"Zone":"a","TickMs":5,
+const ordersSettings = `{"Balancers":1,"Zone":"a","TickMs":5,
  "Classes":[{"Name":"search","Semantics":"retryable","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5}],
  "Limits":{"SendCap":5},"Rules":{"ColdFrom":0.3}}`
 
-// otherOrders are settings that pass too.
-var otherOrders = strings.Replace(orders, `"SendCap":5`, `"SendCap":3`, 1)
+// otherSettings are settings that pass too.
+var otherSettings = strings.Replace(ordersSettings, `"SendCap":5`, `"SendCap":3`, 1)
 
-// standIn is a stand-in for a region's list service, of which it has the settings of one service, and is as unkind as a test wants.
-type standIn struct {
-	mu       sync.Mutex
-	versions []api.Document
-	rollouts api.Rollouts
-	lose     func(s *standIn, done func()) // what becomes of the next change, instead of an answer
-	asked    []string
+// fakeService is a stand-in for a region's list service, of which it has the settings of one service, and is as unkind as a test wants.
+type fakeService struct {
+	mu         sync.Mutex
+	versions   []api.Document
+	rollouts   api.Rollouts
+	loseAnswer func(s *fakeService, done func()) // what becomes of the next change, instead of an answer
+	requests   []string
 }
 
-func (s *standIn) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (s *fakeService) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, r.Method+" "+r.URL.RequestURI())
+	s.requests = append(s.requests, r.Method+" "+r.URL.RequestURI())
 	var now api.Document
 	if n := len(s.versions); n > 0 {
 		now = s.versions[n-1]
@@ -60,7 +60,7 @@
 		say(api.Documents{Revision: now.Revision, Documents: []api.Document{now}})
 	case strings.Contains(path, "/versions/"):
 		for _, d := range s.versions {
-			if strings.HasSuffix(path, "/"+versionWord(d.Revision)) && (d.Revision == now.Revision || slices.Contains(now.EarlierRevisions, d.Revision)) {
+			if strings.HasSuffix(path, "/"+formatVersion(d.Revision)) && (d.Revision == now.Revision || slices.Contains(now.EarlierRevisions, d.Revision)) {
 				say(d)
 				return
 			}
@@ -84,8 +84,8 @@
 			s.versions = append(s.versions, api.Document{Service: "orders", Revision: now.Revision + 7, Schema: max(p.Schema, 1),
 				Deleted: r.Method == http.MethodPost, Settings: p.Settings})
 		}
-		if lose := s.lose; lose != nil {
-			s.lose = nil
+		if lose := s.loseAnswer; lose != nil {
+			s.loseAnswer = nil
 			lose(s, done)
 			panic(http.ErrAbortHandler) // the connection breaks
 		}
@@ -94,10 +94,10 @@
 	}
 }
 
-// standsIn starts a stand-in, and gives its address.
-func standsIn(t *testing.T, texts ...string) (*standIn, string) {
+// startFakeService starts a stand-in, and gives its address.
+func startFakeService(t *testing.T, texts ...string) (*fakeService, string) {
 	t.Helper()
-	s := &standIn{}
+	s := &fakeService{}
 	for i, text := range texts {
 		s.versions = append(s.versions, api.Document{Service: "orders", Revision: int64(7 * (i + 1)), Schema: 1, Settings: json.RawMessage(text)})
 	}
@@ -106,7 +106,7 @@
 	return s, server.Listener.Addr().String()
 }
 
-func ordersFile(t *testing.T, text string) string {
+func writeOrdersFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "orders.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -117,9 +117,9 @@
 
 // Guards against a mistake in a file, a flag or an argument that gets as far as a service, or is said in more than a line.
 func TestMistakesInSettingsAreFoundBeforeAnybodyIsAsked(t *testing.T) {
-	s, at := standsIn(t, orders)
-	good := ordersFile(t, orders)
-	bad := func(old, new string) string { return ordersFile(t, strings.Replace(orders, old, new, 1)) }
+	s, at := startFakeService(t, ordersSettings)
+	good := writeOrdersFile(t, ordersSettings)
+	bad := func(old, new string) string { return writeOrdersFile(t, strings.Replace(ordersSettings, old, new, 1)) }
 	for _, c := range []struct {
 		args []string
 		want string
@@ -136,9 +136,9 @@
 		{[]string{"put", "orders", "--file", bad(`"SendCap":5`, `"SendCap":"5"`)}, "orders.json:3:"},
 		{[]string{"put", "orders", "--file", bad(`"SendCap":5`, `"SendCap":"5"`)}, "Limits.SendCap: "},
 		{[]string{"put", "orders", "--file", bad(`"DeadlineMs":10000`, `"DeadlineMs":-1`)}, "orders.json:2:67: Classes.DeadlineMs: setting Classes: search: Deadline is not usable"},
-		{[]string{"put", "orders", "--file", ordersFile(t, "Zone = \"a\"\n")}, "orders.json:1:1: not start-up parameters: invalid character 'Z'"},
-		{[]string{"put", "orders", "--file", ordersFile(t, "")}, "unexpected end of JSON input"},
-		{[]string{"put", "orders", "--file", ordersFile(t, `{"Pad":"`+strings.Repeat("x", api.MaxSettings)+`"}`)}, "over 65536 bytes"},
+		{[]string{"put", "orders", "--file", writeOrdersFile(t, "Zone = \"a\"\n")}, "orders.json:1:1: not start-up parameters: invalid character 'Z'"},
+		{[]string{"put", "orders", "--file", writeOrdersFile(t, "")}, "unexpected end of JSON input"},
+		{[]string{"put", "orders", "--file", writeOrdersFile(t, `{"Pad":"`+strings.Repeat("x", api.MaxSettings)+`"}`)}, "over 65536 bytes"},
 		{[]string{"get", "--version", "3"}, "of which SERVICE"},
 		{[]string{"get", "orders", "--version", "-1"}, "--version: at least 0"},
 		{[]string{"get", "orders", "more"}, "accepts at most 1 arg"},
@@ -158,19 +158,19 @@
 			args = append(args, "--registry", at)
 		}
 		status, out, said := call(t, args...)
-		if status != usage || out != "" || !strings.Contains(said, c.want) || strings.Count(said, "\n") != 1 {
+		if status != exitUsage || out != "" || !strings.Contains(said, c.want) || strings.Count(said, "\n") != 1 {
 			t.Errorf("%v: status %d, printed %q, said %q; want %q", c.args, status, out, said, c.want)
 		}
 	}
-	if len(s.asked) > 0 {
-		t.Errorf("asked for: %v", s.asked)
+	if len(s.requests) > 0 {
+		t.Errorf("asked for: %v", s.requests)
 	}
 }
 
 func TestEveryCommandForSettingsHasHelpWithAnExample(t *testing.T) {
 	for _, name := range []string{"", "put", "get", "status", "back", "delete"} {
 		status, out, _ := call(t, strings.Fields("config "+name+" --help")...)
-		if status != done || !strings.Contains(out, "Examples:\n  mosslead config ") {
+		if status != exitOK || !strings.Contains(out, "Examples:\n  mosslead config ") {
 			t.Errorf("config %s --help: status %d, %q", name, status, out)
 		}
 	}
@@ -178,32 +178,32 @@
 
 // What is put can be read again, gone back from and deleted; each is a new version, based on the one that there was.
 func TestSettingsArePutReadAndTakenBack(t *testing.T) {
-	s, at := standsIn(t)
-	first, second := ordersFile(t, orders), ordersFile(t, otherOrders)
+	s, at := startFakeService(t)
+	first, second := writeOrdersFile(t, ordersSettings), writeOrdersFile(t, otherSettings)
 	for _, c := range []struct {
 		line, out, said string
 		status          int
 	}{
-		{"get orders", "", "there are no settings of orders", failed},
-		{"delete orders", "", "there are no settings of orders", failed},
-		{"back orders", "", "there are no settings of orders", failed},
-		{"put orders --file " + first, "orders   done     7        0", "", done},
-		{"back orders", "", "no earlier version", failed},
-		{"put orders --file " + second + " --if-version 0", "", "conflict: the settings are at version 7", failed},
-		{"put orders --file " + second + " -o json", `"version": 14`, "", done},
-		{"get", "orders   -       14       1       7", "", done},
-		{"get orders", `"SendCap": 3`, "", done},
-		{"get orders --version 7 -o json", `"SendCap": 5`, "", done},
-		{"get orders --version 8", "", "version 8 of the settings of orders is not remembered", failed},
-		{"back orders --to 14", "", "version 14 is the present one", failed},
-		{"back orders", "orders   done     21       14", "", done},
-		{"get orders", `"SendCap": 5`, "", done},
-		{"delete orders", "orders   done     28       21", "", done},
-		{"get orders", "deleted", "", done},
-		{"delete orders", "", "there are no settings of orders", failed},
-		{"back orders -o json", `"based_on": 0`, "", done},
-		{"back orders --to 28", "", "version 28 of the settings of orders is not remembered", failed},
-		{"back orders --to 14", "orders   done     42       35", "", done},
+		{"get orders", "", "there are no settings of orders", exitFailed},
+		{"delete orders", "", "there are no settings of orders", exitFailed},
+		{"back orders", "", "there are no settings of orders", exitFailed},
+		{"put orders --file " + first, "orders   done     7        0", "", exitOK},
+		{"back orders", "", "no earlier version", exitFailed},
+		{"put orders --file " + second + " --if-version 0", "", "conflict: the settings are at version 7", exitFailed},
+		{"put orders --file " + second + " -o json", `"version": 14`, "", exitOK},
+		{"get", "orders   -       14       1       7", "", exitOK},
+		{"get orders", `"SendCap": 3`, "", exitOK},
+		{"get orders --version 7 -o json", `"SendCap": 5`, "", exitOK},
+		{"get orders --version 8", "", "version 8 of the settings of orders is not remembered", exitFailed},
+		{"back orders --to 14", "", "version 14 is the present one", exitFailed},
+		{"back orders", "orders   done     21       14", "", exitOK},
+		{"get orders", `"SendCap": 5`, "", exitOK},
+		{"delete orders", "orders   done     28       21", "", exitOK},
+		{"get orders", "deleted", "", exitOK},
+		{"delete orders", "", "there are no settings of orders", exitFailed},
+		{"back orders -o json", `"based_on": 0`, "", exitOK},
+		{"back orders --to 28", "", "version 28 of the settings of orders is not remembered", exitFailed},
+		{"back orders --to 14", "orders   done     42       35", "", exitOK},
 	} {
 		status, out, said := call(t, append(strings.Fields("config "+c.line), "--registry", at)...)
 		if status != c.status || !strings.Contains(out, c.out) || c.out == "" && out != "" || !strings.Contains(said, c.said) || c.said == "" && said != "" {
@@ -220,46 +220,46 @@
 	for _, c := range []struct {
 		name    string
 		before  int // versions that there are
-		lose    func(s *standIn, done func())
+		lose    func(s *fakeService, done func())
 		delete  bool
 		outcome string
 		version int64
 		status  int
 		says    string
 	}{
-		{"carried out", 1, func(_ *standIn, done func()) { done() }, false, outcomeDone, 14, done, "looked up: the put was done under version 14"},
-		{"the first", 0, func(_ *standIn, done func()) { done() }, false, outcomeDone, 7, done, "done under version 7"},
-		{"never arrived", 1, func(*standIn, func()) {}, false, outcomeNot, 7, failed, "Do it again with --if-version 7"},
-		{"never arrived, the first", 0, func(*standIn, func()) {}, false, outcomeNot, 0, failed, "Do it again with --if-version 0"},
-		{"another came first", 1, func(s *standIn, _ func()) { s.add(orders) }, false, outcomeNot, 14, failed, "another change came first; version 14"},
-		{"carried out, and another since", 1, func(s *standIn, done func()) { done(); s.add(orders) }, false, outcomeDone, 14, done, "and version 21 has followed"},
-		{"carried out, and many since", 1, func(s *standIn, done func()) {
+		{"carried out", 1, func(_ *fakeService, done func()) { done() }, false, outcomeDone, 14, exitOK, "looked up: the put was done under version 14"},
+		{"the first", 0, func(_ *fakeService, done func()) { done() }, false, outcomeDone, 7, exitOK, "done under version 7"},
+		{"never arrived", 1, func(*fakeService, func()) {}, false, outcomeNotDone, 7, exitFailed, "Do it again with --if-version 7"},
+		{"never arrived, the first", 0, func(*fakeService, func()) {}, false, outcomeNotDone, 0, exitFailed, "Do it again with --if-version 0"},
+		{"another came first", 1, func(s *fakeService, _ func()) { s.add(ordersSettings) }, false, outcomeNotDone, 14, exitFailed, "another change came first; version 14"},
+		{"carried out, and another since", 1, func(s *fakeService, done func()) { done(); s.add(ordersSettings) }, false, outcomeDone, 14, exitOK, "and version 21 has followed"},
+		{"carried out, and many since", 1, func(s *fakeService, done func()) {
 			done()
 			for range api.MaxEarlierRevisions + 1 {
-				s.add(orders)
+				s.add(ordersSettings)
 			}
-		}, false, outcomeUnknown, 49, failed, "what is remembered does not tell"},
-		{"deleted by another since", 1, func(s *standIn, done func()) { done(); s.remove() }, false, outcomeDone, 14, done, "and version 21 has followed"},
-		{"deleted by another, and put", 1, func(s *standIn, _ func()) { s.remove(); s.add(orders) }, false, outcomeNot, 21, failed, "another change came first"},
-		{"went back", 1, func(s *standIn, done func()) { done(); s.versions = s.versions[:0] }, false, outcomeUnknown, 0, failed, "it is unknown"},
-		{"deleted", 2, func(_ *standIn, done func()) { done() }, true, outcomeDone, 21, done, "the delete was done under version 21"},
-		{"deleted, and put by another", 2, func(s *standIn, done func()) { done(); s.add(orders) }, true, outcomeUnknown, 28, failed, "it is unknown"},
-		{"not deleted, and put by another", 2, func(s *standIn, _ func()) { s.add(orders) }, true, outcomeUnknown, 21, failed, "it is unknown"},
-		{"not deleted", 2, func(*standIn, func()) {}, true, outcomeNot, 14, failed, "the delete was not done up to now"},
+		}, false, outcomeUnknown, 49, exitFailed, "what is remembered does not tell"},
+		{"deleted by another since", 1, func(s *fakeService, done func()) { done(); s.remove() }, false, outcomeDone, 14, exitOK, "and version 21 has followed"},
+		{"deleted by another, and put", 1, func(s *fakeService, _ func()) { s.remove(); s.add(ordersSettings) }, false, outcomeNotDone, 21, exitFailed, "another change came first"},
+		{"went back", 1, func(s *fakeService, done func()) { done(); s.versions = s.versions[:0] }, false, outcomeUnknown, 0, exitFailed, "it is unknown"},
+		{"deleted", 2, func(_ *fakeService, done func()) { done() }, true, outcomeDone, 21, exitOK, "the delete was done under version 21"},
+		{"deleted, and put by another", 2, func(s *fakeService, done func()) { done(); s.add(ordersSettings) }, true, outcomeUnknown, 28, exitFailed, "it is unknown"},
+		{"not deleted, and put by another", 2, func(s *fakeService, _ func()) { s.add(ordersSettings) }, true, outcomeUnknown, 21, exitFailed, "it is unknown"},
+		{"not deleted", 2, func(*fakeService, func()) {}, true, outcomeNotDone, 14, exitFailed, "the delete was not done up to now"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, at := standsIn(t, []string{orders, orders}[:c.before]...)
-			s.lose = c.lose
-			args := []string{"config", "put", "orders", "--file", ordersFile(t, otherOrders), "-o", "json", "--registry", at}
+			s, at := startFakeService(t, []string{ordersSettings, ordersSettings}[:c.before]...)
+			s.loseAnswer = c.lose
+			args := []string{"config", "put", "orders", "--file", writeOrdersFile(t, otherSettings), "-o", "json", "--registry", at}
 			if c.delete {
 				args = []string{"config", "delete", "orders", "-o", "json", "--registry", at}
 			}
 			status, out, said := call(t, args...)
-			var got changed
+			var got changeResult
 			if err := json.Unmarshal([]byte(out), &got); err != nil {
 				t.Fatalf("%v: %q, %q", err, out, said)
 			}
-			if status != c.status || got.Outcome != c.outcome || got.Version != c.version || !got.Lost || !strings.Contains(said, c.says) {
+			if status != c.status || got.Outcome != c.outcome || got.Version != c.version || !got.AnswerLost || !strings.Contains(said, c.says) {
 				t.Errorf("status %d, %+v, said %q; want %d, %s, version %d, %q", status, got, said, c.status, c.outcome, c.version, c.says)
 			}
 		})
@@ -267,7 +267,7 @@
 }
 
 // add puts a text, as another operator.
-func (s *standIn) add(text string) {
+func (s *fakeService) add(text string) {
 	last := int64(0)
 	if n := len(s.versions); n > 0 {
 		last = s.versions[n-1].Revision
@@ -276,37 +276,37 @@
 }
 
 // remove deletes what there is, as another operator.
-func (s *standIn) remove() {
+func (s *fakeService) remove() {
 	s.add("")
 	last := &s.versions[len(s.versions)-1]
 	last.Deleted, last.Settings = true, nil
 }
 
-// briefly is call with little time: nobody answers.
-func briefly(t *testing.T, args ...string) (status int, out, said string) {
+// callWithin1s is call with little time: nobody answers.
+func callWithin1s(t *testing.T, args ...string) (status int, out, said string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	var o, e bytes.Buffer
-	status = (&app{out: &o, err: &e}).run(ctx, args)
+	status = (&app{stdout: &o, stderr: &e}).run(ctx, args)
 	return status, o.String(), e.String()
 }
 
 // A service that can't be reached is an error in one line, and what it says is not claimed: nothing was asked, so nothing was done.
 func TestAServiceThatCantBeReachedIsSaid(t *testing.T) {
-	path := ordersFile(t, orders)
+	path := writeOrdersFile(t, ordersSettings)
 	for _, line := range []string{"put orders --file " + path, "put orders --if-version 3 --file " + path, "get orders", "get", "back orders", "delete orders", "status"} {
 		t.Run(line, func(t *testing.T) {
 			t.Parallel()
-			status, out, said := briefly(t, append(strings.Fields("config "+line), "--registry", "127.0.0.1:1")...)
-			if status != failed || !strings.Contains(said, "connection refused") || strings.Count(said, "\n") != 1 || strings.Contains(out, outcomeDone) {
+			status, out, said := callWithin1s(t, append(strings.Fields("config "+line), "--registry", "127.0.0.1:1")...)
+			if status != exitFailed || !strings.Contains(said, "connection refused") || strings.Count(said, "\n") != 1 || strings.Contains(out, outcomeDone) {
 				t.Errorf("status %d, printed %q, said %q", status, out, said)
 			}
 		})
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("<html>")) }))
 	defer server.Close()
-	if status, out, said := briefly(t, "config", "get", "orders", "--registry", server.Listener.Addr().String()); status != failed || out != "" ||
+	if status, out, said := callWithin1s(t, "config", "get", "orders", "--registry", server.Listener.Addr().String()); status != exitFailed || out != "" ||
 		!strings.Contains(said, "invalid character") {
 		t.Errorf("an answer that is none: status %d, %q, %q", status, out, said)
 	}
@@ -315,14 +315,14 @@
 // Each region's counts are its own, those in whom settings are not in force are named with why, and a region that says nothing is named
 // and fails the command, after all that the others say.
 func TestStatusTellsRegionsApart(t *testing.T) {
-	south, at := standsIn(t)
-	north, northAt := standsIn(t)
+	south, at := startFakeService(t)
+	north, northAt := startFakeService(t)
 	document := api.Document{Service: "orders", Region: "south", Revision: 41, Schema: 1}
 	south.rollouts = api.Rollouts{Region: "south", Rollouts: []api.Rollout{
 		{Document: document, InForce: 7, Behind: 1, Rejected: 1, Silent: 25, NotInForce: []api.Ack{
 			{Node: "n3", Service: "orders", Region: "south", Revision: 40, RejectedRevision: 41, Reason: "setting Classes: none\ngiven"}, {Node: "n9", Service: "orders", SilentMs: 181_000}}},
 		{Document: api.Document{Service: "fares", Region: "south", Revision: 3, Deleted: true}}}}
-	for range namedMost {
+	for range maxListedSidecars {
 		south.rollouts.Rollouts[0].NotInForce = append(south.rollouts.Rollouts[0].NotInForce, api.Ack{Node: "n0", Region: "north", Revision: 9})
 	}
 	north.rollouts = api.Rollouts{Region: "north", Rollouts: []api.Rollout{{Document: document, InForce: 5}}}
@@ -330,25 +330,25 @@
 	for _, want := range []string{"orders   south  41         south        7         1       1         25", "orders   south  41         north        5",
 		"fares    south  3 deleted", "orders version 41 is not in force in south at:", "rejected 41: setting Classes: none given", "has its file's settings", "not heard for 3m1s",
 		"has version 9 of north", "and 7 more"} {
-		if status != done || !strings.Contains(out, want) || said != "" {
+		if status != exitOK || !strings.Contains(out, want) || said != "" {
 			t.Errorf("status %d, said %q, lacks %q:\n%s", status, said, want, out)
 		}
 	}
-	if status, out, _ := call(t, "config", "status", "fares", "--registry", at, "--region", "north="+northAt); status != done || strings.Contains(out, "orders") {
+	if status, out, _ := call(t, "config", "status", "fares", "--registry", at, "--region", "north="+northAt); status != exitOK || strings.Contains(out, "orders") {
 		t.Errorf("fares: status %d:\n%s", status, out)
 	}
-	if status, _, said := call(t, "config", "status", "nothing", "--registry", at); status != failed || !strings.Contains(said, "there are no settings of nothing") {
+	if status, _, said := call(t, "config", "status", "nothing", "--registry", at); status != exitFailed || !strings.Contains(said, "there are no settings of nothing") {
 		t.Errorf("nothing: status %d, %q", status, said)
 	}
-	status, out, said = briefly(t, "config", "status", "--registry", at, "--region", "west=127.0.0.1:1", "--region", "east="+northAt)
-	if status != failed || !strings.Contains(said, "no answer from west, east") || !strings.Contains(out, "connection refused") ||
+	status, out, said = callWithin1s(t, "config", "status", "--registry", at, "--region", "west=127.0.0.1:1", "--region", "east="+northAt)
+	if status != exitFailed || !strings.Contains(said, "no answer from west, east") || !strings.Contains(out, "connection refused") ||
 		!strings.Contains(out, `east: region "north" answers there`) || !strings.Contains(out, "orders   south  41") {
 		t.Errorf("west and east: status %d, said %q:\n%s", status, said, out)
 	}
-	status, out, _ = briefly(t, "config", "status", "-o", "json", "--registry", at, "--region", "west=127.0.0.1:1")
+	status, out, _ = callWithin1s(t, "config", "status", "-o", "json", "--registry", at, "--region", "west=127.0.0.1:1")
 	var all struct{ Regions []regionStatus }
-	if err := json.Unmarshal([]byte(out), &all); status != failed || err != nil || len(all.Regions) != 2 || all.Regions[0].Rollouts[0].InForce != 7 ||
-		all.Regions[1].Region != "west" || all.Regions[1].Failed == "" {
+	if err := json.Unmarshal([]byte(out), &all); status != exitFailed || err != nil || len(all.Regions) != 2 || all.Regions[0].Rollouts[0].InForce != 7 ||
+		all.Regions[1].Region != "west" || all.Regions[1].Error == "" {
 		t.Errorf("-o json: status %d, %v:\n%s", status, err, out)
 	}
 }
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -20,8 +20,8 @@
 	"mosslead/internal/lab/report"
 )
 
-// threadsEach is the laboratory's GOMAXPROCS for each processor.
-const threadsEach = 4
+// threadsPerProcessor is the laboratory's GOMAXPROCS for each processor.
+const threadsPerProcessor = 4
 
 func (a *app) lab() *cobra.Command {
 	c := group(&cobra.Command{
@@ -47,13 +47,13 @@
 		Long: "Plays all variants of an experiment in turn, prints medians with their spread, and leaves result.json, histograms\n" +
 			"and index.html in the directory of the result. Exit status 1: an expectation failed, or it was broken off.",
 		Example: "  mosslead lab run experiments/crash.toml\n  mosslead lab run experiments/calm.toml --repeats 5 --out /tmp/calm -o json",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
 			e, err := experiment.LoadFile(given[0])
 			if err != nil {
 				return usageError{err}
 			}
-			if err := narrow(e, seeds, repeats, variants); err != nil {
+			if err := selectPlays(e, seeds, repeats, variants); err != nil {
 				return err
 			}
 			if format != "table" && format != "json" {
@@ -61,7 +61,7 @@
 			}
 			dir := resultDir(out, e.Name)
 			// With more threads than processors, one that the kernel has descheduled delays fewer of the clients.
-			runtime.GOMAXPROCS(threadsEach * runtime.NumCPU())
+			runtime.GOMAXPROCS(threadsPerProcessor * runtime.NumCPU())
 			self, err := executable()
 			if err != nil {
 				return err
@@ -94,20 +94,20 @@
 // writeResult writes the result of an experiment in the format, and says where its report is.
 func (a *app) writeResult(r *report.Result, format, dir string) error {
 	if format == "json" {
-		enc := json.NewEncoder(a.out)
+		enc := json.NewEncoder(a.stdout)
 		enc.SetIndent("", " ")
 		if err := enc.Encode(map[string]any{"medians": r.Medians, "expects": r.Expects, "partial": r.Partial, "dir": dir}); err != nil {
 			return err
 		}
 	} else {
-		a.table(r)
+		a.writeTable(r)
 	}
-	_, _ = fmt.Fprintf(a.err, "report: %s\n", filepath.Join(dir, "index.html"))
+	_, _ = fmt.Fprintf(a.stderr, "report: %s\n", filepath.Join(dir, "index.html"))
 	return nil
 }
 
-// narrow applies the flags to what is played.
-func narrow(e *experiment.Experiment, seeds []uint, repeats int, variants []string) error {
+// selectPlays applies the flags to what is played.
+func selectPlays(e *experiment.Experiment, seeds []uint, repeats int, variants []string) error {
 	if len(seeds) > 0 {
 		e.Seeds = nil
 		for _, s := range seeds {
@@ -139,15 +139,15 @@
 	if !a.terminal {
 		return
 	}
-	_, _ = fmt.Fprintf(a.err, "\r\033[K%d of %d  %s", done, total, what)
+	_, _ = fmt.Fprintf(a.stderr, "\r\033[K%d of %d  %s", done, total, what)
 	if done == total {
-		_, _ = fmt.Fprint(a.err, "\r\033[K")
+		_, _ = fmt.Fprint(a.stderr, "\r\033[K")
 	}
 }
 
-// table writes a result for people.
-func (a *app) table(r *report.Result) {
-	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
+// writeTable writes a result for people.
+func (a *app) writeTable(r *report.Result) {
+	w := tabwriter.NewWriter(a.stdout, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintf(w, "%s\t%s\n", "figure", strings.Join(r.Variants, "\t"))
 	for _, name := range report.Names {
 		row, any := []string{name[0]}, false
@@ -168,17 +168,17 @@
 		}
 	}
 	_ = w.Flush()
-	_, _ = fmt.Fprintln(a.out)
+	_, _ = fmt.Fprintln(a.stdout)
 	for _, x := range r.Expects {
 		word := "held  "
 		if !x.Held {
 			word = "FAILED"
 		}
-		_, _ = fmt.Fprintf(a.out, "%s  %s: %s\n", word, x.Says, x.Shows)
+		_, _ = fmt.Fprintf(a.stdout, "%s  %s: %s\n", word, x.Says, x.Shows)
 	}
 	for _, p := range r.Plays {
 		for _, doubt := range slices.Concat(p.Doubts, p.Notes) {
-			_, _ = fmt.Fprintf(a.out, "DOUBT   %s, seed %d, play %d: %s\n", p.Variant, p.Seed, p.Repeat+1, doubt)
+			_, _ = fmt.Fprintf(a.stdout, "DOUBT   %s, seed %d, play %d: %s\n", p.Variant, p.Seed, p.Repeat+1, doubt)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		Use:     "list",
 		Short:   "List the experiments at hand, each with its question",
 		Example: "  mosslead lab list\n  mosslead lab list --dir mine",
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 			if err != nil {
@@ -198,7 +198,7 @@
 			if len(paths) == 0 {
 				return usageError{fmt.Errorf("no experiments in %s", dir)}
 			}
-			w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
+			w := tabwriter.NewWriter(a.stdout, 0, 4, 2, ' ', 0)
 			for _, path := range paths {
 				e, err := experiment.LoadFile(path)
 				if f, wrong := capacity.LoadFleet(path); err != nil && wrong == nil { // figures to work with, and nothing to play
@@ -226,7 +226,7 @@
 		Long: "Compares a variant of one result with a variant of another, which may be the same result. Each ratio of medians has an\n" +
 			"interval by bootstrap; where that holds 1, no difference was seen.",
 		Example: "  mosslead lab compare logs/lab/calm-1 logs/lab/calm-2\n  mosslead lab compare R R --variant-a with --variant-b without",
-		Args:    args(cobra.ExactArgs(2)),
+		Args:    checkArgs(cobra.ExactArgs(2)),
 		RunE: func(_ *cobra.Command, given []string) error {
 			resultA, err := report.Read(given[0])
 			if err != nil {
@@ -247,9 +247,9 @@
 				return usageError{err}
 			}
 			if format == "json" {
-				return json.NewEncoder(a.out).Encode(ratios)
+				return json.NewEncoder(a.stdout).Encode(ratios)
 			}
-			w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
+			w := tabwriter.NewWriter(a.stdout, 0, 4, 2, ' ', 0)
 			_, _ = fmt.Fprintf(w, "figure\t%s\t%s\tratio\t95%%\tplays\t\n", variantA, variantB)
 			for _, r := range ratios {
 				interval := "-"
@@ -273,7 +273,7 @@
 		Use:     "plot RESULT",
 		Short:   "Draw one picture of a result into a file",
 		Example: "  mosslead lab plot logs/lab/crash-1 --chart worth --to worth.png",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, given []string) error {
 			r, err := report.Read(given[0])
 			if err != nil {
@@ -304,9 +304,9 @@
 		Use:     "faults",
 		Short:   "List the faults that an experiment can have",
 		Example: "  mosslead lab faults",
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
+			w := tabwriter.NewWriter(a.stdout, 0, 4, 2, ' ', 0)
 			_, _ = fmt.Fprintln(w, "kind\tof\twhat it does")
 			for _, kind := range slices.Sorted(maps.Keys(experiment.FaultKinds)) {
 				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", kind, experiment.FaultKinds[kind].Party, experiment.FaultKinds[kind].Says)
@@ -324,7 +324,7 @@
 		Short:   "Run the naive sidecar, which can break one rule on purpose",
 		Example: "  GW_CONFIG=config.json mosslead lab naive --break two-at-once",
 		Hidden:  true,
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			return fake.RunNaive(c.Context(), os.Getenv("GW_CONFIG"), breaks)
 		},
--- a/internal/cli/leadership.go
+++ b/internal/cli/leadership.go
@@ -38,7 +38,7 @@
 		Short: "Take duties from one process to another while holders and the list service are broken, and judge every act",
 		Example: "  mosslead lab duties\n  mosslead lab duties --kinds duty-cut --seeds 2 --hand-ons 10 -o json\n" +
 			"  mosslead lab duties --kinds duty-stall --no-fence    # its breaches are to be seen",
-		Args: args(cobra.NoArgs),
+		Args: checkArgs(cobra.NoArgs),
 	}
 	format := outputFlag(c)
 	c.Flags().StringSliceVar(&test.kinds, "kinds", leases.Kinds, "experiments: "+strings.Join(leases.Kinds, ", "))
@@ -137,8 +137,8 @@
 		Short:   "Want one duty, and act under it",
 		Example: "  mosslead lab candidate --service 127.0.0.1:7000 --target 127.0.0.1:7001 --holder a --number 1",
 		Hidden:  true,
-		Args:    args(cobra.NoArgs),
-		RunE:    func(c *cobra.Command, _ []string) error { return x.Run(c.Context(), a.out) },
+		Args:    checkArgs(cobra.NoArgs),
+		RunE:    func(c *cobra.Command, _ []string) error { return x.Run(c.Context(), a.stdout) },
 	}
 	c.Flags().StringVar(&x.Service, "service", "", "replicas, host:port, with commas")
 	c.Flags().StringVar(&x.Target, "target", "", "who is acted upon, host:port")
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -21,10 +21,10 @@
 			"  mosslead list register s-1 --address 10.0.0.18:9000 --zone a",
 	})
 	at := registryFlag(c)
-	c.AddCommand(a.listGet(at), a.listWatch(at), a.listRegister(at), a.listHand(at, "drain NAME", api.AdminDrain,
+	c.AddCommand(a.listGet(at), a.listWatch(at), a.listRegister(at), a.listSetAdminState(at, "drain NAME", api.AdminDrain,
 		"Take nothing new at a server, whatever it says itself, until it is lifted"),
-		a.listHand(at, "ban NAME", api.AdminBan, "Keep a server out of the list, whatever it says itself, until it is lifted"),
-		a.listHand(at, "lift NAME", api.AdminNone, "Take an operator's drain or ban back"), a.listRemove(at))
+		a.listSetAdminState(at, "ban NAME", api.AdminBan, "Keep a server out of the list, whatever it says itself, until it is lifted"),
+		a.listSetAdminState(at, "lift NAME", api.AdminNone, "Take an operator's drain or ban back"), a.listRemove(at))
 	return c
 }
 
@@ -34,12 +34,12 @@
 		Use:     "get [NAME]",
 		Short:   "Show the list, or one entry",
 		Example: "  mosslead list get\n  mosslead list get s-1 --consistent -o json",
-		Args:    args(cobra.MaximumNArgs(1)),
+		Args:    checkArgs(cobra.MaximumNArgs(1)),
 	}
 	format := outputFlag(c)
 	c.Flags().BoolVar(&sure, "consistent", false, "ask the leader for what is certain to be the newest")
 	c.RunE = func(c *cobra.Command, given []string) error {
-		return ask(c, *at, func(ctx context.Context, service *client.Client) error {
+		return withClient(c, *at, func(ctx context.Context, service *client.Client) error {
 			var all api.Records
 			var err error
 			if len(given) == 1 {
@@ -72,14 +72,14 @@
 		Use:     "watch",
 		Short:   "Print changes as they come, until interrupted",
 		Example: "  mosslead list watch\n  mosslead list watch -o json | jq .",
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 	}
 	format := outputFlag(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		if *format != "table" && *format != "json" {
 			return usageError{fmt.Errorf("--output: table or json, not %q", *format)}
 		}
-		s, err := service(*at)
+		s, err := newClient(*at)
 		if err != nil {
 			return err
 		}
@@ -87,10 +87,10 @@
 		s.Watch(c.Context(), nil, client.Watcher{
 			Apply: func(l api.WatchEvent) error {
 				if *format == "json" {
-					return json.NewEncoder(a.out).Encode(l)
+					return json.NewEncoder(a.stdout).Encode(l)
 				}
 				for _, e := range l.Endpoints {
-					_, _ = fmt.Fprintf(a.out, "%d  %-12s %s  %s  zone %s\n", l.Revision, e.Status, e.Name, e.Address, e.Zone)
+					_, _ = fmt.Fprintf(a.stdout, "%d  %-12s %s  %s  zone %s\n", l.Revision, e.Status, e.Name, e.Address, e.Zone)
 				}
 				return nil
 			},
@@ -107,12 +107,12 @@
 		Use:     "register NAME",
 		Short:   "List a server by hand, without a lease",
 		Example: "  mosslead list register s-1 --address 10.0.0.18:9000 --zone a --type m2 --weight 2",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
 			if err := g.Check(given[0]); err != nil {
 				return usageError{err}
 			}
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error {
 				_, err := service.SetStatus(ctx, given[0], g, api.Ready, nil)
 				return err
 			})
@@ -129,14 +129,14 @@
 	return c
 }
 
-func (a *app) listHand(at *string, use, hand, short string) *cobra.Command {
+func (a *app) listSetAdminState(at *string, use, hand, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:     use,
 		Short:   short,
 		Example: "  mosslead list " + use,
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error {
 				_, err := service.SetAdminState(ctx, given[0], hand)
 				return err
 			})
@@ -149,9 +149,9 @@
 		Use:     "remove NAME",
 		Short:   "End an entry; a server that still gives signs of life registers again",
 		Example: "  mosslead list remove s-1",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error {
 				_, err := service.SetStatus(ctx, given[0], api.Registration{}, api.Removed, nil)
 				if api.IsCode(err, api.CodeNotFound) {
 					return errors.New(given[0] + " is not in the list")
--- a/internal/cli/loadtest.go
+++ b/internal/cli/loadtest.go
@@ -26,10 +26,10 @@
 
 // loadTest is what `mosslead lab service` measures.
 type loadTest struct {
-	watchers, entries []int
-	changes, rush     int
-	renewals          float64 // per second
-	length            time.Duration
+	watchers, entries  []int
+	changes, returning int
+	renewals           float64 // per second
+	length             time.Duration
 }
 
 // loadTestResult is the result of a loadTest.
@@ -48,7 +48,7 @@
 		Short: "Measure what the list service bears: watchers of one replica, and leases of a quorum",
 		Example: "  mosslead lab service\n  mosslead lab service --watchers 10000 --entries 1000 -o json\n" +
 			"  mosslead lab service --watchers 0 --renewals 2000",
-		Args: args(cobra.NoArgs),
+		Args: checkArgs(cobra.NoArgs),
 	}
 	format := outputFlag(c)
 	c.Flags().IntSliceVar(&test.watchers, "watchers", []int{1000, 5000, 10000}, "numbers of watchers; 0: none are measured")
@@ -56,7 +56,7 @@
 	c.Flags().IntVar(&test.changes, "changes", 20, "changes for each")
 	c.Flags().Float64Var(&test.renewals, "renewals", 2000, "renewals a second, of a quorum of three; 0: none are measured")
 	c.Flags().DurationVar(&test.length, "length", 10*time.Second, "how long leases are renewed")
-	c.Flags().IntVar(&test.rush, "rush", 10000, "watchers that come back within a second; a tenth of them watch 1,500 of 5,000 entries change in 7 s; 0: none")
+	c.Flags().IntVar(&test.returning, "rush", 10000, "watchers that come back within a second; a tenth of them watch 1,500 of 5,000 entries change in 7 s; 0: none")
 	c.Flags().StringVar(&out, "out", "", "directory of watchers.svg and of the replicas' logs (logs/lab/service-TIME)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		self, err := executable()
@@ -89,16 +89,16 @@
 		}
 		result.Renewals = append(result.Renewals, r)
 	}
-	if t.rush <= 0 {
+	if t.returning <= 0 {
 		return result, nil
 	}
-	churn, err := run.MeasureChurn(ctx, t.rush/churnFraction, churnEntries, churnChanges, churnTime)
+	churn, err := run.MeasureChurn(ctx, t.returning/churnFraction, churnEntries, churnChanges, churnTime)
 	if err != nil {
 		return result, err
 	}
 	result.Churn = append(result.Churn, churn)
 	for _, fullList := range []bool{false, true} {
-		back, err := run.MeasureReturn(ctx, t.rush, returnEntries, fullList, returnTime)
+		back, err := run.MeasureReturn(ctx, t.returning, returnEntries, fullList, returnTime)
 		if err != nil {
 			return result, err
 		}
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	registryEnv  = "MOSSLEAD_REGISTRY"
-	devAddress   = "127.0.0.1:7600"
-	callPatience = 10 * time.Second
+	registryEnv = "MOSSLEAD_REGISTRY"
+	devAddress  = "127.0.0.1:7600"
+	callTimeout = 10 * time.Second
 )
 
 func (a *app) registry() *cobra.Command {
@@ -48,8 +48,8 @@
 	return c.PersistentFlags().String("registry", given, "replicas of the list service, host:port,host:port ("+registryEnv+")")
 }
 
-// service is a client of the replicas at these addresses.
-func service(at string) (*client.Client, error) {
+// newClient is a client of the replicas at these addresses.
+func newClient(at string) (*client.Client, error) {
 	addresses, err := client.Addresses(at)
 	if err != nil {
 		return nil, usageError{fmt.Errorf("--registry: %w", err)}
@@ -57,14 +57,14 @@
 	return client.New(addresses), nil
 }
 
-// ask runs f with a client, within a bounded time.
-func ask(c *cobra.Command, at string, f func(context.Context, *client.Client) error) error {
-	s, err := service(at)
+// withClient runs f with a client, within a bounded time.
+func withClient(c *cobra.Command, at string, f func(context.Context, *client.Client) error) error {
+	s, err := newClient(at)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	ctx, cancel := context.WithTimeout(c.Context(), callPatience)
+	ctx, cancel := context.WithTimeout(c.Context(), callTimeout)
 	defer cancel()
 	err = f(ctx, s)
 	if api.IsCode(err, api.CodeBadRequest) {
@@ -82,11 +82,11 @@
 func (a *app) print(format string, x any, table func(w io.Writer)) error {
 	switch format {
 	case "json":
-		enc := json.NewEncoder(a.out)
+		enc := json.NewEncoder(a.stdout)
 		enc.SetIndent("", " ")
 		return enc.Encode(x)
 	case "table":
-		w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
+		w := tabwriter.NewWriter(a.stdout, 0, 4, 2, ' ', 0)
 		table(w)
 		return w.Flush()
 	}
@@ -100,7 +100,7 @@
 		Use:     "serve",
 		Short:   "Run one replica, until SIGTERM",
 		Example: "  mosslead registry serve --dev\n  mosslead registry serve --config registry.toml",
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var conf *registry.Config
 			switch {
@@ -114,7 +114,7 @@
 					return usageError{err}
 				}
 			}
-			node, err := registry.Open(conf, a.serverLog())
+			node, err := registry.Open(conf, a.newServerLogger())
 			if err != nil {
 				return err
 			}
@@ -132,11 +132,11 @@
 		Use:     "status",
 		Short:   "Show each replica, who leads, and whether the service doubts itself",
 		Example: "  mosslead registry status\n  mosslead registry status -o json | jq .",
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 	}
 	format := outputFlag(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		return ask(c, *at, func(ctx context.Context, service *client.Client) error {
+		return withClient(c, *at, func(ctx context.Context, service *client.Client) error {
 			said, silent := service.Status(ctx)
 			failures := map[string]string{}
 			for address, err := range silent {
@@ -156,7 +156,7 @@
 					}
 				}
 				for _, address := range slices.Sorted(maps.Keys(said)) {
-					followingTable(w, said[address])
+					replicationTable(w, said[address])
 				}
 				for _, address := range slices.Sorted(maps.Keys(failures)) {
 					_, _ = fmt.Fprintf(w, "\n%s: %s\n", address, failures[address])
@@ -171,8 +171,8 @@
 	return c
 }
 
-// followingTable shows how far other regions are followed, as the leader says it.
-func followingTable(w io.Writer, s api.Status) {
+// replicationTable shows how far other regions are followed, as the leader says it.
+func replicationTable(w io.Writer, s api.Status) {
 	if len(s.Replication) == 0 {
 		return
 	}
@@ -192,10 +192,10 @@
 		Use:     "add NAME",
 		Short:   "Take a replica in; it is to run with join = true",
 		Example: "  mosslead registry add r4 --raft 10.0.0.4:7601 --api 10.0.0.4:7600",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
 			m.Name = given[0]
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error { return service.Add(ctx, m) })
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error { return service.Add(ctx, m) })
 		},
 	}
 	c.Flags().StringVar(&m.Raft, "raft", "", "host:port for other replicas")
@@ -208,9 +208,9 @@
 		Use:     "remove NAME",
 		Short:   "Take a replica out",
 		Example: "  mosslead registry remove r4",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error { return service.Remove(ctx, given[0]) })
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error { return service.Remove(ctx, given[0]) })
 		},
 	}
 }
@@ -220,12 +220,12 @@
 		Use:     "overrule",
 		Short:   "End the entries of silent servers that the service keeps since too many fell silent at once",
 		Example: "  mosslead registry overrule",
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error {
 				ended, err := service.Overrule(ctx)
 				for _, name := range ended {
-					_, _ = fmt.Fprintln(a.out, name)
+					_, _ = fmt.Fprintln(a.stdout, name)
 				}
 				return err
 			})
@@ -238,9 +238,9 @@
 		Use:     "backup FILE",
 		Short:   "Write all of the list to a file",
 		Example: "  mosslead registry backup list-$(date +%F).json",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error {
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error {
 				text, err := service.Backup(ctx)
 				if err != nil {
 					return err
@@ -251,8 +251,8 @@
 	}
 }
 
-// backupFile reads a backup that is whole.
-func backupFile(path string) ([]byte, int, error) {
+// readBackup reads a backup that is whole.
+func readBackup(path string) ([]byte, int, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, 0, usageError{err}
@@ -269,13 +269,13 @@
 		Use:     "restore FILE",
 		Short:   "Put a backup in place of the list; versions go on, and all watchers get the whole list",
 		Example: "  mosslead registry restore list-2026-11-30.json",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, given []string) error {
-			text, _, err := backupFile(given[0])
+			text, _, err := readBackup(given[0])
 			if err != nil {
 				return err
 			}
-			return ask(c, *at, func(ctx context.Context, service *client.Client) error { return service.Restore(ctx, text) })
+			return withClient(c, *at, func(ctx context.Context, service *client.Client) error { return service.Restore(ctx, text) })
 		},
 	}
 }
@@ -285,11 +285,11 @@
 		Use:     "check FILE",
 		Short:   "Tell whether a backup is whole",
 		Example: "  mosslead registry check list-2026-11-30.json",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, given []string) error {
-			_, records, err := backupFile(given[0])
+			_, records, err := readBackup(given[0])
 			if err == nil {
-				_, _ = fmt.Fprintf(a.out, "whole: %d records\n", records)
+				_, _ = fmt.Fprintf(a.stdout, "whole: %d records\n", records)
 			}
 			return err
 		},
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -31,10 +31,10 @@
 			"as for what is sent again; a connection's handshake takes 300 ms.",
 		Example: "  mosslead lab scale\n  mosslead lab scale --hollow 400 --days steady --length 20s --compare=false -o json\n" +
 			"  mosslead lab scale --days cut --cut 20s --seeds 2",
-		Args: args(cobra.NoArgs),
+		Args: checkArgs(cobra.NoArgs),
 	}
 	format := outputFlag(c)
-	scaleFlags(c, &spec, &seeds)
+	addScaleFlags(c, &spec, &seeds)
 	c.Flags().StringVar(&out, "out", "", "directory of result.json, delays.svg and logs (logs/lab/scale-TIME)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		for _, s := range seeds {
@@ -57,13 +57,13 @@
 		spec.Service, spec.Host, spec.Sidecar = built.service, []string{built.self, "lab", "hollow"}, built.sidecar
 		spec.Revision, spec.Progress = built.revision, a.progress
 		// With more threads than processors, one that the kernel has descheduled delays fewer of the rest.
-		runtime.GOMAXPROCS(threadsEach * runtime.NumCPU())
+		runtime.GOMAXPROCS(threadsPerProcessor * runtime.NumCPU())
 		r, err := scale.Run(c.Context(), spec)
 		if r != nil && len(r.Plays) > 0 {
 			if err := a.print(*format, r, func(w io.Writer) { scaleTable(w, r) }); err != nil {
 				return err
 			}
-			_, _ = fmt.Fprintf(a.err, "result: %s\n", spec.Dir)
+			_, _ = fmt.Fprintf(a.stderr, "result: %s\n", spec.Dir)
 		}
 		if err != nil {
 			return err
@@ -76,8 +76,8 @@
 	return c
 }
 
-// scaleFlags adds the flags for what is played.
-func scaleFlags(c *cobra.Command, spec *scale.Spec, seeds *[]uint) {
+// addScaleFlags adds the flags for what is played.
+func addScaleFlags(c *cobra.Command, spec *scale.Spec, seeds *[]uint) {
 	c.Flags().IntVar(&spec.Hollow, "hollow", 1800, "hollow sidecars")
 	c.Flags().IntVar(&spec.Real, "real", 12, "real sidecars, one in six of them without clients")
 	c.Flags().IntVar(&spec.Replicas, "replicas", 3, "replicas of the list service, of each region")
@@ -177,10 +177,10 @@
 		Short:   "Host hollow sidecars for a scale run",
 		Example: "  mosslead lab hollow",
 		Hidden:  true,
-		Args:    args(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			slog.SetDefault(a.log) // warnings of sidecars, without their statistics
-			return scale.Host(c.Context(), c.InOrStdin(), a.out)
+			return scale.Host(c.Context(), c.InOrStdin(), a.stdout)
 		},
 	}
 }
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -25,8 +25,8 @@
 	return c
 }
 
-// summary reads a directory; one that is not there is a mistake of the caller's.
-func summary(dir string) (statestore.Summary, []durable.Corruption, error) {
+// summarize reads a directory; one that is not there is a mistake of the caller's.
+func summarize(dir string) (statestore.Summary, []durable.Corruption, error) {
 	if info, err := os.Stat(dir); err != nil {
 		return statestore.Summary{}, nil, usageError{err}
 	} else if !info.IsDir() {
@@ -40,11 +40,11 @@
 		Use:     "show DIR",
 		Short:   "Show what is kept: bans, the list, what was learnt, the service's settings, how the last process ended",
 		Example: "  mosslead state show /var/lib/mosslead-sidecar\n  mosslead state show DIR -o json | jq .bans",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 	}
 	format := outputFlag(c)
 	c.RunE = func(_ *cobra.Command, given []string) error {
-		s, _, err := summary(given[0])
+		s, _, err := summarize(given[0])
 		if err != nil {
 			return err
 		}
@@ -55,11 +55,11 @@
 
 func stateTable(w io.Writer, s statestore.Summary) {
 	_, _ = fmt.Fprintf(w, "sidecar\t%s\nlast start\t%s\nits end\t%s\nearly ends in a row\t%d\n", s.Sidecar, s.Started, s.Ended, s.EarlyExits)
-	_, _ = fmt.Fprintf(w, "list\t%d upstreams, version %d of %s, %s old\n", s.Upstreams, s.ListIndex, s.ListSource, age(s.ListAgeS))
-	_, _ = fmt.Fprintf(w, "learnt\tof %d upstreams, %s old\n", s.SnapshotEndpoints, age(s.SnapshotAgeS))
+	_, _ = fmt.Fprintf(w, "list\t%d upstreams, version %d of %s, %s old\n", s.Upstreams, s.ListIndex, s.ListSource, formatAge(s.ListAgeS))
+	_, _ = fmt.Fprintf(w, "learnt\tof %d upstreams, %s old\n", s.SnapshotEndpoints, formatAge(s.SnapshotAgeS))
 	if k := s.Settings; k != nil {
 		of := map[bool]string{true: ", deleted: those of the file are in force"}[k.Deleted]
-		_, _ = fmt.Fprintf(w, "settings\tof %s, version %d of region %q%s, %s old\n", k.Service, k.Version, k.Region, of, age(k.AgeS))
+		_, _ = fmt.Fprintf(w, "settings\tof %s, version %d of region %q%s, %s old\n", k.Service, k.Version, k.Region, of, formatAge(k.AgeS))
 	}
 	_, _ = fmt.Fprintf(w, "left out\t%s\n", strings.Join(s.Ejected, " "))
 	if k := s.Settings; k != nil {
@@ -73,7 +73,7 @@
 		if k.Region != "" {
 			what += " of " + k.Region
 		}
-		_, _ = fmt.Fprintf(w, "settings\tof %s: %s, %s old\n", k.Service, what, age(k.AgeS))
+		_, _ = fmt.Fprintf(w, "settings\tof %s: %s, %s old\n", k.Service, what, formatAge(k.AgeS))
 	}
 	var bans []string
 	for id, since := range s.Bans {
@@ -89,7 +89,7 @@
 	}
 }
 
-func age(s float64) string {
+func formatAge(s float64) string {
 	return time.Duration(s * float64(time.Second)).Round(time.Second).String()
 }
 
@@ -100,12 +100,12 @@
 		Long: "Prints a line for each damage, and exits with 1 where there is any. A write torn by a crash is said and is no damage:\n" +
 			"nothing that was confirmed is lost by it.",
 		Example: "  mosslead state check /var/lib/mosslead-sidecar",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, given []string) error {
-			_, damages, err := summary(given[0])
+			_, damages, err := summarize(given[0])
 			n := 0
 			for _, d := range damages {
-				_, _ = fmt.Fprintln(a.out, d)
+				_, _ = fmt.Fprintln(a.stdout, d)
 				if !d.Torn {
 					n++
 				}
@@ -127,9 +127,9 @@
 		Short:   "Keep what is whole, put the rest into quarantine, and name it",
 		Long:    "Takes the directory's lock, and so refuses while a sidecar writes there.",
 		Example: "  mosslead state repair /var/lib/mosslead-sidecar",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, given []string) error {
-			if _, _, err := summary(given[0]); err != nil {
+			if _, _, err := summarize(given[0]); err != nil {
 				return err
 			}
 			dropped, err := statestore.Repair(given[0], time.Now())
@@ -137,7 +137,7 @@
 				return fmt.Errorf("%s: a sidecar writes there; stop it first, or let it put damaged files aside at its next start", given[0])
 			}
 			for _, d := range dropped {
-				_, _ = fmt.Fprintf(a.out, "dropped %s\n", d)
+				_, _ = fmt.Fprintf(a.stdout, "dropped %s\n", d)
 			}
 			return err
 		},
