--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -26,27 +26,27 @@
 			"region owns a service's settings, and only it takes changes of them.",
 		Example: "  mosslead config put orders --file orders.json\n  mosslead config status orders\n  mosslead config back orders",
 	})
-	at := registryFlag(c)
-	c.AddCommand(a.configPut(at), a.configGet(at), a.configStatus(at), a.configBack(at), a.configDelete(at))
+	replicas := registryFlag(c)
+	c.AddCommand(a.configPut(replicas), a.configGet(replicas), a.configStatus(replicas), a.configBack(replicas), a.configDelete(replicas))
 	return c
 }
 
-// Changed is what a change of settings came to, as -o json prints it.
-type changed struct {
-	Service string `json:"service"`
-	Outcome string `json:"outcome"`           // one of the words below
-	Version int64  `json:"version,omitempty"` // under which it was done; else the one that there is, where that is known
-	Based   int64  `json:"based_on"`
-	Lost    bool   `json:"answer_lost,omitempty"` // the outcome was looked up afterwards
+// changeResult is the result of a change of settings, as -o json prints it.
+type changeResult struct {
+	Service    string `json:"service"`
+	Outcome    string `json:"outcome"`               // one of the outcomes below
+	Version    int64  `json:"version,omitempty"`     // version that the change created; otherwise the current version, if that is known
+	BasedOn    int64  `json:"based_on"`              // version that the change was based on
+	AnswerLost bool   `json:"answer_lost,omitempty"` // the response was lost and the outcome was looked up
 }
 
 const (
 	outcomeDone    = "done"
-	outcomeNot     = "not done"
+	outcomeNotDone = "not done"
 	outcomeUnknown = "unknown"
 )
 
-func (a *app) configPut(at *string) *cobra.Command {
+func (a *app) configPut(replicas *string) *cobra.Command {
 	var path string
 	var based int64
 	c := &cobra.Command{
@@ -55,29 +55,29 @@
 		Long: "The file is checked here before anything is asked. Without --if-version the version is read first, and the settings are put\n" +
 			"only if it is still that one: of two who do so at once, one is turned down and has to look again.",
 		Example: "  mosslead config put orders --file orders.json\n  mosslead config put orders --file orders.json --if-version 41 -o json",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 	}
 	format := outputFlag(c)
 	c.Flags().StringVar(&path, "file", "", "settings, as a sidecar's file has them under \"settings\"; -: standard input")
 	c.Flags().Int64Var(&based, "if-version", -1, "put only if the settings are at this version; 0: only if there are none")
-	c.RunE = func(c *cobra.Command, given []string) error {
+	c.RunE = func(c *cobra.Command, args []string) error {
 		if path == "" {
 			return usageError{errors.New("config put: --file FILE")}
 		}
 		if c.Flags().Changed("if-version") && based < 0 {
 			return usageError{fmt.Errorf("--if-version: at least 0, not %d", based)}
 		}
-		text, err := settingsFile(c.InOrStdin(), path)
+		text, err := readSettings(c.InOrStdin(), path)
 		if err != nil {
 			return usageError{err}
 		}
-		return a.change(c, *at, *format, change{service: given[0], based: based, schema: settings.Schema, text: text})
+		return a.applyChange(c, *replicas, *format, settingsChange{service: args[0], baseVersion: based, schema: settings.Schema, settings: text})
 	}
 	return c
 }
 
-// settingsFile reads settings that pass the check. An error names file, line and key.
-func settingsFile(in io.Reader, path string) (json.RawMessage, error) {
+// readSettings reads settings from a file, or from in if path is "-", and checks them. Its error names file, line and key.
+func readSettings(in io.Reader, path string) (json.RawMessage, error) {
 	name := path
 	if path == "-" {
 		name = "standard input"
@@ -99,8 +99,8 @@
 	if _, err := settings.Check(settings.Schema, text); err != nil {
 		p := settings.Locate(text, err)
 		if p.Line > 0 {
-			if why := errors.Unwrap(err); why != nil && strings.HasPrefix(err.Error(), "line ") {
-				err = why // the place, in other words
+			if reason := errors.Unwrap(err); reason != nil && strings.HasPrefix(err.Error(), "line ") {
+				err = reason // without the line, which the error names already
 			}
 			name = fmt.Sprintf("%s:%d:%d", name, p.Line, p.Column)
 		}
@@ -112,153 +112,156 @@
 	return text, nil
 }
 
-// change is one that is to be made.
-type change struct {
-	service string
-	based   int64        // below 0: the version that there is
-	before  api.Document // as it was read; where based was given nothing is known but that
-	schema  int
-	text    json.RawMessage // nil: they are to be deleted
+// settingsChange is a put or a deletion of the settings of a service.
+type settingsChange struct {
+	service     string
+	baseVersion int64        // if negative, the change is based on the current version
+	base        api.Document // document that the change is based on; if the caller gave baseVersion, only its revision is known
+	schema      int
+	settings    json.RawMessage // nil for a deletion
 }
 
-func (x change) word() string {
-	if x.text == nil {
+// verb returns "put" or "delete", for messages.
+func (c settingsChange) verb() string {
+	if c.settings == nil {
 		return "delete"
 	}
 	return "put"
 }
 
-// change makes a change, and tells what came of it: also where the answer was lost.
-func (a *app) change(c *cobra.Command, at, format string, x change) error {
-	if format != "table" && format != "json" { // before anything is changed
+// applyChange makes a change and prints its result. If the response is lost, it looks the outcome up.
+func (a *app) applyChange(c *cobra.Command, replicas, format string, change settingsChange) error {
+	if format != "table" && format != "json" { // checked before anything is changed
 		return usageError{fmt.Errorf("--output: table or json, not %q", format)}
 	}
-	came := changed{Service: x.service, Outcome: outcomeDone}
-	if x.before.Revision == 0 {
-		x.before.Revision = max(x.based, 0)
+	result := changeResult{Service: change.service, Outcome: outcomeDone}
+	if change.base.Revision == 0 {
+		change.base.Revision = max(change.baseVersion, 0)
 	}
-	err := ask(c, at, func(ctx context.Context, service *client.Client) (err error) {
-		if x.based < 0 {
-			if x.before, err = service.Document(ctx, x.service, 0, true); err != nil && !api.IsCode(err, api.CodeNotFound) {
+	err := withClient(c, replicas, func(ctx context.Context, service *client.Client) (err error) {
+		if change.baseVersion < 0 {
+			if change.base, err = service.Document(ctx, change.service, 0, true); err != nil && !api.IsCode(err, api.CodeNotFound) {
 				return err
 			}
-			none := x.before.Revision == 0 || x.before.Deleted
-			if none && x.text == nil {
-				return api.Errorf(api.CodeNotFound, "there are no settings of %s", x.service)
+			none := change.base.Revision == 0 || change.base.Deleted
+			if none && change.settings == nil {
+				return api.Errorf(api.CodeNotFound, "there are no settings of %s", change.service)
 			}
-			if x.based = x.before.Revision; none { // a deletion may be another region's, and is no ground to put on
-				x.based = 0
+			if change.baseVersion = change.base.Revision; none { // a put after a deletion is based on 0: the deletion may be of another region
+				change.baseVersion = 0
 			}
 		}
-		if came.Based = x.based; x.text == nil {
-			came.Version, err = service.Delete(ctx, x.service, x.based)
+		if result.BasedOn = change.baseVersion; change.settings == nil {
+			result.Version, err = service.Delete(ctx, change.service, change.baseVersion)
 		} else {
-			came.Version, err = service.Put(ctx, x.service, api.PutRequest{Schema: x.schema, Settings: x.text, IfRevision: &x.based})
+			result.Version, err = service.Put(ctx, change.service, api.PutRequest{Schema: change.schema, Settings: change.settings, IfRevision: &change.baseVersion})
 		}
 		return err
 	})
 	var hint string
 	if api.IsCode(err, api.CodeOutcomeUnknown) {
-		came.Lost = true
-		hint, err = a.lookUp(c, at, x, &came, err)
+		result.AnswerLost = true
+		hint, err = a.lookUpOutcome(c, replicas, change, &result, err)
 	}
-	if err != nil && came.Outcome == outcomeDone { // it was turned down, or never asked
+	if err != nil && result.Outcome == outcomeDone { // the change was rejected, or the service was not reached
 		return err
 	}
-	if said := a.print(format, came, func(w io.Writer) {
-		_, _ = fmt.Fprintf(w, "service\toutcome\tversion\tbased on\n%s\t%s\t%s\t%d\n", came.Service, came.Outcome, versionWord(came.Version), came.Based)
-	}); said != nil {
-		return said
+	if printErr := a.print(format, result, func(w io.Writer) {
+		_, _ = fmt.Fprintf(w, "service\toutcome\tversion\tbased on\n%s\t%s\t%s\t%d\n", result.Service, result.Outcome, formatVersion(result.Version), result.BasedOn)
+	}); printErr != nil {
+		return printErr
 	}
 	if hint != "" {
-		_, _ = fmt.Fprintln(a.err, "mosslead: "+hint)
+		_, _ = fmt.Fprintln(a.stderr, "mosslead: "+hint)
 	}
 	return err
 }
 
-// lookUp finds out what became of a change whose answer was lost, in a time of its own.
-func (a *app) lookUp(c *cobra.Command, at string, x change, came *changed, lost error) (hint string, err error) {
-	var fate client.WriteOutcome
-	var now api.Document
-	err = ask(c, at, func(ctx context.Context, service *client.Client) (err error) {
-		fate, came.Version, now, err = service.Outcome(ctx, x.service, x.before, x.text)
+// lookUpOutcome looks up the outcome of a change whose response was lost, with a timeout of its own, and stores it in result. It returns
+// a hint to print if the change was done, otherwise an error.
+func (a *app) lookUpOutcome(c *cobra.Command, replicas string, change settingsChange, result *changeResult, lost error) (hint string, err error) {
+	var outcome client.WriteOutcome
+	var current api.Document
+	err = withClient(c, replicas, func(ctx context.Context, service *client.Client) (err error) {
+		outcome, result.Version, current, err = service.Outcome(ctx, change.service, change.base, change.settings)
 		return err
 	})
 	switch {
 	case err != nil:
-		came.Outcome = outcomeUnknown
+		result.Outcome = outcomeUnknown
 		return "", fmt.Errorf("it is unknown whether the %s was done, or will be: the answer was lost (%w), and so was the look-up (%w); "+
-			"look again with: mosslead config get %s", x.word(), lost, err, x.service)
-	case fate == client.OutcomeDone:
-		came.Outcome = outcomeDone
-		hint = fmt.Sprintf("the answer was lost (%v); looked up: the %s was done under version %d", lost, x.word(), came.Version)
-		if now.Revision != came.Version {
-			hint += fmt.Sprintf(", and version %d has followed", now.Revision)
+			"look again with: mosslead config get %s", change.verb(), lost, err, change.service)
+	case outcome == client.OutcomeDone:
+		result.Outcome = outcomeDone
+		hint = fmt.Sprintf("the answer was lost (%v); looked up: the %s was done under version %d", lost, change.verb(), result.Version)
+		if current.Revision != result.Version {
+			hint += fmt.Sprintf(", and version %d has followed", current.Revision)
 		}
 		return hint, nil
 	}
-	came.Version = now.Revision
+	result.Version = current.Revision
 	switch {
-	case fate == client.OutcomeUnknown:
-		came.Outcome = outcomeUnknown
+	case outcome == client.OutcomeUnknown:
+		result.Outcome = outcomeUnknown
 		return "", fmt.Errorf("it is unknown whether the %s was done: the answer was lost (%w), and what is remembered does not tell; version %s is "+
-			"there now; look at it with: mosslead config get %s", x.word(), lost, versionWord(now.Revision), x.service)
-	case now.Revision == x.before.Revision:
-		came.Outcome = outcomeNot
+			"there now; look at it with: mosslead config get %s", change.verb(), lost, formatVersion(current.Revision), change.service)
+	case current.Revision == change.base.Revision:
+		result.Outcome = outcomeNotDone
 		return "", fmt.Errorf("the %s was not done up to now: the answer was lost (%w), and the settings are still at version %s; the call may be on its way "+
-			"yet. Do it again with --if-version %d: only one of the two can be carried out", x.word(), lost, versionWord(now.Revision), x.based)
+			"yet. Do it again with --if-version %d: only one of the two can be carried out", change.verb(), lost, formatVersion(current.Revision), change.baseVersion)
 	}
-	came.Outcome = outcomeNot
+	result.Outcome = outcomeNotDone
 	return "", fmt.Errorf("the %s was not done and won't be: the answer was lost (%w), and another change came first; version %d is there now",
-		x.word(), lost, now.Revision)
+		change.verb(), lost, current.Revision)
 }
 
-func versionWord(v int64) string {
+// formatVersion returns v as text, or "none" for 0.
+func formatVersion(v int64) string {
 	if v == 0 {
 		return "none"
 	}
 	return fmt.Sprint(v)
 }
 
-func (a *app) configGet(at *string) *cobra.Command {
+func (a *app) configGet(replicas *string) *cobra.Command {
 	var version int64
 	c := &cobra.Command{
 		Use:     "get [SERVICE]",
 		Short:   "Show the settings of a service, or of which services there are any",
 		Example: "  mosslead config get orders\n  mosslead config get orders --version 41 -o json | jq .settings",
-		Args:    args(cobra.MaximumNArgs(1)),
+		Args:    checkArgs(cobra.MaximumNArgs(1)),
 	}
 	format := outputFlag(c)
 	c.Flags().Int64Var(&version, "version", 0, "those of this version, where it is remembered; 0: the present ones")
-	c.RunE = func(c *cobra.Command, given []string) error {
+	c.RunE = func(c *cobra.Command, args []string) error {
 		switch {
 		case version < 0:
 			return usageError{fmt.Errorf("--version: at least 0, not %d", version)}
-		case version != 0 && len(given) == 0:
+		case version != 0 && len(args) == 0:
 			return usageError{errors.New("config get --version: of which SERVICE")}
 		}
-		return ask(c, *at, func(ctx context.Context, service *client.Client) error {
-			if len(given) == 0 {
-				all, err := service.Documents(ctx, true)
+		return withClient(c, *replicas, func(ctx context.Context, service *client.Client) error {
+			if len(args) == 0 {
+				documents, err := service.Documents(ctx, true)
 				if err != nil {
 					return err
 				}
-				return a.print(*format, all, func(w io.Writer) {
-					_, _ = fmt.Fprintln(w, documentHead)
-					for _, d := range all.Documents {
+				return a.print(*format, documents, func(w io.Writer) {
+					_, _ = fmt.Fprintln(w, documentHeader)
+					for _, d := range documents.Documents {
 						_, _ = fmt.Fprintln(w, documentRow(d))
 					}
 				})
 			}
-			d, err := document(ctx, service, given[0], version)
+			d, err := readDocument(ctx, service, args[0], version)
 			if err != nil {
 				return err
 			}
 			return a.print(*format, d, func(w io.Writer) {
-				_, _ = fmt.Fprintf(w, "%s\n%s\n", documentHead, documentRow(d))
+				_, _ = fmt.Fprintf(w, "%s\n%s\n", documentHeader, documentRow(d))
 				var text bytes.Buffer
 				if json.Indent(&text, d.Settings, "", "  ") == nil {
-					_, _ = fmt.Fprintf(w, "\n%s\n", strings.ReplaceAll(text.String(), "\t", " ")) // a tab would be a column
+					_, _ = fmt.Fprintf(w, "\n%s\n", strings.ReplaceAll(text.String(), "\t", " ")) // a tab would start a new column
 				}
 			})
 		})
@@ -266,8 +269,9 @@
 	return c
 }
 
-// document is the settings of a service at a version, 0: at present; none is an error.
-func document(ctx context.Context, service *client.Client, name string, version int64) (api.Document, error) {
+// readDocument reads the settings of a service at a version, or the current ones if version is 0. Its error is CodeNotFound if there
+// are none.
+func readDocument(ctx context.Context, service *client.Client, name string, version int64) (api.Document, error) {
 	d, err := service.Document(ctx, name, version, true)
 	switch {
 	case err == nil && d.Revision == 0 || version == 0 && api.IsCode(err, api.CodeNotFound):
@@ -278,8 +282,9 @@
 	return d, err
 }
 
-const documentHead = "service\tregion\tversion\tschema\tearlier"
+const documentHeader = "service\tregion\tversion\tschema\tearlier"
 
+// documentRow returns the row of d below documentHeader.
 func documentRow(d api.Document) string {
 	schema := fmt.Sprint(d.Schema)
 	if d.Deleted {
@@ -289,7 +294,7 @@
 		cmp.Or(strings.Trim(fmt.Sprint(d.EarlierRevisions), "[]"), "-"))
 }
 
-func (a *app) configBack(at *string) *cobra.Command {
+func (a *app) configBack(replicas *string) *cobra.Command {
 	var to int64
 	c := &cobra.Command{
 		Use:   "back SERVICE",
@@ -297,67 +302,67 @@
 		Long: "Without --to: the version before the present one. Versions only rise: what is put is the earlier text, under a new version.\n" +
 			"Settings that were deleted are brought back in the same way.",
 		Example: "  mosslead config back orders\n  mosslead config back orders --to 41",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 	}
 	format := outputFlag(c)
 	c.Flags().Int64Var(&to, "to", 0, "the version whose text is put again; 0: the one before the present one")
-	c.RunE = func(c *cobra.Command, given []string) error {
+	c.RunE = func(c *cobra.Command, args []string) error {
 		if to < 0 {
 			return usageError{fmt.Errorf("--to: at least 0, not %d", to)}
 		}
-		x := change{service: given[0]}
-		err := ask(c, *at, func(ctx context.Context, service *client.Client) error {
-			now, err := document(ctx, service, given[0], 0)
+		change := settingsChange{service: args[0]}
+		err := withClient(c, *replicas, func(ctx context.Context, service *client.Client) error {
+			current, err := readDocument(ctx, service, args[0], 0)
 			if err != nil {
 				return err
 			}
 			switch {
-			case to == now.Revision:
+			case to == current.Revision:
 				return fmt.Errorf("version %d is the present one", to)
-			case to == 0 && len(now.EarlierRevisions) == 0:
-				return api.Errorf(api.CodeNotFound, "no earlier version of the settings of %s is remembered", given[0])
+			case to == 0 && len(current.EarlierRevisions) == 0:
+				return api.Errorf(api.CodeNotFound, "no earlier version of the settings of %s is remembered", args[0])
 			case to == 0:
-				to = now.EarlierRevisions[len(now.EarlierRevisions)-1]
+				to = current.EarlierRevisions[len(current.EarlierRevisions)-1]
 			}
-			then, err := document(ctx, service, given[0], to)
+			earlier, err := readDocument(ctx, service, args[0], to)
 			if err != nil {
 				return err
 			}
-			if then.Deleted { // as another region's may be
-				return fmt.Errorf("version %d is a deletion; for that: mosslead config delete %s", to, given[0])
+			if earlier.Deleted { // an earlier version of another region can be a deletion
+				return fmt.Errorf("version %d is a deletion; for that: mosslead config delete %s", to, args[0])
 			}
-			if _, err := settings.Check(then.Schema, then.Settings); err != nil {
+			if _, err := settings.Check(earlier.Schema, earlier.Settings); err != nil {
 				return fmt.Errorf("version %d: %w", to, err)
 			}
-			x.before, x.based, x.schema, x.text = now, now.Revision, then.Schema, then.Settings
-			if now.Deleted {
-				x.based = 0
+			change.base, change.baseVersion, change.schema, change.settings = current, current.Revision, earlier.Schema, earlier.Settings
+			if current.Deleted {
+				change.baseVersion = 0
 			}
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		return a.change(c, *at, *format, x)
+		return a.applyChange(c, *replicas, *format, change)
 	}
 	return c
 }
 
-func (a *app) configDelete(at *string) *cobra.Command {
+func (a *app) configDelete(replicas *string) *cobra.Command {
 	var based int64
 	c := &cobra.Command{
 		Use:     "delete SERVICE",
 		Short:   "End the settings of a service: its sidecars go back to those of their files",
 		Example: "  mosslead config delete orders\n  mosslead config delete orders --if-version 41",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 	}
 	format := outputFlag(c)
 	c.Flags().Int64Var(&based, "if-version", -1, "delete only if the settings are at this version")
-	c.RunE = func(c *cobra.Command, given []string) error {
+	c.RunE = func(c *cobra.Command, args []string) error {
 		if c.Flags().Changed("if-version") && based < 1 {
 			return usageError{fmt.Errorf("--if-version: at least 1, not %d", based)}
 		}
-		return a.change(c, *at, *format, change{service: given[0], based: based})
+		return a.applyChange(c, *replicas, *format, settingsChange{service: args[0], baseVersion: based})
 	}
 	return c
 }
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -17,87 +17,87 @@
 	"mosslead/internal/registry/api"
 )
 
-const orders = `{"Balancers":1,"Zone":"a","TickMs":5,
+const ordersSettings = `{"Balancers":1,"Zone":"a","TickMs":5,
  "Classes":[{"Name":"search","Semantics":"retryable","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5}],
  "Limits":{"SendCap":5},"Rules":{"ColdFrom":0.3}}`
 
-// otherOrders are settings that pass too.
-var otherOrders = strings.Replace(orders, `"SendCap":5`, `"SendCap":3`, 1)
+// otherSettings are valid settings that differ from ordersSettings.
+var otherSettings = strings.Replace(ordersSettings, `"SendCap":5`, `"SendCap":3`, 1)
 
-// standIn is a stand-in for a region's list service, of which it has the settings of one service, and is as unkind as a test wants.
-type standIn struct {
-	mu       sync.Mutex
-	versions []api.Document
-	rollouts api.Rollouts
-	lose     func(s *standIn, done func()) // what becomes of the next change, instead of an answer
-	asked    []string
+// fakeService is a fake of a region's list service. It has the settings of one service, and can lose the response to a change.
+type fakeService struct {
+	mu         sync.Mutex
+	versions   []api.Document
+	rollouts   api.Rollouts
+	loseAnswer func(s *fakeService, done func()) // called instead of responding to the next change; done carries the change out
+	requests   []string
 }
 
-func (s *standIn) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (s *fakeService) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, r.Method+" "+r.URL.RequestURI())
-	var now api.Document
+	s.requests = append(s.requests, r.Method+" "+r.URL.RequestURI())
+	var current api.Document
 	if n := len(s.versions); n > 0 {
-		now = s.versions[n-1]
+		current = s.versions[n-1]
 		for _, d := range s.versions[:n-1] {
 			if !d.Deleted {
-				now.EarlierRevisions = append(now.EarlierRevisions, d.Revision)
+				current.EarlierRevisions = append(current.EarlierRevisions, d.Revision)
 			}
 		}
-		now.EarlierRevisions = now.EarlierRevisions[max(0, len(now.EarlierRevisions)-api.MaxEarlierRevisions):]
+		current.EarlierRevisions = current.EarlierRevisions[max(0, len(current.EarlierRevisions)-api.MaxEarlierRevisions):]
 	}
-	say := func(x any) { _ = json.NewEncoder(rw).Encode(x) }
-	fail := func(status int, f *api.Error) {
+	respond := func(body any) { _ = json.NewEncoder(rw).Encode(body) }
+	respondError := func(status int, f *api.Error) {
 		rw.WriteHeader(status)
-		say(f)
+		respond(f)
 	}
 	switch path := r.URL.Path; {
 	case path == "/v1/rollouts":
-		say(s.rollouts)
+		respond(s.rollouts)
 	case path == "/v1/settings":
-		now.Settings = nil
-		say(api.Documents{Revision: now.Revision, Documents: []api.Document{now}})
+		current.Settings = nil
+		respond(api.Documents{Revision: current.Revision, Documents: []api.Document{current}})
 	case strings.Contains(path, "/versions/"):
 		for _, d := range s.versions {
-			if strings.HasSuffix(path, "/"+versionWord(d.Revision)) && (d.Revision == now.Revision || slices.Contains(now.EarlierRevisions, d.Revision)) {
-				say(d)
+			if strings.HasSuffix(path, "/"+formatVersion(d.Revision)) && (d.Revision == current.Revision || slices.Contains(current.EarlierRevisions, d.Revision)) {
+				respond(d)
 				return
 			}
 		}
-		fail(http.StatusNotFound, api.Errorf(api.CodeNotFound, "it is remembered no more"))
-	case r.Method == http.MethodGet && now.Revision == 0:
-		fail(http.StatusNotFound, api.Errorf(api.CodeNotFound, "none"))
+		respondError(http.StatusNotFound, api.Errorf(api.CodeNotFound, "this version is not remembered"))
+	case r.Method == http.MethodGet && current.Revision == 0:
+		respondError(http.StatusNotFound, api.Errorf(api.CodeNotFound, "none"))
 	case r.Method == http.MethodGet:
-		say(now)
+		respond(current)
 	default:
 		var p api.PutRequest
 		if err := json.NewDecoder(r.Body).Decode(&p); err != nil || p.IfRevision == nil {
-			fail(http.StatusBadRequest, api.Errorf(api.CodeBadRequest, "%v", err))
+			respondError(http.StatusBadRequest, api.Errorf(api.CodeBadRequest, "%v", err))
 			return
 		}
-		if *p.IfRevision != now.Revision && (*p.IfRevision != 0 || !now.Deleted) {
-			fail(http.StatusConflict, api.Errorf(api.CodeConflict, "the settings are at version %d", now.Revision))
+		if *p.IfRevision != current.Revision && (*p.IfRevision != 0 || !current.Deleted) {
+			respondError(http.StatusConflict, api.Errorf(api.CodeConflict, "the settings are at version %d", current.Revision))
 			return
 		}
 		done := func() {
-			s.versions = append(s.versions, api.Document{Service: "orders", Revision: now.Revision + 7, Schema: max(p.Schema, 1),
+			s.versions = append(s.versions, api.Document{Service: "orders", Revision: current.Revision + 7, Schema: max(p.Schema, 1),
 				Deleted: r.Method == http.MethodPost, Settings: p.Settings})
 		}
-		if lose := s.lose; lose != nil {
-			s.lose = nil
+		if lose := s.loseAnswer; lose != nil {
+			s.loseAnswer = nil
 			lose(s, done)
 			panic(http.ErrAbortHandler) // the connection breaks
 		}
 		done()
-		say(api.WriteResult{Revision: now.Revision + 7})
+		respond(api.WriteResult{Revision: current.Revision + 7})
 	}
 }
 
-// standsIn starts a stand-in, and gives its address.
-func standsIn(t *testing.T, texts ...string) (*standIn, string) {
+// startFakeService starts a fakeService with a version for each of texts, and returns its address.
+func startFakeService(t *testing.T, texts ...string) (*fakeService, string) {
 	t.Helper()
-	s := &standIn{}
+	s := &fakeService{}
 	for i, text := range texts {
 		s.versions = append(s.versions, api.Document{Service: "orders", Revision: int64(7 * (i + 1)), Schema: 1, Settings: json.RawMessage(text)})
 	}
@@ -106,7 +106,8 @@
 	return s, server.Listener.Addr().String()
 }
 
-func ordersFile(t *testing.T, text string) string {
+// writeOrdersFile writes text to a file orders.json and returns its path.
+func writeOrdersFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "orders.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -115,11 +116,11 @@
 	return path
 }
 
-// Guards against a mistake in a file, a flag or an argument that gets as far as a service, or is said in more than a line.
+// Guards against a mistake in a file, a flag or an argument that leads to a request, or to an error of several lines.
 func TestMistakesInSettingsAreFoundBeforeAnybodyIsAsked(t *testing.T) {
-	s, at := standsIn(t, orders)
-	good := ordersFile(t, orders)
-	bad := func(old, new string) string { return ordersFile(t, strings.Replace(orders, old, new, 1)) }
+	s, at := startFakeService(t, ordersSettings)
+	good := writeOrdersFile(t, ordersSettings)
+	bad := func(old, new string) string { return writeOrdersFile(t, strings.Replace(ordersSettings, old, new, 1)) }
 	for _, c := range []struct {
 		args []string
 		want string
@@ -136,9 +137,9 @@
 		{[]string{"put", "orders", "--file", bad(`"SendCap":5`, `"SendCap":"5"`)}, "orders.json:3:"},
 		{[]string{"put", "orders", "--file", bad(`"SendCap":5`, `"SendCap":"5"`)}, "Limits.SendCap: "},
 		{[]string{"put", "orders", "--file", bad(`"DeadlineMs":10000`, `"DeadlineMs":-1`)}, "orders.json:2:67: Classes.DeadlineMs: setting Classes: search: Deadline is not usable"},
-		{[]string{"put", "orders", "--file", ordersFile(t, "Zone = \"a\"\n")}, "orders.json:1:1: not start-up parameters: invalid character 'Z'"},
-		{[]string{"put", "orders", "--file", ordersFile(t, "")}, "unexpected end of JSON input"},
-		{[]string{"put", "orders", "--file", ordersFile(t, `{"Pad":"`+strings.Repeat("x", api.MaxSettings)+`"}`)}, "over 65536 bytes"},
+		{[]string{"put", "orders", "--file", writeOrdersFile(t, "Zone = \"a\"\n")}, "orders.json:1:1: not start-up parameters: invalid character 'Z'"},
+		{[]string{"put", "orders", "--file", writeOrdersFile(t, "")}, "unexpected end of JSON input"},
+		{[]string{"put", "orders", "--file", writeOrdersFile(t, `{"Pad":"`+strings.Repeat("x", api.MaxSettings)+`"}`)}, "over 65536 bytes"},
 		{[]string{"get", "--version", "3"}, "of which SERVICE"},
 		{[]string{"get", "orders", "--version", "-1"}, "--version: at least 0"},
 		{[]string{"get", "orders", "more"}, "accepts at most 1 arg"},
@@ -157,117 +158,117 @@
 		if !strings.Contains(strings.Join(args, " "), "--registry") {
 			args = append(args, "--registry", at)
 		}
-		status, out, said := call(t, args...)
-		if status != usage || out != "" || !strings.Contains(said, c.want) || strings.Count(said, "\n") != 1 {
-			t.Errorf("%v: status %d, printed %q, said %q; want %q", c.args, status, out, said, c.want)
+		status, stdout, stderr := call(t, args...)
+		if status != exitUsage || stdout != "" || !strings.Contains(stderr, c.want) || strings.Count(stderr, "\n") != 1 {
+			t.Errorf("%v: got status %d, stdout %q, stderr %q; want status %d, no stdout, one line on stderr with %q", c.args, status, stdout, stderr, exitUsage, c.want)
 		}
 	}
-	if len(s.asked) > 0 {
-		t.Errorf("asked for: %v", s.asked)
+	if len(s.requests) > 0 {
+		t.Errorf("got requests %v, want none", s.requests)
 	}
 }
 
 func TestEveryCommandForSettingsHasHelpWithAnExample(t *testing.T) {
 	for _, name := range []string{"", "put", "get", "status", "back", "delete"} {
-		status, out, _ := call(t, strings.Fields("config "+name+" --help")...)
-		if status != done || !strings.Contains(out, "Examples:\n  mosslead config ") {
-			t.Errorf("config %s --help: status %d, %q", name, status, out)
+		status, stdout, _ := call(t, strings.Fields("config "+name+" --help")...)
+		if status != exitOK || !strings.Contains(stdout, "Examples:\n  mosslead config ") {
+			t.Errorf("config %s --help: got status %d, stdout %q; want status %d and an example", name, status, stdout, exitOK)
 		}
 	}
 }
 
-// What is put can be read again, gone back from and deleted; each is a new version, based on the one that there was.
+// Settings can be put, read, reverted to an earlier version and deleted. Each change is a new version, based on the current one.
 func TestSettingsArePutReadAndTakenBack(t *testing.T) {
-	s, at := standsIn(t)
-	first, second := ordersFile(t, orders), ordersFile(t, otherOrders)
+	s, at := startFakeService(t)
+	first, second := writeOrdersFile(t, ordersSettings), writeOrdersFile(t, otherSettings)
 	for _, c := range []struct {
-		line, out, said string
-		status          int
+		line, stdout, stderr string
+		status               int
 	}{
-		{"get orders", "", "there are no settings of orders", failed},
-		{"delete orders", "", "there are no settings of orders", failed},
-		{"back orders", "", "there are no settings of orders", failed},
-		{"put orders --file " + first, "orders   done     7        0", "", done},
-		{"back orders", "", "no earlier version", failed},
-		{"put orders --file " + second + " --if-version 0", "", "conflict: the settings are at version 7", failed},
-		{"put orders --file " + second + " -o json", `"version": 14`, "", done},
-		{"get", "orders   -       14       1       7", "", done},
-		{"get orders", `"SendCap": 3`, "", done},
-		{"get orders --version 7 -o json", `"SendCap": 5`, "", done},
-		{"get orders --version 8", "", "version 8 of the settings of orders is not remembered", failed},
-		{"back orders --to 14", "", "version 14 is the present one", failed},
-		{"back orders", "orders   done     21       14", "", done},
-		{"get orders", `"SendCap": 5`, "", done},
-		{"delete orders", "orders   done     28       21", "", done},
-		{"get orders", "deleted", "", done},
-		{"delete orders", "", "there are no settings of orders", failed},
-		{"back orders -o json", `"based_on": 0`, "", done},
-		{"back orders --to 28", "", "version 28 of the settings of orders is not remembered", failed},
-		{"back orders --to 14", "orders   done     42       35", "", done},
+		{"get orders", "", "there are no settings of orders", exitFailed},
+		{"delete orders", "", "there are no settings of orders", exitFailed},
+		{"back orders", "", "there are no settings of orders", exitFailed},
+		{"put orders --file " + first, "orders   done     7        0", "", exitOK},
+		{"back orders", "", "no earlier version", exitFailed},
+		{"put orders --file " + second + " --if-version 0", "", "conflict: the settings are at version 7", exitFailed},
+		{"put orders --file " + second + " -o json", `"version": 14`, "", exitOK},
+		{"get", "orders   -       14       1       7", "", exitOK},
+		{"get orders", `"SendCap": 3`, "", exitOK},
+		{"get orders --version 7 -o json", `"SendCap": 5`, "", exitOK},
+		{"get orders --version 8", "", "version 8 of the settings of orders is not remembered", exitFailed},
+		{"back orders --to 14", "", "version 14 is the present one", exitFailed},
+		{"back orders", "orders   done     21       14", "", exitOK},
+		{"get orders", `"SendCap": 5`, "", exitOK},
+		{"delete orders", "orders   done     28       21", "", exitOK},
+		{"get orders", "deleted", "", exitOK},
+		{"delete orders", "", "there are no settings of orders", exitFailed},
+		{"back orders -o json", `"based_on": 0`, "", exitOK},
+		{"back orders --to 28", "", "version 28 of the settings of orders is not remembered", exitFailed},
+		{"back orders --to 14", "orders   done     42       35", "", exitOK},
 	} {
-		status, out, said := call(t, append(strings.Fields("config "+c.line), "--registry", at)...)
-		if status != c.status || !strings.Contains(out, c.out) || c.out == "" && out != "" || !strings.Contains(said, c.said) || c.said == "" && said != "" {
-			t.Fatalf("%s: status %d, printed %q, said %q", c.line, status, out, said)
+		status, stdout, stderr := call(t, append(strings.Fields("config "+c.line), "--registry", at)...)
+		if status != c.status || !strings.Contains(stdout, c.stdout) || c.stdout == "" && stdout != "" || !strings.Contains(stderr, c.stderr) || c.stderr == "" && stderr != "" {
+			t.Fatalf("%s: got status %d, stdout %q, stderr %q; want status %d, stdout %q, stderr %q", c.line, status, stdout, stderr, c.status, c.stdout, c.stderr)
 		}
 	}
 	if len(s.versions) != 6 {
-		t.Errorf("%d versions", len(s.versions))
+		t.Errorf("got %d versions, want 6", len(s.versions))
 	}
 }
 
-// Guards against an outcome that is not the true one: where the answer to a change is lost, what became of it is looked up.
+// Guards against a wrong outcome of a change whose response is lost: the command looks up whether it was done.
 func TestTheOutcomeOfAPutWhoseAnswerIsLostIsTheTrueOne(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		before  int // versions that there are
-		lose    func(s *standIn, done func())
+		before  int // number of versions before the change
+		lose    func(s *fakeService, done func())
 		delete  bool
 		outcome string
 		version int64
 		status  int
-		says    string
+		stderr  string
 	}{
-		{"carried out", 1, func(_ *standIn, done func()) { done() }, false, outcomeDone, 14, done, "looked up: the put was done under version 14"},
-		{"the first", 0, func(_ *standIn, done func()) { done() }, false, outcomeDone, 7, done, "done under version 7"},
-		{"never arrived", 1, func(*standIn, func()) {}, false, outcomeNot, 7, failed, "Do it again with --if-version 7"},
-		{"never arrived, the first", 0, func(*standIn, func()) {}, false, outcomeNot, 0, failed, "Do it again with --if-version 0"},
-		{"another came first", 1, func(s *standIn, _ func()) { s.add(orders) }, false, outcomeNot, 14, failed, "another change came first; version 14"},
-		{"carried out, and another since", 1, func(s *standIn, done func()) { done(); s.add(orders) }, false, outcomeDone, 14, done, "and version 21 has followed"},
-		{"carried out, and many since", 1, func(s *standIn, done func()) {
+		{"carried out", 1, func(_ *fakeService, done func()) { done() }, false, outcomeDone, 14, exitOK, "looked up: the put was done under version 14"},
+		{"the first", 0, func(_ *fakeService, done func()) { done() }, false, outcomeDone, 7, exitOK, "done under version 7"},
+		{"never arrived", 1, func(*fakeService, func()) {}, false, outcomeNotDone, 7, exitFailed, "Do it again with --if-version 7"},
+		{"never arrived, the first", 0, func(*fakeService, func()) {}, false, outcomeNotDone, 0, exitFailed, "Do it again with --if-version 0"},
+		{"another came first", 1, func(s *fakeService, _ func()) { s.add(ordersSettings) }, false, outcomeNotDone, 14, exitFailed, "another change came first; version 14"},
+		{"carried out, and another since", 1, func(s *fakeService, done func()) { done(); s.add(ordersSettings) }, false, outcomeDone, 14, exitOK, "and version 21 has followed"},
+		{"carried out, and many since", 1, func(s *fakeService, done func()) {
 			done()
 			for range api.MaxEarlierRevisions + 1 {
-				s.add(orders)
+				s.add(ordersSettings)
 			}
-		}, false, outcomeUnknown, 49, failed, "what is remembered does not tell"},
-		{"deleted by another since", 1, func(s *standIn, done func()) { done(); s.remove() }, false, outcomeDone, 14, done, "and version 21 has followed"},
-		{"deleted by another, and put", 1, func(s *standIn, _ func()) { s.remove(); s.add(orders) }, false, outcomeNot, 21, failed, "another change came first"},
-		{"went back", 1, func(s *standIn, done func()) { done(); s.versions = s.versions[:0] }, false, outcomeUnknown, 0, failed, "it is unknown"},
-		{"deleted", 2, func(_ *standIn, done func()) { done() }, true, outcomeDone, 21, done, "the delete was done under version 21"},
-		{"deleted, and put by another", 2, func(s *standIn, done func()) { done(); s.add(orders) }, true, outcomeUnknown, 28, failed, "it is unknown"},
-		{"not deleted, and put by another", 2, func(s *standIn, _ func()) { s.add(orders) }, true, outcomeUnknown, 21, failed, "it is unknown"},
-		{"not deleted", 2, func(*standIn, func()) {}, true, outcomeNot, 14, failed, "the delete was not done up to now"},
+		}, false, outcomeUnknown, 49, exitFailed, "what is remembered does not tell"},
+		{"deleted by another since", 1, func(s *fakeService, done func()) { done(); s.remove() }, false, outcomeDone, 14, exitOK, "and version 21 has followed"},
+		{"deleted by another, and put", 1, func(s *fakeService, _ func()) { s.remove(); s.add(ordersSettings) }, false, outcomeNotDone, 21, exitFailed, "another change came first"},
+		{"went back", 1, func(s *fakeService, done func()) { done(); s.versions = s.versions[:0] }, false, outcomeUnknown, 0, exitFailed, "it is unknown"},
+		{"deleted", 2, func(_ *fakeService, done func()) { done() }, true, outcomeDone, 21, exitOK, "the delete was done under version 21"},
+		{"deleted, and put by another", 2, func(s *fakeService, done func()) { done(); s.add(ordersSettings) }, true, outcomeUnknown, 28, exitFailed, "it is unknown"},
+		{"not deleted, and put by another", 2, func(s *fakeService, _ func()) { s.add(ordersSettings) }, true, outcomeUnknown, 21, exitFailed, "it is unknown"},
+		{"not deleted", 2, func(*fakeService, func()) {}, true, outcomeNotDone, 14, exitFailed, "the delete was not done up to now"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, at := standsIn(t, []string{orders, orders}[:c.before]...)
-			s.lose = c.lose
-			args := []string{"config", "put", "orders", "--file", ordersFile(t, otherOrders), "-o", "json", "--registry", at}
+			s, at := startFakeService(t, []string{ordersSettings, ordersSettings}[:c.before]...)
+			s.loseAnswer = c.lose
+			args := []string{"config", "put", "orders", "--file", writeOrdersFile(t, otherSettings), "-o", "json", "--registry", at}
 			if c.delete {
 				args = []string{"config", "delete", "orders", "-o", "json", "--registry", at}
 			}
-			status, out, said := call(t, args...)
-			var got changed
-			if err := json.Unmarshal([]byte(out), &got); err != nil {
-				t.Fatalf("%v: %q, %q", err, out, said)
+			status, stdout, stderr := call(t, args...)
+			var got changeResult
+			if err := json.Unmarshal([]byte(stdout), &got); err != nil {
+				t.Fatalf("decoding stdout %q: %v; stderr %q", stdout, err, stderr)
 			}
-			if status != c.status || got.Outcome != c.outcome || got.Version != c.version || !got.Lost || !strings.Contains(said, c.says) {
-				t.Errorf("status %d, %+v, said %q; want %d, %s, version %d, %q", status, got, said, c.status, c.outcome, c.version, c.says)
+			if status != c.status || got.Outcome != c.outcome || got.Version != c.version || !got.AnswerLost || !strings.Contains(stderr, c.stderr) {
+				t.Errorf("got status %d, %+v, stderr %q; want status %d, outcome %s, version %d, a lost response, stderr with %q", status, got, stderr, c.status, c.outcome, c.version, c.stderr)
 			}
 		})
 	}
 }
 
-// add puts a text, as another operator.
-func (s *standIn) add(text string) {
+// add puts settings, as a change by another operator.
+func (s *fakeService) add(text string) {
 	last := int64(0)
 	if n := len(s.versions); n > 0 {
 		last = s.versions[n-1].Revision
@@ -275,80 +276,80 @@
 	s.versions = append(s.versions, api.Document{Service: "orders", Revision: last + 7, Schema: 1, Settings: json.RawMessage(text)})
 }
 
-// remove deletes what there is, as another operator.
-func (s *standIn) remove() {
+// remove deletes the settings, as a change by another operator.
+func (s *fakeService) remove() {
 	s.add("")
 	last := &s.versions[len(s.versions)-1]
 	last.Deleted, last.Settings = true, nil
 }
 
-// briefly is call with little time: nobody answers.
-func briefly(t *testing.T, args ...string) (status int, out, said string) {
+// callWithin1s is call with a timeout of 1 s, for services that do not respond.
+func callWithin1s(t *testing.T, args ...string) (status int, stdout, stderr string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	var o, e bytes.Buffer
-	status = (&app{out: &o, err: &e}).run(ctx, args)
-	return status, o.String(), e.String()
+	var outBuf, errBuf bytes.Buffer
+	status = (&app{stdout: &outBuf, stderr: &errBuf}).run(ctx, args)
+	return status, outBuf.String(), errBuf.String()
 }
 
-// A service that can't be reached is an error in one line, and what it says is not claimed: nothing was asked, so nothing was done.
+// A service that can't be reached is an error of one line, and a change is not reported as done.
 func TestAServiceThatCantBeReachedIsSaid(t *testing.T) {
-	path := ordersFile(t, orders)
+	path := writeOrdersFile(t, ordersSettings)
 	for _, line := range []string{"put orders --file " + path, "put orders --if-version 3 --file " + path, "get orders", "get", "back orders", "delete orders", "status"} {
 		t.Run(line, func(t *testing.T) {
 			t.Parallel()
-			status, out, said := briefly(t, append(strings.Fields("config "+line), "--registry", "127.0.0.1:1")...)
-			if status != failed || !strings.Contains(said, "connection refused") || strings.Count(said, "\n") != 1 || strings.Contains(out, outcomeDone) {
-				t.Errorf("status %d, printed %q, said %q", status, out, said)
+			status, stdout, stderr := callWithin1s(t, append(strings.Fields("config "+line), "--registry", "127.0.0.1:1")...)
+			if status != exitFailed || !strings.Contains(stderr, "connection refused") || strings.Count(stderr, "\n") != 1 || strings.Contains(stdout, outcomeDone) {
+				t.Errorf("got status %d, stdout %q, stderr %q; want status %d, one line on stderr with connection refused, no outcome %s", status, stdout, stderr, exitFailed, outcomeDone)
 			}
 		})
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("<html>")) }))
 	defer server.Close()
-	if status, out, said := briefly(t, "config", "get", "orders", "--registry", server.Listener.Addr().String()); status != failed || out != "" ||
-		!strings.Contains(said, "invalid character") {
-		t.Errorf("an answer that is none: status %d, %q, %q", status, out, said)
+	if status, stdout, stderr := callWithin1s(t, "config", "get", "orders", "--registry", server.Listener.Addr().String()); status != exitFailed || stdout != "" ||
+		!strings.Contains(stderr, "invalid character") {
+		t.Errorf("response that is not JSON: got status %d, stdout %q, stderr %q; want status %d, no stdout, stderr with invalid character", status, stdout, stderr, exitFailed)
 	}
 }
 
-// Each region's counts are its own, those in whom settings are not in force are named with why, and a region that says nothing is named
-// and fails the command, after all that the others say.
+// The status lists the counts of each region, and the sidecars where settings are not in force, with the reason. A region that does not
+// respond is named after the other regions' counts, and the command fails.
 func TestStatusTellsRegionsApart(t *testing.T) {
-	south, at := standsIn(t)
-	north, northAt := standsIn(t)
+	south, at := startFakeService(t)
+	north, northAt := startFakeService(t)
 	document := api.Document{Service: "orders", Region: "south", Revision: 41, Schema: 1}
 	south.rollouts = api.Rollouts{Region: "south", Rollouts: []api.Rollout{
 		{Document: document, InForce: 7, Behind: 1, Rejected: 1, Silent: 25, NotInForce: []api.Ack{
 			{Node: "n3", Service: "orders", Region: "south", Revision: 40, RejectedRevision: 41, Reason: "setting Classes: none\ngiven"}, {Node: "n9", Service: "orders", SilentMs: 181_000}}},
 		{Document: api.Document{Service: "fares", Region: "south", Revision: 3, Deleted: true}}}}
-	for range namedMost {
+	for range maxListedSidecars {
 		south.rollouts.Rollouts[0].NotInForce = append(south.rollouts.Rollouts[0].NotInForce, api.Ack{Node: "n0", Region: "north", Revision: 9})
 	}
 	north.rollouts = api.Rollouts{Region: "north", Rollouts: []api.Rollout{{Document: document, InForce: 5}}}
-	status, out, said := call(t, "config", "status", "--registry", at, "--region", "north="+northAt)
+	status, stdout, stderr := call(t, "config", "status", "--registry", at, "--region", "north="+northAt)
 	for _, want := range []string{"orders   south  41         south        7         1       1         25", "orders   south  41         north        5",
 		"fares    south  3 deleted", "orders version 41 is not in force in south at:", "rejected 41: setting Classes: none given", "has its file's settings", "not heard for 3m1s",
 		"has version 9 of north", "and 7 more"} {
-		if status != done || !strings.Contains(out, want) || said != "" {
-			t.Errorf("status %d, said %q, lacks %q:\n%s", status, said, want, out)
+		if status != exitOK || !strings.Contains(stdout, want) || stderr != "" {
+			t.Errorf("got status %d, stderr %q; want status %d, no stderr, and %q in stdout:\n%s", status, stderr, exitOK, want, stdout)
 		}
 	}
-	if status, out, _ := call(t, "config", "status", "fares", "--registry", at, "--region", "north="+northAt); status != done || strings.Contains(out, "orders") {
-		t.Errorf("fares: status %d:\n%s", status, out)
+	if status, stdout, _ := call(t, "config", "status", "fares", "--registry", at, "--region", "north="+northAt); status != exitOK || strings.Contains(stdout, "orders") {
+		t.Errorf("status of fares: got status %d, want %d, and no orders in stdout:\n%s", status, exitOK, stdout)
 	}
-	if status, _, said := call(t, "config", "status", "nothing", "--registry", at); status != failed || !strings.Contains(said, "there are no settings of nothing") {
-		t.Errorf("nothing: status %d, %q", status, said)
+	if status, _, stderr := call(t, "config", "status", "nothing", "--registry", at); status != exitFailed || !strings.Contains(stderr, "there are no settings of nothing") {
+		t.Errorf("status of an unknown service: got status %d, stderr %q; want status %d, stderr with there are no settings of nothing", status, stderr, exitFailed)
 	}
-	status, out, said = briefly(t, "config", "status", "--registry", at, "--region", "west=127.0.0.1:1", "--region", "east="+northAt)
-	if status != failed || !strings.Contains(said, "no answer from west, east") || !strings.Contains(out, "connection refused") ||
-		!strings.Contains(out, `east: region "north" answers there`) || !strings.Contains(out, "orders   south  41") {
-		t.Errorf("west and east: status %d, said %q:\n%s", status, said, out)
+	status, stdout, stderr = callWithin1s(t, "config", "status", "--registry", at, "--region", "west=127.0.0.1:1", "--region", "east="+northAt)
+	if status != exitFailed || !strings.Contains(stderr, "no answer from west, east") || !strings.Contains(stdout, "connection refused") ||
+		!strings.Contains(stdout, `east: region "north" answers there`) || !strings.Contains(stdout, "orders   south  41") {
+		t.Errorf("west and east: got status %d, stderr %q; want status %d, no answer from west, east, and in stdout the reasons and the counts of south:\n%s", status, stderr, exitFailed, stdout)
 	}
-	status, out, _ = briefly(t, "config", "status", "-o", "json", "--registry", at, "--region", "west=127.0.0.1:1")
+	status, stdout, _ = callWithin1s(t, "config", "status", "-o", "json", "--registry", at, "--region", "west=127.0.0.1:1")
 	var all struct{ Regions []regionStatus }
-	if err := json.Unmarshal([]byte(out), &all); status != failed || err != nil || len(all.Regions) != 2 || all.Regions[0].Rollouts[0].InForce != 7 ||
-		all.Regions[1].Region != "west" || all.Regions[1].Failed == "" {
-		t.Errorf("-o json: status %d, %v:\n%s", status, err, out)
+	if err := json.Unmarshal([]byte(stdout), &all); status != exitFailed || err != nil || len(all.Regions) != 2 || all.Regions[0].Rollouts[0].InForce != 7 ||
+		all.Regions[1].Region != "west" || all.Regions[1].Error == "" {
+		t.Errorf("-o json: got status %d, error %v; want status %d, region south with 7 in force, region west with an error:\n%s", status, err, exitFailed, stdout)
 	}
 }
--- a/internal/cli/loadtest.go
+++ b/internal/cli/loadtest.go
@@ -19,17 +19,17 @@
 	churnEntries    = 5000
 	churnChanges    = 1500
 	churnTime       = 7 * time.Second
-	churnFraction   = 10 // one in this many of the returning watchers also watches the churn
+	churnFraction   = 10 // 1 of churnFraction returning watchers also watches the churn
 	returnEntries   = 500
 	returnTime      = time.Second
 )
 
-// loadTest is what `mosslead lab service` measures.
+// loadTest holds the parameters of `mosslead lab service`.
 type loadTest struct {
-	watchers, entries []int
-	changes, rush     int
-	renewals          float64 // per second
-	length            time.Duration
+	watchers, entries  []int         // each number of watchers is measured with each number of entries
+	changes, returning int           // changes in each of these measurements; number of watchers that come back at once
+	renewals           float64       // per second
+	length             time.Duration // how long leases are renewed
 }
 
 // loadTestResult is the result of a loadTest.
@@ -48,7 +48,7 @@
 		Short: "Measure what the list service bears: watchers of one replica, and leases of a quorum",
 		Example: "  mosslead lab service\n  mosslead lab service --watchers 10000 --entries 1000 -o json\n" +
 			"  mosslead lab service --watchers 0 --renewals 2000",
-		Args: args(cobra.NoArgs),
+		Args: checkArgs(cobra.NoArgs),
 	}
 	format := outputFlag(c)
 	c.Flags().IntSliceVar(&test.watchers, "watchers", []int{1000, 5000, 10000}, "numbers of watchers; 0: none are measured")
@@ -56,7 +56,7 @@
 	c.Flags().IntVar(&test.changes, "changes", 20, "changes for each")
 	c.Flags().Float64Var(&test.renewals, "renewals", 2000, "renewals a second, of a quorum of three; 0: none are measured")
 	c.Flags().DurationVar(&test.length, "length", 10*time.Second, "how long leases are renewed")
-	c.Flags().IntVar(&test.rush, "rush", 10000, "watchers that come back within a second; a tenth of them watch 1,500 of 5,000 entries change in 7 s; 0: none")
+	c.Flags().IntVar(&test.returning, "rush", 10000, "watchers that come back within a second; a tenth of them watch 1,500 of 5,000 entries change in 7 s; 0: none")
 	c.Flags().StringVar(&out, "out", "", "directory of watchers.svg and of the replicas' logs (logs/lab/service-TIME)")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		self, err := executable()
@@ -77,7 +77,7 @@
 	return c
 }
 
-// run measures watchers, renewals, churn and returning watchers, in this order, as far as they are asked for.
+// run measures watchers, renewals, churn and returning watchers, in this order. It leaves out those whose parameter is 0.
 func (t *loadTest) run(ctx context.Context, run loadtest.Runner) (result loadTestResult, err error) {
 	if result.Watchers, err = t.measureWatchers(ctx, run); err != nil {
 		return result, err
@@ -89,20 +89,20 @@
 		}
 		result.Renewals = append(result.Renewals, r)
 	}
-	if t.rush <= 0 {
+	if t.returning <= 0 {
 		return result, nil
 	}
-	churn, err := run.MeasureChurn(ctx, t.rush/churnFraction, churnEntries, churnChanges, churnTime)
+	churn, err := run.MeasureChurn(ctx, t.returning/churnFraction, churnEntries, churnChanges, churnTime)
 	if err != nil {
 		return result, err
 	}
 	result.Churn = append(result.Churn, churn)
 	for _, fullList := range []bool{false, true} {
-		back, err := run.MeasureReturn(ctx, t.rush, returnEntries, fullList, returnTime)
+		returned, err := run.MeasureReturn(ctx, t.returning, returnEntries, fullList, returnTime)
 		if err != nil {
 			return result, err
 		}
-		result.Return = append(result.Return, back)
+		result.Return = append(result.Return, returned)
 	}
 	return result, nil
 }
@@ -127,7 +127,7 @@
 	return results, loadtest.Plot(filepath.Join(run.Dir, "watchers.svg"), results)
 }
 
-// writeTables writes the result for people.
+// writeTables writes the result as text columns.
 func (r *loadTestResult) writeTables(w io.Writer) {
 	_, _ = fmt.Fprintln(w, "watchers\tentries\tchanges\tp50 ms\tp99 ms\tmost ms\tunheard\tKB a watcher\tCPU ms a change")
 	for _, x := range r.Watchers {
