--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// keyedSettings returns settings without hedging, and with one class that is idempotent by key.
-func keyedSettings(scope KeyScope) Settings {
+// idempotentByKeySettings returns settings without hedging, and with one class that is idempotent by key.
+func idempotentByKeySettings(scope KeyScope) Settings {
 	s := testSettings()
 	s.Hedging = false
 	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentByKey, KeyScope: scope, DedupWindow: time.Second}}
@@ -113,7 +113,7 @@
 			entries = append(entries, entry)
 		}
 		for n := range 40 {
-			r := newRig(t, keyedSettings(scope))
+			r := newRig(t, idempotentByKeySettings(scope))
 			r.b.rng.Uint64() // varies the random choices
 			for range n {
 				r.b.rng.Uint64()
@@ -131,7 +131,7 @@
 
 // The dedup window starts when the attempt that may have run is sent. After it, there is no other attempt.
 func TestDedupWindow(t *testing.T) {
-	s := keyedSettings(KeyScopeAll)
+	s := idempotentByKeySettings(KeyScopeAll)
 	s.Classes[0].DedupWindow = 100 * ms
 	s.Classes[0].LatencyObjective = time.Second
 	r := newRig(t, s)
@@ -143,7 +143,7 @@
 
 func TestIdempotentByKeyRejection(t *testing.T) {
 	for scope, want := range map[KeyScope]ActionKind{KeyScopeAll: Reject, KeyScopeZone: Fail, KeyScopeCell: Fail} {
-		s := keyedSettings(scope)
+		s := idempotentByKeySettings(scope)
 		s.MaxAttempts = 1
 		r := newRig(t, s)
 		r.setEndpoints(3)
@@ -153,7 +153,7 @@
 }
 
 func TestNeverTwoPendingWithoutHedging(t *testing.T) {
-	r := newRig(t, keyedSettings(KeyScopeZone))
+	r := newRig(t, idempotentByKeySettings(KeyScopeZone))
 	r.setEndpoints(4)
 	r.wantAttempt(r.request("1", "k", time.Second))
 	var cancelled bool
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -15,9 +15,9 @@
 	// slowStartSafety is the used fraction of the load that makes an endpoint fail. The margin is needed because
 	// the endpoint's capacity may be smaller than stated.
 	slowStartSafety = 0.45
-	// heldTokenFraction bounds the tokens that all sidecars together hold for an endpoint on average, as a
+	// unusedTokenFraction bounds the tokens that all sidecars together hold for an endpoint on average, as a
 	// fraction of the tokens that they get within OverloadDuration.
-	heldTokenFraction = 1.0
+	unusedTokenFraction = 1.0
 	// A bucket holds at most the tokens of OverloadDuration divided by bucketDivisor, but at least one.
 	bucketDivisor = 10
 )
@@ -128,9 +128,9 @@
 	s.refilledAt = b.now
 	oldTokens := s.tokens
 	s.tokens = min(max(1, windowTokens/bucketDivisor), oldTokens+perSecond*elapsed)
-	if meanTokens := heldTokenFraction * windowTokens; s.tokens >= 1 && meanTokens > 0 && meanTokens < 1 {
+	if meanTokens := unusedTokenFraction * windowTokens; s.tokens >= 1 && meanTokens > 0 && meanTokens < 1 {
 		holdTime := elapsed - max(0, 1-oldTokens)/perSecond
-		meanHoldTime := heldTokenFraction * b.settings.OverloadDuration.Seconds() / (1 - meanTokens)
+		meanHoldTime := unusedTokenFraction * b.settings.OverloadDuration.Seconds() / (1 - meanTokens)
 		if b.rng.Float64() > math.Exp(-holdTime/meanHoldTime) {
 			s.tokens = 0
 		}
