--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -17,8 +17,8 @@
 	StartAttempt ActionKind = iota
 	// CancelAttempt ends attempt number Attempt of request ID.
 	CancelAttempt
-	// Reject is the final answer to request ID: it did not run, or may run again. RetryAfter is how long
-	// the client should wait before it sends the request again.
+	// Reject is the final answer to request ID, which did not run or may run again. RetryAfter is how long the
+	// client should wait before it sends the request again.
 	Reject
 	// Fail is the final answer to request ID: it is unknown whether the request ran.
 	Fail
@@ -28,8 +28,9 @@
 	Subscribe
 	// Log is a log line for operators: Text and Attrs.
 	Log
-	// ReportEvidence reports this sidecar's evidence on the process of Upstream that started at At to other
-	// sidecars: Class, Evidence, Count, Suspicion and Probe. It is emitted only with Settings.ShareEvidence.
+	// ReportEvidence reports to other sidecars what this sidecar's attempts show about the process of Upstream
+	// that started at At, with Class, Evidence, Count, Suspicion and Probe. It is emitted only with
+	// Settings.ShareEvidence.
 	ReportEvidence
 )
 
@@ -51,7 +52,7 @@
 	Count     int    // number of attempts that the evidence is based on
 	Class     string // class of these attempts' requests; empty: all classes
 	Suspicion bool   // a first failure; the endpoint is not ejected
-	Probe     bool   // result of a probe made for all sidecars; EvidenceNone is a success
+	Probe     bool   // result of a probe made for all sidecars; EvidenceNone if it succeeded
 }
 
 // LogLine returns the line of a Log action as plain text: Text, then the attributes as key=value.
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -39,13 +39,13 @@
 )
 
 // admission decides which requests are admitted. It compares the number of requests in flight with the number
-// that is served while one of them may wait (Little's law), and sheds the least valuable requests while too
-// many are in flight.
+// that endpoints serve in the time that a request may wait (Little's law), and sheds the requests of lowest
+// value while too many are in flight.
 type admission struct {
 	limitFraction float64 // fraction of their objective that requests in flight may wait, on average
 
 	inFlight          int
-	stalled           int           // number of them that will probably get no answer, see checkStalled
+	stalled           int           // requests in flight that will probably get no answer, see checkStalled
 	inverseObjectives float64       // sum of 1/objective over the requests in flight, 1/s
 	arrivalSum        time.Duration // sum of their arrival times; may overflow and wrap around
 
@@ -94,13 +94,13 @@
 }
 
 // pressure returns the load in flight relative to the load that can be served in time. Above 1, requests in
-// flight would wait for more than limitFraction of their objective. It guards against queues that grow faster
-// than late answers show. usableEndpoints is the number of endpoints that share the work; an endpoint that
-// warms up counts as its capacity.
+// flight would wait for more than limitFraction of their objective. It shows a growing queue before late
+// answers do. usableEndpoints is the number of endpoints that can be sent work; an endpoint that warms up
+// counts as its capacity.
 //
 // With few requests in flight the rate of answers is too noisy. Then, and while no endpoint can be congested,
 // the duration of recent attempts is used instead: the rate of answers also falls because load is shed, and
-// would keep load shedding active after an overload has ended.
+// would prolong load shedding after the end of an overload.
 func (a *admission) pressure(now time.Duration, fleetSize int, usableEndpoints float64) float64 {
 	n := float64(a.inFlight)
 	perEndpoint := (n - float64(a.stalled)) * float64(fleetSize) / usableEndpoints
@@ -148,9 +148,9 @@
 	return rng.Float64()*(t.perSecond(now)/total) > quota
 }
 
-// carriedLoad returns the load on the endpoints, in requests of mean work per second. While load is shed,
-// it is at least the load from before: shed requests are missing from the offered load, and endpoints that
-// warm up are needed most at that time.
+// carriedLoad returns the load on the endpoints, in requests of mean work per second. While load is shed, it
+// is no lower than before the shedding: shed requests are missing from the offered load, and endpoints that
+// warm up are particularly needed at that time.
 func (a *admission) carriedLoad(now time.Duration) float64 {
 	load := a.offered.perSecond(now)
 	if a.lastShedAt != 0 {
@@ -159,8 +159,8 @@
 	return load
 }
 
-// observeCongestion records how much of its request's objective an attempt took. A repeated rejection by one
-// endpoint is a sign of a problem of that endpoint, and not of congestion.
+// observeCongestion records an attempt's duration as a fraction of its request's objective. A repeated
+// rejection by one endpoint is a sign of a problem of that endpoint, and not of congestion.
 func (a *admission) observeCongestion(att *attempt, res Result, elapsed, now time.Duration) {
 	r := att.request
 	usedFraction := min(elapsed.Seconds()/(r.objectiveAt-r.arrivedAt).Seconds(), maxCongestion)
@@ -186,12 +186,12 @@
 	}
 }
 
-// pressure returns the pressure of admission over the endpoints that take work now.
+// pressure returns the pressure of admission over the endpoints that can be sent work now.
 func (b *Balancer) pressure() float64 {
 	return b.admission.pressure(b.now, b.settings.FleetSize, b.usableCapacity())
 }
 
-// usableCapacity returns the number of endpoints that take work now. One that warms up counts as its
+// usableCapacity returns the number of endpoints that can be sent work now. One that warms up counts as its
 // capacity.
 func (b *Balancer) usableCapacity() float64 {
 	sum := 0.0
@@ -227,7 +227,7 @@
 }
 
 // value returns a request's priority weight per unit of work; with WeightByWork, the weight is already per
-// unit. A request that is past its objective or over its tenant's quota is worth less.
+// unit. A request that is past its objective or over its tenant's quota has a lower value.
 func (b *Balancer) value(r *request) float64 {
 	v := r.class.PriorityWeight
 	if !b.settings.WeightByWork {
@@ -242,8 +242,8 @@
 	return v
 }
 
-// adjustLimit adjusts the limit of admission by a request that has ended. A request without attempts says
-// nothing about the endpoints. An endpoint that has not answered since the last attempt was sent hangs, and
+// adjustLimit adjusts the limit of admission after a request has ended. A request without attempts gives no
+// information on the endpoints. An endpoint that has not answered since the last attempt was sent hangs, and
 // is not congested.
 func (b *Balancer) adjustLimit(r *request) {
 	if len(r.attempts) == 0 {
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Under pressure, the least valuable requests are shed first.
+// Under pressure, the requests of lowest value are shed first.
 func TestLowestValueIsShedFirst(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
@@ -30,11 +30,11 @@
 		r.now += 5 * ms
 	}
 	if rejected["c"] < 10 || rejected["dear"] > rejected["c"]/2 {
-		t.Errorf("got rejected requests %v by class, want at least 10 of c and at most half as many of dear", rejected)
+		t.Errorf("got rejected requests %v by class, want 10 or more of c and no more than half as many of dear", rejected)
 	}
 }
 
-// Part of the requests of a tenant above its quota is worth less.
+// A part of the requests of a tenant above its quota has a lower value.
 func TestOverQuotaCountsLess(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "big", Quota: 0.5}, {Name: "small", Quota: 0.5}}
@@ -60,17 +60,18 @@
 	fleet.run(20*time.Second, 100)
 	total := fleet.totalAttempts()
 	if limit := float64(fleet.requests)*(1+retryBudgetRatio) + minRetryBudget; float64(total) > limit {
-		t.Errorf("got %d attempts for %d requests, want at most %.0f", total, fleet.requests, limit)
+		t.Errorf("got %d attempts for %d requests, want %.0f or fewer", total, fleet.requests, limit)
 	}
 }
 
-// Retries of refused connections are not bounded by the retry budget, and do not use it up for later hedging.
+// Retries after failed connects are not bounded by the retry budget, and do not make it negative, which would delay later
+// hedging.
 func TestFailedConnectsDoNotRunUpADebt(t *testing.T) {
 	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
 	fleet.setEndpoints(4)
 	fleet.run(5*time.Second, 100)
 	if fleet.b.retryBudget.tokens < 0 {
-		t.Errorf("got a retry budget of %v after refused connections, want 0 or more", fleet.b.retryBudget.tokens)
+		t.Errorf("got a retry budget of %v after failed connects, want 0 or more", fleet.b.retryBudget.tokens)
 	}
 }
 
@@ -91,7 +92,7 @@
 	}
 }
 
-// Guards against picks of an endpoint that immediately answers with errors, while the queues of the others take longer than
+// Guards against picks of an endpoint that immediately answers with errors, while the queues of the others last longer than
 // the penalty for an error (id62488).
 func TestErrorsAtOnceDrawNoPicks(t *testing.T) {
 	failing := true
@@ -106,7 +107,7 @@
 	fleet.setEndpoints(4)
 	fleet.run(10*time.Second, 250)
 	if fleet.sentTo["u0"] > 40 {
-		t.Errorf("endpoint that only answers with errors got %d attempts, want at most 40", fleet.sentTo["u0"])
+		t.Errorf("endpoint that only answers with errors got %d attempts, want 40 or fewer", fleet.sentTo["u0"])
 	}
 	failing = false
 	fleet.run(10*time.Second, 250)
@@ -252,27 +253,27 @@
 	}
 }
 
-// A sidecar with a low load also sheds load in an overload: it does so if attempts take about their objective or longer,
-// although it never has more than one request in flight, and stops soon after the overload.
+// A sidecar with a low load also sheds load in an overload: it does so if attempts last about as long as their objective or
+// longer, although it never has more than one request in flight, and stops soon after the overload.
 func TestQuietSidecarShedsInOverload(t *testing.T) {
 	latency := 240 * ms
 	fleet := newFakeFleet(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
 	fleet.setEndpoints(10)
 	fleet.run(20*time.Second, 3)
 	if fleet.finalAnswers[Reject] < 20 {
-		t.Errorf("%d of %d requests rejected while all took longer than their objective, want 20 or more", fleet.finalAnswers[Reject], fleet.requests)
+		t.Errorf("got %d of %d requests rejected while all attempts last longer than their objective, want 20 or more", fleet.finalAnswers[Reject], fleet.requests)
 	}
 	latency = 20 * ms
 	fleet.run(10*time.Second, 3)
 	rejected := fleet.finalAnswers[Reject]
 	fleet.run(10*time.Second, 3)
 	if fleet.finalAnswers[Reject] != rejected {
-		t.Errorf("%d requests rejected 10 to 20 s after the overload, want 0", fleet.finalAnswers[Reject]-rejected)
+		t.Errorf("got %d requests rejected 10 to 20 s after the overload, want 0", fleet.finalAnswers[Reject]-rejected)
 	}
 }
 
-// Most late requests are costly, and so are their second attempts. A request is therefore hedged only if hedging succeeded
-// recently, or if its endpoint leaves a second attempt of this sidecar unanswered, too, and so probably hangs.
+// Late requests are usually costly, and so are their second attempts. A request is therefore hedged only if hedging succeeded
+// recently, or if its endpoint has not answered a second attempt of this sidecar, either, and so probably hangs.
 func TestHedgingOnlyWhereTheEndpointHangs(t *testing.T) {
 	for _, c := range []struct{ secondPending, hedgingSucceeds, hedged bool }{{}, {true, false, true}, {false, true, true}} {
 		r := newRig(t, testSettings()) // objective 200 ms
@@ -314,14 +315,15 @@
 		fleet.setEndpoints(6)
 		fleet.run(30*time.Second, 100)
 		if hedges := fleet.totalAttempts() - fleet.requests; pauses != (fleet.b.hedges.successRatio > minHedgeSuccess) || !pauses && hedges > fleet.requests/20 {
-			t.Errorf("pauses %v: got %d hedged of %d requests and success ratio %.2f; want a ratio above %.2f only with pauses, and without them at most 1 in 20 hedged",
+			t.Errorf("pauses %v: got %d hedged of %d requests and success ratio %.2f; want a ratio above %.2f only with pauses, and without them no more than 1 in 20 hedged",
 				pauses, hedges, fleet.requests, fleet.b.hedges.successRatio, minHedgeSuccess)
 		}
 	}
 }
 
-// A rejected client is told to wait for the longest time allowed. If that ends before the deadline and a late answer has
-// value, the client would return after its objective and add to the load: it is then told to return in time.
+// The retry-after time of a rejected client is the longest one allowed. If that ends before the deadline and a late answer
+// has value, the client would return after its objective and add to the load. The time is then shortened, so that the client
+// returns before its objective ends.
 func TestAdviceOnRefusal(t *testing.T) {
 	for _, c := range []struct {
 		maxRetryAfter     time.Duration
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,7 +1,7 @@
 // Package balancer makes the decisions of a client-side load balancer that runs as a sidecar: which endpoint
 // gets an attempt, which requests are admitted, when to retry, to hedge and to give up, and which endpoints
 // are ejected. A sidecar calls New once and Handle for each event, and carries out the returned actions in
-// order. The package does no I/O and reads no clock, so a simulator and a real sidecar share it.
+// order. The package does no I/O and reads no clock, so that both a simulator and a real sidecar can use it.
 //
 // requests.go receives a request, and admission.go decides whether it is admitted. picker.go chooses an
 // endpoint among the candidates of subset.go and locality.go; retry.go checks whether an attempt is
@@ -10,7 +10,7 @@
 // load on an endpoint that has just started. evidence.go, peerverdict.go and probe.go exchange
 // evidence on endpoints with other sidecars.
 //
-// Three rules always hold: a request gets one final answer, in time (deadline.go); a request that must not
+// Three rules always apply: a request gets one final answer, in time (deadline.go); a request that must not
 // run twice is not sent again once it may have run (canAttempt); no request is sent to an endpoint that is
 // draining, removed or banned (canAttempt).
 //
@@ -72,8 +72,8 @@
 	return b, nil
 }
 
-// applySettings applies validated settings. The mean latency of a class and the request rate of a tenant are
-// kept under its name; requests in flight keep the class with which they arrived.
+// applySettings applies validated settings. The mean latency of a class and the request rate of a tenant
+// carry over to the new settings by name; requests in flight retain the class with which they arrived.
 func (b *Balancer) applySettings(s Settings) {
 	classes := map[string]*class{}
 	b.meanObjective = 0
@@ -86,7 +86,7 @@
 }
 
 // updateSettings changes the settings of a running sidecar, except for Zone and MustSubscribe, which change
-// with the next start.
+// only at the next start.
 func (b *Balancer) updateSettings(s Settings) {
 	if err := s.validate(); err != nil {
 		b.log("settings rejected", slog.Any("err", err))
--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Guards against requests to an endpoint that operators banned, whatever the endpoint list says.
+// Guards against requests to an endpoint that operators banned, regardless of the endpoint list.
 func TestBanOutlastsLists(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.handle(Ban{Upstream: "u0"}) // before the first list, as after an upgrade
@@ -34,7 +34,7 @@
 }
 
 // Guards against an endpoint that stays unused, or is overloaded, after its ban was cleared: it gets its first request soon,
-// although idle endpoints look faster, and then no more than its slow-start budget.
+// although idle endpoints seem faster, and then no more than its slow-start budget.
 func TestClearedBanBeginsSlowStartAndGetsWork(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(12)
@@ -68,12 +68,12 @@
 		}
 	}
 	if n > 20 {
-		t.Errorf("starting endpoint got %d of 100 simultaneous requests, want at most 20", n)
+		t.Errorf("starting endpoint got %d of 100 simultaneous requests, want 20 or fewer", n)
 	}
 }
 
-// Guards against the overload of an endpoint whose ban was cleared: every sidecar puts it first, and used to send it a
-// request at once. Now only few sidecars do.
+// Guards against the overload of an endpoint whose ban was cleared: every sidecar puts it first in its order, and would send
+// it a request at once. Only few sidecars may do so.
 func TestClearedBanIsNotOverloadedByAllSidecars(t *testing.T) {
 	for _, c := range []struct {
 		sidecars  int
@@ -118,7 +118,7 @@
 		allowed := 4 * 0.3 * c.perSecond * float64(c.sidecars) / 40 / 0.85
 		t.Logf("%d sidecars: got %d attempts, %d of them in the first round; %.0f are allowed", c.sidecars, attempts, firstRound, allowed)
 		if got := float64(attempts); got > allowed+2*math.Sqrt(allowed)+2 || firstRound == 0 {
-			t.Errorf("%d sidecars: got %d attempts, %d of them in the first round; want at most about %.0f, and some in the first round",
+			t.Errorf("%d sidecars: got %d attempts, %d of them in the first round; want about %.0f or fewer, and some in the first round",
 				c.sidecars, attempts, firstRound, allowed)
 		}
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -21,7 +21,7 @@
 			}
 			now := time.Minute
 			actions := balancer.Handle(now, EndpointUpdate{Endpoints: list}, nil)
-			const inFlight = 20 // each request is answered after so many more have arrived
+			const inFlight = 20 // each request is answered after this number of later ones have arrived
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += ms
--- a/balancer/body_test.go
+++ b/balancer/body_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against a slow client that makes its endpoint look slow, or its request late: the request's time starts with the
+// Guards against a slow client that makes its endpoint seem slow, or its request late: the request's time starts with the
 // last byte of its body.
 func TestOpenRequestsTimeBeginsWithItsBodysEnd(t *testing.T) {
 	r := newRig(t, testSettings())
@@ -16,7 +16,7 @@
 		t.Errorf("got %d in flight while the body arrives, want 0", r.b.admission.inFlight)
 	}
 	if cost, otherCost := r.b.cost(r.b.endpoints.byID[to]), r.b.cost(r.b.endpoints.byID[otherEndpoint(to)]); cost > 2.1*otherCost { // it has a pending attempt, but is not slower
-		t.Errorf("got cost %v with a pending attempt, want at most 2.1 times that of the other endpoint, %v", cost, otherCost)
+		t.Errorf("got cost %v with a pending attempt, want no more than 2.1 times that of the other endpoint, %v", cost, otherCost)
 	}
 	r.wantNothing(r.handle(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second}))
 	if r.b.admission.inFlight != 1 {
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against endpoints in slow start that stay unused when they are needed most: while load is shed, less is admitted,
-// and a budget in proportion to the admitted load would shrink, too.
+// Guards against endpoints in slow start that stay unused when they are particularly needed: while load is shed, less is
+// admitted, and a budget in proportion to the admitted load would shrink, too.
 func TestSlowStartHoldsWhileLoadIsShed(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(6)
@@ -31,16 +31,16 @@
 	r.b.admission.lastShedAt, r.b.admission.offeredAtShedding = r.now, r.b.admission.offered.perSecond(r.now)
 	r.now += 20 * time.Second // no request is admitted in this time
 	if after := tokensAfter200ms(); after < 0.9*before {
-		t.Errorf("got %.2f tokens in 0.2 s while load is shed, want at least 90%% of %.2f", after, before)
+		t.Errorf("got %.2f tokens in 0.2 s while load is shed, want 90%% of %.2f or more", after, before)
 	}
 	r.b.admission.lastShedAt = 0
 	if after := tokensAfter200ms(); after > 0.6*before {
-		t.Errorf("got %.2f tokens in 0.2 s with a low load, want at most 60%% of %.2f", after, before)
+		t.Errorf("got %.2f tokens in 0.2 s with a low load, want 60%% of %.2f or less", after, before)
 	}
 }
 
 // Guards against congestion while some endpoints are banned: the requests in flight are compared with the capacity of the
-// endpoints that take work.
+// endpoints that can be sent work.
 func TestCongestionIsMeasuredOnUsableEndpoints(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
@@ -51,7 +51,7 @@
 	}
 	r.advance(150 * ms)
 	if p := r.b.pressure(); p > 1 { // 6 in flight per endpoint, over both sidecars, and no attempt showed congestion
-		t.Errorf("got pressure %.2f with all endpoints in use, want at most 1", p)
+		t.Errorf("got pressure %.2f with all endpoints in use, want 1 or less", p)
 	}
 	for i := range 4 {
 		r.handle(Ban{Upstream: fmt.Sprint("u", i)})
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -9,11 +9,11 @@
 	stallObjectives = 1.5
 )
 
-// firstAttemptTime estimates, by majority vote, how much time clients of a class leave for their first
-// attempt. Most requests are first attempts, and have the same time remaining.
+// firstAttemptTime estimates, by majority vote, how much time clients of a class have for their first
+// attempt. Repeats are a minority, and all first attempts have the same time remaining.
 type firstAttemptTime struct {
 	remaining time.Duration // from arrival to expiry
-	votes     int           // requests that agreed minus those that did not; maxVotes at most
+	votes     int           // requests that agreed minus those that did not; 0 to maxVotes
 }
 
 // vote counts a request with the given time remaining, and reports whether it agrees with the estimate.
@@ -32,7 +32,7 @@
 func (f *firstAttemptTime) settled() bool { return f.votes > maxVotes/2 }
 
 // firstAttemptAt returns when the client first sent this request, as estimated from its expiry: a repeat has
-// less time remaining than a first attempt, since all of a client's attempts share the deadline of the first.
+// less time remaining than a first attempt, since all of a client's attempts have the deadline of the first.
 func (c *class) firstAttemptAt(now, expiresAt, tick time.Duration) time.Duration {
 	if c.firstAttempt.vote(expiresAt-now, 2*tick) {
 		return now
@@ -72,12 +72,12 @@
 	} else {
 		b.emit(Action{Kind: Fail, ID: r.id})
 	}
-	b.cancelOthers(r, -1) // after the answer, which says that no attempt will follow
+	b.cancelOthers(r, -1) // after the answer, which shows that no attempt will follow
 	b.closeRequest(r)
 }
 
-// retryAfter returns how long a rejected client should wait: MaxRetryAfter or, if the client
-// returns while a late answer still has value, at most half of the time until its objective ends. It guards
+// retryAfter returns how long a rejected client should wait. That is MaxRetryAfter, limited to half of the
+// time until the request's objective ends if a late answer still has value when the client returns. It guards
 // against repeats that arrive after the objective.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if !b.settings.RetryAfter {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -41,8 +41,8 @@
 	recentSizeAt time.Duration
 
 	banned               map[string]bool          // by endpoint ID
-	banClearedAt         map[string]time.Duration // time of clearing, kept while the endpoint may warm up
-	awaitingFirstRequest map[string]bool          // of these, the endpoints that were sent nothing since
+	banClearedAt         map[string]time.Duration // time of clearing, needed until the endpoint has warmed up
+	awaitingFirstRequest map[string]bool          // endpoints with a cleared ban that were sent nothing since
 }
 
 func newEndpointTable() endpointTable {
@@ -138,9 +138,9 @@
 }
 
 // replaceEndpoint inserts an endpoint for a newly started process, in the place of the old endpoint or, if
-// that is nil, in a random place. What was learned about the old one is discarded. An endpoint whose ban
-// was cleared recently warms up from that time at the earliest, and comes first in the order, so that it is
-// in the subset.
+// that is nil, in a random place. What was learned about the old one is discarded. An endpoint whose ban was
+// cleared recently warms up from that time, or from its start if that is later, and comes first in the order,
+// so that it is in the subset.
 func (b *Balancer) replaceEndpoint(old *endpoint, entry Endpoint) *endpoint {
 	t := &b.endpoints
 	ep := &endpoint{id: entry.Upstream, zone: entry.Zone, machine: entry.Machine, startedAt: entry.StartedAt}
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// almostEqual reports whether a and b differ by rounding errors at most.
+// almostEqual reports whether a and b differ by no more than rounding errors.
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 // Samples are added to a peakEWMA with a decay time of 1 s: after 693.147... ms the weight of its estimate is 1/2.
@@ -39,8 +39,8 @@
 	}
 }
 
-// A success counts as its latency, an error answer or a rejection as at least the penalty, and any other result as the
-// elapsed time.
+// A success counts as its latency, an error answer or a rejection as the penalty or its latency if that is longer, and any
+// other result as the elapsed time.
 func TestObserve(t *testing.T) {
 	for _, c := range []struct {
 		res     Result
@@ -119,7 +119,7 @@
 	r.b.endpoints.byID["u1"].latency = peakEWMA{0.05, r.now}
 	r.b.now = r.now
 	got := ""
-	for i, want := range []string{"u0", "u0", "u1", "u0", "u0", "u1"} { // costs 20/50, 40/50, 60/50, 60/100, 80/100, 100/100
+	for i, want := range []string{"u0", "u0", "u1", "u0", "u0", "u1"} { // costs of u0 and u1: 20/50, 40/50, 60/50, 60/100, 80/100, 100/100
 		if i == 5 {
 			break // the costs are equal
 		}
@@ -173,7 +173,7 @@
 			r.advance(time.Second)
 		}
 		if len(used) > minSubset+2 {
-			t.Fatalf("sidecar with one request per second used %d endpoints, want at most %d", len(used), minSubset+2)
+			t.Fatalf("sidecar with one request per second used %d endpoints, want %d or fewer", len(used), minSubset+2)
 		}
 		for to := range used {
 			users[to]++
@@ -205,16 +205,16 @@
 	}
 }
 
-// In a large fleet a sidecar uses so few endpoints that each answers before its previous answer is out of date, but enough
-// for several sidecars to share every endpoint.
+// In a large fleet a sidecar uses few enough endpoints for each to answer again before its previous answer is out of date,
+// but enough for every endpoint to be used by several sidecars.
 func TestLargeFleetKeepsToFew(t *testing.T) {
 	const endpoints, sidecars = 60, 80
 	s := testSettings()
 	s.FleetSize = sidecars
 	for _, c := range []struct{ perSecond, minUsed, maxUsed int }{
 		{1, 2, minSubset + 1},
-		{20, 3, 5},   // 5 of 80 for each of 60
-		{100, 9, 14}, // as many as half of an objective of 200 ms brings requests
+		{20, 3, 5},   // each of the 60 endpoints is used by 5 of the 80 sidecars
+		{100, 9, 14}, // the number of requests that arrive in half of the objective of 200 ms
 	} {
 		fleet := newFakeFleet(t, s, okAfter20ms)
 		fleet.setEndpoints(endpoints)
@@ -238,11 +238,11 @@
 	}
 	r.updateEndpoints(Delta, Endpoint{Upstream: "f1", Machine: "fast"}, Endpoint{Upstream: "s1", Machine: "slow"})
 	if fastCost, slowCost := r.b.cost(r.b.endpoints.byID["f1"]), r.b.cost(r.b.endpoints.byID["s1"]); slowCost < 2*fastCost {
-		t.Errorf("endpoints without answers: got cost %.3f of a fast kind and %.3f of a slow one, want at least twice as much", fastCost, slowCost)
+		t.Errorf("endpoints without answers: got cost %.3f of a fast kind and %.3f of a slow one, want twice as much or more", fastCost, slowCost)
 	}
 }
 
-// At a sidecar with a low load, the duration of a pick does not depend on the length of the list. (With 400 endpoints it took
+// At a sidecar with a low load, the duration of a pick does not depend on the length of the list. (With 400 endpoints it was
 // 11 us; the budget is 10.)
 func TestPickDoesNotWalkALargeList(t *testing.T) {
 	r := newRig(t, testSettings())
@@ -269,7 +269,7 @@
 		return float64(fleet.sentTo["large"]) / 2000
 	}
 	if small, large := fraction(2), fraction(80); small > 0.29 || large < 0.32 {
-		t.Errorf("endpoint of weight 9 beside three of weight 1 got fraction %.2f of the requests with 2 sidecars and %.2f with 80, want at most 0.29 and at least 0.32",
+		t.Errorf("endpoint of weight 9 beside three of weight 1 got fraction %.2f of the requests with 2 sidecars and %.2f with 80, want 0.29 or less and 0.32 or more",
 			small, large)
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -19,7 +19,7 @@
 type Endpoint struct {
 	Upstream, Zone string        // name of the endpoint, and where it runs
 	Machine        string        // kind of machine; empty: all are alike
-	Cell           int           // its group, for KeyScopeCell
+	Cell           int           // number of its group, for KeyScopeCell
 	State          EndpointState // default: Active
 	StartedAt      time.Duration // clock time of its latest start; 0: long ago
 	Weight         float64       // capacity, relative to the other endpoints; default: 1
@@ -33,7 +33,7 @@
 	FullState   UpdateKind = iota // the complete list
 	Delta                         // changed entries only
 	Cached                        // the complete list as last known; it may be out of date
-	WatchFailed                   // no list: a Subscribe failed, or the watch broke
+	WatchFailed                   // no list: a Subscribe or the watch has failed
 )
 
 // EndpointUpdate carries the endpoint list, or changes to it.
@@ -42,14 +42,14 @@
 	Endpoints []Endpoint
 }
 
-// Ban takes an endpoint out of use, whatever the list says, until a Ban with Cleared. The endpoint then
+// Ban excludes an endpoint from use, regardless of the list, until a Ban with Cleared. The endpoint then
 // counts as just started, because operators restart banned endpoints.
 type Ban struct {
 	Upstream string
 	Cleared  bool
 }
 
-// SettingsUpdate carries new settings. Requests in flight keep their class.
+// SettingsUpdate carries new settings. Requests in flight retain their class.
 type SettingsUpdate struct{ Settings Settings }
 
 // Request is a client's request. It gets one final answer before ExpiresAt: Reject, Fail or the answer of a
@@ -83,7 +83,7 @@
 	Overloaded           // rejected by the endpoint (queue full, draining): did not run
 	Timeout              // no answer in time; may have run
 	ConnectFailed        // did not run
-	Reset                // connection broke; may have run
+	Reset                // established connection failed; may have run
 	Cancelled            // may have run
 	NotSent              // ended before its first byte was sent
 )
@@ -101,7 +101,7 @@
 // ClientDisconnected reports that the client has disconnected and needs no answer.
 type ClientDisconnected struct{ ID string }
 
-// TimerFired reports the timer of the last SetTimer.
+// TimerFired reports that the timer of the last SetTimer has fired.
 type TimerFired struct{}
 
 func (EndpointUpdate) event()     {}
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -7,17 +7,17 @@
 )
 
 // With Settings.ShareEvidence, the results of this sidecar's own attempts are reported to other sidecars as
-// evidence on endpoints. Evidence is also kept by class: an endpoint may fail requests of one class and serve
-// those of another.
+// evidence on endpoints. Evidence is also recorded by class: an endpoint may fail requests of one class and
+// serve those of another.
 
 // Evidence is the cause of an endpoint's ejection.
 type Evidence int
 
 // The kinds of evidence.
 const (
-	EvidenceNone        Evidence = iota // the endpoint is not ejected, or no longer
+	EvidenceNone        Evidence = iota // the endpoint is not ejected, or no longer ejected
 	EvidenceErrors                      // error answers
-	EvidenceConnections                 // connections refused or broken
+	EvidenceConnections                 // failed or reset connections
 	EvidenceSilence                     // no answers
 	EvidenceRejections                  // every request rejected
 )
--- a/balancer/ewma.go
+++ b/balancer/ewma.go
@@ -10,7 +10,7 @@
 	// enough for each endpoint of the subset to answer within it.
 	decayObjectives = 4.0
 	// penaltyObjectives is the minimum latency that an error answer or a rejection counts as, in mean latency
-	// objectives. Without it, an endpoint that fails immediately would look fast.
+	// objectives. Without it, an endpoint that fails immediately would seem fast.
 	penaltyObjectives = 1.0
 )
 
@@ -43,8 +43,8 @@
 func (b *Balancer) decayTime() time.Duration { return seconds(decayObjectives * b.meanObjective) }
 
 // observeAttempt updates the estimates with an attempt's result. Timeouts, failed connects and resets count
-// as the time that they took, without a penalty. Samples are normalized, so that one costly request does
-// not make its endpoint look slow.
+// as their elapsed time, without a penalty. Samples are normalized, so that one costly request does not make
+// its endpoint seem slow.
 func (b *Balancer) observeAttempt(a *attempt, res Result, elapsed time.Duration) {
 	b.admission.observeCongestion(a, res, elapsed, b.now)
 	sample := elapsed.Seconds() / a.request.work
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -93,7 +93,8 @@
 
 func okAfter20ms(string) (Result, time.Duration) { return OK, 20 * ms }
 
-// Guards against picks of a crashed endpoint, whose immediate refusals look fast. Single probes reinstate it.
+// Guards against picks of a crashed endpoint, which seems fast because connections to it fail immediately. Single probes
+// reinstate it.
 func TestCrashedUpstreamDrawsNoPicks(t *testing.T) {
 	down := true
 	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
@@ -105,7 +106,7 @@
 	fleet.setEndpoints(5)
 	fleet.run(10*time.Second, 100)
 	if fleet.sentTo["u0"] > 10 {
-		t.Errorf("crashed endpoint got %d attempts, want at most 10", fleet.sentTo["u0"])
+		t.Errorf("crashed endpoint got %d attempts, want 10 or fewer", fleet.sentTo["u0"])
 	}
 	if fleet.finalAnswers[Reject]+fleet.finalAnswers[Fail] > 0 {
 		t.Errorf("got final answers %v by kind with four working endpoints, want none", fleet.finalAnswers)
@@ -132,7 +133,7 @@
 		fleet.setEndpoints(5)
 		fleet.run(10*time.Second, 100)
 		if fleet.sentTo["u0"] > 60 || fleet.succeeded < 950 {
-			t.Errorf("hedging %v: hung endpoint got %d attempts, want at most 60; %d of %d requests succeeded, want 950 or more",
+			t.Errorf("hedging %v: hung endpoint got %d attempts, want 60 or fewer; %d of %d requests succeeded, want 950 or more",
 				hedging, fleet.sentTo["u0"], fleet.succeeded, fleet.requests)
 		}
 	}
@@ -154,7 +155,7 @@
 	}
 }
 
-// A slow endpoint gets at most half as many requests as a fast one.
+// A slow endpoint gets no more than half as many requests as a fast one.
 func TestSlowUpstreamGetsLess(t *testing.T) {
 	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
@@ -165,11 +166,11 @@
 	fleet.setEndpoints(4)
 	fleet.run(10*time.Second, 100)
 	if fleet.sentTo["u0"] > fleet.sentTo["u1"]/2 {
-		t.Errorf("slow endpoint got %d attempts, a fast one %d; want at most half", fleet.sentTo["u0"], fleet.sentTo["u1"])
+		t.Errorf("slow endpoint got %d attempts, a fast one %d; want no more than half as many", fleet.sentTo["u0"], fleet.sentTo["u1"])
 	}
 }
 
-// A costly request does not make its endpoint look slow: samples are normalized by the cost hint.
+// A costly request does not make its endpoint seem slow: samples are normalized by the cost hint.
 func TestCostlyRequestIsNoSlowUpstream(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(1)
@@ -184,12 +185,12 @@
 	r.now += 10 * ms
 	r.endAttempt("big", 0, OK, 120*ms)
 	if after := r.b.endpoints.order[0].latency.value; after > 1.5*before {
-		t.Errorf("got estimate %v after six times the work in six times the time, want at most 1.5 times %v", after, before)
+		t.Errorf("got estimate %v after six times the work in six times the time, want no more than 1.5 times %v", after, before)
 	}
 }
 
-// In an overload every attempt takes longer than its objective. Requests are then rejected early instead of failing
-// late, even if one endpoint is also slow, and load shedding ends after the overload.
+// In an overload every attempt lasts longer than its objective. Requests are then rejected early instead of failing late,
+// even if one endpoint is also slow, and load shedding ends after the overload.
 func TestOverloadIsShedEarlyAndEnds(t *testing.T) {
 	latency := 20 * ms
 	fleet := newFakeFleet(t, testSettings(), func(u string) (Result, time.Duration) {
@@ -201,14 +202,14 @@
 	fleet.setEndpoints(4)
 	fleet.run(5*time.Second, 200)
 	if fleet.finalAnswers[Reject] > 10 {
-		t.Errorf("%d requests were rejected without overload, want at most 10", fleet.finalAnswers[Reject])
+		t.Errorf("%d requests were rejected without overload, want 10 or fewer", fleet.finalAnswers[Reject])
 	}
 	latency = 250 * ms
 	fleet.run(2*time.Second, 200)
 	attemptsBefore, requestsBefore := fleet.totalAttempts(), fleet.requests
 	fleet.run(3*time.Second, 200)
 	if got := fleet.totalAttempts() - attemptsBefore; got > (fleet.requests-requestsBefore)*3/10 {
-		t.Errorf("got %d attempts for %d requests that cannot be served, want at most 30%%", got, fleet.requests-requestsBefore)
+		t.Errorf("got %d attempts for %d requests that cannot be served, want 30%% or fewer", got, fleet.requests-requestsBefore)
 	}
 	latency = 20 * ms
 	fleet.run(3*time.Second, 200)
@@ -218,7 +219,7 @@
 		t.Errorf("%d of %d requests succeeded after the overload, want 95%%", got, fleet.requests-requestsBefore)
 	}
 	if !fleet.logged("load shedding started") || !fleet.logged("load shedding ended") {
-		t.Errorf("log %q, want the start and the end of load shedding", fleet.logs)
+		t.Errorf("got log %q, want the start and the end of load shedding", fleet.logs)
 	}
 }
 
@@ -260,7 +261,7 @@
 	for i := 4; i < 8; i++ {
 		// The overload limit is 3 times 0.2 to 0.36 of the capacity; the mean load of an endpoint is 25 requests per second.
 		if got := fleet.sentTo[fmt.Sprint("u", i)]; got > 40 {
-			t.Errorf("starting endpoint u%d got %d attempts in 2 s, want at most 40", i, got)
+			t.Errorf("starting endpoint u%d got %d attempts in 2 s, want 40 or fewer", i, got)
 		}
 	}
 }
@@ -278,7 +279,7 @@
 	fleet.setEndpoints(12)
 	fleet.run(10*time.Second, 200)
 	if got := fleet.ejections(); got > 5 {
-		t.Errorf("got %d ejections of endpoints that answer seven of eight attempts, want at most 5; log %q", got, fleet.logs)
+		t.Errorf("got %d ejections of endpoints that answer seven of eight attempts, want 5 or fewer; log %q", got, fleet.logs)
 	}
 	fleet.reply = func(u string) (Result, time.Duration) {
 		if u == "u0" {
@@ -289,7 +290,7 @@
 	fleet.logs, fleet.sentTo["u0"] = nil, 0
 	fleet.run(4*time.Second, 200)
 	if got := fleet.ejections(); got != 1 || fleet.sentTo["u0"] > 20 {
-		t.Errorf("one of twelve endpoints breaks every connection: got %d ejections and %d attempts at it, want 1 and at most 20", got, fleet.sentTo["u0"])
+		t.Errorf("one of twelve endpoints breaks every connection: got %d ejections and %d attempts at it, want 1 and 20 or fewer", got, fleet.sentTo["u0"])
 	}
 }
 
@@ -305,7 +306,7 @@
 
 // Guards against load shedding because of stalled requests. After 300 ms without any answer, one attempt in ten gets no
 // answer and the endpoints answer the others quickly. Stalled requests are no sign of congestion, and the rate of answers
-// in that time is below what the endpoints can serve.
+// during the 300 ms is below what the endpoints can serve.
 func TestStalledRequestsAreNoOverload(t *testing.T) {
 	s := testSettings()
 	s.Hedging = false
@@ -383,7 +384,7 @@
 		t.Errorf("%d of %d requests succeeded while the zone was unreachable, want 97%%", got, fleet.requests-requestsBefore)
 	}
 	if remote := fleet.sentTo["u4"] + fleet.sentTo["u5"] + fleet.sentTo["u6"] + fleet.sentTo["u7"]; remote > 60 {
-		t.Errorf("unreachable zone got %d attempts, want at most 60", remote)
+		t.Errorf("unreachable zone got %d attempts, want 60 or fewer", remote)
 	}
 	unreachable = false
 	fleet.run(10*time.Second, 100)
@@ -409,7 +410,7 @@
 		Endpoint{Upstream: "u3", Zone: "b"})
 	fleet.run(5*time.Second, 50)
 	if remote := fleet.sentTo["u2"] + fleet.sentTo["u3"]; remote > 25 {
-		t.Errorf("%d of %d requests went to the remote zone while the local one was fast, want at most 25", remote, fleet.requests)
+		t.Errorf("%d of %d requests went to the remote zone while the local one was fast, want 25 or fewer", remote, fleet.requests)
 	}
 	slow = true
 	clear(fleet.sentTo)
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -24,7 +24,7 @@
 	h.successRatio += sparseWeight * (sample - h.successRatio)
 }
 
-// startHedgeTimer starts the timer for when r's latest attempt is late, unless r must not run twice.
+// startHedgeTimer starts the timer that fires when r's latest attempt is late, unless r must not run twice.
 func (b *Balancer) startHedgeTimer(r *request) {
 	if r.class.Idempotency != NotIdempotent {
 		r.hedgeAt = b.now + b.hedgeDelay(r)
@@ -34,7 +34,7 @@
 
 // hedgeDelay returns how long an attempt may be pending before it is late. The delay doubles with each
 // pending attempt. Without hedging, a late attempt is cancelled and loses its place in a queue. It is
-// therefore given more time, as long as there remains enough for another attempt.
+// therefore given more time, as long as enough remains for another attempt.
 func (b *Balancer) hedgeDelay(r *request) time.Duration {
 	factor := float64(int(1) << max(r.pendingAttempts-1, 0))
 	delay := seconds(b.latency.hedgeDelay.value * r.work * factor)
@@ -44,10 +44,10 @@
 	return delay
 }
 
-// onHedgeTimer sends a second attempt in addition to one that is late or, without hedging, replaces the
-// late one. It guards against endpoints that pause or hang. Most late requests are costly, and so are their
-// second attempts. A request is therefore hedged only if the endpoint leaves two of this sidecar's attempts
-// unanswered, or if hedging has helped recently. The retry budget and the pressure prevent hedging in an
+// onHedgeTimer sends a second attempt in addition to one that is late or, without hedging, replaces the late
+// one. It guards against endpoints that pause or hang. Late requests are usually costly, and so are their
+// second attempts. A request is therefore hedged only if the endpoint has not answered two of this sidecar's
+// attempts, or if hedging has helped recently. The retry budget and the pressure prevent hedging in an
 // overload.
 func (b *Balancer) onHedgeTimer(r *request) {
 	if r.pendingAttempts == 0 || b.now < r.hedgeAt || b.retryBudget.empty() || b.pressure() > maxHedgePressure {
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Requests that have ended and endpoints that were removed are not kept.
+// Requests that have ended and endpoints that were removed are not retained.
 func TestForgets(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(3)
@@ -132,12 +132,12 @@
 	r.now += 50 * ms
 	r.endAttempt("1", 0, OK, 50*ms)
 	before := []*endpoint{r.b.endpoints.order[0], r.b.endpoints.order[1]}
-	copies := []endpoint{*before[0], *before[1]}
+	saved := []endpoint{*before[0], *before[1]}
 	r.updateEndpoints(FullState, entries...)
 	r.updateEndpoints(Cached, entries...)
 	for i, ep := range before {
-		if r.b.endpoints.order[i] != ep || ep.latency != copies[i].latency || ep.slowStart.active || ep.health.lastAnswerAt != copies[i].health.lastAnswerAt {
-			t.Errorf("endpoint after a repeated list: got %+v, want %+v", *r.b.endpoints.order[i], copies[i])
+		if r.b.endpoints.order[i] != ep || ep.latency != saved[i].latency || ep.slowStart.active || ep.health.lastAnswerAt != saved[i].health.lastAnswerAt {
+			t.Errorf("endpoint after a repeated list: got %+v, want %+v", *r.b.endpoints.order[i], saved[i])
 		}
 	}
 }
--- a/balancer/layout_test.go
+++ b/balancer/layout_test.go
@@ -28,11 +28,11 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if len(lines) > maxFileLines {
-			t.Errorf("%s: got %d lines, want at most %d", name, len(lines), maxFileLines)
+			t.Errorf("%s: got %d lines, want %d or fewer", name, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
 			if n := utf8.RuneCountInString(line); n > maxLineLength {
-				t.Errorf("%s:%d: got %d characters, want at most %d", name, i+1, n, maxLineLength)
+				t.Errorf("%s:%d: got %d characters, want %d or fewer", name, i+1, n, maxLineLength)
 			}
 		}
 		checkFunctionLengths(t, name, text)
@@ -53,13 +53,13 @@
 			continue
 		}
 		if lines := fileSet.Position(f.End()).Line - fileSet.Position(f.Pos()).Line + 1; lines > maxFunctionLines {
-			t.Errorf("%s: function %s has %d lines, want at most %d", name, f.Name, lines, maxFunctionLines)
+			t.Errorf("%s: function %s has %d lines, want %d or fewer", name, f.Name, lines, maxFunctionLines)
 		}
 	}
 }
 
-// The policy in the deploy file lists the files that decide: all files of this package except those of its interface and
-// those that only report.
+// The policy in the deploy file lists the files that make decisions: all files of this package except those of its interface
+// and those that only report.
 func TestPolicyNamesWhatDecides(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -4,12 +4,13 @@
 	// crossZoneObjectives is the latency that a cross-zone cost of 1 is equivalent to, in mean latency
 	// objectives.
 	crossZoneObjectives = 3.5
-	// A zone crossing that costs less than the mean latency divided by negligibleCrossingDivisor is not worth
-	// avoiding.
+	// A zone crossing that costs less than the mean latency divided by negligibleCrossingDivisor is not
+	// avoided.
 	negligibleCrossingDivisor = 4
 )
 
-// locality tracks the fraction of the work that stays in the local zone while it could also leave it.
+// locality tracks the fraction of the work that stays in the local zone while both local and remote endpoints
+// are available.
 type locality struct {
 	localFraction float64 // 0 to 1
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,7 +9,7 @@
 	// baseEjectionTime is the duration of a first ejection. It doubles with each failed half-open probe.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
-	maxDoublings     = 10 // of any backoff, against overflow; the maximum times are reached earlier
+	maxDoublings     = 10 // limit for each backoff, against overflow; the maximum times are reached earlier
 	// failuresToEject is the number of consecutive failures that eject an endpoint: two happen by chance.
 	failuresToEject = 3
 	// slowMedianMultiple is the multiple of the median latency above which an answer is slow.
@@ -45,8 +45,8 @@
 	return ep.health.ejections == 0 || len(ep.inFlight) == 0 && r.class.Idempotency != NotIdempotent
 }
 
-// updateHealth updates the health of an attempt's endpoint with the result. It ejects endpoints that refuse
-// or break connections, answer only with errors, reject every request or do not answer.
+// updateHealth updates the health of an attempt's endpoint with the result. It ejects endpoints whose
+// connections fail, and those that answer only with errors, reject every request or do not answer.
 func (b *Balancer) updateHealth(a *attempt, res Result, elapsed time.Duration) {
 	b.recordEvidence(a, res)
 	switch res {
@@ -60,7 +60,7 @@
 }
 
 // onErrorAnswer ejects an endpoint after several consecutive errors. It guards against one that fails
-// immediately: compared with endpoints whose queues take longer than the penalty, it looks fast.
+// immediately: compared with endpoints whose queues last longer than the penalty, it seems fast.
 func (b *Balancer) onErrorAnswer(a *attempt) {
 	h := &a.endpoint.health
 	h.lastAnswerAt, h.failures = b.now, 0
@@ -70,8 +70,8 @@
 	}
 }
 
-// onAnswer processes a success or a rejection. An endpoint that rejects every request may be draining
-// before the endpoint list says so.
+// onAnswer processes a success or a rejection. An endpoint that rejects every request may be draining before
+// the endpoint list reports it.
 func (b *Balancer) onAnswer(a *attempt, res Result, elapsed time.Duration) {
 	ep := a.endpoint
 	h := &ep.health
@@ -101,8 +101,8 @@
 	h.failures, h.errors, h.ejections, h.ejectedUntil = 0, 0, 0, 0
 }
 
-// onNoAnswer processes an attempt without an answer. It guards against endpoints that crashed, whose
-// immediate refusals look fast, and against those that hang.
+// onNoAnswer processes an attempt without an answer. It guards against endpoints that crashed, which seem
+// fast because connections to them fail immediately, and against those that hang.
 func (b *Balancer) onNoAnswer(a *attempt, res Result, elapsed time.Duration) {
 	ep := a.endpoint
 	h := &ep.health
@@ -114,8 +114,8 @@
 		h.failingSince = a.sentAt
 		b.reportSuspicion(ep)
 	}
-	refusedAtOnce := res == ConnectFailed && elapsed < b.settings.ConnectTimeout/2
-	dead := h.failures >= failuresToEject && (res == Reset || refusedAtOnce)
+	failedImmediately := res == ConnectFailed && elapsed < b.settings.ConnectTimeout/2
+	dead := h.failures >= failuresToEject && (res == Reset || failedImmediately)
 	silent := h.failures > 1 && (b.now-h.failingSince).Seconds() > silenceObjectives*b.meanObjective
 	if (dead || silent || h.ejections > 0) && b.now >= h.ejectedUntil {
 		b.eject(ep)
--- a/balancer/peerverdict.go
+++ b/balancer/peerverdict.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A verdict of other sidecars on an endpoint never changes a latency estimate; estimates come only from
-// this sidecar's own attempts. A verdict only excludes the endpoint from ordinary picks for some time, and
-// determines which sidecar probes it. Bans, draining and slow start take precedence: a request that a
-// verdict permits must still pass canAttempt.
+// A verdict of other sidecars on an endpoint never changes a latency estimate; estimates come only from this
+// sidecar's own attempts. A verdict only excludes the endpoint from ordinary picks for some time, and
+// determines which sidecar probes it. Bans, draining and slow start have precedence: a request that a verdict
+// permits must still pass canAttempt.
 
 const (
 	// maxPeerEjectedFraction is the maximum fraction of a zone's usable endpoints that verdicts may exclude at
@@ -25,7 +25,7 @@
 	minClassSuccesses = 5
 )
 
-// ProbeOwner says which sidecar probes an endpoint that a verdict excludes.
+// ProbeOwner specifies which sidecar probes an endpoint that a verdict excludes.
 type ProbeOwner int
 
 // The owners of probes.
@@ -43,7 +43,7 @@
 	Class          string        // empty: all classes
 	Until          time.Duration // clock time of the verdict's end
 	Since          time.Duration // clock time of the first report; successes sent later contradict it
-	PassFraction   float64       // fraction of picks that is permitted, while the verdict is lifted in steps
+	PassFraction   float64       // permitted fraction of picks; above 0 while the verdict is withdrawn in steps
 	Probes         ProbeOwner
 	ProbeSucceeded bool // with Until 0: a probe made for all sidecars has succeeded
 }
@@ -89,13 +89,13 @@
 	}
 }
 
-// endVerdict ends a verdict, which may be nil. If a probe has succeeded, this sidecar's own ejection of the
-// endpoint also ends, after a random part of reinstatementTime.
-func (b *Balancer) endVerdict(ep *endpoint, v *verdict, probeSucceeded bool) {
+// endVerdict ends a verdict, which may be nil. With reinstate, this sidecar's own ejection of the endpoint
+// also ends, after a random part of reinstatementTime.
+func (b *Balancer) endVerdict(ep *endpoint, v *verdict, reinstate bool) {
 	if v != nil {
 		v.until, v.probes = min(v.until, b.now), ProbeByEach
 	}
-	if probeSucceeded && b.now < ep.health.ejectedUntil {
+	if reinstate && b.now < ep.health.ejectedUntil {
 		wait := time.Duration(b.rng.Float64() * float64(reinstatementTime))
 		ep.health.ejectedUntil = min(ep.health.ejectedUntil, b.now+wait)
 	}
@@ -137,8 +137,9 @@
 }
 
 // contradicted reports whether this sidecar's successes outweigh the verdict. One success is enough, except
-// for a verdict on a class, which takes several. Attempts that are permitted while the verdict is lifted in
-// steps, and probes for all sidecars, don't count: they end the verdict for all sidecars or for none.
+// for a verdict on a class, which needs minClassSuccesses. Attempts that are permitted while the verdict is
+// withdrawn in steps, and probes for all sidecars, don't count: they end the verdict for all sidecars or for
+// none.
 func (v *verdict) contradicted(ep *endpoint, class string) bool {
 	switch {
 	case v.passFraction > 0 || v.probes == ProbeBySelf:
@@ -186,7 +187,7 @@
 	return since, ok
 }
 
-// inForce reports whether a verdict on a class still excludes the endpoint, at least from some picks.
+// inForce reports whether a verdict on a class still excludes the endpoint from some or all picks.
 func (v *verdict) inForce(now time.Duration, ep *endpoint, class string) bool {
 	if now < v.until {
 		return !v.contradicted(ep, class)
--- a/balancer/peerverdict_test.go
+++ b/balancer/peerverdict_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// newSharingRig returns a rig with ShareEvidence and n endpoints in the local zone (4 are its whole subset). Classes c and d are
-// idempotent, class unsafe is not.
+// newSharingRig returns a rig with ShareEvidence and n endpoints in the local zone (if n is 4, all are in the subset).
+// Classes c and d are idempotent, class unsafe is not.
 func newSharingRig(t *testing.T, n int) *rig {
 	s := testSettings()
 	s.ShareEvidence = true
@@ -25,8 +25,8 @@
 	r.handle(PeerVerdict{Upstream: endpoint, Class: class, Until: r.now + time.Minute, Since: r.now, PassFraction: passFraction, Probes: probes})
 }
 
-// sendRequests sends n requests of a class, each 10 ms after the previous one has ended. Attempts take 20 to 80 ms. It returns
-// the number of attempts at each endpoint, and the ReportEvidence actions.
+// sendRequests sends n requests of a class, each 10 ms after the previous one has ended. Attempts last 20 to 80 ms. It
+// returns the number of attempts at each endpoint, and the ReportEvidence actions.
 func (r *rig) sendRequests(n int, class string, reply func(endpoint string) Result) (sentTo map[string]int, reports []Action) {
 	sentTo = map[string]int{}
 	for i := range n {
@@ -153,7 +153,7 @@
 					}
 				}
 				if 3*excluded > usable {
-					t.Fatalf("zone %s: got %d of %d usable endpoints excluded, want at most a third", zone, excluded, usable)
+					t.Fatalf("zone %s: got %d of %d usable endpoints excluded, want no more than a third", zone, excluded, usable)
 				}
 			}
 		}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// requirement is what a candidate must meet in addition to canAttempt.
+// requirement is a condition that a candidate must fulfil in addition to canAttempt.
 type requirement int
 
 const (
@@ -50,7 +50,7 @@
 	anyHealth                      // the endpoint may be ejected
 )
 
-// candidates returns the local and the remote endpoints of the subset that meet the requirement. The slices
+// candidates returns the local and the remote endpoints of the subset that fulfil the requirement. The slices
 // are valid until the next call.
 func (b *Balancer) candidates(r *request, required requirement) (local, remote []*endpoint) {
 	local, remote = b.localCandidates[:0], b.remoteCandidates[:0]
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -12,8 +12,8 @@
 const (
 	probeInterval    = 300 * time.Millisecond // between probes while they succeed
 	maxProbeInterval = 5 * time.Second        // between probes while they fail: the interval doubles up to this
-	// A probe waits for an answer for 1 to maxProbeDelays hedge delays, and leaves reservedRetryMedians median
-	// latencies for the attempt after it.
+	// A probe waits for an answer for 1 to maxProbeDelays hedge delays, and reserves reservedRetryMedians
+	// median latencies for the attempt after it.
 	maxProbeDelays       = 2.0
 	reservedRetryMedians = 1.5
 )
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// canProbe reports whether r can be used as a probe: no harm is done if its first attempt fails.
+// canProbe reports whether r can be used as a probe, which requires that a failure of its first attempt does
+// no harm.
 func (b *Balancer) canProbe(r *request) bool {
 	if r.class.Idempotency != Idempotent || r.bodyPending || len(r.attempts) > 0 || b.retryBudget.empty() {
 		return false
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An endpoint that fails half of the requests of one class is ejected for that class only, and so reported.
+// An endpoint that fails half of the requests of one class is ejected and reported for that class only.
 func TestAnUpstreamBadForOneClass(t *testing.T) {
 	r, answers := newSharingRig(t, 4), 0
 	failHalf := func(u string) Result {
@@ -26,7 +26,7 @@
 		sentD = sentToD
 	}
 	if sentC["u0"] > 2 || sentD["u0"] == 0 {
-		t.Errorf("got %d attempts of class c and %d of class d at u0 in the last round, want at most 2 and some", sentC["u0"], sentD["u0"])
+		t.Errorf("got %d attempts of class c and %d of class d at u0 in the last round, want 2 or fewer and some", sentC["u0"], sentD["u0"])
 	}
 	if len(reports) == 0 || reports[0].Class != "c" || reports[0].Evidence != EvidenceErrors || reports[0].Count < 3 {
 		t.Fatalf("got reports %+v, want first one of EvidenceErrors for class c with a count of 3 or more", reports)
@@ -103,8 +103,8 @@
 }
 
 // Only the sidecar that a verdict names probes an endpoint. It uses idempotent requests, one at a time, at intervals, with a
-// timeout that leaves time for another attempt. The other sidecars do not probe it, even after the end of their own ejection
-// of it.
+// timeout after which there is time for another attempt. The other sidecars do not probe it, even after the end of their own
+// ejection of it.
 func TestOneTrialForAll(t *testing.T) {
 	silent := func(u string) Result {
 		if u == "u0" {
@@ -121,7 +121,7 @@
 	}
 	actions := r.request("trial", "c", time.Second)
 	if starts := actionsOfKind(actions, StartAttempt); len(starts) != 1 || starts[0].Upstream != "u0" || starts[0].Timeout > 180*ms {
-		t.Fatalf("first probe: got attempts %+v, want one at u0 with a timeout of at most 180 ms", starts)
+		t.Fatalf("first probe: got attempts %+v, want one at u0 with a timeout of 180 ms or less", starts)
 	}
 	r.now += 50 * ms
 	if starts := actionsOfKind(r.request("another", "c", time.Second), StartAttempt); len(starts) != 1 || starts[0].Upstream == "u0" {
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -9,7 +9,7 @@
 )
 
 // The rules of package balancer are checked on the actions that follow random valid events. ruleChecker knows only events and
-// actions, and nothing of the Balancer's code and state.
+// actions, and not the Balancer's code or state.
 
 // checkedAttempt is an attempt as seen by a ruleChecker.
 type checkedAttempt struct {
@@ -82,7 +82,7 @@
 	case !listed:
 		c.t.Fatalf("request %s: got an attempt at %s, want none at draining or removed endpoints", a.ID, a.Upstream)
 	case len(req.attempts) >= c.settings.MaxAttempts:
-		c.t.Fatalf("request %s: got %d attempts, want at most %d", a.ID, len(req.attempts)+1, c.settings.MaxAttempts)
+		c.t.Fatalf("request %s: got %d attempts, want %d or fewer", a.ID, len(req.attempts)+1, c.settings.MaxAttempts)
 	}
 	for _, earlier := range req.attempts {
 		if earlier.pending && !c.settings.Hedging {
--- a/balancer/rejection_test.go
+++ b/balancer/rejection_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against an endpoint that drains before the list says so, and rejects every request at once. It is ejected after
+// Guards against an endpoint that drains before the list reports it, and rejects every request at once. It is ejected after
 // three consecutive rejections, and these do not count as congestion, which would cause other requests to be rejected.
 func TestEndpointThatRejectsEverythingIsEjected(t *testing.T) {
 	type sentAttempt struct {
@@ -14,7 +14,7 @@
 		number int
 		endsAt time.Duration
 	}
-	const latency = 60 * ms // a third of the objective, with several attempts in flight at each endpoint
+	const latency = 60 * ms // about a third of the objective, with several attempts in flight at each endpoint
 	r := newRig(t, testSettings())
 	r.setEndpoints(4)
 	var pending []sentAttempt
@@ -42,10 +42,10 @@
 		r.advance(5 * ms)
 	}
 	if sentToRejecting > 12 { // three, and a probe from time to time
-		t.Errorf("endpoint that rejects every request got %d attempts, want at most 12", sentToRejecting)
+		t.Errorf("endpoint that rejects every request got %d attempts, want 12 or fewer", sentToRejecting)
 	}
 	if rejected > 3 { // because of the rejections that counted as congestion before the ejection
-		t.Errorf("%d requests were rejected while the other endpoints answer in time, want at most 3", rejected)
+		t.Errorf("%d requests were rejected while the other endpoints answer in time, want 3 or fewer", rejected)
 	}
 	if ep := r.b.endpoints.byID["u0"]; ep.health.ejections == 0 {
 		t.Errorf("endpoint that rejects every request: got %d ejections, want some", ep.health.ejections)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -84,13 +84,13 @@
 		b.abandon(r)
 		return
 	}
-	b.admission.offered.add(r.work, b.now) // not rejected requests: their repeats would count again
+	b.admission.offered.add(r.work, b.now) // without rejected requests: their repeats count
 	b.dispatch(r)
 }
 
-// onBodyComplete sets the deadlines and timers of a request whose body has now been received. Otherwise,
-// slow clients would make endpoints look slow and the sidecar look overloaded: endpoints, too, start
-// processing with the last byte.
+// onBodyComplete sets the deadlines and timers of a request whose body has now been received. Otherwise, slow
+// clients would make endpoints seem slow and the sidecar seem overloaded: endpoints, too, start processing
+// with the last byte.
 func (b *Balancer) onBodyComplete(e BodyComplete) {
 	r := b.requests[e.ID]
 	if r == nil || r.done || !r.bodyPending {
@@ -172,7 +172,7 @@
 	r.pendingAttempts--
 	a.mayHaveRun = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != NotSent
 	a.endpoint.inFlight = slices.DeleteFunc(a.endpoint.inFlight, func(x *attempt) bool { return x == a })
-	if !r.bodyPending || e.Result != Cancelled { // a client that aborts its body says nothing about the endpoint
+	if !r.bodyPending || e.Result != Cancelled { // a client that aborts its body is no sign of a fault
 		b.observeAttempt(a, e.Result, e.Elapsed)
 		b.updateHealth(a, e.Result, e.Elapsed)
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -10,14 +10,14 @@
 	minRetryBudget   = 10.0 // minimum size of the budget, so that a sidecar with a low load can retry at all
 )
 
-// retryBudget bounds retries and hedged requests in proportion to first attempts, so that they don't
-// multiply an overload. Retries of refused connections cost nothing, and are not bounded by it.
+// retryBudget bounds retries and hedged requests in proportion to first attempts, so that they don't multiply
+// an overload. Retries after failed connects add no load to endpoints, and are not bounded by it.
 type retryBudget struct{ tokens float64 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: minRetryBudget} }
 
-// deposit counts a first attempt. The budget holds at most what the offered load of one second adds to it, or
-// minRetryBudget if that is more.
+// deposit counts a first attempt. The budget is limited to what the offered load of one second adds to it, or
+// to minRetryBudget if that is more.
 func (r *retryBudget) deposit(offeredPerSecond float64) {
 	r.tokens = min(r.tokens+retryBudgetRatio, max(minRetryBudget, retryBudgetRatio*offeredPerSecond))
 }
@@ -49,7 +49,7 @@
 	return len(r.attempts) >= min(r.maxAttempts, b.settings.MaxAttempts)
 }
 
-// retryForbidden reports whether no further attempt of r is allowed because an earlier one may have run.
+// retryForbidden reports whether another attempt of r is forbidden because an earlier one may have run.
 func (b *Balancer) retryForbidden(r *request) bool {
 	until := b.retryAllowedUntil(r)
 	return until != 0 && (r.class.Idempotency == NotIdempotent || b.now >= until)
@@ -80,7 +80,7 @@
 	})
 }
 
-// canReject reports whether a client may be told that sending r again is harmless.
+// canReject reports whether r may be rejected, which requires that it is harmless to send it again.
 func canReject(r *request) bool {
 	c := r.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.KeyScope == KeyScopeAll {
@@ -89,7 +89,7 @@
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// attemptTimeout returns how long r's next attempt may take at ep.
+// attemptTimeout returns how long r's next attempt may last at ep.
 func (b *Balancer) attemptTimeout(r *request, ep *endpoint) time.Duration {
 	timeout := max(r.abandonAt-b.now, b.settings.Tick)
 	if ep.gossip != nil && ep.gossip.probe.request == r {
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -100,7 +100,7 @@
 	r.t.Helper()
 	starts := actionsOfKind(actions, StartAttempt)
 	if len(starts) != 1 {
-		r.t.Fatalf("want one attempt, got %+v", actions)
+		r.t.Fatalf("got actions %+v, want one attempt", actions)
 	}
 	return starts[0].Upstream
 }
@@ -109,7 +109,7 @@
 func (r *rig) wantFinalAnswer(actions []Action, kind ActionKind) {
 	r.t.Helper()
 	if answers := finalAnswers(actions); len(answers) != 1 || answers[0].Kind != kind || len(actionsOfKind(actions, StartAttempt)) > 0 {
-		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", kind, actions)
+		r.t.Fatalf("got actions %+v, want one final answer of kind %d and no attempt", actions, kind)
 	}
 }
 
@@ -117,6 +117,6 @@
 func (r *rig) wantNothing(actions []Action) {
 	r.t.Helper()
 	if len(finalAnswers(actions)) > 0 || len(actionsOfKind(actions, StartAttempt)) > 0 {
-		r.t.Fatalf("want no attempt and no answer, got %+v", actions)
+		r.t.Fatalf("got actions %+v, want no attempt and no final answer", actions)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -208,22 +208,22 @@
 	for i, wait := range waits {
 		backoff := min(basePollBackoff<<i, maxPollBackoff)
 		if wait < backoff/2 || wait > backoff*3/2+5*ms || wait > 3*time.Second+5*ms {
-			t.Errorf("wait %d: got %v, want 0.5 to 1.5 times %v and at most 3 s", i, wait, backoff)
+			t.Errorf("wait %d: got %v, want 0.5 to 1.5 times %v and no more than 3 s", i, wait, backoff)
 		}
 		if i > 0 {
 			meanLaterWait += wait / time.Duration(len(waits)-1)
 		}
 	}
 	if meanLaterWait < waits[0]*3/2 || slices.Equal(waits[1:6], waits[6:11]) {
-		t.Errorf("got waits %v, want random ones, the later ones on average at least 1.5 times the first", waits)
+		t.Errorf("got waits %v, want random ones, the later ones on average 1.5 times the first or more", waits)
 	}
 	r.updateEndpoints(Delta)
 	if n := len(actionsOfKind(r.advance(20*time.Second), Subscribe)); n != 0 {
 		t.Errorf("got %d Subscribe actions while subscribed, want 0", n)
 	}
-	r.handle(EndpointUpdate{Kind: WatchFailed}) // the subscription broke
+	r.handle(EndpointUpdate{Kind: WatchFailed}) // the subscription failed
 	if n := len(actionsOfKind(r.advance(2*time.Second), Subscribe)); n != 1 {
-		t.Errorf("got %d Subscribe actions after the subscription broke, want 1", n)
+		t.Errorf("got %d Subscribe actions after the subscription failed, want 1", n)
 	}
 }
 
@@ -240,7 +240,8 @@
 	}
 }
 
-// An endpoint in slow start gets at most the mean load times its present capacity, also from retries and in panic mode.
+// An endpoint in slow start gets no more than its budget, which is proportional to the mean load and to its present capacity.
+// The budget also applies to retries and in panic mode.
 func TestSlowStartBucket(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(10)
@@ -267,7 +268,8 @@
 	runSecond()
 	for i := range 9 {
 		u := "u" + string(rune('0'+i))
-		// The mean is 20 per second. After 1 s the endpoint has at most 0.28 of its capacity; a small burst is added.
+		// The mean is 20 per second. After 1 s the endpoint has no more than 0.28 of its capacity, and may be sent 0.45 x 3 of
+		// that; a small burst is added.
 		if sentTo[u] > 8 || sentTo[u] == 0 {
 			t.Errorf("starting endpoint %s got %d requests in its first second, want 1 to 8", u, sentTo[u])
 		}
@@ -292,14 +294,15 @@
 		}
 		ended += len(finalAnswers(actions))
 	}
-	// 200 per second over 4 endpoints in slow start at 0.2 to 0.4 of their share: about 60 per second may be sent.
+	// 200 per second over 4 endpoints in slow start at 0.2 to 0.4 of their capacity: about 60 per second may be sent.
 	if sent > 160 || sent < 40 || ended == 0 {
 		t.Errorf("got %d requests sent and %d rejected, want 40 to 160 and some", sent, ended)
 	}
 }
 
-// A repeated request whose objective has ended is rejected at once. All attempts of a client share one deadline, so the time
-// remaining shows when the first one was made. An earlier repeat is served. First attempts determine the usual time remaining.
+// A repeated request whose objective has ended is rejected at once. All attempts of a client have one deadline, so the time
+// remaining shows when the first one was made. An earlier repeat is served. First attempts determine the usual time
+// remaining.
 func TestRepeatPastItsObjectiveIsRejected(t *testing.T) {
 	r := newRig(t, testSettings()) // objective 200 ms, deadline 1 s
 	r.setEndpoints(3)
@@ -317,8 +320,8 @@
 	r.wantAttempt(r.request("first", "c", 601*ms))
 }
 
-// Guards against slow start after an ejection: only the list reports a restart. (iadfa39: three endpoints that did not answer for
-// 10 s were idle for the whole warm-up afterwards, and the others were overloaded.)
+// Guards against slow start after an ejection: only the list reports a restart. (iadfa39: three endpoints that did not answer
+// for 10 s were idle for the full warm-up time afterwards, and the others were overloaded.)
 func TestReturnIsNotAColdStart(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(2)
@@ -340,9 +343,9 @@
 	}
 }
 
-// Many sidecars with a low load use a fleet of which most endpoints have just started. Together they stay below the load that
-// makes a starting endpoint fail, and still warm it up, without any shared state. (i2a20be: with many starting endpoints each
-// sidecar skipped those without budget, reached all of them, and had a whole token for each.)
+// Many sidecars with a low load use a fleet of which nine in ten endpoints have just started. Together they stay below the
+// load that makes a starting endpoint fail, and still warm it up, without any shared state. (i2a20be: with many starting
+// endpoints each sidecar skipped those without budget, reached all of them, and had a full token for each.)
 func TestManyQuietSidecarsAgainstSlowStart(t *testing.T) {
 	const sidecars, endpoints, starting = 400, 40, 36
 	for seed := range uint64(5) {
@@ -398,7 +401,7 @@
 				received := first[fmt.Sprint("u", i)] + second[fmt.Sprint("u", i)]
 				sentToStarting += received
 				if limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*pair)/10); pair < 5 && float64(received) > limit {
-					t.Errorf("seed %d: starting endpoint u%d got %d requests in 2 s, want at most %.0f", seed, i, received, limit)
+					t.Errorf("seed %d: starting endpoint u%d got %d requests in 2 s, want %.0f or fewer", seed, i, received, limit)
 				}
 			}
 		}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Idempotency says whether a request may run more than once.
+// Idempotency specifies whether a request may run more than once.
 type Idempotency int
 
 // The kinds of idempotency. New fails for any other value.
@@ -42,7 +42,7 @@
 	Stream            bool
 }
 
-// Tenant is one of the parties that share the fleet.
+// Tenant is one of the parties whose requests the fleet serves.
 type Tenant struct {
 	Name  string
 	Quota float64 // fraction of the arriving requests that it is entitled to, 0 to 1
@@ -51,7 +51,7 @@
 // Settings configures a Balancer. Where no default is stated, the zero value turns a feature off or means
 // that it has no cost.
 type Settings struct {
-	FleetSize int    // sidecars that share the endpoints; default: 1
+	FleetSize int    // sidecars that use the endpoints; default: 1
 	Zone      string // zone of this sidecar
 	Classes   []Class
 	Tenants   []Tenant
@@ -66,7 +66,7 @@
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 
-	CrossZoneCost     float64 // value lost for each request that leaves its zone
+	CrossZoneCost     float64 // reduction of value for each request to another zone
 	OverQuotaFraction float64 // fraction of its value that a request over its tenant's quota has, 0 to 1
 	WeightByWork      bool    // PriorityWeight counts for each unit of work, not for each request
 
@@ -82,7 +82,7 @@
 type SettingError struct {
 	Setting string // name of the field of Settings
 	Element string // Name of the class or tenant, if the field is a list
-	Field   string // name of the element's field; empty if the whole setting is invalid
+	Field   string // name of the element's field; empty if the error is not about an element
 	Reason  string
 }
 
--- a/balancer/settingsupdate_test.go
+++ b/balancer/settingsupdate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against new settings that affect requests in flight, which keep their class and make at most as many attempts as
-// both the old and the new settings allow, and against the loss of what was learned.
+// Guards against new settings that affect requests in flight, and against the loss of what was learned. Requests in flight
+// retain their class, and make no more attempts than both the old and the new settings allow.
 func TestRetune(t *testing.T) {
 	s := testSettings()
 	r := newRig(t, s)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -15,14 +15,15 @@
 	// slowStartSafety is the used fraction of the load that makes an endpoint fail. The margin is needed because
 	// the endpoint's capacity may be smaller than stated.
 	slowStartSafety = 0.45
-	// unusedTokenFraction bounds the tokens that all sidecars together hold for an endpoint on average, as a
-	// fraction of the tokens that they get within OverloadDuration.
+	// unusedTokenFraction bounds the average number of unused tokens that all sidecars together have for an
+	// endpoint, as a fraction of the tokens that they get within OverloadDuration.
 	unusedTokenFraction = 1.0
-	// A bucket holds at most the tokens of OverloadDuration divided by bucketDivisor, but at least one.
+	// The size of a bucket is the number of tokens that it gets within OverloadDuration, divided by
+	// bucketDivisor, or 1 if that is more.
 	bucketDivisor = 10
 )
 
-// slowStart is the token bucket of an endpoint that warms up. A token stands for a request of mean work.
+// slowStart is the token bucket of an endpoint that warms up. A token permits a request of mean work.
 type slowStart struct {
 	active     bool          // the endpoint warms up
 	startedAt  time.Duration // clock time
@@ -30,7 +31,8 @@
 	refilledAt time.Duration // in the future if tokens were granted in advance
 }
 
-// inherit takes over the spent tokens of an earlier bucket of the same endpoint.
+// inherit reduces the tokens to those of an earlier bucket of the same endpoint, so that used tokens are not
+// granted again.
 func (s *slowStart) inherit(old *slowStart) {
 	s.tokens = min(s.tokens, old.tokens)
 	s.refilledAt = max(s.refilledAt, old.refilledAt)
@@ -43,7 +45,7 @@
 	ep.latency = peakEWMA{*ep.machineLatency / b.warmCapacity(ep), b.now}
 }
 
-// warmCapacity returns the fraction of its capacity that an endpoint has at least by now, 0 to 1.
+// warmCapacity returns the minimum fraction of its capacity that an endpoint has now, 0 to 1.
 func (b *Balancer) warmCapacity(ep *endpoint) float64 {
 	s := &ep.slowStart
 	if s.active && b.now-s.startedAt >= b.settings.SlowStartWindow {
@@ -74,8 +76,8 @@
 // endpoint outside the subset: otherwise each sidecar would send to each of many endpoints that warm up.
 //
 // If fewer endpoints are listed than carried the load recently, or fewer are local than a zone has on
-// average, the average is taken over the larger number. Otherwise a zone's first endpoints that return
-// would get its entire load.
+// average, the average is taken over the larger number. Otherwise the first endpoints of a zone that are
+// listed again would get its entire load.
 func (b *Balancer) slowStartRate(ep *endpoint, capacity float64) float64 {
 	t := &b.endpoints
 	local := ep.zone == b.settings.Zone
@@ -115,10 +117,10 @@
 	return true
 }
 
-// refillSlowStart adds the tokens that are due. It guards against many sidecars that each hold a token for
-// the same endpoint after a lull, and spend them at the same time: where each sidecar gets few tokens, a
-// whole token expires at random, so that the fleet holds on average heldTokenFraction of its tokens for
-// OverloadDuration.
+// refillSlowStart adds the tokens that are due. It guards against many sidecars that each have a token for
+// the same endpoint after a lull, and use them at the same time. Where each sidecar gets few tokens, a full
+// token therefore expires at random, so that the fleet's unused tokens are on average unusedTokenFraction of
+// those that it gets within OverloadDuration.
 func (b *Balancer) refillSlowStart(s *slowStart, perSecond float64) {
 	elapsed := (b.now - s.refilledAt).Seconds()
 	if elapsed <= 0 {
@@ -129,9 +131,9 @@
 	oldTokens := s.tokens
 	s.tokens = min(max(1, windowTokens/bucketDivisor), oldTokens+perSecond*elapsed)
 	if meanTokens := unusedTokenFraction * windowTokens; s.tokens >= 1 && meanTokens > 0 && meanTokens < 1 {
-		holdTime := elapsed - max(0, 1-oldTokens)/perSecond
-		meanHoldTime := unusedTokenFraction * b.settings.OverloadDuration.Seconds() / (1 - meanTokens)
-		if b.rng.Float64() > math.Exp(-holdTime/meanHoldTime) {
+		unusedTime := elapsed - max(0, 1-oldTokens)/perSecond
+		meanUnusedTime := unusedTokenFraction * b.settings.OverloadDuration.Seconds() / (1 - meanTokens)
+		if b.rng.Float64() > math.Exp(-unusedTime/meanUnusedTime) {
 			s.tokens = 0
 		}
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -12,8 +12,8 @@
 
 // Guards against an endpoint in slow start that is overloaded by many sidecars, each within its own budget. The load is the
 // worst possible: all that a budget allows is sent at once. 300 sidecars with different request rates use 160 endpoints in
-// four zones. Six in ten of these warm up, and a quarter of those are small. The rule's windows count the requests of all
-// sidecars. See docs/ARCHITECTURE.md, "Cold upstreams".
+// four zones. Six in ten of these warm up, and a quarter of those are small. The limit applies to the requests of all
+// sidecars within a window. See docs/ARCHITECTURE.md, "Cold upstreams".
 func TestSlowStartOfAllSidecarsTogether(t *testing.T) {
 	cases := map[string]slowStartScenario{
 		"all sidecars informed":         {informedFraction: 1},
@@ -36,9 +36,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			got, worst := scenario.maxLoad(t, 0)
-			t.Logf("got at most %.2f of the limit: %s", got, worst)
+			t.Logf("got up to %.2f of the limit: %s", got, worst)
 			if (got > 1) != (scenario.misconfigure != nil) {
-				t.Errorf("got at most %.2f of the limit: %s; want above 1: %v", got, worst, scenario.misconfigure != nil)
+				t.Errorf("got up to %.2f of the limit: %s; want above 1: %v", got, worst, scenario.misconfigure != nil)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 	informedFraction float64         // fraction of the sidecars that learn of a start at once; the others learn of it later
 	allRestart       bool            // all sidecars start within a second of the endpoints, and know no request rate
 	restartLater     bool            // half of the sidecars restart at a random later time
-	clientsMove      bool            // half of the sidecars lose most of their clients to another one at a random time
+	clientsMove      bool            // half of the sidecars lose nine in ten clients to another one at a random time
 	unequalZones     bool            // sidecars of the first zone have twice the request rate of others
 	bursts           bool            // requests are sent in one second of three, and buckets fill in the other two
 	misconfigure     func(*Settings) // makes the sidecars' settings wrong; nil if they are right
@@ -103,7 +103,7 @@
 		restartAt     time.Duration // 0 means never
 		restarted     bool          // it started during the test, and still learns its local fraction
 		begunAt       time.Duration // when its first process started
-		clientsMoveAt time.Duration // when most of its clients change to the next sidecar; 0 means never
+		clientsMoveAt time.Duration // when nine in ten of its clients change to the next sidecar; 0 means never
 	}
 	newBalancer := func(i, incarnation int) *Balancer {
 		settings.Zone = string(rune('a' + i%zoneCount))
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// Age updates a snapshot that was taken d ago. If crashed is set, its process has ended unexpectedly: what
-// it sent since then to endpoints that warm up is unknown, and all tokens in their buckets count as spent.
+// Age updates a snapshot that was taken d ago. If crashed is set, its process has ended unexpectedly: what it
+// sent since then to endpoints that warm up is unknown, and all tokens in their buckets count as used.
 func (s *Snapshot) Age(d time.Duration, crashed bool) {
 	for id, x := range s.Endpoints {
 		x.age(d, crashed)
@@ -214,7 +214,7 @@
 	if s.SlowStartAge > 0 {
 		s.SlowStartAge += d
 		if crashed {
-			s.Tokens = min(0, s.Tokens) // a negative number is kept
+			s.Tokens = min(0, s.Tokens) // a negative number is not changed
 		}
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards against the overload of an endpoint in slow start after a crash of the sidecar: all tokens since the last snapshot
-// count as spent, and the warm-up does not start again.
+// count as used, and the warm-up does not start again.
 func TestBudgetOfAColdUpstreamIsUsedUpAfterACrash(t *testing.T) {
 	for _, crashed := range []bool{false, true} {
 		snapshot := Snapshot{Endpoints: map[string]EndpointSnapshot{"u": {Uptime: time.Second, SlowStartAge: time.Second, Tokens: 0.8, Age: time.Second, EjectedFor: 3 * time.Second}},
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -9,22 +9,23 @@
 const (
 	minSubset     = 4               // two to choose from, and spares while some are ejected
 	subsetRefresh = 2 * time.Second // each endpoint of the subset is sent a request this often
-	// subsetObjectives is the same for a large fleet, in mean latency objectives. Queues do not last longer.
+	// subsetObjectives is the same for a large fleet, in mean latency objectives. It is short because queues
+	// do not last longer.
 	subsetObjectives = 0.5
-	// subsetCover is how many sidecars in an endpoint's zone have it in their subset, and as many in other
-	// zones.
+	// subsetCover is the number of sidecars in an endpoint's zone that have it in their subset. The same
+	// number in other zones do, too.
 	subsetCover = 5.0
 )
 
-// subsetSize returns the number of local and of remote endpoints among which this sidecar chooses: the
-// first ready ones of its order. They are few enough for each to answer within subsetRefresh; a busy
-// sidecar uses all of them. This guards against stale estimates, and against a number of connections that
-// grows as sidecars times endpoints.
+// subsetSize returns the number of local and of remote endpoints among which this sidecar chooses: the first
+// ready ones of its order. They are few enough for each to answer within subsetRefresh; a busy sidecar uses
+// all of them. This guards against outdated estimates, and against a number of connections in proportion to
+// sidecars times endpoints.
 //
-// Where many sidecars share each endpoint, a sidecar's own pending count says almost nothing, and only a
-// recent answer shows a queue. The subset is then small enough for each endpoint to answer within
-// subsetObjectives. It is also large enough for subsetCover sidecars to share an endpoint, so that some do
-// not get twice the load by chance.
+// Where many sidecars use each endpoint, a sidecar's own pending count gives almost no information, and only
+// a recent answer shows a queue. The subset is then small enough for each endpoint to answer within
+// subsetObjectives. It is also large enough for each endpoint to be used by subsetCover sidecars, so that no
+// endpoint gets twice the load by chance.
 func (b *Balancer) subsetSize() int {
 	perSecond := b.admission.offered.perSecond(b.now)
 	shared := subsetCover * float64(len(b.endpoints.order)) / float64(b.settings.FleetSize)
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// Guards against refactorings that change decisions by mistake. The decisions are a pure function of the settings, the seed and
-// the events. If a random draw or an arithmetic step is reordered, the choices stay plausible and no other test fails.
+// Guards against refactorings that change decisions by mistake. The decisions are a pure function of the settings, the seed
+// and the events. If a random draw or an arithmetic step is reordered, the choices stay plausible and no other test fails.
 // Seeded sequences of events of every kind are therefore passed to Handle, and a hash of all actions is compared with the
-// recorded one. It does not cover the texts of Log actions, which may be reworded. A change that is meant to change
-// decisions records the new hashes, and its commit says why.
+// recorded one. It does not cover the texts of Log actions, which may be reworded. A change that is meant to change decisions
+// records the new hashes, and its commit gives the reason.
 func TestDecisionTrace(t *testing.T) {
 	hashes := map[int]string{
 		1:   "8d558801df2a164d9ea3fc6547a42c46",
@@ -67,7 +67,7 @@
 	startedAt     map[string]time.Duration
 	actionCounts  map[ActionKind]int
 	attemptCount  int
-	failing       string // endpoint most of whose attempts fail at present
+	failing       string // endpoint at which 85% of attempts fail at present
 }
 
 func newTrace(t *testing.T, endpoints int) *trace {
--- a/balancer/views.go
+++ b/balancer/views.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Pressure returns how close admission is to load shedding, which starts at 1, and the fraction of the
-// local zone's capacity that takes no work now. A caller uses them to decide whether to forward a request
-// to another sidecar; no decision of this package depends on them.
+// Pressure returns how close admission is to load shedding, which starts at 1, and the fraction of the local
+// zone's capacity that is unavailable now. A caller uses them to decide whether to forward a request to
+// another sidecar; no decision of this package depends on them.
 func (b *Balancer) Pressure(now time.Duration) (pressure, zoneLoss float64) {
 	b.now = max(now, b.now)
 	total, usable := 0, 0.0
