--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -20,7 +20,7 @@
 	Gone        = "Gone"
 )
 
-const emptyLineEvery = 2 * time.Second
+const emptyLineInterval = 2 * time.Second
 
 // Entry is an upstream in the list.
 type Entry struct {
@@ -73,7 +73,7 @@
 	agents := slices.Clone(d.agents)
 	d.mu.Unlock()
 	for _, a := range agents {
-		a.look()
+		a.takeDueChanges()
 	}
 }
 
@@ -82,19 +82,19 @@
 	Sidecar string
 
 	d       *Discovery
-	told    *Teller
+	teller  *Teller
 	address func(upstream string) string
-	late    time.Duration
+	delay   time.Duration
 	server  *http.Server
 	done    sync.WaitGroup
 
-	mu      sync.Mutex
-	mood    Mood
-	visible int           // changes that it has
-	changed chan struct{} // closed when there is news
-	timer   *time.Timer
-	closed  bool
-	listen  string
+	mu             sync.Mutex
+	mood           Mood
+	visibleChanges int           // changes that it has
+	changed        chan struct{} // closed when there is news
+	timer          *time.Timer
+	closed         bool
+	listenAddress  string
 }
 
 // Agent serves a sidecar at an address; changes reach it late by so much. address gives an upstream's address as that
@@ -104,32 +104,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery of %s: %w", sidecar, err)
 	}
-	a := &Agent{Sidecar: sidecar, d: d, address: address, late: late, told: newTeller(d.rec, sidecar),
-		changed: make(chan struct{}), listen: ln.Addr().String()}
+	a := &Agent{Sidecar: sidecar, d: d, address: address, delay: late, teller: newTeller(d.rec, sidecar),
+		changed: make(chan struct{}), listenAddress: ln.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", a.targets)
+	mux.HandleFunc("GET /api/targets", a.serveTargets)
 	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	a.timer = time.AfterFunc(time.Hour, a.look)
+	a.timer = time.AfterFunc(time.Hour, a.takeDueChanges)
 	d.mu.Lock()
 	d.agents = append(d.agents, a)
 	d.mu.Unlock()
 	a.done.Add(1)
 	go func() { defer a.done.Done(); _ = a.server.Serve(ln) }() // ends with Close
 	a.mu.Lock()
-	a.visible = len(d.changes) // what was there before the play is known at once
+	a.visibleChanges = len(d.changes) // what was there before the play is known at once
 	a.mu.Unlock()
 	return a, nil
 }
 
 // Address is where the sidecar asks.
-func (a *Agent) Address() string { return a.listen }
+func (a *Agent) Address() string { return a.listenAddress }
 
 // Close ends the agent and its watches.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
 	a.timer.Stop()
-	a.signal()
+	a.wakeWatches()
 	a.mu.Unlock()
 	_ = a.server.Close()
 	a.done.Wait()
@@ -139,26 +139,26 @@
 func (a *Agent) Set(m Mood) {
 	a.mu.Lock()
 	a.mood = m
-	a.signal()
+	a.wakeWatches()
 	a.mu.Unlock()
-	a.look()
+	a.takeDueChanges()
 }
 
 // Restarted says that a process of the sidecar begins from nothing, but for the list that it is handed.
-func (a *Agent) Restarted(known *Listing) { a.told.restarted(known) }
+func (a *Agent) Restarted(known *Listing) { a.teller.reset(known) }
 
 // Teller is what this agent notes of the news that reach its sidecar, for others that bring it news too.
-func (a *Agent) Teller() *Teller { return a.told }
+func (a *Agent) Teller() *Teller { return a.teller }
 
 // Known is the list as this sidecar last could have it.
 func (a *Agent) Known() Listing {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.whole()
+	return a.fullList()
 }
 
-// look takes in the changes that are due, and comes again for the next.
-func (a *Agent) look() {
+// takeDueChanges takes in the changes that are due, and comes again for the next.
+func (a *Agent) takeDueChanges() {
 	a.d.mu.Lock()
 	changes := a.d.changes
 	a.d.mu.Unlock()
@@ -168,36 +168,36 @@
 	if a.closed {
 		return
 	}
-	before := a.visible
-	for a.visible < len(changes) {
-		if due := changes[a.visible].at + a.late + a.mood.Late; due > now {
+	before := a.visibleChanges
+	for a.visibleChanges < len(changes) {
+		if due := changes[a.visibleChanges].at + a.delay + a.mood.Late; due > now {
 			a.timer.Reset(due - now)
 			break
 		}
-		a.visible++
+		a.visibleChanges++
 	}
-	if a.visible > before {
-		a.signal()
+	if a.visibleChanges > before {
+		a.wakeWatches()
 	}
 }
 
-// signal wakes the watches; the caller holds mu.
-func (a *Agent) signal() {
+// wakeWatches wakes the watches; the caller holds mu.
+func (a *Agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// since is what changed after a version, or the whole list where that version is not known. The caller holds mu.
-func (a *Agent) since(from int) Listing {
-	if from < 1 || from > a.visible {
-		return a.whole()
+// changesSince is what changed after a version, or the whole list where that version is not known. The caller holds mu.
+func (a *Agent) changesSince(from int) Listing {
+	if from < 1 || from > a.visibleChanges {
+		return a.fullList()
 	}
-	l := Listing{Index: int64(a.visible), Endpoints: []Entry{}}
+	l := Listing{Index: int64(a.visibleChanges), Endpoints: []Entry{}}
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	at := map[string]int{}
-	for _, c := range a.d.changes[from:a.visible] {
-		e := a.own(c.entry)
+	for _, c := range a.d.changes[from:a.visibleChanges] {
+		e := a.withOwnAddress(c.entry)
 		if i, ok := at[e.Name]; ok {
 			l.Endpoints[i] = e
 			continue
@@ -208,16 +208,16 @@
 	return l
 }
 
-// whole is the list as the agent has it. The caller holds mu.
-func (a *Agent) whole() Listing { return a.upTo(a.visible) }
+// fullList is the list as the agent has it. The caller holds mu.
+func (a *Agent) fullList() Listing { return a.listAt(a.visibleChanges) }
 
-func (a *Agent) upTo(version int) Listing {
+func (a *Agent) listAt(version int) Listing {
 	l := Listing{Index: int64(version), Snapshot: true, Endpoints: []Entry{}}
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
 	at := map[string]int{}
 	for _, c := range a.d.changes[:version] {
-		e := a.own(c.entry)
+		e := a.withOwnAddress(c.entry)
 		i, ok := at[e.Name]
 		switch {
 		case e.Status == Gone && ok:
@@ -239,23 +239,23 @@
 	return l
 }
 
-// own gives an entry the address that this sidecar is to use.
-func (a *Agent) own(e Entry) Entry {
+// withOwnAddress gives an entry the address that this sidecar is to use.
+func (a *Agent) withOwnAddress(e Entry) Entry {
 	if e.Status != Gone {
 		e.Address = a.address(e.Name)
 	}
 	return e
 }
 
-// targets answers the whole list, or follows a watch until it ends.
-func (a *Agent) targets(w http.ResponseWriter, r *http.Request) {
+// serveTargets answers the whole list, or follows a watch until it ends.
+func (a *Agent) serveTargets(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Get("watch") == "1"
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || !watch {
 		from = 0
 	}
 	out := http.NewResponseController(w)
-	empty := time.NewTicker(emptyLineEvery)
+	empty := time.NewTicker(emptyLineInterval)
 	defer empty.Stop()
 	sent, begun := from, false // sent: the version that the other side has
 	var mood Mood
@@ -277,18 +277,18 @@
 			}
 		case mood.Empty, mood.Rewind:
 			if mood != was || !begun {
-				l = Listing{Index: int64(a.visible + 1), Snapshot: true, Endpoints: []Entry{}}
+				l = Listing{Index: int64(a.visibleChanges + 1), Snapshot: true, Endpoints: []Entry{}}
 				if mood.Rewind {
-					l = a.upTo(max(1, a.visible/2))
+					l = a.listAt(max(1, a.visibleChanges/2))
 				}
 				line, tell, sent = encode(l), true, 0
 			}
-		case !begun || sent != a.visible:
-			l = a.since(sent)
-			line, tell, sent = encode(l), true, a.visible
+		case !begun || sent != a.visibleChanges:
+			l = a.changesSince(sent)
+			line, tell, sent = encode(l), true, a.visibleChanges
 		}
 		if tell { // it counts as told from before the write: a sidecar that acts at once is not early
-			a.told.tell(l)
+			a.teller.recordNews(l)
 		}
 		a.mu.Unlock()
 		if line != "" {
--- a/internal/lab/fake/naive.go
+++ b/internal/lab/fake/naive.go
@@ -46,10 +46,10 @@
 	warmUp    time.Duration
 	client    *http.Client
 	requests  atomic.Int64
-	ending    atomic.Bool
+	stopping  atomic.Bool
 	mu        sync.Mutex
 	listed    map[string]Entry
-	forgotten map[string]Entry // that it was told to leave, for the rule that it breaks
+	withdrawn map[string]Entry // that it was told to leave, for the rule that it breaks
 	banned    map[string]bool
 }
 
@@ -79,12 +79,12 @@
 	}
 	n := &naive{breaks: breaks, unsafe: map[string]bool{}, warmUp: time.Duration(c.Settings.Rules.WarmUpMs) * time.Millisecond,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
-		listed: map[string]Entry{}, forgotten: map[string]Entry{}, banned: map[string]bool{}}
+		listed: map[string]Entry{}, withdrawn: map[string]Entry{}, banned: map[string]bool{}}
 	for _, class := range c.Settings.Classes {
 		n.unsafe[class.Name] = class.Semantics == "fragile"
 	}
 	if c.Known != nil {
-		n.take(*c.Known)
+		n.apply(*c.Known)
 	}
 	if breaks == "limits" {
 		for range c.Limits.Sockets + 20 {
@@ -105,19 +105,19 @@
 			return fmt.Errorf("listening for operators: %w", err)
 		}
 		defer func() { _ = door.Close() }()
-		go n.door(door)
+		go n.serveOperators(door)
 	}
 	go n.watch(ctx, c.Discovery)
 	server := &http.Server{Handler: n, ReadHeaderTimeout: 2 * time.Second}
 	if breaks == "reset-unread" {
-		listener = deafListener{listener, &n.ending}
+		listener = stalledListener{listener, &n.stopping}
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		<-ctx.Done()
-		n.ending.Store(true) // from now on each connection ends with its next answer
-		time.Sleep(endAfter)
+		n.stopping.Store(true) // from now on each connection ends with its next answer
+		time.Sleep(shutdownDelay)
 		if breaks == "unanswered" || breaks == "reset-unread" {
 			os.Exit(0)
 		}
@@ -132,34 +132,34 @@
 	return nil
 }
 
-// endAfter is how long the naive sidecar goes on after SIGTERM.
-const endAfter = 800 * time.Millisecond
+// shutdownDelay is how long the naive sidecar goes on after SIGTERM.
+const shutdownDelay = 800 * time.Millisecond
 
-// deafListener gives connections that read no more once the sidecar is to end.
-type deafListener struct {
+// stalledListener gives connections that read no more once the sidecar is to end.
+type stalledListener struct {
 	net.Listener
-	ending *atomic.Bool
+	stopping *atomic.Bool
 }
 
 // Accept accepts a connection that nobody will answer.
-func (l deafListener) Accept() (net.Conn, error) {
+func (l stalledListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return deafConn{conn, l.ending}, err
+	return stalledConn{conn, l.stopping}, err
 }
 
-type deafConn struct {
+type stalledConn struct {
 	net.Conn
-	ending *atomic.Bool
+	stopping *atomic.Bool
 }
 
-func (c deafConn) Read(p []byte) (int, error) {
-	if c.ending.Load() {
+func (c stalledConn) Read(p []byte) (int, error) {
+	if c.stopping.Load() {
 		select {}
 	}
 	return c.Conn.Read(p)
 }
 
-func (n *naive) take(l Listing) {
+func (n *naive) apply(l Listing) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l.Snapshot {
@@ -171,7 +171,7 @@
 			continue
 		}
 		if old, ok := n.listed[e.Name]; ok {
-			n.forgotten[e.Name] = old
+			n.withdrawn[e.Name] = old
 		}
 		delete(n.listed, e.Name)
 	}
@@ -187,7 +187,7 @@
 				for lines.Scan() {
 					var l Listing
 					if json.Unmarshal(lines.Bytes(), &l) == nil && l.Index > 0 {
-						n.take(l)
+						n.apply(l)
 					}
 				}
 				_ = resp.Body.Close()
@@ -219,7 +219,7 @@
 		}
 	}
 	if n.breaks == "drain" && rand.IntN(4) == 0 {
-		for _, e := range n.forgotten {
+		for _, e := range n.withdrawn {
 			return e
 		}
 	}
@@ -247,13 +247,13 @@
 		}
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	number := n.requests.Add(1)
-	if n.ending.Load() {
+	if n.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	us, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Timeout"), "u"))
@@ -266,7 +266,7 @@
 	switch {
 	case n.breaks == "crash" && number > 200:
 		os.Exit(3)
-	case n.breaks == "unanswered" && n.ending.Load():
+	case n.breaks == "unanswered" && n.stopping.Load():
 		<-r.Context().Done()
 		return
 	case n.breaks == "lost" && number%10 == 0:
@@ -291,7 +291,7 @@
 	status, answer := 0, []byte(nil)
 	for range tries {
 		e = n.pick(e.Name)
-		if status, answer = n.send(ctx, e, r, body); status != turnedAway && n.breaks != "attempts" {
+		if status, answer = n.send(ctx, e, r, body); status != statusNotRun && n.breaks != "attempts" {
 			break
 		}
 	}
@@ -303,24 +303,24 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case status == http.StatusOK:
 		_, _ = w.Write(answer)
-	case status == turnedAway:
+	case status == statusNotRun:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusBadGateway)
 	}
 }
 
-// turnedAway stands for an attempt that has not run.
-const turnedAway = 0
+// statusNotRun stands for an attempt that has not run.
+const statusNotRun = 0
 
 // send makes one attempt.
 func (n *naive) send(ctx context.Context, e Entry, r *http.Request, body []byte) (status int, answer []byte) {
 	if e.Name == "" {
-		return turnedAway, nil
+		return statusNotRun, nil
 	}
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+e.Address+r.URL.Path, bytes.NewReader(body))
 	if err != nil {
-		return turnedAway, nil
+		return statusNotRun, nil
 	}
 	out.GetBody = nil // the library is not to send an unsafe request again by itself
 	out.Header.Set("X-Request-ID", r.Header.Get("X-Request-ID"))
@@ -328,13 +328,13 @@
 	if err != nil {
 		var dial *net.OpError
 		if errors.As(err, &dial) && dial.Op == "dial" {
-			return turnedAway, nil
+			return statusNotRun, nil
 		}
 		return http.StatusBadGateway, nil
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(notProcessed) == "1" {
-		return turnedAway, nil
+		return statusNotRun, nil
 	}
 	answer, err = io.ReadAll(resp.Body)
 	if err != nil {
@@ -343,8 +343,8 @@
 	return resp.StatusCode, answer
 }
 
-// door answers operators: one line a connection.
-func (n *naive) door(l net.Listener) {
+// serveOperators answers operators: one line a connection.
+func (n *naive) serveOperators(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
--- a/internal/lab/fake/standin_test.go
+++ b/internal/lab/fake/standin_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func testUpstream(t *testing.T, spec model.Spec) (*Upstream, *record.Record) {
 	t.Helper()
@@ -34,17 +34,17 @@
 
 func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", address, patience)
+	c, err := net.DialTimeout("tcp", address, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
-// ask sends a request of the record's, or what differs from it.
-func ask(t *testing.T, c net.Conn, r *bufio.Reader, method, path, id, body string) (status int, unprocessed, got string) {
+// sendRequest sends a request of the record's, or what differs from it.
+func sendRequest(t *testing.T, c net.Conn, r *bufio.Reader, method, path, id, body string) (status int, unprocessed, got string) {
 	t.Helper()
 	head := ""
 	if id != "" {
@@ -80,7 +80,7 @@
 		{"a probe", "GET", "/-/healthy", "", "", 200},
 		{"a probe of load", "GET", "/-/load", "", "", 200},
 	} {
-		status, _, body := ask(t, c, r, x.method, x.path, x.id, x.body)
+		status, _, body := sendRequest(t, c, r, x.method, x.path, x.id, x.body)
 		if status != x.status {
 			t.Errorf("%s: %d, want %d", x.name, status, x.status)
 		}
@@ -107,14 +107,14 @@
 		time.Sleep(time.Millisecond)
 	}
 	c, r := dial(t, u.Address())
-	if status, mark, _ := ask(t, c, r, "GET", "/r/k", "next", ""); status != 503 || mark != "1" {
+	if status, mark, _ := sendRequest(t, c, r, "GET", "/r/k", "next", ""); status != 503 || mark != "1" {
 		t.Errorf("full: %d, mark %q", status, mark)
 	}
 	u.Kill()
 	if _, err := busyReader.ReadByte(); err == nil {
 		t.Error("a connection outlived its process")
 	}
-	if fresh, err := net.DialTimeout("tcp", u.Address(), patience); err == nil {
+	if fresh, err := net.DialTimeout("tcp", u.Address(), testTimeout); err == nil {
 		_ = fresh.Close()
 		t.Error("a dead process takes connections")
 	}
@@ -123,7 +123,7 @@
 	}
 	u.Set(Trouble{TurnAway: true})
 	c, r = dial(t, u.Address())
-	if status, mark, _ := ask(t, c, r, "GET", "/r/k", "next", ""); status != 503 || mark != "1" {
+	if status, mark, _ := sendRequest(t, c, r, "GET", "/r/k", "next", ""); status != 503 || mark != "1" {
 		t.Errorf("draining: %d, mark %q", status, mark)
 	}
 }
--- a/internal/lab/fake/teller.go
+++ b/internal/lab/fake/teller.go
@@ -11,33 +11,33 @@
 	rec     *record.Record
 	sidecar string
 
-	mu   sync.Mutex
-	told map[string]bool // usable
+	mu     sync.Mutex
+	usable map[string]bool // usable
 }
 
 func newTeller(rec *record.Record, sidecar string) *Teller {
-	return &Teller{rec: rec, sidecar: sidecar, told: map[string]bool{}}
+	return &Teller{rec: rec, sidecar: sidecar, usable: map[string]bool{}}
 }
 
-func (t *Teller) restarted(known *Listing) {
+func (t *Teller) reset(known *Listing) {
 	t.mu.Lock()
-	t.told = map[string]bool{}
+	t.usable = map[string]bool{}
 	t.mu.Unlock()
 	if known != nil {
-		t.tell(*known)
+		t.recordNews(*known)
 	}
 }
 
-// tell notes what a message that is about to be written tells.
-func (t *Teller) tell(l Listing) {
+// recordNews notes what a message that is about to be written tells.
+func (t *Teller) recordNews(l Listing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.rec.Now()
 	note := func(name string, usable bool) {
-		if was, known := t.told[name]; known && was == usable {
+		if was, known := t.usable[name]; known && was == usable {
 			return
 		}
-		t.told[name] = usable
+		t.usable[name] = usable
 		t.rec.Tell(record.Told{At: now, Sidecar: t.sidecar, Upstream: name, Usable: usable})
 	}
 	listed := map[string]bool{}
@@ -46,7 +46,7 @@
 		note(e.Name, e.Status == Ready)
 	}
 	if l.Snapshot {
-		for name := range t.told {
+		for name := range t.usable {
 			if !listed[name] {
 				note(name, false)
 			}
--- a/internal/lab/fake/upstream.go
+++ b/internal/lab/fake/upstream.go
@@ -21,7 +21,7 @@
 
 const (
 	notProcessed = "X-Not-Processed"
-	bodyMost     = 1 << 20 // of a request; the laboratory's own are far smaller
+	maxBodyBytes = 1 << 20 // of a request; the laboratory's own are far smaller
 )
 
 // Trouble is what is wrong with an upstream, by a fault. The zero value: nothing.
@@ -39,30 +39,30 @@
 	Name string
 	Spec model.Spec
 
-	rec    *record.Record
-	listen string
-
-	mu       sync.Mutex
-	m        *model.Server
-	rng      *rand.Rand
-	timer    *time.Timer
-	trouble  Trouble
-	waiting  map[string]chan model.Done // by job
-	jobs     int
-	failable int               // jobs of the class that fails
-	conns    map[string]*conn  // by the address of the other end
-	from     map[string]string // the sidecars whose links opened them, by the same
-	listener net.Listener      // nil: the process is down
-	cold     *record.ColdStart
-	down     chan struct{} // closed when the process dies
-	done     sync.WaitGroup
-	onFall   func()
+	rec           *record.Record
+	listenAddress string
+
+	mu            sync.Mutex
+	server        *model.Server
+	rng           *rand.Rand
+	timer         *time.Timer
+	trouble       Trouble
+	results       map[string]chan model.Done // by job
+	jobCount      int
+	failClassJobs int               // jobs of the class that fails
+	conns         map[string]*conn  // by the address of the other end
+	openedBy      map[string]string // the sidecars whose links opened them, by the same
+	listener      net.Listener      // nil: the process is down
+	coldStart     *record.ColdStart
+	stopped       chan struct{} // closed when the process dies
+	done          sync.WaitGroup
+	onFall        func()
 }
 
 // conn is a connection that brought requests.
 type conn struct {
 	net.Conn
-	gone     chan struct{}   // closed once the other side has ended it
+	closed   chan struct{}   // closed once the other side has ended it
 	attempt  *record.Attempt // in hand
 	accepted bool            // has a place in the table
 }
@@ -70,7 +70,7 @@
 // NewUpstream is an upstream that is to listen at an address; Start brings it up. onFall is called, on a goroutine of
 // its own, when it is pushed over.
 func NewUpstream(name, listen string, spec model.Spec, rec *record.Record, onFall func()) *Upstream {
-	return &Upstream{Name: name, Spec: spec, rec: rec, listen: listen, onFall: onFall, conns: map[string]*conn{}, from: map[string]string{}}
+	return &Upstream{Name: name, Spec: spec, rec: rec, listenAddress: listen, onFall: onFall, conns: map[string]*conn{}, openedBy: map[string]string{}}
 }
 
 // Start begins a process: a cold one, or one that has run for long.
@@ -80,7 +80,7 @@
 	if u.listener != nil {
 		return fmt.Errorf("upstream %s runs already", u.Name)
 	}
-	ln, err := net.Listen("tcp", u.listen)
+	ln, err := net.Listen("tcp", u.listenAddress)
 	if err != nil {
 		return fmt.Errorf("upstream %s: %w", u.Name, err)
 	}
@@ -89,45 +89,45 @@
 	if !cold {
 		started = now - u.Spec.ColdFor
 	}
-	u.listener, u.listen, u.down = ln, ln.Addr().String(), make(chan struct{})
-	u.m = model.New(u.Spec, seed, started, now)
+	u.listener, u.listenAddress, u.stopped = ln, ln.Addr().String(), make(chan struct{})
+	u.server = model.New(u.Spec, seed, started, now)
 	u.rng = rand.New(rand.NewPCG(seed, 2))
 	u.trouble = Trouble{}
-	u.waiting = map[string]chan model.Done{}
-	u.cold = nil
+	u.results = map[string]chan model.Done{}
+	u.coldStart = nil
 	if cold && u.Spec.ColdFor > 0 {
-		u.cold = &record.ColdStart{Upstream: u.Name, At: now, Capacity: u.Spec.Capacity(), From: u.Spec.ColdFrom,
+		u.coldStart = &record.ColdStart{Upstream: u.Name, At: now, Capacity: u.Spec.Capacity(), From: u.Spec.ColdFrom,
 			For: u.Spec.ColdFor, FallMultiple: u.Spec.FallMultiple, FallFor: u.Spec.FallFor}
-		u.rec.Cold(u.cold)
+		u.rec.Cold(u.coldStart)
 	}
-	down := u.down
-	u.timer = time.AfterFunc(time.Hour, func() { u.tick(down) })
-	u.rearm()
+	down := u.stopped
+	u.timer = time.AfterFunc(time.Hour, func() { u.onTimer(down) })
+	u.resetTimer()
 	u.done.Add(1)
 	go u.accept(ln, down)
 	return nil
 }
 
 // Address is where it listens.
-func (u *Upstream) Address() string { u.mu.Lock(); defer u.mu.Unlock(); return u.listen }
+func (u *Upstream) Address() string { u.mu.Lock(); defer u.mu.Unlock(); return u.listenAddress }
 
 // Kill ends the process as kill -9 does: connections are reset, new ones refused. What it held is lost.
 func (u *Upstream) Kill() {
 	u.mu.Lock()
-	u.kill()
+	u.killLocked()
 	u.mu.Unlock()
 }
 
-func (u *Upstream) kill() {
+func (u *Upstream) killLocked() {
 	if u.listener == nil {
 		return
 	}
 	_ = u.listener.Close()
 	u.listener = nil
 	u.timer.Stop()
-	close(u.down)
+	close(u.stopped)
 	for _, c := range u.conns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
@@ -141,8 +141,8 @@
 	u.trouble = t
 	if u.listener != nil {
 		u.advance()
-		u.m.Trouble(max(t.Slower, 1), t.FailShare)
-		u.rearm()
+		u.server.Trouble(max(t.Slower, 1), t.FailShare)
+		u.resetTimer()
 	}
 }
 
@@ -152,8 +152,8 @@
 	defer u.mu.Unlock()
 	if u.listener != nil {
 		u.advance()
-		u.m.ForceChoke()
-		u.rearm()
+		u.server.ForceChoke()
+		u.resetTimer()
 	}
 }
 
@@ -164,24 +164,24 @@
 	if u.listener == nil {
 		return 0
 	}
-	return u.m.Report().Inflight
+	return u.server.Report().Inflight
 }
 
 // Little gives both sides of Little's law over the present process's life.
 func (u *Upstream) Little() (area, sojourns float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.m == nil {
+	if u.server == nil {
 		return 0, 0
 	}
-	return u.m.Little()
+	return u.server.Little()
 }
 
 // Began takes note of whose link opened a connection, before anything goes over it.
 func (u *Upstream) Began(address, sidecar string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.from[address] = sidecar
+	u.openedBy[address] = sidecar
 }
 
 // Ended takes note that the other side of a connection has ended it, or its sending.
@@ -194,28 +194,28 @@
 	}
 }
 
-func (u *Upstream) tick(down chan struct{}) {
+func (u *Upstream) onTimer(down chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.listener == nil || u.down != down {
+	if u.listener == nil || u.stopped != down {
 		return
 	}
 	u.advance()
-	u.rearm()
+	u.resetTimer()
 }
 
 // advance brings the model to now and hands out what has ended; the caller holds mu.
 func (u *Upstream) advance() {
-	for _, d := range u.m.Advance(u.rec.Now()) {
-		if to := u.waiting[d.ID]; to != nil {
-			delete(u.waiting, d.ID)
+	for _, d := range u.server.Advance(u.rec.Now()) {
+		if to := u.results[d.ID]; to != nil {
+			delete(u.results, d.ID)
 			to <- d // holds one
 		}
 	}
 }
 
-func (u *Upstream) rearm() {
-	if next := u.m.Next(); next != model.Never {
+func (u *Upstream) resetTimer() {
+	if next := u.server.Next(); next != model.Never {
 		u.timer.Reset(max(0, next-u.rec.Now()))
 	}
 }
@@ -227,53 +227,53 @@
 		if err != nil {
 			return // killed
 		}
-		c := &conn{Conn: raw, gone: make(chan struct{})}
+		c := &conn{Conn: raw, closed: make(chan struct{})}
 		u.mu.Lock()
-		if u.down != down || u.listener == nil {
+		if u.stopped != down || u.listener == nil {
 			u.mu.Unlock()
-			reset(c)
+			resetConn(c)
 			return
 		}
 		u.advance()
-		if c.accepted = u.m.Connected(1); c.accepted {
-			u.m.Charge(u.rec.Now(), u.Spec.Handshake)
+		if c.accepted = u.server.Connected(1); c.accepted {
+			u.server.Charge(u.rec.Now(), u.Spec.Handshake)
 		}
-		u.rearm()
+		u.resetTimer()
 		u.conns[raw.RemoteAddr().String()] = c
 		u.done.Add(2)
 		u.mu.Unlock()
 		requests := make(chan *incoming)
-		go u.read(c, requests, down)
-		go u.answer(c, requests, down)
+		go u.readRequests(c, requests, down)
+		go u.answerRequests(c, requests, down)
 	}
 }
 
 // incoming is a request that was read whole.
 type incoming struct {
 	*http.Request
-	body         []byte
-	first, begun time.Duration
+	body                []byte
+	firstByte, lastByte time.Duration
 }
 
-// read takes requests off a connection until it ends, which it notices while one is in hand too.
-func (u *Upstream) read(c *conn, to chan<- *incoming, down <-chan struct{}) {
+// readRequests takes requests off a connection until it ends, which it notices while one is in hand too.
+func (u *Upstream) readRequests(c *conn, to chan<- *incoming, down <-chan struct{}) {
 	defer u.done.Done()
 	defer close(to)
-	defer close(c.gone)
+	defer close(c.closed)
 	r := bufio.NewReader(c)
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		in := &incoming{first: u.rec.Now()}
+		in := &incoming{firstByte: u.rec.Now()}
 		var err error
 		if in.Request, err = http.ReadRequest(r); err != nil {
 			return
 		}
-		if in.body, err = io.ReadAll(io.LimitReader(in.Body, bodyMost)); err != nil {
+		if in.body, err = io.ReadAll(io.LimitReader(in.Body, maxBodyBytes)); err != nil {
 			return
 		}
-		in.begun = u.rec.Now()
+		in.lastByte = u.rec.Now()
 		select {
 		case to <- in:
 		case <-down:
@@ -282,7 +282,7 @@
 	}
 }
 
-func (u *Upstream) answer(c *conn, requests <-chan *incoming, down <-chan struct{}) {
+func (u *Upstream) answerRequests(c *conn, requests <-chan *incoming, down <-chan struct{}) {
 	defer u.done.Done()
 	defer func() {
 		_ = c.Close()
@@ -291,61 +291,61 @@
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		delete(u.conns, c.RemoteAddr().String())
-		delete(u.from, c.RemoteAddr().String())
-		if c.accepted && u.down == down && u.listener != nil {
+		delete(u.openedBy, c.RemoteAddr().String())
+		if c.accepted && u.stopped == down && u.listener != nil {
 			u.advance()
-			u.m.Connected(-1)
-			u.rearm()
+			u.server.Connected(-1)
+			u.resetTimer()
 		}
 	}()
 	for in := range requests {
-		if !u.serve(c, in, down) {
+		if !u.serveRequest(c, in, down) {
 			return
 		}
 	}
 }
 
-// serve answers one request; false ends the connection.
-func (u *Upstream) serve(c *conn, in *incoming, down <-chan struct{}) bool {
+// serveRequest answers one request; false ends the connection.
+func (u *Upstream) serveRequest(c *conn, in *incoming, down <-chan struct{}) bool {
 	if in.URL.Path == "/-/healthy" || in.URL.Path == "/-/load" {
-		return u.probe(c, in)
+		return u.answerProbe(c, in)
 	}
 	id := in.Header.Get("X-Request-ID")
 	if id == "" {
-		return say(c, 404, false, "a request without an id\n")
+		return writeResponse(c, 404, false, "a request without an id\n")
 	}
-	a := &record.Attempt{Request: id, Upstream: u.Name, First: in.first, Begun: in.begun}
+	a := &record.Attempt{Request: id, Upstream: u.Name, First: in.firstByte, Begun: in.lastByte}
 	q := u.rec.Lookup(id)
 	u.rec.Attempt(a)
-	if q == nil || !sent(q, in) {
-		u.end(a, record.Unknown, 400)
-		return say(c, 400, false, "no client sent this\n")
+	if q == nil || !matchesSent(q, in) {
+		u.endAttempt(a, record.Unknown, 400)
+		return writeResponse(c, 400, false, "no client sent this\n")
 	}
 	a.Sidecar, a.Work = cmp.Or(u.sender(c), q.Sidecar), q.Work
-	done, offer, fails := u.offer(c, a, q)
+	done, offer, fails := u.offerWork(c, a, q)
 	if offer != model.Taken {
-		u.end(a, record.TurnedAway, 503)
+		u.endAttempt(a, record.TurnedAway, 503)
 		if offer == model.Down {
 			go u.onFall()
-			reset(c)
+			resetConn(c)
 			return false
 		}
-		return say(c, 503, true, "full\n")
+		return writeResponse(c, 503, true, "full\n")
 	}
 	select {
 	case d := <-done:
 		if d.Failed || fails {
-			u.end(a, record.Error, 500)
-			return say(c, 500, false, "error\n")
+			u.endAttempt(a, record.Error, 500)
+			return writeResponse(c, 500, false, "error\n")
 		}
 		u.rec.Change(func() { a.Body = fmt.Sprintf("%s %s %s\n", id, u.Name, d.ID) })
-		u.end(a, record.OK, 200)
-		return say(c, 200, false, a.Body)
-	case <-c.gone: // the work goes on, and nobody hears of it
-		u.end(a, record.GivenUp, 0)
+		u.endAttempt(a, record.OK, 200)
+		return writeResponse(c, 200, false, a.Body)
+	case <-c.closed: // the work goes on, and nobody hears of it
+		u.endAttempt(a, record.GivenUp, 0)
 		return false
 	case <-down:
-		u.end(a, record.Lost, 0)
+		u.endAttempt(a, record.Lost, 0)
 		return false
 	}
 }
@@ -354,12 +354,12 @@
 func (u *Upstream) sender(c *conn) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.from[c.RemoteAddr().String()]
+	return u.openedBy[c.RemoteAddr().String()]
 }
 
-// end notes an attempt's end, at which it is no longer out: before the answer's first byte, so that what the sidecar
+// endAttempt notes an attempt's end, at which it is no longer out: before the answer's first byte, so that what the sidecar
 // does upon that answer never seems to come before it.
-func (u *Upstream) end(a *record.Attempt, how record.How, status int) {
+func (u *Upstream) endAttempt(a *record.Attempt, how record.How, status int) {
 	now := u.rec.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -371,9 +371,9 @@
 	}
 }
 
-// offer brings a request's work to the model. The connection's table and a drain turn it away before. fails says that
+// offerWork brings a request's work to the model. The connection's table and a drain turn it away before. fails says that
 // the answer will be an error; where the upstream hangs, done brings nothing.
-func (u *Upstream) offer(c *conn, a *record.Attempt, q *record.Request) (done chan model.Done, offer model.Offer, fails bool) {
+func (u *Upstream) offerWork(c *conn, a *record.Attempt, q *record.Request) (done chan model.Done, offer model.Offer, fails bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	c.attempt = a
@@ -384,32 +384,32 @@
 		return nil, model.Full, false
 	}
 	u.advance()
-	u.jobs++
-	job := model.Job{ID: strconv.Itoa(u.jobs), Key: q.Key, Work: q.Work}
+	u.jobCount++
+	job := model.Job{ID: strconv.Itoa(u.jobCount), Key: q.Key, Work: q.Work}
 	done = make(chan model.Done, 1)
-	offer = u.m.Offer(u.rec.Now(), job)
+	offer = u.server.Offer(u.rec.Now(), job)
 	switch {
 	case offer == model.Down:
-		if u.cold != nil && u.cold.Fell == 0 {
-			u.cold.Fell = u.rec.Now()
+		if u.coldStart != nil && u.coldStart.Fell == 0 {
+			u.coldStart.Fell = u.rec.Now()
 		}
-		u.kill()
+		u.killLocked()
 	case offer == model.Taken && !u.trouble.Hang:
-		u.waiting[job.ID] = done
+		u.results[job.ID] = done
 	}
 	if offer != model.Down {
-		u.rearm()
+		u.resetTimer()
 	}
 	if u.trouble.FailClass == q.Class {
-		u.failable++
+		u.failClassJobs++
 		part := u.trouble.FailPart
-		fails = int(float64(u.failable)*part) > int(float64(u.failable-1)*part)
+		fails = int(float64(u.failClassJobs)*part) > int(float64(u.failClassJobs-1)*part)
 	}
 	return done, offer, fails
 }
 
-// sent tells whether a request is one that its client sent, in that form.
-func sent(q *record.Request, in *incoming) bool {
+// matchesSent tells whether a request is one that its client sent, in that form.
+func matchesSent(q *record.Request, in *incoming) bool {
 	method, body := Form(q)
 	return in.Method == method && in.URL.Path == Path(q) && bytes.Equal(in.body, body)
 }
@@ -425,27 +425,27 @@
 	return http.MethodPost, []byte("order " + q.ID + "\n")
 }
 
-func (u *Upstream) probe(c *conn, in *incoming) bool {
+func (u *Upstream) answerProbe(c *conn, in *incoming) bool {
 	u.mu.Lock()
 	if u.listener == nil {
 		u.mu.Unlock()
 		return false
 	}
 	u.advance()
-	u.m.Charge(u.rec.Now(), u.Spec.ProbeWork)
-	r := u.m.Report()
-	u.rearm()
+	u.server.Charge(u.rec.Now(), u.Spec.ProbeWork)
+	r := u.server.Report()
+	u.resetTimer()
 	u.mu.Unlock()
 	text := ""
 	if in.URL.Path == "/-/load" {
 		text = fmt.Sprintf("TEXT inflight=%d, queue=%d, latency_ms=%.3f, util=%.3f", r.Inflight, r.Queue,
 			float64(r.Latency.Microseconds())/1e3, r.Util)
 	}
-	return say(c, 200, false, text)
+	return writeResponse(c, 200, false, text)
 }
 
-// say writes an answer; false where the connection is gone.
-func say(c net.Conn, status int, unprocessed bool, body string) bool {
+// writeResponse writes an answer; false where the connection is gone.
+func writeResponse(c net.Conn, status int, unprocessed bool, body string) bool {
 	mark := ""
 	if unprocessed {
 		mark = notProcessed + ": 1\r\n"
@@ -454,7 +454,7 @@
 	return err == nil
 }
 
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	if inner, ok := c.(*conn); ok {
 		c = inner.Conn
 	}
--- a/internal/lab/fake/window.go
+++ b/internal/lab/fake/window.go
@@ -21,13 +21,13 @@
 // Window is how one sidecar sees one replica of the list service: the same, with the addresses at which this sidecar
 // reaches upstreams.
 type Window struct {
-	replica string
-	address func(upstream string) string
-	told    *Teller
-	server  *http.Server
-	client  *http.Client
-	listen  string
-	done    sync.WaitGroup
+	replica       string
+	address       func(upstream string) string
+	teller        *Teller
+	server        *http.Server
+	client        *http.Client
+	listenAddress string
+	done          sync.WaitGroup
 
 	mu      sync.Mutex
 	view    View
@@ -40,17 +40,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("window on %s: %w", replica, err)
 	}
-	w := &Window{replica: replica, address: address, told: told, listen: ln.Addr().String(), changed: make(chan struct{}),
+	w := &Window{replica: replica, address: address, teller: told, listenAddress: ln.Addr().String(), changed: make(chan struct{}),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", w.targets)
+	mux.HandleFunc("GET /api/targets", w.serveTargets)
 	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	w.done.Go(func() { _ = w.server.Serve(ln) }) // ends with Close
 	return w, nil
 }
 
 // Address is where the sidecar asks.
-func (w *Window) Address() string { return w.listen }
+func (w *Window) Address() string { return w.listenAddress }
 
 // Set changes the view, from now on.
 func (w *Window) Set(v View) {
@@ -68,8 +68,8 @@
 	w.client.CloseIdleConnections()
 }
 
-// through waits while nothing comes through; false: the connection is to break.
-func (w *Window) through(r *http.Request) bool {
+// awaitOpen waits while nothing comes through; false: the connection is to break.
+func (w *Window) awaitOpen(r *http.Request) bool {
 	for {
 		w.mu.Lock()
 		view, changed := w.view, w.changed
@@ -88,9 +88,9 @@
 	}
 }
 
-// targets passes a call on, and its answer line by line.
-func (w *Window) targets(rw http.ResponseWriter, r *http.Request) {
-	if !w.through(r) {
+// serveTargets passes a call on, and its answer line by line.
+func (w *Window) serveTargets(rw http.ResponseWriter, r *http.Request) {
+	if !w.awaitOpen(r) {
 		panic(http.ErrAbortHandler)
 	}
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+w.replica+r.URL.RequestURI(), nil)
@@ -111,12 +111,12 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 8<<20)
 	for lines.Scan() {
-		if !w.through(r) {
+		if !w.awaitOpen(r) {
 			panic(http.ErrAbortHandler)
 		}
 		line := lines.Bytes()
 		if len(bytes.TrimSpace(line)) > 0 {
-			if line, err = w.own(line); err != nil {
+			if line, err = w.rewriteMessage(line); err != nil {
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -129,8 +129,8 @@
 	}
 }
 
-// own gives a message the addresses that this sidecar is to use, and notes what it tells.
-func (w *Window) own(line []byte) ([]byte, error) {
+// rewriteMessage gives a message the addresses that this sidecar is to use, and notes what it tells.
+func (w *Window) rewriteMessage(line []byte) ([]byte, error) {
 	var l Listing
 	if err := json.Unmarshal(line, &l); err != nil {
 		return nil, err
@@ -140,6 +140,6 @@
 			l.Endpoints[i].Address = w.address(e.Name)
 		}
 	}
-	w.told.tell(l) // before the write: a sidecar that acts at once is not early
+	w.teller.recordNews(l) // before the write: a sidecar that acts at once is not early
 	return json.Marshal(l)
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	first, last = 16, 250
-	port        = 7600
+	firstPart, lastPart = 16, 250
+	firstPort           = 7600
 )
 
 // Part is one that nobody else on this machine holds.
@@ -23,32 +23,32 @@
 
 // Claim finds a part, and holds it until it is released, or to the end of the process.
 func Claim() (*Part, error) {
-	parts := last - first + 1
+	parts := lastPart - firstPart + 1
 	for i := range parts {
-		n := first + (os.Getpid()+i)%parts
+		n := firstPart + (os.Getpid()+i)%parts
 		if l, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:9999", n)); err == nil {
 			return &Part{n, l}, nil
 		}
 	}
-	return nil, fmt.Errorf("all of 127.%d.0.0 to 127.%d.255.255 is in use", first, last)
+	return nil, fmt.Errorf("all of 127.%d.0.0 to 127.%d.255.255 is in use", firstPart, lastPart)
 }
 
 // Release gives the part back.
 func (p *Part) Release() { _ = p.claim.Close() }
 
-// own is this process's part, for whoever only wants addresses.
-var own = sync.OnceValues(Claim)
+// ownPart is this process's part, for whoever only wants addresses.
+var ownPart = sync.OnceValues(Claim)
 
-var given atomic.Int32
+var addressCount atomic.Int32
 
 // Address is one that nobody else on this machine listens at, and that is given once.
 func Address() (string, error) {
-	p, err := own()
+	p, err := ownPart()
 	if err != nil {
 		return "", err
 	}
-	i := int(given.Add(1)) - 1
-	return fmt.Sprintf("127.%d.%d.%d:%d", p.N, i/250%250, 1+i%250, port+i/62_500), nil
+	i := int(addressCount.Add(1)) - 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", p.N, i/250%250, 1+i%250, firstPort+i/62_500), nil
 }
 
 // Addresses are so many.
--- a/internal/lab/memnet/memnet_test.go
+++ b/internal/lab/memnet/memnet_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/net/nettest"
 )
 
-func pair(t *testing.T, n *Network) (near, far net.Conn, a, b *Host) {
+func dialPair(t *testing.T, n *Network) (near, far net.Conn, a, b *Host) {
 	t.Helper()
 	a, b = n.Host("a", "10.0.0.1", time.Microsecond), n.Host("b", "10.0.0.2", 0)
 	l, err := b.Listen(80)
@@ -34,7 +34,7 @@
 func TestConnectionsAreConnections(t *testing.T) {
 	nettest.TestConn(t, func() (net.Conn, net.Conn, func(), error) {
 		n := New(func(Event) {})
-		near, far, _, _ := pair(t, n)
+		near, far, _, _ := dialPair(t, n)
 		return near, far, n.Close, nil
 	})
 }
@@ -47,7 +47,7 @@
 		read, back error // what the near side's reading ends with, and its writing then
 	}{
 		"closed": {func(_, far net.Conn, _ *Host) { _, _ = io.WriteString(far, "ab"); _ = far.Close() }, "ab", nil, nil},
-		"half":   {func(_, far net.Conn, _ *Host) { _ = far.(*end).CloseWrite() }, "", nil, nil},
+		"half":   {func(_, far net.Conn, _ *Host) { _ = far.(*connEnd).CloseWrite() }, "", nil, nil},
 		"unread": {func(near, far net.Conn, _ *Host) {
 			_, _ = near.Write([]byte("x"))
 			time.Sleep(time.Second)
@@ -77,7 +77,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				n := New(func(Event) {})
 				defer n.Close()
-				near, far, _, b := pair(t, n)
+				near, far, _, b := dialPair(t, n)
 				c.end(near, far, b)
 				_ = near.SetReadDeadline(time.Now().Add(time.Minute))
 				text, err := io.ReadAll(near)
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	backlog   = 128      // connections that wait to be accepted; one more has to wait itself
-	window    = 64 << 10 // bytes on one way of a connection, on the way or unread
-	firstPort = 40000    // of those that dial
+	backlog     = 128      // connections that wait to be accepted; one more has to wait itself
+	windowBytes = 64 << 10 // bytes on one way of a connection, on the way or unread
+	firstPort   = 40000    // of those that dial
 )
 
 // Kind says what an Event tells.
@@ -52,10 +52,10 @@
 type Network struct {
 	observe func(Event)
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	hosts   map[string]*Host // by IP address
-	dialled int
+	mu        sync.Mutex
+	changed   *sync.Cond
+	hosts     map[string]*Host // by IP address
+	dialCount int
 }
 
 // New makes a network that tells observe of each event, one at a time; observe must not call the network.
@@ -91,21 +91,21 @@
 
 // Host is a machine with an address of its own.
 type Host struct {
-	net   *Network
-	name  string
-	ip    net.IP
-	delay time.Duration
+	network *Network
+	name    string
+	ip      net.IP
+	delay   time.Duration
 	// The fields below are under the network's lock.
-	dark  bool
-	port  int
-	bound map[int]*listener
-	ends  []*end
-	late  []time.Duration // of the next connections to it
+	silent        bool
+	lastPort      int
+	listeners     map[int]*listener
+	ends          []*connEnd
+	connectDelays []time.Duration // of the next connections to it
 }
 
 // Host adds a machine. A way between two takes the sum of their delays, which has to be above 0.
 func (n *Network) Host(name, ip string, delay time.Duration) *Host {
-	h := &Host{net: n, name: name, ip: net.ParseIP(ip), delay: delay, port: firstPort, bound: map[int]*listener{}}
+	h := &Host{network: n, name: name, ip: net.ParseIP(ip), delay: delay, lastPort: firstPort, listeners: map[int]*listener{}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[h.ip.String()] = h
@@ -118,43 +118,43 @@
 // Silence cuts the host off, or with false back on: nothing reaches it or leaves it, nothing fails, and what is on its
 // way meanwhile comes afterwards.
 func (h *Host) Silence(on bool) {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	h.dark = on
-	h.net.changed.Broadcast()
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	h.silent = on
+	h.network.changed.Broadcast()
 }
 
 // Late has the next connection to the host come up that much later, or with a negative time never; called again, the one
 // after that.
 func (h *Host) Late(by time.Duration) {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	h.late = append(h.late, by)
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	h.connectDelays = append(h.connectDelays, by)
 }
 
 // Kill ends the host's process: its connections are reset, and new ones refused until it listens again.
 func (h *Host) Kill() {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	for _, l := range h.bound {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	for _, l := range h.listeners {
 		l.closed = true
 	}
-	clear(h.bound)
+	clear(h.listeners)
 	for _, e := range slices.Clone(h.ends) {
 		e.reset()
 	}
-	h.net.changed.Broadcast()
+	h.network.changed.Broadcast()
 }
 
 // Listen takes connections on a port, from 1 to 65535.
 func (h *Host) Listen(port int) (net.Listener, error) {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
 	l := &listener{host: h, port: port}
-	if h.bound[port] != nil {
-		return nil, l.failed("listen", syscall.EADDRINUSE)
+	if h.listeners[port] != nil {
+		return nil, l.opError("listen", syscall.EADDRINUSE)
 	}
-	h.bound[port] = l
+	h.listeners[port] = l
 	return l, nil
 }
 
@@ -169,48 +169,48 @@
 	if err != nil {
 		return nil, fmt.Errorf("port %q: %w", text, err)
 	}
-	n := h.net
+	n := h.network
 	defer context.AfterFunc(ctx, n.wake)()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := n.hosts[host]
-	n.dialled++
-	h.port++
-	from := h.port
-	d := &dialling{net: n, number: n.dialled, from: h, to: to, toName: address}
+	n.dialCount++
+	h.lastPort++
+	from := h.lastPort
+	d := &dialAttempt{network: n, number: n.dialCount, from: h, to: to, toName: address}
 	if to != nil {
-		d.toName, d.way = to.name, h.delay+to.delay
+		d.toName, d.delay = to.name, h.delay+to.delay
 	}
-	d.tell(h.name, d.toName, Dials)
+	d.observe(h.name, d.toName, Dials)
 	failed := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: network, Addr: &net.TCPAddr{IP: net.ParseIP(host), Port: port}, Err: err}
 	}
 	late := time.Duration(0)
-	if to != nil && len(to.late) > 0 {
-		late, to.late = to.late[0], to.late[1:]
-		d.lost = late < 0
+	if to != nil && len(to.connectDelays) > 0 {
+		late, to.connectDelays = to.connectDelays[0], to.connectDelays[1:]
+		d.neverConnects = late < 0
 	}
-	if err := d.pass(ctx, d.way+late); err != nil {
+	if err := d.awaitArrival(ctx, d.delay+late); err != nil {
 		return failed(err)
 	}
-	for to.bound[port] != nil && len(to.bound[port].queue) >= backlog && ctx.Err() == nil {
+	for to.listeners[port] != nil && len(to.listeners[port].queue) >= backlog && ctx.Err() == nil {
 		n.wait(time.Time{})
 	}
-	l := to.bound[port]
+	l := to.listeners[port]
 	if l == nil {
-		d.tell(to.name, h.name, Refuses)
+		d.observe(to.name, h.name, Refuses)
 	}
-	if err := d.pass(ctx, d.way); err != nil {
+	if err := d.awaitArrival(ctx, d.delay); err != nil {
 		return failed(err)
 	}
 	if l != nil && l.closed { // while it came up
-		d.tell(to.name, h.name, Refuses)
+		d.observe(to.name, h.name, Refuses)
 	}
 	if l == nil || l.closed {
 		return failed(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 	}
-	near := &end{net: n, host: h, number: d.number, way: d.way, addr: &net.TCPAddr{IP: h.ip, Port: from}}
-	far := &end{net: n, host: to, number: d.number, way: d.way, addr: &net.TCPAddr{IP: to.ip, Port: port}, peer: near}
+	near := &connEnd{network: n, host: h, number: d.number, delay: d.delay, addr: &net.TCPAddr{IP: h.ip, Port: from}}
+	far := &connEnd{network: n, host: to, number: d.number, delay: d.delay, addr: &net.TCPAddr{IP: to.ip, Port: port}, peer: near}
 	near.peer = far
 	h.ends, to.ends = append(h.ends, near), append(to.ends, far)
 	l.queue = append(l.queue, far)
@@ -218,102 +218,102 @@
 	return near, nil
 }
 
-// dialling is a connection that is coming up.
-type dialling struct {
-	net      *Network
-	number   int
-	from, to *Host
-	toName   string
-	way      time.Duration
-	lost     bool // it never comes up
+// dialAttempt is a connection that is coming up.
+type dialAttempt struct {
+	network       *Network
+	number        int
+	from, to      *Host
+	toName        string
+	delay         time.Duration
+	neverConnects bool // it never comes up
 }
 
-func (d *dialling) tell(from, to string, kind Kind) {
-	d.net.observe(Event{At: time.Now(), Conn: d.number, From: from, To: to, Kind: kind})
+func (d *dialAttempt) observe(from, to string, kind Kind) {
+	d.network.observe(Event{At: time.Now(), Conn: d.number, From: from, To: to, Kind: kind})
 }
 
-// pass waits until what was sent now is there, that much later, or ctx ends.
-func (d *dialling) pass(ctx context.Context, way time.Duration) error {
+// awaitArrival waits until what was sent now is there, that much later, or ctx ends.
+func (d *dialAttempt) awaitArrival(ctx context.Context, way time.Duration) error {
 	due := time.Now().Add(way)
 	for {
 		until := due
-		if past(due) {
-			if d.to != nil && !d.lost && !d.from.dark && !d.to.dark {
+		if reached(due) {
+			if d.to != nil && !d.neverConnects && !d.from.silent && !d.to.silent {
 				return nil
 			}
 			until = time.Time{}
 		}
 		if err := ctx.Err(); err != nil {
-			d.tell(d.from.name, d.toName, Leaves)
+			d.observe(d.from.name, d.toName, Leaves)
 			if errors.Is(err, context.DeadlineExceeded) {
 				return os.ErrDeadlineExceeded
 			}
 			return err
 		}
-		d.net.wait(until)
+		d.network.wait(until)
 	}
 }
 
 // listener is a port of a host that takes connections.
 type listener struct {
-	host   *Host
-	port   int
-	queue  []*end
-	until  time.Time // the deadline of Accept
-	closed bool
+	host           *Host
+	port           int
+	queue          []*connEnd
+	acceptDeadline time.Time // the deadline of Accept
+	closed         bool
 }
 
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{IP: l.host.ip, Port: l.port} }
 
-func (l *listener) failed(op string, err error) error {
+func (l *listener) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Addr: l.Addr(), Err: err}
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
-	n := l.host.net
+	n := l.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for {
 		switch {
 		case l.closed:
-			return nil, l.failed("accept", net.ErrClosed)
-		case past(l.until):
-			return nil, l.failed("accept", os.ErrDeadlineExceeded)
+			return nil, l.opError("accept", net.ErrClosed)
+		case reached(l.acceptDeadline):
+			return nil, l.opError("accept", os.ErrDeadlineExceeded)
 		case len(l.queue) > 0:
 			e := l.queue[0]
 			l.queue = l.queue[1:]
 			n.changed.Broadcast()
 			return e, nil
 		}
-		n.wait(l.until)
+		n.wait(l.acceptDeadline)
 	}
 }
 
 // SetDeadline bounds Accept.
 func (l *listener) SetDeadline(t time.Time) error {
-	n := l.host.net
+	n := l.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l.closed {
-		return l.failed("set", net.ErrClosed)
+		return l.opError("set", net.ErrClosed)
 	}
-	l.until = t
+	l.acceptDeadline = t
 	n.changed.Broadcast()
 	return nil
 }
 
 // Close ends the listening; connections that nobody accepted are reset.
 func (l *listener) Close() error {
-	n := l.host.net
+	n := l.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l.closed {
-		return l.failed("close", net.ErrClosed)
+		return l.opError("close", net.ErrClosed)
 	}
 	l.closed = true
-	delete(l.host.bound, l.port)
+	delete(l.host.listeners, l.port)
 	for _, e := range l.queue {
 		e.reset()
 	}
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -18,8 +18,8 @@
 	"github.com/prometheus/procfs"
 )
 
-// logKeep is how much of a child's log is kept; what comes beyond is counted and dropped.
-const logKeep = 8 << 20
+// maxLogBytes is how much of a child's log is kept; what comes beyond is counted and dropped.
+const maxLogBytes = 8 << 20
 
 const childNice = 5
 
@@ -38,24 +38,24 @@
 
 // Child is a process that was started.
 type Child struct {
-	Name   string
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	exited error // of Wait, once ended is closed
-	logs   sync.WaitGroup
+	Name    string
+	cmd     *exec.Cmd
+	ended   chan struct{}
+	waitErr error // of Wait, once ended is closed
+	logs    sync.WaitGroup
 }
 
-// starts is the work of the spawner: the kernel kills a child when the thread that started it dies, so that all are
+// startRequests is the work of the spawner: the kernel kills a child when the thread that started it dies, so that all are
 // started on one thread that lives as long as the process.
 var (
-	starts = make(chan func())
-	spawn  = sync.OnceFunc(func() {
+	startRequests = make(chan func())
+	runSpawner    = sync.OnceFunc(func() {
 		go func() {
 			runtime.LockOSThread()
 			// Of this thread alone, and so of the children: where processors are short, what is measured waits and
 			// not what measures. Without it the clients began sends 10 ms late on 4 processors.
 			_ = syscall.Setpriority(syscall.PRIO_PROCESS, 0, childNice) // to be nicer is always allowed
-			for f := range starts {
+			for f := range startRequests {
 				f()
 			}
 		}()
@@ -86,9 +86,9 @@
 		cmd.Stdout = s.Stdout
 	}
 	c := &Child{Name: s.Name, cmd: cmd, ended: make(chan struct{})}
-	spawn()
+	runSpawner()
 	done := make(chan error)
-	starts <- func() { done <- cmd.Start() }
+	startRequests <- func() { done <- cmd.Start() }
 	err = <-done
 	_ = write.Close()
 	if err != nil {
@@ -101,19 +101,19 @@
 		defer c.logs.Done()
 		defer func() { _ = log.Close() }()
 		defer func() { _ = read.Close() }()
-		keep(log, read)
+		copyLog(log, read)
 	}()
 	go func() {
-		c.exited = cmd.Wait()
+		c.waitErr = cmd.Wait()
 		close(c.ended)
 	}()
 	return c, nil
 }
 
-// keep copies a log up to its bound, and drains the rest, so that a child never waits for it.
-func keep(to io.Writer, from io.Reader) {
+// copyLog copies a log up to its bound, and drains the rest, so that a child never waits for it.
+func copyLog(to io.Writer, from io.Reader) {
 	w := bufio.NewWriter(to)
-	_, _ = io.CopyN(w, from, logKeep) // a log that can't be written is no reason to stop the play
+	_, _ = io.CopyN(w, from, maxLogBytes) // a log that can't be written is no reason to stop the play
 	if n, _ := io.Copy(io.Discard, from); n > 0 {
 		_, _ = fmt.Fprintf(w, "\n(%d bytes more were left out)\n", n)
 	}
@@ -133,10 +133,10 @@
 	default:
 		return ""
 	}
-	if c.exited == nil {
+	if c.waitErr == nil {
 		return "exit status 0"
 	}
-	return c.exited.Error()
+	return c.waitErr.Error()
 }
 
 // Signal sends a signal; to a process that has ended it does nothing.
@@ -165,7 +165,7 @@
 	select {
 	case <-c.ended:
 		c.logs.Wait()
-		return c.exited == nil, nil
+		return c.waitErr == nil, nil
 	case <-over.C:
 		late()
 		return false, c.Kill()
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // TestMain plays a laboratory that starts a child and waits to be killed, where a test asks for it.
 func TestMain(m *testing.M) {
@@ -32,17 +32,17 @@
 	return err == nil && !strings.Contains(string(text), ") Z ") // a zombie has ended
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
 	}
 }
 
-// script runs a shell script, and waits until it has made the file "ready".
-func script(t *testing.T, text string) (c *Child, dir string) {
+// startScript runs a shell startScript, and waits until it has made the file "ready".
+func startScript(t *testing.T, text string) (c *Child, dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	c, err := Start(Spec{Name: "child", Path: "/bin/sh", Args: []string{"-c", text}, Dir: dir, LogFile: filepath.Join(dir, "log")})
@@ -50,11 +50,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Kill() })
-	eventually(t, "the script", func() bool { return exists(dir, "ready") })
+	waitFor(t, "the script", func() bool { return fileExists(dir, "ready") })
 	return c, dir
 }
 
-func exists(dir, name string) bool {
+func fileExists(dir, name string) bool {
 	_, err := os.Stat(filepath.Join(dir, name))
 	return err == nil
 }
@@ -80,23 +80,23 @@
 	}
 	_ = lab.Process.Signal(syscall.SIGKILL)
 	_ = lab.Wait() // it was killed
-	eventually(t, "the child to end", func() bool { return !alive(pid) })
+	waitFor(t, "the child to end", func() bool { return !alive(pid) })
 }
 
 func TestStopIsCleanOrKills(t *testing.T) {
 	const loop = "; : > ready; while :; do sleep 0.01; done"
-	c, _ := script(t, "trap 'exit 0' TERM"+loop)
-	if clean, err := c.Stop(patience, func() {}); !clean || err != nil {
+	c, _ := startScript(t, "trap 'exit 0' TERM"+loop)
+	if clean, err := c.Stop(testTimeout, func() {}); !clean || err != nil {
 		t.Errorf("clean %v, %v (%s)", clean, err, c.Exit())
 	}
-	deaf, _ := script(t, "trap '' TERM"+loop)
+	deaf, _ := startScript(t, "trap '' TERM"+loop)
 	if clean, err := deaf.Stop(50*time.Millisecond, func() {}); clean || err != nil || !strings.Contains(deaf.Exit(), "killed") {
 		t.Errorf("deaf to SIGTERM: clean %v, %v (%s)", clean, err, deaf.Exit())
 	}
 }
 
 func TestUseAndFileLimit(t *testing.T) {
-	c, dir := script(t, "trap '' XFSZ; : > ready; while [ ! -e go ]; do sleep 0.01; done; echo text > file || : > noroom; exec sleep 600")
+	c, dir := startScript(t, "trap '' XFSZ; : > ready; while [ ! -e go ]; do sleep 0.01; done; echo text > file || : > noroom; exec sleep 600")
 	u, err := c.Use()
 	if err != nil || u.Descriptors < 3 || u.MemoryMB <= 0 {
 		t.Errorf("use %+v, %v", u, err)
@@ -108,7 +108,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "go"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a write without room", func() bool { return exists(dir, "noroom") })
+	waitFor(t, "a write without room", func() bool { return fileExists(dir, "noroom") })
 	if err := c.Kill(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/relay/mesh.go
+++ b/internal/lab/relay/mesh.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	datagramMost = 64 << 10
-	onTheWayMost = 4096 // datagrams to one party that are held up; what is more vanishes, as in a full queue
-	streamsMost  = 16   // connections that one link of a mesh carries at once; more are refused
+	maxDatagramBytes = 64 << 10
+	maxHeldDatagrams = 4096 // datagrams to one party that are held up; what is more vanishes, as in a full queue
+	maxConnsPerLink  = 16   // connections that one link of a mesh carries at once; more are refused
 )
 
 // Mesh is the links between parties that talk to each other over datagrams and connections, each party at one address for
 // all: a link knows who sends by the source address, which every party has one of its own of.
 type Mesh struct {
-	mu    sync.Mutex
-	hubs  map[string]*hub // by party
-	party map[string]string
-	ways  map[[2]string]*way // from and to
-	heard func(from, to string, r *http.Request)
+	mu         sync.Mutex
+	hubs       map[string]*hub // by party
+	partyByIP  map[string]string
+	directions map[[2]string]*direction // from and to
+	onRequest  func(from, to string, r *http.Request)
 }
 
 // hub is where all others reach one party: one socket for datagrams and one listener, whatever the number of the others.
 type hub struct {
-	m        *Mesh
-	name     string
-	target   *net.UDPAddr
-	packets  *net.UDPConn
-	listener net.Listener
-	done     sync.WaitGroup
-	held     atomic.Int64 // datagrams on the way
+	mesh      *Mesh
+	name      string
+	target    *net.UDPAddr
+	datagrams *net.UDPConn
+	listener  net.Listener
+	done      sync.WaitGroup
+	held      atomic.Int64 // datagrams on the way
 }
 
-// way is the link of an ordered pair.
-type way struct {
+// direction is the link of an ordered pair.
+type direction struct {
 	link *Link // carries connections that from opens
 
-	mu    sync.Mutex
-	own   State // as set
-	state State // with what the way back has set for this one
-	rng   *rand.Rand
-	count Passed
+	mu        sync.Mutex
+	requested State // as set
+	effective State // with what the way back has set for this one
+	rng       *rand.Rand
+	count     Passed
 }
 
 // Passed counts the datagrams of a way.
@@ -54,7 +54,7 @@
 
 // NewMesh is a mesh without parties.
 func NewMesh() *Mesh {
-	return &Mesh{hubs: map[string]*hub{}, party: map[string]string{}, ways: map[[2]string]*way{}}
+	return &Mesh{hubs: map[string]*hub{}, partyByIP: map[string]string{}, directions: map[[2]string]*direction{}}
 }
 
 // Add puts a party into the mesh, which listens and sends at target and which the others reach at address. seed draws what is
@@ -64,15 +64,15 @@
 	if err != nil {
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
-	h := &hub{m: m, name: name}
+	h := &hub{mesh: m, name: name}
 	if h.target, err = net.ResolveUDPAddr("udp", target); err != nil {
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
-	if h.packets, err = net.ListenUDP("udp", at); err != nil {
+	if h.datagrams, err = net.ListenUDP("udp", at); err != nil {
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
 	if h.listener, err = net.Listen("tcp", address); err != nil {
-		_ = h.packets.Close()
+		_ = h.datagrams.Close()
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
 	m.mu.Lock()
@@ -83,11 +83,11 @@
 			if of[1] != name {
 				to = m.hubs[other].target.String()
 			}
-			m.ways[of] = &way{rng: rand.New(rand.NewPCG(seed, uint64(len(m.ways)))),
-				link: &Link{From: of[0], To: of[1], target: to, heard: m.hear(of[0], of[1]), onEnd: func(string) {}, changed: make(chan struct{}), conns: map[*pair]bool{}}}
+			m.directions[of] = &direction{rng: rand.New(rand.NewPCG(seed, uint64(len(m.directions)))),
+				link: &Link{From: of[0], To: of[1], target: to, onRequest: m.requestObserver(of[0], of[1]), onEnd: func(string) {}, changed: make(chan struct{}), conns: map[*pair]bool{}}}
 		}
 	}
-	m.hubs[name], m.party[h.target.IP.String()] = h, name
+	m.hubs[name], m.partyByIP[h.target.IP.String()] = h, name
 	h.done.Go(h.receive)
 	h.done.Go(h.accept)
 	return nil
@@ -96,26 +96,26 @@
 // Set changes what the link between two parties does, from now on. Forth is what from sends, over either's connections too.
 func (m *Mesh) Set(from, to string, s State) error {
 	m.mu.Lock()
-	w, back := m.ways[[2]string{from, to}], m.ways[[2]string{to, from}]
+	w, back := m.directions[[2]string{from, to}], m.directions[[2]string{to, from}]
 	m.mu.Unlock()
 	if w == nil {
 		return fmt.Errorf("mesh: no link from %s to %s", from, to)
 	}
 	w.mu.Lock()
-	w.own = s
+	w.requested = s
 	w.mu.Unlock()
-	return errors.Join(w.join(back), back.join(w))
+	return errors.Join(w.combine(back), back.combine(w))
 }
 
-// join puts in force what both directions have set.
-func (w *way) join(back *way) error {
+// combine puts in force what both directions have set.
+func (w *direction) combine(back *direction) error {
 	back.mu.Lock()
-	b := back.own
+	b := back.requested
 	back.mu.Unlock()
 	w.mu.Lock()
-	s := w.own
+	s := w.requested
 	s.SilentForth, s.SilentBack, s.Reset = s.SilentForth || b.SilentBack, s.SilentBack || b.SilentForth, s.Reset || b.Reset
-	w.state = s
+	w.effective = s
 	w.mu.Unlock()
 	return w.link.Set(s)
 }
@@ -123,7 +123,7 @@
 // Count is what went from one party to another in datagrams.
 func (m *Mesh) Count(from, to string) Passed {
 	m.mu.Lock()
-	w := m.ways[[2]string{from, to}]
+	w := m.directions[[2]string{from, to}]
 	m.mu.Unlock()
 	if w == nil {
 		return Passed{}
@@ -133,50 +133,50 @@
 	return w.count
 }
 
-// from is the way that somebody at an address takes to h; nil: a stranger.
-func (h *hub) from(address net.IP) *way {
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	return h.m.ways[[2]string{h.m.party[address.String()], h.name}]
+// directionFrom is the way that somebody at an address takes to h; nil: a stranger.
+func (h *hub) directionFrom(address net.IP) *direction {
+	h.mesh.mu.Lock()
+	defer h.mesh.mu.Unlock()
+	return h.mesh.directions[[2]string{h.mesh.partyByIP[address.String()], h.name}]
 }
 
 // receive passes datagrams on, until the mesh closes.
 func (h *hub) receive() {
-	buf := make([]byte, datagramMost)
+	buf := make([]byte, maxDatagramBytes)
 	for {
-		n, source, err := h.packets.ReadFromUDP(buf)
+		n, source, err := h.datagrams.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // what the kernel says of a datagram before: its target is down
 			continue
 		}
-		w := h.from(source.IP)
+		w := h.directionFrom(source.IP)
 		if w == nil {
 			continue
 		}
-		wait, lost := w.fate(n)
-		if lost || h.held.Load() >= onTheWayMost {
+		wait, lost := w.drawDelay(n)
+		if lost || h.held.Load() >= maxHeldDatagrams {
 			continue
 		}
 		if wait <= 0 {
-			_, _ = h.packets.WriteToUDP(buf[:n], h.target) // a datagram may be lost
+			_, _ = h.datagrams.WriteToUDP(buf[:n], h.target) // a datagram may be lost
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
 		h.held.Add(1)
 		time.AfterFunc(wait, func() {
 			h.held.Add(-1)
-			_, _ = h.packets.WriteToUDP(data, h.target) // the same; once the mesh is closed nothing goes out
+			_, _ = h.datagrams.WriteToUDP(data, h.target) // the same; once the mesh is closed nothing goes out
 		})
 	}
 }
 
-// fate is what becomes of a datagram.
-func (w *way) fate(n int) (wait time.Duration, lost bool) {
+// drawDelay is what becomes of a datagram.
+func (w *direction) drawDelay(n int) (wait time.Duration, lost bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.state
+	s := w.effective
 	if s.SilentForth || s.Reset || s.Loss > 0 && w.rng.Float64() < s.Loss {
 		w.count.Lost++
 		return 0, true
@@ -197,20 +197,20 @@
 		if err != nil {
 			return // closed
 		}
-		w := h.from(c.RemoteAddr().(*net.TCPAddr).IP)
+		w := h.directionFrom(c.RemoteAddr().(*net.TCPAddr).IP)
 		if w == nil {
 			abort(c)
 			continue
 		}
-		w.link.take(c)
+		w.link.carryAccepted(c)
 	}
 }
 
-// take carries a connection that a mesh has accepted.
-func (l *Link) take(c net.Conn) {
+// carryAccepted carries a connection that a mesh has accepted.
+func (l *Link) carryAccepted(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || l.state.Reset || len(l.conns) >= streamsMost {
+	if l.closed || l.state.Reset || len(l.conns) >= maxConnsPerLink {
 		abort(c)
 		return
 	}
@@ -223,10 +223,10 @@
 // Close ends the mesh and all that it carries, and waits until it has.
 func (m *Mesh) Close() {
 	m.mu.Lock()
-	hubs, ways := m.hubs, m.ways
+	hubs, ways := m.hubs, m.directions
 	m.mu.Unlock()
 	for _, h := range hubs {
-		_ = h.packets.Close()
+		_ = h.datagrams.Close()
 		_ = h.listener.Close()
 	}
 	for _, h := range hubs {
--- a/internal/lab/relay/mesh_test.go
+++ b/internal/lab/relay/mesh_test.go
@@ -11,12 +11,12 @@
 
 // member is a party that sends and listens at an address of its own, and the address at which the others reach it.
 type member struct {
-	udp *net.UDPConn
-	tcp net.Listener
-	at  string
+	udp     *net.UDPConn
+	tcp     net.Listener
+	address string
 }
 
-func join(t *testing.T, m *Mesh, name, host string) member {
+func addMember(t *testing.T, m *Mesh, name, host string) member {
 	t.Helper()
 	tcp, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -37,21 +37,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = udp.Close(), tcp.Close() })
-	_ = udp.SetDeadline(time.Now().Add(patience))
+	_ = udp.SetDeadline(time.Now().Add(testTimeout))
 	return member{udp, tcp, free.Addr().String()}
 }
 
-// pairOf is a mesh of two.
-func pairOf(t *testing.T) (*Mesh, member, member) {
+// newMeshOfTwo is a mesh of two.
+func newMeshOfTwo(t *testing.T) (*Mesh, member, member) {
 	t.Helper()
 	m := NewMesh()
 	t.Cleanup(m.Close)
-	return m, join(t, m, "a", "127.250.1.1"), join(t, m, "b", "127.250.1.2")
+	return m, addMember(t, m, "a", "127.250.1.1"), addMember(t, m, "b", "127.250.1.2")
 }
 
-func (m member) say(t *testing.T, to member, text string) {
+func (m member) send(t *testing.T, to member, text string) {
 	t.Helper()
-	at, err := net.ResolveUDPAddr("udp", to.at)
+	at, err := net.ResolveUDPAddr("udp", to.address)
 	if err == nil {
 		_, err = m.udp.WriteToUDP([]byte(text), at)
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (m member) hears(t *testing.T) string {
+func (m member) receive(t *testing.T) string {
 	t.Helper()
 	buf := make([]byte, 100)
 	n, _, err := m.udp.ReadFromUDP(buf)
@@ -70,7 +70,7 @@
 	return string(buf[:n])
 }
 
-func setWay(t *testing.T, m *Mesh, s State) {
+func setMeshState(t *testing.T, m *Mesh, s State) {
 	t.Helper()
 	if err := m.Set("a", "b", s); err != nil {
 		t.Fatal(err)
@@ -79,9 +79,9 @@
 
 // A one-way cut takes what a sends, as datagrams and over connections that b opened, and nothing of what b sends.
 func TestMeshCutsOneWay(t *testing.T) {
-	m, a, b := pairOf(t)
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: b.udp.LocalAddr().(*net.UDPAddr).IP}, Timeout: patience}
-	c, err := d.Dial("tcp", a.at)
+	m, a, b := newMeshOfTwo(t)
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: b.udp.LocalAddr().(*net.UDPAddr).IP}, Timeout: testTimeout}
+	c, err := d.Dial("tcp", a.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,10 +91,10 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = in.Close() }()
-	setWay(t, m, State{SilentForth: true})
-	a.say(t, b, "lost")
-	b.say(t, a, "heard")
-	if got := a.hears(t); got != "heard" {
+	setMeshState(t, m, State{SilentForth: true})
+	a.send(t, b, "lost")
+	b.send(t, a, "heard")
+	if got := a.receive(t); got != "heard" {
 		t.Errorf("a heard %q", got)
 	}
 	one := make([]byte, 1)
@@ -111,12 +111,12 @@
 	if _, err := c.Read(one); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a's byte to b: %v, want nothing in time", err)
 	}
-	setWay(t, m, State{})
-	a.say(t, b, "after")
-	if got := b.hears(t); got != "after" {
+	setMeshState(t, m, State{})
+	a.send(t, b, "after")
+	if got := b.receive(t); got != "after" {
 		t.Errorf("b heard %q, want what was said after the cut", got)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(c, one); err != nil || one[0] != 8 {
 		t.Errorf("a's byte after the cut: %v", err)
 	}
@@ -126,19 +126,19 @@
 }
 
 func TestMeshDelaysAndLoses(t *testing.T) {
-	m, a, b := pairOf(t)
-	setWay(t, m, State{Delay: 30 * time.Millisecond})
+	m, a, b := newMeshOfTwo(t)
+	setMeshState(t, m, State{Delay: 30 * time.Millisecond})
 	begun := time.Now()
-	a.say(t, b, "late")
-	b.hears(t)
+	a.send(t, b, "late")
+	b.receive(t)
 	if took := time.Since(begun); took < 30*time.Millisecond {
 		t.Errorf("over a link of 30 ms it took %v", took)
 	}
-	setWay(t, m, State{Loss: 0.3})
+	setMeshState(t, m, State{Loss: 0.3})
 	const said = 400
 	for i := range said { // one after another: none is lost for want of room
-		a.say(t, b, "x")
-		for end := time.Now().Add(patience); m.Count("a", "b").Packets+m.Count("a", "b").Lost < i+2; time.Sleep(100 * time.Microsecond) {
+		a.send(t, b, "x")
+		for end := time.Now().Add(testTimeout); m.Count("a", "b").Packets+m.Count("a", "b").Lost < i+2; time.Sleep(100 * time.Microsecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%+v after %d datagrams", m.Count("a", "b"), i+2)
 			}
@@ -151,11 +151,11 @@
 
 // Who is no party gets nothing through.
 func TestMeshKnowsItsParties(t *testing.T) {
-	_, _, b := pairOf(t)
-	c, err := net.DialTimeout("tcp", b.at, patience) // from no party's address
+	_, _, b := newMeshOfTwo(t)
+	c, err := net.DialTimeout("tcp", b.address, testTimeout) // from no party's address
 	if err == nil {
 		defer func() { _ = c.Close() }()
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		_, err = c.Read(make([]byte, 1))
 	}
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -35,38 +35,38 @@
 }
 
 const (
-	pieceBytes = 32 << 10 // read at once; what a direction holds is 8 of them at most, beyond the kernel's buffers
-	heldPieces = 8
-	dialLimit  = 2 * time.Second
-	backlog    = 1024
+	pieceBytes    = 32 << 10 // read at once; what a direction holds is 8 of them at most, beyond the kernel's buffers
+	maxHeldPieces = 8
+	dialLimit     = 2 * time.Second
+	backlog       = 1024
 	// retransmitAfter is the least time after which Linux sends again what was lost on a connection.
 	retransmitAfter = 200 * time.Millisecond
 )
 
 // Link carries connections from one party to another.
 type Link struct {
-	From, To string
-	target   string
-	onBegin  func(dialled string) // a connection to the target is open; nothing has gone over it yet. nil: nobody wants to know
-	heard    func(*http.Request)  // of what the initiator sends; nil: nobody wants to know
-	onEnd    func(dialled string) // the initiator ended its sending, or the connection, seen even on a silent link
+	From, To  string
+	target    string
+	onBegin   func(dialled string) // a connection to the target is open; nothing has gone over it yet. nil: nobody wants to know
+	onRequest func(*http.Request)  // of what the initiator sends; nil: nobody wants to know
+	onEnd     func(dialled string) // the initiator ended its sending, or the connection, seen even on a silent link
 
-	mu       sync.Mutex
-	state    State
-	changed  chan struct{} // closed at each change of state
-	address  string
-	listener *net.TCPListener
-	stuffing []net.Conn // that keep a silent link's accept queue full
-	conns    map[*pair]bool
-	closed   bool
-	accepted int
-	done     sync.WaitGroup
+	mu            sync.Mutex
+	state         State
+	changed       chan struct{} // closed at each change of state
+	address       string
+	listener      *net.TCPListener
+	queueFillers  []net.Conn // that keep a silent link's accept queue full
+	conns         map[*pair]bool
+	closed        bool
+	acceptedCount int
+	done          sync.WaitGroup
 }
 
 // pair is a connection of the initiator, and the one to the target that it is passed on to.
 type pair struct {
-	in, out net.Conn
-	broken  bool // to be reset at the first answer
+	in, out       net.Conn
+	resetAtAnswer bool // to be reset at the first answer
 }
 
 // New opens a link at address, for connections to target. onEnd may be nil; it is called with the local address of the
@@ -100,18 +100,18 @@
 	defer l.done.Done()
 	for {
 		c, err := ln.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) && l.awaitSound(ln) {
+		if errors.Is(err, os.ErrDeadlineExceeded) && l.awaitSilenceEnd(ln) {
 			continue
 		}
 		if err != nil {
 			return // closed by Set or Close
 		}
-		l.accepts(ln, c)
+		l.handle(ln, c)
 	}
 }
 
-// accepts carries on with a connection that was accepted.
-func (l *Link) accepts(ln *net.TCPListener, c net.Conn) {
+// handle carries on with a connection that was accepted.
+func (l *Link) handle(ln *net.TCPListener, c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || l.listener != ln {
@@ -119,17 +119,17 @@
 		return
 	}
 	if l.state.SilentForth || l.state.SilentBack { // accepted just before: it hangs with the others
-		stuffed := slices.ContainsFunc(l.stuffing, func(s net.Conn) bool { return s.LocalAddr().String() == c.RemoteAddr().String() })
-		l.stuffing = append(l.stuffing, c)
+		stuffed := slices.ContainsFunc(l.queueFillers, func(s net.Conn) bool { return s.LocalAddr().String() == c.RemoteAddr().String() })
+		l.queueFillers = append(l.queueFillers, c)
 		if stuffed { // it was to keep the queue full
-			_ = l.stuff() // nobody to tell; new connections would come up and hang
+			_ = l.fillQueue() // nobody to tell; new connections would come up and hang
 		}
 		return
 	}
 	p := &pair{in: c}
-	l.accepted++
+	l.acceptedCount++
 	// Evenly spread over the connections, so that a play repeats: every 8th for a share of 0.125.
-	p.broken = int(float64(l.accepted)*l.state.ResetShare) > int(float64(l.accepted-1)*l.state.ResetShare)
+	p.resetAtAnswer = int(float64(l.acceptedCount)*l.state.ResetShare) > int(float64(l.acceptedCount-1)*l.state.ResetShare)
 	l.conns[p] = true
 	l.done.Add(1)
 	go l.carry(p)
@@ -157,7 +157,7 @@
 		return nil
 	case s.Reset && !was.Reset:
 		_ = l.listener.Close()
-		_ = l.hush(false)
+		_ = l.setSilentQueue(false)
 		for p := range l.conns {
 			p.abort()
 		}
@@ -170,17 +170,17 @@
 		}
 	}
 	if silent != (wasSilent && !was.Reset) {
-		return l.hush(silent)
+		return l.setSilentQueue(silent)
 	}
 	return nil
 }
 
-// hush makes new connections hang, by a full accept queue, or lets them come again. The caller holds mu.
-func (l *Link) hush(silent bool) error {
-	for _, c := range l.stuffing {
+// setSilentQueue makes new connections hang, by a full accept queue, or lets them come again. The caller holds mu.
+func (l *Link) setSilentQueue(silent bool) error {
+	for _, c := range l.queueFillers {
 		abort(c) // who came while the link was silent is reset once it is back
 	}
-	l.stuffing = nil
+	l.queueFillers = nil
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return err
@@ -203,22 +203,22 @@
 	if !silent {
 		return l.listener.SetDeadline(time.Time{})
 	}
-	return l.stuff()
+	return l.fillQueue()
 }
 
-// stuff fills the accept queue, which takes one connection: the kernel drops what else comes, and the other side waits. The caller
+// fillQueue fills the accept queue, which takes one connection: the kernel drops what else comes, and the other side waits. The caller
 // holds mu.
-func (l *Link) stuff() error {
+func (l *Link) fillQueue() error {
 	c, err := net.DialTimeout("tcp", l.address, dialLimit)
 	if err != nil {
 		return fmt.Errorf("link %s to %s: filling its queue: %w", l.From, l.To, err)
 	}
-	l.stuffing = append(l.stuffing, c)
+	l.queueFillers = append(l.queueFillers, c)
 	return nil
 }
 
-// awaitSound waits while the link is silent; false once its listener is no longer in use.
-func (l *Link) awaitSound(ln *net.TCPListener) bool {
+// awaitSilenceEnd waits while the link is silent; false once its listener is no longer in use.
+func (l *Link) awaitSilenceEnd(ln *net.TCPListener) bool {
 	for {
 		l.mu.Lock()
 		s, changed, dead := l.state, l.changed, l.closed || l.listener != ln
@@ -246,7 +246,7 @@
 		for p := range l.conns {
 			p.abort()
 		}
-		for _, c := range l.stuffing {
+		for _, c := range l.queueFillers {
 			abort(c)
 		}
 	}
@@ -254,8 +254,8 @@
 	l.done.Wait()
 }
 
-// look is the present state, and what is closed when it changes.
-func (l *Link) look() (State, <-chan struct{}, bool) {
+// current is the present state, and what is closed when it changes.
+func (l *Link) current() (State, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.changed, l.closed
@@ -288,8 +288,8 @@
 	}
 	var ways sync.WaitGroup
 	ways.Add(2)
-	go func() { defer ways.Done(); l.pass(p, true) }()
-	go func() { defer ways.Done(); l.pass(p, false) }()
+	go func() { defer ways.Done(); l.copyDirection(p, true) }()
+	go func() { defer ways.Done(); l.copyDirection(p, false) }()
 	ways.Wait()
 	_ = p.in.Close()
 	_ = p.out.Close()
@@ -297,21 +297,21 @@
 
 // piece is some bytes on their way; err ends the direction.
 type piece struct {
-	data []byte
-	at   time.Time
-	err  error
+	data     []byte
+	received time.Time
+	err      error
 }
 
-// pass carries one direction: a reader, which always notices an end, and a writer, which lets the state have its way.
-func (l *Link) pass(p *pair, forth bool) {
+// copyDirection carries one direction: a reader, which always notices an end, and a writer, which lets the state have its way.
+func (l *Link) copyDirection(p *pair, forth bool) {
 	from, to := p.in, p.out
 	if !forth {
 		from, to = p.out, p.in
 	}
-	pieces := make(chan piece, heldPieces)
+	pieces := make(chan piece, maxHeldPieces)
 	var tee *tap
-	if forth && l.heard != nil {
-		tee = newTap(l.heard)
+	if forth && l.onRequest != nil {
+		tee = newTap(l.onRequest)
 	}
 	go func() { // ends with from, which the writer closes by its own end
 		defer close(pieces)
@@ -335,12 +335,12 @@
 	}()
 	first, passed := true, 0
 	for m := range pieces {
-		if !l.hold(m.at, forth, first, passed) {
+		if !l.awaitRelease(m.received, forth, first, passed) {
 			p.abort()
 			continue
 		}
 		if len(m.data) > 0 {
-			if !forth && first && p.broken {
+			if !forth && first && p.resetAtAnswer {
 				p.abort()
 				continue
 			}
@@ -362,10 +362,10 @@
 	}
 }
 
-// hold waits until bytes that came at a time may pass on; false once the link is closed.
-func (l *Link) hold(at time.Time, forth, first bool, passed int) bool {
+// awaitRelease waits until bytes that came at a time may pass on; false once the link is closed.
+func (l *Link) awaitRelease(at time.Time, forth, first bool, passed int) bool {
 	for {
-		s, changed, closed := l.look()
+		s, changed, closed := l.current()
 		if closed {
 			return false
 		}
@@ -399,7 +399,7 @@
 // write passes bytes on, no faster and in no larger pieces than the state has it.
 func (l *Link) write(to net.Conn, data []byte) error {
 	for len(data) > 0 {
-		s, changed, closed := l.look()
+		s, changed, closed := l.current()
 		if closed {
 			return net.ErrClosed
 		}
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -15,10 +15,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo answers each byte with itself, until the test ends.
-func echo(t *testing.T) string {
+// startEchoServer answers each byte with itself, until the test ends.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,9 +45,9 @@
 	return ln.Addr().String()
 }
 
-func link(t *testing.T, onEnd func(string)) *Link {
+func newLink(t *testing.T, onEnd func(string)) *Link {
 	t.Helper()
-	l, err := New("a", "b", "127.0.0.1:0", echo(t), onEnd)
+	l, err := New("a", "b", "127.0.0.1:0", startEchoServer(t), onEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,17 +57,17 @@
 
 func dial(t *testing.T, l *Link) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", l.Address(), patience)
+	c, err := net.DialTimeout("tcp", l.Address(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// ask sends a byte and waits for its echo.
-func ask(c net.Conn) error {
+// roundTrip sends a byte and waits for its echo.
+func roundTrip(c net.Conn) error {
 	if _, err := c.Write([]byte{7}); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	return err
 }
 
-func set(t *testing.T, l *Link, s State) {
+func setState(t *testing.T, l *Link, s State) {
 	t.Helper()
 	if err := l.Set(s); err != nil {
 		t.Fatal(err)
@@ -83,14 +83,14 @@
 }
 
 func TestDelayIsEachWay(t *testing.T) {
-	l := link(t, nil)
+	l := newLink(t, nil)
 	c := dial(t, l)
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
-	set(t, l, State{Delay: 30 * time.Millisecond})
+	setState(t, l, State{Delay: 30 * time.Millisecond})
 	begun := time.Now()
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
 	if took := time.Since(begun); took < 60*time.Millisecond {
@@ -102,26 +102,26 @@
 func TestSilence(t *testing.T) {
 	for name, s := range map[string]State{"forth": {SilentForth: true}, "back": {SilentBack: true}} {
 		t.Run(name, func(t *testing.T) {
-			l := link(t, nil)
+			l := newLink(t, nil)
 			c := dial(t, l)
-			if err := ask(c); err != nil {
+			if err := roundTrip(c); err != nil {
 				t.Fatal(err)
 			}
-			set(t, l, s)
+			setState(t, l, s)
 			_ = c.SetDeadline(time.Now().Add(100 * time.Millisecond))
-			if err := ask(c); !errors.Is(err, os.ErrDeadlineExceeded) {
+			if err := roundTrip(c); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("on a silent link: %v, want nothing in time", err)
 			}
 			if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 				_ = fresh.Close()
 				t.Error("a new connection came up on a silent link")
 			}
-			set(t, l, State{})
-			_ = c.SetDeadline(time.Now().Add(patience))
+			setState(t, l, State{})
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 				t.Errorf("what was held did not arrive after: %v", err)
 			}
-			if err := ask(dial(t, l)); err != nil {
+			if err := roundTrip(dial(t, l)); err != nil {
 				t.Errorf("a new connection after the silence: %v", err)
 			}
 		})
@@ -131,9 +131,9 @@
 // Guards against a queue that is empty once what was to fill it has been accepted, by a call to accept that had begun before the
 // silence and was held up.
 func TestSilenceWhoseQueueWasTakenFrom(t *testing.T) {
-	l := link(t, nil)
-	set(t, l, State{SilentBack: true})
-	if err := l.listener.SetDeadline(time.Now().Add(patience)); err != nil {
+	l := newLink(t, nil)
+	setState(t, l, State{SilentBack: true})
+	if err := l.listener.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	c, err := l.listener.Accept()
@@ -143,7 +143,7 @@
 	if err := l.listener.SetDeadline(time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	l.accepts(l.listener, c)
+	l.handle(l.listener, c)
 	if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 		_ = fresh.Close()
 		t.Error("a new connection came up on a silent link")
@@ -151,33 +151,33 @@
 }
 
 func TestResetBreaksAndRefuses(t *testing.T) {
-	l := link(t, nil)
+	l := newLink(t, nil)
 	c := dial(t, l)
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
-	set(t, l, State{Reset: true})
-	if err := ask(c); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+	setState(t, l, State{Reset: true})
+	if err := roundTrip(c); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Errorf("an open connection: %v, want a reset", err)
 	}
-	if fresh, err := net.DialTimeout("tcp", l.Address(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
+	if fresh, err := net.DialTimeout("tcp", l.Address(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new connection: %v, want it refused", err)
 		if err == nil {
 			_ = fresh.Close()
 		}
 	}
-	set(t, l, State{})
-	if err := ask(dial(t, l)); err != nil {
+	setState(t, l, State{})
+	if err := roundTrip(dial(t, l)); err != nil {
 		t.Errorf("after the reset: %v", err)
 	}
 }
 
 func TestOneInFourIsBroken(t *testing.T) {
-	l := link(t, nil)
-	set(t, l, State{ResetShare: 0.25})
+	l := newLink(t, nil)
+	setState(t, l, State{ResetShare: 0.25})
 	bad := 0
 	for range 8 {
-		if ask(dial(t, l)) != nil {
+		if roundTrip(dial(t, l)) != nil {
 			bad++
 		}
 	}
@@ -187,8 +187,8 @@
 }
 
 func TestPiecesAndRate(t *testing.T) {
-	l := link(t, nil)
-	set(t, l, State{Chop: 3, Rate: 10_000})
+	l := newLink(t, nil)
+	setState(t, l, State{Chop: 3, Rate: 10_000})
 	c := dial(t, l)
 	text := make([]byte, 1000)
 	for i := range text {
@@ -211,16 +211,16 @@
 // given up.
 func TestEndIsSeenOnASilentLink(t *testing.T) {
 	ended := make(chan string, 1)
-	l := link(t, func(dialled string) { ended <- dialled })
+	l := newLink(t, func(dialled string) { ended <- dialled })
 	c := dial(t, l)
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
-	set(t, l, State{SilentForth: true, SilentBack: true})
+	setState(t, l, State{SilentForth: true, SilentBack: true})
 	_ = c.Close()
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the end was not seen")
 	}
 }
--- a/internal/lab/relay/tap.go
+++ b/internal/lab/relay/tap.go
@@ -9,14 +9,14 @@
 // tap hears the requests of one connection, as its initiator sends them; a nil tap hears nothing.
 type tap struct {
 	in   *io.PipeWriter
-	over chan struct{}
+	done chan struct{}
 }
 
 func newTap(heard func(*http.Request)) *tap {
 	out, in := io.Pipe()
 	t := &tap{in, make(chan struct{})}
 	go func() {
-		defer close(t.over)
+		defer close(t.done)
 		for r := bufio.NewReader(out); ; {
 			req, err := http.ReadRequest(r)
 			if err == nil {
@@ -42,7 +42,7 @@
 func (t *tap) close() {
 	if t != nil {
 		_ = t.in.Close()
-		<-t.over
+		<-t.done
 	}
 }
 
@@ -51,12 +51,12 @@
 func (l *Link) OnBegin(f func(dialled string)) { l.mu.Lock(); l.onBegin = f; l.mu.Unlock() }
 
 // Hear has heard told of each request that a party sends over a mesh's links. It is called before parties are added.
-func (m *Mesh) Hear(heard func(from, to string, r *http.Request)) { m.heard = heard }
+func (m *Mesh) Hear(heard func(from, to string, r *http.Request)) { m.onRequest = heard }
 
-// hear is what a link of the mesh calls for a request; nil: nobody wants to know.
-func (m *Mesh) hear(from, to string) func(*http.Request) {
-	if m.heard == nil {
+// requestObserver is what a link of the mesh calls for a request; nil: nobody wants to know.
+func (m *Mesh) requestObserver(from, to string) func(*http.Request) {
+	if m.onRequest == nil {
 		return nil
 	}
-	return func(r *http.Request) { m.heard(from, to, r) }
+	return func(r *http.Request) { m.onRequest(from, to, r) }
 }
