--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -13,13 +13,14 @@
 	"mosslead/internal/lab/record"
 )
 
-// The states of list entries.
+// The statuses of list entries.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Gone        = "Gone"
 )
 
+// emptyLineInterval is the time between the empty lines that are sent on an open watch.
 const emptyLineInterval = 2 * time.Second
 
 // Entry is an upstream in the list.
@@ -34,27 +35,27 @@
 	SinceMs int64   `json:"since_ms"`
 }
 
-// Listing is one message of discovery.
+// Listing is one message from discovery: the whole list (Snapshot), or the entries that changed.
 type Listing struct {
 	Index     int64   `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// Mood is what is wrong with discovery, by a fault. The zero value: nothing.
+// Mood is the fault that an agent of discovery shows. The zero value is no fault.
 type Mood struct {
-	Silent  bool          // answers nothing, and sends nothing on open watches
-	Late    time.Duration // later than usual
-	Rewind  bool          // tells an old list again, under its old number
-	Garbage bool          // sends what is no message
-	Empty   bool          // says that there is nobody
+	Silent  bool          // no answers, and no messages on open watches
+	Late    time.Duration // delay in addition to the agent's own
+	Rewind  bool          // sends an old list again, under its old index
+	Garbage bool          // sends a line that is not a valid message
+	Empty   bool          // sends a list without endpoints
 }
 
-// Discovery is the list of upstreams, and the agents that bring it to sidecars.
+// Discovery holds the list of upstreams and the agents that serve it to sidecars.
 type Discovery struct {
 	rec     *record.Record
 	mu      sync.Mutex
-	changes []change // index i+1
+	changes []change // the change at position i has index i+1
 	agents  []*Agent
 }
 
@@ -63,10 +64,10 @@
 	entry Entry
 }
 
-// NewDiscovery is an empty list.
+// NewDiscovery returns a Discovery whose list is empty.
 func NewDiscovery(rec *record.Record) *Discovery { return &Discovery{rec: rec} }
 
-// Change tells of an entry, from now on; agents hear of it after their delay.
+// Change changes an entry now. Each agent sees the change after its delay.
 func (d *Discovery) Change(e Entry) {
 	d.mu.Lock()
 	d.changes = append(d.changes, change{d.rec.Now(), e})
@@ -77,7 +78,7 @@
 	}
 }
 
-// Agent brings the list to one sidecar, with that sidecar's own addresses.
+// Agent serves the list to one sidecar, with the addresses at which that sidecar reaches the upstreams.
 type Agent struct {
 	Sidecar string
 
@@ -90,21 +91,21 @@
 
 	mu             sync.Mutex
 	mood           Mood
-	visibleChanges int           // changes that it has
-	changed        chan struct{} // closed when there is news
+	visibleChanges int           // number of changes that the sidecar can see
+	changed        chan struct{} // closed and replaced when there is something new for the watches
 	timer          *time.Timer
 	closed         bool
 	listenAddress  string
 }
 
-// Agent serves a sidecar at an address; changes reach it late by so much. address gives an upstream's address as that
-// sidecar is to see it.
-func (d *Discovery) Agent(sidecar, listen string, late time.Duration, address func(string) string) (*Agent, error) {
+// Agent starts the agent of a sidecar at the address listen. The sidecar sees each change after delay. address returns
+// an upstream's address as that sidecar is to see it.
+func (d *Discovery) Agent(sidecar, listen string, delay time.Duration, address func(string) string) (*Agent, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("discovery of %s: %w", sidecar, err)
 	}
-	a := &Agent{Sidecar: sidecar, d: d, address: address, delay: late, teller: newTeller(d.rec, sidecar),
+	a := &Agent{Sidecar: sidecar, d: d, address: address, delay: delay, teller: newTeller(d.rec, sidecar),
 		changed: make(chan struct{}), listenAddress: ln.Addr().String()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", a.serveTargets)
@@ -116,15 +117,15 @@
 	a.done.Add(1)
 	go func() { defer a.done.Done(); _ = a.server.Serve(ln) }() // ends with Close
 	a.mu.Lock()
-	a.visibleChanges = len(d.changes) // what was there before the play is known at once
+	a.visibleChanges = len(d.changes) // the sidecar knows at once what was listed before its agent started
 	a.mu.Unlock()
 	return a, nil
 }
 
-// Address is where the sidecar asks.
+// Address returns the address at which the sidecar asks.
 func (a *Agent) Address() string { return a.listenAddress }
 
-// Close ends the agent and its watches.
+// Close stops the agent and ends its watches.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -135,7 +136,7 @@
 	a.done.Wait()
 }
 
-// Set changes the mood, from now on.
+// Set replaces the mood, effective at once.
 func (a *Agent) Set(m Mood) {
 	a.mu.Lock()
 	a.mood = m
@@ -144,20 +145,21 @@
 	a.takeDueChanges()
 }
 
-// Restarted says that a process of the sidecar begins from nothing, but for the list that it is handed.
+// Restarted notes that a new process of the sidecar starts. It knows only the list that it is given, nil if there is
+// none.
 func (a *Agent) Restarted(known *Listing) { a.teller.reset(known) }
 
-// Teller is what this agent notes of the news that reach its sidecar, for others that bring it news too.
+// Teller returns the agent's record of the news that reach its sidecar, for use by others that also bring it news.
 func (a *Agent) Teller() *Teller { return a.teller }
 
-// Known is the list as this sidecar last could have it.
+// Known returns the latest list that the sidecar can have.
 func (a *Agent) Known() Listing {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fullList()
 }
 
-// takeDueChanges takes in the changes that are due, and comes again for the next.
+// takeDueChanges makes the changes visible that are due, and sets the timer for the next one.
 func (a *Agent) takeDueChanges() {
 	a.d.mu.Lock()
 	changes := a.d.changes
@@ -181,13 +183,14 @@
 	}
 }
 
-// wakeWatches wakes the watches; the caller holds mu.
+// wakeWatches wakes the open watches. The caller holds mu.
 func (a *Agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// changesSince is what changed after a version, or the whole list where that version is not known. The caller holds mu.
+// changesSince returns the entries that changed after version from, or the whole list if that version is not known. The
+// caller holds mu.
 func (a *Agent) changesSince(from int) Listing {
 	if from < 1 || from > a.visibleChanges {
 		return a.fullList()
@@ -195,51 +198,52 @@
 	l := Listing{Index: int64(a.visibleChanges), Endpoints: []Entry{}}
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
-	at := map[string]int{}
+	position := map[string]int{}
 	for _, c := range a.d.changes[from:a.visibleChanges] {
 		e := a.withOwnAddress(c.entry)
-		if i, ok := at[e.Name]; ok {
+		if i, ok := position[e.Name]; ok {
 			l.Endpoints[i] = e
 			continue
 		}
-		at[e.Name] = len(l.Endpoints)
+		position[e.Name] = len(l.Endpoints)
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	return l
 }
 
-// fullList is the list as the agent has it. The caller holds mu.
+// fullList returns the list as the agent has it. The caller holds mu.
 func (a *Agent) fullList() Listing { return a.listAt(a.visibleChanges) }
 
+// listAt returns the whole list as of a version.
 func (a *Agent) listAt(version int) Listing {
 	l := Listing{Index: int64(version), Snapshot: true, Endpoints: []Entry{}}
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
-	at := map[string]int{}
+	position := map[string]int{}
 	for _, c := range a.d.changes[:version] {
 		e := a.withOwnAddress(c.entry)
-		i, ok := at[e.Name]
+		i, ok := position[e.Name]
 		switch {
 		case e.Status == Gone && ok:
 			l.Endpoints = slices.Delete(l.Endpoints, i, i+1)
-			delete(at, e.Name)
-			for name, j := range at {
+			delete(position, e.Name)
+			for name, j := range position {
 				if j > i {
-					at[name] = j - 1
+					position[name] = j - 1
 				}
 			}
 		case e.Status == Gone:
 		case ok:
 			l.Endpoints[i] = e
 		default:
-			at[e.Name] = len(l.Endpoints)
+			position[e.Name] = len(l.Endpoints)
 			l.Endpoints = append(l.Endpoints, e)
 		}
 	}
 	return l
 }
 
-// withOwnAddress gives an entry the address that this sidecar is to use.
+// withOwnAddress returns e with the address that this sidecar is to use. An entry that is gone stays as it is.
 func (a *Agent) withOwnAddress(e Entry) Entry {
 	if e.Status != Gone {
 		e.Address = a.address(e.Name)
@@ -247,61 +251,61 @@
 	return e
 }
 
-// serveTargets answers the whole list, or follows a watch until it ends.
+// serveTargets answers a request with the whole list, or serves a watch until it ends.
 func (a *Agent) serveTargets(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Get("watch") == "1"
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || !watch {
 		from = 0
 	}
-	out := http.NewResponseController(w)
-	empty := time.NewTicker(emptyLineInterval)
-	defer empty.Stop()
-	sent, begun := from, false // sent: the version that the other side has
+	controller := http.NewResponseController(w)
+	emptyLines := time.NewTicker(emptyLineInterval)
+	defer emptyLines.Stop()
+	sent, begun := from, false // sent is the version that the other side has
 	var mood Mood
 	for {
 		a.mu.Lock()
-		changed, was := a.changed, mood
+		changed, previous := a.changed, mood
 		mood = a.mood
 		line := ""
 		var l Listing
-		tell := false
+		hasNews := false
 		switch {
 		case a.closed:
 			a.mu.Unlock()
 			return
 		case mood.Silent:
 		case mood.Garbage:
-			if mood != was {
+			if mood != previous {
 				line = "{\"index\":7,\"snapshot\":true,\"endpoints\":[{\"na\x00\xff\n"
 			}
 		case mood.Empty, mood.Rewind:
-			if mood != was || !begun {
+			if mood != previous || !begun {
 				l = Listing{Index: int64(a.visibleChanges + 1), Snapshot: true, Endpoints: []Entry{}}
 				if mood.Rewind {
 					l = a.listAt(max(1, a.visibleChanges/2))
 				}
-				line, tell, sent = encode(l), true, 0
+				line, hasNews, sent = encode(l), true, 0
 			}
 		case !begun || sent != a.visibleChanges:
 			l = a.changesSince(sent)
-			line, tell, sent = encode(l), true, a.visibleChanges
+			line, hasNews, sent = encode(l), true, a.visibleChanges
 		}
-		if tell { // it counts as told from before the write: a sidecar that acts at once is not early
+		if hasNews { // before the write, so that a sidecar that acts at once does not seem to act before the news
 			a.teller.recordNews(l)
 		}
 		a.mu.Unlock()
 		if line != "" {
 			begun = true
-			if _, err := w.Write([]byte(line)); err != nil || out.Flush() != nil || !watch {
+			if _, err := w.Write([]byte(line)); err != nil || controller.Flush() != nil || !watch {
 				return
 			}
 		}
 		select {
 		case <-changed:
-		case <-empty.C:
+		case <-emptyLines.C:
 			if begun && !mood.Silent {
-				if _, err := w.Write([]byte("\n")); err != nil || out.Flush() != nil {
+				if _, err := w.Write([]byte("\n")); err != nil || controller.Flush() != nil {
 					return
 				}
 			}
@@ -314,7 +318,7 @@
 func encode(l Listing) string {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // plain values only: a mistake here
+		panic(err) // can't happen: a Listing holds plain values only
 	}
 	return string(text) + "\n"
 }
--- a/internal/lab/fake/naive.go
+++ b/internal/lab/fake/naive.go
@@ -19,8 +19,9 @@
 	"time"
 )
 
-// Breaks are the rules that the naive sidecar can be told to break, one at a time, and what it does then. It is there to
-// show that a verdict finds what it is for, and is silent where nothing is wrong.
+// Breaks names the rules that the naive sidecar can be told to break, one at a time, and describes what it does then.
+// The naive sidecar serves to show that a verdict finds the breach that it looks for, and finds none where there is
+// none.
 var Breaks = map[string]string{
 	"":                  "keeps every rule",
 	"unsafe-twice":      "runs an unsafe request again after its answer",
@@ -39,7 +40,7 @@
 	"reset-unread":      "after SIGTERM leaves its connections unread, and resets them",
 }
 
-// naive is a sidecar that sends each request to a random ready upstream that is warm.
+// naive is a sidecar that sends each request to a random upstream that is ready and warm.
 type naive struct {
 	breaks    string
 	unsafe    map[string]bool // by class
@@ -49,11 +50,11 @@
 	stopping  atomic.Bool
 	mu        sync.Mutex
 	listed    map[string]Entry
-	withdrawn map[string]Entry // that it was told to leave, for the rule that it breaks
+	withdrawn map[string]Entry // endpoints that are no longer ready, which it goes on using if it breaks the rule "drain"
 	banned    map[string]bool
 }
 
-// naiveConfig is the part of a sidecar's configuration that is read.
+// naiveConfig is the part of a sidecar's configuration that the naive sidecar reads.
 type naiveConfig struct {
 	Listen, Discovery, Ops string
 	Limits                 struct{ Sockets int }
@@ -64,7 +65,7 @@
 	}
 }
 
-// RunNaive serves by the configuration at path until ctx ends, breaking the named rule.
+// RunNaive serves with the configuration file at path until ctx ends, and breaks the named rule.
 func RunNaive(ctx context.Context, path, breaks string) error {
 	if _, known := Breaks[breaks]; !known {
 		return fmt.Errorf("no rule to break is called %q", breaks)
@@ -100,53 +101,54 @@
 		return fmt.Errorf("listening: %w", err)
 	}
 	if c.Ops != "" {
-		door, err := net.Listen("tcp", c.Ops)
+		opsListener, err := net.Listen("tcp", c.Ops)
 		if err != nil {
 			return fmt.Errorf("listening for operators: %w", err)
 		}
-		defer func() { _ = door.Close() }()
-		go n.serveOperators(door)
+		defer func() { _ = opsListener.Close() }()
+		go n.serveOperators(opsListener)
 	}
 	go n.watch(ctx, c.Discovery)
 	server := &http.Server{Handler: n, ReadHeaderTimeout: 2 * time.Second}
 	if breaks == "reset-unread" {
 		listener = stalledListener{listener, &n.stopping}
 	}
-	ended := make(chan struct{})
+	shutdownDone := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(shutdownDone)
 		<-ctx.Done()
-		n.stopping.Store(true) // from now on each connection ends with its next answer
+		n.stopping.Store(true) // from now on each connection closes after its next answer
 		time.Sleep(shutdownDelay)
 		if breaks == "unanswered" || breaks == "reset-unread" {
 			os.Exit(0)
 		}
-		last, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		_ = server.Shutdown(last) // what is left is cut off
+		_ = server.Shutdown(shutdownCtx) // connections that are open after that time are cut off
 	}()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving: %w", err)
 	}
-	<-ended // Serve returns when Shutdown begins
+	<-shutdownDone // Serve returns as soon as Shutdown begins
 	return nil
 }
 
-// shutdownDelay is how long the naive sidecar goes on after SIGTERM.
+// shutdownDelay is how long the naive sidecar goes on serving after SIGTERM.
 const shutdownDelay = 800 * time.Millisecond
 
-// stalledListener gives connections that read no more once the sidecar is to end.
+// stalledListener accepts connections whose reads block for good once the sidecar is stopping.
 type stalledListener struct {
 	net.Listener
 	stopping *atomic.Bool
 }
 
-// Accept accepts a connection that nobody will answer.
+// Accept accepts a connection, which is answered no more once the sidecar is stopping.
 func (l stalledListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	return stalledConn{conn, l.stopping}, err
 }
 
+// stalledConn is a connection whose reads block for good once the sidecar is stopping.
 type stalledConn struct {
 	net.Conn
 	stopping *atomic.Bool
@@ -159,6 +161,7 @@
 	return c.Conn.Read(p)
 }
 
+// apply applies a message from discovery to the list.
 func (n *naive) apply(l Listing) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -177,7 +180,7 @@
 	}
 }
 
-// watch follows the list until ctx ends.
+// watch watches the list until ctx ends.
 func (n *naive) watch(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		if req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/api/targets?watch=1&from=0", nil); err == nil {
@@ -200,14 +203,14 @@
 	}
 }
 
-// pick is a random upstream that may have work, other than not; none: empty.
-func (n *naive) pick(not string) Entry {
+// pick returns a random upstream that may get work, other than except. The entry is empty if there is none.
+func (n *naive) pick(except string) Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var warm, all []Entry
 	latest := Entry{}
 	for _, e := range n.listed {
-		if e.Name == not || n.banned[e.Name] && n.breaks != "ban" {
+		if e.Name == except || n.banned[e.Name] && n.breaks != "ban" {
 			continue
 		}
 		all = append(all, e)
@@ -228,7 +231,7 @@
 			return n.listed[name]
 		}
 	}
-	if n.breaks == "cold" && latest.Name != "" && not == "" {
+	if n.breaks == "cold" && latest.Name != "" && except == "" {
 		return latest
 	}
 	if len(warm) > 0 {
@@ -256,11 +259,11 @@
 	if n.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	us, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Timeout"), "u"))
+	timeoutMicros, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Timeout"), "u"))
 	if err != nil {
-		us = int(time.Second / time.Microsecond)
+		timeoutMicros = int(time.Second / time.Microsecond)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(us)*time.Microsecond)
+	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(timeoutMicros)*time.Microsecond)
 	defer cancel()
 	unsafe := n.unsafe[r.Header.Get("X-Priority-Class")]
 	switch {
@@ -276,20 +279,20 @@
 		_, _ = io.WriteString(w, "as good as served\n")
 		return
 	case n.breaks == "not-sent" && number%10 == 0:
-		other := r.Clone(ctx)
-		other.Header.Set("X-Request-ID", fmt.Sprintf("%016x", rand.Uint64()))
-		n.send(ctx, n.pick(""), other, body)
+		extra := r.Clone(ctx)
+		extra.Header.Set("X-Request-ID", fmt.Sprintf("%016x", rand.Uint64()))
+		n.send(ctx, n.pick(""), extra, body)
 	case n.breaks == "two-at-once":
 		first := n.pick("")
 		go n.send(ctx, n.pick(first.Name), r, body)
 	}
-	tries := 3
+	maxAttempts := 3
 	if n.breaks == "attempts" && !unsafe {
-		tries = 8
+		maxAttempts = 8
 	}
 	var e Entry
 	status, answer := 0, []byte(nil)
-	for range tries {
+	for range maxAttempts {
 		e = n.pick(e.Name)
 		if status, answer = n.send(ctx, e, r, body); status != statusNotRun && n.breaks != "attempts" {
 			break
@@ -310,10 +313,10 @@
 	}
 }
 
-// statusNotRun stands for an attempt that has not run.
+// statusNotRun stands for the status of an attempt that has not run.
 const statusNotRun = 0
 
-// send makes one attempt.
+// send makes one attempt. The status is statusNotRun if the upstream has not run it.
 func (n *naive) send(ctx context.Context, e Entry, r *http.Request, body []byte) (status int, answer []byte) {
 	if e.Name == "" {
 		return statusNotRun, nil
@@ -322,7 +325,7 @@
 	if err != nil {
 		return statusNotRun, nil
 	}
-	out.GetBody = nil // the library is not to send an unsafe request again by itself
+	out.GetBody = nil // keeps net/http from sending an unsafe request again by itself
 	out.Header.Set("X-Request-ID", r.Header.Get("X-Request-ID"))
 	resp, err := n.client.Do(out)
 	if err != nil {
@@ -343,25 +346,25 @@
 	return resp.StatusCode, answer
 }
 
-// serveOperators answers operators: one line a connection.
+// serveOperators answers operators, one line per connection.
 func (n *naive) serveOperators(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		line, _ := bufio.NewReader(io.LimitReader(c, 512)).ReadString('\n') // half a line is answered as one
-		words := strings.Fields(line)
+		line, _ := bufio.NewReader(io.LimitReader(c, 512)).ReadString('\n') // an incomplete line is answered too
+		fields := strings.Fields(line)
 		answer := "NO\n"
 		n.mu.Lock()
 		switch {
-		case len(words) == 2 && words[0] == "DISABLE":
-			n.banned[words[1]] = true
+		case len(fields) == 2 && fields[0] == "DISABLE":
+			n.banned[fields[1]] = true
 			answer = "YES\n"
-		case len(words) == 2 && words[0] == "ENABLE":
-			delete(n.banned, words[1])
+		case len(fields) == 2 && fields[0] == "ENABLE":
+			delete(n.banned, fields[1])
 			answer = "YES\n"
-		case len(words) == 1 && words[0] == "READY":
+		case len(fields) == 1 && fields[0] == "READY":
 			answer = "YES\n"
 		}
 		n.mu.Unlock()
--- a/internal/lab/fake/standin_test.go
+++ b/internal/lab/fake/standin_test.go
@@ -43,8 +43,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// sendRequest sends a request of the record's, or what differs from it.
-func sendRequest(t *testing.T, c net.Conn, r *bufio.Reader, method, path, id, body string) (status int, unprocessed, got string) {
+// sendRequest sends a request, and returns the status, the not-processed mark and the body of its answer.
+func sendRequest(t *testing.T, c net.Conn, r *bufio.Reader, method, path, id, body string) (status int, mark, answer string) {
 	t.Helper()
 	head := ""
 	if id != "" {
@@ -67,36 +67,37 @@
 	rec.Request(&record.Request{ID: "a", Class: "read", Key: "k", Safe: true, Work: 20 * time.Millisecond})
 	rec.Request(&record.Request{ID: "b", Class: "charge", Key: "k", Work: 20 * time.Millisecond})
 	c, r := dial(t, u.Address())
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		name, method, path, id, body string
 		status                       int
 	}{
-		{"a client's", "GET", "/read/k", "a", "", 200},
-		{"an unsafe one", "POST", "/charge/k", "b", "order b\n", 200},
-		{"without an id", "GET", "/read/k", "", "", 404},
-		{"nobody's", "GET", "/read/k", "zz", "", 400},
-		{"another path", "GET", "/read/other", "a", "", 400},
-		{"another body", "POST", "/charge/k", "b", "order c\n", 400},
-		{"a probe", "GET", "/-/healthy", "", "", 200},
-		{"a probe of load", "GET", "/-/load", "", "", 200},
+		{"a safe request", "GET", "/read/k", "a", "", 200},
+		{"an unsafe request", "POST", "/charge/k", "b", "order b\n", 200},
+		{"a request without an id", "GET", "/read/k", "", "", 404},
+		{"a request that no client sent", "GET", "/read/k", "zz", "", 400},
+		{"a request with another path", "GET", "/read/other", "a", "", 400},
+		{"a request with another body", "POST", "/charge/k", "b", "order c\n", 400},
+		{"a health probe", "GET", "/-/healthy", "", "", 200},
+		{"a load probe", "GET", "/-/load", "", "", 200},
 	} {
-		status, _, body := sendRequest(t, c, r, x.method, x.path, x.id, x.body)
-		if status != x.status {
-			t.Errorf("%s: %d, want %d", x.name, status, x.status)
+		status, _, body := sendRequest(t, c, r, tt.method, tt.path, tt.id, tt.body)
+		if status != tt.status {
+			t.Errorf("%s: got status %d, want %d", tt.name, status, tt.status)
 		}
-		if x.id == "a" && status == 200 && !strings.HasPrefix(body, "a u ") {
-			t.Errorf("%s: body %q", x.name, body)
+		if tt.id == "a" && status == 200 && !strings.HasPrefix(body, "a u ") {
+			t.Errorf("%s: got body %q, want one that begins with \"a u \"", tt.name, body)
 		}
-		if x.path == "/-/load" && !strings.Contains(body, "inflight=0, queue=0") {
-			t.Errorf("%s: %q", x.name, body)
+		if tt.path == "/-/load" && !strings.Contains(body, "inflight=0, queue=0") {
+			t.Errorf("%s: got body %q, want one with \"inflight=0, queue=0\"", tt.name, body)
 		}
 	}
 	if got := rec.Attempts[0]; got.How != record.OK || got.Ended-got.Begun < 20*time.Millisecond {
-		t.Errorf("the first attempt: %+v", got)
+		t.Errorf("first attempt: got %+v, want OK after at least 20 ms", got)
 	}
 }
 
-// Full, draining and dying are told apart by what the other side sees: unprocessed, and a reset.
+// A full or draining upstream answers 503 with the not-processed mark; one that dies resets its connections and refuses
+// new ones.
 func TestUpstreamTurnsAwayAndDies(t *testing.T) {
 	u, rec := testUpstream(t, model.Spec{Cores: 1, Speed: 1, SlotsPerCore: 1})
 	rec.Request(&record.Request{ID: "long", Class: "r", Key: "k", Safe: true, Work: time.Hour})
@@ -108,15 +109,15 @@
 	}
 	c, r := dial(t, u.Address())
 	if status, mark, _ := sendRequest(t, c, r, "GET", "/r/k", "next", ""); status != 503 || mark != "1" {
-		t.Errorf("full: %d, mark %q", status, mark)
+		t.Errorf("full: got status %d with mark %q, want 503 with \"1\"", status, mark)
 	}
 	u.Kill()
 	if _, err := busyReader.ReadByte(); err == nil {
-		t.Error("a connection outlived its process")
+		t.Error("read from a connection of a killed process succeeded, want an error")
 	}
 	if fresh, err := net.DialTimeout("tcp", u.Address(), testTimeout); err == nil {
 		_ = fresh.Close()
-		t.Error("a dead process takes connections")
+		t.Error("dial to a killed process succeeded, want an error")
 	}
 	if err := u.Start(2, true); err != nil {
 		t.Fatal(err)
@@ -124,11 +125,11 @@
 	u.Set(Trouble{TurnAway: true})
 	c, r = dial(t, u.Address())
 	if status, mark, _ := sendRequest(t, c, r, "GET", "/r/k", "next", ""); status != 503 || mark != "1" {
-		t.Errorf("draining: %d, mark %q", status, mark)
+		t.Errorf("draining: got status %d with mark %q, want 503 with \"1\"", status, mark)
 	}
 }
 
-// watch reads a list's messages.
+// watch reads the messages of a watch.
 type watch struct {
 	t     *testing.T
 	lines *bufio.Scanner
@@ -149,12 +150,12 @@
 	for w.lines.Scan() {
 		if len(w.lines.Bytes()) > 0 {
 			if err := json.Unmarshal(w.lines.Bytes(), &l); err != nil {
-				w.t.Fatalf("%q: %v", w.lines.Text(), err)
+				w.t.Fatalf("decoding message %q: %v", w.lines.Text(), err)
 			}
 			return l
 		}
 	}
-	w.t.Fatalf("the watch ended: %v", w.lines.Err())
+	w.t.Fatalf("watch ended (error %v), want another message", w.lines.Err())
 	return l
 }
 
@@ -170,35 +171,35 @@
 	t.Cleanup(a.Close)
 	w := newWatch(t, a, "0")
 	if l := w.next(); !l.Snapshot || l.Index != 2 || len(l.Endpoints) != 2 || l.Endpoints[0].Address != "u0:1" {
-		t.Errorf("the whole list: %+v", l)
+		t.Errorf("whole list: got %+v, want a snapshot of index 2 with 2 endpoints, the first at u0:1", l)
 	}
 	d.Change(Entry{Name: "u0", Status: Terminating})
 	if l := w.next(); l.Snapshot || l.Index != 3 || len(l.Endpoints) != 1 || l.Endpoints[0].Status != Terminating {
-		t.Errorf("a change: %+v", l)
+		t.Errorf("change: got %+v, want index 3 with one endpoint that is Terminating", l)
 	}
 	a.Set(Mood{Silent: true})
 	d.Change(Entry{Name: "u0", Status: Gone})
 	d.Change(Entry{Name: "u2", Status: Ready})
 	a.Set(Mood{})
 	if l := w.next(); l.Index != 5 || len(l.Endpoints) != 2 {
-		t.Errorf("what came while it was silent: %+v", l)
+		t.Errorf("after silence: got %+v, want index 5 with 2 endpoints", l)
 	}
 	if l := newWatch(t, a, "4").next(); l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].Name != "u2" {
-		t.Errorf("resumed after 4: %+v", l)
+		t.Errorf("watch from index 4: got %+v, want u2 alone, no snapshot", l)
 	}
 	a.Set(Mood{Empty: true})
 	if l := w.next(); !l.Snapshot || len(l.Endpoints) != 0 {
-		t.Errorf("empty: %+v", l)
+		t.Errorf("mood Empty: got %+v, want an empty snapshot", l)
 	}
 	a.Set(Mood{})
 	if l := w.next(); !l.Snapshot || len(l.Endpoints) != 2 {
-		t.Errorf("after the empty list: %+v", l)
+		t.Errorf("after mood Empty: got %+v, want a snapshot with 2 endpoints", l)
 	}
 	usable := map[string]bool{}
-	for _, told := range rec.Told {
-		usable[told.Upstream] = told.Usable
+	for _, news := range rec.Told {
+		usable[news.Upstream] = news.Usable
 	}
 	if usable["u0"] || !usable["u1"] || !usable["u2"] {
-		t.Errorf("as told at last: %v", usable)
+		t.Errorf("usable as last told: got %v, want u1 and u2 only", usable)
 	}
 }
--- a/internal/lab/fake/teller.go
+++ b/internal/lab/fake/teller.go
@@ -6,19 +6,20 @@
 	"mosslead/internal/lab/record"
 )
 
-// Teller notes what a sidecar's process has been told of upstreams.
+// Teller records what a sidecar's process has been told about upstreams.
 type Teller struct {
 	rec     *record.Record
 	sidecar string
 
 	mu     sync.Mutex
-	usable map[string]bool // usable
+	usable map[string]bool // by upstream, as it was last told
 }
 
 func newTeller(rec *record.Record, sidecar string) *Teller {
 	return &Teller{rec: rec, sidecar: sidecar, usable: map[string]bool{}}
 }
 
+// reset starts over for a new process, which knows only the list known, nil if there is none.
 func (t *Teller) reset(known *Listing) {
 	t.mu.Lock()
 	t.usable = map[string]bool{}
@@ -28,13 +29,13 @@
 	}
 }
 
-// recordNews notes what a message that is about to be written tells.
+// recordNews records what a message says. It is called just before the message is written.
 func (t *Teller) recordNews(l Listing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.rec.Now()
 	note := func(name string, usable bool) {
-		if was, known := t.usable[name]; known && was == usable {
+		if previous, known := t.usable[name]; known && previous == usable {
 			return
 		}
 		t.usable[name] = usable
--- a/internal/lab/fake/upstream.go
+++ b/internal/lab/fake/upstream.go
@@ -1,5 +1,5 @@
-// Package fake owns what sidecars of a play talk to: upstreams and discovery on real sockets, by the protocol of the
-// platform; and a naive sidecar that breaks one rule on purpose.
+// Package fake provides what the sidecars of a run talk to: upstreams and discovery, on real sockets and with the
+// platform's protocol. It also provides a naive sidecar that breaks one rule on purpose.
 package fake
 
 import (
@@ -21,20 +21,20 @@
 
 const (
 	notProcessed = "X-Not-Processed"
-	maxBodyBytes = 1 << 20 // of a request; the laboratory's own are far smaller
+	maxBodyBytes = 1 << 20 // limit for a request's body; the laboratory's own bodies are far smaller
 )
 
-// Trouble is what is wrong with an upstream, by a fault. The zero value: nothing.
+// Trouble is the fault that an upstream shows. The zero value is no fault.
 type Trouble struct {
-	Slower    float64 // so many times; 0 or 1: not at all
-	FailShare float64 // of its jobs that end as an error
-	FailClass string  // whose requests fail; empty: none
-	FailPart  float64 // so many of them, evenly spread
-	Hang      bool    // answers probes and never its work
-	TurnAway  bool    // takes nothing new: it drains
+	Slower    float64 // factor by which work takes longer; 0 and 1 change nothing
+	FailShare float64 // share of its jobs that end in an error
+	FailClass string  // class whose requests fail; empty if there is none
+	FailPart  float64 // share of the requests of FailClass that fail, evenly spread
+	Hang      bool    // answers probes, and never answers requests
+	TurnAway  bool    // accepts no new request, as while it drains
 }
 
-// Upstream is one server, on one address that stays the same over restarts.
+// Upstream is a fake server. Its address stays the same over restarts.
 type Upstream struct {
 	Name string
 	Spec model.Spec
@@ -47,33 +47,33 @@
 	rng           *rand.Rand
 	timer         *time.Timer
 	trouble       Trouble
-	results       map[string]chan model.Done // by job
+	results       map[string]chan model.Done // by job ID
 	jobCount      int
-	failClassJobs int               // jobs of the class that fails
-	conns         map[string]*conn  // by the address of the other end
-	openedBy      map[string]string // the sidecars whose links opened them, by the same
-	listener      net.Listener      // nil: the process is down
+	failClassJobs int               // jobs of FailClass so far
+	conns         map[string]*conn  // by remote address
+	openedBy      map[string]string // sidecar whose link opened the connection, by remote address
+	listener      net.Listener      // nil while the process is down
 	coldStart     *record.ColdStart
 	stopped       chan struct{} // closed when the process dies
 	done          sync.WaitGroup
-	onFall        func()
+	onFall        func() // called when overload ends the process
 }
 
-// conn is a connection that brought requests.
+// conn is a connection over which requests come.
 type conn struct {
 	net.Conn
-	closed   chan struct{}   // closed once the other side has ended it
-	attempt  *record.Attempt // in hand
-	accepted bool            // has a place in the table
+	closed   chan struct{}   // closed once the other side has ended the connection
+	attempt  *record.Attempt // the latest one
+	accepted bool            // whether it has a place in the model's connection table
 }
 
-// NewUpstream is an upstream that is to listen at an address; Start brings it up. onFall is called, on a goroutine of
-// its own, when it is pushed over.
+// NewUpstream returns an upstream that is to listen at an address; Start starts it. onFall is called, on its own
+// goroutine, when overload ends the process.
 func NewUpstream(name, listen string, spec model.Spec, rec *record.Record, onFall func()) *Upstream {
 	return &Upstream{Name: name, Spec: spec, rec: rec, listenAddress: listen, onFall: onFall, conns: map[string]*conn{}, openedBy: map[string]string{}}
 }
 
-// Start begins a process: a cold one, or one that has run for long.
+// Start starts a process, either cold or as one that has run for a long time.
 func (u *Upstream) Start(seed uint64, cold bool) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -100,24 +100,25 @@
 			For: u.Spec.ColdFor, FallMultiple: u.Spec.FallMultiple, FallFor: u.Spec.FallFor}
 		u.rec.Cold(u.coldStart)
 	}
-	down := u.stopped
-	u.timer = time.AfterFunc(time.Hour, func() { u.onTimer(down) })
+	stopped := u.stopped
+	u.timer = time.AfterFunc(time.Hour, func() { u.onTimer(stopped) })
 	u.resetTimer()
 	u.done.Add(1)
-	go u.accept(ln, down)
+	go u.accept(ln, stopped)
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address at which it listens.
 func (u *Upstream) Address() string { u.mu.Lock(); defer u.mu.Unlock(); return u.listenAddress }
 
-// Kill ends the process as kill -9 does: connections are reset, new ones refused. What it held is lost.
+// Kill ends the process as kill -9 does: connections are reset, new ones are refused, and requests in progress are lost.
 func (u *Upstream) Kill() {
 	u.mu.Lock()
 	u.killLocked()
 	u.mu.Unlock()
 }
 
+// killLocked does the work of Kill. The caller holds mu.
 func (u *Upstream) killLocked() {
 	if u.listener == nil {
 		return
@@ -131,10 +132,10 @@
 	}
 }
 
-// Close kills it and waits until all that it ran has ended.
+// Close kills the process, and waits until all its goroutines have ended.
 func (u *Upstream) Close() { u.Kill(); u.done.Wait() }
 
-// Set puts a trouble in place of the one before.
+// Set replaces the trouble, effective at once.
 func (u *Upstream) Set(t Trouble) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// Choke turns it slow as a crowd would.
+// Choke slows the upstream down as too many concurrent requests would.
 func (u *Upstream) Choke() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// Held is how many requests it has in hand; 0 while it is down.
+// Held returns the number of requests in progress, 0 while the process is down.
 func (u *Upstream) Held() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -167,7 +168,7 @@
 	return u.server.Report().Inflight
 }
 
-// Little gives both sides of Little's law over the present process's life.
+// Little returns both sides of Little's law for the life of the present process.
 func (u *Upstream) Little() (area, sojourns float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -177,14 +178,14 @@
 	return u.server.Little()
 }
 
-// Began takes note of whose link opened a connection, before anything goes over it.
+// Began notes which sidecar's link opened a connection. It is called before anything is sent over the connection.
 func (u *Upstream) Began(address, sidecar string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.openedBy[address] = sidecar
 }
 
-// Ended takes note that the other side of a connection has ended it, or its sending.
+// Ended notes that the other side of a connection has closed the connection or its sending direction.
 func (u *Upstream) Ended(address string) {
 	now := u.rec.Now()
 	u.mu.Lock()
@@ -194,33 +195,36 @@
 	}
 }
 
-func (u *Upstream) onTimer(down chan struct{}) {
+// onTimer advances the model, unless the process that the timer belongs to is dead.
+func (u *Upstream) onTimer(stopped chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.listener == nil || u.stopped != down {
+	if u.listener == nil || u.stopped != stopped {
 		return
 	}
 	u.advance()
 	u.resetTimer()
 }
 
-// advance brings the model to now and hands out what has ended; the caller holds mu.
+// advance brings the model to the present time and delivers the jobs that have ended. The caller holds mu.
 func (u *Upstream) advance() {
 	for _, d := range u.server.Advance(u.rec.Now()) {
-		if to := u.results[d.ID]; to != nil {
+		if result := u.results[d.ID]; result != nil {
 			delete(u.results, d.ID)
-			to <- d // holds one
+			result <- d // doesn't block: the channel holds one
 		}
 	}
 }
 
+// resetTimer sets the timer to the model's next event. The caller holds mu.
 func (u *Upstream) resetTimer() {
 	if next := u.server.Next(); next != model.Never {
 		u.timer.Reset(max(0, next-u.rec.Now()))
 	}
 }
 
-func (u *Upstream) accept(ln net.Listener, down chan struct{}) {
+// accept accepts connections until the process dies.
+func (u *Upstream) accept(ln net.Listener, stopped chan struct{}) {
 	defer u.done.Done()
 	for {
 		raw, err := ln.Accept()
@@ -229,7 +233,7 @@
 		}
 		c := &conn{Conn: raw, closed: make(chan struct{})}
 		u.mu.Lock()
-		if u.stopped != down || u.listener == nil {
+		if u.stopped != stopped || u.listener == nil {
 			u.mu.Unlock()
 			resetConn(c)
 			return
@@ -243,22 +247,22 @@
 		u.done.Add(2)
 		u.mu.Unlock()
 		requests := make(chan *incoming)
-		go u.readRequests(c, requests, down)
-		go u.answerRequests(c, requests, down)
+		go u.readRequests(c, requests, stopped)
+		go u.answerRequests(c, requests, stopped)
 	}
 }
 
-// incoming is a request that was read whole.
+// incoming is a request that was read completely.
 type incoming struct {
 	*http.Request
 	body                []byte
-	firstByte, lastByte time.Duration
+	firstByte, lastByte time.Duration // when they arrived
 }
 
-// readRequests takes requests off a connection until it ends, which it notices while one is in hand too.
-func (u *Upstream) readRequests(c *conn, to chan<- *incoming, down <-chan struct{}) {
+// readRequests reads requests from a connection until it ends. It notices the end also while a request is in progress.
+func (u *Upstream) readRequests(c *conn, requests chan<- *incoming, stopped <-chan struct{}) {
 	defer u.done.Done()
-	defer close(to)
+	defer close(requests)
 	defer close(c.closed)
 	r := bufio.NewReader(c)
 	for {
@@ -275,38 +279,39 @@
 		}
 		in.lastByte = u.rec.Now()
 		select {
-		case to <- in:
-		case <-down:
+		case requests <- in:
+		case <-stopped:
 			return
 		}
 	}
 }
 
-func (u *Upstream) answerRequests(c *conn, requests <-chan *incoming, down <-chan struct{}) {
+// answerRequests answers the requests of a connection, one after another.
+func (u *Upstream) answerRequests(c *conn, requests <-chan *incoming, stopped <-chan struct{}) {
 	defer u.done.Done()
 	defer func() {
 		_ = c.Close()
-		for range requests { // the reader ends with the connection
+		for range requests { // readRequests ends with the connection
 		}
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		delete(u.conns, c.RemoteAddr().String())
 		delete(u.openedBy, c.RemoteAddr().String())
-		if c.accepted && u.stopped == down && u.listener != nil {
+		if c.accepted && u.stopped == stopped && u.listener != nil {
 			u.advance()
 			u.server.Connected(-1)
 			u.resetTimer()
 		}
 	}()
 	for in := range requests {
-		if !u.serveRequest(c, in, down) {
+		if !u.serveRequest(c, in, stopped) {
 			return
 		}
 	}
 }
 
-// serveRequest answers one request; false ends the connection.
-func (u *Upstream) serveRequest(c *conn, in *incoming, down <-chan struct{}) bool {
+// serveRequest answers one request. It reports whether the connection stays open.
+func (u *Upstream) serveRequest(c *conn, in *incoming, stopped <-chan struct{}) bool {
 	if in.URL.Path == "/-/healthy" || in.URL.Path == "/-/load" {
 		return u.answerProbe(c, in)
 	}
@@ -315,14 +320,14 @@
 		return writeResponse(c, 404, false, "a request without an id\n")
 	}
 	a := &record.Attempt{Request: id, Upstream: u.Name, First: in.firstByte, Begun: in.lastByte}
-	q := u.rec.Lookup(id)
+	req := u.rec.Lookup(id)
 	u.rec.Attempt(a)
-	if q == nil || !matchesSent(q, in) {
+	if req == nil || !matchesSent(req, in) {
 		u.endAttempt(a, record.Unknown, 400)
 		return writeResponse(c, 400, false, "no client sent this\n")
 	}
-	a.Sidecar, a.Work = cmp.Or(u.sender(c), q.Sidecar), q.Work
-	done, offer, fails := u.offerWork(c, a, q)
+	a.Sidecar, a.Work = cmp.Or(u.sender(c), req.Sidecar), req.Work
+	done, offer, fails := u.offerWork(c, a, req)
 	if offer != model.Taken {
 		u.endAttempt(a, record.TurnedAway, 503)
 		if offer == model.Down {
@@ -341,24 +346,24 @@
 		u.rec.Change(func() { a.Body = fmt.Sprintf("%s %s %s\n", id, u.Name, d.ID) })
 		u.endAttempt(a, record.OK, 200)
 		return writeResponse(c, 200, false, a.Body)
-	case <-c.closed: // the work goes on, and nobody hears of it
+	case <-c.closed: // the job goes on, and its result is dropped
 		u.endAttempt(a, record.GivenUp, 0)
 		return false
-	case <-down:
+	case <-stopped:
 		u.endAttempt(a, record.Lost, 0)
 		return false
 	}
 }
 
-// sender is the sidecar whose link brought a connection; empty: it came without one.
+// sender returns the sidecar whose link opened a connection, or "" if it came without a link.
 func (u *Upstream) sender(c *conn) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.openedBy[c.RemoteAddr().String()]
 }
 
-// endAttempt notes an attempt's end, at which it is no longer out: before the answer's first byte, so that what the sidecar
-// does upon that answer never seems to come before it.
+// endAttempt records the end of an attempt. It is called before the first byte of the answer is written, so that what
+// the sidecar does upon that answer never seems to come before the end.
 func (u *Upstream) endAttempt(a *record.Attempt, how record.How, status int) {
 	now := u.rec.Now()
 	u.mu.Lock()
@@ -371,21 +376,22 @@
 	}
 }
 
-// offerWork brings a request's work to the model. The connection's table and a drain turn it away before. fails says that
-// the answer will be an error; where the upstream hangs, done brings nothing.
-func (u *Upstream) offerWork(c *conn, a *record.Attempt, q *record.Request) (done chan model.Done, offer model.Offer, fails bool) {
+// offerWork offers a request's work to the model, unless the connection has no place in the connection table or the
+// upstream drains. done receives the result, or nothing if the upstream hangs. fails reports whether the answer is to be
+// an error.
+func (u *Upstream) offerWork(c *conn, a *record.Attempt, req *record.Request) (done chan model.Done, offer model.Offer, fails bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	c.attempt = a
 	if u.listener == nil {
-		return nil, model.Full, false // dying: nothing has run
+		return nil, model.Full, false // the process is dying: nothing has run
 	}
 	if !c.accepted || u.trouble.TurnAway {
 		return nil, model.Full, false
 	}
 	u.advance()
 	u.jobCount++
-	job := model.Job{ID: strconv.Itoa(u.jobCount), Key: q.Key, Work: q.Work}
+	job := model.Job{ID: strconv.Itoa(u.jobCount), Key: req.Key, Work: req.Work}
 	done = make(chan model.Done, 1)
 	offer = u.server.Offer(u.rec.Now(), job)
 	switch {
@@ -400,31 +406,32 @@
 	if offer != model.Down {
 		u.resetTimer()
 	}
-	if u.trouble.FailClass == q.Class {
+	if u.trouble.FailClass == req.Class {
 		u.failClassJobs++
-		part := u.trouble.FailPart
-		fails = int(float64(u.failClassJobs)*part) > int(float64(u.failClassJobs-1)*part)
+		share := u.trouble.FailPart
+		fails = int(float64(u.failClassJobs)*share) > int(float64(u.failClassJobs-1)*share)
 	}
 	return done, offer, fails
 }
 
-// matchesSent tells whether a request is one that its client sent, in that form.
-func matchesSent(q *record.Request, in *incoming) bool {
-	method, body := Form(q)
-	return in.Method == method && in.URL.Path == Path(q) && bytes.Equal(in.body, body)
+// matchesSent reports whether a request has the method, path and body that its client sent.
+func matchesSent(req *record.Request, in *incoming) bool {
+	method, body := Form(req)
+	return in.Method == method && in.URL.Path == Path(req) && bytes.Equal(in.body, body)
 }
 
-// Path is where a client sends a request.
-func Path(q *record.Request) string { return "/" + q.Class + "/" + q.Key }
+// Path returns the URL path of a request.
+func Path(req *record.Request) string { return "/" + req.Class + "/" + req.Key }
 
-// Form is the method of a request, and its body: one that is safe to repeat is a GET without one.
-func Form(q *record.Request) (method string, body []byte) {
-	if q.Safe {
+// Form returns a request's method and body. A request that is safe to repeat is a GET without a body.
+func Form(req *record.Request) (method string, body []byte) {
+	if req.Safe {
 		return http.MethodGet, nil
 	}
-	return http.MethodPost, []byte("order " + q.ID + "\n")
+	return http.MethodPost, []byte("order " + req.ID + "\n")
 }
 
+// answerProbe answers a health or load probe. It reports whether the connection stays open.
 func (u *Upstream) answerProbe(c *conn, in *incoming) bool {
 	u.mu.Lock()
 	if u.listener == nil {
@@ -444,7 +451,7 @@
 	return writeResponse(c, 200, false, text)
 }
 
-// writeResponse writes an answer; false where the connection is gone.
+// writeResponse writes an answer. It reports whether the write succeeded.
 func writeResponse(c net.Conn, status int, unprocessed bool, body string) bool {
 	mark := ""
 	if unprocessed {
@@ -454,12 +461,13 @@
 	return err == nil
 }
 
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	if inner, ok := c.(*conn); ok {
 		c = inner.Conn
 	}
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // a reset; a connection that is closed already needs none
+		_ = t.SetLinger(0) // fails only on a connection that is closed already, which needs no reset
 	}
 	_ = c.Close()
 }
--- a/internal/lab/fake/window.go
+++ b/internal/lab/fake/window.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// View is what is wrong between a sidecar and a replica, by a fault. The zero value: nothing.
+// View is the fault between a sidecar and a replica. The zero value is no fault.
 type View struct {
-	Silent bool // nothing comes through
+	Silent bool // nothing passes
 	Reset  bool // connections break
 }
 
-// Window is how one sidecar sees one replica of the list service: the same, with the addresses at which this sidecar
-// reaches upstreams.
+// Window is a proxy through which one sidecar reaches one replica of the list service. It replaces the upstreams'
+// addresses by those at which this sidecar reaches them.
 type Window struct {
 	replica       string
 	address       func(upstream string) string
@@ -31,16 +31,16 @@
 
 	mu      sync.Mutex
 	view    View
-	changed chan struct{} // closed when the view changes
+	changed chan struct{} // closed and replaced when the view changes
 }
 
-// NewWindow opens a window at an address, upon a replica.
-func NewWindow(listen, replica string, told *Teller, address func(string) string) (*Window, error) {
+// NewWindow opens a window at the address listen in front of a replica.
+func NewWindow(listen, replica string, teller *Teller, address func(string) string) (*Window, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("window on %s: %w", replica, err)
 	}
-	w := &Window{replica: replica, address: address, teller: told, listenAddress: ln.Addr().String(), changed: make(chan struct{}),
+	w := &Window{replica: replica, address: address, teller: teller, listenAddress: ln.Addr().String(), changed: make(chan struct{}),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", w.serveTargets)
@@ -49,10 +49,10 @@
 	return w, nil
 }
 
-// Address is where the sidecar asks.
+// Address returns the address at which the sidecar asks.
 func (w *Window) Address() string { return w.listenAddress }
 
-// Set changes the view, from now on.
+// Set replaces the view, effective at once.
 func (w *Window) Set(v View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,14 +61,14 @@
 	w.changed = make(chan struct{})
 }
 
-// Close ends the window and what goes through it.
+// Close closes the window and the connections through it.
 func (w *Window) Close() {
 	_ = w.server.Close()
 	w.done.Wait()
 	w.client.CloseIdleConnections()
 }
 
-// awaitOpen waits while nothing comes through; false: the connection is to break.
+// awaitOpen waits while the view is silent. It reports false if the connection is to break.
 func (w *Window) awaitOpen(r *http.Request) bool {
 	for {
 		w.mu.Lock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// serveTargets passes a call on, and its answer line by line.
+// serveTargets forwards a call to the replica, and returns its answer line by line.
 func (w *Window) serveTargets(rw http.ResponseWriter, r *http.Request) {
 	if !w.awaitOpen(r) {
 		panic(http.ErrAbortHandler)
@@ -98,7 +98,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	resp, err := w.client.Do(req)
-	if err != nil { // as a connection that is refused
+	if err != nil { // stands for a refused connection
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -107,7 +107,7 @@
 		_, _ = io.Copy(rw, resp.Body)
 		return
 	}
-	out := http.NewResponseController(rw)
+	controller := http.NewResponseController(rw)
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 8<<20)
 	for lines.Scan() {
@@ -120,7 +120,7 @@
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if _, err := rw.Write(append(line, '\n')); err != nil || out.Flush() != nil {
+		if _, err := rw.Write(append(line, '\n')); err != nil || controller.Flush() != nil {
 			return
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 }
 
-// rewriteMessage gives a message the addresses that this sidecar is to use, and notes what it tells.
+// rewriteMessage returns a message with the addresses that this sidecar is to use, and records what the message says.
 func (w *Window) rewriteMessage(line []byte) ([]byte, error) {
 	var l Listing
 	if err := json.Unmarshal(line, &l); err != nil {
@@ -140,6 +140,6 @@
 			l.Endpoints[i].Address = w.address(e.Name)
 		}
 	}
-	w.teller.recordNews(l) // before the write: a sidecar that acts at once is not early
+	w.teller.recordNews(l) // before the write, so that a sidecar that acts at once does not seem to act before the news
 	return json.Marshal(l)
 }
