--- a/internal/lab/relay/mesh.go
+++ b/internal/lab/relay/mesh.go
@@ -13,21 +13,21 @@
 
 const (
 	maxDatagramBytes = 64 << 10
-	maxHeldDatagrams = 4096 // datagrams to one party that are held up; what is more vanishes, as in a full queue
-	maxConnsPerLink  = 16   // connections that one link of a mesh carries at once; more are refused
+	maxHeldDatagrams = 4096 // delayed datagrams to one party; further ones are dropped, as by a full queue
+	maxConnsPerLink  = 16   // connections that one link of a mesh carries at once; further ones are reset
 )
 
-// Mesh is the links between parties that talk to each other over datagrams and connections, each party at one address for
-// all: a link knows who sends by the source address, which every party has one of its own of.
+// Mesh joins parties that talk to each other over datagrams and connections. Each party has one address for all others.
+// A link knows the sender by the source IP address, which every party has to itself.
 type Mesh struct {
 	mu         sync.Mutex
-	hubs       map[string]*hub // by party
-	partyByIP  map[string]string
-	directions map[[2]string]*direction // from and to
+	hubs       map[string]*hub          // by party
+	partyByIP  map[string]string        // names by source IP address
+	directions map[[2]string]*direction // by the names of sender and receiver
 	onRequest  func(from, to string, r *http.Request)
 }
 
-// hub is where all others reach one party: one socket for datagrams and one listener, whatever the number of the others.
+// hub is where all others reach one party: one socket for datagrams and one listener, however many others there are.
 type hub struct {
 	mesh      *Mesh
 	name      string
@@ -35,32 +35,32 @@
 	datagrams *net.UDPConn
 	listener  net.Listener
 	done      sync.WaitGroup
-	held      atomic.Int64 // datagrams on the way
+	held      atomic.Int64 // delayed datagrams that are not sent yet
 }
 
-// direction is the link of an ordered pair.
+// direction is the link of an ordered pair of parties: a Link for connections, and the state for datagrams.
 type direction struct {
-	link *Link // carries connections that from opens
+	link *Link // carries the connections that the sender opens
 
 	mu        sync.Mutex
-	requested State // as set
-	effective State // with what the way back has set for this one
+	requested State // as set for this direction
+	effective State // with what the opposite direction adds
 	rng       *rand.Rand
 	count     Passed
 }
 
-// Passed counts the datagrams of a way.
+// Passed counts the datagrams of one direction.
 type Passed struct{ Packets, Bytes, Lost int }
 
-// NewMesh is a mesh without parties.
+// NewMesh returns a mesh without parties.
 func NewMesh() *Mesh {
 	return &Mesh{hubs: map[string]*hub{}, partyByIP: map[string]string{}, directions: map[[2]string]*direction{}}
 }
 
-// Add puts a party into the mesh, which listens and sends at target and which the others reach at address. seed draws what is
-// lost on the ways to it.
+// Add adds a party to the mesh. The party listens and sends at target, and the others reach it at address. seed
+// determines loss and jitter of the datagrams between it and the parties that were added before.
 func (m *Mesh) Add(name, address, target string, seed uint64) error {
-	at, err := net.ResolveUDPAddr("udp", address)
+	listenAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
@@ -68,7 +68,7 @@
 	if h.target, err = net.ResolveUDPAddr("udp", target); err != nil {
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
-	if h.datagrams, err = net.ListenUDP("udp", at); err != nil {
+	if h.datagrams, err = net.ListenUDP("udp", listenAddress); err != nil {
 		return fmt.Errorf("mesh: %s: %w", name, err)
 	}
 	if h.listener, err = net.Listen("tcp", address); err != nil {
@@ -78,13 +78,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for other := range m.hubs {
-		for _, of := range [][2]string{{name, other}, {other, name}} {
-			to := target
-			if of[1] != name {
-				to = m.hubs[other].target.String()
+		for _, key := range [][2]string{{name, other}, {other, name}} {
+			linkTarget := target
+			if key[1] != name {
+				linkTarget = m.hubs[other].target.String()
 			}
-			m.directions[of] = &direction{rng: rand.New(rand.NewPCG(seed, uint64(len(m.directions)))),
-				link: &Link{From: of[0], To: of[1], target: to, onRequest: m.requestObserver(of[0], of[1]), onEnd: func(string) {}, changed: make(chan struct{}), conns: map[*pair]bool{}}}
+			m.directions[key] = &direction{rng: rand.New(rand.NewPCG(seed, uint64(len(m.directions)))),
+				link: &Link{From: key[0], To: key[1], target: linkTarget, onRequest: m.requestObserver(key[0], key[1]), onEnd: func(string) {}, changed: make(chan struct{}), conns: map[*pair]bool{}}}
 		}
 	}
 	m.hubs[name], m.partyByIP[h.target.IP.String()] = h, name
@@ -93,54 +93,55 @@
 	return nil
 }
 
-// Set changes what the link between two parties does, from now on. Forth is what from sends, over either's connections too.
+// Set changes what the link between two parties does from now on. Forth is what from sends, also over connections that
+// to opened.
 func (m *Mesh) Set(from, to string, s State) error {
 	m.mu.Lock()
-	w, back := m.directions[[2]string{from, to}], m.directions[[2]string{to, from}]
+	d, opposite := m.directions[[2]string{from, to}], m.directions[[2]string{to, from}]
 	m.mu.Unlock()
-	if w == nil {
+	if d == nil {
 		return fmt.Errorf("mesh: no link from %s to %s", from, to)
 	}
-	w.mu.Lock()
-	w.requested = s
-	w.mu.Unlock()
-	return errors.Join(w.combine(back), back.combine(w))
+	d.mu.Lock()
+	d.requested = s
+	d.mu.Unlock()
+	return errors.Join(d.combine(opposite), opposite.combine(d))
 }
 
-// combine puts in force what both directions have set.
-func (w *direction) combine(back *direction) error {
-	back.mu.Lock()
-	b := back.requested
-	back.mu.Unlock()
-	w.mu.Lock()
-	s := w.requested
-	s.SilentForth, s.SilentBack, s.Reset = s.SilentForth || b.SilentBack, s.SilentBack || b.SilentForth, s.Reset || b.Reset
-	w.effective = s
-	w.mu.Unlock()
-	return w.link.Set(s)
+// combine puts in force what is set for this direction and for the opposite one.
+func (d *direction) combine(opposite *direction) error {
+	opposite.mu.Lock()
+	o := opposite.requested
+	opposite.mu.Unlock()
+	d.mu.Lock()
+	s := d.requested
+	s.SilentForth, s.SilentBack, s.Reset = s.SilentForth || o.SilentBack, s.SilentBack || o.SilentForth, s.Reset || o.Reset
+	d.effective = s
+	d.mu.Unlock()
+	return d.link.Set(s)
 }
 
-// Count is what went from one party to another in datagrams.
+// Count returns the counts of the datagrams from one party to another.
 func (m *Mesh) Count(from, to string) Passed {
 	m.mu.Lock()
-	w := m.directions[[2]string{from, to}]
+	d := m.directions[[2]string{from, to}]
 	m.mu.Unlock()
-	if w == nil {
+	if d == nil {
 		return Passed{}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.count
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.count
 }
 
-// directionFrom is the way that somebody at an address takes to h; nil: a stranger.
+// directionFrom returns the direction to h from the party with an address, nil if no party has it.
 func (h *hub) directionFrom(address net.IP) *direction {
 	h.mesh.mu.Lock()
 	defer h.mesh.mu.Unlock()
 	return h.mesh.directions[[2]string{h.mesh.partyByIP[address.String()], h.name}]
 }
 
-// receive passes datagrams on, until the mesh closes.
+// receive forwards datagrams until the mesh closes.
 func (h *hub) receive() {
 	buf := make([]byte, maxDatagramBytes)
 	for {
@@ -148,14 +149,14 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what the kernel says of a datagram before: its target is down
+		if err != nil { // the kernel reports that the target of an earlier datagram is down
 			continue
 		}
-		w := h.directionFrom(source.IP)
-		if w == nil {
+		d := h.directionFrom(source.IP)
+		if d == nil {
 			continue
 		}
-		wait, lost := w.drawDelay(n)
+		wait, lost := d.drawDelay(n)
 		if lost || h.held.Load() >= maxHeldDatagrams {
 			continue
 		}
@@ -167,46 +168,46 @@
 		h.held.Add(1)
 		time.AfterFunc(wait, func() {
 			h.held.Add(-1)
-			_, _ = h.datagrams.WriteToUDP(data, h.target) // the same; once the mesh is closed nothing goes out
+			_, _ = h.datagrams.WriteToUDP(data, h.target) // may be lost too; fails once the mesh is closed
 		})
 	}
 }
 
-// drawDelay is what becomes of a datagram.
-func (w *direction) drawDelay(n int) (wait time.Duration, lost bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.effective
-	if s.SilentForth || s.Reset || s.Loss > 0 && w.rng.Float64() < s.Loss {
-		w.count.Lost++
+// drawDelay draws the delay of a datagram of n bytes, or whether it is lost, and counts it.
+func (d *direction) drawDelay(n int) (wait time.Duration, lost bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s := d.effective
+	if s.SilentForth || s.Reset || s.Loss > 0 && d.rng.Float64() < s.Loss {
+		d.count.Lost++
 		return 0, true
 	}
-	w.count.Packets++
-	w.count.Bytes += n
+	d.count.Packets++
+	d.count.Bytes += n
 	wait = s.Delay
 	if s.Jitter > 0 {
-		wait += time.Duration(w.rng.Int64N(int64(s.Jitter)))
+		wait += time.Duration(d.rng.Int64N(int64(s.Jitter)))
 	}
 	return wait, false
 }
 
-// accept carries connections, until the mesh closes. On a silent link they come up and bring nothing.
+// accept forwards connections until the mesh closes. On a silent link they come up and no data passes.
 func (h *hub) accept() {
 	for {
 		c, err := h.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		w := h.directionFrom(c.RemoteAddr().(*net.TCPAddr).IP)
-		if w == nil {
+		d := h.directionFrom(c.RemoteAddr().(*net.TCPAddr).IP)
+		if d == nil {
 			abort(c)
 			continue
 		}
-		w.link.carryAccepted(c)
+		d.link.carryAccepted(c)
 	}
 }
 
-// carryAccepted carries a connection that a mesh has accepted.
+// carryAccepted forwards a connection that the mesh's listener accepted.
 func (l *Link) carryAccepted(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,10 +221,10 @@
 	go l.carry(p)
 }
 
-// Close ends the mesh and all that it carries, and waits until it has.
+// Close ends the mesh and all its connections, and waits until they have ended.
 func (m *Mesh) Close() {
 	m.mu.Lock()
-	hubs, ways := m.hubs, m.directions
+	hubs, directions := m.hubs, m.directions
 	m.mu.Unlock()
 	for _, h := range hubs {
 		_ = h.datagrams.Close()
@@ -232,7 +233,7 @@
 	for _, h := range hubs {
 		h.done.Wait()
 	}
-	for _, w := range ways {
-		w.link.Close()
+	for _, d := range directions {
+		d.link.Close()
 	}
 }
--- a/internal/lab/relay/mesh_test.go
+++ b/internal/lab/relay/mesh_test.go
@@ -9,31 +9,32 @@
 	"time"
 )
 
-// member is a party that sends and listens at an address of its own, and the address at which the others reach it.
+// member is a party: the sockets on which it sends and receives, and the address at which the others reach it.
 type member struct {
 	udp     *net.UDPConn
 	tcp     net.Listener
 	address string
 }
 
+// addMember adds a party to a mesh. The party listens on a port of host.
 func addMember(t *testing.T, m *Mesh, name, host string) member {
 	t.Helper()
 	tcp, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := tcp.Addr().(*net.TCPAddr)
-	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: at.IP, Port: at.Port})
+	local := tcp.Addr().(*net.TCPAddr)
+	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: local.IP, Port: local.Port})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A free port for both kinds, found as this member's was.
+	// Finds a port that is free for TCP and UDP, as above.
 	free, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = free.Close()
-	if err := m.Add(name, free.Addr().String(), at.String(), 1); err != nil {
+	if err := m.Add(name, free.Addr().String(), local.String(), 1); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = udp.Close(), tcp.Close() })
@@ -41,7 +42,7 @@
 	return member{udp, tcp, free.Addr().String()}
 }
 
-// newMeshOfTwo is a mesh of two.
+// newMeshOfTwo returns a mesh with the members a and b.
 func newMeshOfTwo(t *testing.T) (*Mesh, member, member) {
 	t.Helper()
 	m := NewMesh()
@@ -51,9 +52,9 @@
 
 func (m member) send(t *testing.T, to member, text string) {
 	t.Helper()
-	at, err := net.ResolveUDPAddr("udp", to.address)
+	remote, err := net.ResolveUDPAddr("udp", to.address)
 	if err == nil {
-		_, err = m.udp.WriteToUDP([]byte(text), at)
+		_, err = m.udp.WriteToUDP([]byte(text), remote)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +78,8 @@
 	}
 }
 
-// A one-way cut takes what a sends, as datagrams and over connections that b opened, and nothing of what b sends.
+// A cut of one direction drops what a sends, as datagrams and over connections that b opened, and nothing of what b
+// sends.
 func TestMeshCutsOneWay(t *testing.T) {
 	m, a, b := newMeshOfTwo(t)
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: b.udp.LocalAddr().(*net.UDPAddr).IP}, Timeout: testTimeout}
@@ -95,33 +97,33 @@
 	a.send(t, b, "lost")
 	b.send(t, a, "heard")
 	if got := a.receive(t); got != "heard" {
-		t.Errorf("a heard %q", got)
+		t.Errorf("a received %q, want \"heard\"", got)
 	}
 	one := make([]byte, 1)
 	if _, err := c.Write([]byte{7}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(in, one); err != nil {
-		t.Errorf("b's byte to a: %v", err)
+		t.Errorf("a reading b's byte: got error %v, want none", err)
 	}
 	if _, err := in.Write([]byte{8}); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.Read(one); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a's byte to b: %v, want nothing in time", err)
+		t.Errorf("b reading a's byte during the cut: got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	setMeshState(t, m, State{})
 	a.send(t, b, "after")
 	if got := b.receive(t); got != "after" {
-		t.Errorf("b heard %q, want what was said after the cut", got)
+		t.Errorf("b received %q, want \"after\"", got)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(c, one); err != nil || one[0] != 8 {
-		t.Errorf("a's byte after the cut: %v", err)
+		t.Errorf("b reading a's byte after the cut: got %d and error %v, want 8 and no error", one[0], err)
 	}
 	if got := m.Count("a", "b"); got.Lost != 1 || got.Packets != 1 {
-		t.Errorf("%+v, want one lost and one through", got)
+		t.Errorf("datagrams from a to b: got %+v, want 1 lost and 1 passed", got)
 	}
 }
 
@@ -132,33 +134,33 @@
 	a.send(t, b, "late")
 	b.receive(t)
 	if took := time.Since(begun); took < 30*time.Millisecond {
-		t.Errorf("over a link of 30 ms it took %v", took)
+		t.Errorf("a datagram over a link with a delay of 30 ms took %v, want at least 30 ms", took)
 	}
 	setMeshState(t, m, State{Loss: 0.3})
-	const said = 400
-	for i := range said { // one after another: none is lost for want of room
+	const datagrams = 400
+	for i := range datagrams { // one after another, so that none is lost to a full buffer
 		a.send(t, b, "x")
 		for end := time.Now().Add(testTimeout); m.Count("a", "b").Packets+m.Count("a", "b").Lost < i+2; time.Sleep(100 * time.Microsecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%+v after %d datagrams", m.Count("a", "b"), i+2)
+				t.Fatalf("got %+v, want a count of %d datagrams", m.Count("a", "b"), i+2)
 			}
 		}
 	}
-	if lost := m.Count("a", "b").Lost; lost < said/5 || lost > said*2/5 {
-		t.Errorf("%d of %d lost, want about 3 in 10", lost, said)
+	if lost := m.Count("a", "b").Lost; lost < datagrams/5 || lost > datagrams*2/5 {
+		t.Errorf("%d of %d datagrams lost, want from %d to %d", lost, datagrams, datagrams/5, datagrams*2/5)
 	}
 }
 
-// Who is no party gets nothing through.
+// A connection from an address that is no party's is broken.
 func TestMeshKnowsItsParties(t *testing.T) {
 	_, _, b := newMeshOfTwo(t)
-	c, err := net.DialTimeout("tcp", b.address, testTimeout) // from no party's address
+	c, err := net.DialTimeout("tcp", b.address, testTimeout) // from an address that is no party's
 	if err == nil {
 		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		_, err = c.Read(make([]byte, 1))
 	}
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a stranger's connection: %v, want it broken", err)
+		t.Errorf("connection from an unknown address: got error %v, want it broken before the deadline", err)
 	}
 }
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay owns the links between parties: one for each ordered pair, with an address of its own, through which
-// every byte passes and on which it can be held up, cut or broken.
+// Package relay provides the links between parties: one for each ordered pair, with an address of its own. Every byte
+// passes through a link, which can delay it, hold it back or break the connection.
 package relay
 
 import (
@@ -16,30 +16,32 @@
 	"time"
 )
 
-// State is what a link does to what passes. The zero State lets everything through at once.
+// State is what a link does to the traffic. The zero State passes everything at once.
 type State struct {
-	Delay  time.Duration // one way, for each direction
-	Jitter time.Duration // up to so much more, by the bytes' position, so that a seed plays the same
-	Setup  time.Duration // more for the first bytes of a connection: its handshakes
-	Rate   int           // bytes a second in each direction; 0: any
-	Chop   int           // greatest piece passed on at once; 0: any
+	Delay  time.Duration // in each direction
+	Jitter time.Duration // greatest further delay; on a connection it depends on the bytes' position, so that it repeats
+	Setup  time.Duration // further delay of a connection's first bytes, for its handshakes
+	Rate   int           // bytes per second in each direction; 0 is no limit
+	Chop   int           // greatest number of bytes passed on at once; 0 is no limit
 
-	// Silent holds everything in that direction, new connections too: nothing arrives and nothing fails.
+	// SilentForth and SilentBack hold back everything in that direction, new connections too: nothing arrives and
+	// nothing fails.
 	SilentForth, SilentBack bool
 	// Reset breaks open connections and refuses new ones.
 	Reset bool
-	// Loss is the share of datagrams that vanish. On a connection that share of the pieces comes later by retransmitAfter.
+	// Loss is the share of datagrams that are dropped. On a connection, that share of the pieces is delayed by
+	// retransmitAfter.
 	Loss float64
-	// ResetShare of new connections is broken at their first answer's first byte.
+	// ResetShare is the share of new connections that are reset at the first byte of their first answer.
 	ResetShare float64
 }
 
 const (
-	pieceBytes    = 32 << 10 // read at once; what a direction holds is 8 of them at most, beyond the kernel's buffers
+	pieceBytes    = 32 << 10 // largest read; a direction queues at most 8 of them, besides the kernel's buffers
 	maxHeldPieces = 8
 	dialLimit     = 2 * time.Second
 	backlog       = 1024
-	// retransmitAfter is the least time after which Linux sends again what was lost on a connection.
+	// retransmitAfter is the shortest time after which Linux sends lost data of a connection again.
 	retransmitAfter = 200 * time.Millisecond
 )
 
@@ -47,31 +49,31 @@
 type Link struct {
 	From, To  string
 	target    string
-	onBegin   func(dialled string) // a connection to the target is open; nothing has gone over it yet. nil: nobody wants to know
-	onRequest func(*http.Request)  // of what the initiator sends; nil: nobody wants to know
-	onEnd     func(dialled string) // the initiator ended its sending, or the connection, seen even on a silent link
+	onBegin   func(localAddr string) // called when a connection to the target is open, before any byte passes; nil if nobody observes it
+	onRequest func(*http.Request)    // called for each request that the initiator sends; nil if nobody observes them
+	onEnd     func(localAddr string) // called when the initiator ends the connection or its sending, also on a silent link
 
 	mu            sync.Mutex
 	state         State
-	changed       chan struct{} // closed at each change of state
+	changed       chan struct{} // closed and replaced at each change of state
 	address       string
 	listener      *net.TCPListener
-	queueFillers  []net.Conn // that keep a silent link's accept queue full
+	queueFillers  []net.Conn // connections that keep a silent link's accept queue full, and those accepted just before the silence
 	conns         map[*pair]bool
 	closed        bool
 	acceptedCount int
 	done          sync.WaitGroup
 }
 
-// pair is a connection of the initiator, and the one to the target that it is passed on to.
+// pair is a connection of the initiator and the connection to the target that it is forwarded to.
 type pair struct {
 	in, out       net.Conn
-	resetAtAnswer bool // to be reset at the first answer
+	resetAtAnswer bool // reset both at the first byte of the answer
 }
 
-// New opens a link at address, for connections to target. onEnd may be nil; it is called with the local address of the
-// connection to the target, by which the target knows it.
-func New(from, to, address, target string, onEnd func(dialled string)) (*Link, error) {
+// New opens a link at address that forwards connections to target. onEnd may be nil. It is called with the local address
+// of the connection to the target, by which the target knows the connection.
+func New(from, to, address, target string, onEnd func(localAddr string)) (*Link, error) {
 	l := &Link{From: from, To: to, target: target, onEnd: onEnd, changed: make(chan struct{}), address: address, conns: map[*pair]bool{}}
 	if l.onEnd == nil {
 		l.onEnd = func(string) {}
@@ -81,10 +83,10 @@
 	return l, l.listen()
 }
 
-// Address is where the initiator connects.
+// Address returns the address to which the initiator connects.
 func (l *Link) Address() string { return l.address }
 
-// listen opens the listener; the caller holds mu.
+// listen opens the listener. The caller holds mu.
 func (l *Link) listen() error {
 	ln, err := net.Listen("tcp", l.address)
 	if err != nil {
@@ -96,6 +98,7 @@
 	return nil
 }
 
+// accept accepts connections until the listener closes. It pauses while the link is silent.
 func (l *Link) accept(ln *net.TCPListener) {
 	defer l.done.Done()
 	for {
@@ -110,7 +113,7 @@
 	}
 }
 
-// handle carries on with a connection that was accepted.
+// handle takes over an accepted connection.
 func (l *Link) handle(ln *net.TCPListener, c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,44 +121,44 @@
 		abort(c)
 		return
 	}
-	if l.state.SilentForth || l.state.SilentBack { // accepted just before: it hangs with the others
-		stuffed := slices.ContainsFunc(l.queueFillers, func(s net.Conn) bool { return s.LocalAddr().String() == c.RemoteAddr().String() })
+	if l.state.SilentForth || l.state.SilentBack { // accepted just before the silence: it hangs like later ones
+		wasFiller := slices.ContainsFunc(l.queueFillers, func(s net.Conn) bool { return s.LocalAddr().String() == c.RemoteAddr().String() })
 		l.queueFillers = append(l.queueFillers, c)
-		if stuffed { // it was to keep the queue full
-			_ = l.fillQueue() // nobody to tell; new connections would come up and hang
+		if wasFiller { // the queue has room again
+			_ = l.fillQueue() // on an error, new connections come up and hang
 		}
 		return
 	}
 	p := &pair{in: c}
 	l.acceptedCount++
-	// Evenly spread over the connections, so that a play repeats: every 8th for a share of 0.125.
+	// Evenly spread over the connections, so that a run repeats: every 8th for a share of 0.125.
 	p.resetAtAnswer = int(float64(l.acceptedCount)*l.state.ResetShare) > int(float64(l.acceptedCount-1)*l.state.ResetShare)
 	l.conns[p] = true
 	l.done.Add(1)
 	go l.carry(p)
 }
 
-// Set changes what the link does, from now on, also to connections that are open.
+// Set changes what the link does from now on, also to connections that are open.
 func (l *Link) Set(s State) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return nil
 	}
-	was := l.state
+	previous := l.state
 	l.state = s
 	close(l.changed)
 	l.changed = make(chan struct{})
-	silent, wasSilent := s.SilentForth || s.SilentBack, was.SilentForth || was.SilentBack
+	silent, wasSilent := s.SilentForth || s.SilentBack, previous.SilentForth || previous.SilentBack
 	switch {
-	case l.listener == nil: // a mesh listens
+	case l.listener == nil: // the link belongs to a mesh, which listens itself
 		for p := range l.conns {
 			if s.Reset {
 				p.abort()
 			}
 		}
 		return nil
-	case s.Reset && !was.Reset:
+	case s.Reset && !previous.Reset:
 		_ = l.listener.Close()
 		_ = l.setSilentQueue(false)
 		for p := range l.conns {
@@ -164,41 +167,42 @@
 		return nil
 	case s.Reset:
 		return nil
-	case was.Reset:
+	case previous.Reset:
 		if err := l.listen(); err != nil {
 			return err
 		}
 	}
-	if silent != (wasSilent && !was.Reset) {
+	if silent != (wasSilent && !previous.Reset) {
 		return l.setSilentQueue(silent)
 	}
 	return nil
 }
 
-// setSilentQueue makes new connections hang, by a full accept queue, or lets them come again. The caller holds mu.
+// setSilentQueue makes new connections hang, by keeping the accept queue full, or lets them come up again. The caller
+// holds mu.
 func (l *Link) setSilentQueue(silent bool) error {
 	for _, c := range l.queueFillers {
-		abort(c) // who came while the link was silent is reset once it is back
+		abort(c) // connections accepted while the link was silent are reset when it works again
 	}
 	l.queueFillers = nil
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	size := backlog
+	queueSize := backlog
 	if silent {
-		size = 0
-		// Nothing more is accepted from here on, so that what fills the queue stays in it.
+		queueSize = 0
+		// Stops Accept, so that the connection that fills the queue stays in it.
 		if err := l.listener.SetDeadline(time.Unix(1, 0)); err != nil {
 			return err
 		}
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), size) }); err != nil || failed != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), queueSize) }); err != nil || listenErr != nil {
 		if !silent && l.state.Reset {
 			return nil // the listener is closed already
 		}
-		return errors.Join(err, failed)
+		return errors.Join(err, listenErr)
 	}
 	if !silent {
 		return l.listener.SetDeadline(time.Time{})
@@ -206,8 +210,8 @@
 	return l.fillQueue()
 }
 
-// fillQueue fills the accept queue, which takes one connection: the kernel drops what else comes, and the other side waits. The caller
-// holds mu.
+// fillQueue fills the accept queue, which holds one connection. The kernel then drops further attempts to connect, and
+// the dialling side waits. The caller holds mu.
 func (l *Link) fillQueue() error {
 	c, err := net.DialTimeout("tcp", l.address, dialLimit)
 	if err != nil {
@@ -217,14 +221,14 @@
 	return nil
 }
 
-// awaitSilenceEnd waits while the link is silent; false once its listener is no longer in use.
+// awaitSilenceEnd waits while the link is silent. It reports false once its listener is no longer in use.
 func (l *Link) awaitSilenceEnd(ln *net.TCPListener) bool {
 	for {
 		l.mu.Lock()
-		s, changed, dead := l.state, l.changed, l.closed || l.listener != ln
+		s, changed, unused := l.state, l.changed, l.closed || l.listener != ln
 		l.mu.Unlock()
 		switch {
-		case dead || s.Reset:
+		case unused || s.Reset:
 			return false
 		case !s.SilentForth && !s.SilentBack:
 			return true
@@ -233,7 +237,7 @@
 	}
 }
 
-// Close ends the link and all that it carries, and waits until it has.
+// Close ends the link and its connections, and waits until they have ended.
 func (l *Link) Close() {
 	l.mu.Lock()
 	if !l.closed {
@@ -254,13 +258,14 @@
 	l.done.Wait()
 }
 
-// current is the present state, and what is closed when it changes.
+// current returns the present state, a channel that is closed when it changes, and whether the link is closed.
 func (l *Link) current() (State, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state, l.changed, l.closed
 }
 
+// carry forwards a pair's traffic until both directions have ended.
 func (l *Link) carry(p *pair) {
 	defer l.done.Done()
 	defer func() {
@@ -277,52 +282,53 @@
 	}
 	l.mu.Lock()
 	p.out = out
-	dead := l.closed || l.state.Reset
+	broken := l.closed || l.state.Reset
 	l.mu.Unlock()
-	if dead {
+	if broken {
 		p.abort()
 		return
 	}
 	if l.onBegin != nil {
 		l.onBegin(out.LocalAddr().String())
 	}
-	var ways sync.WaitGroup
-	ways.Add(2)
-	go func() { defer ways.Done(); l.copyDirection(p, true) }()
-	go func() { defer ways.Done(); l.copyDirection(p, false) }()
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Add(2)
+	go func() { defer directions.Done(); l.copyDirection(p, true) }()
+	go func() { defer directions.Done(); l.copyDirection(p, false) }()
+	directions.Wait()
 	_ = p.in.Close()
 	_ = p.out.Close()
 }
 
-// piece is some bytes on their way; err ends the direction.
+// piece is data on its way. Its err, if there is one, ends the direction.
 type piece struct {
 	data     []byte
 	received time.Time
 	err      error
 }
 
-// copyDirection carries one direction: a reader, which always notices an end, and a writer, which lets the state have its way.
+// copyDirection forwards one direction of a pair, from the initiator to the target if forth. A goroutine reads, so that
+// an end is always noticed; the caller's goroutine writes when the link's state lets it.
 func (l *Link) copyDirection(p *pair, forth bool) {
 	from, to := p.in, p.out
 	if !forth {
 		from, to = p.out, p.in
 	}
 	pieces := make(chan piece, maxHeldPieces)
-	var tee *tap
+	var requests *tap
 	if forth && l.onRequest != nil {
-		tee = newTap(l.onRequest)
+		requests = newTap(l.onRequest)
 	}
-	go func() { // ends with from, which the writer closes by its own end
+	go func() { // ends with from, which abort closes after a failed write
 		defer close(pieces)
-		defer tee.close()
+		defer requests.close()
 		buf := make([]byte, pieceBytes)
 		for {
 			n, err := from.Read(buf)
 			if err != nil && forth {
 				l.onEnd(p.out.LocalAddr().String())
 			}
-			tee.write(buf[:n])
+			requests.write(buf[:n])
 			pieces <- piece{append([]byte(nil), buf[:n]...), time.Now(), err}
 			if err != nil {
 				return
@@ -330,40 +336,40 @@
 		}
 	}()
 	defer func() {
-		for range pieces { // never leave the reader stuck
+		for range pieces { // keeps the reader from blocking
 		}
 	}()
 	first, passed := true, 0
-	for m := range pieces {
-		if !l.awaitRelease(m.received, forth, first, passed) {
+	for next := range pieces {
+		if !l.awaitRelease(next.received, forth, first, passed) {
 			p.abort()
 			continue
 		}
-		if len(m.data) > 0 {
+		if len(next.data) > 0 {
 			if !forth && first && p.resetAtAnswer {
 				p.abort()
 				continue
 			}
 			first = false
-			passed += len(m.data)
-			if l.write(to, m.data) != nil {
+			passed += len(next.data)
+			if l.write(to, next.data) != nil {
 				p.abort()
 				continue
 			}
 		}
 		switch {
-		case errors.Is(m.err, io.EOF):
+		case errors.Is(next.err, io.EOF):
 			if half, ok := to.(*net.TCPConn); ok {
-				_ = half.CloseWrite() // where it fails, the connection is gone already
+				_ = half.CloseWrite() // fails only if the connection has ended already
 			}
-		case m.err != nil:
+		case next.err != nil:
 			p.abort()
 		}
 	}
 }
 
-// awaitRelease waits until bytes that came at a time may pass on; false once the link is closed.
-func (l *Link) awaitRelease(at time.Time, forth, first bool, passed int) bool {
+// awaitRelease waits until bytes received at a time may be passed on. It reports false once the link is closed.
+func (l *Link) awaitRelease(received time.Time, forth, first bool, passed int) bool {
 	for {
 		s, changed, closed := l.current()
 		if closed {
@@ -383,20 +389,20 @@
 		if s.Loss > 0 && float64(uint32(passed+1)*0x9e3779b9>>8)/(1<<24) < s.Loss {
 			wait += retransmitAfter
 		}
-		left := time.Until(at.Add(wait))
-		if left <= 0 {
+		remaining := time.Until(received.Add(wait))
+		if remaining <= 0 {
 			return true
 		}
-		late := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
-		case <-late.C:
+		case <-timer.C:
 		case <-changed:
-			late.Stop()
+			timer.Stop()
 		}
 	}
 }
 
-// write passes bytes on, no faster and in no larger pieces than the state has it.
+// write writes data no faster, and in no larger pieces, than the state allows.
 func (l *Link) write(to net.Conn, data []byte) error {
 	for len(data) > 0 {
 		s, changed, closed := l.current()
@@ -424,7 +430,7 @@
 	return nil
 }
 
-// abort breaks both connections with a reset.
+// abort resets both connections.
 func (p *pair) abort() {
 	abort(p.in)
 	if p.out != nil {
@@ -432,9 +438,10 @@
 	}
 }
 
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // a reset, not an orderly end; on a closed connection there is nothing to set
+		_ = t.SetLinger(0) // makes Close send a reset; fails only on a closed connection
 	}
 	_ = c.Close()
 }
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -17,31 +17,31 @@
 
 const testTimeout = 10 * time.Second
 
-// startEchoServer answers each byte with itself, until the test ends.
+// startEchoServer starts a server that echoes every byte until the test ends, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var open sync.WaitGroup
-	open.Add(1)
+	var running sync.WaitGroup
+	running.Add(1)
 	go func() {
-		defer open.Done()
+		defer running.Done()
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			open.Add(1)
+			running.Add(1)
 			go func() {
-				defer open.Done()
+				defer running.Done()
 				defer func() { _ = c.Close() }()
 				_, _ = io.Copy(c, c)
 			}()
 		}
 	}()
-	t.Cleanup(func() { _ = ln.Close(); open.Wait() })
+	t.Cleanup(func() { _ = ln.Close(); running.Wait() })
 	return ln.Addr().String()
 }
 
@@ -94,11 +94,12 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(begun); took < 60*time.Millisecond {
-		t.Errorf("a round trip over 30 ms each way took %v", took)
+		t.Errorf("round trip with a delay of 30 ms each way took %v, want at least 60 ms", took)
 	}
 }
 
-// A silent link: what is open stays open and brings nothing, what is new never comes up, and both live again after.
+// On a silent link, open connections stay open and bring no data, and new ones don't come up. Afterwards both work
+// again.
 func TestSilence(t *testing.T) {
 	for name, s := range map[string]State{"forth": {SilentForth: true}, "back": {SilentBack: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -110,26 +111,26 @@
 			setState(t, l, s)
 			_ = c.SetDeadline(time.Now().Add(100 * time.Millisecond))
 			if err := roundTrip(c); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("on a silent link: %v, want nothing in time", err)
+				t.Errorf("round trip on a silent link: got error %v, want %v", err, os.ErrDeadlineExceeded)
 			}
 			if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 				_ = fresh.Close()
-				t.Error("a new connection came up on a silent link")
+				t.Error("dial over a silent link succeeded, want a timeout")
 			}
 			setState(t, l, State{})
 			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-				t.Errorf("what was held did not arrive after: %v", err)
+				t.Errorf("reading the held byte after the silence: got error %v, want none", err)
 			}
 			if err := roundTrip(dial(t, l)); err != nil {
-				t.Errorf("a new connection after the silence: %v", err)
+				t.Errorf("round trip on a new connection after the silence: got error %v, want none", err)
 			}
 		})
 	}
 }
 
-// Guards against a queue that is empty once what was to fill it has been accepted, by a call to accept that had begun before the
-// silence and was held up.
+// Guards against an accept queue that is left empty when a call to Accept, begun before the silence and delayed, takes
+// the connection that was to fill the queue.
 func TestSilenceWhoseQueueWasTakenFrom(t *testing.T) {
 	l := newLink(t, nil)
 	setState(t, l, State{SilentBack: true})
@@ -146,7 +147,7 @@
 	l.handle(l.listener, c)
 	if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 		_ = fresh.Close()
-		t.Error("a new connection came up on a silent link")
+		t.Error("dial over a silent link succeeded, want a timeout")
 	}
 }
 
@@ -158,31 +159,31 @@
 	}
 	setState(t, l, State{Reset: true})
 	if err := roundTrip(c); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("an open connection: %v, want a reset", err)
+		t.Errorf("round trip on an open connection: got error %v, want %v or %v", err, syscall.ECONNRESET, syscall.EPIPE)
 	}
 	if fresh, err := net.DialTimeout("tcp", l.Address(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a new connection: %v, want it refused", err)
+		t.Errorf("dial: got error %v, want %v", err, syscall.ECONNREFUSED)
 		if err == nil {
 			_ = fresh.Close()
 		}
 	}
 	setState(t, l, State{})
 	if err := roundTrip(dial(t, l)); err != nil {
-		t.Errorf("after the reset: %v", err)
+		t.Errorf("round trip after the reset: got error %v, want none", err)
 	}
 }
 
 func TestOneInFourIsBroken(t *testing.T) {
 	l := newLink(t, nil)
 	setState(t, l, State{ResetShare: 0.25})
-	bad := 0
+	failed := 0
 	for range 8 {
 		if roundTrip(dial(t, l)) != nil {
-			bad++
+			failed++
 		}
 	}
-	if bad != 2 {
-		t.Errorf("%d of 8 connections broke, want 2", bad)
+	if failed != 2 {
+		t.Errorf("%d of 8 connections failed, want 2", failed)
 	}
 }
 
@@ -200,18 +201,18 @@
 	}
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != string(text) {
-		t.Fatalf("not the same bytes (%v)", err)
+		t.Fatalf("got %d bytes %x and error %v, want %x", len(got), got, err, text)
 	}
 	if took := time.Since(begun); took < 90*time.Millisecond {
-		t.Errorf("1000 bytes at 10 kB a second took %v", took)
+		t.Errorf("1000 bytes at 10 kB per second took %v, want at least 90 ms", took)
 	}
 }
 
-// The end of the initiator's side is seen even while the link is silent: verdicts need to know when an attempt was
-// given up.
+// The link sees the end of the initiator's side even while it is silent: verdicts need to know when an attempt was given
+// up.
 func TestEndIsSeenOnASilentLink(t *testing.T) {
 	ended := make(chan string, 1)
-	l := newLink(t, func(dialled string) { ended <- dialled })
+	l := newLink(t, func(localAddr string) { ended <- localAddr })
 	c := dial(t, l)
 	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
@@ -221,6 +222,6 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Error("the end was not seen")
+		t.Errorf("onEnd not called within %v of the close", testTimeout)
 	}
 }
--- a/internal/lab/relay/tap.go
+++ b/internal/lab/relay/tap.go
@@ -6,13 +6,14 @@
 	"net/http"
 )
 
-// tap hears the requests of one connection, as its initiator sends them; a nil tap hears nothing.
+// tap parses the requests of one connection as its initiator sends them. A nil tap does nothing.
 type tap struct {
 	in   *io.PipeWriter
-	done chan struct{}
+	done chan struct{} // closed when parsing has ended
 }
 
-func newTap(heard func(*http.Request)) *tap {
+// newTap returns a tap that calls onRequest for each request.
+func newTap(onRequest func(*http.Request)) *tap {
 	out, in := io.Pipe()
 	t := &tap{in, make(chan struct{})}
 	go func() {
@@ -20,10 +21,10 @@
 		for r := bufio.NewReader(out); ; {
 			req, err := http.ReadRequest(r)
 			if err == nil {
-				heard(req)
+				onRequest(req)
 				_, err = io.Copy(io.Discard, req.Body)
 			}
-			if err != nil { // the end, or nothing that is HTTP: what follows is not heard, and passes on all the same
+			if err != nil { // the end, or data that isn't HTTP: the tap ignores the rest, and the link forwards it
 				out.CloseWithError(err)
 				return
 			}
@@ -34,11 +35,11 @@
 
 func (t *tap) write(data []byte) {
 	if t != nil && len(data) > 0 {
-		_, _ = t.in.Write(data) // fails once nothing more is heard
+		_, _ = t.in.Write(data) // fails once parsing has ended
 	}
 }
 
-// close returns once all is heard that was sent whole.
+// close returns once all requests that were sent completely have been reported.
 func (t *tap) close() {
 	if t != nil {
 		_ = t.in.Close()
@@ -46,14 +47,15 @@
 	}
 }
 
-// OnBegin has f told of each connection to the target before anything goes over it, by its local address, by which the target
-// knows it. It is called before the link carries anything.
-func (l *Link) OnBegin(f func(dialled string)) { l.mu.Lock(); l.onBegin = f; l.mu.Unlock() }
+// OnBegin sets a function that is called for each connection to the target before any byte passes, with the connection's
+// local address, by which the target knows it. It must be called before the link carries anything.
+func (l *Link) OnBegin(f func(localAddr string)) { l.mu.Lock(); l.onBegin = f; l.mu.Unlock() }
 
-// Hear has heard told of each request that a party sends over a mesh's links. It is called before parties are added.
-func (m *Mesh) Hear(heard func(from, to string, r *http.Request)) { m.onRequest = heard }
+// Hear sets a function that is called for each request that a party sends over a link of the mesh. It must be called
+// before parties are added.
+func (m *Mesh) Hear(onRequest func(from, to string, r *http.Request)) { m.onRequest = onRequest }
 
-// requestObserver is what a link of the mesh calls for a request; nil: nobody wants to know.
+// requestObserver returns the function that a link of the mesh calls for each request, nil if nobody observes them.
 func (m *Mesh) requestObserver(from, to string) func(*http.Request) {
 	if m.onRequest == nil {
 		return nil
