--- a/internal/lab/memnet/conn.go
+++ b/internal/lab/memnet/conn.go
@@ -10,37 +10,40 @@
 	"time"
 )
 
-// connEnd is one side of a connection. All of it is under the network's lock.
+// connEnd is one side of a connection. The network's lock guards all of its fields.
 type connEnd struct {
 	network *Network
 	host    *Host
 	peer    *connEnd
 	number  int
-	delay   time.Duration
+	delay   time.Duration // from this end to the other
 	addr    *net.TCPAddr
 
-	inbox                       []segment
-	inboxBytes                  int // bytes of in
+	inbox                       []segment // what is on its way to this end, or has arrived and is unread
+	inboxBytes                  int       // bytes in inbox
 	readDeadline, writeDeadline time.Time
-	writeClosed                 bool // its sending
+	writeClosed                 bool // this end has closed its sending direction
 	closed                      bool
 }
 
-// segment is something on its way to an end, or there: bytes, or why no more come.
+// segment is something on its way to an end, or arrived there: bytes, or the reason why no more come.
 type segment struct {
 	due   time.Time
 	bytes []byte
-	err   error // io.EOF, or errReset
+	err   error // io.EOF or errReset
 }
 
 var errReset = os.NewSyscallError("read", syscall.ECONNRESET)
 
+// reached reports whether the time t has come. The zero time never comes.
 func reached(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
 
+// observe reports an event on the connection. The caller holds the network's lock.
 func (e *connEnd) observe(kind Kind, bytes []byte) {
 	e.network.observe(Event{At: time.Now(), Conn: e.number, From: e.host.name, To: e.peer.host.name, Kind: kind, Bytes: bytes})
 }
 
+// opError returns err as the net.OpError of an operation, and io.EOF as it is.
 func (e *connEnd) opError(op string, err error) error {
 	if errors.Is(err, io.EOF) {
 		return err
@@ -48,12 +51,13 @@
 	return &net.OpError{Op: op, Net: "tcp", Source: e.addr, Addr: e.peer.addr, Err: err}
 }
 
-// resetArrived tells whether a reset has arrived.
+// resetArrived reports whether a reset has arrived.
 func (e *connEnd) resetArrived() bool {
 	return slices.ContainsFunc(e.inbox, func(s segment) bool { return errors.Is(s.err, errReset) && reached(s.due) })
 }
 
-// send puts something on its way to the other end; after is what it waits for besides the way.
+// send sends bytes, or err in their place, to the other end. They arrive after the connection's delay and the further
+// wait after.
 func (e *connEnd) send(after time.Duration, bytes []byte, err error) {
 	p := e.peer
 	if p.closed {
@@ -64,8 +68,8 @@
 	time.AfterFunc(after+e.delay, e.network.wake)
 }
 
-// Pending tells what has arrived, without reading it: bytes, and the other side's end, which may stand behind bytes that
-// nobody has read.
+// Pending reports what has arrived, without reading it: bytes alone, or the other side's end, even if unread bytes
+// precede it.
 func (e *connEnd) Pending() (bytes, end bool) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
@@ -111,25 +115,25 @@
 	}
 }
 
-func (e *connEnd) Write(p []byte) (wrote int, err error) {
+func (e *connEnd) Write(p []byte) (written int, err error) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
 	for {
-		room := windowBytes - e.peer.inboxBytes
+		space := windowBytes - e.peer.inboxBytes
 		switch {
 		case e.closed:
-			return wrote, e.opError("write", net.ErrClosed)
+			return written, e.opError("write", net.ErrClosed)
 		case reached(e.writeDeadline):
-			return wrote, e.opError("write", os.ErrDeadlineExceeded)
+			return written, e.opError("write", os.ErrDeadlineExceeded)
 		case e.writeClosed || e.resetArrived():
-			return wrote, e.opError("write", os.NewSyscallError("write", syscall.EPIPE))
-		case wrote == len(p):
-			return wrote, nil
-		case room > 0:
-			piece := slices.Clone(p[wrote:min(len(p), wrote+room)])
-			wrote += len(piece)
+			return written, e.opError("write", os.NewSyscallError("write", syscall.EPIPE))
+		case written == len(p):
+			return written, nil
+		case space > 0:
+			piece := slices.Clone(p[written:min(len(p), written+space)])
+			written += len(piece)
 			e.observe(Sends, piece)
-			if e.peer.closed { // which says so when it arrives
+			if e.peer.closed { // the peer answers with a reset when the bytes arrive
 				e.peer.send(e.delay, nil, errReset)
 			}
 			e.send(0, piece, nil)
@@ -139,15 +143,15 @@
 	}
 }
 
-// Close ends the connection, with a reset where something that came was not read or comes yet, as TCP does.
+// Close ends the connection. As in TCP, it sends a reset if bytes have arrived unread or are still on their way.
 func (e *connEnd) Close() error {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
 	if e.closed {
 		return e.opError("close", net.ErrClosed)
 	}
-	i := slices.IndexFunc(e.inbox, func(s segment) bool { return s.err == nil })
-	if i >= 0 && reached(e.inbox[i].due) {
+	firstData := slices.IndexFunc(e.inbox, func(s segment) bool { return s.err == nil })
+	if firstData >= 0 && reached(e.inbox[firstData].due) {
 		e.reset()
 		return nil
 	}
@@ -157,14 +161,14 @@
 			e.send(0, nil, io.EOF)
 		}
 	}
-	if i >= 0 {
-		e.send(time.Until(e.inbox[i].due), nil, errReset)
+	if firstData >= 0 {
+		e.send(time.Until(e.inbox[firstData].due), nil, errReset)
 	}
 	e.closeLocked()
 	return nil
 }
 
-// CloseWrite ends the sending; the other side's goes on.
+// CloseWrite ends the sending direction. The other side may go on sending.
 func (e *connEnd) CloseWrite() error {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
@@ -184,7 +188,7 @@
 	e.reset()
 }
 
-// reset is called with the lock held.
+// reset does the work of Reset. The caller holds the network's lock.
 func (e *connEnd) reset() {
 	if e.closed {
 		return
@@ -196,6 +200,7 @@
 	e.closeLocked()
 }
 
+// closeLocked closes this end without telling the other. The caller holds the network's lock.
 func (e *connEnd) closeLocked() {
 	e.closed, e.inbox, e.inboxBytes = true, nil, 0
 	e.host.ends = slices.DeleteFunc(e.host.ends, func(x *connEnd) bool { return x == e })
@@ -219,14 +224,15 @@
 // SetWriteDeadline implements net.Conn.
 func (e *connEnd) SetWriteDeadline(t time.Time) error { return e.setDeadlines(t, &e.writeDeadline) }
 
-func (e *connEnd) setDeadlines(t time.Time, bounds ...*time.Time) error {
+// setDeadlines sets the given deadlines to t.
+func (e *connEnd) setDeadlines(t time.Time, deadlines ...*time.Time) error {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
 	if e.closed {
 		return e.opError("set", net.ErrClosed)
 	}
-	for _, b := range bounds {
-		*b = t
+	for _, d := range deadlines {
+		*d = t
 	}
 	e.network.changed.Broadcast()
 	return nil
--- a/internal/lab/memnet/memnet_test.go
+++ b/internal/lab/memnet/memnet_test.go
@@ -30,7 +30,7 @@
 	return near, far, a, b
 }
 
-// Guards against connections that are none by the standard library's measure: order, deadlines, races.
+// Guards against connections that break the standard library's rules for a net.Conn, on order, deadlines and races.
 func TestConnectionsAreConnections(t *testing.T) {
 	nettest.TestConn(t, func() (net.Conn, net.Conn, func(), error) {
 		n := New(func(Event) {})
@@ -39,12 +39,13 @@
 	})
 }
 
-// Guards against ends that look alike: an end in order, one with something unread or on its way, and a process that dies.
+// Guards against ends of connections that can't be told apart: an orderly close, a close with bytes unread or on their
+// way, and the death of a process.
 func TestEnds(t *testing.T) {
 	for name, c := range map[string]struct {
-		end        func(near, far net.Conn, b *Host)
-		text       string
-		read, back error // what the near side's reading ends with, and its writing then
+		end         func(near, far net.Conn, b *Host)
+		text        string
+		read, write error // error that ends the near side's reading, and error of its write after that
 	}{
 		"closed": {func(_, far net.Conn, _ *Host) { _, _ = io.WriteString(far, "ab"); _ = far.Close() }, "ab", nil, nil},
 		"half":   {func(_, far net.Conn, _ *Host) { _ = far.(*connEnd).CloseWrite() }, "", nil, nil},
@@ -81,15 +82,16 @@
 				c.end(near, far, b)
 				_ = near.SetReadDeadline(time.Now().Add(time.Minute))
 				text, err := io.ReadAll(near)
-				if _, back := near.Write([]byte("y")); string(text) != c.text || !errors.Is(err, c.read) || !errors.Is(back, c.back) {
-					t.Errorf("read %q, %v; then wrote: %v", text, err, back)
+				if _, writeErr := near.Write([]byte("y")); string(text) != c.text || !errors.Is(err, c.read) || !errors.Is(writeErr, c.write) {
+					t.Errorf("got %q, read error %v, write error %v; want %q, %v, %v", text, err, writeErr, c.text, c.read, c.write)
 				}
 			})
 		})
 	}
 }
 
-// Guards against two connections of one address: a dialling that takes longer than the next one must not take its port.
+// Guards against two connections with one local address: a dial that takes longer than the next one must keep a port of
+// its own.
 func TestPortsAreOnesOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(func(Event) {})
@@ -109,13 +111,13 @@
 				ports <- c.LocalAddr().String()
 			}()
 		}
-		if one, other := <-ports, <-ports; one == other {
-			t.Errorf("both are %s", one)
+		if first, second := <-ports, <-ports; first == second {
+			t.Errorf("both connections have local address %s, want different ones", first)
 		}
 	})
 }
 
-// Guards against dialling that comes up too soon, or never ends: the way there and back, refusal, silence, no such host.
+// Guards against a dial that ends too early or never: over the delay there and back, when refused, silent, or without a host.
 func TestDialling(t *testing.T) {
 	for name, c := range map[string]struct {
 		address string
@@ -145,7 +147,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
 				if _, err := a.Dial(ctx, "tcp", c.address); !errors.Is(err, c.want) || time.Since(begun) != c.took {
-					t.Errorf("%v after %v", err, time.Since(begun))
+					t.Errorf("Dial: got error %v after %v, want %v after %v", err, time.Since(begun), c.want, c.took)
 				}
 			})
 		})
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -1,8 +1,8 @@
-// Package memnet is a network in memory for the bubbles of testing/synctest: every wait in it is durably blocking, so
-// that the bubble's clock goes on, and it tells of every connection and every byte in the order of that clock.
+// Package memnet provides a network in memory for the bubbles of testing/synctest. Every wait in it is durably blocking, so
+// that the bubble's clock advances, and it reports every connection and every byte in the order of that clock.
 //
-// A way takes time, so that what follows from a message comes later than the message; what parties do at the same moment
-// has no order, and whoever compares two plays has to choose one.
+// Every message takes time to arrive, so that its effects are later than the message itself. What parties do at the same
+// moment has no order: a comparison of two runs has to choose one.
 package memnet
 
 import (
@@ -19,36 +19,36 @@
 )
 
 const (
-	backlog     = 128      // connections that wait to be accepted; one more has to wait itself
-	windowBytes = 64 << 10 // bytes on one way of a connection, on the way or unread
-	firstPort   = 40000    // of those that dial
+	backlog     = 128      // connections waiting to be accepted; a further one waits to come up
+	windowBytes = 64 << 10 // bytes in one direction of a connection, on the way or unread
+	firstPort   = 40000    // the local ports of dialled connections are above this
 )
 
-// Kind says what an Event tells.
+// Kind is the kind of an Event.
 type Kind int
 
-// What may happen on a connection. Ends is one side's sending that is over; Closes is that side's end of the connection
-// closed; Resets is a connection broken by that side, also by closing it unread.
+// The kinds of events on a connection. Ends means that one side has closed its sending direction, Closes that a side has
+// closed its end of the connection, and Resets that a side has broken the connection, also by closing it with unread bytes.
 const (
 	Dials Kind = iota
 	Refuses
-	Leaves // the dialler waits no longer
+	Leaves // the dialler has stopped waiting
 	Sends
 	Ends
 	Closes
 	Resets
 )
 
-// Event is something that a host did on a connection; Bytes are what it sent.
+// Event is something that a host did on a connection. Bytes are the bytes that it sent.
 type Event struct {
 	At       time.Time
-	Conn     int // counted from 1, in the order in which they were dialled
+	Conn     int // number from 1, in the order in which connections were dialled
 	From, To string
 	Kind     Kind
 	Bytes    []byte
 }
 
-// Network joins hosts. It, and all that is called on it, belongs to one bubble.
+// Network joins hosts. It and everything that is called on it must be used in one bubble.
 type Network struct {
 	observe func(Event)
 
@@ -58,14 +58,14 @@
 	dialCount int
 }
 
-// New makes a network that tells observe of each event, one at a time; observe must not call the network.
+// New returns a network that calls observe for each event, one at a time. observe must not call the network.
 func New(observe func(Event)) *Network {
 	n := &Network{observe: observe, hosts: map[string]*Host{}}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// wait waits, with mu held, for a change or until then; the zero time is never.
+// wait waits, with mu held, for a change or the time until. The zero time never comes.
 func (n *Network) wait(until time.Time) {
 	if !until.IsZero() {
 		defer time.AfterFunc(time.Until(until), n.wake).Stop()
@@ -73,13 +73,14 @@
 	n.changed.Wait()
 }
 
+// wake wakes everybody who waits on the network.
 func (n *Network) wake() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.changed.Broadcast()
 }
 
-// Close kills every host: whoever waits on the network gets an error.
+// Close kills every host, so that everybody who waits on the network gets an error.
 func (n *Network) Close() {
 	n.mu.Lock()
 	hosts := n.hosts
@@ -95,15 +96,15 @@
 	name    string
 	ip      net.IP
 	delay   time.Duration
-	// The fields below are under the network's lock.
+	// The network's lock guards the fields below.
 	silent        bool
-	lastPort      int
+	lastPort      int // local port of the latest connection that it dialled
 	listeners     map[int]*listener
 	ends          []*connEnd
-	connectDelays []time.Duration // of the next connections to it
+	connectDelays []time.Duration // further delays of the next connections to it; negative: never up
 }
 
-// Host adds a machine. A way between two takes the sum of their delays, which has to be above 0.
+// Host adds a machine. A message between two hosts takes the sum of their delays, which must be above 0.
 func (n *Network) Host(name, ip string, delay time.Duration) *Host {
 	h := &Host{network: n, name: name, ip: net.ParseIP(ip), delay: delay, lastPort: firstPort, listeners: map[int]*listener{}}
 	n.mu.Lock()
@@ -112,11 +113,11 @@
 	return h
 }
 
-// Name is what events call it.
+// Name returns the host's name in events.
 func (h *Host) Name() string { return h.name }
 
-// Silence cuts the host off, or with false back on: nothing reaches it or leaves it, nothing fails, and what is on its
-// way meanwhile comes afterwards.
+// Silence cuts the host off, or with false connects it again. While it is cut off, nothing reaches it or leaves it and
+// nothing fails; what is sent meanwhile arrives afterwards.
 func (h *Host) Silence(on bool) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -124,15 +125,15 @@
 	h.network.changed.Broadcast()
 }
 
-// Late has the next connection to the host come up that much later, or with a negative time never; called again, the one
-// after that.
+// Late makes the next connection to the host come up later by a time, or never if that is negative. A further call
+// applies to the connection after that.
 func (h *Host) Late(by time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.connectDelays = append(h.connectDelays, by)
 }
 
-// Kill ends the host's process: its connections are reset, and new ones refused until it listens again.
+// Kill ends the host's process: its connections are reset, and new ones are refused until it listens again.
 func (h *Host) Kill() {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -146,7 +147,7 @@
 	h.network.changed.Broadcast()
 }
 
-// Listen takes connections on a port, from 1 to 65535.
+// Listen accepts connections on a port from 1 to 65535.
 func (h *Host) Listen(port int) (net.Listener, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -158,16 +159,16 @@
 	return l, nil
 }
 
-// Dial opens a TCP connection to an address of the network. It lasts twice the way there; where nobody listens it is
-// refused, and where no host is or one is silent it lasts until ctx ends.
+// Dial opens a TCP connection to an address of the network. It takes twice the delay between the hosts. It is refused if
+// nobody listens on the port, and lasts until ctx ends if there is no such host or one of the two is silent.
 func (h *Host) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	host, text, err := net.SplitHostPort(address)
+	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	port, err := strconv.Atoi(text)
+	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return nil, fmt.Errorf("port %q: %w", text, err)
+		return nil, fmt.Errorf("port %q: %w", portText, err)
 	}
 	n := h.network
 	defer context.AfterFunc(ctx, n.wake)()
@@ -176,22 +177,22 @@
 	to := n.hosts[host]
 	n.dialCount++
 	h.lastPort++
-	from := h.lastPort
+	localPort := h.lastPort
 	d := &dialAttempt{network: n, number: n.dialCount, from: h, to: to, toName: address}
 	if to != nil {
 		d.toName, d.delay = to.name, h.delay+to.delay
 	}
 	d.observe(h.name, d.toName, Dials)
-	failed := func(err error) (net.Conn, error) {
+	dialError := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: network, Addr: &net.TCPAddr{IP: net.ParseIP(host), Port: port}, Err: err}
 	}
-	late := time.Duration(0)
+	extraDelay := time.Duration(0)
 	if to != nil && len(to.connectDelays) > 0 {
-		late, to.connectDelays = to.connectDelays[0], to.connectDelays[1:]
-		d.neverConnects = late < 0
+		extraDelay, to.connectDelays = to.connectDelays[0], to.connectDelays[1:]
+		d.neverConnects = extraDelay < 0
 	}
-	if err := d.awaitArrival(ctx, d.delay+late); err != nil {
-		return failed(err)
+	if err := d.awaitArrival(ctx, d.delay+extraDelay); err != nil {
+		return dialError(err)
 	}
 	for to.listeners[port] != nil && len(to.listeners[port].queue) >= backlog && ctx.Err() == nil {
 		n.wait(time.Time{})
@@ -201,15 +202,15 @@
 		d.observe(to.name, h.name, Refuses)
 	}
 	if err := d.awaitArrival(ctx, d.delay); err != nil {
-		return failed(err)
+		return dialError(err)
 	}
-	if l != nil && l.closed { // while it came up
+	if l != nil && l.closed { // closed while the connection came up
 		d.observe(to.name, h.name, Refuses)
 	}
 	if l == nil || l.closed {
-		return failed(os.NewSyscallError("connect", syscall.ECONNREFUSED))
+		return dialError(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 	}
-	near := &connEnd{network: n, host: h, number: d.number, delay: d.delay, addr: &net.TCPAddr{IP: h.ip, Port: from}}
+	near := &connEnd{network: n, host: h, number: d.number, delay: d.delay, addr: &net.TCPAddr{IP: h.ip, Port: localPort}}
 	far := &connEnd{network: n, host: to, number: d.number, delay: d.delay, addr: &net.TCPAddr{IP: to.ip, Port: port}, peer: near}
 	near.peer = far
 	h.ends, to.ends = append(h.ends, near), append(to.ends, far)
@@ -225,16 +226,17 @@
 	from, to      *Host
 	toName        string
 	delay         time.Duration
-	neverConnects bool // it never comes up
+	neverConnects bool // the connection never comes up
 }
 
+// observe reports an event of the attempt. The caller holds the network's lock.
 func (d *dialAttempt) observe(from, to string, kind Kind) {
 	d.network.observe(Event{At: time.Now(), Conn: d.number, From: from, To: to, Kind: kind})
 }
 
-// awaitArrival waits until what was sent now is there, that much later, or ctx ends.
-func (d *dialAttempt) awaitArrival(ctx context.Context, way time.Duration) error {
-	due := time.Now().Add(way)
+// awaitArrival waits until what is sent now arrives after delay, or until ctx ends.
+func (d *dialAttempt) awaitArrival(ctx context.Context, delay time.Duration) error {
+	due := time.Now().Add(delay)
 	for {
 		until := due
 		if reached(due) {
@@ -254,7 +256,7 @@
 	}
 }
 
-// listener is a port of a host that takes connections.
+// listener accepts connections on a port of a host.
 type listener struct {
 	host           *Host
 	port           int
@@ -266,6 +268,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{IP: l.host.ip, Port: l.port} }
 
+// opError returns err as the net.OpError of an operation.
 func (l *listener) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Addr: l.Addr(), Err: err}
 }
@@ -291,7 +294,7 @@
 	}
 }
 
-// SetDeadline bounds Accept.
+// SetDeadline sets the deadline of Accept.
 func (l *listener) SetDeadline(t time.Time) error {
 	n := l.host.network
 	n.mu.Lock()
@@ -304,7 +307,7 @@
 	return nil
 }
 
-// Close ends the listening; connections that nobody accepted are reset.
+// Close ends the listening. Connections that were not accepted are reset.
 func (l *listener) Close() error {
 	n := l.host.network
 	n.mu.Lock()
