--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback owns the part of the loopback range that a process of this machine holds: 127.N.0.0/16. A port that the kernel
-// gave out and took back may be given to another process, or a second time to this one, before it is listened at.
+// Package loopback gives each process on this machine a part of the loopback range of its own, 127.N.0.0/16. A port that the kernel
+// assigned and took back could be assigned again, to another process or to this one, before somebody listens on it.
 package loopback
 
 import (
@@ -15,13 +15,13 @@
 	firstPort           = 7600
 )
 
-// Part is one that nobody else on this machine holds.
+// Part is a part of the loopback range that no other process on this machine holds.
 type Part struct {
-	N     int
+	N     int // of 127.N.0.0/16
 	claim net.Listener
 }
 
-// Claim finds a part, and holds it until it is released, or to the end of the process.
+// Claim finds a free part, and holds it until it is released or the process ends.
 func Claim() (*Part, error) {
 	parts := lastPart - firstPart + 1
 	for i := range parts {
@@ -33,15 +33,16 @@
 	return nil, fmt.Errorf("all of 127.%d.0.0 to 127.%d.255.255 is in use", firstPart, lastPart)
 }
 
-// Release gives the part back.
+// Release gives the part up.
 func (p *Part) Release() { _ = p.claim.Close() }
 
-// ownPart is this process's part, for whoever only wants addresses.
+// ownPart returns this process's part, for callers that need only addresses.
 var ownPart = sync.OnceValues(Claim)
 
+// addressCount is the number of addresses that were given out.
 var addressCount atomic.Int32
 
-// Address is one that nobody else on this machine listens at, and that is given once.
+// Address returns an address on which nobody else on this machine listens. It returns each address once.
 func Address() (string, error) {
 	p, err := ownPart()
 	if err != nil {
@@ -51,14 +52,14 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", p.N, i/250%250, 1+i%250, firstPort+i/62_500), nil
 }
 
-// Addresses are so many.
+// Addresses returns n addresses.
 func Addresses(n int) (all []string, err error) {
 	for range n {
-		at, err := Address()
+		address, err := Address()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, at)
+		all = append(all, address)
 	}
 	return all, nil
 }
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a port that two processes of a play are given.
+// Guards against a port that two processes of a run are given.
 func TestAddressesAreGivenOnce(t *testing.T) {
 	all, err := Addresses(600)
 	if err != nil {
@@ -14,7 +14,7 @@
 	seen := map[string]bool{}
 	for _, a := range all {
 		if seen[a] {
-			t.Fatalf("%s is given twice", a)
+			t.Fatalf("address %s was returned twice, want once", a)
 		}
 		seen[a] = true
 	}
@@ -38,7 +38,7 @@
 	}
 	defer b.Release()
 	if a.N == b.N {
-		t.Errorf("part %d is held twice", a.N)
+		t.Errorf("two claims both got part %d, want different parts", a.N)
 	}
 	a.Release()
 	l, err := net.Listen("tcp", a.claim.Addr().String())
--- a/internal/lab/pause/pause.go
+++ b/internal/lab/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause owns the laboratory's waits: each ends with its context.
+// Package pause provides the laboratory's waits, each of which ends with its context.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits so long; false: ctx has ended before.
+// For waits for d. It reports false if ctx ended before.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/lab/proc/own.go
+++ b/internal/lab/proc/own.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// OwnCPU is the processor time of this process so far.
+// OwnCPU returns the processor time that this process has used so far.
 func OwnCPU() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,5 +1,5 @@
-// Package proc owns the child processes of a play: it starts them so that none outlives the laboratory, signals them,
-// and reads what the kernel counts of them.
+// Package proc manages the child processes of a run: it starts them so that none outlives the laboratory, signals them,
+// and reads the kernel's counts of their resource use.
 package proc
 
 import (
@@ -18,43 +18,45 @@
 	"github.com/prometheus/procfs"
 )
 
-// maxLogBytes is how much of a child's log is kept; what comes beyond is counted and dropped.
+// maxLogBytes is how much of a child's log is kept. The rest is counted and dropped.
 const maxLogBytes = 8 << 20
 
+// childNice is the nice value at which children run.
 const childNice = 5
 
-// Spec says what to run.
+// Spec describes a child process.
 type Spec struct {
-	Name    string // of the party, for messages
+	Name    string // name of the party, for messages
 	Path    string
 	Args    []string
-	Env     []string // added to nothing: a child sees no variable of the laboratory's
+	Env     []string // the whole environment; a child sees no variable of the laboratory's
 	Dir     string
-	LogFile string // where standard output and error go; appended to
+	LogFile string // file to which standard output and error are appended
 
-	// Stdin and Stdout are the child's ends of pipes to it, which are its starter's to close; nil: nothing, and the log.
+	// Stdin and Stdout are the child's ends of pipes, which the caller of Start closes. If nil, the child reads nothing
+	// and writes to its log.
 	Stdin, Stdout *os.File
 }
 
-// Child is a process that was started.
+// Child is a process that Start has started.
 type Child struct {
 	Name    string
 	cmd     *exec.Cmd
 	ended   chan struct{}
-	waitErr error // of Wait, once ended is closed
+	waitErr error // result of Wait, valid once ended is closed
 	logs    sync.WaitGroup
 }
 
-// startRequests is the work of the spawner: the kernel kills a child when the thread that started it dies, so that all are
-// started on one thread that lives as long as the process.
+// startRequests holds the work of the spawner. The kernel kills a child when the thread that started it dies, so all
+// children are started on one thread that lives as long as the process.
 var (
 	startRequests = make(chan func())
 	runSpawner    = sync.OnceFunc(func() {
 		go func() {
 			runtime.LockOSThread()
-			// Of this thread alone, and so of the children: where processors are short, what is measured waits and
-			// not what measures. Without it the clients began sends 10 ms late on 4 processors.
-			_ = syscall.Setpriority(syscall.PRIO_PROCESS, 0, childNice) // to be nicer is always allowed
+			// The priority is this thread's alone, and so the children's: where processors are short, the measured processes
+			// wait, not the measuring one. Without it the clients began sends 10 ms late on 4 processors.
+			_ = syscall.Setpriority(syscall.PRIO_PROCESS, 0, childNice) // a process may always lower its own priority
 			for f := range startRequests {
 				f()
 			}
@@ -62,7 +64,7 @@
 	})
 )
 
-// Start runs a child. It is killed when this process ends in any way, SIGKILL too.
+// Start starts a child. The child is killed when this process ends in any way, also by SIGKILL.
 func Start(s Spec) (*Child, error) {
 	log, err := os.OpenFile(s.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -70,9 +72,9 @@
 	}
 	cmd := exec.Command(s.Path, s.Args...)
 	cmd.Env, cmd.Dir = s.Env, s.Dir
-	// A group of its own: ^C is for the laboratory, which ends its children in order.
+	// The child gets its own process group, so that ^C reaches only the laboratory, which stops its children in order.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	// A pipe and not the file itself: a limit on the size of the child's files is not to bound its log.
+	// A pipe in place of the file, so that a limit on the size of the child's files doesn't bound its log.
 	read, write, err := os.Pipe()
 	if err != nil {
 		_ = log.Close()
@@ -110,23 +112,23 @@
 	return c, nil
 }
 
-// copyLog copies a log up to its bound, and drains the rest, so that a child never waits for it.
+// copyLog copies the first maxLogBytes of a log and drains the rest, so that a child never waits for its log.
 func copyLog(to io.Writer, from io.Reader) {
 	w := bufio.NewWriter(to)
-	_, _ = io.CopyN(w, from, maxLogBytes) // a log that can't be written is no reason to stop the play
+	_, _ = io.CopyN(w, from, maxLogBytes) // a log that can't be written is no reason to stop the run
 	if n, _ := io.Copy(io.Discard, from); n > 0 {
 		_, _ = fmt.Fprintf(w, "\n(%d bytes more were left out)\n", n)
 	}
 	_ = w.Flush()
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (c *Child) PID() int { return c.cmd.Process.Pid }
 
-// Ended is closed once the process has ended.
+// Ended returns a channel that is closed once the process has ended.
 func (c *Child) Ended() <-chan struct{} { return c.ended }
 
-// Exit words how it ended; empty while it runs.
+// Exit describes how the process ended. It returns "" while the process runs.
 func (c *Child) Exit() string {
 	select {
 	case <-c.ended:
@@ -139,7 +141,7 @@
 	return c.waitErr.Error()
 }
 
-// Signal sends a signal; to a process that has ended it does nothing.
+// Signal sends a signal. It does nothing if the process has ended.
 func (c *Child) Signal(s syscall.Signal) error {
 	if err := c.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("%v to %s: %w", s, c.Name, err)
@@ -147,7 +149,7 @@
 	return nil
 }
 
-// Kill ends it with SIGKILL, stopped or not, and waits until it has ended and its log is written.
+// Kill ends the process with SIGKILL, even if it is stopped, and waits until it has ended and its log is written.
 func (c *Child) Kill() error {
 	err := c.Signal(syscall.SIGKILL)
 	<-c.ended
@@ -155,24 +157,26 @@
 	return err
 }
 
-// Stop asks it to end with SIGTERM, and kills it if it has not ended in time, after late. clean: it ended by itself with 0.
+// Stop sends SIGTERM. If the process has not ended after within, Stop calls late and kills it. clean reports whether the
+// process ended by itself with status 0.
 func (c *Child) Stop(within time.Duration, late func()) (clean bool, err error) {
 	if err := c.Signal(syscall.SIGTERM); err != nil {
 		return false, err
 	}
-	over := time.NewTimer(within)
-	defer over.Stop()
+	timer := time.NewTimer(within)
+	defer timer.Stop()
 	select {
 	case <-c.ended:
 		c.logs.Wait()
 		return c.waitErr == nil, nil
-	case <-over.C:
+	case <-timer.C:
 		late()
 		return false, c.Kill()
 	}
 }
 
-// FileLimit bounds the size of the files that it writes, as a full disk does; nil lifts the bound.
+// FileLimit limits the size of the files that the process writes, so that writes fail as on a full disk. nil lifts the
+// limit.
 func (c *Child) FileLimit(bytes *uint64) error {
 	lim := syscall.Rlimit{Cur: ^uint64(0), Max: ^uint64(0)}
 	if bytes != nil {
@@ -180,20 +184,20 @@
 	}
 	const rlimitFsize = syscall.RLIMIT_FSIZE
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(c.PID()), rlimitFsize, uintptr(unsafe.Pointer(&lim)), 0, 0, 0)
-	if errno != 0 && errno != syscall.ESRCH { // one that has ended needs no limit
+	if errno != 0 && errno != syscall.ESRCH { // a process that has ended needs no limit
 		return fmt.Errorf("file limit of %s: %w", c.Name, errno)
 	}
 	return nil
 }
 
-// Use is what the kernel counts of a process.
+// Use is a process's use of resources, as the kernel counts it.
 type Use struct {
 	Descriptors int
 	MemoryMB    float64
 	CPU         time.Duration
 }
 
-// Use reads the counts; an error means that it has ended.
+// Use reads the process's use of resources. It fails if the process has ended.
 func (c *Child) Use() (u Use, err error) {
 	p, err := procfs.NewProc(c.PID())
 	if err != nil {
@@ -211,11 +215,11 @@
 	return u, nil
 }
 
-// IO is what a process has read and written by system calls: files, and sockets of streams. What a socket sends and receives as
-// datagrams is not in it.
+// IO is how many bytes a process has read and written by system calls, on files and stream sockets. Datagrams are not
+// counted.
 type IO struct{ Read, Written int64 }
 
-// IO reads the counts; an error means that it has ended.
+// IO reads the counts. It fails if the process has ended.
 func (c *Child) IO() (x IO, err error) {
 	p, err := procfs.NewProc(c.PID())
 	if err != nil {
@@ -228,7 +232,8 @@
 	return IO{int64(counts.RChar), int64(counts.WChar)}, nil
 }
 
-// Ran is the processor time of the threads that it has, to the nanosecond: Use counts in hundredths of a second.
+// Ran returns the processor time of the process's present threads, to the nanosecond. Use counts in hundredths of a
+// second.
 func (c *Child) Ran() (sum time.Duration, err error) {
 	threads, err := procfs.AllThreads(c.PID())
 	if err != nil {
