--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -13,14 +13,15 @@
 	"mosslead/internal/lab/record"
 )
 
-// The states of list entries.
+// The statuses of list entries.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Gone        = "Gone"
 )
 
-const emptyLineEvery = 2 * time.Second
+// emptyLineInterval is the time between the empty lines that are sent on an open watch.
+const emptyLineInterval = 2 * time.Second
 
 // Entry is an upstream in the list.
 type Entry struct {
@@ -34,27 +35,27 @@
 	SinceMs int64   `json:"since_ms"`
 }
 
-// Listing is one message of discovery.
+// Listing is one message from discovery: the whole list (Snapshot), or the entries that changed.
 type Listing struct {
 	Index     int64   `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
 	Endpoints []Entry `json:"endpoints"`
 }
 
-// Mood is what is wrong with discovery, by a fault. The zero value: nothing.
+// Mood is the fault that an agent of discovery shows. The zero value is no fault.
 type Mood struct {
-	Silent  bool          // answers nothing, and sends nothing on open watches
-	Late    time.Duration // later than usual
-	Rewind  bool          // tells an old list again, under its old number
-	Garbage bool          // sends what is no message
-	Empty   bool          // says that there is nobody
+	Silent  bool          // no answers, and no messages on open watches
+	Late    time.Duration // delay in addition to the agent's own
+	Rewind  bool          // sends an old list again, under its old index
+	Garbage bool          // sends a line that is not a valid message
+	Empty   bool          // sends a list without endpoints
 }
 
-// Discovery is the list of upstreams, and the agents that bring it to sidecars.
+// Discovery holds the list of upstreams and the agents that serve it to sidecars.
 type Discovery struct {
 	rec     *record.Record
 	mu      sync.Mutex
-	changes []change // index i+1
+	changes []change // the change at position i has index i+1
 	agents  []*Agent
 }
 
@@ -63,102 +64,103 @@
 	entry Entry
 }
 
-// NewDiscovery is an empty list.
+// NewDiscovery returns a Discovery whose list is empty.
 func NewDiscovery(rec *record.Record) *Discovery { return &Discovery{rec: rec} }
 
-// Change tells of an entry, from now on; agents hear of it after their delay.
+// Change changes an entry now. Each agent sees the change after its delay.
 func (d *Discovery) Change(e Entry) {
 	d.mu.Lock()
 	d.changes = append(d.changes, change{d.rec.Now(), e})
 	agents := slices.Clone(d.agents)
 	d.mu.Unlock()
 	for _, a := range agents {
-		a.look()
+		a.takeDueChanges()
 	}
 }
 
-// Agent brings the list to one sidecar, with that sidecar's own addresses.
+// Agent serves the list to one sidecar, with the addresses at which that sidecar reaches the upstreams.
 type Agent struct {
 	Sidecar string
 
 	d       *Discovery
-	told    *Teller
+	teller  *Teller
 	address func(upstream string) string
-	late    time.Duration
+	delay   time.Duration
 	server  *http.Server
 	done    sync.WaitGroup
 
-	mu      sync.Mutex
-	mood    Mood
-	visible int           // changes that it has
-	changed chan struct{} // closed when there is news
-	timer   *time.Timer
-	closed  bool
-	listen  string
+	mu             sync.Mutex
+	mood           Mood
+	visibleChanges int           // number of changes that the sidecar can see
+	changed        chan struct{} // closed and replaced when there is something new for the watches
+	timer          *time.Timer
+	closed         bool
+	listenAddress  string
 }
 
-// Agent serves a sidecar at an address; changes reach it late by so much. address gives an upstream's address as that
-// sidecar is to see it.
-func (d *Discovery) Agent(sidecar, listen string, late time.Duration, address func(string) string) (*Agent, error) {
+// Agent starts the agent of a sidecar at the address listen. The sidecar sees each change after delay. address returns
+// an upstream's address as that sidecar is to see it.
+func (d *Discovery) Agent(sidecar, listen string, delay time.Duration, address func(string) string) (*Agent, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("discovery of %s: %w", sidecar, err)
 	}
-	a := &Agent{Sidecar: sidecar, d: d, address: address, late: late, told: newTeller(d.rec, sidecar),
-		changed: make(chan struct{}), listen: ln.Addr().String()}
+	a := &Agent{Sidecar: sidecar, d: d, address: address, delay: delay, teller: newTeller(d.rec, sidecar),
+		changed: make(chan struct{}), listenAddress: ln.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", a.targets)
+	mux.HandleFunc("GET /api/targets", a.serveTargets)
 	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	a.timer = time.AfterFunc(time.Hour, a.look)
+	a.timer = time.AfterFunc(time.Hour, a.takeDueChanges)
 	d.mu.Lock()
 	d.agents = append(d.agents, a)
 	d.mu.Unlock()
 	a.done.Add(1)
 	go func() { defer a.done.Done(); _ = a.server.Serve(ln) }() // ends with Close
 	a.mu.Lock()
-	a.visible = len(d.changes) // what was there before the play is known at once
+	a.visibleChanges = len(d.changes) // the sidecar knows at once what was listed before its agent started
 	a.mu.Unlock()
 	return a, nil
 }
 
-// Address is where the sidecar asks.
-func (a *Agent) Address() string { return a.listen }
+// Address returns the address at which the sidecar asks.
+func (a *Agent) Address() string { return a.listenAddress }
 
-// Close ends the agent and its watches.
+// Close stops the agent and ends its watches.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
 	a.timer.Stop()
-	a.signal()
+	a.wakeWatches()
 	a.mu.Unlock()
 	_ = a.server.Close()
 	a.done.Wait()
 }
 
-// Set changes the mood, from now on.
+// Set replaces the mood, effective at once.
 func (a *Agent) Set(m Mood) {
 	a.mu.Lock()
 	a.mood = m
-	a.signal()
+	a.wakeWatches()
 	a.mu.Unlock()
-	a.look()
+	a.takeDueChanges()
 }
 
-// Restarted says that a process of the sidecar begins from nothing, but for the list that it is handed.
-func (a *Agent) Restarted(known *Listing) { a.told.restarted(known) }
+// Restarted notes that a new process of the sidecar starts. It knows only the list that it is given, nil if there is
+// none.
+func (a *Agent) Restarted(known *Listing) { a.teller.reset(known) }
 
-// Teller is what this agent notes of the news that reach its sidecar, for others that bring it news too.
-func (a *Agent) Teller() *Teller { return a.told }
+// Teller returns the agent's record of the news that reach its sidecar, for use by others that also bring it news.
+func (a *Agent) Teller() *Teller { return a.teller }
 
-// Known is the list as this sidecar last could have it.
+// Known returns the latest list that the sidecar can have.
 func (a *Agent) Known() Listing {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.whole()
+	return a.fullList()
 }
 
-// look takes in the changes that are due, and comes again for the next.
-func (a *Agent) look() {
+// takeDueChanges makes the changes visible that are due, and sets the timer for the next one.
+func (a *Agent) takeDueChanges() {
 	a.d.mu.Lock()
 	changes := a.d.changes
 	a.d.mu.Unlock()
@@ -168,140 +170,142 @@
 	if a.closed {
 		return
 	}
-	before := a.visible
-	for a.visible < len(changes) {
-		if due := changes[a.visible].at + a.late + a.mood.Late; due > now {
+	before := a.visibleChanges
+	for a.visibleChanges < len(changes) {
+		if due := changes[a.visibleChanges].at + a.delay + a.mood.Late; due > now {
 			a.timer.Reset(due - now)
 			break
 		}
-		a.visible++
+		a.visibleChanges++
 	}
-	if a.visible > before {
-		a.signal()
+	if a.visibleChanges > before {
+		a.wakeWatches()
 	}
 }
 
-// signal wakes the watches; the caller holds mu.
-func (a *Agent) signal() {
+// wakeWatches wakes the open watches. The caller holds mu.
+func (a *Agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// since is what changed after a version, or the whole list where that version is not known. The caller holds mu.
-func (a *Agent) since(from int) Listing {
-	if from < 1 || from > a.visible {
-		return a.whole()
+// changesSince returns the entries that changed after version from, or the whole list if that version is not known. The
+// caller holds mu.
+func (a *Agent) changesSince(from int) Listing {
+	if from < 1 || from > a.visibleChanges {
+		return a.fullList()
 	}
-	l := Listing{Index: int64(a.visible), Endpoints: []Entry{}}
+	l := Listing{Index: int64(a.visibleChanges), Endpoints: []Entry{}}
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
-	at := map[string]int{}
-	for _, c := range a.d.changes[from:a.visible] {
-		e := a.own(c.entry)
-		if i, ok := at[e.Name]; ok {
+	position := map[string]int{}
+	for _, c := range a.d.changes[from:a.visibleChanges] {
+		e := a.withOwnAddress(c.entry)
+		if i, ok := position[e.Name]; ok {
 			l.Endpoints[i] = e
 			continue
 		}
-		at[e.Name] = len(l.Endpoints)
+		position[e.Name] = len(l.Endpoints)
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	return l
 }
 
-// whole is the list as the agent has it. The caller holds mu.
-func (a *Agent) whole() Listing { return a.upTo(a.visible) }
+// fullList returns the list as the agent has it. The caller holds mu.
+func (a *Agent) fullList() Listing { return a.listAt(a.visibleChanges) }
 
-func (a *Agent) upTo(version int) Listing {
+// listAt returns the whole list as of a version.
+func (a *Agent) listAt(version int) Listing {
 	l := Listing{Index: int64(version), Snapshot: true, Endpoints: []Entry{}}
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
-	at := map[string]int{}
+	position := map[string]int{}
 	for _, c := range a.d.changes[:version] {
-		e := a.own(c.entry)
-		i, ok := at[e.Name]
+		e := a.withOwnAddress(c.entry)
+		i, ok := position[e.Name]
 		switch {
 		case e.Status == Gone && ok:
 			l.Endpoints = slices.Delete(l.Endpoints, i, i+1)
-			delete(at, e.Name)
-			for name, j := range at {
+			delete(position, e.Name)
+			for name, j := range position {
 				if j > i {
-					at[name] = j - 1
+					position[name] = j - 1
 				}
 			}
 		case e.Status == Gone:
 		case ok:
 			l.Endpoints[i] = e
 		default:
-			at[e.Name] = len(l.Endpoints)
+			position[e.Name] = len(l.Endpoints)
 			l.Endpoints = append(l.Endpoints, e)
 		}
 	}
 	return l
 }
 
-// own gives an entry the address that this sidecar is to use.
-func (a *Agent) own(e Entry) Entry {
+// withOwnAddress returns e with the address that this sidecar is to use. An entry that is gone stays as it is.
+func (a *Agent) withOwnAddress(e Entry) Entry {
 	if e.Status != Gone {
 		e.Address = a.address(e.Name)
 	}
 	return e
 }
 
-// targets answers the whole list, or follows a watch until it ends.
-func (a *Agent) targets(w http.ResponseWriter, r *http.Request) {
+// serveTargets answers a request with the whole list, or serves a watch until it ends.
+func (a *Agent) serveTargets(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Get("watch") == "1"
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || !watch {
 		from = 0
 	}
-	out := http.NewResponseController(w)
-	empty := time.NewTicker(emptyLineEvery)
-	defer empty.Stop()
-	sent, begun := from, false // sent: the version that the other side has
+	controller := http.NewResponseController(w)
+	emptyLines := time.NewTicker(emptyLineInterval)
+	defer emptyLines.Stop()
+	sent, begun := from, false // sent is the version that the other side has
 	var mood Mood
 	for {
 		a.mu.Lock()
-		changed, was := a.changed, mood
+		changed, previous := a.changed, mood
 		mood = a.mood
 		line := ""
 		var l Listing
-		tell := false
+		hasNews := false
 		switch {
 		case a.closed:
 			a.mu.Unlock()
 			return
 		case mood.Silent:
 		case mood.Garbage:
-			if mood != was {
+			if mood != previous {
 				line = "{\"index\":7,\"snapshot\":true,\"endpoints\":[{\"na\x00\xff\n"
 			}
 		case mood.Empty, mood.Rewind:
-			if mood != was || !begun {
-				l = Listing{Index: int64(a.visible + 1), Snapshot: true, Endpoints: []Entry{}}
+			if mood != previous || !begun {
+				l = Listing{Index: int64(a.visibleChanges + 1), Snapshot: true, Endpoints: []Entry{}}
 				if mood.Rewind {
-					l = a.upTo(max(1, a.visible/2))
+					l = a.listAt(max(1, a.visibleChanges/2))
 				}
-				line, tell, sent = encode(l), true, 0
+				line, hasNews, sent = encode(l), true, 0
 			}
-		case !begun || sent != a.visible:
-			l = a.since(sent)
-			line, tell, sent = encode(l), true, a.visible
+		case !begun || sent != a.visibleChanges:
+			l = a.changesSince(sent)
+			line, hasNews, sent = encode(l), true, a.visibleChanges
 		}
-		if tell { // it counts as told from before the write: a sidecar that acts at once is not early
-			a.told.tell(l)
+		if hasNews { // before the write, so that a sidecar that acts at once does not seem to act before the news
+			a.teller.recordNews(l)
 		}
 		a.mu.Unlock()
 		if line != "" {
 			begun = true
-			if _, err := w.Write([]byte(line)); err != nil || out.Flush() != nil || !watch {
+			if _, err := w.Write([]byte(line)); err != nil || controller.Flush() != nil || !watch {
 				return
 			}
 		}
 		select {
 		case <-changed:
-		case <-empty.C:
+		case <-emptyLines.C:
 			if begun && !mood.Silent {
-				if _, err := w.Write([]byte("\n")); err != nil || out.Flush() != nil {
+				if _, err := w.Write([]byte("\n")); err != nil || controller.Flush() != nil {
 					return
 				}
 			}
@@ -314,7 +318,7 @@
 func encode(l Listing) string {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // plain values only: a mistake here
+		panic(err) // can't happen: a Listing holds plain values only
 	}
 	return string(text) + "\n"
 }
--- a/internal/lab/fake/window.go
+++ b/internal/lab/fake/window.go
@@ -12,47 +12,47 @@
 	"time"
 )
 
-// View is what is wrong between a sidecar and a replica, by a fault. The zero value: nothing.
+// View is the fault between a sidecar and a replica. The zero value is no fault.
 type View struct {
-	Silent bool // nothing comes through
+	Silent bool // nothing passes
 	Reset  bool // connections break
 }
 
-// Window is how one sidecar sees one replica of the list service: the same, with the addresses at which this sidecar
-// reaches upstreams.
+// Window is a proxy through which one sidecar reaches one replica of the list service. It replaces the upstreams'
+// addresses by those at which this sidecar reaches them.
 type Window struct {
-	replica string
-	address func(upstream string) string
-	told    *Teller
-	server  *http.Server
-	client  *http.Client
-	listen  string
-	done    sync.WaitGroup
+	replica       string
+	address       func(upstream string) string
+	teller        *Teller
+	server        *http.Server
+	client        *http.Client
+	listenAddress string
+	done          sync.WaitGroup
 
 	mu      sync.Mutex
 	view    View
-	changed chan struct{} // closed when the view changes
+	changed chan struct{} // closed and replaced when the view changes
 }
 
-// NewWindow opens a window at an address, upon a replica.
-func NewWindow(listen, replica string, told *Teller, address func(string) string) (*Window, error) {
+// NewWindow opens a window at the address listen in front of a replica.
+func NewWindow(listen, replica string, teller *Teller, address func(string) string) (*Window, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("window on %s: %w", replica, err)
 	}
-	w := &Window{replica: replica, address: address, told: told, listen: ln.Addr().String(), changed: make(chan struct{}),
+	w := &Window{replica: replica, address: address, teller: teller, listenAddress: ln.Addr().String(), changed: make(chan struct{}),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", w.targets)
+	mux.HandleFunc("GET /api/targets", w.serveTargets)
 	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	w.done.Go(func() { _ = w.server.Serve(ln) }) // ends with Close
 	return w, nil
 }
 
-// Address is where the sidecar asks.
-func (w *Window) Address() string { return w.listen }
+// Address returns the address at which the sidecar asks.
+func (w *Window) Address() string { return w.listenAddress }
 
-// Set changes the view, from now on.
+// Set replaces the view, effective at once.
 func (w *Window) Set(v View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,15 +61,15 @@
 	w.changed = make(chan struct{})
 }
 
-// Close ends the window and what goes through it.
+// Close closes the window and the connections through it.
 func (w *Window) Close() {
 	_ = w.server.Close()
 	w.done.Wait()
 	w.client.CloseIdleConnections()
 }
 
-// through waits while nothing comes through; false: the connection is to break.
-func (w *Window) through(r *http.Request) bool {
+// awaitOpen waits while the view is silent. It reports false if the connection is to break.
+func (w *Window) awaitOpen(r *http.Request) bool {
 	for {
 		w.mu.Lock()
 		view, changed := w.view, w.changed
@@ -88,9 +88,9 @@
 	}
 }
 
-// targets passes a call on, and its answer line by line.
-func (w *Window) targets(rw http.ResponseWriter, r *http.Request) {
-	if !w.through(r) {
+// serveTargets forwards a call to the replica, and returns its answer line by line.
+func (w *Window) serveTargets(rw http.ResponseWriter, r *http.Request) {
+	if !w.awaitOpen(r) {
 		panic(http.ErrAbortHandler)
 	}
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+w.replica+r.URL.RequestURI(), nil)
@@ -98,7 +98,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	resp, err := w.client.Do(req)
-	if err != nil { // as a connection that is refused
+	if err != nil { // stands for a refused connection
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -107,20 +107,20 @@
 		_, _ = io.Copy(rw, resp.Body)
 		return
 	}
-	out := http.NewResponseController(rw)
+	controller := http.NewResponseController(rw)
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 8<<20)
 	for lines.Scan() {
-		if !w.through(r) {
+		if !w.awaitOpen(r) {
 			panic(http.ErrAbortHandler)
 		}
 		line := lines.Bytes()
 		if len(bytes.TrimSpace(line)) > 0 {
-			if line, err = w.own(line); err != nil {
+			if line, err = w.rewriteMessage(line); err != nil {
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if _, err := rw.Write(append(line, '\n')); err != nil || out.Flush() != nil {
+		if _, err := rw.Write(append(line, '\n')); err != nil || controller.Flush() != nil {
 			return
 		}
 	}
@@ -129,8 +129,8 @@
 	}
 }
 
-// own gives a message the addresses that this sidecar is to use, and notes what it tells.
-func (w *Window) own(line []byte) ([]byte, error) {
+// rewriteMessage returns a message with the addresses that this sidecar is to use, and records what the message says.
+func (w *Window) rewriteMessage(line []byte) ([]byte, error) {
 	var l Listing
 	if err := json.Unmarshal(line, &l); err != nil {
 		return nil, err
@@ -140,6 +140,6 @@
 			l.Endpoints[i].Address = w.address(e.Name)
 		}
 	}
-	w.told.tell(l) // before the write: a sidecar that acts at once is not early
+	w.teller.recordNews(l) // before the write, so that a sidecar that acts at once does not seem to act before the news
 	return json.Marshal(l)
 }
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -1,8 +1,8 @@
-// Package memnet is a network in memory for the bubbles of testing/synctest: every wait in it is durably blocking, so
-// that the bubble's clock goes on, and it tells of every connection and every byte in the order of that clock.
+// Package memnet provides a network in memory for the bubbles of testing/synctest. Every wait in it is durably blocking, so
+// that the bubble's clock advances, and it reports every connection and every byte in the order of that clock.
 //
-// A way takes time, so that what follows from a message comes later than the message; what parties do at the same moment
-// has no order, and whoever compares two plays has to choose one.
+// Every message takes time to arrive, so that its effects are later than the message itself. What parties do at the same
+// moment has no order: a comparison of two runs has to choose one.
 package memnet
 
 import (
@@ -19,53 +19,53 @@
 )
 
 const (
-	backlog   = 128      // connections that wait to be accepted; one more has to wait itself
-	window    = 64 << 10 // bytes on one way of a connection, on the way or unread
-	firstPort = 40000    // of those that dial
+	backlog     = 128      // connections waiting to be accepted; a further one waits to come up
+	windowBytes = 64 << 10 // bytes in one direction of a connection, on the way or unread
+	firstPort   = 40000    // the local ports of dialled connections are above this
 )
 
-// Kind says what an Event tells.
+// Kind is the kind of an Event.
 type Kind int
 
-// What may happen on a connection. Ends is one side's sending that is over; Closes is that side's end of the connection
-// closed; Resets is a connection broken by that side, also by closing it unread.
+// The kinds of events on a connection. Ends means that one side has closed its sending direction, Closes that a side has
+// closed its end of the connection, and Resets that a side has broken the connection, also by closing it with unread bytes.
 const (
 	Dials Kind = iota
 	Refuses
-	Leaves // the dialler waits no longer
+	Leaves // the dialler has stopped waiting
 	Sends
 	Ends
 	Closes
 	Resets
 )
 
-// Event is something that a host did on a connection; Bytes are what it sent.
+// Event is something that a host did on a connection. Bytes are the bytes that it sent.
 type Event struct {
 	At       time.Time
-	Conn     int // counted from 1, in the order in which they were dialled
+	Conn     int // number from 1, in the order in which connections were dialled
 	From, To string
 	Kind     Kind
 	Bytes    []byte
 }
 
-// Network joins hosts. It, and all that is called on it, belongs to one bubble.
+// Network joins hosts. It and everything that is called on it must be used in one bubble.
 type Network struct {
 	observe func(Event)
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	hosts   map[string]*Host // by IP address
-	dialled int
+	mu        sync.Mutex
+	changed   *sync.Cond
+	hosts     map[string]*Host // by IP address
+	dialCount int
 }
 
-// New makes a network that tells observe of each event, one at a time; observe must not call the network.
+// New returns a network that calls observe for each event, one at a time. observe must not call the network.
 func New(observe func(Event)) *Network {
 	n := &Network{observe: observe, hosts: map[string]*Host{}}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// wait waits, with mu held, for a change or until then; the zero time is never.
+// wait waits, with mu held, for a change or the time until. The zero time never comes.
 func (n *Network) wait(until time.Time) {
 	if !until.IsZero() {
 		defer time.AfterFunc(time.Until(until), n.wake).Stop()
@@ -73,13 +73,14 @@
 	n.changed.Wait()
 }
 
+// wake wakes everybody who waits on the network.
 func (n *Network) wake() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.changed.Broadcast()
 }
 
-// Close kills every host: whoever waits on the network gets an error.
+// Close kills every host, so that everybody who waits on the network gets an error.
 func (n *Network) Close() {
 	n.mu.Lock()
 	hosts := n.hosts
@@ -91,126 +92,126 @@
 
 // Host is a machine with an address of its own.
 type Host struct {
-	net   *Network
-	name  string
-	ip    net.IP
-	delay time.Duration
-	// The fields below are under the network's lock.
-	dark  bool
-	port  int
-	bound map[int]*listener
-	ends  []*end
-	late  []time.Duration // of the next connections to it
+	network *Network
+	name    string
+	ip      net.IP
+	delay   time.Duration
+	// The network's lock guards the fields below.
+	silent        bool
+	lastPort      int // local port of the latest connection that it dialled
+	listeners     map[int]*listener
+	ends          []*connEnd
+	connectDelays []time.Duration // further delays of the next connections to it; negative: never up
 }
 
-// Host adds a machine. A way between two takes the sum of their delays, which has to be above 0.
+// Host adds a machine. A message between two hosts takes the sum of their delays, which must be above 0.
 func (n *Network) Host(name, ip string, delay time.Duration) *Host {
-	h := &Host{net: n, name: name, ip: net.ParseIP(ip), delay: delay, port: firstPort, bound: map[int]*listener{}}
+	h := &Host{network: n, name: name, ip: net.ParseIP(ip), delay: delay, lastPort: firstPort, listeners: map[int]*listener{}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[h.ip.String()] = h
 	return h
 }
 
-// Name is what events call it.
+// Name returns the host's name in events.
 func (h *Host) Name() string { return h.name }
 
-// Silence cuts the host off, or with false back on: nothing reaches it or leaves it, nothing fails, and what is on its
-// way meanwhile comes afterwards.
+// Silence cuts the host off, or with false connects it again. While it is cut off, nothing reaches it or leaves it and
+// nothing fails; what is sent meanwhile arrives afterwards.
 func (h *Host) Silence(on bool) {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	h.dark = on
-	h.net.changed.Broadcast()
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	h.silent = on
+	h.network.changed.Broadcast()
 }
 
-// Late has the next connection to the host come up that much later, or with a negative time never; called again, the one
-// after that.
+// Late makes the next connection to the host come up later by a time, or never if that is negative. A further call
+// applies to the connection after that.
 func (h *Host) Late(by time.Duration) {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	h.late = append(h.late, by)
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	h.connectDelays = append(h.connectDelays, by)
 }
 
-// Kill ends the host's process: its connections are reset, and new ones refused until it listens again.
+// Kill ends the host's process: its connections are reset, and new ones are refused until it listens again.
 func (h *Host) Kill() {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	for _, l := range h.bound {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	for _, l := range h.listeners {
 		l.closed = true
 	}
-	clear(h.bound)
+	clear(h.listeners)
 	for _, e := range slices.Clone(h.ends) {
 		e.reset()
 	}
-	h.net.changed.Broadcast()
+	h.network.changed.Broadcast()
 }
 
-// Listen takes connections on a port, from 1 to 65535.
+// Listen accepts connections on a port from 1 to 65535.
 func (h *Host) Listen(port int) (net.Listener, error) {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
 	l := &listener{host: h, port: port}
-	if h.bound[port] != nil {
-		return nil, l.failed("listen", syscall.EADDRINUSE)
+	if h.listeners[port] != nil {
+		return nil, l.opError("listen", syscall.EADDRINUSE)
 	}
-	h.bound[port] = l
+	h.listeners[port] = l
 	return l, nil
 }
 
-// Dial opens a TCP connection to an address of the network. It lasts twice the way there; where nobody listens it is
-// refused, and where no host is or one is silent it lasts until ctx ends.
+// Dial opens a TCP connection to an address of the network. It takes twice the delay between the hosts. It is refused if
+// nobody listens on the port, and lasts until ctx ends if there is no such host or one of the two is silent.
 func (h *Host) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	host, text, err := net.SplitHostPort(address)
+	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	port, err := strconv.Atoi(text)
+	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return nil, fmt.Errorf("port %q: %w", text, err)
+		return nil, fmt.Errorf("port %q: %w", portText, err)
 	}
-	n := h.net
+	n := h.network
 	defer context.AfterFunc(ctx, n.wake)()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := n.hosts[host]
-	n.dialled++
-	h.port++
-	from := h.port
-	d := &dialling{net: n, number: n.dialled, from: h, to: to, toName: address}
+	n.dialCount++
+	h.lastPort++
+	localPort := h.lastPort
+	d := &dialAttempt{network: n, number: n.dialCount, from: h, to: to, toName: address}
 	if to != nil {
-		d.toName, d.way = to.name, h.delay+to.delay
+		d.toName, d.delay = to.name, h.delay+to.delay
 	}
-	d.tell(h.name, d.toName, Dials)
-	failed := func(err error) (net.Conn, error) {
+	d.observe(h.name, d.toName, Dials)
+	dialError := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: network, Addr: &net.TCPAddr{IP: net.ParseIP(host), Port: port}, Err: err}
 	}
-	late := time.Duration(0)
-	if to != nil && len(to.late) > 0 {
-		late, to.late = to.late[0], to.late[1:]
-		d.lost = late < 0
+	extraDelay := time.Duration(0)
+	if to != nil && len(to.connectDelays) > 0 {
+		extraDelay, to.connectDelays = to.connectDelays[0], to.connectDelays[1:]
+		d.neverConnects = extraDelay < 0
 	}
-	if err := d.pass(ctx, d.way+late); err != nil {
-		return failed(err)
+	if err := d.awaitArrival(ctx, d.delay+extraDelay); err != nil {
+		return dialError(err)
 	}
-	for to.bound[port] != nil && len(to.bound[port].queue) >= backlog && ctx.Err() == nil {
+	for to.listeners[port] != nil && len(to.listeners[port].queue) >= backlog && ctx.Err() == nil {
 		n.wait(time.Time{})
 	}
-	l := to.bound[port]
+	l := to.listeners[port]
 	if l == nil {
-		d.tell(to.name, h.name, Refuses)
+		d.observe(to.name, h.name, Refuses)
 	}
-	if err := d.pass(ctx, d.way); err != nil {
-		return failed(err)
+	if err := d.awaitArrival(ctx, d.delay); err != nil {
+		return dialError(err)
 	}
-	if l != nil && l.closed { // while it came up
-		d.tell(to.name, h.name, Refuses)
+	if l != nil && l.closed { // closed while the connection came up
+		d.observe(to.name, h.name, Refuses)
 	}
 	if l == nil || l.closed {
-		return failed(os.NewSyscallError("connect", syscall.ECONNREFUSED))
+		return dialError(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 	}
-	near := &end{net: n, host: h, number: d.number, way: d.way, addr: &net.TCPAddr{IP: h.ip, Port: from}}
-	far := &end{net: n, host: to, number: d.number, way: d.way, addr: &net.TCPAddr{IP: to.ip, Port: port}, peer: near}
+	near := &connEnd{network: n, host: h, number: d.number, delay: d.delay, addr: &net.TCPAddr{IP: h.ip, Port: localPort}}
+	far := &connEnd{network: n, host: to, number: d.number, delay: d.delay, addr: &net.TCPAddr{IP: to.ip, Port: port}, peer: near}
 	near.peer = far
 	h.ends, to.ends = append(h.ends, near), append(to.ends, far)
 	l.queue = append(l.queue, far)
@@ -218,102 +219,104 @@
 	return near, nil
 }
 
-// dialling is a connection that is coming up.
-type dialling struct {
-	net      *Network
-	number   int
-	from, to *Host
-	toName   string
-	way      time.Duration
-	lost     bool // it never comes up
+// dialAttempt is a connection that is coming up.
+type dialAttempt struct {
+	network       *Network
+	number        int
+	from, to      *Host
+	toName        string
+	delay         time.Duration
+	neverConnects bool // the connection never comes up
 }
 
-func (d *dialling) tell(from, to string, kind Kind) {
-	d.net.observe(Event{At: time.Now(), Conn: d.number, From: from, To: to, Kind: kind})
+// observe reports an event of the attempt. The caller holds the network's lock.
+func (d *dialAttempt) observe(from, to string, kind Kind) {
+	d.network.observe(Event{At: time.Now(), Conn: d.number, From: from, To: to, Kind: kind})
 }
 
-// pass waits until what was sent now is there, that much later, or ctx ends.
-func (d *dialling) pass(ctx context.Context, way time.Duration) error {
-	due := time.Now().Add(way)
+// awaitArrival waits until what is sent now arrives after delay, or until ctx ends.
+func (d *dialAttempt) awaitArrival(ctx context.Context, delay time.Duration) error {
+	due := time.Now().Add(delay)
 	for {
 		until := due
-		if past(due) {
-			if d.to != nil && !d.lost && !d.from.dark && !d.to.dark {
+		if reached(due) {
+			if d.to != nil && !d.neverConnects && !d.from.silent && !d.to.silent {
 				return nil
 			}
 			until = time.Time{}
 		}
 		if err := ctx.Err(); err != nil {
-			d.tell(d.from.name, d.toName, Leaves)
+			d.observe(d.from.name, d.toName, Leaves)
 			if errors.Is(err, context.DeadlineExceeded) {
 				return os.ErrDeadlineExceeded
 			}
 			return err
 		}
-		d.net.wait(until)
+		d.network.wait(until)
 	}
 }
 
-// listener is a port of a host that takes connections.
+// listener accepts connections on a port of a host.
 type listener struct {
-	host   *Host
-	port   int
-	queue  []*end
-	until  time.Time // the deadline of Accept
-	closed bool
+	host           *Host
+	port           int
+	queue          []*connEnd
+	acceptDeadline time.Time // the deadline of Accept
+	closed         bool
 }
 
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{IP: l.host.ip, Port: l.port} }
 
-func (l *listener) failed(op string, err error) error {
+// opError returns err as the net.OpError of an operation.
+func (l *listener) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Addr: l.Addr(), Err: err}
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
-	n := l.host.net
+	n := l.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for {
 		switch {
 		case l.closed:
-			return nil, l.failed("accept", net.ErrClosed)
-		case past(l.until):
-			return nil, l.failed("accept", os.ErrDeadlineExceeded)
+			return nil, l.opError("accept", net.ErrClosed)
+		case reached(l.acceptDeadline):
+			return nil, l.opError("accept", os.ErrDeadlineExceeded)
 		case len(l.queue) > 0:
 			e := l.queue[0]
 			l.queue = l.queue[1:]
 			n.changed.Broadcast()
 			return e, nil
 		}
-		n.wait(l.until)
+		n.wait(l.acceptDeadline)
 	}
 }
 
-// SetDeadline bounds Accept.
+// SetDeadline sets the deadline of Accept.
 func (l *listener) SetDeadline(t time.Time) error {
-	n := l.host.net
+	n := l.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l.closed {
-		return l.failed("set", net.ErrClosed)
+		return l.opError("set", net.ErrClosed)
 	}
-	l.until = t
+	l.acceptDeadline = t
 	n.changed.Broadcast()
 	return nil
 }
 
-// Close ends the listening; connections that nobody accepted are reset.
+// Close ends the listening. Connections that were not accepted are reset.
 func (l *listener) Close() error {
-	n := l.host.net
+	n := l.host.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l.closed {
-		return l.failed("close", net.ErrClosed)
+		return l.opError("close", net.ErrClosed)
 	}
 	l.closed = true
-	delete(l.host.bound, l.port)
+	delete(l.host.listeners, l.port)
 	for _, e := range l.queue {
 		e.reset()
 	}
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -15,39 +15,39 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo answers each byte with itself, until the test ends.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that echoes every byte until the test ends, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var open sync.WaitGroup
-	open.Add(1)
+	var running sync.WaitGroup
+	running.Add(1)
 	go func() {
-		defer open.Done()
+		defer running.Done()
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			open.Add(1)
+			running.Add(1)
 			go func() {
-				defer open.Done()
+				defer running.Done()
 				defer func() { _ = c.Close() }()
 				_, _ = io.Copy(c, c)
 			}()
 		}
 	}()
-	t.Cleanup(func() { _ = ln.Close(); open.Wait() })
+	t.Cleanup(func() { _ = ln.Close(); running.Wait() })
 	return ln.Addr().String()
 }
 
-func link(t *testing.T, onEnd func(string)) *Link {
+func newLink(t *testing.T, onEnd func(string)) *Link {
 	t.Helper()
-	l, err := New("a", "b", "127.0.0.1:0", echo(t), onEnd)
+	l, err := New("a", "b", "127.0.0.1:0", startEchoServer(t), onEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,17 +57,17 @@
 
 func dial(t *testing.T, l *Link) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", l.Address(), patience)
+	c, err := net.DialTimeout("tcp", l.Address(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// ask sends a byte and waits for its echo.
-func ask(c net.Conn) error {
+// roundTrip sends a byte and waits for its echo.
+func roundTrip(c net.Conn) error {
 	if _, err := c.Write([]byte{7}); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	return err
 }
 
-func set(t *testing.T, l *Link, s State) {
+func setState(t *testing.T, l *Link, s State) {
 	t.Helper()
 	if err := l.Set(s); err != nil {
 		t.Fatal(err)
@@ -83,57 +83,58 @@
 }
 
 func TestDelayIsEachWay(t *testing.T) {
-	l := link(t, nil)
+	l := newLink(t, nil)
 	c := dial(t, l)
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
-	set(t, l, State{Delay: 30 * time.Millisecond})
+	setState(t, l, State{Delay: 30 * time.Millisecond})
 	begun := time.Now()
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
 	if took := time.Since(begun); took < 60*time.Millisecond {
-		t.Errorf("a round trip over 30 ms each way took %v", took)
+		t.Errorf("round trip with a delay of 30 ms each way took %v, want at least 60 ms", took)
 	}
 }
 
-// A silent link: what is open stays open and brings nothing, what is new never comes up, and both live again after.
+// On a silent link, open connections stay open and bring no data, and new ones don't come up. Afterwards both work
+// again.
 func TestSilence(t *testing.T) {
 	for name, s := range map[string]State{"forth": {SilentForth: true}, "back": {SilentBack: true}} {
 		t.Run(name, func(t *testing.T) {
-			l := link(t, nil)
+			l := newLink(t, nil)
 			c := dial(t, l)
-			if err := ask(c); err != nil {
+			if err := roundTrip(c); err != nil {
 				t.Fatal(err)
 			}
-			set(t, l, s)
+			setState(t, l, s)
 			_ = c.SetDeadline(time.Now().Add(100 * time.Millisecond))
-			if err := ask(c); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("on a silent link: %v, want nothing in time", err)
+			if err := roundTrip(c); !errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Errorf("round trip on a silent link: got error %v, want %v", err, os.ErrDeadlineExceeded)
 			}
 			if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 				_ = fresh.Close()
-				t.Error("a new connection came up on a silent link")
+				t.Error("dial over a silent link succeeded, want a timeout")
 			}
-			set(t, l, State{})
-			_ = c.SetDeadline(time.Now().Add(patience))
+			setState(t, l, State{})
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-				t.Errorf("what was held did not arrive after: %v", err)
+				t.Errorf("reading the held byte after the silence: got error %v, want none", err)
 			}
-			if err := ask(dial(t, l)); err != nil {
-				t.Errorf("a new connection after the silence: %v", err)
+			if err := roundTrip(dial(t, l)); err != nil {
+				t.Errorf("round trip on a new connection after the silence: got error %v, want none", err)
 			}
 		})
 	}
 }
 
-// Guards against a queue that is empty once what was to fill it has been accepted, by a call to accept that had begun before the
-// silence and was held up.
+// Guards against an accept queue that is left empty when a call to Accept, begun before the silence and delayed, takes
+// the connection that was to fill the queue.
 func TestSilenceWhoseQueueWasTakenFrom(t *testing.T) {
-	l := link(t, nil)
-	set(t, l, State{SilentBack: true})
-	if err := l.listener.SetDeadline(time.Now().Add(patience)); err != nil {
+	l := newLink(t, nil)
+	setState(t, l, State{SilentBack: true})
+	if err := l.listener.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	c, err := l.listener.Accept()
@@ -143,52 +144,52 @@
 	if err := l.listener.SetDeadline(time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	l.accepts(l.listener, c)
+	l.handle(l.listener, c)
 	if fresh, err := net.DialTimeout("tcp", l.Address(), 100*time.Millisecond); err == nil {
 		_ = fresh.Close()
-		t.Error("a new connection came up on a silent link")
+		t.Error("dial over a silent link succeeded, want a timeout")
 	}
 }
 
 func TestResetBreaksAndRefuses(t *testing.T) {
-	l := link(t, nil)
+	l := newLink(t, nil)
 	c := dial(t, l)
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
-	set(t, l, State{Reset: true})
-	if err := ask(c); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("an open connection: %v, want a reset", err)
+	setState(t, l, State{Reset: true})
+	if err := roundTrip(c); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+		t.Errorf("round trip on an open connection: got error %v, want %v or %v", err, syscall.ECONNRESET, syscall.EPIPE)
 	}
-	if fresh, err := net.DialTimeout("tcp", l.Address(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a new connection: %v, want it refused", err)
+	if fresh, err := net.DialTimeout("tcp", l.Address(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("dial: got error %v, want %v", err, syscall.ECONNREFUSED)
 		if err == nil {
 			_ = fresh.Close()
 		}
 	}
-	set(t, l, State{})
-	if err := ask(dial(t, l)); err != nil {
-		t.Errorf("after the reset: %v", err)
+	setState(t, l, State{})
+	if err := roundTrip(dial(t, l)); err != nil {
+		t.Errorf("round trip after the reset: got error %v, want none", err)
 	}
 }
 
 func TestOneInFourIsBroken(t *testing.T) {
-	l := link(t, nil)
-	set(t, l, State{ResetShare: 0.25})
-	bad := 0
+	l := newLink(t, nil)
+	setState(t, l, State{ResetShare: 0.25})
+	failed := 0
 	for range 8 {
-		if ask(dial(t, l)) != nil {
-			bad++
+		if roundTrip(dial(t, l)) != nil {
+			failed++
 		}
 	}
-	if bad != 2 {
-		t.Errorf("%d of 8 connections broke, want 2", bad)
+	if failed != 2 {
+		t.Errorf("%d of 8 connections failed, want 2", failed)
 	}
 }
 
 func TestPiecesAndRate(t *testing.T) {
-	l := link(t, nil)
-	set(t, l, State{Chop: 3, Rate: 10_000})
+	l := newLink(t, nil)
+	setState(t, l, State{Chop: 3, Rate: 10_000})
 	c := dial(t, l)
 	text := make([]byte, 1000)
 	for i := range text {
@@ -200,27 +201,27 @@
 	}
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != string(text) {
-		t.Fatalf("not the same bytes (%v)", err)
+		t.Fatalf("got %d bytes %x and error %v, want %x", len(got), got, err, text)
 	}
 	if took := time.Since(begun); took < 90*time.Millisecond {
-		t.Errorf("1000 bytes at 10 kB a second took %v", took)
+		t.Errorf("1000 bytes at 10 kB per second took %v, want at least 90 ms", took)
 	}
 }
 
-// The end of the initiator's side is seen even while the link is silent: verdicts need to know when an attempt was
-// given up.
+// The link sees the end of the initiator's side even while it is silent: verdicts need to know when an attempt was given
+// up.
 func TestEndIsSeenOnASilentLink(t *testing.T) {
 	ended := make(chan string, 1)
-	l := link(t, func(dialled string) { ended <- dialled })
+	l := newLink(t, func(localAddr string) { ended <- localAddr })
 	c := dial(t, l)
-	if err := ask(c); err != nil {
+	if err := roundTrip(c); err != nil {
 		t.Fatal(err)
 	}
-	set(t, l, State{SilentForth: true, SilentBack: true})
+	setState(t, l, State{SilentForth: true, SilentBack: true})
 	_ = c.Close()
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		t.Error("the end was not seen")
+	case <-time.After(testTimeout):
+		t.Errorf("onEnd not called within %v of the close", testTimeout)
 	}
 }
