--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -83,8 +83,8 @@
 	served answerKind = iota
 	rejected
 	failed
-	duplicate  // another request with this id is in flight
-	clientGone // no answer: the client has disconnected
+	duplicate    // another request with this id is in flight
+	disconnected // no answer: the client has disconnected
 )
 
 // requestArrived is the event of a new request.
@@ -343,9 +343,9 @@
 	if e.reply.result == balancer.OK && !d.answer(id, answer{kind: served, reply: e.reply}) {
 		e.reply.drop()
 	}
-	if errors.Is(e.reply.err, errClientGone) && !f.done { // the attempt noticed it before the handler reported it
+	if errors.Is(e.reply.err, errClientDisconnected) && !f.done { // the attempt noticed it before the handler reported it
 		d.onClientDisconnected(f)
-		f.request.answer <- answer{kind: clientGone}
+		f.request.answer <- answer{kind: disconnected}
 	}
 	d.handle(balancer.AttemptEnded{ID: id, Attempt: e.attempt, Result: e.reply.result,
 		Elapsed: e.at - a.sentAt, Final: f.done, BodyConsumed: f.request.body.endAttempt()})
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -22,7 +22,7 @@
 	readCtx     context.Context
 	cancelRead  context.CancelFunc // ends readCtx
 	conn        *upstreamConn
-	client      *clientRequest
+	clientReq   *clientRequest
 	startBefore time.Duration // clock time at which it may no longer begin, 0 if there is no limit
 	use         connUse
 
@@ -35,7 +35,7 @@
 
 // startExchange starts sending a request.
 func (u *upstreamPool) startExchange(ctx context.Context, c *upstreamConn, r *clientRequest, startBefore time.Duration, use connUse) *upstreamExchange {
-	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, client: r, startBefore: startBefore, use: use,
+	x := &upstreamExchange{pool: u, ctx: ctx, conn: c, clientReq: r, startBefore: startBefore, use: use,
 		reply: make(chan attemptReply), abandoned: make(chan struct{})}
 	x.readCtx, x.cancelRead = context.WithCancel(context.WithoutCancel(ctx))
 	go x.run()
@@ -92,7 +92,7 @@
 // request returns the request as it is sent, with callbacks that record its progress.
 func (x *upstreamExchange) request() *http.Request {
 	c := x.conn
-	c.checkAllowed = func() error { return x.pool.checkBegin(x.ctx, c, x.client, x.startBefore) }
+	c.checkAllowed = func() error { return x.pool.checkBegin(x.ctx, c, x.clientReq, x.startBefore) }
 	c.firstByteSent.Store(false)
 	c.requestEncoded.Store(false)
 	var req *http.Request
@@ -109,8 +109,8 @@
 			}
 		},
 	}
-	req = x.client.outgoing(httptrace.WithClientTrace(x.readCtx, trace), c.address.address)
-	timeLeft := x.client.timeout.Microseconds()
+	req = x.clientReq.outgoing(httptrace.WithClientTrace(x.readCtx, trace), c.address.address)
+	timeLeft := x.clientReq.timeout.Microseconds()
 	if deadline, ok := x.ctx.Deadline(); ok {
 		timeLeft = max(time.Until(deadline).Microseconds(), 1)
 	}
@@ -126,8 +126,8 @@
 	switch {
 	case c.disallowed.Load():
 		return attemptReply{result: balancer.NotSent, err: err}
-	case !c.requestEncoded.Load() && x.client.body.readError() != nil: // the client failed, not the upstream
-		return attemptReply{result: balancer.NotSent, err: x.client.body.readError()}
+	case !c.requestEncoded.Load() && x.clientReq.body.readError() != nil: // the client failed, not the upstream
+		return attemptReply{result: balancer.NotSent, err: x.clientReq.body.readError()}
 	case timedOut(x.ctx):
 		return attemptReply{result: balancer.Timeout, err: err}
 	case x.ctx.Err() != nil:
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -34,7 +34,7 @@
 	p.server.classes.Store(&classes)
 	p.conns = newClientConns(listener, p.maxConns)
 	p.handover = &handover{dir: tmp, predecessorStopped: make(chan struct{}), closedCh: make(chan struct{}), halveMemory: p.limitMemory, state: p.handoverState, applyBan: p.applyRelayedBan,
-		stopAccepting: p.yield, resumeAccepting: p.resume, limitConns: p.shareLimits,
+		stopAccepting: p.yield, resumeAccepting: p.resume, limitConns: p.limitToRemainder,
 		ownUse: func() connectionUse { return connectionUse{p.conns.count(), pool.count()} }}
 	p.limitMemory(false)
 	return p, nil
@@ -118,8 +118,8 @@
 	return s
 }
 
-// shareLimits limits memory and connections to what another process beside this one leaves. others is nil if there is none.
-func (p *process) shareLimits(others *connectionUse) {
+// limitToRemainder limits memory and connections to what another process beside this one leaves. others is nil if there is none.
+func (p *process) limitToRemainder(others *connectionUse) {
 	p.limitMemory(others != nil)
 	if others == nil {
 		others = &connectionUse{}
--- a/internal/sidecar/requesthandler.go
+++ b/internal/sidecar/requesthandler.go
@@ -66,7 +66,7 @@
 func (h *requestHandler) answerForwarded(a answer) {
 	defer a.reply.drop()
 	if h.outcome = a.kind; h.r.Context().Err() != nil {
-		h.outcome = clientGone
+		h.outcome = disconnected
 		panic(http.ErrAbortHandler)
 	}
 	if h.outcome == failed {
@@ -123,7 +123,7 @@
 func (h *requestHandler) answerDispatched(a answer) {
 	h.outcome = a.kind
 	defer a.reply.drop()
-	if a.kind == clientGone {
+	if a.kind == disconnected {
 		panic(http.ErrAbortHandler)
 	}
 	if h.req.forwarded && a.kind == rejected && !a.attempted { // the peer that forwarded it then handles it itself
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -97,7 +97,7 @@
 		s.reject(w, r, rej)
 		return
 	}
-	h := &requestHandler{server: s, w: w, r: r, conn: conn, req: req, outcome: clientGone}
+	h := &requestHandler{server: s, w: w, r: r, conn: conn, req: req, outcome: disconnected}
 	h.run()
 }
 
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -61,7 +61,7 @@
 			c.served++
 		case rejected:
 			c.rejected++
-		case clientGone:
+		case disconnected:
 			current.disconnected++
 		default:
 			c.failed++
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -71,7 +71,7 @@
 
 var (
 	errEndpointUnavailable = errors.New("the upstream is draining or was removed")
-	errClientGone          = errors.New("the client has disconnected")
+	errClientDisconnected  = errors.New("the client has disconnected")
 	errRetryWindowOver     = errors.New("the time for another attempt is over")
 	errUnexpectedBytes     = errors.New("the upstream sent unrequested bytes or closed the connection")
 	errSaturated           = errors.New("all upstream connections that the limits allow are busy")
@@ -162,8 +162,8 @@
 		return context.Cause(ctx)
 	case before > 0 && u.directory.clock.now() >= before:
 		return errRetryWindowOver
-	case r.clientGone():
-		return errClientGone
+	case r.clientDisconnected():
+		return errClientDisconnected
 	case !u.directory.ready(c.name, c.address):
 		return errEndpointUnavailable
 	case c.uses > 1 && !c.idleReading.Load():
@@ -355,8 +355,8 @@
 	u.open--
 }
 
-// clientGone reports whether r's client is known to have disconnected.
-func (r *clientRequest) clientGone() bool { return r.disconnected != nil && r.disconnected() }
+// clientDisconnected reports whether r's client is known to have disconnected.
+func (r *clientRequest) clientDisconnected() bool { return r.disconnected != nil && r.disconnected() }
 
 // outgoing returns the request as it is sent to an upstream.
 func (r *clientRequest) outgoing(ctx context.Context, address string) *http.Request {
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -32,7 +32,7 @@
 
 // roundTrip runs an exchange on a connection, without the steps of attempt before and after it.
 func (u *upstreamPool) roundTrip(ctx context.Context, c *upstreamConn, r *clientRequest) (attemptReply, bool) {
-	x := &upstreamExchange{pool: u, ctx: ctx, readCtx: ctx, conn: c, client: r}
+	x := &upstreamExchange{pool: u, ctx: ctx, readCtx: ctx, conn: c, clientReq: r}
 	return x.roundTrip()
 }
 
