--- a/internal/sidecar/acks.go
+++ b/internal/sidecar/acks.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	ackInterval = 20 * time.Second // well within api.HeardMs, even if one acknowledgement is lost
+	ackInterval = 20 * time.Second // well below api.HeardMs, even if one acknowledgement is dropped
 	ackJitter   = time.Second      // longest delay after a change, which reaches all sidecars of a region at once
 	ackTimeout  = 10 * time.Second // for one acknowledgement, including the client's retries
 	ackSockets  = 2                // file descriptors: of one connection, and of the one that replaces it
@@ -46,8 +46,8 @@
 	})
 }
 
-// acknowledgeLoop sends an acknowledgement after each change and every ackInterval. At most one is in flight; the next one
-// includes the changes made meanwhile.
+// acknowledgeLoop sends an acknowledgement after each change and every ackInterval. Only one is in flight at a time; the
+// next one includes the changes made meanwhile.
 func (s *settingsFollower) acknowledgeLoop(ctx context.Context, send func(context.Context, api.Ack) error) {
 	failing := false
 	timer := time.NewTimer(rand.N(ackInterval)) // spreads the calls of a fleet that starts at once
@@ -79,7 +79,7 @@
 	}
 }
 
-// cutText cuts a text to at most maxBytes bytes, without splitting a character.
+// cutText cuts a text to maxBytes bytes or fewer, without splitting a character.
 func cutText(text string, maxBytes int) string {
 	text = strings.ToValidUTF8(text, "?")
 	if len(text) > maxBytes {
--- a/internal/sidecar/answerwriter.go
+++ b/internal/sidecar/answerwriter.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// stream writes an answer to the client as it arrives. It fails if the client did not get all of it.
+// stream writes an answer to the client as it arrives. It returns an error if the client did not receive the complete answer.
 func (s *server) stream(w http.ResponseWriter, rep *attemptReply) error {
 	length := ""
 	if rep.rest.length >= 0 {
@@ -47,10 +47,10 @@
 		if len(part) > 0 {
 			_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection only
 			if _, err := w.Write(part); err != nil {
-				return fmt.Errorf("passing an answer on: %w", err)
+				return fmt.Errorf("writing an answer to the client: %w", err)
 			}
 			if err := conn.Flush(); err != nil {
-				return fmt.Errorf("passing an answer on: %w", err)
+				return fmt.Errorf("writing an answer to the client: %w", err)
 			}
 		}
 		if errors.Is(err, io.EOF) {
--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -26,8 +26,8 @@
 	available int64 // bytes; negative if minimum reservations exceed the budget
 }
 
-// reserve reserves the available bytes, up to bound, but at least minRetainedBytes, since the number of connections is
-// bounded, too. It returns the number of bytes.
+// reserve reserves the available bytes, up to bound, and returns their number. If fewer than minRetainedBytes are available,
+// it exceeds the budget and reserves minRetainedBytes, up to bound; the number of connections limits the excess.
 func (b *byteBudget) reserve(bound int64) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +44,7 @@
 }
 
 var (
-	errAttemptEnded = errors.New("the attempt that the body was for has ended")
+	errAttemptEnded = errors.New("the attempt that read the body has ended")
 	errBodyLarge    = errors.New("the body is too large")
 )
 
@@ -56,11 +56,11 @@
 	reserved int64 // bytes of the budget
 	budget   *byteBudget
 
-	rest       io.Reader   // nil if the whole body is retained
+	rest       io.Reader   // nil if the complete body is retained
 	onComplete func()      // called after the last byte
 	onError    func(error) // called if reading from the client fails
 
-	readMu         sync.Mutex // held while the rest is read
+	readMu         sync.Mutex // locked while the rest is read
 	mu             sync.Mutex
 	consumed       bool  // an attempt has read some of the rest
 	ended          bool  // the rest has been read to its end
@@ -80,7 +80,7 @@
 func (b *clientBody) endAttempt() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.currentAttempt++ // a late read would take bytes that the next attempt needs
+	b.currentAttempt++ // a late read would consume bytes that the next attempt needs
 	return b.consumed
 }
 
@@ -110,8 +110,8 @@
 	b.currentAttempt++
 }
 
-// drain discards the rest of the body, since a client may not read its answer before it has sent the body. rest
-// limits the time.
+// drain discards the rest of the body, since a client may not read its answer before it has sent the body. The reader in
+// rest limits the time.
 func (b *clientBody) drain() {
 	b.endReading()
 	b.readMu.Lock()
@@ -207,7 +207,7 @@
 	return n, err
 }
 
-// rateCheckedReader reads a client's body as long as it arrives at a rate of at least minBodyRate. Time during which no
+// rateCheckedReader reads a client's body as long as it arrives at minBodyRate or faster. Time during which no
 // attempt reads, because an upstream is slow, does not count, unlike with http.Server's ReadTimeout.
 type rateCheckedReader struct {
 	body     io.Reader
@@ -215,12 +215,13 @@
 	timeLeft time.Duration // grows with each byte read
 }
 
-// newRateCheckedReader starts the timeout of a body. accepted is the time at which a connection without an earlier request
-// was accepted: it must be answered or closed within requestTimeout of that. It is the zero time for any other connection.
-func newRateCheckedReader(body io.Reader, conn *http.ResponseController, accepted time.Time) *rateCheckedReader {
+// newRateCheckedReader starts the timeout of a body. arrivedAt is the earliest time at which a connection without an
+// earlier request can have arrived: it must be answered or closed within requestTimeout of that. It is the zero time for
+// any other connection.
+func newRateCheckedReader(body io.Reader, conn *http.ResponseController, arrivedAt time.Time) *rateCheckedReader {
 	timeLeft := requestTimeout
-	if !accepted.IsZero() {
-		timeLeft = max(bodyStartTimeout, requestTimeout-time.Since(accepted))
+	if !arrivedAt.IsZero() {
+		timeLeft = max(bodyStartTimeout, requestTimeout-time.Since(arrivedAt))
 	}
 	return &rateCheckedReader{body: body, conn: conn, timeLeft: timeLeft}
 }
@@ -238,7 +239,7 @@
 }
 
 // readBody reads the part of a body that is retained; attempts read the rest, if there is any.
-func readBody(r *http.Request, conn *http.ResponseController, accepted time.Time, budget *byteBudget) (*clientBody, error) {
+func readBody(r *http.Request, conn *http.ResponseController, arrivedAt time.Time, budget *byteBudget) (*clientBody, error) {
 	b := &clientBody{length: r.ContentLength, budget: budget}
 	if r.ContentLength == 0 {
 		return b, nil
@@ -248,7 +249,7 @@
 		bound = min(bound, b.length)
 	}
 	b.reserved = budget.reserve(bound)
-	source := newRateCheckedReader(r.Body, conn, accepted)
+	source := newRateCheckedReader(r.Body, conn, arrivedAt)
 	buf := make([]byte, 0, min(b.reserved, minRetainedBytes))
 	for {
 		if int64(len(buf)) == b.length { // net/http reports the end with the last byte, or with the next read
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -28,7 +28,7 @@
 	// campaign starts or stops campaigning for a leadership; it does not block.
 	campaign(name string, wanted bool)
 	// holds reports whether this sidecar is the leader now, and in which epoch. It is called before each action that only a
-	// leader may take.
+	// leader may perform.
 	holds(name string) (epoch uint64, ok bool)
 }
 
@@ -42,7 +42,7 @@
 // evidenceReport is what the dispatcher reports about an upstream.
 type evidenceReport struct {
 	report message.Report
-	probe  bool // whether this is the result of a probe made for all sidecars; the probe succeeded if the report is closed
+	probe  bool // the report is the result of a probe made for all sidecars, which succeeded if the report's state is closed
 }
 
 // ownProbe is the state of the probe leadership of one upstream, which this sidecar holds or campaigns for.
@@ -100,7 +100,7 @@
 	}
 }
 
-// drainInbox takes all records from an inbox and returns them as events for the tracker.
+// drainInbox removes all records from an inbox and returns them as events for the tracker.
 func drainInbox(inbox *conflate.Queue[message.Key, message.Record]) (events circuitbreaker.Batch) {
 	for r, ok := inbox.Pop(); ok; r, ok = inbox.Pop() {
 		if e := decodeEvent(r); e != nil {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// tick updates the members, the listed upstreams and the probe leaderships, and sends the reports again that are due.
+// tick updates the members, the listed upstreams and the probe leaderships, and resends the reports that are due.
 func (b *breakerTracker) tick() {
 	now := b.sharing.clock.now()
 	members := b.gossip.Members()
@@ -139,7 +139,7 @@
 	b.sharing.verdicts.Push("", balancer.PeerVerdict{}, false) // an empty verdict measures the loop's delay: see stallDetector
 	batch := circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: b.sharing.dir.incarnations()}, circuitbreaker.Roster{Members: members}}
 	for key, r := range b.ownReports {
-		if since, _, listed := b.sharing.dir.incarnation(r.Upstream); !listed || since != r.StartedMs {
+		if startedMs, _, listed := b.sharing.dir.incarnation(r.Upstream); !listed || startedMs != r.StartedMs {
 			b.withdraw(key, r)
 			batch = append(batch, circuitbreaker.OwnReport{Report: closedReport(r)})
 		} else if now-b.announcedAt[key] >= reportInterval {
@@ -194,7 +194,7 @@
 	}
 }
 
-// withdraw broadcasts that a report no longer holds.
+// withdraw broadcasts that a report no longer applies.
 func (b *breakerTracker) withdraw(key string, r message.Report) {
 	delete(b.ownReports, key)
 	delete(b.announcedAt, key)
@@ -300,11 +300,11 @@
 
 // report queues a report of the dispatcher for the breaker tracker. It does not block.
 func (s *sharing) report(a *balancer.Action) {
-	since, _, listed := s.dir.incarnation(a.Upstream)
+	startedMs, _, listed := s.dir.incarnation(a.Upstream)
 	if !listed {
 		return
 	}
-	r := message.Report{Upstream: a.Upstream, StartedMs: since, Class: a.Class, State: message.Open, Evidence: evidenceKinds[a.Evidence], Count: a.Count}
+	r := message.Report{Upstream: a.Upstream, StartedMs: startedMs, Class: a.Class, State: message.Open, Evidence: evidenceKinds[a.Evidence], Count: a.Count}
 	if a.Evidence == balancer.EvidenceNone {
 		r.State = message.Closed
 	}
@@ -322,8 +322,8 @@
 var evidenceKinds = map[balancer.Evidence]message.Evidence{balancer.EvidenceErrors: message.ErrorAnswers, balancer.EvidenceConnections: message.BrokenConnections,
 	balancer.EvidenceSilence: message.Silence, balancer.EvidenceRejections: message.Rejections}
 
-// stallDetector measures how long the dispatcher's loop has left a message in its queue: evidence from a process whose loop is
-// stalled must not count. The loop calls onReceived, the breaker tracker calls delay.
+// stallDetector measures how long a message has waited in the queue of the dispatcher's loop: evidence from a process whose
+// loop is stalled must not count. The loop calls onReceived, the breaker tracker calls delay.
 type stallDetector struct {
 	receivedAt atomic.Int64  // clock time at which the loop last received messages; 0 if it has not yet
 	sentAt     time.Duration // clock time at which the breaker tracker queued the message
@@ -332,8 +332,8 @@
 // onReceived records that the loop received its messages at now.
 func (d *stallDetector) onReceived(now time.Duration) { d.receivedAt.Store(int64(now)) }
 
-// delay returns how long the message queued after an earlier call has waited, or 0 if the loop has received it since or has not
-// received any message yet.
+// delay returns how long the message queued after an earlier call has waited, or 0 if the loop has received messages since
+// then, or has never received any.
 func (d *stallDetector) delay(now time.Duration) (waited time.Duration) {
 	if received := time.Duration(d.receivedAt.Load()); d.sentAt > 0 && received < d.sentAt && received > 0 {
 		return now - d.sentAt
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -31,9 +31,9 @@
 	headComplete // all of its head, and maybe some of its body
 )
 
-// framedConn is a client's connection. It closes gracefully: never while a request that has been read in part is
-// unanswered, and its sending side first, so that bytes in flight don't make the kernel reset it and lose an answer. The
-// HTTP server calls the methods of net.Conn; the other methods are safe for concurrent use.
+// framedConn is a client's connection. It closes gracefully: never while a partially read request is unanswered, and its
+// sending side first, so that bytes in flight don't make the kernel reset it and discard an answer. The HTTP server calls
+// the methods of net.Conn; the other methods are safe for concurrent use.
 type framedConn struct {
 	net.Conn
 	arrivedAt    time.Time // the earliest time at which it can have reached the kernel's queue
@@ -51,8 +51,8 @@
 	stage        connStage
 	readSince    time.Time     // when the read in progress began; zero if there is none
 	headSince    time.Time     // when the first bytes of an incomplete head arrived
-	bodyWait     time.Duration // time spent reading the body in flight
-	bodyBytes    int           // read of the body in flight
+	bodyWait     time.Duration // total duration of the reads of the body in flight
+	bodyBytes    int           // number of bytes of the body in flight that were read
 	readDeadline time.Time     // as set by net/http
 	readCut      bool          // the read of the rest of a request was cut short
 	closingSince time.Time     // when its sending side was closed; zero while it is open
@@ -75,13 +75,13 @@
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
-	keepOpen := false
+	evictionCancelled := false
 	if bounded := c.waiting && c.ending; bounded || c.readCut {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			n, err = c.readAvailable(p)
 		}
 		if n > 0 { // more has arrived meanwhile
-			keepOpen = true
+			evictionCancelled = true
 			c.ending = c.ending && !c.evicted
 			c.evicted, c.readCut = false, false
 			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by net/http; fails on a closed connection only
@@ -100,7 +100,7 @@
 	}
 	c.waiting, c.stage, c.readSince = false, stage, time.Time{}
 	c.mu.Unlock()
-	if keepOpen {
+	if evictionCancelled {
 		c.listener.cancelEviction(c)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -160,7 +160,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	grace, stall := newConnGrace, bodyStallTimeout
-	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has had this time while it waited to be accepted
+	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has already had this time while it waited to be accepted
 		grace, stall = minLinger, newConnGrace
 	}
 	switch {
@@ -209,7 +209,7 @@
 }
 
 // cutRead cuts short the read of the rest of a request, after which net/http closes the connection, or the handler answers
-// that the request timed out. It returns false if no read is in progress, since bytes have just arrived.
+// that the request timed out. It returns false if no read is in progress, because bytes have just arrived.
 func (c *framedConn) cutRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -222,7 +222,7 @@
 }
 
 // boundRead sets a short deadline for the read of the next request, after which net/http closes the connection. A new
-// connection that is not evicted keeps newConnGrace for its first request. The caller holds mu.
+// connection that is not evicted has newConnGrace for its first request. The caller holds mu.
 func (c *framedConn) boundRead() {
 	deadline := time.Now().Add(finalReadTimeout)
 	if graceEnd := c.acceptedAt.Add(newConnGrace); !c.evicted && c.framing.noRequest() && graceEnd.After(deadline) {
@@ -268,18 +268,18 @@
 	c.mu.Unlock()
 }
 
-// CloseWrite is called by net/http before it closes a connection on which more may arrive. net/http would then hold the
-// descriptor and all buffers for half a second, so that a flood of rejected connections would lock other clients out. So
-// the connection is closed here and its goroutine ended; only its deferred calls still run.
+// CloseWrite is called by net/http before it closes a connection on which more may arrive. net/http would then occupy the
+// descriptor and all buffers for half a second, so that a flood of rejected connections would exclude other clients. So the
+// connection is closed here and its goroutine ended; only its deferred calls still run.
 func (c *framedConn) CloseWrite() error {
 	_ = c.Close() // it is closed even if this fails
 	runtime.Goexit()
 	return nil
 }
 
-// Close implements net.Conn. A socket closed with unread bytes is reset, which loses an answer in flight. So the sending side
-// is closed first, and bytes are discarded until the client closes, for at most maxLinger. A connection on which no answer
-// was sent is closed at once, except after SIGTERM.
+// Close implements net.Conn. A socket closed with unread bytes is reset, which discards an answer in flight. So the sending
+// side is closed first, and bytes are discarded until the client closes, for up to maxLinger. A connection on which no
+// answer was sent is closed at once, except after SIGTERM.
 func (c *framedConn) Close() error {
 	c.mu.Lock()
 	lingers := !c.clientClosed.Load() && c.closingSince.IsZero() && !c.listener.stopped.Load() && (c.listener.lingering.Load() || c.hasWritten)
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -135,7 +135,7 @@
 	return len(c.idleSince)
 }
 
-// awaitNone blocks until no connection is left and, after finish, none can be accepted any more; timeout bounds the wait.
+// awaitNone blocks until no connection is open and, after finish, no more can be accepted, or until the timeout.
 func (c *clientConns) awaitNone(timeout time.Duration) {
 	expired := false
 	timer := time.AfterFunc(timeout, func() {
@@ -169,7 +169,7 @@
 	c.changed.Broadcast()
 }
 
-// endIdle closes all connections that have been idle for at least minIdle.
+// endIdle closes all connections that have been idle for minIdle or longer.
 func (c *clientConns) endIdle(minIdle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -43,13 +43,13 @@
 }
 
 const (
-	minSockets            = 64 // fewer leave no room for clients and upstreams beside the fixed descriptors
+	minSockets            = 64 // with fewer, none remain for clients and upstreams beside the fixed descriptors
 	minMemoryMB           = 16
 	defaultConnectTimeout = time.Second      // if the settings have no connect timeout
 	defaultConnIdle       = 10 * time.Second // if the settings have no idle time
 )
 
-// LoadConfig reads the configuration file at path. GW_OPS and GW_STATE take precedence over its keys ops and state.
+// LoadConfig reads the configuration file at path. GW_OPS and GW_STATE override its keys ops and state.
 func LoadConfig(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("GW_CONFIG is not set")
@@ -85,14 +85,14 @@
 	Limits                        *struct {
 		Cores    float64
 		MemoryMB float64 `json:"memory_mb"`
-		Sockets  float64 // not an int: some files have whole numbers with a fraction of 0
+		Sockets  float64 // not an int, since some files state an integer with a fraction of 0
 	}
 	Known    json.RawMessage
 	Settings json.RawMessage
 }
 
 // parseConfig parses and checks everything that a sidecar relies on, including the balancer's settings, so that an error
-// shows at the start and not under traffic.
+// is found at the start and not under traffic.
 func parseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -63,8 +63,8 @@
 	sentAt       time.Duration
 	endedAt      time.Duration           // 0 while it is pending
 	reply        attemptReply            // result, connection and error
-	cancel       context.CancelCauseFunc // ends it with a cause; with nil it frees the context of an attempt that has ended
-	endWithCause context.CancelCauseFunc // ends it with a cause, when its time is over
+	cancel       context.CancelCauseFunc // cancels ctx with a cause, which may be nil, and frees its timer; also called after the attempt has ended
+	endWithCause context.CancelCauseFunc // cancels ctx with a cause when the attempt's time is over
 	ctx          context.Context
 }
 
@@ -73,7 +73,7 @@
 	kind       answerKind
 	retryAfter time.Duration // set if kind is rejected
 	reply      attemptReply  // set if kind is served
-	attempted  bool          // at least one attempt was made
+	attempted  bool          // an attempt was made
 }
 
 // answerKind is how a request was answered.
@@ -136,7 +136,7 @@
 // enqueue queues an event of a request, and blocks while the queue is full. It returns false once the dispatcher has stopped.
 func (d *dispatcher) enqueue(e any) bool {
 	select {
-	case <-d.stop: // checked first, since the queue may still have room
+	case <-d.stop: // checked first, since the queue may still accept events
 		return false
 	default:
 	}
@@ -222,10 +222,10 @@
 
 // logStats logs the counts since the previous call.
 func (d *dispatcher) logStats() {
-	now := d.stats.snapshot()
-	logAttrs(slog.LevelInfo, componentCounts, "counts", append(now.since(&d.lastLogged), d.counts.attr(),
+	current := d.stats.snapshot()
+	logAttrs(slog.LevelInfo, componentCounts, "counts", append(current.since(&d.lastLogged), d.counts.attr(),
 		slog.Int("in_flight", len(d.inFlight)), d.connectionStats())...)
-	d.lastLogged = now
+	d.lastLogged = current
 	if len(d.counts.upstreams) > 0 {
 		logAttrs(slog.LevelInfo, componentCounts, "by upstream", slog.String("upstreams", d.counts.describeByUpstream(d.zone)))
 	}
@@ -233,7 +233,7 @@
 	d.sharing.logStats()
 }
 
-// dropPending drops answers that arrived too late to be handled, since each holds a connection and its goroutines.
+// dropPending drops answers that arrived too late to be handled, since each occupies a connection and its goroutines.
 func (d *dispatcher) dropPending() {
 	for {
 		select {
@@ -352,7 +352,7 @@
 	d.forgetRequest(id)
 }
 
-// onBodyComplete starts the deadline of a request, and the time of a pending attempt, since its upstream begins only now.
+// onBodyComplete starts the deadline of a request, and the time of a pending attempt, since its upstream can begin only now.
 func (d *dispatcher) onBodyComplete(e bodyComplete) {
 	f := d.inFlight[e.request.id]
 	if f == nil || f.request != e.request || f.done {
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -18,7 +18,7 @@
 
 // drain accepts clients until they have noticed the shutdown, answers all accepted requests, and returns before the process
 // is killed, unless a client is slow to read its answer. While another process accepts clients, this one accepts none: each
-// connection is closed after its next answer, and idle ones once a further request could not be answered within its
+// connection is closed after its next answer, and idle ones once another request could not be answered within its
 // objective. docs/ARCHITECTURE.md lists the states of a connection.
 func (p *process) drain(srv *http.Server) error {
 	start := time.Now()
--- a/internal/sidecar/endpointdirectory.go
+++ b/internal/sidecar/endpointdirectory.go
@@ -13,14 +13,14 @@
 	"mosslead/internal/circuitbreaker"
 )
 
-// listing is one message of discovery: the whole list, or the changes since the previous message.
+// listing is one message of discovery: the complete list, or the changes since the previous message.
 type listing struct {
 	Revision  *int64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []endpoint `json:"endpoints"`
 }
 
-// endpoint is one entry of a listing, in the field names of the protocol.
+// endpoint is one entry of a listing, with the field names of the protocol.
 type endpoint struct {
 	Name      string  `json:"name"`
 	Address   string  `json:"address"`
@@ -78,7 +78,7 @@
 
 func (c clock) now() time.Duration { return clockStart + time.Since(c.start) }
 
-// fromUnixMs converts a Unix time in milliseconds to a time of this clock; 0 stays 0.
+// fromUnixMs converts a Unix time in milliseconds to a time of this clock; it returns 0 unless ms is above 0.
 func (c clock) fromUnixMs(ms float64) time.Duration {
 	if !(ms > 0) {
 		return 0
@@ -101,7 +101,7 @@
 	listRevision int64               // revision of the list
 	entries      map[string]endpoint // by name; includes draining upstreams
 	banned       map[string]bool     // by an operator, independently of the list
-	removed      []string            // names removed from the list, the latest last; at most maxRemoved
+	removed      []string            // names removed from the list, the latest last; up to maxRemoved
 }
 
 // endpointAddress identifies one process of an upstream: connections to an earlier process can no longer be used.
--- a/internal/sidecar/eviction.go
+++ b/internal/sidecar/eviction.go
@@ -7,10 +7,10 @@
 // the answers to its own connections. Connections idle for less than closableAfter, which their clients may be about to
 // use, are evicted one at a time, the one idle for longest first.
 
-// maxEvicting is how many connections are evicted at once. Each takes finalReadTimeout and some processor time.
+// maxEvicting is how many connections are evicted at once. Each needs finalReadTimeout and some CPU time.
 const maxEvicting = 16
 
-// evict evicts connections; the caller holds mu. If none can be evicted yet, it schedules another try.
+// evict evicts connections; the caller holds mu. If none can be evicted yet, it schedules another call.
 func (c *clientConns) evict() {
 	now := time.Now()
 	for {
@@ -103,7 +103,7 @@
 	return c.fullSince
 }
 
-// onAcceptError evicts connections when accepting fails, most likely for lack of file descriptors, and waits
+// onAcceptError evicts connections when accepting fails, usually for lack of file descriptors, and waits
 // acceptRetryInterval. The listener is intact and accepts again.
 func (c *clientConns) onAcceptError(acceptStart time.Time) {
 	c.mu.Lock()
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -30,7 +30,7 @@
 	abandoned chan struct{}     // closed when its attempt no longer waits
 
 	answered      bool        // the answer has begun, so the request may have been processed
-	answeredEarly atomic.Bool // the answer began before the whole body had been passed to the writer
+	answeredEarly atomic.Bool // the answer began before the complete body had been passed to the writer
 }
 
 // startExchange starts sending a request.
@@ -83,7 +83,7 @@
 		return attemptReply{result: balancer.ServerError}, false
 	case resp.StatusCode != http.StatusOK:
 		return x.readErrorAnswer(resp)
-	case x.answeredEarly.Load() && x.conn.uses > 1: // most likely a second answer to the previous request
+	case x.answeredEarly.Load() && x.conn.uses > 1: // probably a second answer to the previous request
 		return x.failureReply(errUnexpectedBytes), false
 	}
 	return x.readSuccess(resp)
--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -20,7 +20,7 @@
 const (
 	maxConnsToPeers   = 16                    // file descriptors are reserved for these connections
 	maxConnsFromPeers = 32                    // file descriptors are reserved for these connections as well
-	forwardMargin     = 5 * time.Millisecond  // part of the client's deadline that is kept for the answer to reach the client
+	forwardMargin     = 5 * time.Millisecond  // part of the client's deadline that is reserved for sending the answer to the client
 	crossSiteRTT      = 20 * time.Millisecond // round-trip time between sites
 )
 
@@ -120,10 +120,10 @@
 	ctx, cancel := context.WithTimeout(ctx, r.expiresAt-now-forwardMargin)
 	defer cancel()
 	defer context.AfterFunc(f.ctx, cancel)()
-	hop := *r
-	hop.header = r.header.Clone()
-	hop.header.Set(forwarding.HeaderHop, "1")
-	rep := f.pool.attempt(ctx, peer, &hop, 0)
+	outgoing := *r
+	outgoing.header = r.header.Clone()
+	outgoing.header.Set(forwarding.HeaderHop, "1")
+	rep := f.pool.attempt(ctx, peer, &outgoing, 0)
 	switch rep.result {
 	case balancer.OK:
 		return answer{kind: served, reply: rep}, true
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -8,7 +8,7 @@
 )
 
 // Detection of ambiguous message framing (RFC 9112, section 6.3). net/http drops a Content-Length beside a
-// Transfer-Encoding, and one of two equal ones, while an upstream may use the dropped one and take part of a body for a
+// Transfer-Encoding, and one of two equal ones, while an upstream may use the dropped one and read part of a body as a
 // request (request smuggling). So a client's connection tracks the framing of its requests and reports ambiguous ones.
 
 // framingState is the part of a request to which the next bytes belong.
@@ -57,7 +57,7 @@
 	return ambiguous
 }
 
-// stage returns how far the next request that net/http has not delivered has been read. It is called by the reader.
+// stage returns how far the first request that net/http has not delivered yet has been read. It is called by the reader.
 func (f *framing) stage() connStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,7 +92,7 @@
 	return f.delivered == 1
 }
 
-// firstRequestOnly reports whether at most one request has been delivered.
+// firstRequestOnly reports whether no more than one request has been delivered.
 func (f *framing) firstRequestOnly() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -23,12 +23,12 @@
 const (
 	linkName          = "handover.sock"        // file in TMPDIR: the socket
 	bansName          = "bans.json"            // file in TMPDIR: the bans
-	linkTimeout       = time.Second            // to await the first message of the other process; a start may take 6 s in all
-	banRelayTimeout   = 350 * time.Millisecond // to await that the other process confirms a ban; with adminTimeout, below the 1 s for a call
+	linkTimeout       = time.Second            // to await the first message of the other process; a complete start may last 6 s
+	banRelayTimeout   = 350 * time.Millisecond // to await the other process's confirmation of a ban; together with adminTimeout below the 1 s of a call
 	useReportInterval = 20 * time.Millisecond  // time between reports of the connections in use, whose number changes as requests end
 )
 
-// connectionUse is the number of connections that a process uses of the limits that both processes share.
+// connectionUse is how many connections one process uses of the limits that apply to both processes together.
 type connectionUse struct {
 	Clients   int `json:"Clients"`
 	Upstreams int `json:"Upstreams"`
@@ -117,8 +117,9 @@
 	}
 }
 
-// relayBan sends a ban to the other process, waits until that has applied it, and reports whether that has written it to disk
-// as well. If the link has ended, there is no process left that needs the ban, and relayBan returns no error.
+// relayBan sends a ban to the other process, waits until that process has applied it, and reports whether that process has
+// written it to disk as well. If the ban can't be sent, the link counts as ended, so that no other process needs the ban,
+// and relayBan returns no error.
 func (l *handoverLink) relayBan(ban banMessage) (persisted bool, err error) {
 	done := make(chan bool, 1)
 	l.mu.Lock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// handover is a process's part in upgrades: at first it is the successor, later the predecessor.
+// handover is a process's role in upgrades: at first the process is the successor, later the predecessor.
 type handover struct {
 	dir             string                         // TMPDIR
 	state           func() handoverState           // returns the state for a successor
@@ -148,7 +149,7 @@
 	stopAccepting   func()                         // stops accepting clients
 	resumeAccepting func()                         // accepts clients again
 	ownUse          func() connectionUse           // returns the connections that this process uses
-	limitConns      func(others *connectionUse)    // subtracts what the other process uses from the limits; nil once that has ended
+	limitConns      func(others *connectionUse)    // subtracts what the other process uses from the limits; others is nil once that process has ended
 	halveMemory     func(bool)                     // halves the memory limit while another process shares it, or restores it
 
 	predecessorStopped chan struct{} // closed once the predecessor no longer accepts clients, or there is none
@@ -181,7 +182,7 @@
 }
 
 // receiveState connects to the predecessor and returns the state that it sends. If there is no predecessor, or it sends nothing
-// usable, the state holds only the bans from their file. A start never fails here.
+// usable, the state has only the bans from their file. No error here prevents the start.
 func (h *handover) receiveState() (s handoverState) {
 	conn, err := net.DialTimeout("unix", filepath.Join(h.dir, linkName), linkTimeout)
 	if err == nil {
@@ -235,8 +236,8 @@
 	}()
 }
 
-// awaitPredecessor tells the predecessor that this process is ready, and blocks until that no longer accepts clients, for
-// linkTimeout at most.
+// awaitPredecessor informs the predecessor that this process is ready, and blocks until the predecessor no longer accepts
+// clients, or for linkTimeout.
 func (h *handover) awaitPredecessor() {
 	h.mu.Lock()
 	l := h.other
@@ -288,7 +289,7 @@
 	return nil
 }
 
-// serveSuccessor serves one successor until that or this process ends. The caller accepts no other successor meanwhile.
+// serveSuccessor serves one successor until either process ends. The caller accepts no other successor meanwhile.
 func (h *handover) serveSuccessor(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	l := newLink(conn)
@@ -328,8 +329,8 @@
 	return previous, h.closed
 }
 
-// sendState sends the successor its state. A snapshot may hold a number that JSON can't encode; the state is then sent
-// without the snapshot.
+// sendState sends the successor its state. A snapshot may contain a number that JSON can't encode; the state is then
+// sent without the snapshot.
 func (h *handover) sendState(l *handoverLink) {
 	s := h.state()
 	err := l.send(handoverMessage{State: &s})
@@ -392,8 +393,8 @@
 	}
 }
 
-// returnClients has the predecessor, if it still runs, accept clients again. It is called when this process must end, which
-// may take seconds while requests are in flight.
+// returnClients instructs the predecessor, if it still runs, to accept clients again. It is called when this process must
+// end; requests in flight may delay the end by seconds.
 func (h *handover) returnClients() {
 	h.mu.Lock()
 	l := h.predecessor
@@ -419,7 +420,7 @@
 }
 
 // relayBan makes a ban outlive this process: it writes all bans to the file in TMPDIR, and relays ban to the other process, if
-// there is one. It reports whether that has written the ban to disk.
+// there is one. It reports whether the other process has written the ban to disk.
 func (h *handover) relayBan(ban banMessage, allBans []string) (persisted bool, err error) {
 	data, err := json.Marshal(allBans)
 	if err == nil {
@@ -440,7 +441,7 @@
 	return l.relayBan(ban)
 }
 
-// close closes the link, which tells the other process that this one ends, and stops listening.
+// close closes the link, which notifies the other process that this one ends, and stops listening.
 func (h *handover) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/sidecar/leaderships.go
+++ b/internal/sidecar/leaderships.go
@@ -125,8 +125,8 @@
 	l.setWanted(name, wanted, l.siteOf(strings.TrimPrefix(name, probeLeadership(""))))
 }
 
-// setWanted starts or stops campaigning for a leadership that concerns a site. A leadership that is held and no longer wanted
-// is released.
+// setWanted starts or stops campaigning for a leadership that concerns a site. A leadership that is no longer wanted is
+// released.
 func (l *leaderships) setWanted(name string, wanted bool, site string) {
 	if l == nil {
 		return
@@ -168,7 +168,7 @@
 	return c
 }
 
-// logLeadership logs that a leadership was acquired or lost.
+// logLeadership logs that a leadership was acquired or has expired.
 func logLeadership(name string, a lease.Action) {
 	switch a := a.(type) {
 	case lease.Acquired:
@@ -216,7 +216,7 @@
 	l.closeClient()
 }
 
-// describe returns the lines of PEERS about leaderships: those held, with their epochs, and those campaigned for.
+// describe returns the lines of PEERS about leaderships: the acquired ones, with their epochs, and those campaigned for.
 func (l *leaderships) describe() string {
 	if l == nil {
 		return ""
@@ -236,7 +236,8 @@
 	return strings.Join(lines, "") + fmt.Sprintf("duties_beyond %d\n", l.rejected)
 }
 
-// count returns how many leaderships are held, how many others are campaigned for, and how many candidacies were rejected.
+// count returns how many leaderships this sidecar has, for how many others it campaigns, and how many candidacies were
+// rejected.
 func (l *leaderships) count() (leading, campaigning, rejected int64) {
 	if l == nil {
 		return 0, 0, 0
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -16,7 +16,8 @@
 )
 
 // A request that failed or was late is logged in one line, with all its attempts and their connections, and so is a request
-// that was rejected unread. The rate of these lines is limited, so that logging does not use CPU that is short in an overload.
+// that was rejected before admission. The rate of these lines is limited, so that logging does not use CPU time that is
+// scarce in an overload.
 
 const (
 	maxFailureLines = 20  // lines on failed requests per second, and in one burst
@@ -73,7 +74,7 @@
 // quoteShort shortens and quotes text sent by a peer.
 func quoteShort(s string) string { return fmt.Sprintf("%q", truncate(s)) }
 
-// truncate shortens text sent by a peer. It leaves the quoting to slog, which quotes attributes.
+// truncate shortens text sent by a peer. It does not quote the text, since slog quotes attributes.
 func truncate(s string) string {
 	if len(s) > maxQuotedBytes {
 		s = s[:maxQuotedBytes] + "..."
@@ -148,7 +149,7 @@
 	return attemptCounts{results: map[balancer.Result]int{}, upstreams: map[string]*upstreamCounts{}}
 }
 
-// add counts an attempt that ended. Under its upstream it counts only if it was sent.
+// add counts an attempt that ended. It counts for its upstream only if it was sent.
 func (c *attemptCounts) add(upstream string, res balancer.Result, elapsed time.Duration) {
 	c.results[res]++
 	if res == balancer.NotSent {
--- a/internal/sidecar/persister.go
+++ b/internal/sidecar/persister.go
@@ -17,9 +17,9 @@
 
 const (
 	persistInterval   = 2 * time.Second        // between writes of the snapshot, and of the list if it has changed
-	writePauseFactor  = 100                    // the pause after a write is at least this many times as long as the write
+	writePauseFactor  = 100                    // minimum ratio of the pause after a write to the duration of the write
 	persistStartDelay = 20 * time.Millisecond  // before the directory is acquired, so that the list is in use first
-	lockPollInterval  = 20 * time.Millisecond  // between tries, while another process of the sidecar is the writer
+	lockPollInterval  = 20 * time.Millisecond  // between attempts to lock, while another process of the sidecar is the writer
 	diskRetryInterval = time.Second            // after a disk error
 	banTimeout        = 350 * time.Millisecond // for a ban to reach the disk; together with adminTimeout below the 1 s of a call
 	maxWaitingBans    = 64                     // bans that may wait for a disk that hangs
@@ -32,7 +32,7 @@
 // belong to the goroutine of run.
 type statePersister struct {
 	store    *statestore.Store
-	bans     func() []string                  // returns the bans in force
+	bans     func() []string                  // returns the upstreams with bans in force
 	adoptBan func(id string)                  // applies a ban that is on disk and not in force
 	list     func() (string, *listing)        // returns the list and its source
 	snapshot func() (balancer.Snapshot, bool) // returns the balancer's snapshot; false if there is none
@@ -51,10 +51,10 @@
 	ended       chan struct{} // closed once run has ended
 	slots       chan struct{} // holds one element for each call that waits for the disk
 
-	mu          sync.RWMutex  // held for reading while the store is used for a ban
+	mu          sync.RWMutex  // read-locked while the store is used for a ban
 	writing     chan struct{} // closed while this process is the writer; release replaces it
 	isWriter    bool
-	clearedBans map[string]bool // names of those lifted here while another process was the writer
+	clearedBans map[string]bool // upstreams whose bans were cleared here while another process was the writer
 
 	statsMu      sync.Mutex
 	lastWriteErr error // nil if the last write succeeded
@@ -70,9 +70,9 @@
 		}}
 }
 
-// openState reads the state with which a sidecar starts. If alone is set, a lock held by another process is an error;
-// otherwise it is acquired later, once the other process releases it. Any other error is logged, and the sidecar starts
-// without state.
+// openState reads the state with which a sidecar starts. If alone is set, it fails if another process has the lock;
+// otherwise the lock is acquired later, once the other process releases it. Any other error is logged, and the sidecar
+// starts without state.
 func openState(c *Config, alone bool) (*statePersister, statestore.Loaded, error) {
 	if c.State == "" {
 		return nil, statestore.Loaded{}, nil
@@ -134,7 +134,7 @@
 			wait = time.Hour
 			continue
 		}
-		if p.isWriter && !p.store.Holds() { // the directory was deleted or replaced by a copy
+		if p.isWriter && !p.store.Holds() { // the directory was deleted or replaced by another
 			p.release(false)
 			p.log(slog.LevelWarn, "state directory was replaced", errors.New("acquiring the new one"))
 		}
@@ -150,11 +150,11 @@
 		}
 		p.save()
 		wait = max(persistInterval, writePauseFactor*time.Since(started))
-		wait = time.Duration(float64(wait) * (0.9 + 0.2*rand.Float64())) // so that the sidecars of a machine do not write in step
+		wait = time.Duration(float64(wait) * (0.9 + 0.2*rand.Float64())) // so that the sidecars of a machine do not write at the same time
 	}
 }
 
-// acquire tries to become the writer, and returns how long to wait before the next try.
+// acquire attempts to become the writer, and returns how long to wait before the next attempt.
 func (p *statePersister) acquire() time.Duration {
 	if !p.store.Holds() {
 		if err := p.store.TryLock(); errors.Is(err, durable.ErrLocked) {
@@ -286,8 +286,8 @@
 	return p.runWithin(banTimeout, func() error { return p.writeBan(id, cleared, banTimeout*3/4) })
 }
 
-// acceptRelayedBan stores a ban relayed by the other process of an upgrade, and reports whether it is on disk. It is not if the
-// other process is the writer or this one stores nothing; the other process then writes it.
+// acceptRelayedBan stores a ban relayed by the other process of an upgrade, and reports whether it is on disk. It returns
+// false if the other process is the writer or this one stores nothing; the other process then writes the ban.
 func (p *statePersister) acceptRelayedBan(id string, cleared, otherWrites bool) (persisted bool, err error) {
 	if p == nil || otherWrites {
 		return false, nil
@@ -309,8 +309,8 @@
 	return p.isWriter
 }
 
-// runWithin runs f, and waits for it at most until the timeout. A call that a hanging disk blocks keeps its slot until the
-// disk answers.
+// runWithin runs f, and waits for it until the timeout. A call that is blocked by a hanging disk occupies its slot until
+// the disk answers.
 func (p *statePersister) runWithin(timeout time.Duration, f func() error) error {
 	select {
 	case p.slots <- struct{}{}:
@@ -334,7 +334,7 @@
 
 var errNotWriting = errors.New("nothing can be written now, call again")
 
-// writeBan stores a ban, or removes it. It waits at most until the timeout for this process to become the writer.
+// writeBan stores a ban, or removes it. It waits until the timeout for this process to become the writer.
 func (p *statePersister) writeBan(id string, cleared bool, timeout time.Duration) error {
 	p.mu.Lock()
 	if cleared && !p.isWriter {
--- a/internal/sidecar/pressure.go
+++ b/internal/sidecar/pressure.go
@@ -15,7 +15,7 @@
 
 const (
 	pressureInterval = 100 * time.Millisecond // time between samples
-	pressureQueries  = 2                      // peers asked per pressureInterval while this sidecar is under pressure
+	pressureQueries  = 2                      // peers queried per pressureInterval while this sidecar is under pressure
 	loadTTL          = 10 * time.Second       // lifetime of pressure messages
 	halfDelay        = 2 * time.Millisecond   // delay of the dispatcher's loop that counts as a CPU pressure of 0.5
 )
@@ -105,7 +105,7 @@
 	return present
 }
 
-// updatePressure adds a sample to the gauge, and asks peers for their pressure while this sidecar is under pressure.
+// updatePressure adds a sample to the gauge, and queries the pressure of peers while this sidecar is under pressure.
 func (s *sharing) updatePressure(sample message.Pressure) {
 	s.forwarder.mu.Lock()
 	pressure := s.forwarder.gauge.Add(s.clock.now(), sample)
@@ -135,8 +135,8 @@
 		Site:     math.Float64frombits(p.dispatcher.heartbeat.site.Load())}
 }
 
-// queryPressure asks up to pressureQueries peers for their pressure. Pressure is not broadcast: among 300 sidecars that would
-// cost more than it saves.
+// queryPressure requests the pressure of up to pressureQueries peers. Pressure is not broadcast: among 300 sidecars that
+// would cost more than it saves.
 func (s *sharing) queryPressure() {
 	s.forwarder.mu.Lock()
 	names := s.forwarder.decider.PeersToQuery(pressureQueries)
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -10,8 +10,8 @@
 	"mosslead/balancer"
 )
 
-// newProcess assembles the parts of a process that serves clients, and starts none of them. admin says whether the process
-// has an operators' port. tmp is the directory for the sockets of hand-overs, "" if there are no hand-overs.
+// newProcess assembles the parts of a process that serves clients, and starts none of them. admin is set if the process has
+// an operators' port. tmp is the directory for the sockets of hand-overs, "" if there are no hand-overs.
 func newProcess(c *Config, listener net.Listener, admin bool, tmp string, stop <-chan struct{}) (*process, error) {
 	reserved := reservedSockets(c, admin, tmp != "")
 	if required := reserved + 2*minConns; c.Limits.Sockets < required {
@@ -118,7 +118,8 @@
 	return s
 }
 
-// limitToRemainder limits memory and connections to what another process beside this one leaves. others is nil if there is none.
+// limitToRemainder limits memory and connections to what another process beside this one does not use. others is nil if
+// there is no other process.
 func (p *process) limitToRemainder(others *connectionUse) {
 	p.limitMemory(others != nil)
 	if others == nil {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -32,7 +32,7 @@
 }
 
 // applySettings puts the settings of the configuration in use into force, and returns the classes by name. post sends a
-// command to the dispatcher. No connection is closed, and no statistics are lost.
+// command to the dispatcher. No connection is closed, and no statistics are reset.
 func (p *process) applySettings(post func(any)) map[string]balancer.Class {
 	command := settingsCommand{p.config.Settings.Settings, make(chan struct{})}
 	post(command)
--- a/internal/sidecar/requesthandler.go
+++ b/internal/sidecar/requesthandler.go
@@ -48,7 +48,7 @@
 // begin counts the request, once its body has been received.
 func (h *requestHandler) begin() { h.beginOnce.Do(h.server.stats.begin) }
 
-// followBody reports to the dispatcher when the body is complete, or to the handler when reading it fails.
+// followBody has the body report to the dispatcher once it is complete, or to the handler if reading it fails.
 func (h *requestHandler) followBody() {
 	req := h.req
 	if !req.bodyPending {
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -10,16 +10,16 @@
 
 const (
 	maxBufferTime       = 100 * time.Millisecond // for which an answer of unknown length is buffered before it is streamed
-	transferBufferBytes = 32 << 10               // read at a time of a streamed answer
+	transferBufferBytes = 32 << 10               // bytes of a streamed answer that are read at a time
 	minResponseRate     = 4 << 10                // bytes per second: a slower answer is aborted after its stall time-out
 )
 
 var transferBuffers = sync.Pool{New: func() any { return new([transferBufferBytes]byte) }}
 
-// responseRest is the rest of an answer whose start has been read. Its owner must drop it.
+// responseRest is the rest of an answer whose start has been read. Its owner must call drop.
 type responseRest struct {
 	body         io.ReadCloser
-	length       int64         // of the whole answer, -1 if not stated
+	length       int64         // of the complete answer, -1 if not stated
 	stallTimeout time.Duration // for which the upstream may send nothing
 	cancelRead   func()        // interrupts a read
 	finish       func(reusable bool)
@@ -28,7 +28,7 @@
 	complete     bool
 
 	bytesRead int64
-	readTime  time.Duration // time spent in reads, without the waits for the client
+	readTime  time.Duration // total duration of the reads, without the waits for the client
 }
 
 var errResponseTooLarge = errors.New("the answer is too large")
@@ -72,7 +72,7 @@
 }
 
 // readAnswer reads a small answer completely, and the start of a large one. An answer without a length ends with the
-// connection, if that is closed and not reset. retained is the part of the budget that the reply holds until release.
+// connection, if that is closed and not reset. retained is the part of the budget that the reply occupies until release.
 func (u *upstreamPool) readAnswer(resp *http.Response) (body []byte, retained int64, complete bool, err error) {
 	bound := int64(maxRetainedBytes)
 	if resp.ContentLength >= 0 {
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -13,7 +13,8 @@
 const suspectListDelay = 2 * time.Second
 
 // restore returns the list and the snapshot with which this process starts, from the predecessor or, if there is none, from
-// disk, and applies the bans. It fails if another process of the sidecar has locked the state directory.
+// disk, and applies the bans. Without a predecessor, it fails if another process of the sidecar has locked the state
+// directory.
 func (p *process) restore() (known balancer.EndpointUpdate, snapshot *balancer.Snapshot, err error) {
 	initial, source, banned := p.config.Known, p.config.Discovery, []string(nil)
 	var settings *statestore.Settings
@@ -72,7 +73,7 @@
 // restoreSnapshot reads the balancer's snapshot, adjusts it for its age and sends it to the dispatcher. It runs concurrently
 // with the start, since it takes milliseconds; until then upstreams in slow start get no requests beyond their budgets.
 func (p *process) restoreSnapshot() {
-	loaded := p.loaded // a copy, so that only the notes on this read are logged below
+	loaded := p.loaded // p.loaded stays as it is, so that only the notes on this read are logged below
 	loaded.Notes, loaded.Corruptions = nil, nil
 	if err := p.persister.store.LoadSnapshot(&loaded, time.Now()); err != nil {
 		p.persister.recordError(err)
@@ -98,7 +99,7 @@
 	}
 }
 
-// ageOf returns the time since a Unix time in milliseconds, at least 0.
+// ageOf returns the time since a Unix time in milliseconds, or 0 if that is in the future.
 func ageOf(unixMs int64) time.Duration { return max(0, time.Since(time.UnixMilli(unixMs))) }
 
 // usesCachedList reports whether the list in use is the persisted one, and returns its age.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -47,7 +47,7 @@
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// endToEnd returns a copy of the headers without the hop-by-hop ones.
+// endToEnd returns a clone of the headers without the hop-by-hop ones.
 func endToEnd(h http.Header) http.Header {
 	forwarded := h.Clone()
 	for _, list := range h["Connection"] {
@@ -65,7 +65,7 @@
 type server struct {
 	clock        clock
 	classes      atomic.Pointer[map[string]balancer.Class]
-	post         func(any) bool  // queues an event for the dispatcher; returns false once that has stopped
+	post         func(any) bool  // queues an event for the dispatcher; returns false once the dispatcher has stopped
 	stop         <-chan struct{} // closed when the dispatcher stops
 	ready        func() bool
 	hasEndpoints func() bool // reports whether an upstream is ready
@@ -81,7 +81,7 @@
 // incomplete.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(*framedConn)
-	if r.ContentLength != 0 { // net/http reads what the handler leaves of a body
+	if r.ContentLength != 0 { // net/http reads the part of a body that the handler does not read
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStartTimeout)) // fails on a closed connection only
 	}
 	rej := checkFraming(r, conn == nil || conn.framing.nextAmbiguous())
@@ -112,8 +112,8 @@
 	s.writeLine(w, rej.status, rej.text)
 }
 
-// answerEarly answers a request whose body is still arriving, and discards the rest: a client may read its answer only after
-// it has sent the whole body.
+// answerEarly answers a request whose body is still arriving, and discards the rest: a client may read its answer only
+// after it has sent the complete body.
 func (s *server) answerEarly(w http.ResponseWriter, req *clientRequest, a answer) {
 	conn := http.NewResponseController(w)
 	_ = conn.EnableFullDuplex() // otherwise net/http reads the body first; it can't fail for HTTP/1.1
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -32,7 +32,7 @@
 	latest        api.Document     // the newest received; Revision is 0 if there is none
 	processed     bool             // latest was applied or rejected
 	inForce       api.Document     // if Revision is 0, or after a deletion, the file's settings are in force
-	lastGood      api.Document     // inForce, or the predecessor's, which stays on disk until another is in force
+	lastGood      api.Document     // inForce, or that of the previous process, which stays on disk until another is in force
 	rejected      error            // why latest is not in force
 	changes       int64            // number of changes of the persisted state
 	ignored       api.Document     // the last document that was ignored
@@ -96,7 +96,7 @@
 		return "settings document ignored, too many regions", seen
 	}
 	if len(d.Settings) > api.MaxSettings {
-		d.Settings = nil // not kept in memory; withDocument rejects it
+		d.Settings = nil // not retained in memory; withDocument rejects it
 	}
 	s.seenRevisions[d.Region] = d.Revision
 	s.latest, s.processed = d, false
@@ -112,8 +112,8 @@
 	return append([]slog.Attr{slog.String("service", d.Service), slog.String("region", d.Region), slog.Int64("version", d.Revision)}, more...)
 }
 
-// nextDocument returns the document to apply; ok is false if there is none. A rejected document is not tried again in this
-// process, since a reloaded configuration file can't require less of it than the file before.
+// nextDocument returns the document to apply; ok is false if there is none. A rejected document is not returned again in
+// this process, since a reloaded configuration file can't require less of it than the file before.
 func (s *settingsFollower) nextDocument() (d api.Document, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,7 +224,7 @@
 	}
 	if s.processed && s.rejected != nil {
 		reason := s.rejected.Error()
-		if s.latest.Region != s.inForce.Region && a.Revision > 0 { // an Ack has one region, so it can't hold the versions of two
+		if s.latest.Region != s.inForce.Region && a.Revision > 0 { // an Ack has one region, so it can't state the versions of two
 			reason = fmt.Sprintf("version %d of region %q is in force: %s", a.Revision, a.Region, reason)
 			a.Revision = 0
 		}
@@ -269,7 +269,7 @@
 		return
 	}
 	if persisted.Service != p.follower.service {
-		logWarning(componentSettings, "persisted settings not used", fmt.Errorf("they are of service %s", quoteShort(persisted.Service)))
+		logWarning(componentSettings, "persisted settings not used", fmt.Errorf("they belong to service %s", quoteShort(persisted.Service)))
 		return
 	}
 	p.follower.restore(persisted)
--- a/internal/sidecar/sharing.go
+++ b/internal/sidecar/sharing.go
@@ -28,7 +28,7 @@
 	Advertise string   `json:"advertise"`         // address that the others use; Address if it is absent
 	Seeds     []string `json:"seeds"`             // addresses of gossip members to join
 	Zone      string   `json:"zone"`              // the sidecar's site; the zone of the settings if it is absent
-	Service   string   `json:"service"`           // addresses of the list service, for leaderships; if it is absent, no leaderships are held
+	Service   string   `json:"service"`           // addresses of the list service, for leaderships; if it is absent, there are none
 	Forward   string   `json:"forward"`           // host:port for forwarded requests; if it is absent, nothing is forwarded
 	ForwardAs string   `json:"forward_advertise"` // address that the others use; Forward if it is absent
 }
@@ -41,7 +41,7 @@
 	dir          *endpointDirectory
 	clock        clock
 	forwarder    *forwarder                                    // nil if nothing is forwarded
-	stall        stallDetector                                 // stall of the dispatcher's loop
+	stall        stallDetector                                 // detects a stall of the dispatcher's loop
 	reports      *conflate.Queue[string, evidenceReport]       // from the dispatcher
 	verdicts     *conflate.Queue[string, balancer.PeerVerdict] // to the dispatcher
 	leaderships  *leaderships                                  // nil if no list service is configured
@@ -119,7 +119,7 @@
 	}
 }
 
-// close ends the parts and leaves the gossip members.
+// close ends the parts and the membership in gossip.
 func (s *sharing) close() {
 	if s == nil {
 		return
@@ -129,7 +129,7 @@
 	s.parts.Wait()
 	s.leaderships.close()
 	if err := s.gossip.Leave(); err != nil {
-		logWarning(componentPeers, "leaving the members failed", err)
+		logWarning(componentPeers, "leaving the gossip members failed", err)
 	}
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -2,7 +2,7 @@
 // other. It makes no decisions; what it adds is I/O within the configured limits.
 //
 // The path of a request: clientlistener.go accepts its connection, clientconn.go and framing.go follow what is read from
-// it, requestparser.go parses the request, requesthandler.go hands it to dispatcher.go, whose goroutine owns the Balancer,
+// it, requestparser.go parses the request, requesthandler.go passes it to dispatcher.go, whose goroutine owns the Balancer,
 // upstreampool.go, upstreamconn.go and exchange.go make its attempts, and answerwriter.go writes the answer. The path of
 // the endpoint list: watcher.go receives it, endpointdirectory.go stores it, and the dispatcher passes it to the Balancer.
 //
@@ -32,8 +32,8 @@
 const (
 	fixedSockets = 32   // file descriptors other than those of clients and upstreams
 	heapFraction = 0.75 // of the memory limit, for the heap
-	// requestTimeout is how long after connecting a client may take for a complete request. A client must get an answer or a
-	// close within 3 s, and a connection without a request may be closed after 2 s.
+	// requestTimeout is the time after connecting within which a client must send a complete request. A client must get an
+	// answer or a close within 3 s, and a connection without a request may be closed after 2 s.
 	requestTimeout    = 2500 * time.Millisecond
 	clientIdleTimeout = 2 * time.Minute
 	closableAfter     = 2 * time.Second      // time without a request after which a connection may be closed
@@ -42,7 +42,8 @@
 	// to discovery: a call that hangs is followed by another after 1.25 s. Nine in ten processes must be ready within
 	// 10 s, even if discovery is down for longer.
 	readyWithoutListAfter = 3 * time.Second
-	// minConns is the fewest connections to clients, and to upstreams: one for a request, and one for the next client.
+	// minConns is the minimum number of connections to clients, and likewise to upstreams: one for a request, and one for the
+	// next client.
 	minConns = 2
 )
 
@@ -52,9 +53,9 @@
 	Err    error
 }
 
-// Run serves clients until ctx ends, then finishes the accepted requests and returns. Of a configuration from reloads it
-// applies the settings and the address of discovery; other changes take effect at the next start. Run changes process-wide
-// limits, so it must be called only once per process.
+// Run serves clients until ctx ends, then finishes the accepted requests and returns. From a configuration in reloads it
+// applies the settings and the address of discovery; other changes apply from the next start on. Run changes
+// process-wide limits, so it must be called only once per process.
 func Run(ctx context.Context, c *Config, reloads <-chan Reload) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	if c.State != "" {
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -15,7 +15,7 @@
 	current statsSnapshot
 }
 
-// statsSnapshot is a consistent copy of stats.
+// statsSnapshot holds the counts of stats at one time.
 type statsSnapshot struct {
 	classes                         map[string]outcomes // by name: the configured classes, and others with requests
 	accepted, disconnected          int64               // requests; disconnected: the client closed its connection before the answer
--- a/internal/sidecar/upstreamconn.go
+++ b/internal/sidecar/upstreamconn.go
@@ -54,7 +54,7 @@
 }
 
 // unusable reports whether an idle connection can't be used again: the upstream has closed it, or has sent more than the
-// answers to its requests, which the library would take for the next answer.
+// answers to its requests, which the library would read as the next answer.
 func (c *upstreamConn) unusable() bool {
 	bytes, end := pending(c.Conn)
 	return bytes || end || !c.idleReading.Load()
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -18,7 +18,7 @@
 
 const (
 	maxHeader           = 16 << 10
-	replacedIdleTimeout = 500 * time.Millisecond // keeps idle connections for the last requests of a process that is being replaced
+	replacedIdleTimeout = 500 * time.Millisecond // for which a process that is being replaced retains idle connections, for its last requests
 	idleFraction        = 0.6                    // of the upstreams' idle time-out, after which an idle connection is closed
 	minIdleBeforeReuse  = 10 * time.Millisecond  // an upstream may send a surplus second answer milliseconds after the first
 )
@@ -37,7 +37,7 @@
 	open         int             // number of open connections
 	opened       int             // number of connections opened since the last log line of counts
 	idle         []*upstreamConn // longest idle first
-	awaitingLate []*upstreamConn // an answer is outstanding that no request waits for; oldest first
+	awaitingLate []*upstreamConn // with an outstanding answer for which no request waits; oldest first
 }
 
 func newUpstreamPool(c *Config, clk clock, maxConns int) *upstreamPool {
@@ -83,7 +83,7 @@
 	header        http.Header
 	body          []byte
 	rest          *responseRest // nil if body is complete
-	reservedBytes int64         // taken from budget for body
+	reservedBytes int64         // reserved in budget for body
 	budget        *byteBudget
 	use           connUse
 	err           error // cause of the failure, for the log
@@ -91,10 +91,10 @@
 	abandon func() // closes the connection, which still waits for the answer; nil if it does not wait
 }
 
-// attempt sends a request to an upstream once, and blocks until the attempt or ctx ends. If before is above 0, the attempt
-// does not begin at or after that clock time.
-func (u *upstreamPool) attempt(ctx context.Context, name string, r *clientRequest, before time.Duration) attemptReply {
-	c, failure := u.connFor(ctx, name, r, before)
+// attempt sends a request to an upstream once, and blocks until the attempt or ctx ends. If startBefore is above 0, the
+// attempt does not begin at or after that clock time.
+func (u *upstreamPool) attempt(ctx context.Context, name string, r *clientRequest, startBefore time.Duration) attemptReply {
+	c, failure := u.connFor(ctx, name, r, startBefore)
 	if c == nil {
 		return failure
 	}
@@ -103,7 +103,7 @@
 	if c.uses > 1 {
 		use.idle = time.Since(c.releasedAt)
 	}
-	x := u.startExchange(ctx, c, r, before, use)
+	x := u.startExchange(ctx, c, r, startBefore, use)
 	select {
 	case reply := <-x.reply:
 		return reply
@@ -131,7 +131,7 @@
 
 // connFor returns an idle or new connection on which the attempt may begin. If there is none, c is nil and failure is the
 // outcome of the attempt.
-func (u *upstreamPool) connFor(ctx context.Context, name string, r *clientRequest, before time.Duration) (c *upstreamConn, failure attemptReply) {
+func (u *upstreamPool) connFor(ctx context.Context, name string, r *clientRequest, startBefore time.Duration) (c *upstreamConn, failure attemptReply) {
 	address, ok := u.directory.address(name)
 	if !ok {
 		return nil, attemptReply{result: balancer.NotSent}
@@ -148,7 +148,7 @@
 	case err != nil:
 		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
 	}
-	if err := u.checkBegin(ctx, c, r, before); err != nil { // it was too late once c was open; another request can use c
+	if err := u.checkBegin(ctx, c, r, startBefore); err != nil { // it was too late once c was open; another request can use c
 		u.release(c)
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	}
@@ -156,11 +156,11 @@
 }
 
 // checkBegin returns the reason why an attempt may not begin, or nil if it may.
-func (u *upstreamPool) checkBegin(ctx context.Context, c *upstreamConn, r *clientRequest, before time.Duration) error {
+func (u *upstreamPool) checkBegin(ctx context.Context, c *upstreamConn, r *clientRequest, startBefore time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
-	case before > 0 && u.directory.clock.now() >= before:
+	case startBefore > 0 && u.directory.clock.now() >= startBefore:
 		return errRetryWindowOver
 	case r.clientDisconnected():
 		return errClientDisconnected
@@ -179,8 +179,8 @@
 }
 
 // awaitLateAnswer keeps a connection open for an answer that its request no longer waits for, so that it can be used again:
-// the first request on a new connection has to wait for the handshake. It returns false if the connection can't be kept, for
-// instance because the request was not sent completely.
+// the first request on a new connection has to wait for the handshake. It returns false if the connection can't stay open,
+// for instance because the request was not sent completely.
 func (u *upstreamPool) awaitLateAnswer(exchangeCtx context.Context, c *upstreamConn, cancelExchange context.CancelFunc) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -302,7 +302,7 @@
 	u.maxConns = max(maxConns, 1)
 }
 
-// setRetention sets whether idle connections are kept, and the maximum number of connections. If they are not kept, the
+// setRetention sets whether idle connections are retained, and the maximum number of connections. If they are not, the
 // present number becomes the maximum, and each connection is closed after its next request or after replacedIdleTimeout.
 func (u *upstreamPool) setRetention(retain bool, maxConns int) {
 	u.mu.Lock()
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -17,16 +17,16 @@
 	maxList          = 4 << 20                // bytes of one message
 	baseRewatchDelay = 250 * time.Millisecond // first pause between watches, if lists are pushed
 	maxRewatchDelay  = 2 * time.Second        // to which the pause grows
-	// subscribeStep and subscribeCalls apply to discovery on demand, which answers calls in turn: each call has more time for
-	// its answer, and after subscribeCalls failed calls the balancer decides when to subscribe again. The longest delay is
-	// still watch.NotifyDeadline:
+	// subscribeStep and subscribeCalls apply to discovery on demand, which answers calls in turn, so that each call is given more
+	// time for its answer. After subscribeCalls failed calls the balancer decides when to subscribe again. The longest delay
+	// is still watch.NotifyDeadline:
 	//
 	//	the last call before discovery returns is unanswered    2.5 s (also a connection that is never established)
 	//	the back-off of the balancer                            3.0 s (balancer's maxPollBackoff, with jitter)
 	//	remaining for connecting and one list                   0.5 s
 	//
-	// A call that is refused, reset or answered by an error or a malformed list ends at once, so that only the back-off
-	// counts. A change of address does not wait for the back-off: see awaitSubscribe.
+	// A call whose connection is refused or reset, or whose answer is an error or a malformed list, ends at once, so that only
+	// the back-off counts. A change of address does not wait for the back-off: see awaitSubscribe.
 	subscribeStep  = watch.Silence
 	subscribeCalls = 2
 )
@@ -45,7 +45,7 @@
 	mu                 sync.Mutex
 	address            string
 	endWatch           context.CancelCauseFunc // ends the watch at the present address; nil if none is open
-	continuesElsewhere bool                    // the open watch moves to another address by itself, unless that has several replicas
+	continuesElsewhere bool                    // the open watch moves to another address by itself, unless that address has several replicas
 }
 
 // errMoved is the cause that ends a watch because the address has changed. It is not a failure: the list stays in use,
@@ -116,7 +116,7 @@
 }
 
 // run watches until ctx ends. With onDemand, each watch starts when the balancer subscribes; the balancer also decides when
-// to try again after a failure.
+// to watch again after a failure.
 func (w *watcher) run(ctx context.Context, onDemand bool) {
 	moved := false // the last watch ended for another address; the next one starts without a call of subscribe
 	for ctx.Err() == nil {
