--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -15,7 +15,7 @@
 	current statsSnapshot
 }
 
-// statsSnapshot is a consistent copy of stats.
+// statsSnapshot holds the counts of stats at one time.
 type statsSnapshot struct {
 	classes                         map[string]outcomes // by name: the configured classes, and others with requests
 	accepted, disconnected          int64               // requests; disconnected: the client closed its connection before the answer
@@ -61,7 +61,7 @@
 			c.served++
 		case rejected:
 			c.rejected++
-		case clientGone:
+		case disconnected:
 			current.disconnected++
 		default:
 			c.failed++
