--- a/internal/sidecar/orders_rules_test.go
+++ b/internal/sidecar/orders_rules_test.go
@@ -21,13 +21,13 @@
 const (
 	answerGrace        = 500*milli + slack      // for an answer, after the client's timeout
 	disconnectGrace    = 100 * milli            // for the first byte of an attempt, after the client has left
-	hangupNewsGrace    = 4 * time.Second        // for the sidecar to learn a change of the list, after SIGHUP
-	newsGrace          = 6 * time.Second        // the same, without SIGHUP
+	hangupUpdateGrace  = 4 * time.Second        // for the sidecar to learn a change of the list, after SIGHUP
+	updateGrace        = 6 * time.Second        // the same, without SIGHUP
 	slack              = 50 * milli             // added to every limit
 	drainGrace         = 3 * time.Second        // for a change that was sent on a watch with invalid data before it, or while a watch was silent
 	malformedPeerLimit = 3*time.Second + slack  // for an error answer or a close, to a peer that sends no valid request
 	minIdle            = 10 * milli             // least time for which a connection is idle before it carries another request
-	owedAfterTerm      = 700 * time.Millisecond // after SIGTERM; a request sent by then must be answered before SIGKILL
+	drainAnswerWindow  = 700 * time.Millisecond // after SIGTERM; a request sent by then must be answered before SIGKILL
 )
 
 // recordPos is a position in the record of events.
@@ -328,7 +328,7 @@
 		// the client has to send it again on another connection
 	case answer == nil && closedAt.at <= m.last.at+m.conn.delay+2*milli && len(c.attempts[r.id]) == 0:
 		// the sidecar ended the connection before it could have read the request
-	case answer == nil && !c.terminatedAt.IsZero() && m.last.at > c.terminatedAt.Sub(c.begun)+owedAfterTerm && closedAt.at >= c.killTime():
+	case answer == nil && !c.terminatedAt.IsZero() && m.last.at > c.terminatedAt.Sub(c.begun)+drainAnswerWindow && closedAt.at >= c.killTime():
 	case answer == nil && closedAt.at < never:
 		c.violated("%s, sent at %v, got no answer: the sidecar ended its connection at %v", r.id, m.last.at, closedAt.at)
 	case answer == nil:
@@ -467,20 +467,20 @@
 	from := change.at
 	d := c.discoveries[0]
 	if !c.hangupAt.IsZero() {
-		if moved := c.hangupAt.Sub(c.begun); moved < from+newsGrace || change.at > moved {
+		if moved := c.hangupAt.Sub(c.begun); moved < from+updateGrace || change.at > moved {
 			d = c.discoveries[1]
 			if change.at <= moved {
 				from = moved
 			}
 		}
 	}
-	grace := newsGrace
+	grace := updateGrace
 	if d == c.discoveries[len(c.discoveries)-1] && !c.hangupAt.IsZero() && from == c.hangupAt.Sub(c.begun) {
-		grace = hangupNewsGrace
+		grace = hangupUpdateGrace
 	}
 	for _, o := range d.outages {
 		if o.to > from && o.from < from+grace {
-			from, grace = o.to, newsGrace
+			from, grace = o.to, updateGrace
 			if from == never {
 				return earliest
 			}
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	orderSeed        = flag.Int64("orders.seed", -1, "seed of one order to replay, several times, since simultaneous events have no fixed sequence")
-	orderFirstSeed   = flag.Int64("orders.from", 1, "first seed to play")
-	orderCount       = flag.Int64("orders.count", 10_000, "number of orders to play")
-	orderKeptActions = flag.String("orders.keep", "", "numbers of the actions to keep in a replayed order, as in 0,3,4")
+	orderSeed         = flag.Int64("orders.seed", -1, "seed of one order to replay, several times, since simultaneous events have no fixed sequence")
+	orderFirstSeed    = flag.Int64("orders.from", 1, "first seed to play")
+	orderCount        = flag.Int64("orders.count", 10_000, "number of orders to play")
+	orderActionFilter = flag.String("orders.keep", "", "numbers of the actions to keep in a replayed order, as in 0,3,4")
 )
 
 const (
@@ -34,7 +34,7 @@
 const (
 	sendsIdempotent actionKind = iota
 	sendsNotIdempotent
-	sendsKeyed
+	sendsIdempotentByKey
 	sendsLarge
 	sendsPartial
 	sendsMalformed
@@ -92,7 +92,7 @@
 	description string
 	weight      int
 }{
-	sendsIdempotent: {"client sends an idempotent request", 16}, sendsNotIdempotent: {"client sends a non-idempotent request", 16}, sendsKeyed: {"client sends a request that is idempotent by key", 10},
+	sendsIdempotent: {"client sends an idempotent request", 16}, sendsNotIdempotent: {"client sends a non-idempotent request", 16}, sendsIdempotentByKey: {"client sends a request that is idempotent by key", 10},
 	sendsLarge: {"client sends a request with a large body", 2}, sendsPartial: {"client sends part of a request and never the rest", 2},
 	sendsMalformed: {"client sends a malformed request", 3}, connectsOnly: {"client connects and stays idle", 2}, clientCloses: {"client closes its connection", 8},
 	clientHalfCloses: {"client half-closes its connection", 4}, clientResets: {"client resets its connection", 4}, pipelinesPartial: {"client pipelines part of a request", 3},
@@ -194,7 +194,7 @@
 			}
 		}
 		if len(o.actions) == 0 {
-			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsKeyed, a.kind)
+			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsIdempotentByKey, a.kind)
 		}
 		switch r.IntN(20) {
 		case 0, 1, 2, 3, 4, 5, 6:
@@ -208,7 +208,7 @@
 			at += pick(r, 1000*milli, 1500*milli, 2500*milli, 3000*milli, 6000*milli)
 		}
 		if i == actions-1 && degraded && r.IntN(2) == 0 { // a request by whose time the sidecar must know the change
-			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsKeyed)
+			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsIdempotentByKey)
 			at += pick(r, 3*time.Second, 4100*milli, 6100*milli, 6100*milli)
 		}
 		degraded = degraded || a.kind == upstreamDrains || a.kind == upstreamRemoved
@@ -245,7 +245,7 @@
 		client.send("search", a.timeout, 0, a.newConn)
 	case sendsNotIdempotent:
 		client.send("confirm", a.timeout, a.delay, a.newConn)
-	case sendsKeyed:
+	case sendsIdempotentByKey:
 		client.send("record", a.timeout, a.delay, a.newConn)
 	case sendsLarge:
 		client.send("large", a.timeout, a.delay, a.newConn)
@@ -370,9 +370,9 @@
 	discardLogs(t)
 	if *orderSeed >= 0 {
 		o := drawOrder(*orderSeed)
-		if *orderKeptActions != "" {
+		if *orderActionFilter != "" {
 			keptActions := []orderAction(nil)
-			for number := range strings.SplitSeq(*orderKeptActions, ",") {
+			for number := range strings.SplitSeq(*orderActionFilter, ",") {
 				i := 0
 				if _, err := fmt.Sscan(number, &i); err != nil || i < 0 || i >= len(o.actions) {
 					t.Fatalf("-orders.keep: got %q, want action numbers from 0 to %d", number, len(o.actions)-1)
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -28,8 +28,8 @@
 	return resp.StatusCode, body
 }
 
-// lockHolder returns a store that holds the lock of a directory, as another process of the sidecar would.
-func lockHolder(t *testing.T, dir string) *statestore.Store {
+// openLockedStore returns a store that holds the lock of a directory, as another process of the sidecar would.
+func openLockedStore(t *testing.T, dir string) *statestore.Store {
 	t.Helper()
 	s := statestore.New(dir, "n1")
 	if err := s.Lock(); err != nil {
@@ -38,8 +38,8 @@
 	return s
 }
 
-// copyState copies a state directory as it is on disk, which is what a killed process leaves.
-func copyState(t *testing.T, dir string) string {
+// cloneState copies a state directory as it is on disk, which is what a killed process leaves.
+func cloneState(t *testing.T, dir string) string {
 	t.Helper()
 	for {
 		to := filepath.Join(t.TempDir(), "state")
@@ -63,7 +63,7 @@
 	if got := first.adminCall(t, "DISABLE s\n"); got != "YES\n" {
 		t.Fatalf("DISABLE: got %q, want YES", got)
 	}
-	crashed := copyState(t, dir)
+	crashed := cloneState(t, dir)
 	second := start(t, withState(t, crashed, entries...), "127.0.0.1:0")
 	for range 20 {
 		if _, body := second.get(t); body != "other" {
@@ -83,7 +83,7 @@
 func TestStartsWithThePersistedListWhileDiscoveryIsSilent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, respondWith(ok200("s")))
-	s := lockHolder(t, dir)
+	s := openLockedStore(t, dir)
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	if err := errors.Join(s.WriteList("127.0.0.1:1", []byte(text), time.Now().Add(-time.Minute)), s.Release(true)); err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 // first.
 func TestSecondProcessOnOneDirectoryFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s := lockHolder(t, dir)
+	s := openLockedStore(t, dir)
 	if _, _, err := openState(withState(t, dir), true); !errors.Is(err, durable.ErrLocked) || !strings.Contains(err.Error(), dir) {
 		t.Errorf("without an upgrade: got error %v, want %v with the directory", err, durable.ErrLocked)
 	}
@@ -189,7 +189,7 @@
 	up := newUpstream(t, respondWith(ok200("s")))
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	for range 3 {
-		s := lockHolder(t, dir)
+		s := openLockedStore(t, dir)
 		loaded, err := s.Load(time.Now())
 		if err != nil {
 			t.Fatal(err)
