--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -44,18 +44,18 @@
 // halfCloseConn is a connection that calls before just before its sending side is closed.
 type halfCloseConn struct {
 	*net.TCPConn
-	before func(*net.TCPConn)
+	onCloseWrite func(*net.TCPConn)
 }
 
 func (c *halfCloseConn) CloseWrite() error {
-	c.before(c.TCPConn)
+	c.onCloseWrite(c.TCPConn)
 	return c.TCPConn.CloseWrite()
 }
 
 // halfCloseListener accepts halfCloseConns.
 type halfCloseListener struct {
 	net.Listener
-	before func(*net.TCPConn)
+	onCloseWrite func(*net.TCPConn)
 }
 
 func (l *halfCloseListener) SetDeadline(at time.Time) error {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &halfCloseConn{c.(*net.TCPConn), l.before}, nil
+	return &halfCloseConn{c.(*net.TCPConn), l.onCloseWrite}, nil
 }
 
 // awaitUnreadBytes waits until at least atLeast unread bytes are in a socket.
