--- a/internal/sidecar/acks_test.go
+++ b/internal/sidecar/acks_test.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// Guards against acknowledgements that overload the list service, and against repeated log lines: there is one every 20 s and
-// one after a change, whatever fails.
+// Guards against acknowledgements that overload the list service, and against repeated log lines: the sidecar sends one
+// acknowledgement every 20 s and one after a change, whatever fails.
 func TestAcksArePaced(t *testing.T) {
 	log := &lineCounter{lines: map[string]int{}}
 	previous := slog.Default()
@@ -74,7 +74,7 @@
 		}
 		for i := 1; i < len(unchanged); i++ {
 			if gap := unchanged[i] - unchanged[i-1]; gap > 22*time.Second {
-				t.Errorf("got %v between two acknowledgements, want at most 22 s", gap)
+				t.Errorf("got %v between two acknowledgements, want 22 s or less", gap)
 			}
 		}
 		at := time.Since(started)
@@ -90,7 +90,7 @@
 		down.Store(true)
 		time.Sleep(10 * time.Minute)
 		if n := len(ackTimes()) - len(changed); n < 10 || n > 34 {
-			t.Errorf("got %d tries in 10 minutes of an outage, want 10 to 34", n)
+			t.Errorf("got %d acknowledgements in 10 minutes of an outage, want 10 to 34", n)
 		}
 		down.Store(false)
 		time.Sleep(time.Minute)
@@ -101,7 +101,7 @@
 		t.Errorf("got %d lines about the outage, want 1: %v", n, log.lines)
 	}
 	if n := log.lines["settings acknowledged again"]; n != 1 {
-		t.Errorf("got %d lines about its end, want 1: %v", n, log.lines)
+		t.Errorf("got %d lines about the end of the outage, want 1: %v", n, log.lines)
 	}
 }
 
@@ -163,7 +163,7 @@
 	if want := `{"List":{"index":1,"snapshot":true,"endpoints":[]},"Banned":["a"]}`; err != nil || string(text) != want {
 		t.Errorf("got hand-over state %s, %v, want %s", text, err, want)
 	}
-	// With a service, the checks above find what they look for.
+	// With a service, the goroutines, figures and parameters that the checks above exclude are present.
 	before := len(svc.requests())
 	r := start(t, ordersConfig(t, svc.address, entry("s", u.address, "Ready")), "127.0.0.1:0")
 	eventually(t, "goroutines of a service", func() bool { return strings.Contains(goroutineStacks(), "(*settingsFollower).acknowledge") })
@@ -205,6 +205,6 @@
 	}
 	withoutService, err := ParseConfig([]byte(strings.Replace(valid, `"service":"orders",`, ``, 1)))
 	if err != nil || withoutService.checkReplaces(c) == nil {
-		t.Errorf("got error %v, and that a file without the service can replace one with it, want none, and that it can't", err)
+		t.Errorf("got error %v from a file without the service, or checkReplaces accepts it in place of one with a service; want neither", err)
 	}
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// adminCall makes a call on the operators' port and returns the whole answer.
+// adminCall makes a call on the operators' port and returns the complete answer.
 func (r *testSidecar) adminCall(t *testing.T, line string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.ops.Addr().String())
@@ -107,7 +107,7 @@
 }
 
 // Guards against requests to an upstream that operators disabled, against requests that wait if all upstreams are disabled,
-// and against an upstream that was disabled twice and stays so after one ENABLE.
+// and against an upstream that was disabled twice and stays disabled after one ENABLE.
 func TestDisableAndEnable(t *testing.T) {
 	r, ups := startWithAdminPort(t, "a", "b")
 	for _, call := range []string{"DISABLE a\n", "DISABLE a\n"} {
@@ -128,7 +128,7 @@
 		t.Errorf("with all disabled: got %s, want 503", resp.Status)
 	}
 	if elapsed := time.Since(begun); elapsed > 2*time.Second { // the request's X-Timeout is 9 s
-		t.Errorf("with all disabled: answered after %v, want at most 2s", elapsed)
+		t.Errorf("with all disabled: answered after %v, want 2s or less", elapsed)
 	}
 	if got := r.adminCall(t, "ENABLE a\n"); got != "YES\n" {
 		t.Fatalf("call ENABLE a: got answer %q, want YES", got)
@@ -158,7 +158,7 @@
 		t.Errorf("got %d listed and %d unavailable, want 1 and 1", listed, unavailable)
 	}
 	if !d.ban("s", true) || !d.ready("s", address) || d.ban("nobody", false) {
-		t.Error("s is not ready after its ban was lifted, or an unknown id could be banned")
+		t.Error("s is not ready after its ban was cleared, or the unknown id nobody could be banned; want s ready and no ban of nobody")
 	}
 }
 
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// Guards against half a body that an upstream takes for a whole one: if the client breaks off, the upstream sees no end.
+// Guards against half a body that an upstream accepts as a complete one: if the client disconnects, the upstream
+// sees no end of the body.
 func TestBodyBrokenOffGoesNowhere(t *testing.T) {
 	s := newUpstream(t, respondWith(ok200("")))
 	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
@@ -104,7 +105,7 @@
 	}
 }
 
-// Guards against a second attempt with half a body, and against a request that is lost: a request that was sent in part is
+// Guards against a second attempt with half a body, and against a request that gets no answer: a request that was sent in part is
 // rejected, since it was not processed, although the client is still sending.
 func TestNoRetryOnceTheBodyIsConsumed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -173,7 +174,7 @@
 	}
 }
 
-// Guards against memory that grows with bodies: the retained bytes of all are bounded, and no request waits for them.
+// Guards against memory that grows with bodies: the total of retained bytes is bounded, and no request waits for memory.
 func TestBudget(t *testing.T) {
 	b := &byteBudget{available: 100 << 10}
 	for i, want := range []int64{64 << 10, 36 << 10, minRetainedBytes} {
@@ -260,7 +261,7 @@
 
 // Guards against a client that stops reading its answer and thereby blocks the upstream's connection, or other requests.
 func TestClientThatStopsReadingEndsItsOwnRequest(t *testing.T) {
-	large := ok200(strings.Repeat("x", maxBodyBytes)) // more than the socket buffers hold
+	large := ok200(strings.Repeat("x", maxBodyBytes)) // larger than the socket buffers
 	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
 		text := ok200("small")
 		if strings.HasPrefix(g.target, "/confirm/") {
--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -136,7 +136,7 @@
 		b.tick()
 	}
 	if b.selfSuspicion < 1 {
-		t.Errorf("self-suspicion while the loop receives nothing: got %v, want at least 1", b.selfSuspicion)
+		t.Errorf("self-suspicion while the loop receives nothing: got %v, want 1 or more", b.selfSuspicion)
 	}
 	index := int64(2)
 	b.sharing.dir.apply(&listing{Revision: &index, Endpoints: []endpoint{{Name: "s-1", Address: "127.0.0.1:1", Zone: "davao", Status: statusReady, StartedMs: 9}}})
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// halfCloseConn is a connection that calls before just before its sending side is closed.
+// halfCloseConn is a connection that calls onCloseWrite before its sending side is closed.
 type halfCloseConn struct {
 	*net.TCPConn
 	onCloseWrite func(*net.TCPConn)
@@ -70,22 +70,22 @@
 	return &halfCloseConn{c.(*net.TCPConn), l.onCloseWrite}, nil
 }
 
-// awaitUnreadBytes waits until at least atLeast unread bytes are in a socket.
-func awaitUnreadBytes(t *testing.T, c *net.TCPConn, atLeast int) {
+// awaitUnreadBytes waits until minBytes or more unread bytes are in a socket.
+func awaitUnreadBytes(t *testing.T, c *net.TCPConn, minBytes int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	buf := make([]byte, atLeast)
+	buf := make([]byte, minBytes)
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		n := 0
-		if err := raw.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), buf, syscall.MSG_PEEK) }); err != nil || n >= atLeast {
+		if err := raw.Control(func(fd uintptr) { n, _, _ = syscall.Recvfrom(int(fd), buf, syscall.MSG_PEEK) }); err != nil || n >= minBytes {
 			return
 		}
 	}
-	t.Errorf("fewer than %d bytes arrived in %v", atLeast, testTimeout)
+	t.Errorf("fewer than %d bytes arrived in %v", minBytes, testTimeout)
 }
 
 // Guards against mishandling a request that arrives at the moment in which its idle connection is closed, after the last
@@ -127,14 +127,14 @@
 			closeConn(r)
 			client.expectClose()
 			if !crossed.Load() {
-				t.Error("no request was sent at the moment of the close")
+				t.Error("got no request at the moment of the close, want one")
 			}
 			second := dialRaw(t, r.address)
 			second.send(requestText("search"))
 			second.expectAnswer(200)
 			for _, g := range s.requests() {
 				if strings.Contains(crossing, g.header.Get(headerID)) {
-					t.Error("the request that crossed the close reached the upstream")
+					t.Error("the request that crossed the close reached the upstream, want it not sent")
 				}
 			}
 		})
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -73,7 +73,7 @@
 		"limits":{"cores":0.05,"memory_mb":32.0,"sockets":256.0},"known":%s,"settings":%s}`, list(41, true), settings))
 }
 
-// Guards against rejecting settings of a customer that look different: whole numbers with a fraction, no zones, an aim
+// Guards against rejecting otherSettings, the valid settings of another customer: integers with a fraction, no zones, an AimMs
 // beyond the deadline, the lowest limits, and information on message families that nothing reads.
 func TestConfigOfAnotherCustomer(t *testing.T) {
 	c, err := otherConfig(otherSettings)
@@ -148,8 +148,8 @@
 	}
 }
 
-// Guards against a sidecar that reads such settings and can't serve under them: one attempt, no cancellation, no zone, no
-// tenant, the fewest descriptors and the least memory. A request that hangs is answered in time, and as its class's semantics
+// Guards against a sidecar that accepts otherSettings and can't serve under them: one attempt, no cancellation, no zone, no
+// tenant, the fewest descriptors and the smallest memory. A request that hangs is answered in time, and as its class's semantics
 // demand.
 func TestAnotherCustomerIsServed(t *testing.T) {
 	limit := debug.SetMemoryLimit(-1)
@@ -189,8 +189,8 @@
 		for _, fault := range []string{"error", "hang"} {
 			sentAt := time.Now()
 			resp, _ := r.do(t, newRequest(method, class, fault))
-			refusal := resp.StatusCode == 429 || resp.StatusCode == 503
-			if elapsed := time.Since(sentAt); elapsed > 4*time.Second || resp.StatusCode < 400 || refusal != (class == "slow") {
+			isRejected := resp.StatusCode == 429 || resp.StatusCode == 503
+			if elapsed := time.Since(sentAt); elapsed > 4*time.Second || resp.StatusCode < 400 || isRejected != (class == "slow") {
 				t.Errorf("class %s, upstream fault %s: got %s after %v, want an error within 4s, 429 or 503 only for class slow", class, fault, resp.Status, elapsed)
 			}
 		}
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Guards against useless work: a client leaves, in any way, while the connection for its request is being established, even if
+// Guards against useless work: a client disconnects, in any way, while the connection for its request is being established, even if
 // attempts cannot be cancelled. Nothing is sent for it, and the connection, which has cost a handshake, serves the next request.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for name, leave := range map[string]func(*rawClient){
@@ -92,7 +92,7 @@
 	}
 }
 
-// Guards against a client whose disconnect goes unnoticed: net/http reads at most one byte behind a request, and nothing of a large
+// Guards against a client whose disconnect goes unnoticed: net/http reads one byte or none behind a request, and nothing of a large
 // body while no attempt reads it. The client still counts as disconnected, while its request waits or an attempt is in progress.
 func TestLeavingIsSeenBehindWhatNobodyReads(t *testing.T) {
 	for name, c := range map[string]struct{ first, more string }{
@@ -125,7 +125,7 @@
 }
 
 // Guards against a late repeat: a request that may have run may be sent again within its deduplication window, but the connection
-// for the repeat is established only after it.
+// for the repeat is established only after the window.
 func TestNoRepeatBeginsAfterItsWindow(t *testing.T) {
 	for name, late := range map[string]bool{"in time": false, "too late": true} {
 		t.Run(name, func(t *testing.T) {
@@ -193,11 +193,11 @@
 
 // Guards against taking a second answer to one request for the answer to the next, which is still being written. The next request is
 // not sent again either, since upstreams may answer early. An early answer is accepted for the first request on a connection, and
-// any answer once the whole body has been sent.
+// any answer once the complete body has been sent.
 func TestASecondAnswerWithinTheNextRequestIsNobodys(t *testing.T) {
 	for name, tc := range map[string]struct {
-		before, whole bool // whether the connection carried a request before; whether the client has sent the whole body
-		want          balancer.Result
+		reused, bodySent bool // whether the connection carried a request before; whether the client sends the complete body
+		want             balancer.Result
 	}{
 		"after another request": {true, false, balancer.Reset},
 		"alone":                 {false, false, balancer.OK},
@@ -221,7 +221,7 @@
 						if err != nil {
 							break
 						}
-						if n := int64(8); tc.whole || req.ContentLength < n {
+						if n := int64(8); tc.bodySent || req.ContentLength < n {
 							_, _ = io.Copy(io.Discard, req.Body)
 						} else {
 							_, _ = io.CopyN(io.Discard, req.Body, n)
@@ -231,7 +231,7 @@
 				}
 			}()
 			u := testUpstreams(t, 4, entry("s", listener.Addr().String(), "Ready"))
-			if tc.before {
+			if tc.reused {
 				if rep := u.attempt(t.Context(), "s", testRequest("POST", "1"), 0); rep.result != balancer.OK {
 					t.Fatalf("request before: got result %d, want %d", rep.result, balancer.OK)
 				}
@@ -244,7 +244,7 @@
 			r.body.onComplete, r.body.onError, r.body.budget = func() {}, func(error) {}, &byteBudget{}
 			go func() {
 				_, _ = client.Write(make([]byte, 4<<10)) // the client has sent more of the body
-				if tc.whole {
+				if tc.bodySent {
 					_, _ = client.Write(make([]byte, 1<<20-4<<10-len(r.body.retained)))
 					_ = client.Close()
 				}
@@ -254,8 +254,8 @@
 			if rep.result != tc.want {
 				t.Errorf("got result %d, error %v, want result %d", rep.result, rep.err, tc.want)
 			}
-			if uses := rep.use.nth; uses > 1 != tc.before {
-				t.Errorf("got request number %d on its connection, want more than 1: %v", uses, tc.before)
+			if uses := rep.use.nth; uses > 1 != tc.reused {
+				t.Errorf("got request number %d on its connection, want more than 1: %v", uses, tc.reused)
 			}
 		})
 	}
@@ -264,7 +264,7 @@
 // Guards against net/http taking data that arrived on an idle connection for the answer to the next request, and against losing a
 // non-idempotent request on a connection that the upstream has closed: such a connection is not used again.
 func TestASpentConnectionIsNotUsed(t *testing.T) {
-	for name, spend := range map[string]func(net.Conn){
+	for name, invalidate := range map[string]func(net.Conn){
 		"another answer": func(c net.Conn) { _, _ = io.WriteString(c, ok200("stale")) },
 		"half a line":    func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 2") },
 		"a half-close":   func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
@@ -289,7 +289,7 @@
 					t.Fatalf("request %d: got result %d with body %q, want body %q", i, rep.result, rep.body, "for "+body)
 				}
 				u.awaitReusable(t)
-				spend(<-conns)
+				invalidate(<-conns)
 			}
 			if n := len(s.requests()); n != 20 {
 				t.Errorf("upstream got %d requests, want 20", n)
@@ -298,17 +298,17 @@
 	}
 }
 
-// Guards against answers that never end: one that arrives in drips and would occupy a connection and its client indefinitely, and
-// one that arrives fast. The client can tell that the answer is incomplete.
+// Guards against answers that never end: one that arrives byte by byte and would occupy a connection and its client indefinitely, and
+// one that arrives fast. The client can detect that the answer is incomplete.
 func TestEndlessAnswersEnd(t *testing.T) {
 	t.Run("a drip", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			body, drip := io.Pipe()
 			rest := responseRest{body: body, length: -1, stallTimeout: 3 * time.Second, cancelRead: func() { _ = body.Close() }}
-			over := make(chan struct{})
-			defer func() { <-over }()
+			writerEnded := make(chan struct{})
+			defer func() { <-writerEnded }()
 			go func() {
-				defer close(over)
+				defer close(writerEnded)
 				for {
 					if _, err := drip.Write([]byte("x")); err != nil {
 						return
@@ -321,7 +321,7 @@
 				_, err = rest.read(make([]byte, transferBufferBytes))
 			}
 			if elapsed := time.Since(begun); !errors.Is(err, io.ErrClosedPipe) || elapsed > 4*time.Second || n < 6 {
-				t.Errorf("got %v after %v and %d reads, want %v within 4s after at least 6 reads", err, elapsed, n, io.ErrClosedPipe)
+				t.Errorf("got %v after %v and %d reads, want %v within 4s after 6 reads or more", err, elapsed, n, io.ErrClosedPipe)
 			}
 		})
 	})
@@ -341,7 +341,7 @@
 		defer func() { _ = resp.Body.Close() }()
 		n, err := io.Copy(io.Discard, resp.Body)
 		if err == nil || n > maxBodyBytes+maxRetainedBytes+transferBufferBytes {
-			t.Errorf("got %d bytes and error %v, want an error after at most %d bytes", n, err, maxBodyBytes+maxRetainedBytes+transferBufferBytes)
+			t.Errorf("got %d bytes and error %v, want an error after %d bytes or fewer", n, err, maxBodyBytes+maxRetainedBytes+transferBufferBytes)
 		}
 	})
 }
--- a/internal/sidecar/dispatcher_test.go
+++ b/internal/sidecar/dispatcher_test.go
@@ -91,7 +91,7 @@
 	r.expiresAt = d.clock.now() + 3*time.Second
 	d.onEvent(requestArrived{r})
 	if timeLeft := <-deadlines; timeLeft > 3*time.Second {
-		t.Errorf("the attempt may take %v, want at most 3s", timeLeft)
+		t.Errorf("got an attempt with %v until its deadline, want 3s or less", timeLeft)
 	}
 	d.onEvent(<-d.events)
 	if a := <-r.answer; a.kind != failed {
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -83,7 +83,7 @@
 	return resp.Close
 }
 
-// expectClose checks that the connection is closed without a reset, which could lose an answer.
+// expectClose checks that the connection is closed without a reset, which could discard an answer.
 func (c *rawClient) expectClose() {
 	c.t.Helper()
 	if n, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Guards against an answer that is lost because its connection is reset: a pipelined request is unread at the close.
+// Guards against an answer that is discarded because its connection is reset: a pipelined request is unread at the close.
 func TestTermWithARequestBehind(t *testing.T) {
 	t.Parallel()
 	s, release := pendingUpstream(t)
@@ -275,7 +275,7 @@
 	}
 }
 
-// Guards against idle connections that take all descriptors at SIGTERM: a client that connects after them, while connections
+// Guards against idle connections that use all descriptors at SIGTERM: a client that connects after them, while connections
 // are still accepted, is served before the process is killed.
 func TestTermBehindAFlood(t *testing.T) {
 	t.Parallel()
@@ -294,6 +294,6 @@
 	client.expectAnswer(200)
 	client.expectClose()
 	if elapsed := time.Since(begun); elapsed > maxDrainTime {
-		t.Errorf("answered %v after SIGTERM, want at most %v", elapsed, maxDrainTime)
+		t.Errorf("answered %v after SIGTERM, want %v or less", elapsed, maxDrainTime)
 	}
 }
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -20,9 +20,9 @@
 	"mosslead/internal/lab/memnet"
 )
 
-// Guards against a flood that holds all descriptors: each of many peers that connect at once to a sidecar with few descriptors
+// Guards against a flood that uses all descriptors: each of many peers that connect at once to a sidecar with few descriptors
 // gets an error or a close within 3 s of connecting, and a client that connects after them is served in that time, too. The
-// limit allows 1 s more for a busy machine; evicting one peer at a time would take 6 s and more.
+// limit allows 1 s more for a busy machine; evicting one peer at a time would last 6 s or more.
 func TestFlood(t *testing.T) {
 	t.Parallel()
 	const bound, peers, limit = 16, 192, 4 * time.Second
@@ -71,9 +71,9 @@
 				})
 			}
 			begun := time.Now()
-			beside := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
-			defer beside.CloseIdleConnections()
-			resp, err := beside.Do(request(t, r.address, "search", ""))
+			lateClient := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
+			defer lateClient.CloseIdleConnections()
+			resp, err := lateClient.Do(request(t, r.address, "search", ""))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 			}
 			all.Wait()
 			if n := errorsRead.Load(); wanted.error && n < peers*9/10 { // peers whose bytes arrived late need only a close
-				t.Errorf("%d of %d peers got an error, want at least nine in ten", n, peers)
+				t.Errorf("%d of %d peers got an error, want nine in ten or more", n, peers)
 			}
 			for _, g := range s.requests() {
 				if !strings.HasPrefix(g.target, "/search") {
@@ -145,10 +145,10 @@
 			}
 			_ = conn.Close()
 			if late := time.Since(begun) - time.Second; late > acceptRetryInterval {
-				t.Errorf("%v: accepted %v after accept could succeed, want at most %v", acceptErr, late, acceptRetryInterval)
+				t.Errorf("%v: accepted %v after accept could succeed, want %v or less", acceptErr, late, acceptRetryInterval)
 			}
 			if bound := int(time.Second/acceptRetryInterval) + 1; l.calls > bound {
-				t.Errorf("%v: %d calls of accept in a second, want at most %d", acceptErr, l.calls, bound)
+				t.Errorf("%v: %d calls of accept in a second, want %d or fewer", acceptErr, l.calls, bound)
 			}
 			if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%v: the read of the idle connection returned error %v, want %v", acceptErr, err, os.ErrDeadlineExceeded)
@@ -157,7 +157,7 @@
 	}
 }
 
-// failingListener is a listener whose Accept returns err before the time in until.
+// failingListener is a listener whose Accept returns err until the time in until.
 type failingListener struct {
 	err   error
 	until time.Time
@@ -180,7 +180,7 @@
 func TestWhoGivesWay(t *testing.T) {
 	type connState struct {
 		class evictionClass
-		since time.Duration // ago
+		since time.Duration // time before now
 	}
 	const ms = time.Millisecond
 	for _, c := range []struct {
@@ -235,8 +235,8 @@
 	}
 }
 
-// Guards against a connection whose eviction was cancelled by a request, but that is closed after that request all the same;
-// and against a peer that gets a later read deadline by such an eviction.
+// Guards against a connection that is closed although a request cancelled its eviction, and against a peer whose read deadline
+// is postponed by such an eviction.
 func TestEvictionIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := net.Pipe()
@@ -281,7 +281,7 @@
 	})
 }
 
-// Guards against clients that are delayed by idle ones, which take all client descriptors and reconnect whenever they are
+// Guards against clients that are delayed by idle ones, which use all client descriptors and reconnect whenever they are
 // evicted: each client that connects after discovery has returned is served within 1 s. The clock is a fake one, so that a busy
 // machine causes no delay; TestIdleClientsTakeEveryDescriptor of mosslead-sidecar does the same with processes.
 func TestIdleClientsDelayNobody(t *testing.T) {
@@ -336,9 +336,9 @@
 			all.Go(func() {
 				for ctx.Err() == nil {
 					if conn, err := clients.Dial(ctx, "tcp", "10.0.0.1:9000"); err == nil {
-						over := context.AfterFunc(ctx, func() { _ = conn.Close() })
+						cancelClose := context.AfterFunc(ctx, func() { _ = conn.Close() })
 						_, _ = io.Copy(io.Discard, conn) // until it is closed
-						over()
+						cancelClose()
 						_ = conn.Close()
 					}
 					time.Sleep(20 * time.Millisecond)
--- a/internal/sidecar/golden_test.go
+++ b/internal/sidecar/golden_test.go
@@ -9,7 +9,7 @@
 	"mosslead/internal/golden"
 )
 
-// Guards against a change of the hand-over messages, over which the old and the new version talk in an upgrade.
+// Guards against a change of the hand-over messages, which the old and the new version exchange in an upgrade.
 func TestHandoverMessagesKeepTheirForm(t *testing.T) {
 	golden.JSON(t, "handover", &handoverMessage{}, &handoverState{}, &connectionUse{}, &banMessage{})
 	golden.Equal(t, "handover-files", fmt.Sprintln(linkName, bansName))
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// Guards against clients that no process accepts while a new process ends, before it took over or after, with a request in
+// Guards against clients that no process accepts while a new process ends, before or after its takeover, with a request in
 // flight: the old process, if it still runs, accepts them at once.
 func TestSuccessorIsTerminated(t *testing.T) {
 	for _, tookOver := range []bool{false, true} {
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// measureCost reports the memory and goroutines per sidecar of b.N. The figures include the fake's side of each watch: a
-// connection and its goroutines.
+// measureCost calls start b.N times, and reports the memory and goroutines per sidecar. The figures include the
+// fake's side of each watch: a connection and its goroutines.
 func measureCost(b *testing.B, start func(ready *sync.WaitGroup)) {
 	b.Helper()
 	before := measureFootprint()
--- a/internal/sidecar/logging_test.go
+++ b/internal/sidecar/logging_test.go
@@ -7,7 +7,8 @@
 	"mosslead/balancer"
 )
 
-// The description by upstream adds up the attempts that ended; an attempt that was never sent does not count.
+// Guards against wrong sums by upstream: describeByUpstream adds up the attempts that ended;
+// an attempt that was never sent does not count.
 func TestCountsByUpstream(t *testing.T) {
 	c := newAttemptCounts()
 	c.add("b", balancer.OK, 10*time.Millisecond)
--- a/internal/sidecar/orders_client_test.go
+++ b/internal/sidecar/orders_client_test.go
@@ -84,7 +84,7 @@
 	"GET /search/" + strings.Repeat("x", 40<<10),
 }
 
-// sendMalformed sends a malformed request on a new connection, which it leaves open.
+// sendMalformed sends a malformed request on a new connection, and does not close it.
 func (c *orderClient) sendMalformed(n int) {
 	go func() {
 		if conn := c.connect(1); conn != nil {
--- a/internal/sidecar/orders_discovery_test.go
+++ b/internal/sidecar/orders_discovery_test.go
@@ -55,7 +55,7 @@
 type orderWatch struct {
 	net.Conn
 	writeLock chan struct{}
-	from      int  // index of the list after which the watch asks for changes
+	from      int  // index of the list after which the watch requests changes
 	answered  bool // the head of the answer and the first list are being sent or were sent
 	corrupted bool // it has delivered invalid data
 	muted     bool
@@ -192,7 +192,7 @@
 	}
 }
 
-// noteAnnounced records when changes arrive at the sidecar, unless an outage holds them up.
+// noteAnnounced records when changes arrive at the sidecar, unless an outage delays them.
 func (d *orderDiscovery) noteAnnounced(w *orderWatch, changes []*orderChange) {
 	h := d.h
 	h.mu.Lock()
--- a/internal/sidecar/orders_planted_test.go
+++ b/internal/sidecar/orders_planted_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// The planted faults are between the sidecar and the network, so that the rules see the traffic that a sidecar with that fault
+// A planted fault is placed between the sidecar and the network, so that the rules see the traffic that a sidecar with that fault
 // would cause.
 
 // faultyConn is a connection of the sidecar with a planted fault.
--- a/internal/sidecar/orders_play_test.go
+++ b/internal/sidecar/orders_play_test.go
@@ -71,14 +71,14 @@
 	return violations, recordText
 }
 
-// without returns a copy of the order without the action at index i.
+// without returns a clone of the order without the action at index i.
 func (o *order) without(i int) *order {
 	shorter := *o
 	shorter.actions = slices.Delete(slices.Clone(o.actions), i, i+1)
 	return &shorter
 }
 
-// playUntilViolation plays an order until it violates a rule, at most the given number of times.
+// playUntilViolation plays an order until it violates a rule, up to the given number of times.
 func (o *order) playUntilViolation(t *testing.T, fault plantedFault, runs int) (violations []string, recordText string) {
 	for range runs {
 		if violations, recordText = playOrder(t, o, fault, true); len(violations) > 0 {
--- a/internal/sidecar/orders_rules_test.go
+++ b/internal/sidecar/orders_rules_test.go
@@ -26,7 +26,7 @@
 	slack              = 50 * milli             // added to every limit
 	drainGrace         = 3 * time.Second        // for a change that was sent on a watch with invalid data before it, or while a watch was silent
 	malformedPeerLimit = 3*time.Second + slack  // for an error answer or a close, to a peer that sends no valid request
-	minIdle            = 10 * milli             // least time for which a connection is idle before it carries another request
+	minIdle            = 10 * milli             // shortest idle time of a connection before it carries another request
 	drainAnswerWindow  = 700 * time.Millisecond // after SIGTERM; a request sent by then must be answered before SIGKILL
 )
 
@@ -70,7 +70,7 @@
 	method      string
 	target      string
 	status      int  // of an answer
-	closes      bool // the answer says that the connection closes
+	closes      bool // the answer announces the close of the connection
 	conn        *connRecord
 	nth         int // ordinal on the connection, from 1
 }
@@ -174,7 +174,7 @@
 type orderAttempt struct {
 	*wireMessage
 	upstream int
-	answer   *orderAnswer // nil if the upstream did not receive the whole request
+	answer   *orderAnswer // nil if the upstream did not receive the complete request
 	ended    recordPos    // when it was answered or its connection ended
 }
 
@@ -290,7 +290,7 @@
 			c.violated("%s connected at %v, sent no valid request, and got neither an error answer nor a close by %v", conn.from, conn.dialled.at, limit)
 		}
 		if len(answers) > 0 && answers[0].status < 400 {
-			c.violated("%s connected at %v, sent no valid request, and got status %d, want at least 400", conn.from, conn.dialled.at, answers[0].status)
+			c.violated("%s connected at %v, sent no valid request, and got status %d, want 400 or more", conn.from, conn.dialled.at, answers[0].status)
 		}
 	}
 	for i, m := range requests {
@@ -314,7 +314,7 @@
 	}
 }
 
-// checkAnswer checks that a request that was sent whole got one final answer, in time and with the right content.
+// checkAnswer checks that a request that was sent completely got one final answer, in time and with the right content.
 func (c *ruleChecker) checkAnswer(r *orderRequest, m, answer, previous *wireMessage, disconnectedAt, closedAt recordPos) {
 	readAt := m.last.at
 	if r.pipelined && previous != nil {
@@ -351,14 +351,14 @@
 	case clientLeft:
 	case answer.status == http.StatusOK && slices.ContainsFunc(c.answers[r.id], func(x *orderAnswer) bool {
 		return x.status == 200 && x.begun && strings.HasPrefix(x.body, answer.body)
-	}): // part of an answer was forwarded, and the client can tell that it is incomplete
+	}): // part of an answer was forwarded, and the client can detect that it is incomplete
 	default:
 		c.violated("%s, sent at %v, got only part of an answer, which began at %v", r.id, m.last.at, answer.first.at)
 	}
 }
 
 // crossedSecondAnswer reports whether body is a second answer to another request, sent while this request was on its way to the
-// upstream. The sidecar cannot tell such an answer from this request's own. A second answer within minIdle of the first does not
+// upstream. The sidecar cannot distinguish such an answer from this request's own. A second answer within minIdle of the first does not
 // count, since the sidecar notices it while the connection is idle.
 func (c *ruleChecker) crossedSecondAnswer(id, body string) bool {
 	for _, attempt := range c.attempts[id] {
@@ -399,7 +399,7 @@
 	}
 }
 
-// checkRepeats checks that no two attempts of a request are out at once, and that none follows one that may have run unless its
+// checkRepeats checks that no two attempts of a request are in flight at once, and that none follows one that may have run unless its
 // class allows it.
 func (c *ruleChecker) checkRepeats(id string, attempts []*orderAttempt) {
 	r := c.clientRequests[id]
@@ -430,7 +430,7 @@
 }
 
 // checkDrains checks that no new request goes to an upstream that was drained or removed. If the change has arrived at the sidecar,
-// this holds at once; otherwise from the time by which the sidecar must know the change.
+// the rule applies at once; otherwise from the time by which the sidecar must know the change.
 func (c *ruleChecker) checkDrains() {
 	for i, change := range c.changes {
 		if change.status == statusReady {
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -213,7 +213,7 @@
 		}
 		degraded = degraded || a.kind == upstreamDrains || a.kind == upstreamRemoved
 		a.at = at
-		if terminated && r.IntN(2) == 0 { // close to the times at which the sidecar acts while it shuts down
+		if terminated && r.IntN(2) == 0 { // close to the sidecar's own deadlines during shutdown
 			a.at = terminatedAt + pick(r, 50*milli, 449*milli, 450*milli, 451*milli, 452*milli, 599*milli, 600*milli, 601*milli, 610*milli, 611*milli, 620*milli,
 				621*milli, 700*milli, 3500*milli)
 			at = max(at, a.at)
@@ -365,21 +365,21 @@
 }
 
 // Guards against faults that occur only in rare sequences of ordinary events: a request with no answer or two answers, and an
-// attempt that is sent for a client that has left, while another is out, after one that may have run, or to a draining upstream.
+// attempt that is sent for a client that has left, while another is in flight, after one that may have run, or to a draining upstream.
 func TestOrders(t *testing.T) {
 	discardLogs(t)
 	if *orderSeed >= 0 {
 		o := drawOrder(*orderSeed)
 		if *orderActionFilter != "" {
-			keptActions := []orderAction(nil)
+			selected := []orderAction(nil)
 			for number := range strings.SplitSeq(*orderActionFilter, ",") {
 				i := 0
 				if _, err := fmt.Sscan(number, &i); err != nil || i < 0 || i >= len(o.actions) {
 					t.Fatalf("-orders.keep: got %q, want action numbers from 0 to %d", number, len(o.actions)-1)
 				}
-				keptActions = append(keptActions, o.actions[i])
+				selected = append(selected, o.actions[i])
 			}
-			o.actions = keptActions
+			o.actions = selected
 		}
 		if violations, recordText := o.playUntilViolation(t, plantedFault{}, orderRepeats); len(violations) > 0 {
 			t.Errorf("got violations of the rules, want none\n%v\n%s\n%s", o, strings.Join(violations, "\n"), recordText)
--- a/internal/sidecar/orders_upstream_test.go
+++ b/internal/sidecar/orders_upstream_test.go
@@ -33,20 +33,20 @@
 	ended      bool
 }
 
-// orderCall is a request that an upstream has received whole.
+// orderCall is a request that an upstream has received completely.
 type orderCall struct {
 	upstream *orderUpstream
 	conn     *orderUpstreamConn
 	answer   *orderAnswer
 }
 
-// orderAnswer records how an upstream answered a request that it received whole.
+// orderAnswer records how an upstream answered a request that it received completely.
 type orderAnswer struct {
 	id           string
 	port         int // the sidecar's port of the connection
 	nth          int // ordinal of the request on that connection, from 1
 	status       int
-	notProcessed bool // the answer says that the request was not processed
+	notProcessed bool // the answer states that the request was not processed
 	body         string
 	begun        bool
 	complete     bool
@@ -112,7 +112,7 @@
 	}
 }
 
-// answerNext answers the oldest pending request as the action says, or plans the action for the next request.
+// answerNext answers the oldest pending request as the action specifies, or plans the action for the next request.
 func (u *orderUpstream) answerNext(a orderAction) {
 	u.h.mu.Lock()
 	if len(u.pending) == 0 {
@@ -135,7 +135,7 @@
 	c.answer.status, c.answer.body, c.answer.begun = status, body, true
 }
 
-// noteComplete records that the whole answer has been sent.
+// noteComplete records that the complete answer has been sent.
 func (c *orderCall) noteComplete() {
 	h := c.upstream.h
 	h.mu.Lock()
@@ -150,7 +150,7 @@
 	}
 }
 
-// perform answers the request as the action says.
+// perform answers the request as the action specifies.
 func (c *orderCall) perform(a orderAction) {
 	h := c.upstream.h
 	body := fmt.Sprintf("made for %s by %s, %d", c.answer.id, c.upstream.host.Name(), c.answer.nth)
@@ -190,7 +190,7 @@
 			return
 		}
 		h.mu.Lock()
-		newest := c.conn.requests == c.answer.nth // otherwise the sidecar would have to take it for the answer to a later request
+		newest := c.conn.requests == c.answer.nth // otherwise the sidecar could not distinguish it from the answer to a later request
 		h.mu.Unlock()
 		if newest {
 			h.mu.Lock()
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -25,7 +25,7 @@
 
 // outages are the ways in which discovery may fail. A call during an outage gets the texts of writes, with pauses between them,
 // until the outage ends. The connection is then reset if resets is set; otherwise it stays open and silent. A connection opened
-// during the outage brings nothing after it, except for a message without end.
+// during the outage delivers nothing after the outage, except for a message without end.
 var outages = []struct {
 	name    string
 	dial    string // "refused", "hangs", or "" if the connection is established
@@ -194,7 +194,7 @@
 type eventTimes struct{ failsAt, offset, length time.Duration }
 
 // outageEventTimes returns times in an outage from the start, in one after a while without an outage, and late in an outage,
-// when all waits are at their longest, over one round of tries: two calls and the balancer's back-off with onDemand, otherwise
+// when all waits are at their longest, over one round of calls: two calls and the balancer's back-off with onDemand, otherwise
 // one silence.
 func outageEventTimes(onDemand bool) []eventTimes {
 	const sec = time.Second
@@ -267,7 +267,7 @@
 						bound = watch.NotifyDeadline
 					}
 					if got := runOutage(t, onDemand, false, outage, connect, outageEventTimes(onDemand)); got > bound {
-						t.Errorf("got the drain up to %v after the recovery, want at most %v", got, bound)
+						t.Errorf("got the drain up to %v after the recovery, want %v or less", got, bound)
 					} else {
 						t.Logf("the drain was applied up to %v after the recovery", got)
 					}
@@ -279,7 +279,7 @@
 
 // Guards against a list that is applied too late after SIGHUP: the first call to the new address is made at once, however the
 // old one fails and however long the balancer's back-off still is. Even if that call is never answered, the list is applied
-// within 4 s after the signal, by when sidecars have to follow it.
+// within 4 s after the signal, the deadline by which sidecars have to follow it.
 func TestAMovedListIsInHandInTime(t *testing.T) {
 	for _, onDemand := range []bool{false, true} {
 		for outage := range outages {
@@ -287,7 +287,7 @@
 				t.Parallel()
 				events := []eventTimes{{1017 * time.Millisecond, 0, 1500 * time.Millisecond}, {0, 15 * time.Second, 2 * time.Second}}
 				if got := runOutage(t, onDemand, true, outage, 2200*time.Millisecond, events); got > 4*time.Second {
-					t.Errorf("got the drain up to %v after the signal, want at most 4 s", got)
+					t.Errorf("got the drain up to %v after the signal, want 4 s or less", got)
 				}
 			})
 		}
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -38,7 +38,7 @@
 	return s
 }
 
-// cloneState copies a state directory as it is on disk, which is what a killed process leaves.
+// cloneState clones a state directory as it is on disk, as a killed process would have written it.
 func cloneState(t *testing.T, dir string) string {
 	t.Helper()
 	for {
@@ -47,7 +47,7 @@
 		if err == nil {
 			return to
 		}
-		if !errors.Is(err, os.ErrNotExist) { // otherwise a file was renamed during the copy
+		if !errors.Is(err, os.ErrNotExist) { // otherwise a file was renamed meanwhile
 			t.Fatal(err)
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // Guards against a sidecar that needs its disk: while the disk is not usable, requests are served, bans are answered by NO and
-// no state is kept; once it is usable again, it is used.
+// no state is stored; once it is usable again, it is used.
 func TestServiceGoesOnWithoutTheDisk(t *testing.T) {
 	base := t.TempDir()
 	dir := filepath.Join(base, "state")
@@ -163,7 +163,7 @@
 	}
 }
 
-// Guards against an end by SIGTERM that leaves the state marked as crashed, or without the list and the snapshot.
+// Guards against an end by SIGTERM after which the state is marked as crashed, or lacks the list and the snapshot.
 func TestOrderlyEndIsMarked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, respondWith(ok200("s")))
@@ -210,7 +210,7 @@
 	r := startOnListener(t, c, l, "")
 	r.awaitReady(t, "YES")
 	if elapsed := time.Since(begun); elapsed < suspectListDelay {
-		t.Errorf("got ready after %v with a quarantined list, want at least %v", elapsed, suspectListDelay)
+		t.Errorf("got ready after %v with a quarantined list, want %v or more", elapsed, suspectListDelay)
 	}
 	if status, body := r.get(t); status != 200 || body != "s" {
 		t.Errorf("got %d %q, want 200 \"s\"", status, body)
--- a/internal/sidecar/ready_test.go
+++ b/internal/sidecar/ready_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against a process that is not ready while discovery is down, because its list is empty or has only draining upstreams:
-// it becomes ready nevertheless, queues requests, refuses them within their deadlines, and serves once discovery answers.
+// it becomes ready nevertheless, queues requests, rejects them within their deadlines, and serves once discovery answers.
 func TestReadyWithoutAServer(t *testing.T) {
 	t.Parallel()
 	s := newUpstream(t, respondWith(ok200("done")))
@@ -22,7 +22,7 @@
 			}
 		}).address
 	}
-	refuses := func(<-chan struct{}) string { return "127.0.0.1:1" }
+	unreachable := func(<-chan struct{}) string { return "127.0.0.1:1" }
 	for name, c := range map[string]struct {
 		known     []string
 		discovery func(<-chan struct{}) string
@@ -30,7 +30,7 @@
 	}{
 		"empty, silent":    {nil, silentUntil, true},
 		"draining, silent": {[]string{entry("s", s.address, "Terminating")}, silentUntil, true},
-		"empty, down":      {nil, refuses, false},
+		"empty, down":      {nil, unreachable, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -59,7 +59,7 @@
 				t.Errorf("without a list: got status %s, want 503", resp.Status)
 			}
 			if elapsed := time.Since(sentAt); elapsed > 2*time.Second { // 400 ms and the delays of a busy machine
-				t.Errorf("got the refusal after %v, want at most 2 s", elapsed)
+				t.Errorf("got the rejection after %v, want 2 s or less", elapsed)
 			}
 			if !c.returns {
 				return
@@ -82,7 +82,7 @@
 		startedAt := time.Now()
 		r := start(t, testConfig(t, discovery, entry("s", s.address, "Ready")), "127.0.0.1:0")
 		if elapsed := time.Since(startedAt); elapsed > readyWithoutListAfter {
-			t.Errorf("%s: got ready after %v, want at most %v", name, elapsed, readyWithoutListAfter)
+			t.Errorf("%s: got ready after %v, want %v or less", name, elapsed, readyWithoutListAfter)
 		}
 		if resp, _ := r.do(t, request(t, r.address, "search", "")); resp.StatusCode != 200 {
 			t.Errorf("%s: got status %s, want 200", name, resp.Status)
@@ -90,7 +90,7 @@
 	}
 }
 
-// Guards against limits of descriptors that leave none for clients: the process would accept no connection, so newProcess
+// Guards against descriptor limits under which none is available for clients: the process would accept no connection, so newProcess
 // returns an error that names the limit.
 func TestTooFewDescriptorsAreNamed(t *testing.T) {
 	for _, c := range []struct {
@@ -110,7 +110,7 @@
 			t.Errorf("%d descriptors, all %v: got error %v, want success %v", c.sockets, c.all, err, c.ok)
 		}
 		if err == nil && p.maxConns < minConns {
-			t.Errorf("%d descriptors, all %v: got %d for clients, want at least %d", c.sockets, c.all, p.maxConns, minConns)
+			t.Errorf("%d descriptors, all %v: got %d for clients, want %d or more", c.sockets, c.all, p.maxConns, minConns)
 		}
 		if err != nil && fmt.Sprint(err)[:16] != "limits: sockets:" {
 			t.Errorf("got error %v, want it to begin with limits: sockets:", err)
--- a/internal/sidecar/rig_test.go
+++ b/internal/sidecar/rig_test.go
@@ -20,11 +20,11 @@
 const testTimeout = 20 * time.Second
 
 // eventually waits until ok returns true, and fails the test if that takes longer than testTimeout.
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", testTimeout, what)
+			t.Fatalf("timed out after %v waiting for: %s", testTimeout, condition)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	return true
 }
 
-// fakeDiscovery serves watches, and records where each asked to start.
+// fakeDiscovery serves watches, and records the parameter from of each.
 type fakeDiscovery struct {
 	address string
 	mu      sync.Mutex
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -46,8 +46,8 @@
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
 		t.Errorf("got %s with Retry-After %q, want 502 without Retry-After", resp.Status, resp.Header.Get("Retry-After"))
 	}
-	if elapsed := time.Since(begun); elapsed > 4*time.Second { // a sidecar that waits for the deadline would take 9 s
-		t.Errorf("the failure was sent after %v, want at most 4s", elapsed)
+	if elapsed := time.Since(begun); elapsed > 4*time.Second { // a sidecar that waits for the deadline would need 9 s
+		t.Errorf("the failure was sent after %v, want 4s or less", elapsed)
 	}
 	if n := len(s.requests()); n != 1 {
 		t.Errorf("the request was sent %d times, want once", n)
@@ -68,7 +68,7 @@
 	}
 }
 
-// Guards against wrong answers and panics on malformed requests. No answer may look like a rejection by the balancer, and
+// Guards against wrong answers and panics on malformed requests. No answer may resemble a rejection by the balancer, and
 // no such request reaches an upstream.
 func TestMalformedRequests(t *testing.T) {
 	s := newUpstream(t, respondWith(ok200("")))
@@ -120,7 +120,7 @@
 	}
 }
 
-// Guards against clients that hold connections by sending nothing, part of a head or part of a body, whatever time-out they
+// Guards against clients that occupy connections by sending nothing, part of a head or part of a body, whatever time-out they
 // state. Each must get an error or a close. TestBodyTimeout checks the limit of 3 s; this test checks only that the end
 // comes long before the stated time-out.
 func TestPeersThatDoNotFinish(t *testing.T) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// Guards against bodies that are cut off although they arrive at the required rate, and against clients that hold a
+// Guards against bodies that are cut off although they arrive at the required rate, and against clients that occupy a
 // connection by sending too slowly.
 func TestBodyTimeout(t *testing.T) {
 	for _, c := range []struct {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// slowBody is a body that arrives at rate bytes per second, a part each sixteenth of a second.
+// slowBody is a body that arrives at rate bytes per second, in one part every sixteenth of a second.
 type slowBody struct {
 	conn            *deadlineRecorder
 	rate, remaining int
@@ -313,7 +313,7 @@
 	}
 }
 
-// Guards against lost requests at a planned restart: after SIGTERM, clients still open connections and use existing ones,
+// Guards against dropped requests at a planned restart: after SIGTERM, clients still open connections and use existing ones,
 // and accepted requests are finished. Then the address is free for the next process.
 func TestStopFinishesWhatWasTaken(t *testing.T) {
 	release := make(chan struct{})
--- a/internal/sidecar/settingsfollower_real_test.go
+++ b/internal/sidecar/settingsfollower_real_test.go
@@ -12,7 +12,7 @@
 	"mosslead/internal/registry/registrytest"
 )
 
-// Guards against a list service and sidecars that work only with the fakes of each other: a real list service, a sidecar and a
+// Guards against a list service and sidecars that work only with fakes of each other: a real list service, a sidecar and a
 // hollow sidecar.
 func TestSettingsFromARealListService(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	put := func(text string, basedOn int64) int64 {
 		t.Helper()
 		var version int64
-		eventually(t, "settings accepted by the list service", func() bool { // the leader refuses settings until it knows that all replicas support them
+		eventually(t, "settings accepted by the list service", func() bool { // the leader rejects settings until it knows that all replicas support them
 			var err error
 			version, err = c.Put(t.Context(), "orders", api.PutRequest{Schema: 1, Settings: json.RawMessage(text), IfRevision: &basedOn})
 			if err != nil && !api.IsCode(err, api.CodeOlderReplica) {
@@ -37,7 +37,7 @@
 		})
 		return version
 	}
-	// awaitRollout waits until the rollout of a version is as ok wants it.
+	// awaitRollout waits until ok returns true for the rollout of a version.
 	awaitRollout := func(version int64, ok func(api.Rollout) bool) {
 		t.Helper()
 		eventually(t, "the rollout", func() bool {
--- a/internal/sidecar/settingsfollower_rig_test.go
+++ b/internal/sidecar/settingsfollower_rig_test.go
@@ -85,7 +85,7 @@
 		_, _ = w.Write(append(text, '\n'))
 		_ = http.NewResponseController(w).Flush()
 	}
-	held, first := r.FormValue("held"), r.FormValue("from") != "1"
+	clientVersion, first := r.FormValue("held"), r.FormValue("from") != "1"
 	for {
 		s.mu.Lock()
 		d, index, changed := s.announced, s.index, s.changed
@@ -99,9 +99,9 @@
 			event["endpoints"] = []any{}
 		}
 		current := fmt.Sprintf("%s@%d", d.Region, d.Revision)
-		changes := d.Revision > 0 && d.Service == r.FormValue("service") && current != held
+		changes := d.Revision > 0 && d.Service == r.FormValue("service") && current != clientVersion
 		if changes {
-			event["documents"], held = []api.Document{d}, current
+			event["documents"], clientVersion = []api.Document{d}, current
 		}
 		if first || changes {
 			send(event)
@@ -119,7 +119,7 @@
 	}
 }
 
-// announce makes d the present settings and sends it to the watches.
+// announce makes d the current settings and sends it to the watches.
 func (s *fakeService) announce(d api.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,15 +186,16 @@
 	t.Helper()
 	outcomes = make(chan documentOutcome, 64)
 	return outcomes, startHollow(t, c, HollowObserver{OnSettings: func(region string, version int64, rejected error, _ time.Time) {
-		j := documentOutcome{region: region, version: version}
+		outcome := documentOutcome{region: region, version: version}
 		if rejected != nil {
-			j.rejected = rejected.Error()
+			outcome.rejected = rejected.Error()
 		}
-		outcomes <- j
+		outcomes <- outcome
 	}})
 }
 
-// expectOutcome waits for the next outcome, and compares it with a version and, as a part of the error, a rejection; "" is none.
+// expectOutcome waits for the next outcome and checks its version and its rejection, which must contain rejected, or be empty if
+// rejected is empty.
 func expectOutcome(t testing.TB, outcomes chan documentOutcome, version int64, rejected string) {
 	t.Helper()
 	select {
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -16,7 +16,7 @@
 	"mosslead/internal/registry/api"
 )
 
-// Guards against changes of settings that fail a request or close a connection, are applied in part, or are lost: under load,
+// Guards against changes of settings that fail a request or close a connection, are applied in part, or are dropped: under load,
 // documents are applied, rejected, corrected, followed by an older one and deleted, with a reload between.
 func TestSettingsOfTheServiceUnderLoad(t *testing.T) {
 	u := newUpstream(t, respondWith(ok200("done")))
@@ -39,7 +39,7 @@
 		})
 	}
 	defer func() { stop(); load.Wait() }()
-	checkReady := func(want int) func() bool {
+	classHasStatus := func(want int) func() bool {
 		return func() bool {
 			resp, _ := r.do(t, request(t, r.address, "probe", ""))
 			return resp.StatusCode == want
@@ -56,11 +56,11 @@
 	ack := func(version, rejected int64) api.Ack {
 		return api.Ack{Node: "n1", Service: "orders", Region: "south", Revision: version, RejectedRevision: rejected}
 	}
-	if !checkReady(404)() {
+	if !classHasStatus(404)() {
 		t.Fatal("got no status 404 for a class that is in no settings")
 	}
 	svc.announce(document(5, probeSettings))
-	eventually(t, "the class of the document", checkReady(200))
+	eventually(t, "the class of the document", classHasStatus(200))
 	eventually(t, "its acknowledgement", acked(ack(5, 0)))
 
 	svc.announce(document(6, strings.Replace(testSettings, `"SecondCopies":true,`, ``, 1))) // valid, but without a key that the file has
@@ -71,7 +71,7 @@
 	svc.announce(document(7, strings.Replace(testSettings, `"SendCap":5`, `"SendCap":0`, 1)))
 	svc.announce(document(8, strings.Replace(probeSettings, `"probe"`, `"repaired"`, 1))) // version 7 may not be applied yet
 	eventually(t, "the acknowledgement of the corrected settings", acked(ack(8, 0)))
-	if !checkReady(404)() {
+	if !classHasStatus(404)() {
 		t.Error("got no status 404 for a class that the settings no longer have")
 	}
 	svc.announce(document(9, probeSettings))
@@ -87,7 +87,7 @@
 	more := ordersConfigWith(t, svc.address, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1), entry("s", u.address, "Ready"))
 	r.reloads <- Reload{Config: more}
 	r.reloads <- Reload{Err: errors.New("not readable")} // once this is received, the reload before was applied
-	if !checkReady(200)() {
+	if !classHasStatus(200)() {
 		t.Error("got no status 200 for a class of the document: the reloaded file replaced its settings")
 	}
 	if figures := r.adminCall(t, "STATS\n"); !strings.Contains(figures, "gw.reload_success:1|c") || !strings.Contains(figures, "gw.settings_version:9|g") ||
@@ -98,10 +98,10 @@
 	svc.announce(document(4, testSettings)) // an older version, as from a copy of the owner's state
 	deleted := api.Document{Region: "south", Revision: 11, Deleted: true}
 	svc.announce(deleted)
-	eventually(t, "the file's settings in force", checkReady(404))
+	eventually(t, "the file's settings in force", classHasStatus(404))
 	eventually(t, "their acknowledgement", func() bool { return svc.lastAck() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
 	svc.announce(document(12, probeSettings))
-	eventually(t, "settings in force after the deletion", checkReady(200))
+	eventually(t, "settings in force after the deletion", classHasStatus(200))
 	stop()
 	load.Wait()
 	if u.closed.Load() != 0 || failed.Load() > 0 || served.Load() == 0 {
@@ -332,13 +332,13 @@
 		}
 	}
 	snapshot := func() (balancer.EndpointSnapshot, float64) {
-		l, ok := p.dispatcher.snapshot()
-		if !ok || l.Endpoints["s"].PeakEWMA == 0 {
-			t.Fatalf("got snapshot %+v, %v, want an estimate for s", l, ok)
+		state, ok := p.dispatcher.snapshot()
+		if !ok || state.Endpoints["s"].PeakEWMA == 0 {
+			t.Fatalf("got snapshot %+v, %v, want an estimate for s", state, ok)
 		}
-		endpoint := l.Endpoints["s"]
+		endpoint := state.Endpoints["s"]
 		endpoint.Age, endpoint.Uptime = 0, 0
-		return endpoint, l.MeanLatency
+		return endpoint, state.MeanLatency
 	}
 	before, mean := snapshot()
 	d := document(2, probeSettings)
--- a/internal/sidecar/settingsupdate_test.go
+++ b/internal/sidecar/settingsupdate_test.go
@@ -87,11 +87,11 @@
 
 // Guards against a request that was checked by settings that the balancer no longer has: it might be sent twice.
 func TestRequestCheckedByOldSettingsIsRejected(t *testing.T) {
-	l := newTestDispatcher(t, nil)
-	r := l.newRequest("1", "search")
+	d := newTestDispatcher(t, nil)
+	r := d.newRequest("1", "search")
 	r.classSettings.Name = "search"
-	l.onEvent(requestArrived{r})
-	if a := <-r.answer; a.kind != rejected || len(l.inFlight) != 0 {
-		t.Errorf("got answer %+v, %d requests in flight, want kind %d, 0", a, len(l.inFlight), rejected)
+	d.onEvent(requestArrived{r})
+	if a := <-r.answer; a.kind != rejected || len(d.inFlight) != 0 {
+		t.Errorf("got answer %+v, %d requests in flight, want kind %d, 0", a, len(d.inFlight), rejected)
 	}
 }
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -98,11 +98,11 @@
 
 // Guards against wrong results of attempts: a request that may have run must never be reported as one that did not.
 func TestOutcomes(t *testing.T) {
-	refusal, err := net.Listen("tcp", "127.0.0.1:0")
+	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = refusal.Close()
+	_ = closedListener.Close()
 	for _, c := range []struct {
 		name   string
 		answer func(net.Conn, receivedRequest) bool
@@ -151,14 +151,14 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		u := testUpstreams(t, 4, entry("s", refusal.Addr().String(), "Ready"))
+		u := testUpstreams(t, 4, entry("s", closedListener.Addr().String(), "Ready"))
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != balancer.ConnectFailed {
 			t.Errorf("got result %d, want %d", rep.result, balancer.ConnectFailed)
 		}
 	})
 }
 
-// Guards against attempts that go on after they were cancelled: if another attempt may follow, the upstream must see that the
+// Guards against attempts that continue after they were cancelled: if another attempt may follow, the upstream must see that the
 // connection was closed.
 func TestTimeoutAndCancelCloseTheConnection(t *testing.T) {
 	for _, want := range []balancer.Result{balancer.Timeout, balancer.Cancelled} {
@@ -278,7 +278,7 @@
 	}
 }
 
-// Guards against connections that wait for a late answer without bound, and against too many of them: at the limit they are
+// Guards against connections that wait for a late answer indefinitely, and against too many of them: at the limit they are
 // closed.
 func TestLateAnswerIsNotWaitedForLong(t *testing.T) {
 	a, b := newUpstream(t, neverRespond), newUpstream(t, respondWith(ok200("")))
@@ -368,7 +368,7 @@
 		t.Errorf("got headers %v, want X-Request-ID 9b1f03aa5c7e2d41 and Idempotency-Key k", g.header)
 	}
 	if d, err := parseTimeout(g.header.Get("X-Timeout")); err != nil || d <= 0 || d > testTimeout {
-		t.Errorf("got X-Timeout %q: %v, %v, want above 0 and at most %v", g.header.Get("X-Timeout"), d, err, testTimeout)
+		t.Errorf("got X-Timeout %q: %v, %v, want above 0 and up to %v", g.header.Get("X-Timeout"), d, err, testTimeout)
 	}
 }
 
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against the loss of the list after a malformed line: the last good list stays in use, and the next watch asks for
+// Guards against the loss of the list after a malformed line: the last good list stays in use, and the next watch requests
 // changes from its revision on.
 func TestMalformedLines(t *testing.T) {
 	for name, bad := range map[string]string{
@@ -181,7 +181,7 @@
 }
 
 // Guards against a list that is no longer updated after discovery has moved: the watch continues at the new address from its
-// last version, whether it was open or waiting for the next try, and no failure is reported.
+// last version, whether it was open or waiting for the next call, and no failure is reported.
 func TestMovedDiscoveryIsFollowed(t *testing.T) {
 	for _, onDemand := range []bool{true, false} {
 		for _, staysOpen := range []bool{true, false} {
@@ -275,8 +275,8 @@
 }
 
 // scriptDiscovery replaces the connections of w by ones to a discovery in memory, and returns the times of the dials. script gets
-// the address and the number of the connection at that address, from 1. It returns whether the connection is refused, the lines
-// of the answer, nil for no answer, and whether the answer ends after them; the connection stays open in any case.
+// the address and the number of the connection at that address, from 1. It returns whether the dial fails, the lines of the
+// answer (nil if there is no answer), and whether the answer ends after them; the connection stays open in any case.
 func scriptDiscovery(w *watcher, script func(address string, n int) (refuses bool, lines []string, ends bool)) *[]time.Time {
 	dials, numbers := &[]time.Time{}, map[string]int{}
 	w.client.Transport.(*http.Transport).DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
@@ -357,7 +357,7 @@
 				}
 				for i, at := range (*dials)[1:] {
 					if gap := at.Sub((*dials)[i]); gap > 2500*time.Millisecond {
-						t.Errorf("got %v between two dials, want at most 2.5 s", gap)
+						t.Errorf("got %v between two dials, want 2.5 s or less", gap)
 					}
 				}
 				cancel()
