--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -28,8 +28,8 @@
 	return resp.StatusCode, body
 }
 
-// lockHolder returns a store that holds the lock of a directory, as another process of the sidecar would.
-func lockHolder(t *testing.T, dir string) *statestore.Store {
+// openLockedStore returns a store that holds the lock of a directory, as another process of the sidecar would.
+func openLockedStore(t *testing.T, dir string) *statestore.Store {
 	t.Helper()
 	s := statestore.New(dir, "n1")
 	if err := s.Lock(); err != nil {
@@ -38,8 +38,8 @@
 	return s
 }
 
-// copyState copies a state directory as it is on disk, which is what a killed process leaves.
-func copyState(t *testing.T, dir string) string {
+// cloneState clones a state directory as it is on disk, as a killed process would have written it.
+func cloneState(t *testing.T, dir string) string {
 	t.Helper()
 	for {
 		to := filepath.Join(t.TempDir(), "state")
@@ -47,7 +47,7 @@
 		if err == nil {
 			return to
 		}
-		if !errors.Is(err, os.ErrNotExist) { // otherwise a file was renamed during the copy
+		if !errors.Is(err, os.ErrNotExist) { // otherwise a file was renamed meanwhile
 			t.Fatal(err)
 		}
 	}
@@ -63,7 +63,7 @@
 	if got := first.adminCall(t, "DISABLE s\n"); got != "YES\n" {
 		t.Fatalf("DISABLE: got %q, want YES", got)
 	}
-	crashed := copyState(t, dir)
+	crashed := cloneState(t, dir)
 	second := start(t, withState(t, crashed, entries...), "127.0.0.1:0")
 	for range 20 {
 		if _, body := second.get(t); body != "other" {
@@ -83,7 +83,7 @@
 func TestStartsWithThePersistedListWhileDiscoveryIsSilent(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, respondWith(ok200("s")))
-	s := lockHolder(t, dir)
+	s := openLockedStore(t, dir)
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	if err := errors.Join(s.WriteList("127.0.0.1:1", []byte(text), time.Now().Add(-time.Minute)), s.Release(true)); err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 // first.
 func TestSecondProcessOnOneDirectoryFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s := lockHolder(t, dir)
+	s := openLockedStore(t, dir)
 	if _, _, err := openState(withState(t, dir), true); !errors.Is(err, durable.ErrLocked) || !strings.Contains(err.Error(), dir) {
 		t.Errorf("without an upgrade: got error %v, want %v with the directory", err, durable.ErrLocked)
 	}
@@ -133,7 +133,7 @@
 }
 
 // Guards against a sidecar that needs its disk: while the disk is not usable, requests are served, bans are answered by NO and
-// no state is kept; once it is usable again, it is used.
+// no state is stored; once it is usable again, it is used.
 func TestServiceGoesOnWithoutTheDisk(t *testing.T) {
 	base := t.TempDir()
 	dir := filepath.Join(base, "state")
@@ -163,7 +163,7 @@
 	}
 }
 
-// Guards against an end by SIGTERM that leaves the state marked as crashed, or without the list and the snapshot.
+// Guards against an end by SIGTERM after which the state is marked as crashed, or lacks the list and the snapshot.
 func TestOrderlyEndIsMarked(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	up := newUpstream(t, respondWith(ok200("s")))
@@ -189,7 +189,7 @@
 	up := newUpstream(t, respondWith(ok200("s")))
 	text := fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s]}`, entry("s", up.address, "Ready"))
 	for range 3 {
-		s := lockHolder(t, dir)
+		s := openLockedStore(t, dir)
 		loaded, err := s.Load(time.Now())
 		if err != nil {
 			t.Fatal(err)
@@ -210,7 +210,7 @@
 	r := startOnListener(t, c, l, "")
 	r.awaitReady(t, "YES")
 	if elapsed := time.Since(begun); elapsed < suspectListDelay {
-		t.Errorf("got ready after %v with a quarantined list, want at least %v", elapsed, suspectListDelay)
+		t.Errorf("got ready after %v with a quarantined list, want %v or more", elapsed, suspectListDelay)
 	}
 	if status, body := r.get(t); status != 200 || body != "s" {
 		t.Errorf("got %d %q, want 200 \"s\"", status, body)
