--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -10,19 +10,19 @@
 type addresses struct{ part *loopback.Part }
 
 const (
-	sidecarPort      = 9000
-	doorPort         = 9800
-	agentPort        = 8500
-	peerPort         = 7946 // where a sidecar takes part among the others
-	peerLinkPort     = 7947 // and where the others reach it
-	forwardPort      = 7948 // where a sidecar takes what others forward
-	forwardLinkPort  = 7949 // and where the others reach it
-	upstreamPort     = 9000
-	windowPorts      = 8600 // and up, one for each replica
-	replicaAPIPort   = 7600
-	replicaRaftPort  = 7601
-	replicaLinkPorts = 7700  // and up, two for each other replica
-	linkPorts        = 10000 // and up, one for each sidecar; below the ports that the kernel gives out by itself
+	sidecarPort          = 9000
+	opsPort              = 9800
+	agentPort            = 8500
+	peerPort             = 7946 // where a sidecar takes part among the others
+	peerLinkPort         = 7947 // and where the others reach it
+	forwardPort          = 7948 // where a sidecar takes what others forward
+	forwardLinkPort      = 7949 // and where the others reach it
+	upstreamPort         = 9000
+	firstWindowPort      = 8600 // and up, one for each replica
+	replicaAPIPort       = 7600
+	replicaRaftPort      = 7601
+	firstReplicaLinkPort = 7700  // and up, two for each other replica
+	firstLinkPort        = 10000 // and up, one for each sidecar; below the ports that the kernel gives out by itself
 )
 
 // claimAddresses finds a part that no other laboratory holds.
@@ -48,7 +48,7 @@
 
 // replicaLink is where a replica finds another one's log, or its answers.
 func (a *addresses) replicaLink(from, to, port int) string {
-	return a.replica(from, replicaLinkPorts+2*to+port-replicaAPIPort)
+	return a.replica(from, firstReplicaLinkPort+2*to+port-replicaAPIPort)
 }
 
 func (a *addresses) upstream(i int) string {
@@ -57,5 +57,5 @@
 
 // link is where a sidecar finds an upstream.
 func (a *addresses) link(sidecar, upstream int) string {
-	return fmt.Sprintf("%s:%d", a.host(1, upstream), linkPorts+sidecar)
+	return fmt.Sprintf("%s:%d", a.host(1, upstream), firstLinkPort+sidecar)
 }
--- a/internal/lab/build/build.go
+++ b/internal/lab/build/build.go
@@ -45,22 +45,22 @@
 
 // Sidecar builds the sidecar's command into a directory, as the deploy file links it, and says from what.
 func Sidecar(ctx context.Context, root, dir string, s Source) (path, from string, err error) {
-	return program(ctx, root, dir, sidecarCommands, s)
+	return buildProgram(ctx, root, dir, sidecarCommands, s)
 }
 
 // Service builds cmd/mosslead, of which the list service is a part, into a directory, and says from what.
 func Service(ctx context.Context, root, dir string, s Source) (path, from string, err error) {
-	return program(ctx, root, dir, []string{"mosslead"}, s)
+	return buildProgram(ctx, root, dir, []string{"mosslead"}, s)
 }
 
-// program builds the first of the named commands that the tree has.
-func program(ctx context.Context, root, dir string, names []string, s Source) (path, from string, err error) {
+// buildProgram builds the first of the named commands that the tree has.
+func buildProgram(ctx context.Context, root, dir string, names []string, s Source) (path, from string, err error) {
 	tree := root
 	if s.Revision == "" && s.Patch != "" {
 		s.Revision = "HEAD"
 	}
 	if s.Revision == "" {
-		from, err = workTree(ctx, root)
+		from, err = describeWorkTree(ctx, root)
 	} else {
 		tree = filepath.Join(dir, "tree")
 		from, err = extract(ctx, root, tree, s.Revision)
@@ -75,7 +75,7 @@
 		}
 		from += " with " + s.Patch
 	}
-	name, err := command(tree, names)
+	name, err := findCommand(tree, names)
 	if err != nil {
 		return "", "", fmt.Errorf("building %s: %w", from, err)
 	}
@@ -89,8 +89,8 @@
 	return path, from, nil
 }
 
-// command is the first of the names that is a folder below the tree's cmd.
-func command(tree string, names []string) (string, error) {
+// findCommand is the first of the names that is a folder below the tree's cmd.
+func findCommand(tree string, names []string) (string, error) {
 	for _, name := range names {
 		if info, err := os.Stat(filepath.Join(tree, "cmd", name)); err == nil && info.IsDir() {
 			return name, nil
@@ -99,8 +99,8 @@
 	return "", fmt.Errorf("no command %s", strings.Join(names, " or "))
 }
 
-// workTree says what the work tree is: its revision, and whether it differs.
-func workTree(ctx context.Context, root string) (string, error) {
+// describeWorkTree says what the work tree is: its revision, and whether it differs.
+func describeWorkTree(ctx context.Context, root string) (string, error) {
 	rev, err := run(ctx, root, "git", "rev-parse", "--short=12", "HEAD")
 	if err != nil {
 		return "work tree without revision", nil // an export has none
--- a/internal/lab/build/build_test.go
+++ b/internal/lab/build/build_test.go
@@ -14,11 +14,11 @@
 		if err := os.MkdirAll(filepath.Join(tree, "cmd", name), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := command(tree, sidecarCommands); err != nil || got != name {
+		if got, err := findCommand(tree, sidecarCommands); err != nil || got != name {
 			t.Errorf("found %q, %v, want %q", got, err, name)
 		}
 	}
-	if _, err := command(t.TempDir(), sidecarCommands); err == nil {
+	if _, err := findCommand(t.TempDir(), sidecarCommands); err == nil {
 		t.Error("a tree without a sidecar has one")
 	}
 }
--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -31,9 +31,9 @@
 
 // program is what a variant runs.
 type program struct {
-	command []string
-	first   []string // of the first replica of the list service; none: this program, as the others
-	from    string
+	command      []string
+	firstReplica []string // of the first replica of the list service; none: this program, as the others
+	source       string
 }
 
 // Run plays an experiment. Where ctx ends before all is played, what was seen comes back as a partial result, written
@@ -54,17 +54,17 @@
 	programs := map[string]program{}
 	for _, v := range e.Variants {
 		r.Variants = append(r.Variants, v.Name)
-		if programs[v.Name], err = o.program(ctx, filepath.Join(work, v.Name), v, programs, e.Variants); err != nil {
+		if programs[v.Name], err = o.prepareProgram(ctx, filepath.Join(work, v.Name), v, programs, e.Variants); err != nil {
 			return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 		}
 		if v.ServiceRevision != "" {
-			if programs[v.Name], err = o.older(ctx, filepath.Join(work, v.Name+"-service"), v.ServiceRevision, programs[v.Name]); err != nil {
+			if programs[v.Name], err = o.withOlderReplica(ctx, filepath.Join(work, v.Name+"-service"), v.ServiceRevision, programs[v.Name]); err != nil {
 				return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 			}
 		}
-		r.Programs[v.Name] = programs[v.Name].from
+		r.Programs[v.Name] = programs[v.Name].source
 	}
-	err = o.plays(ctx, e, r, programs, total)
+	err = o.playAll(ctx, e, r, programs, total)
 	r.Partial = err != nil
 	r.Finish(e)
 	if len(r.Plays) == 0 && err != nil {
@@ -73,9 +73,9 @@
 	return r, errors.Join(err, r.Write(o.Dir))
 }
 
-// plays holds all plays: for each seed and repeat all variants, in an order that turns, so that a machine that gets
+// playAll holds all playAll: for each seed and repeat all variants, in an order that turns, so that a machine that gets
 // slower hurts each alike.
-func (o Options) plays(ctx context.Context, e *experiment.Experiment, r *report.Result, programs map[string]program, total int) error {
+func (o Options) playAll(ctx context.Context, e *experiment.Experiment, r *report.Result, programs map[string]program, total int) error {
 	round := 0
 	for _, seed := range e.Seeds {
 		for repeat := range e.Repeats {
@@ -104,7 +104,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("directory of the play: %w", err)
 	}
-	out, err := lab.Play(ctx, e, v, seed, dir, lab.Programs{Sidecar: run.command, Replica: o.Replica, First: run.first}, o.Log)
+	out, err := lab.Play(ctx, e, v, seed, dir, lab.Programs{Sidecar: run.command, Replica: o.Replica, First: run.firstReplica}, o.Log)
 	if err != nil {
 		return err
 	}
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// older has the first replica run an earlier revision of this program.
-func (o Options) older(ctx context.Context, dir, revision string, p program) (program, error) {
+// withOlderReplica has the first replica run an earlier revision of this program.
+func (o Options) withOlderReplica(ctx context.Context, dir, revision string, p program) (program, error) {
 	root, err := build.Root(".")
 	if err != nil {
 		return p, err
@@ -129,20 +129,20 @@
 	if err != nil {
 		return p, err
 	}
-	p.first = append([]string{path}, o.Replica[1:]...)
-	p.from += ", first replica " + strings.TrimSpace(from)
+	p.firstReplica = append([]string{path}, o.Replica[1:]...)
+	p.source += ", first replica " + strings.TrimSpace(from)
 	return p, nil
 }
 
-// program builds or finds what a variant runs. Variants of the same source share it.
-func (o Options) program(ctx context.Context, dir string, v experiment.Variant, have map[string]program, all []experiment.Variant) (program, error) {
+// prepareProgram builds or finds what a variant runs. Variants of the same source share it.
+func (o Options) prepareProgram(ctx context.Context, dir string, v experiment.Variant, have map[string]program, all []experiment.Variant) (program, error) {
 	switch {
 	case v.Program == "naive":
 		from := "naive sidecar"
 		if v.Breaks != "" {
 			from += " that breaks " + v.Breaks
 		}
-		return program{command: append(append([]string{}, o.Self...), "--break="+v.Breaks), from: from}, nil
+		return program{command: append(append([]string{}, o.Self...), "--break="+v.Breaks), source: from}, nil
 	case v.Program != "":
 		path, err := filepath.Abs(v.Program)
 		if err != nil {
@@ -151,7 +151,7 @@
 		if _, err := os.Stat(path); err != nil {
 			return program{}, fmt.Errorf("program: %w", err)
 		}
-		return program{command: []string{path}, from: filepath.Base(path)}, nil
+		return program{command: []string{path}, source: filepath.Base(path)}, nil
 	}
 	for _, other := range all {
 		if other.Name == v.Name {
@@ -172,5 +172,5 @@
 	if err != nil {
 		return program{}, err
 	}
-	return program{command: []string{path}, from: strings.TrimSpace(from)}, nil
+	return program{command: []string{path}, source: strings.TrimSpace(from)}, nil
 }
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -15,15 +15,15 @@
 	"mosslead/internal/lab/experiment"
 )
 
-// disk does something bad to a sidecar's state directory.
-func (p *play) disk(s *sidecar, f experiment.Fault) {
+// damageState does something bad to a sidecar's state directory.
+func (p *play) damageState(s *sidecar, f experiment.Fault) {
 	dir := filepath.Join(s.dir, "state")
 	rng := rand.New(rand.NewPCG(p.seed, faultStream+uint64(s.number)*31))
 	switch f.Kind {
 	case "state-full":
-		p.full(s, 1)
+		p.fillDisk(s, 1)
 		p.sleep(f.For.Duration)
-		p.full(s, -1)
+		p.fillDisk(s, -1)
 	case "state-readonly":
 		if _, err := os.Stat(dir); err != nil {
 			p.note(errNoFiles)
@@ -33,9 +33,9 @@
 		p.sleep(f.For.Duration)
 		p.note(readOnly(dir, false))
 	case "state-torn":
-		p.note(tear(dir, rng))
+		p.note(truncateNewest(dir, rng))
 	case "state-flip":
-		p.note(flip(dir, rng))
+		p.note(flipBit(dir, rng))
 	case "state-gone":
 		p.note(os.RemoveAll(dir))
 	case "state-old":
@@ -50,16 +50,16 @@
 	}
 }
 
-// full takes the room on a sidecar's disk, by a limit on the size of its files, or with n below 0 gives it back.
-func (p *play) full(s *sidecar, n int) {
+// fillDisk takes the room on a sidecar's disk, by a limit on the size of its files, or with n below 0 gives it back.
+func (p *play) fillDisk(s *sidecar, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noRoom += n
+	s.diskFullFaults += n
 	if s.child == nil {
 		return // the next start sees to it
 	}
 	var bytes *uint64
-	if s.noRoom > 0 {
+	if s.diskFullFaults > 0 {
 		bytes = new(uint64)
 	}
 	p.note(s.child.FileLimit(bytes))
@@ -100,47 +100,47 @@
 	return nil
 }
 
-// file is one in a state directory.
-type file struct {
-	path    string
-	size    int64
-	changed time.Time
+// stateFile is one in a state directory.
+type stateFile struct {
+	path     string
+	size     int64
+	modified time.Time
 }
 
-// files are those with something in them, the one written last first.
-func files(dir string) (all []file, err error) {
+// nonEmptyFiles are those with something in them, the one written last first.
+func nonEmptyFiles(dir string) (all []stateFile, err error) {
 	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || !d.Type().IsRegular() {
 			return err
 		}
 		info, err := d.Info()
 		if err == nil && info.Size() > 0 {
-			all = append(all, file{path, info.Size(), info.ModTime()})
+			all = append(all, stateFile{path, info.Size(), info.ModTime()})
 		}
 		return nil // one that went meanwhile is no error
 	})
-	slices.SortFunc(all, func(a, b file) int { return b.changed.Compare(a.changed) })
+	slices.SortFunc(all, func(a, b stateFile) int { return b.modified.Compare(a.modified) })
 	return all, err
 }
 
 var errNoFiles = errors.New("the state directory holds nothing to break")
 
-// tear cuts the file written last short, at any byte.
-func tear(dir string, rng *rand.Rand) error {
-	all, err := files(dir)
+// truncateNewest cuts the file written last short, at any byte.
+func truncateNewest(dir string, rng *rand.Rand) error {
+	all, err := nonEmptyFiles(dir)
 	if err != nil || len(all) == 0 {
 		return errors.Join(err, errNoFiles)
 	}
 	return os.Truncate(all[0].path, rng.Int64N(all[0].size))
 }
 
-// flip turns one bit of one file over.
-func flip(dir string, rng *rand.Rand) error {
-	all, err := files(dir)
+// flipBit turns one bit of one file over.
+func flipBit(dir string, rng *rand.Rand) error {
+	all, err := nonEmptyFiles(dir)
 	if err != nil || len(all) == 0 {
 		return errors.Join(err, errNoFiles)
 	}
-	slices.SortFunc(all, func(a, b file) int { return len(a.path) - len(b.path) })
+	slices.SortFunc(all, func(a, b stateFile) int { return len(a.path) - len(b.path) })
 	victim := all[rng.IntN(len(all))]
 	text, err := os.ReadFile(victim.path)
 	if err != nil || len(text) == 0 {
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// fill puts in what a file leaves out: a fleet like the one in service, with works and times two and a half times shorter,
+// setDefaults puts in what a file leaves out: a fleet like the one in service, with works and times two and a half times shorter,
 // as on the platform's bench, so that a short play holds as many requests.
-func (e *Experiment) fill() {
+func (e *Experiment) setDefaults() {
 	if len(e.Seeds) == 0 {
 		e.Seeds = []uint64{1}
 	}
@@ -46,7 +46,7 @@
 		e.Kinds = []Kind{{Name: "cores-4", Share: 0.44, Cores: 4, Speed: Range{0.85, 1.1}}, {Name: "cores-3", Share: 0.56, Cores: 3, Speed: Range{0.64, 0.86}}}
 	}
 	for i := range e.Kinds {
-		e.Kinds[i].fill(e.Rules)
+		e.Kinds[i].setDefaults(e.Rules)
 	}
 	if len(e.Classes) == 0 {
 		e.Classes = []Class{
@@ -71,7 +71,7 @@
 	}
 }
 
-func (k *Kind) fill(r Rules) {
+func (k *Kind) setDefaults(r Rules) {
 	span := func(d *Duration, or time.Duration) { d.Duration = cmp.Or(d.Duration, or) }
 	k.Share, k.Cores = cmp.Or(k.Share, 1), cmp.Or(k.Cores, 4)
 	k.Speed, k.Slots, k.Queue = cmp.Or(k.Speed, Range{1, 1}), cmp.Or(k.Slots, Range{4, 12}), cmp.Or(k.Queue, Range{21, 47})
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -312,7 +312,7 @@
 	if err := tomlconfig.TOML(text, e); err != nil {
 		return nil, err
 	}
-	e.fill()
+	e.setDefaults()
 	return e, e.check()
 }
 
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -15,79 +15,79 @@
 )
 
 const (
-	insistTimes = 40
-	insistEvery = 100 * time.Millisecond
-	starvedFor  = 9 * time.Millisecond
-	fedFor      = time.Millisecond
+	maxOpsCalls      = 40
+	opsRetryInterval = 100 * time.Millisecond
+	starveStopped    = 9 * time.Millisecond
+	starveRunning    = time.Millisecond
 )
 
-// befall lets a fault happen, and returns once it is undone.
-func (p *play) befall(ev *event) {
+// inject lets a fault happen, and returns once it is undone.
+func (p *play) inject(ev *event) {
 	f := ev.Fault
 	if f.Of.Kind == "replica" {
-		p.befallReplicas(ev)
+		p.injectReplicas(ev)
 		return
 	}
 	if f.To.Kind == "sidecar" {
-		during(p, f, p.peerLinksOf(ev), linkChange(f))
+		applyDuring(p, f, p.peerLinksOf(ev), linkChange(f))
 		return
 	}
 	switch f.Kind {
 	case "term":
-		p.waves(ev, func(s *sidecar) { p.restart(s, f) })
+		p.injectInSteps(ev, func(s *sidecar) { p.restart(s, f) })
 	case "kill":
-		p.together(ev, func(s *sidecar) { p.restart(s, f) }, func(u *upstream) { p.crashes(u, f) })
+		p.injectAll(ev, func(s *sidecar) { p.restart(s, f) }, func(u *upstream) { p.crashRepeatedly(u, f) })
 	case "stop":
-		p.together(ev, func(s *sidecar) { p.pause(s, f.For.Duration) }, nil)
+		p.injectAll(ev, func(s *sidecar) { p.pause(s, f.For.Duration) }, nil)
 	case "lie":
-		p.together(ev, func(s *sidecar) { p.note(p.lie(s, ev.to, f.For.Duration)) }, nil)
+		p.injectAll(ev, func(s *sidecar) { p.note(p.broadcastLies(s, ev.toUpstreams, f.For.Duration)) }, nil)
 	case "starve":
-		p.together(ev, func(s *sidecar) { p.starve(s, f.For.Duration) }, nil)
+		p.injectAll(ev, func(s *sidecar) { p.starve(s, f.For.Duration) }, nil)
 	case "hup":
-		p.together(ev, func(s *sidecar) { p.signal(s, syscall.SIGHUP) }, nil)
+		p.injectAll(ev, func(s *sidecar) { p.signal(s, syscall.SIGHUP) }, nil)
 	case "ban":
-		p.together(ev, func(s *sidecar) { p.ban(s, ev.to, f.For.Duration) }, nil)
+		p.injectAll(ev, func(s *sidecar) { p.ban(s, ev.toUpstreams, f.For.Duration) }, nil)
 	case "cut":
 		if f.To.Kind == "replica" {
-			during(p, f, p.windowsOf(ev), func(v *fake.View) { v.Silent, v.Reset = f.Mode != "reset", f.Mode == "reset" })
+			applyDuring(p, f, p.windowsOf(ev), func(v *fake.View) { v.Silent, v.Reset = f.Mode != "reset", f.Mode == "reset" })
 			return
 		}
-		during(p, ev.Fault, p.linksOf(ev), linkChange(ev.Fault))
+		applyDuring(p, ev.Fault, p.linksOf(ev), linkChange(ev.Fault))
 	case "delay", "throttle", "chop", "resets":
-		during(p, ev.Fault, p.linksOf(ev), linkChange(ev.Fault))
+		applyDuring(p, ev.Fault, p.linksOf(ev), linkChange(ev.Fault))
 	case "slow", "fail", "hang":
-		p.trouble(ev)
+		p.disturbUpstreams(ev)
 	case "choke":
-		p.together(ev, nil, (*upstream).Choke)
+		p.injectAll(ev, nil, (*upstream).Choke)
 	case "replace":
-		p.replace(ev)
+		p.replaceUpstreams(ev)
 	case "lose":
-		p.lose(ev)
+		p.loseUpstreams(ev)
 	case "late", "silent", "rewind", "garbage", "empty":
-		p.moods(ev)
+		p.disturbDiscovery(ev)
 	case "state-full", "state-readonly", "state-torn", "state-flip", "state-gone", "state-old":
-		p.together(ev, func(s *sidecar) { p.disk(s, f) }, nil)
+		p.injectAll(ev, func(s *sidecar) { p.damageState(s, f) }, nil)
 	default:
 		p.note(fmt.Errorf("fault %s: kind %s is not carried out", f.Name, f.Kind))
 	}
 }
 
-// together does a fault to all of its parties side by side.
-func (p *play) together(ev *event, each func(*sidecar), of func(*upstream)) {
+// injectAll does a fault to all of its parties side by side.
+func (p *play) injectAll(ev *event, each func(*sidecar), of func(*upstream)) {
 	var all sync.WaitGroup
 	for _, s := range ev.sidecars {
 		all.Add(1)
 		go func() { defer all.Done(); each(s) }()
 	}
-	for _, u := range ev.ups {
+	for _, u := range ev.upstreams {
 		all.Add(1)
 		go func() { defer all.Done(); of(u) }()
 	}
 	all.Wait()
 }
 
-// waves does a fault to its sidecars in so many steps over its time.
-func (p *play) waves(ev *event, each func(*sidecar)) {
+// injectInSteps does a fault to its sidecars in so many steps over its time.
+func (p *play) injectInSteps(ev *event, each func(*sidecar)) {
 	f := ev.Fault
 	steps := max(1, f.Waves)
 	begun := p.rec.Now()
@@ -113,12 +113,12 @@
 		if f.Kind == "kill" {
 			p.kill(s)
 		} else {
-			p.term(s, f.Busy)
+			p.terminate(s, f.Busy)
 		}
 		if f.Stays || !p.sleep(f.Down.Duration) {
 			return
 		}
-		if err := p.run(s); err != nil && p.ctx.Err() == nil {
+		if err := p.startSidecar(s); err != nil && p.ctx.Err() == nil {
 			p.note(fmt.Errorf("fault %s: %w", f.Name, err))
 		}
 		next := begun + time.Duration((0.5+rng.Float64())*float64(f.Every.Duration)) // not in step with anything
@@ -128,8 +128,8 @@
 	}
 }
 
-// crashes kills an upstream's process; with every, again and again as long as the fault lasts.
-func (p *play) crashes(u *upstream, f experiment.Fault) {
+// crashRepeatedly kills an upstream's process; with every, again and again as long as the fault lasts.
+func (p *play) crashRepeatedly(u *upstream, f experiment.Fault) {
 	for until := p.rec.Now() + f.For.Duration; ; {
 		next := p.rec.Now() + f.Every.Duration
 		p.crash(u, f)
@@ -141,28 +141,28 @@
 
 // crash kills an upstream's process; the list notices, and it comes back cold after its time down.
 func (p *play) crash(u *upstream, f experiment.Fault) {
-	p.end(u)
-	p.silence(u)
+	p.killUpstream(u)
+	p.markDead(u)
 	down := f.Down.Duration
-	if notice := p.e.Discovery.Notice.Duration; f.Stays || notice < down {
+	if notice := p.experiment.Discovery.Notice.Duration; f.Stays || notice < down {
 		if !p.sleep(notice) {
 			return
 		}
-		p.tell(u, fake.Gone, false)
+		p.setStatus(u, fake.Gone, false)
 		down -= notice
 	}
 	if !f.Stays && p.sleep(down) {
-		p.comeBack(u)
+		p.startCold(u)
 	}
 }
 
-// comeBack starts an upstream's process cold, and tells the list.
-func (p *play) comeBack(u *upstream) {
-	if err := p.start(u, true); err != nil {
+// startCold starts an upstream's process cold, and tells the list.
+func (p *play) startCold(u *upstream) {
+	if err := p.startUpstream(u, true); err != nil {
 		p.note(err)
 		return
 	}
-	p.tell(u, fake.Ready, true)
+	p.setStatus(u, fake.Ready, true)
 }
 
 func (p *play) pause(s *sidecar, duration time.Duration) {
@@ -180,23 +180,23 @@
 	starved := &record.Life{Party: s.name, Paused: true, Start: p.rec.Now()}
 	p.rec.Life(starved)
 	defer p.rec.Change(func() { starved.End = p.rec.Now() })
-	stop := starvedFor
+	stop := starveStopped
 	for until := starved.Start + duration; p.rec.Now() < until; {
 		p.signal(s, syscall.SIGSTOP)
 		going := p.sleep(stop)
 		from := p.rec.Now()
 		p.signal(s, syscall.SIGCONT)
-		if !going || !p.sleep(fedFor) {
+		if !going || !p.sleep(starveRunning) {
 			return
 		}
-		stop = (p.rec.Now() - from) * starvedFor / fedFor
+		stop = (p.rec.Now() - from) * starveStopped / starveRunning
 	}
 }
 
 // ban disables upstreams at a sidecar's door. It binds from the yes on.
 func (p *play) ban(s *sidecar, ups []*upstream, duration time.Duration) {
 	for _, u := range ups {
-		if !p.insist(s, "DISABLE "+u.Name) {
+		if !p.callUntilYes(s, "DISABLE "+u.Name) {
 			continue
 		}
 		p.rec.Tell(record.Told{At: p.rec.Now(), Sidecar: s.name, Upstream: u.Name, Source: record.Operator})
@@ -207,21 +207,21 @@
 	p.sleep(duration)
 	for _, u := range ups {
 		at := p.rec.Now() // before the call: it may be used from the yes on
-		if p.insist(s, "ENABLE "+u.Name) {
+		if p.callUntilYes(s, "ENABLE "+u.Name) {
 			p.rec.Tell(record.Told{At: at, Sidecar: s.name, Upstream: u.Name, Source: record.Operator, Usable: true})
 		}
 	}
 }
 
-// insist makes a call at a sidecar's door until it gets its yes, as an operator would.
-func (p *play) insist(s *sidecar, line string) bool {
+// callUntilYes makes a call at a sidecar's door until it gets its yes, as an operator would.
+func (p *play) callUntilYes(s *sidecar, line string) bool {
 	var answer string
 	var err error
-	for range insistTimes {
-		if answer, err = p.call(s, line); err == nil && answer == "YES" {
+	for range maxOpsCalls {
+		if answer, err = p.callOps(s, line); err == nil && answer == "YES" {
 			return true
 		}
-		if !p.sleep(insistEvery) {
+		if !p.sleep(opsRetryInterval) {
 			return false
 		}
 	}
@@ -254,8 +254,8 @@
 	}
 }
 
-// during keeps a fault's change in force on all that it befalls, until its time or the play is over.
-func during[T any](p *play, f experiment.Fault, all []*overlay[T], change func(*T)) {
+// applyDuring keeps a fault's change in force on all that it befalls, until its time or the play is over.
+func applyDuring[T any](p *play, f experiment.Fault, all []*overlay[T], change func(*T)) {
 	for _, o := range all {
 		o.add(f.Name, change)
 	}
@@ -270,20 +270,20 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range ev.sidecars {
-		for _, u := range ev.to {
+		for _, u := range ev.toUpstreams {
 			all = append(all, s.links[u.Name].overlay)
 		}
 	}
 	return all
 }
 
-func (p *play) trouble(ev *event) {
+func (p *play) disturbUpstreams(ev *event) {
 	f := ev.Fault
 	var all []*overlay[fake.Trouble]
-	for _, u := range ev.ups {
+	for _, u := range ev.upstreams {
 		all = append(all, u.trouble)
 	}
-	during(p, f, all, func(t *fake.Trouble) {
+	applyDuring(p, f, all, func(t *fake.Trouble) {
 		switch f.Kind {
 		case "slow":
 			t.Slower = max(t.Slower, 1) * f.Times
@@ -297,62 +297,62 @@
 	})
 }
 
-// lose silences upstreams as a data centre that is lost does. They come back cold, as their machines lost power.
-func (p *play) lose(ev *event) {
-	for _, u := range ev.ups {
+// loseUpstreams silences upstreams as a data centre that is lost does. They come back cold, as their machines lost power.
+func (p *play) loseUpstreams(ev *event) {
+	for _, u := range ev.upstreams {
 		p.eachLink(u, func(o *overlay[relay.State]) {
 			o.add("lost", func(s *relay.State) { s.SilentForth, s.SilentBack = true, true })
 		})
 	}
-	for _, u := range ev.ups {
-		p.silence(u)
+	for _, u := range ev.upstreams {
+		p.markDead(u)
 	}
-	notice := p.e.Discovery.SilentNotice.Duration
+	notice := p.experiment.Discovery.SilentNotice.Duration
 	left := ev.Fault.For.Duration
 	if notice < left {
 		if p.sleep(notice) {
-			for _, u := range ev.ups {
-				p.tell(u, fake.Gone, false)
+			for _, u := range ev.upstreams {
+				p.setStatus(u, fake.Gone, false)
 			}
 		}
 		left -= notice
 	}
 	p.sleep(left)
-	for _, u := range ev.ups {
+	for _, u := range ev.upstreams {
 		u.Kill()
 		p.eachLink(u, func(o *overlay[relay.State]) { o.remove("lost") })
 		if p.ctx.Err() == nil {
-			p.comeBack(u)
+			p.startCold(u)
 		}
 	}
 }
 
-// replace drains upstreams in waves; a cold one takes the place of each, under another name.
-func (p *play) replace(ev *event) {
+// replaceUpstreams drains upstreams in waves; a cold one takes the place of each, under another name.
+func (p *play) replaceUpstreams(ev *event) {
 	f := ev.Fault
 	waves := max(1, f.Waves)
 	begun := p.rec.Now()
 	var all sync.WaitGroup
-	for i, u := range ev.ups {
-		at := begun + f.For.Duration*time.Duration(i*waves/len(ev.ups))/time.Duration(waves)
+	for i, u := range ev.upstreams {
+		at := begun + f.For.Duration*time.Duration(i*waves/len(ev.upstreams))/time.Duration(waves)
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			if p.sleep(at - p.rec.Now()) {
-				p.replaceOne(u, f)
+				p.replaceUpstream(u, f)
 			}
 		}()
 	}
 	all.Wait()
 }
 
-func (p *play) replaceOne(u *upstream, f experiment.Fault) {
-	p.tell(u, fake.Terminating, false)
+func (p *play) replaceUpstream(u *upstream, f experiment.Fault) {
+	p.setStatus(u, fake.Terminating, false)
 	if !p.sleep(f.Drain.Duration) {
 		return
 	}
-	p.end(u)
-	p.tell(u, fake.Gone, false)
+	p.killUpstream(u)
+	p.setStatus(u, fake.Gone, false)
 	if !p.sleep(f.Boot.Duration) {
 		return
 	}
@@ -363,16 +363,16 @@
 		p.note(err)
 		return
 	}
-	p.comeBack(fresh)
+	p.startCold(fresh)
 }
 
-func (p *play) moods(ev *event) {
+func (p *play) disturbDiscovery(ev *event) {
 	f := ev.Fault
 	var all []*overlay[fake.Mood]
 	for _, s := range ev.sidecars {
 		all = append(all, s.mood)
 	}
-	during(p, f, all, func(m *fake.Mood) {
+	applyDuring(p, f, all, func(m *fake.Mood) {
 		switch f.Kind {
 		case "late":
 			m.Late += f.Delay.Duration
--- a/internal/lab/forwards.go
+++ b/internal/lab/forwards.go
@@ -11,8 +11,8 @@
 
 const forwardStream = 78 // of what is drawn on the links of forwarded work
 
-// newForwards is the links for forwarded work. What is seen of it is seen here, on the way: no sidecar is asked.
-func (p *play) newForwards() *relay.Mesh {
+// newForwardMesh is the links for forwarded work. What is seen of it is seen here, on the way: no sidecar is asked.
+func (p *play) newForwardMesh() *relay.Mesh {
 	m := relay.NewMesh()
 	m.Hear(func(from, to string, r *http.Request) {
 		p.rec.Hop(record.Hop{At: p.rec.Now(), Request: r.Header.Get("X-Request-ID"), From: from, To: to})
@@ -25,7 +25,7 @@
 	if p.forwards == nil {
 		return nil
 	}
-	return p.forwards.Add(s.name, p.block.sidecar(s.number, forwardLinkPort), p.block.sidecar(s.number, forwardPort),
+	return p.forwards.Add(s.name, p.addrs.sidecar(s.number, forwardLinkPort), p.addrs.sidecar(s.number, forwardPort),
 		p.seed*1_000_003+uint64(s.number)+forwardStream)
 }
 
@@ -39,16 +39,16 @@
 	})
 }
 
-// forwardKeys word where a sidecar takes forwarded work.
-func (p *play) forwardKeys(s *sidecar) map[string]any {
+// forwardConfig word where a sidecar takes forwarded work.
+func (p *play) forwardConfig(s *sidecar) map[string]any {
 	if p.forwards == nil {
 		return nil
 	}
-	return map[string]any{"forward": p.block.sidecar(s.number, forwardPort), "forward_advertise": p.block.sidecar(s.number, forwardLinkPort)}
+	return map[string]any{"forward": p.addrs.sidecar(s.number, forwardPort), "forward_advertise": p.addrs.sidecar(s.number, forwardLinkPort)}
 }
 
-// inZone are the numbers of a zone's sidecars; of no zone, none.
-func inZone(e *experiment.Experiment, zone string) (of []int) {
+// sidecarsInZone are the numbers of a zone's sidecars; of no zone, none.
+func sidecarsInZone(e *experiment.Experiment, zone string) (of []int) {
 	at := slices.Index(e.Fleet.Zones, zone)
 	for i := range e.Fleet.Sidecars {
 		if zone != "" && i%len(e.Fleet.Zones) == at {
--- a/internal/lab/load/busy.go
+++ b/internal/lab/load/busy.go
@@ -11,8 +11,8 @@
 	"mosslead/internal/lab/record"
 )
 
-// busyMost bounds the requests on one connection that is kept busy.
-const busyMost = 500
+// maxBusyRequests bounds the requests on one connection that is kept busy.
+const maxBusyRequests = 500
 
 // Shut says whether clients open no new connections to a sidecar: some time after it was told to end, until the next is
 // there.
@@ -39,7 +39,7 @@
 		all.Go(func() {
 			select {
 			case <-time.After(begin - c.rec.Now()):
-				c.busy(ctx, d, sidecar)
+				c.keepConnBusy(ctx, d, sidecar)
 			case <-ctx.Done():
 			}
 		})
@@ -47,10 +47,10 @@
 	all.Wait()
 }
 
-// busy is one connection that is kept busy.
-func (c *Clients) busy(ctx context.Context, d *drawer, sidecar int) {
-	for range busyMost {
-		conn := c.free(sidecar)
+// keepConnBusy is one connection that is kept keepConnBusy.
+func (c *Clients) keepConnBusy(ctx context.Context, d *drawer, sidecar int) {
+	for range maxBusyRequests {
+		conn := c.acquireIdle(sidecar)
 		if conn == nil || ctx.Err() != nil {
 			return
 		}
@@ -59,19 +59,19 @@
 		q := &record.Request{ID: a.ID, Wish: -int(c.extra.Add(1)), Sidecar: c.names[sidecar], Class: class.Name, Tenant: a.Tenant,
 			Key: a.Key, Worth: class.Worth, Work: a.Work, Safe: class.Safe, Intended: a.At, Aim: class.Aim, Patience: a.Patience}
 		a.Leaves = 0
-		c.try(ctx, &a, q, conn)
+		c.sendTry(ctx, &a, q, conn)
 	}
 }
 
-// free gives the latest used connection that is open and has no request; nil: there is none.
-func (c *Clients) free(sidecar int) *clientConn {
+// acquireIdle gives the latest used connection that is open and has no request; nil: there is none.
+func (c *Clients) acquireIdle(sidecar int) *clientConn {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		conn := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		if !conn.over() {
+		if !conn.closedByPeer() {
 			return conn
 		}
 		p.open--
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// over tells whether the other side has closed the connection, as far as this machine knows.
-func (c *clientConn) over() bool {
+// closedByPeer tells whether the other side has closed the connection, as far as this machine knows.
+func (c *clientConn) closedByPeer() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -19,21 +19,21 @@
 
 const (
 	// A client waits so much longer than its patience: an answer that comes by then is late, and none at all is lost.
-	graceToAnswer = 550 * time.Millisecond
-	dialLimit     = time.Second
-	bodyMost      = 1 << 20
-	clientIdle    = 30 * time.Second // a connection unused for longer is not used again
+	answerGrace = 550 * time.Millisecond
+	dialTimeout = time.Second
+	maxBody     = 1 << 20
+	maxIdle     = 30 * time.Second // a connection unused for longer is not used again
 )
 
 // Clients send a plan's arrivals.
 type Clients struct {
-	rec      *record.Record
-	names    []string // of the sidecars
-	address  []string
-	most     int // connections to each sidecar
-	pools    []pool
-	requests sync.WaitGroup
-	extra    atomic.Int64 // requests beside the plan, see KeepBusy
+	rec       *record.Record
+	names     []string // of the sidecars
+	addresses []string
+	maxConns  int // connections to each sidecar
+	pools     []pool
+	requests  sync.WaitGroup
+	extra     atomic.Int64 // requests beside the plan, see KeepBusy
 
 	mu   sync.Mutex
 	lags []time.Duration
@@ -48,14 +48,14 @@
 
 type clientConn struct {
 	net.Conn
-	r    *bufio.Reader
-	used int
-	last time.Time
+	r        *bufio.Reader
+	used     int
+	lastUsed time.Time
 }
 
 // NewClients are the clients of sidecars that listen at these addresses, with at most so many connections to each.
 func NewClients(rec *record.Record, names, address []string, most int) *Clients {
-	return &Clients{rec: rec, names: names, address: address, most: most, pools: make([]pool, len(names))}
+	return &Clients{rec: rec, names: names, addresses: address, maxConns: most, pools: make([]pool, len(names))}
 }
 
 // Run sends every arrival at its time after begin, and returns once all have ended. When ctx ends, it sends no more and
@@ -77,7 +77,7 @@
 		c.requests.Add(1)
 		go func() {
 			defer c.requests.Done()
-			c.wish(ctx, p.Spec, i, &p.Arrivals[i], begin)
+			c.sendArrival(ctx, p.Spec, i, &p.Arrivals[i], begin)
 		}()
 	}
 	c.requests.Wait()
@@ -91,8 +91,8 @@
 // Lags are how late each first try was begun.
 func (c *Clients) Lags() []time.Duration { return c.lags }
 
-// wish is one arrival with all of its tries.
-func (c *Clients) wish(ctx context.Context, spec Spec, n int, a *Arrival, begin time.Duration) {
+// sendArrival is one arrival with all of its tries.
+func (c *Clients) sendArrival(ctx context.Context, spec Spec, n int, a *Arrival, begin time.Duration) {
 	class := spec.Classes[a.Class]
 	q := &record.Request{ID: a.ID, Wish: n, Sidecar: c.names[a.Sidecar], Class: class.Name, Tenant: a.Tenant, Key: a.Key,
 		Worth: class.Worth, Work: a.Work, Safe: class.Safe, Intended: begin + a.At, Aim: class.Aim, Patience: a.Patience}
@@ -100,7 +100,7 @@
 	c.mu.Lock()
 	c.lags = append(c.lags, lag)
 	c.mu.Unlock()
-	c.try(ctx, a, q, nil)
+	c.sendTry(ctx, a, q, nil)
 	again := q.End == record.Refused || (class.Safe && (q.End == record.Failed || q.End == record.NoConnect || q.End == record.Dropped))
 	if !a.Retry || !again || a.Leaves > 0 {
 		return
@@ -118,16 +118,16 @@
 	next := *q
 	next.ID, next.Try, next.Intended, next.Patience = a.RetryID, 1, at, min(a.Patience, left)
 	next.Sent, next.Ended, next.End, next.FirstUse, next.Body = 0, 0, record.Pending, false, ""
-	c.try(ctx, a, &next, nil)
+	c.sendTry(ctx, a, &next, nil)
 }
 
-// try sends a request and waits for its end, on that connection first, unless it is nil.
-func (c *Clients) try(ctx context.Context, a *Arrival, q *record.Request, conn *clientConn) {
+// sendTry sends a request and waits for its end, on that connection first, unless it is nil.
+func (c *Clients) sendTry(ctx context.Context, a *Arrival, q *record.Request, conn *clientConn) {
 	c.rec.Request(q)
 	for resent := false; ; resent = true {
 		var err error
 		if conn == nil || resent {
-			conn, err = c.take(a.Sidecar, resent)
+			conn, err = c.acquire(a.Sidecar, resent)
 		}
 		if err != nil {
 			q.End = record.NoConnect
@@ -151,10 +151,10 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
 		stop()
-		c.put(a.Sidecar, conn, whole && ctx.Err() == nil)
+		c.release(a.Sidecar, conn, whole && ctx.Err() == nil)
 	}()
 	conn.used++
-	until := q.Intended + q.Patience + graceToAnswer
+	until := q.Intended + q.Patience + answerGrace
 	leaves := a.Leaves > 0 && q.Try == 0
 	if leaves {
 		until = q.Intended + a.Leaves
@@ -167,7 +167,7 @@
 		q.End = record.Unsent
 		return false
 	}
-	if _, err := conn.Write(c.text(q)); err != nil {
+	if _, err := conn.Write(c.encode(q)); err != nil {
 		q.End = record.Dropped
 		return true
 	}
@@ -190,7 +190,7 @@
 	resp, err := http.ReadResponse(conn.r, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(io.LimitReader(resp.Body, bodyMost))
+		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	}
 	switch {
 	case err != nil && ctx.Err() != nil:
@@ -213,8 +213,8 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// text words a request.
-func (c *Clients) text(q *record.Request) []byte {
+// encode words a request.
+func (c *Clients) encode(q *record.Request) []byte {
 	method, body := fake.Form(q)
 	var s strings.Builder
 	left := q.Intended + q.Patience - c.rec.Now()
@@ -231,14 +231,14 @@
 	return []byte(s.String())
 }
 
-// take gives the latest used connection, or opens one; fresh wants one that was never used.
-func (c *Clients) take(sidecar int, fresh bool) (*clientConn, error) {
+// acquire gives the latest used connection, or opens one; fresh wants one that was never used.
+func (c *Clients) acquire(sidecar int, fresh bool) (*clientConn, error) {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
 	for !fresh && len(p.idle) > 0 {
 		conn := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(conn.last) < clientIdle && !conn.over() {
+		if time.Since(conn.lastUsed) < maxIdle && !conn.closedByPeer() {
 			p.mu.Unlock()
 			return conn, nil
 		}
@@ -249,13 +249,13 @@
 		p.mu.Unlock()
 		return nil, errors.New("the sidecar was told to end")
 	}
-	if p.open >= c.most {
+	if p.open >= c.maxConns {
 		p.mu.Unlock()
-		return nil, fmt.Errorf("%d connections are open", c.most)
+		return nil, fmt.Errorf("%d connections are open", c.maxConns)
 	}
 	p.open++
 	p.mu.Unlock()
-	raw, err := net.DialTimeout("tcp", c.address[sidecar], dialLimit)
+	raw, err := net.DialTimeout("tcp", c.addresses[sidecar], dialTimeout)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -265,8 +265,8 @@
 	return &clientConn{Conn: raw, r: bufio.NewReader(raw)}, nil
 }
 
-// put gives a connection back, or closes it.
-func (c *Clients) put(sidecar int, conn *clientConn, keep bool) {
+// release gives a connection back, or closes it.
+func (c *Clients) release(sidecar int, conn *clientConn, keep bool) {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -275,6 +275,6 @@
 		_ = conn.Close()
 		return
 	}
-	conn.last = time.Now()
+	conn.lastUsed = time.Now()
 	p.idle = append(p.idle, conn)
 }
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -42,7 +42,7 @@
 	Times   float64
 	Of      []int // the sidecars whose clients ask more; empty: all
 
-	all float64 // times the whole rate, see weighed
+	rateFactor float64 // times the whole rate, see weighed
 }
 
 // Spec is the traffic of a play.
@@ -83,8 +83,8 @@
 	Arrivals []Arrival
 }
 
-// burstFor is the mean time that a bursty rate stays up or down.
-const burstFor = time.Second
+// meanBurstPhase is the mean time that a bursty rate stays up or down.
+const meanBurstPhase = time.Second
 
 // streams numbers the independent random streams of a seed.
 const (
@@ -98,23 +98,23 @@
 // Draw draws the arrivals for so many sidecars. The same seed and spec give the same plan.
 func Draw(spec Spec, sidecars int, seed uint64) Plan {
 	when := rand.New(rand.NewPCG(seed, arrivalStream))
-	weights := streams(sidecars, spec.StreamCV, seed)
+	weights := sidecarWeights(sidecars, spec.StreamCV, seed)
 	who := newChoice(weights)
-	spec = spec.weighed(weights)
+	spec = spec.withRateFactors(weights)
 	d := newDrawer(spec, rand.New(rand.NewPCG(seed, detailStream)), rand.New(rand.NewPCG(seed, idStream)))
 	p := Plan{Spec: spec}
 	for _, at := range arrivals(spec, when) {
 		from := who
-		if w := spec.leaning(weights, at); w != nil {
+		if w := spec.weightsAt(weights, at); w != nil {
 			from = newChoice(w)
 		}
-		p.Arrivals = append(p.Arrivals, d.draw(at, from.draw(d.what)))
+		p.Arrivals = append(p.Arrivals, d.draw(at, from.draw(d.rng)))
 	}
 	return p
 }
 
-// weighed puts into each step that is of some sidecars' clients how many times the rate of all becomes.
-func (s Spec) weighed(weights []float64) Spec {
+// withRateFactors puts into each step that is of some sidecars' clients how many times the rate of all becomes.
+func (s Spec) withRateFactors(weights []float64) Spec {
 	s.Steps = slices.Clone(s.Steps)
 	all := 0.0
 	for _, w := range weights {
@@ -122,21 +122,21 @@
 	}
 	for i := range s.Steps {
 		step := &s.Steps[i]
-		step.all = step.Times
+		step.rateFactor = step.Times
 		if len(step.Of) > 0 {
-			step.all = 1
+			step.rateFactor = 1
 			for _, n := range step.Of {
-				step.all += (step.Times - 1) * weights[n] / all
+				step.rateFactor += (step.Times - 1) * weights[n] / all
 			}
 		}
 	}
 	return s
 }
 
-// leaning are the clients' weights at a time at which some sidecars' ask more; nil: they are as ever.
-func (s Spec) leaning(weights []float64, at time.Duration) (w []float64) {
+// weightsAt are the clients' weights at a time at which some sidecars' ask more; nil: they are as ever.
+func (s Spec) weightsAt(weights []float64, at time.Duration) (w []float64) {
 	for _, step := range s.Steps {
-		if len(step.Of) == 0 || !step.on(at) {
+		if len(step.Of) == 0 || !step.activeAt(at) {
 			continue
 		}
 		if w == nil {
@@ -149,40 +149,40 @@
 	return w
 }
 
-// on tells whether the step is under way.
-func (s Step) on(at time.Duration) bool { return at >= s.At && at < s.At+s.For }
+// activeAt tells whether the step is under way.
+func (s Step) activeAt(at time.Duration) bool { return at >= s.At && at < s.At+s.For }
 
 // drawer draws what arrivals are like.
 type drawer struct {
 	spec                   Spec
-	what, ids              *rand.Rand
+	rng, idRNG             *rand.Rand
 	classes, tenants, keys choice
 }
 
 func newDrawer(spec Spec, what, ids *rand.Rand) *drawer {
-	return &drawer{spec: spec, what: what, ids: ids,
+	return &drawer{spec: spec, rng: what, idRNG: ids,
 		classes: newChoice(shares(spec.Classes, func(c Class) float64 { return c.Share })),
-		tenants: newChoice(shares(spec.Tenants, func(t Tenant) float64 { return t.Share * orOne(t.Usage) })),
-		keys:    newChoice(zipf(spec.Keys, spec.KeyZipf))}
+		tenants: newChoice(shares(spec.Tenants, func(t Tenant) float64 { return t.Share * usageOrOne(t.Usage) })),
+		keys:    newChoice(zipfWeights(spec.Keys, spec.KeyZipf))}
 }
 
 // draw draws an arrival.
 func (d *drawer) draw(at time.Duration, sidecar int) Arrival {
-	a := Arrival{At: at, Sidecar: sidecar, Class: d.classes.draw(d.what)}
+	a := Arrival{At: at, Sidecar: sidecar, Class: d.classes.draw(d.rng)}
 	class := d.spec.Classes[a.Class]
 	if len(d.spec.Tenants) > 0 {
-		a.Tenant = d.spec.Tenants[d.tenants.draw(d.what)].Name
+		a.Tenant = d.spec.Tenants[d.tenants.draw(d.rng)].Name
 	}
-	a.Key = fmt.Sprintf("k%05d", d.keys.draw(d.what))
-	a.Work = class.work(d.what)
+	a.Key = fmt.Sprintf("k%05d", d.keys.draw(d.rng))
+	a.Work = class.work(d.rng)
 	lo, hi := d.spec.TryShare[0], d.spec.TryShare[1]
-	a.Patience = time.Duration((lo + (hi-lo)*d.what.Float64()) * float64(class.Deadline))
-	a.Retry = d.what.Float64() < d.spec.Retries
-	a.Backoff = time.Duration(d.what.ExpFloat64() * float64(d.spec.Backoff))
-	if d.what.Float64() < d.spec.Impatient {
-		a.Leaves = time.Duration(d.what.Float64() * float64(a.Patience))
+	a.Patience = time.Duration((lo + (hi-lo)*d.rng.Float64()) * float64(class.Deadline))
+	a.Retry = d.rng.Float64() < d.spec.Retries
+	a.Backoff = time.Duration(d.rng.ExpFloat64() * float64(d.spec.Backoff))
+	if d.rng.Float64() < d.spec.Impatient {
+		a.Leaves = time.Duration(d.rng.Float64() * float64(a.Patience))
 	}
-	a.ID, a.RetryID = fmt.Sprintf("%016x", d.ids.Uint64()), fmt.Sprintf("%016x", d.ids.Uint64())
+	a.ID, a.RetryID = fmt.Sprintf("%016x", d.idRNG.Uint64()), fmt.Sprintf("%016x", d.idRNG.Uint64())
 	return a
 }
 
@@ -190,7 +190,7 @@
 func arrivals(spec Spec, rng *rand.Rand) (at []time.Duration) {
 	most := spec.Rate * (1 + spec.Swing)
 	for _, s := range spec.Steps {
-		most *= max(1, s.all)
+		most *= max(1, s.rateFactor)
 	}
 	if most <= 0 {
 		return nil
@@ -203,7 +203,7 @@
 		}
 		for t >= flip {
 			up = !up
-			flip += time.Duration(rng.ExpFloat64() * float64(burstFor))
+			flip += time.Duration(rng.ExpFloat64() * float64(meanBurstPhase))
 		}
 		rate := spec.Rate
 		if spec.Bursty && up {
@@ -212,8 +212,8 @@
 			rate *= 1 - spec.Swing
 		}
 		for _, s := range spec.Steps {
-			if s.on(t) {
-				rate *= s.all
+			if s.activeAt(t) {
+				rate *= s.rateFactor
 			}
 		}
 		if rng.Float64()*most < rate {
@@ -259,8 +259,8 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// streams gives the clients' weights, with the given deviation over the mean.
-func streams(n int, cv float64, seed uint64) []float64 {
+// sidecarWeights gives the clients' weights, with the given deviation over the mean.
+func sidecarWeights(n int, cv float64, seed uint64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, clientStream))
 	w := make([]float64, n)
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
@@ -270,7 +270,7 @@
 	return w
 }
 
-func zipf(n int, exponent float64) []float64 {
+func zipfWeights(n int, exponent float64) []float64 {
 	w := make([]float64, max(n, 1))
 	for i := range w {
 		w[i] = math.Pow(float64(i+1), -exponent)
@@ -286,7 +286,7 @@
 	return w
 }
 
-func orOne(x float64) float64 {
+func usageOrOne(x float64) float64 {
 	if x == 0 {
 		return 1
 	}
--- a/internal/lab/overlay.go
+++ b/internal/lab/overlay.go
@@ -8,11 +8,11 @@
 
 	mu      sync.Mutex
 	base    T
-	changes []named[T]
+	changes []namedChange[T]
 }
 
-type named[T any] struct {
-	by     string
+type namedChange[T any] struct {
+	name   string
 	change func(*T)
 }
 
@@ -23,7 +23,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.drop(by)
-	o.changes = append(o.changes, named[T]{by, change})
+	o.changes = append(o.changes, namedChange[T]{by, change})
 	o.apply()
 }
 
@@ -38,7 +38,7 @@
 
 func (o *overlay[T]) drop(by string) bool {
 	for i, c := range o.changes {
-		if c.by == by {
+		if c.name == by {
 			o.changes = append(o.changes[:i:i], o.changes[i+1:]...)
 			return true
 		}
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	lineMost   = 64 << 10
+	maxLogLine = 64 << 10
 	peerStream = 77 // of what is lost between sidecars
 )
 
 // addPeer puts a sidecar among those that share, with links to all that are there; the caller holds mu.
 func (p *play) addPeer(s *sidecar) error {
-	err := p.mesh.Add(s.name, p.block.sidecar(s.number, peerLinkPort), p.block.sidecar(s.number, peerPort), p.seed*1_000_003+uint64(s.number)+peerStream)
+	err := p.mesh.Add(s.name, p.addrs.sidecar(s.number, peerLinkPort), p.addrs.sidecar(s.number, peerPort), p.seed*1_000_003+uint64(s.number)+peerStream)
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 	}
 	s.peers = map[string]*overlay[relay.State]{}
 	for _, o := range p.sidecars {
-		base := p.peerLink(s.zone, o.zone)
+		base := p.peerLinkState(s.zone, o.zone)
 		s.peers[o.name] = p.newPeerLink(s.name, o.name, base)
 		o.peers[s.name] = p.newPeerLink(o.name, s.name, base)
 		s.peers[o.name].apply()
@@ -41,24 +41,24 @@
 	return nil
 }
 
-// peers words what a sidecar is told of the others. Each knows its own address, and the others by their links.
-func (p *play) peers(s *sidecar) map[string]any {
-	c := map[string]any{"address": p.block.sidecar(s.number, peerPort), "advertise": p.block.sidecar(s.number, peerLinkPort), "seeds": p.seeds(), "zone": s.zone}
+// peerConfig words what a sidecar is told of the others. Each knows its own address, and the others by their links.
+func (p *play) peerConfig(s *sidecar) map[string]any {
+	c := map[string]any{"address": p.addrs.sidecar(s.number, peerPort), "advertise": p.addrs.sidecar(s.number, peerLinkPort), "seeds": p.seeds(), "zone": s.zone}
 	if p.service != nil {
 		var at []string
 		for _, r := range p.service.replicas {
-			at = append(at, p.block.replica(r.number, replicaAPIPort))
+			at = append(at, p.addrs.replica(r.number, replicaAPIPort))
 		}
 		c["service"] = strings.Join(at, ",")
 	}
-	maps.Copy(c, p.forwardKeys(s))
+	maps.Copy(c, p.forwardConfig(s))
 	return c
 }
 
 // seeds are the addresses of those that the others join by: one of each zone.
 func (p *play) seeds() (at []string) {
-	for i := range min(len(p.e.Fleet.Zones), p.e.Fleet.Sidecars) {
-		at = append(at, p.block.sidecar(i, peerLinkPort))
+	for i := range min(len(p.experiment.Fleet.Zones), p.experiment.Fleet.Sidecars) {
+		at = append(at, p.addrs.sidecar(i, peerLinkPort))
 	}
 	return at
 }
@@ -66,9 +66,9 @@
 // peerLinksOf are the links from the chosen sidecars to those in 'to'. Where these are others too, a cut is between the chosen
 // and the others, and not among the chosen.
 func (p *play) peerLinksOf(ev *event) (all []*overlay[relay.State]) {
-	others := slices.ContainsFunc(ev.peers, func(o *sidecar) bool { return !slices.Contains(ev.sidecars, o) })
+	others := slices.ContainsFunc(ev.toSidecars, func(o *sidecar) bool { return !slices.Contains(ev.sidecars, o) })
 	for _, s := range ev.sidecars {
-		for _, o := range ev.peers {
+		for _, o := range ev.toSidecars {
 			if l := s.peers[o.name]; l != nil && (!others || !slices.Contains(ev.sidecars, o)) {
 				all = append(all, l)
 			}
@@ -77,8 +77,8 @@
 	return all
 }
 
-// hearLogs takes from the sidecars' logs what they said of upstreams, once they have ended.
-func (p *play) hearLogs() {
+// readLogs takes from the sidecars' logs what they said of upstreams, once they have ended.
+func (p *play) readLogs() {
 	for _, s := range p.sidecars {
 		f, err := os.Open(filepath.Join(s.dir, "log"))
 		if err != nil {
@@ -86,9 +86,9 @@
 			continue
 		}
 		lines := bufio.NewScanner(f)
-		lines.Buffer(nil, lineMost)
+		lines.Buffer(nil, maxLogLine)
 		for lines.Scan() {
-			if said, ok := hear(lines.Bytes(), p.rec); ok {
+			if said, ok := parseLogLine(lines.Bytes(), p.rec); ok {
 				said.Sidecar = s.name
 				p.rec.Said = append(p.rec.Said, said)
 			}
@@ -99,11 +99,11 @@
 	slices.SortStableFunc(p.rec.Said, func(a, b record.Said) int { return cmp.Compare(a.At, b.At) })
 }
 
-var saidWords = map[string]record.SaidKind{"report": record.Evidence, "verdict": record.Verdict, "present": record.Present}
+var saidKinds = map[string]record.SaidKind{"report": record.Evidence, "verdict": record.Verdict, "present": record.Present}
 
-// ejection reads a sidecar's line on the ejection or reinstatement of an upstream, for all classes; not ok: it is on something else.
+// parseEjection reads a sidecar's line on the parseEjection or reinstatement of an upstream, for all classes; not ok: it is on something else.
 // Sidecars of earlier revisions, which experiments compare with, name the upstream in the message: "eject u0: ...", "return u0 after ...".
-func ejection(message, upstreamAttr string) (upstream string, ejected, ok bool) {
+func parseEjection(message, upstreamAttr string) (upstream string, ejected, ok bool) {
 	switch message {
 	case "endpoint ejected":
 		return upstreamAttr, true, true
@@ -117,8 +117,8 @@
 	return "", false, false
 }
 
-// hear reads a line of a log; not ok: it is on something else.
-func hear(line []byte, rec *record.Record) (record.Said, bool) {
+// parseLogLine reads a line of a log; not ok: it is on something else.
+func parseLogLine(line []byte, rec *record.Record) (record.Said, bool) {
 	var l struct {
 		Time      time.Time
 		Msg       string
@@ -135,13 +135,13 @@
 		return record.Said{}, false
 	}
 	if l.Component == "decisions" {
-		upstream, ejected, ok := ejection(l.Msg, l.Upstream)
+		upstream, ejected, ok := parseEjection(l.Msg, l.Upstream)
 		return record.Said{At: rec.Since(l.Time), What: record.Evidence, Upstream: upstream, Open: ejected}, ok
 	}
 	if l.Component != "peers" {
 		return record.Said{}, false
 	}
-	what, heard := saidWords[l.Msg]
+	what, heard := saidKinds[l.Msg]
 	if !heard {
 		return record.Said{}, false
 	}
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	sampleEvery  = 200 * time.Millisecond
-	loadBegins   = 100 * time.Millisecond // after all are ready
-	mostClients  = 10_000                 // connections of clients in all
-	roomForOwn   = 256                    // descriptors beside the parties'
-	sockPerRelay = 3                      // descriptors of one connection over a link: in, out, and the upstream's
+	sampleEvery        = 200 * time.Millisecond
+	loadDelay          = 100 * time.Millisecond // after all are ready
+	maxClientConns     = 10_000                 // connections of clients in all
+	ownDescriptors     = 256                    // descriptors beside the parties'
+	descriptorsPerLink = 3                      // descriptors of one connection over a link: in, out, and the upstream's
 )
 
 // Outcome is a play that has ended.
@@ -41,15 +41,15 @@
 
 // play is one play under way.
 type play struct {
-	ctx      context.Context
-	e        *experiment.Experiment
-	v        experiment.Variant
-	seed     uint64
-	dir      string
-	programs Programs
-	rec      *record.Record
-	block    *addresses
-	log      *slog.Logger
+	ctx        context.Context
+	experiment *experiment.Experiment
+	variant    experiment.Variant
+	seed       uint64
+	dir        string
+	programs   Programs
+	rec        *record.Record
+	addrs      *addresses
+	log        *slog.Logger
 
 	discovery *fake.Discovery
 	service   *service    // nil: sidecars ask the stand-in
@@ -62,8 +62,8 @@
 	sidecars  []*sidecar
 	notes     []string
 
-	numbers sync.RWMutex // apart from mu: agents ask while it is held
-	number  map[string]int
+	numbersMu       sync.RWMutex // apart from mu: agents ask while it is held
+	upstreamNumbers map[string]int
 
 	tasks sync.WaitGroup
 }
@@ -79,7 +79,7 @@
 // the play could not be held; a sidecar that does badly is no error. When ctx ends, what was seen until then comes back
 // marked as partial.
 func Play(ctx context.Context, e *experiment.Experiment, v experiment.Variant, seed uint64, dir string, programs Programs, log *slog.Logger) (out *Outcome, err error) {
-	if err := room(e); err != nil {
+	if err := ensureDescriptors(e); err != nil {
 		return nil, err
 	}
 	block, err := claimAddresses()
@@ -88,36 +88,36 @@
 	}
 	defer block.release()
 	running, stop := context.WithCancel(ctx)
-	p := &play{ctx: running, e: e, v: v, seed: seed, dir: dir, programs: programs, rec: record.New(), block: block, log: log,
-		number: map[string]int{}}
+	p := &play{ctx: running, experiment: e, variant: v, seed: seed, dir: dir, programs: programs, rec: record.New(), addrs: block, log: log,
+		upstreamNumbers: map[string]int{}}
 	p.discovery = fake.NewDiscovery(p.rec)
 	if v.Share {
 		p.mesh = relay.NewMesh()
 	}
 	if v.Forward {
-		p.forwards = p.newForwards()
+		p.forwards = p.newForwardMesh()
 	}
 	defer func() { // whatever happened: nothing of the play is left
 		stop()
 		p.close()
 	}()
-	if err := p.build(); err != nil {
+	if err := p.startParties(); err != nil {
 		return nil, err
 	}
 	out = &Outcome{Record: p.rec, Plan: load.Draw(loadSpec(e, p.capacity()), len(p.sidecars), seed)}
 	out.PlanHash = out.Plan.Hash()
 	timeline := p.timeline()
 	out.FaultsHash = hashOf(timeline)
-	out.Begin = p.rec.Now() + loadBegins
+	out.Begin = p.rec.Now() + loadDelay
 	var names, at []string
 	for _, s := range p.sidecars {
 		names, at = append(names, s.name), append(at, block.sidecar(s.number, sidecarPort))
 	}
 	clients := load.NewClients(p.rec, names, at, e.Load.Connections)
 	p.clients, p.spec = clients, out.Plan.Spec // before any fault
-	p.background(p.watch)
-	faults := p.follow(timeline, out.Begin)
-	judge := p.callService()
+	p.background(p.sampleParties)
+	faults := p.runTimeline(timeline, out.Begin)
+	judge := p.startHistory()
 	clients.Run(ctx, out.Plan, out.Begin)
 	judge(ctx)
 	stop() // faults that are still on end now
@@ -125,7 +125,7 @@
 	p.rec.Partial = ctx.Err() != nil
 	p.endSidecars()
 	p.rec.Length = p.rec.Now()
-	p.hearLogs()
+	p.readLogs()
 	for _, u := range p.upstreams {
 		area, sojourns := u.Little()
 		out.Littles[0] += area
@@ -137,14 +137,14 @@
 	return out, nil
 }
 
-// room tells whether this process may hold as many descriptors as the play can need.
-func room(e *experiment.Experiment) error {
+// ensureDescriptors tells whether this process may hold as many descriptors as the play can need.
+func ensureDescriptors(e *experiment.Experiment) error {
 	f := e.Fleet
-	if n := f.Sidecars * e.Load.Connections; n > mostClients {
-		return fmt.Errorf("%d sidecars with %d connections of clients each: the laboratory opens %d at most", f.Sidecars, e.Load.Connections, mostClients)
+	if n := f.Sidecars * e.Load.Connections; n > maxClientConns {
+		return fmt.Errorf("%d sidecars with %d connections of clients each: the laboratory opens %d at most", f.Sidecars, e.Load.Connections, maxClientConns)
 	}
 	upstreams := f.Upstreams * 2 // as many again may come in their place
-	need := uint64(f.Sidecars*upstreams + f.Sidecars*e.Load.Connections + sockPerRelay*f.Sidecars*f.Sockets/2 + roomForOwn)
+	need := uint64(f.Sidecars*upstreams + f.Sidecars*e.Load.Connections + descriptorsPerLink*f.Sidecars*f.Sockets/2 + ownDescriptors)
 	var lim syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
 		return fmt.Errorf("reading the limit on descriptors: %w", err)
@@ -159,14 +159,14 @@
 	return nil
 }
 
-// build brings up all parties, and returns once all sidecars are ready.
-func (p *play) build() error {
-	if p.v.Registry > 0 {
+// startParties brings up all parties, and returns once all sidecars are ready.
+func (p *play) startParties() error {
+	if p.variant.Registry > 0 {
 		if err := p.addService(); err != nil {
 			return err
 		}
 	}
-	specs, entries := drawUpstreams(p.e, p.e.Fleet.Upstreams, p.seed)
+	specs, entries := drawUpstreams(p.experiment, p.experiment.Fleet.Upstreams, p.seed)
 	for i := range specs {
 		if err := specs[i].Check(); err != nil {
 			return fmt.Errorf("upstream kind %s: %w", entries[i].Type, err)
@@ -175,7 +175,7 @@
 		if err != nil {
 			return err
 		}
-		if err := p.start(u, false); err != nil {
+		if err := p.startUpstream(u, false); err != nil {
 			return err
 		}
 		p.discovery.Change(u.entry)
@@ -188,14 +188,14 @@
 			return err
 		}
 	}
-	for i := range p.e.Fleet.Sidecars {
+	for i := range p.experiment.Fleet.Sidecars {
 		if err := p.addSidecar(i); err != nil {
 			return err
 		}
 	}
 	errs := make(chan error, len(p.sidecars))
 	for _, s := range p.sidecars {
-		go func() { errs <- p.run(s) }()
+		go func() { errs <- p.startSidecar(s) }()
 	}
 	var first error
 	for range p.sidecars {
@@ -206,10 +206,10 @@
 	return first
 }
 
-func (p *play) setNumber(upstream string, n int) {
-	p.numbers.Lock()
-	p.number[upstream] = n
-	p.numbers.Unlock()
+func (p *play) setUpstreamNumber(upstream string, n int) {
+	p.numbersMu.Lock()
+	p.upstreamNumbers[upstream] = n
+	p.numbersMu.Unlock()
 }
 
 // capacity is the work that all upstreams do in a second, warm and undisturbed.
@@ -226,7 +226,7 @@
 	s := load.Spec{Length: e.Length.Duration, Rate: l.Rate, Bursty: l.Shape == "bursty", Swing: l.Swing, StreamCV: l.StreamCV,
 		Keys: l.Keys, KeyZipf: l.KeyZipf, TryShare: l.TryShare, Retries: l.Retries, Backoff: l.Backoff.Duration, Impatient: l.Impatient}
 	for _, step := range l.Steps {
-		s.Steps = append(s.Steps, load.Step{At: step.At.Duration, For: step.For.Duration, Times: step.Times, Of: inZone(e, step.Zone)})
+		s.Steps = append(s.Steps, load.Step{At: step.At.Duration, For: step.For.Duration, Times: step.Times, Of: sidecarsInZone(e, step.Zone)})
 	}
 	work, shares := 0.0, 0.0
 	for _, c := range e.Classes {
@@ -244,8 +244,8 @@
 	return s
 }
 
-// watch samples all parties until the play ends.
-func (p *play) watch() {
+// sampleParties samples all parties until the play ends.
+func (p *play) sampleParties() {
 	for p.sleep(sampleEvery) {
 		p.mu.Lock()
 		sidecars, upstreams := p.sidecars, p.upstreams
@@ -278,7 +278,7 @@
 			if p.rec.Partial {
 				p.kill(s)
 			} else {
-				p.term(s, 0)
+				p.terminate(s, 0)
 			}
 		}()
 	}
@@ -341,7 +341,7 @@
 		return
 	}
 	p.log.Warn("play", "err", err)
-	p.numbers.Lock()
+	p.numbersMu.Lock()
 	p.notes = append(p.notes, err.Error())
-	p.numbers.Unlock()
+	p.numbersMu.Unlock()
 }
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	servesWithin = 15 * time.Second // all replicas, from their start
-	servesLook   = 20 * time.Millisecond
-	statusWithin = time.Second
+	serviceTimeout      = 15 * time.Second // all replicas, from their start
+	servicePollInterval = 20 * time.Millisecond
+	statusTimeout       = time.Second
 )
 
 // replica is a party that is a real process of the list service, or one after another.
@@ -51,7 +51,7 @@
 
 // addService makes the replicas, starts them, and waits until they serve.
 func (p *play) addService() error {
-	n := p.v.Registry
+	n := p.variant.Registry
 	s := &service{}
 	for i := range n {
 		r := &replica{name: fmt.Sprintf("r%d", i), number: i, dir: filepath.Join(p.dir, fmt.Sprintf("r%d", i)), links: map[string]*link{}}
@@ -63,11 +63,11 @@
 				continue
 			}
 			for what, port := range map[string]int{"raft": replicaRaftPort, "api": replicaAPIPort} {
-				l, err := relay.New(r.name, fmt.Sprintf("r%d", j), p.block.replicaLink(i, j, port), p.block.replica(j, port), nil)
+				l, err := relay.New(r.name, fmt.Sprintf("r%d", j), p.addrs.replicaLink(i, j, port), p.addrs.replica(j, port), nil)
 				if err != nil {
 					return err
 				}
-				o := newOverlay(relay.State{Delay: p.e.Net.Cross.Duration, Jitter: p.e.Net.Jitter.Duration}, func(state relay.State) { p.note(l.Set(state)) })
+				o := newOverlay(relay.State{Delay: p.experiment.Net.Cross.Duration, Jitter: p.experiment.Net.Jitter.Duration}, func(state relay.State) { p.note(l.Set(state)) })
 				o.apply()
 				r.links[fmt.Sprintf("r%d %s", j, what)] = &link{l, o}
 			}
@@ -77,13 +77,13 @@
 	p.service = s
 	var at []string
 	for _, r := range s.replicas {
-		at = append(at, p.block.replica(r.number, replicaAPIPort))
+		at = append(at, p.addrs.replica(r.number, replicaAPIPort))
 		if err := p.runReplica(r); err != nil {
 			return err
 		}
 	}
 	s.client = client.New(at)
-	lease := p.e.Registry.Lease.Duration
+	lease := p.experiment.Registry.Lease.Duration
 	s.registrar = client.NewRegistrar(s.client, lease, func(name string, err error) { p.log.Info("registrar", "upstream", name, "err", err) })
 	p.background(func() { s.registrar.Run(p.ctx) })
 	return p.awaitService(0)
@@ -91,13 +91,13 @@
 
 // awaitService returns once all replicas know of so many entries.
 func (p *play) awaitService(entries int) error {
-	ctx, cancel := context.WithTimeout(p.ctx, servesWithin)
+	ctx, cancel := context.WithTimeout(p.ctx, serviceTimeout)
 	defer cancel()
 	for {
 		said, failed := p.service.client.Status(ctx)
 		serving := 0
 		for _, s := range said {
-			if s.Leader != "" && s.Endpoints >= entries && s.StalenessMs >= 0 && time.Duration(s.StalenessMs)*time.Millisecond < statusWithin {
+			if s.Leader != "" && s.Endpoints >= entries && s.StalenessMs >= 0 && time.Duration(s.StalenessMs)*time.Millisecond < statusTimeout {
 				serving++
 			}
 		}
@@ -107,7 +107,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("the list service does not serve: %d of %d replicas, %v", serving, len(p.service.replicas), failed)
-		case <-time.After(servesLook):
+		case <-time.After(servicePollInterval):
 		}
 	}
 }
@@ -122,14 +122,14 @@
 	var peers []map[string]any
 	dial := map[string]any{}
 	for _, o := range p.service.replicas {
-		peers = append(peers, map[string]any{"name": o.name, "raft": p.block.replica(o.number, replicaRaftPort), "api": p.block.replica(o.number, replicaAPIPort)})
+		peers = append(peers, map[string]any{"name": o.name, "raft": p.addrs.replica(o.number, replicaRaftPort), "api": p.addrs.replica(o.number, replicaAPIPort)})
 		if o != r {
-			dial[o.name] = map[string]any{"raft": p.block.replicaLink(r.number, o.number, replicaRaftPort), "api": p.block.replicaLink(r.number, o.number, replicaAPIPort)}
+			dial[o.name] = map[string]any{"raft": p.addrs.replicaLink(r.number, o.number, replicaRaftPort), "api": p.addrs.replicaLink(r.number, o.number, replicaAPIPort)}
 		}
 	}
-	e := p.e.Registry
+	e := p.experiment.Registry
 	text, err := toml.Marshal(map[string]any{"name": r.name, "dir": r.data(), "replica": peers, "dial": dial, "grace": e.Grace.String(),
-		"preserve": e.Preserve, "stale": e.Stale.String(), "breaks": p.v.ServiceBreaks})
+		"preserve": e.Preserve, "stale": e.Stale.String(), "breaks": p.variant.ServiceBreaks})
 	if err != nil {
 		return fmt.Errorf("configuration of %s: %w", r.name, err)
 	}
@@ -184,7 +184,7 @@
 
 // leader is who most replicas say leads; "" : nobody.
 func (p *play) leader() string {
-	ctx, cancel := context.WithTimeout(p.ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(p.ctx, statusTimeout)
 	defer cancel()
 	said, _ := p.service.client.Status(ctx)
 	votes := map[string]int{}
@@ -197,15 +197,15 @@
 	return best
 }
 
-// befallReplicas lets a fault happen to replicas.
-func (p *play) befallReplicas(ev *event) {
+// injectReplicas lets a fault happen to replicas.
+func (p *play) injectReplicas(ev *event) {
 	if p.service == nil {
 		return // a variant without
 	}
 	f := ev.Fault
 	chosen := p.chosenReplicas(ev)
 	if f.Kind == "cut" {
-		during(p, f, p.replicaLinks(ev, chosen), linkChange(f))
+		applyDuring(p, f, p.replicaLinks(ev, chosen), linkChange(f))
 		return
 	}
 	var all sync.WaitGroup
@@ -219,9 +219,9 @@
 				p.sleep(f.For.Duration)
 				p.signalReplica(r, syscall.SIGCONT)
 			case "disk-full":
-				p.roomReplica(r, new(uint64))
+				p.limitReplicaFiles(r, new(uint64))
 				p.sleep(f.For.Duration)
-				p.roomReplica(r, nil)
+				p.limitReplicaFiles(r, nil)
 			case "disk-lost":
 				p.killReplica(r)
 				p.note(os.RemoveAll(r.data()))
@@ -229,7 +229,7 @@
 					p.note(errors.Join(os.MkdirAll(r.data(), 0o755), p.runReplica(r)))
 				}
 			case "disk-old":
-				p.oldDisk(r, f.For.Duration)
+				p.restoreOldDisk(r, f.For.Duration)
 			}
 		})
 	}
@@ -260,8 +260,8 @@
 	}
 }
 
-// roomReplica bounds the size of the files that the replica writes; nil lifts the bound.
-func (p *play) roomReplica(r *replica, bytes *uint64) {
+// limitReplicaFiles bounds the size of the files that the replica writes; nil lifts the bound.
+func (p *play) limitReplicaFiles(r *replica, bytes *uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.child != nil {
@@ -269,8 +269,8 @@
 	}
 }
 
-// oldDisk copies the replica's directory while it is down for a moment, and puts the copy in place at the end.
-func (p *play) oldDisk(r *replica, after time.Duration) {
+// restoreOldDisk copies the replica's directory while it is down for a moment, and puts the copy in place at the end.
+func (p *play) restoreOldDisk(r *replica, after time.Duration) {
 	old := filepath.Join(r.dir, "old")
 	p.killReplica(r)
 	p.note(errors.Join(os.CopyFS(old, os.DirFS(r.data())), p.runReplica(r)))
@@ -342,8 +342,8 @@
 func (p *play) addWindows(s *sidecar) error {
 	s.windows = map[string]*window{}
 	for _, r := range p.service.replicas {
-		w, err := fake.NewWindow(p.block.sidecar(s.number, windowPorts+r.number), p.block.replica(r.number, replicaAPIPort), s.agent.Teller(),
-			func(upstream string) string { return p.block.link(s.number, p.byNumber(upstream)) })
+		w, err := fake.NewWindow(p.addrs.sidecar(s.number, firstWindowPort+r.number), p.addrs.replica(r.number, replicaAPIPort), s.agent.Teller(),
+			func(upstream string) string { return p.addrs.link(s.number, p.upstreamNumber(upstream)) })
 		if err != nil {
 			return err
 		}
@@ -355,25 +355,25 @@
 
 // register has the service know of an upstream what the lab's own list says.
 func (p *play) register(u *upstream, e fake.Entry) {
-	g := api.Registration{Address: p.block.upstream(u.number), Zone: e.Zone, Machine: e.Type, Cell: e.Group, Weight: max(e.Weight, 0.01),
+	g := api.Registration{Address: p.addrs.upstream(u.number), Zone: e.Zone, Machine: e.Type, Cell: e.Group, Weight: max(e.Weight, 0.01),
 		StartedMs: e.SinceMs, Incarnation: int64(u.starts)}
 	p.service.registrar.Set(e.Name, g, e.Status)
 }
 
-// callService begins the calls of a history, where there is one; judge ends them and notes what it finds.
-func (p *play) callService() (judge func(context.Context)) {
-	if p.service == nil || p.e.History.Callers == 0 {
+// startHistory begins the calls of a history, where there is one; judge ends them and notes what it finds.
+func (p *play) startHistory() (judge func(context.Context)) {
+	if p.service == nil || p.experiment.History.Callers == 0 {
 		return func(context.Context) {}
 	}
 	ctx, end := context.WithCancel(p.ctx)
-	spec := history.Spec{Callers: p.e.History.Callers, Names: p.e.History.Names, Seed: p.seed}
+	spec := history.Spec{Callers: p.experiment.History.Callers, Names: p.experiment.History.Names, Seed: p.seed}
 	for _, r := range p.service.replicas {
-		spec.Replicas = append(spec.Replicas, p.block.replica(r.number, replicaAPIPort))
+		spec.Replicas = append(spec.Replicas, p.addrs.replica(r.number, replicaAPIPort))
 	}
 	run := history.Start(ctx, spec)
 	return func(ctx context.Context) {
 		end()
-		ctx, cancel := context.WithTimeout(ctx, servesWithin)
+		ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 		defer cancel()
 		all, err := p.service.client.Records(ctx, true)
 		p.note(err)
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	readyWithin = 10 * time.Second // from the start of a process
-	readyLook   = time.Millisecond
-	killLongest = 3 * time.Second // deadlines that are longer count as this, see killAfter
-	killRest    = 700 * time.Millisecond
-	shutSoonest = 200 * time.Millisecond // new connections come for so long after SIGTERM
-	shutLatest  = 400 * time.Millisecond
-	busyWithin  = 700 * time.Millisecond // connections that are kept busy have begun to be
-	doorWithin  = 3 * time.Second
+	readyTimeout      = 10 * time.Second // from the start of a process
+	readyPollInterval = time.Millisecond
+	maxKillDeadline   = 3 * time.Second // deadlines that are longer count as this, see killAfter
+	killMargin        = 700 * time.Millisecond
+	minShutDelay      = 200 * time.Millisecond // new connections come for so long after SIGTERM
+	maxShutDelay      = 400 * time.Millisecond
+	busyStartWindow   = 700 * time.Millisecond // connections that are kept busy have begun to be
+	opsTimeout        = 3 * time.Second
 )
 
 // sidecar is a party that is a real process, or one after another.
@@ -50,12 +50,12 @@
 	windows  map[string]*window // by replica, where there is a list service
 	replicas []string           // the windows' addresses
 
-	mu       sync.Mutex // held while a process is started or ended
-	child    *proc.Child
-	life     *record.Life
-	starts   int
-	noRoom   int // faults that leave no room on its disk
-	stopping bool
+	mu             sync.Mutex // held while a process is started or ended
+	child          *proc.Child
+	life           *record.Life
+	starts         int
+	diskFullFaults int // faults that leave no room on its disk
+	stopping       bool
 }
 
 type link struct {
@@ -67,7 +67,7 @@
 func (p *play) addSidecar(i int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	zones := p.e.Fleet.Zones
+	zones := p.experiment.Fleet.Zones
 	s := &sidecar{name: fmt.Sprintf("s%d", i), number: i, zone: zones[i%len(zones)], links: map[string]*link{}}
 	s.dir = filepath.Join(p.dir, s.name)
 	if err := os.MkdirAll(filepath.Join(s.dir, "state"), 0o755); err != nil {
@@ -78,10 +78,10 @@
 			return err
 		}
 	}
-	spread := p.e.Discovery.Spread.Duration * time.Duration(i) / time.Duration(max(1, p.e.Fleet.Sidecars-1))
+	spread := p.experiment.Discovery.Spread.Duration * time.Duration(i) / time.Duration(max(1, p.experiment.Fleet.Sidecars-1))
 	var err error
-	s.agent, err = p.discovery.Agent(s.name, p.block.sidecar(i, agentPort), p.e.Discovery.Late.Duration+spread,
-		func(upstream string) string { return p.block.link(i, p.byNumber(upstream)) })
+	s.agent, err = p.discovery.Agent(s.name, p.addrs.sidecar(i, agentPort), p.experiment.Discovery.Late.Duration+spread,
+		func(upstream string) string { return p.addrs.link(i, p.upstreamNumber(upstream)) })
 	if err != nil {
 		return err
 	}
@@ -91,44 +91,44 @@
 			return err
 		}
 	}
-	if p.v.Share {
+	if p.variant.Share {
 		if err := p.addPeer(s); err != nil {
 			return err
 		}
 	}
 	p.rec.Zones[s.name] = s.zone
-	p.rec.Limits[s.name] = record.Limits{Descriptors: p.e.Fleet.Sockets, MemoryMB: p.e.Fleet.MemoryMB}
+	p.rec.Limits[s.name] = record.Limits{Descriptors: p.experiment.Fleet.Sockets, MemoryMB: p.experiment.Fleet.MemoryMB}
 	p.sidecars = append(p.sidecars, s)
 	return nil
 }
 
-func (p *play) byNumber(upstream string) int {
-	p.numbers.RLock()
-	defer p.numbers.RUnlock()
-	return p.number[upstream]
+func (p *play) upstreamNumber(upstream string) int {
+	p.numbersMu.RLock()
+	defer p.numbersMu.RUnlock()
+	return p.upstreamNumbers[upstream]
 }
 
 // config words a sidecar's configuration as the platform does.
 func (p *play) config(s *sidecar, known *fake.Listing) ([]byte, error) {
 	c := map[string]any{
-		"name": s.name, "listen": p.block.sidecar(s.number, sidecarPort), "discovery": s.discovery(),
+		"name": s.name, "listen": p.addrs.sidecar(s.number, sidecarPort), "discovery": s.discovery(),
 		"seed":     fmt.Sprintf("%x", p.seed*1_000_003+uint64(s.number)*7919+uint64(s.starts)+1),
-		"limits":   map[string]any{"cores": p.e.Fleet.Cores, "memory_mb": p.e.Fleet.MemoryMB, "sockets": p.e.Fleet.Sockets},
-		"settings": settings(p.e, s.zone, s.number),
+		"limits":   map[string]any{"cores": p.experiment.Fleet.Cores, "memory_mb": p.experiment.Fleet.MemoryMB, "sockets": p.experiment.Fleet.Sockets},
+		"settings": settings(p.experiment, s.zone, s.number),
 	}
 	if known != nil {
 		c["known"] = known
 	}
-	if p.e.Fleet.Door {
-		c["ops"] = p.block.sidecar(s.number, doorPort)
+	if p.experiment.Fleet.Door {
+		c["ops"] = p.addrs.sidecar(s.number, opsPort)
 	}
-	if p.v.Share {
-		c["peers"] = p.peers(s)
+	if p.variant.Share {
+		c["peers"] = p.peerConfig(s)
 	}
-	if p.v.State {
+	if p.variant.State {
 		c["state"] = filepath.Join(s.dir, "state")
 	}
-	maps.Copy(c, p.v.Config)
+	maps.Copy(c, p.variant.Config)
 	return json.MarshalIndent(c, "", " ")
 }
 
@@ -166,16 +166,16 @@
 	}
 }
 
-// run starts a process of the sidecar; it returns once the process is ready, or at its end. Nothing is started once the
+// startSidecar starts a process of the sidecar; it returns once the process is ready, or at its end. Nothing is started once the
 // sidecar is to stay down.
-func (p *play) run(s *sidecar) error {
+func (p *play) startSidecar(s *sidecar) error {
 	s.mu.Lock()
 	if s.child != nil || s.stopping {
 		s.mu.Unlock()
 		return nil
 	}
 	var known *fake.Listing
-	if p.service == nil && (s.starts == 0 || p.v.Known != "none") { // the service has versions of its own
+	if p.service == nil && (s.starts == 0 || p.variant.Known != "none") { // the service has versions of its own
 		l := s.agent.Known()
 		known = &l
 	}
@@ -195,7 +195,7 @@
 	s.starts++
 	s.agent.Restarted(known)
 	env := []string{"GW_CONFIG=" + filepath.Join(s.dir, "config.json"), "GW_NAME=" + s.name, "TMPDIR=" + tmp}
-	for key, value := range p.v.Env {
+	for key, value := range p.variant.Env {
 		env = append(env, key+"="+value)
 	}
 	life := &record.Life{Party: s.name, Start: p.rec.Now()}
@@ -204,7 +204,7 @@
 		s.mu.Unlock()
 		return err
 	}
-	if s.noRoom > 0 {
+	if s.diskFullFaults > 0 {
 		p.note(child.FileLimit(new(uint64)))
 	}
 	p.rec.Life(life)
@@ -222,8 +222,8 @@
 }
 
 func (p *play) awaitReady(s *sidecar, child *proc.Child, life *record.Life) error {
-	address := p.block.sidecar(s.number, sidecarPort)
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(readyLook) {
+	address := p.addrs.sidecar(s.number, sidecarPort)
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		select {
 		case <-child.Ended():
 			_ = child.Kill() // nothing is left to kill: it waits until the log is written
@@ -240,7 +240,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s was not ready within %v; its log: %s", s.name, readyWithin, p.logTail(s))
+	return fmt.Errorf("%s was not ready within %v; its log: %s", s.name, readyTimeout, p.logTail(s))
 }
 
 // ready asks once.
@@ -289,9 +289,9 @@
 	s.child = nil
 }
 
-// term asks the sidecar's process to end, and waits until it has. One that is late is killed, as the platform does; clients
+// terminate asks the sidecar's process to end, and waits until it has. One that is late is killed, as the platform does; clients
 // soon open no new connections to it, and keep a share of those that they have busy.
-func (p *play) term(s *sidecar, busy float64) {
+func (p *play) terminate(s *sidecar, busy float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.child == nil {
@@ -303,13 +303,13 @@
 	defer ended()
 	if clients := p.clients; clients != nil {
 		rng := rand.New(rand.NewPCG(p.seed, termStream+uint64(s.number)))
-		shut := time.AfterFunc(shutSoonest+time.Duration(rng.Float64()*float64(shutLatest-shutSoonest)), func() { clients.Shut(s.number, true) })
+		shut := time.AfterFunc(minShutDelay+time.Duration(rng.Float64()*float64(maxShutDelay-minShutDelay)), func() { clients.Shut(s.number, true) })
 		defer shut.Stop()
 		if busy > 0 {
-			p.background(func() { clients.KeepBusy(ctx, p.spec, s.number, busy, busyWithin, p.seed+uint64(s.starts)) })
+			p.background(func() { clients.KeepBusy(ctx, p.spec, s.number, busy, busyStartWindow, p.seed+uint64(s.starts)) })
 		}
 	}
-	_, err := s.child.Stop(killAfter(p.e), func() {
+	_, err := s.child.Stop(killAfter(p.experiment), func() {
 		p.rec.Change(func() { // first, see kill
 			if s.life.End == 0 {
 				s.life.End, s.life.Killed = p.rec.Now(), true
@@ -331,7 +331,7 @@
 	for _, c := range e.Classes {
 		longest = max(longest, c.Deadline.Duration)
 	}
-	return min(longest, killLongest) + killRest
+	return min(longest, maxKillDeadline) + killMargin
 }
 
 // signal sends a signal to the running process, if there is one.
@@ -353,14 +353,14 @@
 	}
 }
 
-// call asks the sidecar's door, and gives the answer's first line.
-func (p *play) call(s *sidecar, line string) (string, error) {
-	c, err := net.DialTimeout("tcp", p.block.sidecar(s.number, doorPort), doorWithin)
+// callOps asks the sidecar's door, and gives the answer's first line.
+func (p *play) callOps(s *sidecar, line string) (string, error) {
+	c, err := net.DialTimeout("tcp", p.addrs.sidecar(s.number, opsPort), opsTimeout)
 	if err != nil {
 		return "", fmt.Errorf("door of %s: %w", s.name, err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(doorWithin)) // where it fails, so does what follows
+	_ = c.SetDeadline(time.Now().Add(opsTimeout)) // where it fails, so does what follows
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", fmt.Errorf("door of %s: %w", s.name, err)
 	}
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -18,19 +18,19 @@
 
 // event is a fault with the parties that it befalls, drawn from the seed.
 type event struct {
-	Fault    experiment.Fault
-	Of, To   []string
-	sidecars []*sidecar
-	replicas []*replica // who of them leads is found out when the fault begins
-	ups, to  []*upstream
-	peers    []*sidecar // in 'to'
+	Fault                  experiment.Fault
+	Of, To                 []string
+	sidecars               []*sidecar
+	replicas               []*replica // who of them leads is found out when the fault begins
+	upstreams, toUpstreams []*upstream
+	toSidecars             []*sidecar // in 'to'
 }
 
 // timeline draws the faults of the play, in the order of their begin.
 func (p *play) timeline() []*event {
 	var all []*event
-	for i, f := range p.e.Faults {
-		if p.v.Calm || (len(p.v.Only) > 0 && !slices.Contains(p.v.Only, f.Name)) {
+	for i, f := range p.experiment.Faults {
+		if p.variant.Calm || (len(p.variant.Only) > 0 && !slices.Contains(p.variant.Only, f.Name)) {
 			continue
 		}
 		rng := rand.New(rand.NewPCG(p.seed, faultStream+uint64(i)))
@@ -42,29 +42,29 @@
 				if slices.Contains(by.Names, "leader") {
 					by.Names = nil
 				}
-				ev.replicas = choose(p.service.replicas, by, rng, func(r *replica) (string, string) { return r.name, "" })
+				ev.replicas = selectParties(p.service.replicas, by, rng, func(r *replica) (string, string) { return r.name, "" })
 			}
 		case "upstream":
-			ev.ups = choose(p.upstreams, f.Of, rng, func(u *upstream) (string, string) { return u.Name, u.entry.Zone })
-			for _, u := range ev.ups {
+			ev.upstreams = selectParties(p.upstreams, f.Of, rng, func(u *upstream) (string, string) { return u.Name, u.entry.Zone })
+			for _, u := range ev.upstreams {
 				ev.Of = append(ev.Of, u.Name)
 			}
 		default: // a sidecar, or its discovery
-			ev.sidecars = choose(p.sidecars, f.Of, rng, func(s *sidecar) (string, string) { return s.name, s.zone })
+			ev.sidecars = selectParties(p.sidecars, f.Of, rng, func(s *sidecar) (string, string) { return s.name, s.zone })
 			for _, s := range ev.sidecars {
 				ev.Of = append(ev.Of, s.name)
 			}
 		}
 		if f.To.Kind == "sidecar" {
-			ev.peers = choose(p.sidecars, f.To, rng, func(s *sidecar) (string, string) { return s.name, s.zone })
-			for _, s := range ev.peers {
+			ev.toSidecars = selectParties(p.sidecars, f.To, rng, func(s *sidecar) (string, string) { return s.name, s.zone })
+			for _, s := range ev.toSidecars {
 				ev.To = append(ev.To, s.name)
 			}
 			all = append(all, ev)
 			continue
 		}
-		ev.to = choose(p.upstreams, f.To, rng, func(u *upstream) (string, string) { return u.Name, u.entry.Zone })
-		for _, u := range ev.to {
+		ev.toUpstreams = selectParties(p.upstreams, f.To, rng, func(u *upstream) (string, string) { return u.Name, u.entry.Zone })
+		for _, u := range ev.toUpstreams {
 			ev.To = append(ev.To, u.Name)
 		}
 		all = append(all, ev)
@@ -73,8 +73,8 @@
 	return all
 }
 
-// choose picks the parties that a selection names: all of its names and zone, or so many of them, drawn.
-func choose[T any](from []T, by experiment.Parties, rng *rand.Rand, is func(T) (name, zone string)) []T {
+// selectParties picks the parties that a selection names: all of its names and zone, or so many of them, drawn.
+func selectParties[T any](from []T, by experiment.Parties, rng *rand.Rand, is func(T) (name, zone string)) []T {
 	var fit []T
 	for _, x := range from {
 		name, zone := is(x)
@@ -107,9 +107,9 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
 
-// follow lets every fault happen at its time after begin. The group is done once all are undone: at their end, or when
+// runTimeline lets every fault happen at its time after begin. The group is done once all are undone: at their end, or when
 // the play ends.
-func (p *play) follow(timeline []*event, begin time.Duration) *sync.WaitGroup {
+func (p *play) runTimeline(timeline []*event, begin time.Duration) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for _, ev := range timeline {
 		all.Add(1)
@@ -120,10 +120,10 @@
 			}
 			from := p.rec.Now()
 			p.log.Info("fault", "name", ev.Fault.Name, "kind", ev.Fault.Kind, "of", ev.Of)
-			p.befall(ev)
+			p.inject(ev)
 			to := max(p.rec.Now(), from+ev.Fault.For.Duration)
 			if ev.Fault.Stays {
-				to = begin + p.e.Length.Duration
+				to = begin + p.experiment.Length.Duration
 			}
 			p.rec.Band(record.Band{Name: ev.Fault.Name, Of: ev.Of, From: from, To: to})
 		}()
--- a/internal/lab/upstreams.go
+++ b/internal/lab/upstreams.go
@@ -30,8 +30,8 @@
 	termStream
 )
 
-// between draws a value of a range.
-func between(r experiment.Range, rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
+// drawRange draws a value of a range.
+func drawRange(r experiment.Range, rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
 
 // drawUpstreams draws what the fleet's upstreams are like.
 func drawUpstreams(e *experiment.Experiment, n int, seed uint64) (specs []model.Spec, entries []fake.Entry) {
@@ -61,9 +61,9 @@
 
 func drawSpec(k experiment.Kind, r experiment.Rules, rng *rand.Rand) model.Spec {
 	return model.Spec{
-		Cores: k.Cores, Speed: between(k.Speed, rng), SlotsPerCore: between(k.Slots, rng), QueuePerCore: between(k.Queue, rng),
-		Thrash: between(k.Thrash, rng), ThrashAt: between(k.ThrashAt, rng),
-		ColdFrom: between(k.ColdFrom, rng), ColdFor: k.ColdFor.Duration, FallMultiple: r.FallMultiple, FallFor: r.Fall.Duration,
+		Cores: k.Cores, Speed: drawRange(k.Speed, rng), SlotsPerCore: drawRange(k.Slots, rng), QueuePerCore: drawRange(k.Queue, rng),
+		Thrash: drawRange(k.Thrash, rng), ThrashAt: drawRange(k.ThrashAt, rng),
+		ColdFrom: drawRange(k.ColdFrom, rng), ColdFor: k.ColdFor.Duration, FallMultiple: r.FallMultiple, FallFor: r.Fall.Duration,
 		PauseEvery: k.PauseEvery.Duration, PauseFor: k.PauseFor.Duration, ErrorShare: k.Errors,
 		KeyGain: k.KeyGain, KeyFor: k.KeyFor.Duration, KeysPerCore: k.Keys,
 		ConnsPerCore: k.Conns, Handshake: k.Handshake.Duration, HandshakeRTTs: k.RoundTrips, FullTax: k.FullTax, ProbeWork: k.ProbeWork.Duration,
@@ -77,8 +77,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	u := &upstream{number: len(p.upstreams), entry: entry, seed: p.seed*1_000_003 + uint64(len(p.upstreams))}
-	p.setNumber(entry.Name, u.number)
-	u.Upstream = fake.NewUpstream(entry.Name, p.block.upstream(u.number), spec, p.rec, func() { p.fell(u) })
+	p.setUpstreamNumber(entry.Name, u.number)
+	u.Upstream = fake.NewUpstream(entry.Name, p.addrs.upstream(u.number), spec, p.rec, func() { p.handleFall(u) })
 	u.trouble = newOverlay(fake.Trouble{}, u.Set)
 	p.upstreams = append(p.upstreams, u)
 	p.rec.Zones[entry.Name] = entry.Zone
@@ -92,13 +92,13 @@
 
 // addLink opens the link from a sidecar to an upstream; the caller holds mu.
 func (p *play) addLink(s *sidecar, u *upstream) error {
-	net := p.e.Net
+	net := p.experiment.Net
 	base := relay.State{Delay: net.Same.Duration, Jitter: net.Jitter.Duration}
 	if s.zone != u.entry.Zone {
 		base.Delay = net.Cross.Duration
 	}
 	base.Setup = time.Duration(2 * u.Spec.HandshakeRTTs * float64(base.Delay))
-	l, err := relay.New(s.name, u.Name, p.block.link(s.number, u.number), p.block.upstream(u.number), u.Ended)
+	l, err := relay.New(s.name, u.Name, p.addrs.link(s.number, u.number), p.addrs.upstream(u.number), u.Ended)
 	if err != nil {
 		return err
 	}
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// start begins a process of the upstream, and the links to it take connections.
-func (p *play) start(u *upstream, cold bool) error {
+// startUpstream begins a process of the upstream, and the links to it take connections.
+func (p *play) startUpstream(u *upstream, cold bool) error {
 	p.mu.Lock()
 	u.starts++
 	u.dead = false
@@ -122,17 +122,17 @@
 	return nil
 }
 
-// end kills the upstream's process: its connections are reset, and new ones refused.
-func (p *play) end(u *upstream) {
+// killUpstream kills the upstream's process: its connections are reset, and new ones refused.
+func (p *play) killUpstream(u *upstream) {
 	p.eachLink(u, func(o *overlay[relay.State]) { o.add("down", func(s *relay.State) { s.Reset = true }) })
 	u.Kill()
 }
 
-// fell is told when the upstream was pushed over: it stays down, and discovery notices.
-func (p *play) fell(u *upstream) {
-	p.end(u)
-	p.silence(u)
-	p.tellAfter(p.e.Discovery.Notice.Duration, u, fake.Gone)
+// handleFall is told when the upstream was pushed over: it stays down, and discovery notices.
+func (p *play) handleFall(u *upstream) {
+	p.killUpstream(u)
+	p.markDead(u)
+	p.setStatusAfter(p.experiment.Discovery.Notice.Duration, u, fake.Gone)
 }
 
 func (p *play) eachLink(u *upstream, f func(*overlay[relay.State])) {
@@ -145,8 +145,8 @@
 	}
 }
 
-// silence says that the upstream died or was cut off, without a word to the list service.
-func (p *play) silence(u *upstream) {
+// markDead says that the upstream died or was cut off, without a word to the list service.
+func (p *play) markDead(u *upstream) {
 	p.mu.Lock()
 	u.dead = true
 	p.mu.Unlock()
@@ -155,9 +155,9 @@
 	}
 }
 
-// tell changes the upstream's entry in the list. Of one that died without a word the list service is not told: its lease
+// setStatus changes the upstream's entry in the list. Of one that died without a word the list service is not told: its lease
 // lapses.
-func (p *play) tell(u *upstream, status string, since bool) {
+func (p *play) setStatus(u *upstream, status string, since bool) {
 	p.mu.Lock()
 	u.entry.Status = status
 	if since {
@@ -174,11 +174,11 @@
 	p.discovery.Change(e)
 }
 
-// tellAfter changes it after a time, unless the play ends before.
-func (p *play) tellAfter(after time.Duration, u *upstream, status string) {
+// setStatusAfter changes it after a time, unless the play ends before.
+func (p *play) setStatusAfter(after time.Duration, u *upstream, status string) {
 	p.background(func() {
 		if p.sleep(after) {
-			p.tell(u, status, false)
+			p.setStatus(u, status, false)
 		}
 	})
 }
--- a/internal/lab/verdict/forwards.go
+++ b/internal/lab/verdict/forwards.go
@@ -14,7 +14,7 @@
 
 // twoHops finds requests that went further than from the sidecar that a client asked to one peer. An upstream's word counts too:
 // who brought an attempt took the request or got it from who did.
-func twoHops(a *account) (found []Violation) {
+func twoHops(a *analysis) (found []Violation) {
 	to := map[string]string{}
 	for _, h := range a.Hops { // in time
 		q := a.requests[h.Request]
@@ -37,10 +37,10 @@
 
 // twoCarriers finds requests that two sidecars attempted, whichever and whenever: a peer that has begun a request never gives it
 // back, and what came of one that broke off nobody knows.
-func twoCarriers(a *account) (found []Violation) {
+func twoCarriers(a *analysis) (found []Violation) {
 	for id, of := range a.attempts {
 		if i := slices.IndexFunc(of, func(at *record.Attempt) bool { return at.Sidecar != of[0].Sidecar }); i > 0 {
-			found = append(found, Violation{"two-carriers", of[i].Begun, id, of[i].Sidecar, "begun by " + of[0].Sidecar + ": " + Way(of)})
+			found = append(found, Violation{"two-carriers", of[i].Begun, id, of[i].Sidecar, "begun by " + of[0].Sidecar + ": " + FormatAttempts(of)})
 		}
 	}
 	return found
@@ -48,7 +48,7 @@
 
 // forwardBudget holds every sidecar's hops against a part of what it was asked and a burst, over every stretch of time: with
 // n(t) hops and a(t) arrivals up to t, n(t) - part a(t) never rises by more than the burst.
-func forwardBudget(a *account) (found []Violation) {
+func forwardBudget(a *analysis) (found []Violation) {
 	arrivals, hops := map[string][]time.Duration{}, map[string][]record.Hop{}
 	for _, q := range a.Requests {
 		if q.Sent > 0 {
--- a/internal/lab/verdict/verdict.go
+++ b/internal/lab/verdict/verdict.go
@@ -42,7 +42,7 @@
 type Rule struct {
 	Name  string
 	Says  string // what must not be
-	check func(*account) []Violation
+	check func(*analysis) []Violation
 }
 
 // All are the rules, in the order in which reports show them.
@@ -55,22 +55,22 @@
 	{"reset-unread", "a process that was told to end reset a connection under a request", resetUnread},
 	{"forged", "a request was served with what no upstream made for it", forged},
 	{"refused-after-run", "a refusal promised that an unsafe request had not run", refusedAfterRun},
-	{"drain", "work went to a draining or gone upstream after the grace", func(a *account) []Violation { return late(a, record.List, "drain") }},
-	{"ban", "work went to a banned upstream after the grace", func(a *account) []Violation { return late(a, record.Operator, "ban") }},
+	{"drain", "work went to a draining or gone upstream after the grace", func(a *analysis) []Violation { return attemptsAfterGrace(a, record.List, "drain") }},
+	{"ban", "work went to a banned upstream after the grace", func(a *analysis) []Violation { return attemptsAfterGrace(a, record.Operator, "ban") }},
 	{"cold", "a cold upstream was sent more than its budget", cold},
 	{"two-hops", "a request was forwarded again, or by who did not take it", twoHops},
 	{"two-carriers", "attempts of one request came from two sidecars", twoCarriers},
 	{"forward-budget", "a sidecar forwarded more than its budget", forwardBudget},
 	{"attempts", "more attempts were made than a request may have", attempts},
 	{"limits", "a process held more descriptors or memory than it may", limits},
-	{"crash", "a process ended by itself", func(a *account) []Violation { return append(crash(a), reported("crash")(a)...) }},
+	{"crash", "a process ended by itself", func(a *analysis) []Violation { return append(crash(a), reported("crash")(a)...) }},
 	{"linearizable", "calls on the list service were answered as no order of them explains", reported("linearizable")},
 	{"watch", "a watch of the list skipped or repeated a change, or told another list than others at that version", reported("watch")},
 }
 
 // Judge gives every breach, by rule and time.
 func Judge(rec *record.Record, rules Rules) []Violation {
-	a := newAccount(rec, rules)
+	a := newAnalysis(rec, rules)
 	var all []Violation
 	for _, rule := range All {
 		found := rule.check(a)
@@ -81,8 +81,8 @@
 }
 
 // reported are breaches of a rule whose checker sees more than the record holds.
-func reported(rule string) func(*account) []Violation {
-	return func(a *account) (found []Violation) {
+func reported(rule string) func(*analysis) []Violation {
+	return func(a *analysis) (found []Violation) {
 		for _, r := range a.Reported {
 			if r.Rule == rule {
 				found = append(found, Violation{Rule: rule, At: r.At, Text: r.Text})
@@ -92,18 +92,18 @@
 	}
 }
 
-// account is a record, sorted for the checks.
-type account struct {
+// analysis is a record, sorted for the checks.
+type analysis struct {
 	*record.Record
-	rules    Rules
-	attempts map[string][]*record.Attempt // by request, as they began
-	requests map[string]*record.Request
-	told     map[[2]string][]record.Told // by sidecar and upstream, in time
+	rules      Rules
+	attempts   map[string][]*record.Attempt // by request, as they began
+	requests   map[string]*record.Request
+	statusNews map[[2]string][]record.Told // by sidecar and upstream, in time
 }
 
-func newAccount(rec *record.Record, rules Rules) *account {
-	a := &account{Record: rec, rules: rules, attempts: map[string][]*record.Attempt{},
-		requests: map[string]*record.Request{}, told: map[[2]string][]record.Told{}}
+func newAnalysis(rec *record.Record, rules Rules) *analysis {
+	a := &analysis{Record: rec, rules: rules, attempts: map[string][]*record.Attempt{},
+		requests: map[string]*record.Request{}, statusNews: map[[2]string][]record.Told{}}
 	for _, q := range rec.Requests {
 		a.requests[q.ID] = q
 	}
@@ -115,16 +115,16 @@
 	}
 	for _, t := range rec.Told {
 		key := [2]string{t.Sidecar, t.Upstream}
-		a.told[key] = append(a.told[key], t)
+		a.statusNews[key] = append(a.statusNews[key], t)
 	}
-	for _, of := range a.told {
+	for _, of := range a.statusNews {
 		slices.SortStableFunc(of, func(x, y record.Told) int { return cmp.Compare(x.At, y.At) })
 	}
 	return a
 }
 
-// Way words a request's attempts.
-func Way(attempts []*record.Attempt) string {
+// FormatAttempts words a request's attempts.
+func FormatAttempts(attempts []*record.Attempt) string {
 	var s strings.Builder
 	for i, at := range attempts {
 		if i > 0 {
@@ -145,7 +145,7 @@
 
 func ms(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
 
-func unsafeTwice(a *account) (found []Violation) {
+func unsafeTwice(a *analysis) (found []Violation) {
 	for id, of := range a.attempts {
 		q := a.requests[id]
 		if q == nil || q.Safe {
@@ -157,7 +157,7 @@
 				ran++
 			}
 			if ran == 2 {
-				found = append(found, Violation{"unsafe-twice", at.Begun, id, q.Sidecar, Way(of)})
+				found = append(found, Violation{"unsafe-twice", at.Begun, id, q.Sidecar, FormatAttempts(of)})
 				break
 			}
 		}
@@ -165,11 +165,11 @@
 	return found
 }
 
-func twoAtOnce(a *account) (found []Violation) {
+func twoAtOnce(a *analysis) (found []Violation) {
 	for id, of := range a.attempts {
 		for i := 1; i < len(of); i++ {
 			if over := of[i-1].Over(a.Length); of[i].Begun+a.rules.Slack < over {
-				found = append(found, Violation{"two-at-once", of[i].Begun, id, of[i].Sidecar, Way(of)})
+				found = append(found, Violation{"two-at-once", of[i].Begun, id, of[i].Sidecar, FormatAttempts(of)})
 				break
 			}
 		}
@@ -177,7 +177,7 @@
 	return found
 }
 
-func notSent(a *account) (found []Violation) {
+func notSent(a *analysis) (found []Violation) {
 	for id, of := range a.attempts {
 		for _, at := range of {
 			if at.How == record.Unknown {
@@ -191,14 +191,14 @@
 // lost finds taken requests without a final answer. Excused is what the sidecar could not help: it was killed or
 // stopped meanwhile, its upstream broke off the answer, or the client left. The first request on a connection that ends
 // without a byte has failed and is not lost, up to one in 200.
-func lost(a *account) (found []Violation) {
+func lost(a *analysis) (found []Violation) {
 	var firstUses []Violation
 	for _, q := range a.Requests {
 		if q.Sent == 0 {
 			continue
 		}
 		v := Violation{"lost", q.Ended, q.ID, q.Sidecar, fmt.Sprintf("%s, %v after it was sent: %v; %s", q.Class,
-			ms(q.Ended-q.Sent), q.End, Way(a.attempts[q.ID]))}
+			ms(q.Ended-q.Sent), q.End, FormatAttempts(a.attempts[q.ID]))}
 		switch q.End {
 		case record.Unanswered:
 		case record.Broken:
@@ -225,7 +225,7 @@
 
 // excused tells whether the process that took a request was killed or stopped before its end. One that was told to end first
 // answers what comes later than the grace, or closes its connection in order: a SIGKILL then is its own fault.
-func (a *account) excused(q *record.Request) bool {
+func (a *analysis) excused(q *record.Request) bool {
 	for _, l := range a.Lives {
 		if l.Party != q.Sidecar {
 			continue
@@ -252,8 +252,8 @@
 	return false
 }
 
-// ending is the life that was told to end and had what was sent then, and saw its end; nil: none.
-func (a *account) ending(sidecar string, sent, ended time.Duration) *record.Life {
+// terminatedProcess is the life that was told to end and had what was sent then, and saw its end; nil: none.
+func (a *analysis) terminatedProcess(sidecar string, sent, ended time.Duration) *record.Life {
 	for _, l := range a.Lives {
 		if l.Party == sidecar && l.Termed > 0 && !l.Paused && sent >= l.Start && ended >= l.Termed && (l.End == 0 || sent <= l.End) {
 			return l
@@ -265,14 +265,14 @@
 // unanswered finds requests that a process took which was told to end, and that it did not answer in time: it closed the
 // connection though their upstream had them, or later than a close that crosses a request can come, or it never said
 // anything. Excused is what SIGKILL found and came soon after SIGTERM.
-func unanswered(a *account) (found []Violation) {
+func unanswered(a *analysis) (found []Violation) {
 	add := func(q *record.Request, sent, at time.Duration, how string) {
-		l := a.ending(q.Sidecar, sent, at)
+		l := a.terminatedProcess(q.Sidecar, sent, at)
 		if l == nil || l.Killed && sent <= l.Termed+a.rules.TermGrace {
 			return
 		}
 		found = append(found, Violation{"unanswered", at, q.ID, q.Sidecar, fmt.Sprintf("sent %v after SIGTERM, %s %v later; %s",
-			ms(sent-l.Termed), how, ms(at-sent), Way(a.attempts[q.ID]))})
+			ms(sent-l.Termed), how, ms(at-sent), FormatAttempts(a.attempts[q.ID]))})
 	}
 	for _, q := range a.Requests {
 		if q.Sent > 0 && (q.End == record.Unanswered || q.End == record.Broken && !a.upstreamBroke(q)) {
@@ -289,50 +289,50 @@
 }
 
 // resetUnread finds connections that a process reset under a request which was told to end. SIGKILL is excused.
-func resetUnread(a *account) (found []Violation) {
+func resetUnread(a *analysis) (found []Violation) {
 	for _, c := range a.Cuts {
-		if l := a.ending(c.Sidecar, c.Sent, c.At); l != nil && c.Reset && !l.Killed {
+		if l := a.terminatedProcess(c.Sidecar, c.Sent, c.At); l != nil && c.Reset && !l.Killed {
 			found = append(found, Violation{"reset-unread", c.At, c.Request, c.Sidecar,
-				fmt.Sprintf("sent %v after SIGTERM, reset %v later; %s", ms(c.Sent-l.Termed), ms(c.At-c.Sent), Way(a.attempts[c.Request]))})
+				fmt.Sprintf("sent %v after SIGTERM, reset %v later; %s", ms(c.Sent-l.Termed), ms(c.At-c.Sent), FormatAttempts(a.attempts[c.Request]))})
 		}
 	}
 	return found
 }
 
 // upstreamBroke tells whether an upstream broke an answer to q off.
-func (a *account) upstreamBroke(q *record.Request) bool {
+func (a *analysis) upstreamBroke(q *record.Request) bool {
 	return slices.ContainsFunc(a.attempts[q.ID], func(at *record.Attempt) bool { return at.How == record.Reset || at.How == record.Lost })
 }
 
-func forged(a *account) (found []Violation) {
+func forged(a *analysis) (found []Violation) {
 	for _, q := range a.Requests {
 		if q.End != record.Served {
 			continue
 		}
 		if !slices.ContainsFunc(a.attempts[q.ID], func(at *record.Attempt) bool { return at.How == record.OK && at.Body == q.Body }) {
-			found = append(found, Violation{"forged", q.Ended, q.ID, q.Sidecar, fmt.Sprintf("served %.60q; %s", q.Body, Way(a.attempts[q.ID]))})
+			found = append(found, Violation{"forged", q.Ended, q.ID, q.Sidecar, fmt.Sprintf("served %.60q; %s", q.Body, FormatAttempts(a.attempts[q.ID]))})
 		}
 	}
 	return found
 }
 
-func refusedAfterRun(a *account) (found []Violation) {
+func refusedAfterRun(a *analysis) (found []Violation) {
 	for _, q := range a.Requests {
 		if q.End != record.Refused || q.Safe {
 			continue
 		}
 		if slices.ContainsFunc(a.attempts[q.ID], func(at *record.Attempt) bool { return at.How.Ran() && at.Begun < q.Ended }) {
-			found = append(found, Violation{"refused-after-run", q.Ended, q.ID, q.Sidecar, Way(a.attempts[q.ID])})
+			found = append(found, Violation{"refused-after-run", q.Ended, q.ID, q.Sidecar, FormatAttempts(a.attempts[q.ID])})
 		}
 	}
 	return found
 }
 
-// late finds attempts whose first byte came later than the grace after the news that binds.
-func late(a *account, source record.Source, rule string) (found []Violation) {
+// attemptsAfterGrace finds attempts whose first byte came later than the grace after the news that binds.
+func attemptsAfterGrace(a *analysis, source record.Source, rule string) (found []Violation) {
 	for _, at := range a.Attempts {
 		since, bound := time.Duration(0), false
-		for _, t := range a.told[[2]string{at.Sidecar, at.Upstream}] {
+		for _, t := range a.statusNews[[2]string{at.Sidecar, at.Upstream}] {
 			if t.At > at.First {
 				break
 			}
@@ -349,7 +349,7 @@
 }
 
 // cold adds up the work sent to each cold upstream over every window of the stated length.
-func cold(a *account) (found []Violation) {
+func cold(a *analysis) (found []Violation) {
 	for _, c := range a.Colds {
 		if c.Fell > 0 {
 			found = append(found, Violation{"cold", c.Fell, "", c.Upstream, fmt.Sprintf("pushed over %v after its start", ms(c.Fell-c.At))})
@@ -360,7 +360,7 @@
 		}
 		var window []*record.Attempt
 		sum := 0.0
-		for _, at := range byBegin(a.Attempts, c.Upstream) {
+		for _, at := range attemptsByBegin(a.Attempts, c.Upstream) {
 			if at.Begun < c.At || at.Begun > c.At+c.For {
 				continue
 			}
@@ -381,7 +381,7 @@
 	return found
 }
 
-func byBegin(all []*record.Attempt, upstream string) (of []*record.Attempt) {
+func attemptsByBegin(all []*record.Attempt, upstream string) (of []*record.Attempt) {
 	for _, at := range all {
 		if at.Upstream == upstream {
 			of = append(of, at)
@@ -391,16 +391,16 @@
 	return of
 }
 
-func attempts(a *account) (found []Violation) {
+func attempts(a *analysis) (found []Violation) {
 	for id, of := range a.attempts {
 		if a.rules.MaxAttempts > 0 && len(of) > a.rules.MaxAttempts {
-			found = append(found, Violation{"attempts", of[a.rules.MaxAttempts].Begun, id, of[0].Sidecar, Way(of)})
+			found = append(found, Violation{"attempts", of[a.rules.MaxAttempts].Begun, id, of[0].Sidecar, FormatAttempts(of)})
 		}
 	}
 	return found
 }
 
-func limits(a *account) (found []Violation) {
+func limits(a *analysis) (found []Violation) {
 	passed := map[string]bool{} // a party is named once
 	for _, s := range a.Samples {
 		most, ok := a.Limits[s.Party]
@@ -416,7 +416,7 @@
 	return found
 }
 
-func crash(a *account) (found []Violation) {
+func crash(a *analysis) (found []Violation) {
 	for _, l := range a.Lives {
 		asked := l.Termed > 0 && (l.Exit == "exit status 0" || l.Ready == 0) // one that has just begun can't catch a signal yet
 		if !l.Paused && !l.Killed && l.Exit != "" && !asked {
