--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -6,26 +6,26 @@
 	"mosslead/internal/lab/loopback"
 )
 
-// addresses is the layout of a part of the loopback range that belongs to one laboratory of this machine.
+// addresses lays out the addresses in one laboratory's part of the loopback range.
 type addresses struct{ part *loopback.Part }
 
 const (
 	sidecarPort          = 9000
 	opsPort              = 9800
 	agentPort            = 8500
-	peerPort             = 7946 // where a sidecar takes part among the others
-	peerLinkPort         = 7947 // and where the others reach it
-	forwardPort          = 7948 // where a sidecar takes what others forward
-	forwardLinkPort      = 7949 // and where the others reach it
+	peerPort             = 7946 // where a sidecar listens for other sidecars
+	peerLinkPort         = 7947 // where other sidecars reach peerPort, over links
+	forwardPort          = 7948 // where a sidecar listens for forwarded requests
+	forwardLinkPort      = 7949 // where other sidecars reach forwardPort, over links
 	upstreamPort         = 9000
-	firstWindowPort      = 8600 // and up, one for each replica
+	firstWindowPort      = 8600 // one port for each replica from here on
 	replicaAPIPort       = 7600
 	replicaRaftPort      = 7601
-	firstReplicaLinkPort = 7700  // and up, two for each other replica
-	firstLinkPort        = 10000 // and up, one for each sidecar; below the ports that the kernel gives out by itself
+	firstReplicaLinkPort = 7700  // two ports for each other replica from here on
+	firstLinkPort        = 10000 // one port for each sidecar from here on; below the kernel's ephemeral ports
 )
 
-// claimAddresses finds a part that no other laboratory holds.
+// claimAddresses claims a part of the loopback range that no other laboratory on this machine holds.
 func claimAddresses() (*addresses, error) {
 	part, err := loopback.Claim()
 	if err != nil {
@@ -46,7 +46,7 @@
 
 func (a *addresses) replica(i, port int) string { return fmt.Sprintf("%s:%d", a.host(200, i), port) }
 
-// replicaLink is where a replica finds another one's log, or its answers.
+// replicaLink returns the address at which one replica reaches the given port of another.
 func (a *addresses) replicaLink(from, to, port int) string {
 	return a.replica(from, firstReplicaLinkPort+2*to+port-replicaAPIPort)
 }
@@ -55,7 +55,7 @@
 	return fmt.Sprintf("%s:%d", a.host(1, i), upstreamPort)
 }
 
-// link is where a sidecar finds an upstream.
+// link returns the address at which a sidecar reaches an upstream.
 func (a *addresses) link(sidecar, upstream int) string {
 	return fmt.Sprintf("%s:%d", a.host(1, upstream), firstLinkPort+sidecar)
 }
--- a/internal/lab/build/build.go
+++ b/internal/lab/build/build.go
@@ -1,5 +1,5 @@
-// Package build owns the programs that variants of an experiment run: from the work tree, or from an earlier revision of
-// this repository with or without a patch.
+// Package build builds the programs that variants of an experiment run: from the work tree, or from an earlier revision
+// of this repository, with or without a patch.
 package build
 
 import (
@@ -15,14 +15,14 @@
 	"strings"
 )
 
-// Source says what to build.
+// Source is what a program is built from.
 type Source struct {
-	Revision string // empty: the work tree
-	Patch    string // a file relative to the repository's root; empty: none
-	Tags     string // of the build
+	Revision string // empty for the work tree
+	Patch    string // a file relative to the repository's root; empty for none
+	Tags     string // build tags, as go build takes them
 }
 
-// Root finds the repository's root from a directory inside it.
+// Root returns the root of the repository that dir is in.
 func Root(dir string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
@@ -40,15 +40,16 @@
 	}
 }
 
-// sidecarCommands are the folders of the sidecar's command below cmd: the present one, and the one of earlier revisions.
+// sidecarCommands are the folders of the sidecar's command below cmd: the present one, and the one of earlier
+// revisions.
 var sidecarCommands = []string{"mosslead-sidecar", "orchiddrift"}
 
-// Sidecar builds the sidecar's command into a directory, as the deploy file links it, and says from what.
+// Sidecar builds the sidecar's command into dir, linked as in the deploy file. from describes the source.
 func Sidecar(ctx context.Context, root, dir string, s Source) (path, from string, err error) {
 	return buildProgram(ctx, root, dir, sidecarCommands, s)
 }
 
-// Service builds cmd/mosslead, of which the list service is a part, into a directory, and says from what.
+// Service builds cmd/mosslead, which includes the list service, into dir. from describes the source.
 func Service(ctx context.Context, root, dir string, s Source) (path, from string, err error) {
 	return buildProgram(ctx, root, dir, []string{"mosslead"}, s)
 }
@@ -89,7 +90,7 @@
 	return path, from, nil
 }
 
-// findCommand is the first of the names that is a folder below the tree's cmd.
+// findCommand returns the first of the names that is a folder below the tree's cmd.
 func findCommand(tree string, names []string) (string, error) {
 	for _, name := range names {
 		if info, err := os.Stat(filepath.Join(tree, "cmd", name)); err == nil && info.IsDir() {
@@ -99,15 +100,15 @@
 	return "", fmt.Errorf("no command %s", strings.Join(names, " or "))
 }
 
-// describeWorkTree says what the work tree is: its revision, and whether it differs.
+// describeWorkTree returns the revision of the work tree, and whether its files differ from it.
 func describeWorkTree(ctx context.Context, root string) (string, error) {
 	rev, err := run(ctx, root, "git", "rev-parse", "--short=12", "HEAD")
 	if err != nil {
-		return "work tree without revision", nil // an export has none
+		return "work tree without revision", nil // an exported tree has no revision
 	}
 	changed, err := run(ctx, root, "git", "status", "--porcelain", "--untracked-files=no", "--", "*.go", "go.mod")
 	if err != nil {
-		return "", fmt.Errorf("looking at the work tree: %w", err)
+		return "", fmt.Errorf("status of the work tree: %w", err)
 	}
 	from := strings.TrimSpace(rev)
 	if strings.TrimSpace(changed) != "" {
@@ -116,42 +117,42 @@
 	return from, nil
 }
 
-// extract puts a revision's files into a new directory.
+// extract writes a revision's files into a new directory, and returns the revision's hash.
 func extract(ctx context.Context, root, tree, revision string) (string, error) {
 	rev, err := run(ctx, root, "git", "rev-parse", "--short=12", "--verify", revision+"^{commit}")
 	if err != nil {
 		return "", fmt.Errorf("revision %s: %w", revision, err)
 	}
 	rev = strings.TrimSpace(rev)
-	text, err := run(ctx, root, "git", "archive", rev, "--", "go.mod", "cmd", "internal", "balancer")
+	archive, err := run(ctx, root, "git", "archive", rev, "--", "go.mod", "cmd", "internal", "balancer")
 	if err != nil {
 		return "", fmt.Errorf("revision %s: %w", revision, err)
 	}
-	files := tar.NewReader(strings.NewReader(text))
+	files := tar.NewReader(strings.NewReader(archive))
 	for {
-		h, err := files.Next()
+		header, err := files.Next()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
 			return "", fmt.Errorf("revision %s: %w", revision, err)
 		}
-		if h.Typeflag != tar.TypeReg || !filepath.IsLocal(h.Name) {
+		if header.Typeflag != tar.TypeReg || !filepath.IsLocal(header.Name) {
 			continue
 		}
-		to := filepath.Join(tree, h.Name)
-		if err := os.MkdirAll(filepath.Dir(to), 0o755); err != nil {
+		path := filepath.Join(tree, header.Name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			return "", err
 		}
-		body, err := io.ReadAll(files)
+		data, err := io.ReadAll(files)
 		if err != nil {
-			return "", fmt.Errorf("revision %s: %s: %w", revision, h.Name, err)
+			return "", fmt.Errorf("revision %s: %s: %w", revision, header.Name, err)
 		}
-		if err := os.WriteFile(to, body, 0o644); err != nil {
+		if err := os.WriteFile(path, data, 0o644); err != nil {
 			return "", err
 		}
 	}
-	// Dependencies' checksums are there only in revisions that have dependencies.
+	// Only revisions that have dependencies have a go.sum.
 	if sum, err := run(ctx, root, "git", "show", rev+":go.sum"); err == nil {
 		if err := os.WriteFile(filepath.Join(tree, "go.sum"), []byte(sum), 0o644); err != nil {
 			return "", err
@@ -160,14 +161,14 @@
 	return rev, nil
 }
 
-// run gives a command's output; its error holds what the command said.
+// run runs a command and returns its output. The error holds what the command wrote to standard error.
 func run(ctx context.Context, dir, name string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, name, args...)
 	cmd.Dir = dir
-	var out, said bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &said
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	if err := cmd.Run(); err != nil {
-		return "", fmt.Errorf("%s %s: %w: %s", name, strings.Join(args[:min(2, len(args))], " "), err, strings.TrimSpace(said.String()))
+		return "", fmt.Errorf("%s %s: %w: %s", name, strings.Join(args[:min(2, len(args))], " "), err, strings.TrimSpace(stderr.String()))
 	}
-	return out.String(), nil
+	return stdout.String(), nil
 }
--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -1,5 +1,4 @@
-// Package campaign owns a whole run of an experiment: it builds the programs, plays the variants in turn and writes the
-// result.
+// Package campaign runs a whole experiment: it builds the programs, plays the variants in turn and writes the result.
 package campaign
 
 import (
@@ -20,24 +19,24 @@
 
 // Options say where and how to run.
 type Options struct {
-	Dir      string   // of the result, made if it is not there
-	Self     []string // how to start this program, as the naive sidecar: its path, and the words before the rule to break
-	Replica  []string // how to start this program as a replica of the list service, before the path of its configuration
-	KeepLogs bool     // of plays in which all was well, too
+	Dir      string   // of the result, created if it does not exist
+	Self     []string // command of this program as the naive sidecar: its path, and the arguments before the rule to break
+	Replica  []string // command of this program as a replica of the list service, before the path of its configuration
+	KeepLogs bool     // also of plays without violations and notes
 	Log      *slog.Logger
-	// Progress is told before each play, and at the end with done = total.
+	// Progress is called before each play, and at the end with done = total.
 	Progress func(done, total int, what string)
 }
 
 // program is what a variant runs.
 type program struct {
 	command      []string
-	firstReplica []string // of the first replica of the list service; none: this program, as the others
-	source       string
+	firstReplica []string // command of the first replica of the list service; empty if it runs this program, like the others
+	source       string   // what it was built from, in words
 }
 
-// Run plays an experiment. Where ctx ends before all is played, what was seen comes back as a partial result, written
-// too, with the context's error.
+// Run plays an experiment. If ctx ends before all is played, Run writes and returns what was recorded as a partial
+// result, with the context's error.
 func Run(ctx context.Context, e *experiment.Experiment, o Options) (*report.Result, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("directory of the result: %w", err)
@@ -73,8 +72,8 @@
 	return r, errors.Join(err, r.Write(o.Dir))
 }
 
-// playAll holds all playAll: for each seed and repeat all variants, in an order that turns, so that a machine that gets
-// slower hurts each alike.
+// playAll runs all plays: for each seed and repeat all variants, in an order that rotates, so that a machine that
+// becomes slower affects each variant alike.
 func (o Options) playAll(ctx context.Context, e *experiment.Experiment, r *report.Result, programs map[string]program, total int) error {
 	round := 0
 	for _, seed := range e.Seeds {
@@ -104,11 +103,11 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("directory of the play: %w", err)
 	}
-	out, err := lab.Play(ctx, e, v, seed, dir, lab.Programs{Sidecar: run.command, Replica: o.Replica, First: run.firstReplica}, o.Log)
+	outcome, err := lab.Play(ctx, e, v, seed, dir, lab.Programs{Sidecar: run.command, Replica: o.Replica, First: run.firstReplica}, o.Log)
 	if err != nil {
 		return err
 	}
-	p := report.NewPlay(e, v.Name, seed, repeat, out)
+	p := report.NewPlay(e, v.Name, seed, repeat, outcome)
 	r.Plays = append(r.Plays, p)
 	if p.Figures["violations"] == 0 && !o.KeepLogs && len(p.Notes) == 0 {
 		return os.RemoveAll(dir)
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// withOlderReplica has the first replica run an earlier revision of this program.
+// withOlderReplica returns p with an earlier revision of this program for the first replica.
 func (o Options) withOlderReplica(ctx context.Context, dir, revision string, p program) (program, error) {
 	root, err := build.Root(".")
 	if err != nil {
@@ -125,24 +124,24 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return p, err
 	}
-	path, from, err := build.Service(ctx, root, dir, build.Source{Revision: revision})
+	path, source, err := build.Service(ctx, root, dir, build.Source{Revision: revision})
 	if err != nil {
 		return p, err
 	}
 	p.firstReplica = append([]string{path}, o.Replica[1:]...)
-	p.source += ", first replica " + strings.TrimSpace(from)
+	p.source += ", first replica " + strings.TrimSpace(source)
 	return p, nil
 }
 
-// prepareProgram builds or finds what a variant runs. Variants of the same source share it.
-func (o Options) prepareProgram(ctx context.Context, dir string, v experiment.Variant, have map[string]program, all []experiment.Variant) (program, error) {
+// prepareProgram builds or finds the program that a variant runs. Variants of the same source share it.
+func (o Options) prepareProgram(ctx context.Context, dir string, v experiment.Variant, built map[string]program, all []experiment.Variant) (program, error) {
 	switch {
 	case v.Program == "naive":
-		from := "naive sidecar"
+		source := "naive sidecar"
 		if v.Breaks != "" {
-			from += " that breaks " + v.Breaks
+			source += " that breaks " + v.Breaks
 		}
-		return program{command: append(append([]string{}, o.Self...), "--break="+v.Breaks), source: from}, nil
+		return program{command: append(append([]string{}, o.Self...), "--break="+v.Breaks), source: source}, nil
 	case v.Program != "":
 		path, err := filepath.Abs(v.Program)
 		if err != nil {
@@ -158,7 +157,7 @@
 			break
 		}
 		if other.Program == "" && other.Revision == v.Revision && other.Patch == v.Patch && other.Tags == v.Tags {
-			return have[other.Name], nil
+			return built[other.Name], nil
 		}
 	}
 	root, err := build.Root(".")
@@ -168,9 +167,9 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return program{}, err
 	}
-	path, from, err := build.Sidecar(ctx, root, dir, build.Source{Revision: v.Revision, Patch: v.Patch, Tags: v.Tags})
+	path, source, err := build.Sidecar(ctx, root, dir, build.Source{Revision: v.Revision, Patch: v.Patch, Tags: v.Tags})
 	if err != nil {
 		return program{}, err
 	}
-	return program{command: []string{path}, source: strings.TrimSpace(from)}, nil
+	return program{command: []string{path}, source: strings.TrimSpace(source)}, nil
 }
--- a/internal/lab/disk.go
+++ b/internal/lab/disk.go
@@ -15,7 +15,7 @@
 	"mosslead/internal/lab/experiment"
 )
 
-// damageState does something bad to a sidecar's state directory.
+// damageState carries out a fault on a sidecar's disk or state directory.
 func (p *play) damageState(s *sidecar, f experiment.Fault) {
 	dir := filepath.Join(s.dir, "state")
 	rng := rand.New(rand.NewPCG(p.seed, faultStream+uint64(s.number)*31))
@@ -39,40 +39,42 @@
 	case "state-gone":
 		p.note(os.RemoveAll(dir))
 	case "state-old":
-		kept := dir + ".old"
+		backup := dir + ".old"
 		if _, err := os.Stat(dir); err != nil {
 			p.note(errNoFiles)
 			return
 		}
-		p.note(errors.Join(os.RemoveAll(kept), os.CopyFS(kept, os.DirFS(dir))))
+		p.note(errors.Join(os.RemoveAll(backup), os.CopyFS(backup, os.DirFS(dir))))
 		p.sleep(f.For.Duration)
-		p.note(errors.Join(os.RemoveAll(dir), os.Rename(kept, dir)))
+		p.note(errors.Join(os.RemoveAll(dir), os.Rename(backup, dir)))
 	}
 }
 
-// fillDisk takes the room on a sidecar's disk, by a limit on the size of its files, or with n below 0 gives it back.
+// fillDisk adds n, which is below 0 when a fault ends, to the number of faults that fill a sidecar's disk. While the
+// number is above 0, a limit on file sizes keeps the sidecar's process from writing.
 func (p *play) fillDisk(s *sidecar, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.diskFullFaults += n
 	if s.child == nil {
-		return // the next start sees to it
+		return // the next start sets the limit
 	}
-	var bytes *uint64
+	var limit *uint64
 	if s.diskFullFaults > 0 {
-		bytes = new(uint64)
+		limit = new(uint64)
 	}
-	p.note(s.child.FileLimit(bytes))
+	p.note(s.child.FileLimit(limit))
 }
 
-// immutable is the flag of ext4, xfs and btrfs by which nothing in a directory can be made, renamed or removed. It holds
-// for root too, whom permissions do not bind.
+// immutable is the flag of ext4, xfs and btrfs that forbids creating, renaming or removing anything in a directory. It
+// also binds root, whom permissions do not bind. getFlags and setFlags are the ioctl requests for such flags.
 const (
 	immutable = 0x10
 	getFlags  = 0x80086601
 	setFlags  = 0x40086602
 )
 
+// readOnly makes a directory read-only, or writable again.
 func readOnly(dir string, on bool) error {
 	if os.Geteuid() != 0 {
 		mode := fs.FileMode(0o755)
@@ -100,14 +102,14 @@
 	return nil
 }
 
-// stateFile is one in a state directory.
+// stateFile is a file in a state directory.
 type stateFile struct {
 	path     string
 	size     int64
 	modified time.Time
 }
 
-// nonEmptyFiles are those with something in them, the one written last first.
+// nonEmptyFiles returns the regular files below dir that are not empty, the one modified last first.
 func nonEmptyFiles(dir string) (all []stateFile, err error) {
 	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || !d.Type().IsRegular() {
@@ -117,7 +119,7 @@
 		if err == nil && info.Size() > 0 {
 			all = append(all, stateFile{path, info.Size(), info.ModTime()})
 		}
-		return nil // one that went meanwhile is no error
+		return nil // a file that was removed meanwhile is no error
 	})
 	slices.SortFunc(all, func(a, b stateFile) int { return b.modified.Compare(a.modified) })
 	return all, err
@@ -125,7 +127,7 @@
 
 var errNoFiles = errors.New("the state directory holds nothing to break")
 
-// truncateNewest cuts the file written last short, at any byte.
+// truncateNewest cuts the file that was modified last short, at a random byte.
 func truncateNewest(dir string, rng *rand.Rand) error {
 	all, err := nonEmptyFiles(dir)
 	if err != nil || len(all) == 0 {
@@ -134,7 +136,7 @@
 	return os.Truncate(all[0].path, rng.Int64N(all[0].size))
 }
 
-// flipBit turns one bit of one file over.
+// flipBit flips one random bit of one random file.
 func flipBit(dir string, rng *rand.Rand) error {
 	all, err := nonEmptyFiles(dir)
 	if err != nil || len(all) == 0 {
@@ -142,10 +144,10 @@
 	}
 	slices.SortFunc(all, func(a, b stateFile) int { return len(a.path) - len(b.path) })
 	victim := all[rng.IntN(len(all))]
-	text, err := os.ReadFile(victim.path)
-	if err != nil || len(text) == 0 {
+	data, err := os.ReadFile(victim.path)
+	if err != nil || len(data) == 0 {
 		return errors.Join(err, errNoFiles)
 	}
-	text[rng.IntN(len(text))] ^= 1 << rng.IntN(8)
-	return os.WriteFile(victim.path, text, 0o644)
+	data[rng.IntN(len(data))] ^= 1 << rng.IntN(8)
+	return os.WriteFile(victim.path, data, 0o644)
 }
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// setDefaults puts in what a file leaves out: a fleet like the one in service, with works and times two and a half times shorter,
-// as on the platform's bench, so that a short play holds as many requests.
+// setDefaults sets what a file leaves out: a fleet like the one in production, with work and times two and a half
+// times shorter, as on the platform's test bench, so that a short play has as many requests.
 func (e *Experiment) setDefaults() {
 	if len(e.Seeds) == 0 {
 		e.Seeds = []uint64{1}
@@ -19,20 +19,20 @@
 	if len(f.Zones) == 0 {
 		f.Zones = []string{"south", "centre", "east", "north"}
 	}
-	span := func(d *Duration, or time.Duration) { d.Duration = cmp.Or(d.Duration, or) }
-	span(&e.Net.Same, 200*time.Microsecond)
-	span(&e.Net.Cross, 3*time.Millisecond)
-	span(&e.Discovery.Late, 500*time.Millisecond)
-	span(&e.Discovery.Notice, time.Second)
-	span(&e.Discovery.SilentNotice, 4*time.Second)
-	span(&e.Registry.Lease, 1500*time.Millisecond)
-	span(&e.Registry.Grace, 500*time.Millisecond)
-	span(&e.Registry.Stale, 3*time.Second)
+	setDuration := func(d *Duration, value time.Duration) { d.Duration = cmp.Or(d.Duration, value) }
+	setDuration(&e.Net.Same, 200*time.Microsecond)
+	setDuration(&e.Net.Cross, 3*time.Millisecond)
+	setDuration(&e.Discovery.Late, 500*time.Millisecond)
+	setDuration(&e.Discovery.Notice, time.Second)
+	setDuration(&e.Discovery.SilentNotice, 4*time.Second)
+	setDuration(&e.Registry.Lease, 1500*time.Millisecond)
+	setDuration(&e.Registry.Grace, 500*time.Millisecond)
+	setDuration(&e.Registry.Stale, 3*time.Second)
 	e.History.Names = cmp.Or(e.History.Names, 4)
 	e.Registry.Preserve = cmp.Or(e.Registry.Preserve, 0.3)
-	span(&e.Rules.DrainGrace, 3*time.Second)
-	span(&e.Rules.WarmUp, 4*time.Second)
-	span(&e.Rules.Fall, time.Second)
+	setDuration(&e.Rules.DrainGrace, 3*time.Second)
+	setDuration(&e.Rules.WarmUp, 4*time.Second)
+	setDuration(&e.Rules.Fall, time.Second)
 	e.Rules.ColdFrom = cmp.Or(e.Rules.ColdFrom, 0.3)
 	e.Rules.FallMultiple = cmp.Or(e.Rules.FallMultiple, 4)
 	e.Rules.MaxAttempts = cmp.Or(e.Rules.MaxAttempts, 6)
@@ -41,7 +41,7 @@
 	l.Keys, l.KeyZipf = cmp.Or(l.Keys, 2000), cmp.Or(l.KeyZipf, 0.75)
 	l.TryShare = cmp.Or(l.TryShare, Range{0.7, 1})
 	l.Connections = cmp.Or(l.Connections, f.Sockets/3)
-	span(&l.Backoff, 100*time.Millisecond)
+	setDuration(&l.Backoff, 100*time.Millisecond)
 	if len(e.Kinds) == 0 {
 		e.Kinds = []Kind{{Name: "cores-4", Share: 0.44, Cores: 4, Speed: Range{0.85, 1.1}}, {Name: "cores-3", Share: 0.56, Cores: 3, Speed: Range{0.64, 0.86}}}
 	}
@@ -71,23 +71,24 @@
 	}
 }
 
+// setDefaults sets what a file leaves out of a kind of upstream.
 func (k *Kind) setDefaults(r Rules) {
-	span := func(d *Duration, or time.Duration) { d.Duration = cmp.Or(d.Duration, or) }
+	setDuration := func(d *Duration, value time.Duration) { d.Duration = cmp.Or(d.Duration, value) }
 	k.Share, k.Cores = cmp.Or(k.Share, 1), cmp.Or(k.Cores, 4)
 	k.Speed, k.Slots, k.Queue = cmp.Or(k.Speed, Range{1, 1}), cmp.Or(k.Slots, Range{4, 12}), cmp.Or(k.Queue, Range{21, 47})
 	k.Thrash, k.ThrashAt = cmp.Or(k.Thrash, Range{0.03, 0.15}), cmp.Or(k.ThrashAt, Range{3.5, 8.6})
 	k.ColdFrom = cmp.Or(k.ColdFrom, Range{max(r.ColdFrom, 0.3), max(r.ColdFrom, 0.5)})
-	span(&k.ColdFor, r.WarmUp.Duration*7/8)
-	span(&k.PauseEvery, 6*time.Second)
-	span(&k.PauseFor, 80*time.Millisecond)
+	setDuration(&k.ColdFor, r.WarmUp.Duration*7/8)
+	setDuration(&k.PauseEvery, 6*time.Second)
+	setDuration(&k.PauseFor, 80*time.Millisecond)
 	k.KeyGain, k.Keys = cmp.Or(k.KeyGain, 0.4), cmp.Or(k.Keys, 30)
-	span(&k.KeyFor, 2*time.Second)
+	setDuration(&k.KeyFor, 2*time.Second)
 	k.Conns, k.FullTax, k.RoundTrips = cmp.Or(k.Conns, 700), cmp.Or(k.FullTax, 0.3), cmp.Or(k.RoundTrips, 2.5)
-	span(&k.Handshake, 1700*time.Microsecond)
-	span(&k.ProbeWork, 50*time.Microsecond)
+	setDuration(&k.Handshake, 1700*time.Microsecond)
+	setDuration(&k.ProbeWork, 50*time.Microsecond)
 	k.ChokeAt, k.ChokeSlower, k.ChokeBelow = cmp.Or(k.ChokeAt, 5.5), cmp.Or(k.ChokeSlower, 2.8), cmp.Or(k.ChokeBelow, 0.35)
-	span(&k.ChokeOver, 800*time.Millisecond)
-	span(&k.ChokeRest, 1400*time.Millisecond)
-	span(&k.ChokeMost, 10*time.Second)
+	setDuration(&k.ChokeOver, 800*time.Millisecond)
+	setDuration(&k.ChokeRest, 1400*time.Millisecond)
+	setDuration(&k.ChokeMost, 10*time.Second)
 	k.WeightRough = cmp.Or(k.WeightRough, 0.15)
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,4 @@
-// Package experiment owns the form of an experiment: a TOML file that names parties, load, faults, variants and what
-// must hold.
+// Package experiment reads experiments: TOML files that describe parties, load, faults, variants and what must hold.
 package experiment
 
 import (
@@ -23,17 +22,17 @@
 	return err
 }
 
-// MarshalText words it the same way.
+// MarshalText writes a duration in the form that UnmarshalText reads.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// Range is two bounds, drawn between for each upstream, or one value for all.
+// Range is the lower and upper bound of a value that is drawn for each upstream. A single value applies to all.
 type Range [2]float64
 
-// Experiment is a question with everything that is needed to play it.
+// Experiment is a question with everything needed to play it.
 type Experiment struct {
 	Name     string   `toml:"name"`
 	Question string   `toml:"question"`
-	Seeds    []uint64 `toml:"seeds"`   // absent: 1
+	Seeds    []uint64 `toml:"seeds"`   // absent: one seed, 1
 	Repeats  int      `toml:"repeats"` // plays of each variant with each seed; absent: 1
 	Length   Duration `toml:"length"`  // of the load
 
@@ -51,10 +50,10 @@
 	Variants  []Variant `toml:"variant"`
 	Expects   []Expect  `toml:"expect"`
 
-	Text string `toml:"-"` // the file
+	Text string `toml:"-"` // the whole file
 }
 
-// Fleet is the parties.
+// Fleet describes the parties.
 type Fleet struct {
 	Sidecars  int      `toml:"sidecars"`
 	Upstreams int      `toml:"upstreams"`
@@ -63,10 +62,10 @@
 	Cores     float64  `toml:"cores"` // of one sidecar
 	MemoryMB  float64  `toml:"memory_mb"`
 	Sockets   int      `toml:"sockets"`
-	Door      bool     `toml:"door"` // sidecars have an operators' door, as a ban needs
+	Door      bool     `toml:"door"` // sidecars have an operators' port, which the fault "ban" needs
 }
 
-// Net is the network between the parties: one-way times.
+// Net is the network between the parties. Its times are one way.
 type Net struct {
 	Same   Duration `toml:"same"`  // inside a zone
 	Cross  Duration `toml:"cross"` // between zones
@@ -75,27 +74,27 @@
 
 // Discovery is how the list reaches the sidecars.
 type Discovery struct {
-	Late         Duration `toml:"late"`          // a change reaches a sidecar so late
-	Spread       Duration `toml:"spread"`        // up to so much later, by sidecar
-	Notice       Duration `toml:"notice"`        // a process that died is noticed after
-	SilentNotice Duration `toml:"silent_notice"` // one that fell silent
+	Late         Duration `toml:"late"`          // delay from a change to its arrival at a sidecar
+	Spread       Duration `toml:"spread"`        // the last sidecar hears of it later by this; those between, by a part of it
+	Notice       Duration `toml:"notice"`        // time until discovery notices a process that died
+	SilentNotice Duration `toml:"silent_notice"` // time until it notices a party that fell silent
 }
 
-// Registry is the list service, where a variant has sidecars ask it in place of the stand-in for discovery.
+// Registry is the list service, for variants whose sidecars ask it instead of the stand-in for discovery.
 type Registry struct {
 	Lease    Duration `toml:"lease"` // of an upstream
-	Grace    Duration `toml:"grace"` // from its end to the entry's
+	Grace    Duration `toml:"grace"` // from the end of the lease to the end of the entry
 	Preserve float64  `toml:"preserve"`
 	Stale    Duration `toml:"stale"`
 }
 
-// History is who calls the list service beside the fleet, for the proof that its answers hang together.
+// History describes callers of the list service other than the fleet. They check that its answers are consistent.
 type History struct {
-	Callers int `toml:"callers"` // absent: nobody
-	Names   int `toml:"names"`   // entries that they fight over; absent: 4
+	Callers int `toml:"callers"` // absent: none
+	Names   int `toml:"names"`   // entries that they change concurrently; absent: 4
 }
 
-// Rules are the figures that the sidecars are told.
+// Rules are the figures of the rules that the sidecars are given.
 type Rules struct {
 	DrainGrace   Duration `toml:"drain_grace"`
 	ColdFrom     float64  `toml:"cold_from"`
@@ -107,8 +106,8 @@
 
 // Load is the traffic.
 type Load struct {
-	Rate        float64  `toml:"rate"`  // requests a second, or:
-	Share       float64  `toml:"share"` // of what the fleet can do
+	Rate        float64  `toml:"rate"`  // requests a second; either this or Share is given
+	Share       float64  `toml:"share"` // of the fleet's capacity
 	Shape       string   `toml:"shape"` // poisson (absent) or bursty
 	Swing       float64  `toml:"swing"`
 	Steps       []Step   `toml:"step"`
@@ -119,7 +118,7 @@
 	Retries     float64  `toml:"retries"`
 	Backoff     Duration `toml:"backoff"`
 	Impatient   float64  `toml:"impatient"`
-	Connections int      `toml:"connections"` // of clients to each sidecar at most
+	Connections int      `toml:"connections"` // at most this many from clients to each sidecar
 }
 
 // Step changes the rate for a time.
@@ -127,7 +126,7 @@
 	At    Duration `toml:"at"`
 	For   Duration `toml:"for"`
 	Times float64  `toml:"times"`
-	Zone  string   `toml:"zone"` // of the sidecars whose clients ask more; absent: all
+	Zone  string   `toml:"zone"` // of the sidecars whose clients change their rate; absent: all
 }
 
 // Class is a kind of request.
@@ -180,7 +179,7 @@
 	ChokeBelow  float64  `toml:"choke_below"`
 	ChokeRest   Duration `toml:"choke_rest"`
 	ChokeMost   Duration `toml:"choke_most"`
-	WeightRough float64  `toml:"weight_rough"` // the stated weight is off by up to this share
+	WeightRough float64  `toml:"weight_rough"` // the stated weight deviates by up to this share
 }
 
 // Variant is one side of a comparison.
@@ -188,75 +187,75 @@
 	Name     string `toml:"name"`
 	Revision string `toml:"revision"` // of this repository; absent: the work tree
 	Patch    string `toml:"patch"`    // a file in the repository, applied before the build
-	Tags     string `toml:"tags"`     // of the build, as go build takes them; lossyfs: what is not synced dies with the process
+	Tags     string `toml:"tags"`     // build tags, as go build takes them; lossyfs: what is not synced is lost when the process ends
 	Program  string `toml:"program"`  // a path, or "naive"
 	Breaks   string `toml:"breaks"`   // the rule that a naive sidecar breaks
-	State    bool   `toml:"state"`    // sidecars have a directory that outlives them
+	State    bool   `toml:"state"`    // sidecars have a state directory that outlives their processes
 	Share    bool   `toml:"share"`    // sidecars share what they know with each other
-	Forward  bool   `toml:"forward"`  // and forward work to each other; goes with share
+	Forward  bool   `toml:"forward"`  // sidecars forward requests to each other; requires Share
 	Known    string `toml:"known"`    // the list in the configuration of a restarted sidecar: "latest" (absent) or "none"
 	Registry int    `toml:"registry"` // replicas of the list service that sidecars ask; absent: the stand-in for discovery
-	// ServiceRevision is what the first replica is built from; absent: this program, as the others.
+	// ServiceRevision is what the first replica is built from; absent: this program, like the others.
 	ServiceRevision string `toml:"service_revision"`
-	// ServiceBreaks makes the list service lie, for the proof that its checkers see that.
+	// ServiceBreaks makes the list service misbehave, to prove that its checkers notice.
 	ServiceBreaks string            `toml:"service_breaks"`
-	Calm          bool              `toml:"calm"`   // without the faults
-	Only          []string          `toml:"only"`   // of the faults, by name; absent: all
-	Config        map[string]any    `toml:"config"` // more keys of the sidecars' configuration
+	Calm          bool              `toml:"calm"`   // without any faults
+	Only          []string          `toml:"only"`   // names of the faults to carry out; absent: all
+	Config        map[string]any    `toml:"config"` // additional keys of the sidecars' configuration
 	Env           map[string]string `toml:"env"`
 }
 
-// Parties selects some of a kind of party.
+// Parties selects some parties of a kind. If neither Count nor Share is given, it selects all that match.
 type Parties struct {
 	Kind  string   `toml:"kind"`  // sidecar, upstream, discovery, replica
-	Names []string `toml:"names"` // of replicas also "leader", who it is when the fault begins
+	Names []string `toml:"names"` // for replicas also "leader": the leader at the start of the fault
 	Zone  string   `toml:"zone"`
-	Apart string   `toml:"apart"` // all zones but this
-	Count int      `toml:"count"` // so many, drawn
-	Share float64  `toml:"share"` // or such a share, drawn; all where neither is given
+	Apart string   `toml:"apart"` // all zones but this one
+	Count int      `toml:"count"` // this many, drawn at random
+	Share float64  `toml:"share"` // this share, drawn at random
 }
 
-// Fault is something that goes wrong, and is undone at its end.
+// Fault is a disturbance, which is undone at its end.
 type Fault struct {
 	Name string   `toml:"name"`
 	At   Duration `toml:"at"`
-	For  Duration `toml:"for"` // 0: it stays, or it is over at once
+	For  Duration `toml:"for"` // 0: the fault is permanent, or over at once
 	Kind string   `toml:"kind"`
 
 	Of Parties `toml:"of"`
-	To Parties `toml:"to"` // links: the other side; absent: all upstreams. Sidecars: their links to those for what they share
+	To Parties `toml:"to"` // links: the other side; absent: all upstreams. Sidecars in To: the links over which sidecars share
 
 	Way   string   `toml:"way"`                    // cut: both (absent), forth, back
 	Mode  string   `toml:"mode"`                   // cut: silent (absent) or reset
 	Delay Duration `toml:"delay"`                  // delay, late
 	Rate  int      `toml:"rate"`                   // throttle: bytes a second
-	Chop  int      `toml:"chop"`                   // chop: bytes
+	Chop  int      `toml:"chop"`                   // chop: size of the pieces in bytes
 	Share float64  `toml:"share"`                  // fail, resets, loss
-	Class string   `toml:"class"`                  // fail: of this class alone, all or the share
-	Times float64  `toml:"times"`                  // slow
-	Waves int      `toml:"waves"`                  // replace, term: so many steps over the time
-	Drain Duration `toml:"drain"`                  // replace: from the news to the end of the old process
-	Boot  Duration `toml:"boot"`                   // replace: from there to the new one
-	Down  Duration `toml:"down"`                   // kill, term: until the next start; absent: at once. For names the whole
-	Stays bool     `toml:"stays"`                  // kill: it does not come back
-	Every Duration `toml:"every"`                  // kill: again and again, as long as the fault lasts
-	Busy  float64  `toml:"busy" json:",omitempty"` // term: this share of its clients' connections is kept busy after it
+	Class string   `toml:"class"`                  // fail: only requests of this class; all of them, or the given share
+	Times float64  `toml:"times"`                  // slow: the factor
+	Waves int      `toml:"waves"`                  // replace, term: number of steps over the time
+	Drain Duration `toml:"drain"`                  // replace: from the notice to the end of the old process
+	Boot  Duration `toml:"boot"`                   // replace: from the end of the old process to the start of the new one
+	Down  Duration `toml:"down"`                   // kill, term: until the next start; absent: at once. For is the time of the whole fault
+	Stays bool     `toml:"stays"`                  // kill, term: the party does not start again
+	Every Duration `toml:"every"`                  // kill, term: repeated at this interval for as long as the fault lasts
+	Busy  float64  `toml:"busy" json:",omitempty"` // term: this share of the clients' connections is kept busy after SIGTERM
 }
 
-// Expect is something that must hold: a rule, or a figure between bounds.
+// Expect is something that must hold: a rule, or bounds of a figure.
 type Expect struct {
-	Rule    string   `toml:"rule"`     // all, or one rule's name
-	Figure  string   `toml:"figure"`   // over the plays' median
-	Variant string   `toml:"variant"`  // absent: every one
-	RatioTo string   `toml:"ratio_to"` // the figure is divided by this variant's
-	From    Duration `toml:"from"`     // of the load's time
+	Rule    string   `toml:"rule"`     // "all", or the name of one rule
+	Figure  string   `toml:"figure"`   // its median over the plays counts
+	Variant string   `toml:"variant"`  // absent: all variants
+	RatioTo string   `toml:"ratio_to"` // the figure is divided by that of this variant
+	From    Duration `toml:"from"`     // counted from the start of the load
 	To      Duration `toml:"to"`
 	Min     *float64 `toml:"min"`
 	Max     *float64 `toml:"max"`
-	Broken  bool     `toml:"broken"` // the rule must be seen broken: the variant breaks it on purpose
+	Broken  bool     `toml:"broken"` // the rule must be violated: the variant breaks it on purpose
 }
 
-// FaultKinds are the faults, each with the kind of party that it befalls and what it does.
+// FaultKinds are the kinds of faults, each with the kind of party that it affects and a description.
 var FaultKinds = map[string]struct{ Party, Says string }{
 	"kill":           {"sidecar or upstream or replica", "kill -9, and a new start after the time down"},
 	"term":           {"sidecar", "SIGTERM, in waves, and a new start once it has ended or was killed for being late"},
@@ -293,7 +292,7 @@
 	"state-old":      {"sidecar", "its state directory is put back to what it was at the fault's begin, at its end"},
 }
 
-// LoadFile reads an experiment; an error names file, line and key.
+// LoadFile reads an experiment from a file. An error names the file, line and key.
 func LoadFile(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -306,7 +305,7 @@
 	return e, nil
 }
 
-// Parse reads an experiment and fills in what is absent.
+// Parse reads an experiment and sets the defaults of absent values.
 func Parse(text []byte) (*Experiment, error) {
 	e := &Experiment{Text: string(text)}
 	if err := tomlconfig.TOML(text, e); err != nil {
@@ -316,10 +315,10 @@
 	return e, e.check()
 }
 
-// check names the first thing that can't be played.
+// check returns an error that names the first value that can't be played.
 func (e *Experiment) check() error {
 	if e.Name == "" || strings.ContainsAny(e.Name, "/\\ \t") {
-		return fmt.Errorf("name: %q is no word", e.Name)
+		return fmt.Errorf("name: %q is empty or holds spaces or slashes", e.Name)
 	}
 	if e.Length.Duration <= 0 {
 		return fmt.Errorf("length: %v is not above 0", e.Length)
@@ -334,7 +333,7 @@
 		return fmt.Errorf("load.shape: %q is neither poisson nor bursty", e.Load.Shape)
 	}
 	if (e.Load.Rate > 0) == (e.Load.Share > 0) {
-		return errors.New("load: one of rate and share is wanted, above 0")
+		return errors.New("load: one of rate and share is required, above 0")
 	}
 	for i, s := range e.Load.Steps {
 		if s.Zone != "" && !slices.Contains(e.Fleet.Zones, s.Zone) {
@@ -348,10 +347,10 @@
 		}
 		names[v.Name] = true
 		if v.Breaks != "" && v.Program != "naive" {
-			return fmt.Errorf("variant %s: breaks goes with program = \"naive\"", v.Name)
+			return fmt.Errorf("variant %s: breaks requires program = \"naive\"", v.Name)
 		}
 		if v.Forward && !v.Share {
-			return fmt.Errorf("variant %s: forward goes with share", v.Name)
+			return fmt.Errorf("variant %s: forward requires share", v.Name)
 		}
 		if v.Registry < 0 || v.Registry > 7 {
 			return fmt.Errorf("variant %s: registry: %d is not from 0 to 7 replicas", v.Name, v.Registry)
@@ -374,18 +373,18 @@
 }
 
 func (e *Experiment) checkFault(f Fault) error {
-	kind, known := FaultKinds[f.Kind]
+	kind, ok := FaultKinds[f.Kind]
 	switch {
-	case !known:
+	case !ok:
 		return fmt.Errorf("kind: there is no fault %q", f.Kind)
 	case f.At.Duration < 0 || f.For.Duration < 0:
 		return errors.New("at and for can't be below 0")
 	case f.At.Duration >= e.Length.Duration:
 		return fmt.Errorf("at: %v is not within the length of %v", f.At, e.Length)
 	case !slices.Contains(strings.Split(kind.Party, " or "), f.Of.Kind):
-		return fmt.Errorf("of.kind: %q: this befalls a %s", f.Of.Kind, kind.Party)
+		return fmt.Errorf("of.kind: %q: the fault affects a %s", f.Of.Kind, kind.Party)
 	case f.Kind == "loss" && (f.To.Kind != "sidecar" || f.Share <= 0 || f.Share > 1):
-		return errors.New("loss wants to.kind = \"sidecar\" and a share above 0 and up to 1")
+		return errors.New("loss requires to.kind = \"sidecar\" and a share above 0 and up to 1")
 	case f.Of.Zone != "" && !slices.Contains(e.Fleet.Zones, f.Of.Zone):
 		return fmt.Errorf("of.zone: there is no zone %q", f.Of.Zone)
 	case f.Kind == "cut" && f.Way != "" && f.Way != "both" && f.Way != "forth" && f.Way != "back":
@@ -395,7 +394,7 @@
 	case f.Kind == "ban" && !e.Fleet.Door:
 		return errors.New("a ban needs fleet.door = true")
 	case f.Kind == "slow" && f.Times <= 0:
-		return errors.New("times: wanted, above 0")
+		return errors.New("times: required, above 0")
 	}
 	return nil
 }
@@ -408,11 +407,11 @@
 	}
 	switch {
 	case (x.Rule == "") == (x.Figure == ""):
-		return errors.New("one of rule and figure is wanted")
+		return errors.New("one of rule and figure is required")
 	case x.Rule != "" && x.Rule != "all" && !slices.ContainsFunc(verdict.All, func(r verdict.Rule) bool { return r.Name == x.Rule }):
 		return fmt.Errorf("there is no rule %q", x.Rule)
 	case x.Figure != "" && x.Min == nil && x.Max == nil:
-		return fmt.Errorf("figure %s: min or max is wanted", x.Figure)
+		return fmt.Errorf("figure %s: min or max is required", x.Figure)
 	}
 	return nil
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -21,7 +21,7 @@
 	starveRunning    = time.Millisecond
 )
 
-// inject lets a fault happen, and returns once it is undone.
+// inject carries out a fault, and returns once it is undone.
 func (p *play) inject(ev *event) {
 	f := ev.Fault
 	if f.Of.Kind == "replica" {
@@ -68,45 +68,46 @@
 	case "state-full", "state-readonly", "state-torn", "state-flip", "state-gone", "state-old":
 		p.injectAll(ev, func(s *sidecar) { p.damageState(s, f) }, nil)
 	default:
-		p.note(fmt.Errorf("fault %s: kind %s is not carried out", f.Name, f.Kind))
+		p.note(fmt.Errorf("fault %s: unknown kind %s", f.Name, f.Kind))
 	}
 }
 
-// injectAll does a fault to all of its parties side by side.
-func (p *play) injectAll(ev *event, each func(*sidecar), of func(*upstream)) {
-	var all sync.WaitGroup
+// injectAll calls a function concurrently for each sidecar and each upstream of the event.
+func (p *play) injectAll(ev *event, onSidecar func(*sidecar), onUpstream func(*upstream)) {
+	var wg sync.WaitGroup
 	for _, s := range ev.sidecars {
-		all.Add(1)
-		go func() { defer all.Done(); each(s) }()
+		wg.Add(1)
+		go func() { defer wg.Done(); onSidecar(s) }()
 	}
 	for _, u := range ev.upstreams {
-		all.Add(1)
-		go func() { defer all.Done(); of(u) }()
+		wg.Add(1)
+		go func() { defer wg.Done(); onUpstream(u) }()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// injectInSteps does a fault to its sidecars in so many steps over its time.
-func (p *play) injectInSteps(ev *event, each func(*sidecar)) {
+// injectInSteps calls a function for the sidecars of the event, in as many steps over the fault's duration as it has
+// waves.
+func (p *play) injectInSteps(ev *event, onSidecar func(*sidecar)) {
 	f := ev.Fault
 	steps := max(1, f.Waves)
 	begun := p.rec.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, s := range ev.sidecars {
 		at := begun + f.For.Duration*time.Duration(i*steps/len(ev.sidecars))/time.Duration(steps)
-		all.Go(func() {
+		wg.Go(func() {
 			if p.sleep(at - p.rec.Now()) {
-				each(s)
+				onSidecar(s)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// restart ends a sidecar's process, hard or in order, and starts it again after its time down; with every, again and
-// again as long as the fault lasts.
+// restart ends a sidecar's process, by SIGKILL or SIGTERM, and starts it again after the fault's time down. A fault
+// with 'every' repeats this as long as it lasts.
 func (p *play) restart(s *sidecar, f experiment.Fault) {
-	until := p.rec.Now() + f.For.Duration
+	end := p.rec.Now() + f.For.Duration
 	rng := rand.New(rand.NewPCG(p.seed, faultStream+uint64(s.number)*131))
 	for {
 		begun := p.rec.Now()
@@ -121,25 +122,26 @@
 		if err := p.startSidecar(s); err != nil && p.ctx.Err() == nil {
 			p.note(fmt.Errorf("fault %s: %w", f.Name, err))
 		}
-		next := begun + time.Duration((0.5+rng.Float64())*float64(f.Every.Duration)) // not in step with anything
-		if f.Every.Duration <= 0 || next >= until || !p.sleep(next-p.rec.Now()) {
+		next := begun + time.Duration((0.5+rng.Float64())*float64(f.Every.Duration)) // random: in step with nothing periodic
+		if f.Every.Duration <= 0 || next >= end || !p.sleep(next-p.rec.Now()) {
 			return
 		}
 	}
 }
 
-// crashRepeatedly kills an upstream's process; with every, again and again as long as the fault lasts.
+// crashRepeatedly kills an upstream's process. A fault with 'every' repeats this as long as it lasts.
 func (p *play) crashRepeatedly(u *upstream, f experiment.Fault) {
-	for until := p.rec.Now() + f.For.Duration; ; {
+	for end := p.rec.Now() + f.For.Duration; ; {
 		next := p.rec.Now() + f.Every.Duration
 		p.crash(u, f)
-		if f.Every.Duration <= 0 || f.Stays || next >= until || !p.sleep(next-p.rec.Now()) {
+		if f.Every.Duration <= 0 || f.Stays || next >= end || !p.sleep(next-p.rec.Now()) {
 			return
 		}
 	}
 }
 
-// crash kills an upstream's process; the list notices, and it comes back cold after its time down.
+// crash kills an upstream's process. Discovery notices after its delay, and the upstream starts again cold after the
+// fault's time down.
 func (p *play) crash(u *upstream, f experiment.Fault) {
 	p.killUpstream(u)
 	p.markDead(u)
@@ -156,7 +158,7 @@
 	}
 }
 
-// startCold starts an upstream's process cold, and tells the list.
+// startCold starts an upstream's process cold and reports it ready to the list.
 func (p *play) startCold(u *upstream) {
 	if err := p.startUpstream(u, true); err != nil {
 		p.note(err)
@@ -165,6 +167,7 @@
 	p.setStatus(u, fake.Ready, true)
 }
 
+// pause stops a sidecar's process for a time, by SIGSTOP and SIGCONT.
 func (p *play) pause(s *sidecar, duration time.Duration) {
 	paused := &record.Life{Party: s.name, Paused: true, Start: p.rec.Now()}
 	p.rec.Life(paused)
@@ -174,26 +177,26 @@
 	p.rec.Change(func() { paused.End = p.rec.Now() })
 }
 
-// starve leaves a sidecar's process a tenth of the time: 1 ms in 10. Where this process itself wakes late, and so feeds the other
-// for longer, the next stop is longer by as much.
+// starve gives a sidecar's process a tenth of the time: 1 ms in 10. If the laboratory itself wakes late, so that the
+// process runs for longer, the next stop is longer in proportion.
 func (p *play) starve(s *sidecar, duration time.Duration) {
 	starved := &record.Life{Party: s.name, Paused: true, Start: p.rec.Now()}
 	p.rec.Life(starved)
 	defer p.rec.Change(func() { starved.End = p.rec.Now() })
 	stop := starveStopped
-	for until := starved.Start + duration; p.rec.Now() < until; {
+	for end := starved.Start + duration; p.rec.Now() < end; {
 		p.signal(s, syscall.SIGSTOP)
-		going := p.sleep(stop)
-		from := p.rec.Now()
+		ok := p.sleep(stop)
+		resumed := p.rec.Now()
 		p.signal(s, syscall.SIGCONT)
-		if !going || !p.sleep(starveRunning) {
+		if !ok || !p.sleep(starveRunning) {
 			return
 		}
-		stop = (p.rec.Now() - from) * starveStopped / starveRunning
+		stop = (p.rec.Now() - resumed) * starveStopped / starveRunning
 	}
 }
 
-// ban disables upstreams at a sidecar's door. It binds from the yes on.
+// ban disables upstreams at a sidecar's operators' port. A ban is in force once the answer is YES.
 func (p *play) ban(s *sidecar, ups []*upstream, duration time.Duration) {
 	for _, u := range ups {
 		if !p.callUntilYes(s, "DISABLE "+u.Name) {
@@ -202,18 +205,19 @@
 		p.rec.Tell(record.Told{At: p.rec.Now(), Sidecar: s.name, Upstream: u.Name, Source: record.Operator})
 	}
 	if duration <= 0 {
-		return // it stays
+		return // the ban stays
 	}
 	p.sleep(duration)
 	for _, u := range ups {
-		at := p.rec.Now() // before the call: it may be used from the yes on
+		at := p.rec.Now() // before the call: the sidecar may use the upstream as soon as it answers YES
 		if p.callUntilYes(s, "ENABLE "+u.Name) {
 			p.rec.Tell(record.Told{At: at, Sidecar: s.name, Upstream: u.Name, Source: record.Operator, Usable: true})
 		}
 	}
 }
 
-// callUntilYes makes a call at a sidecar's door until it gets its yes, as an operator would.
+// callUntilYes repeats a call at a sidecar's operators' port until the answer is YES, as an operator would, and
+// reports whether that came.
 func (p *play) callUntilYes(s *sidecar, line string) bool {
 	var answer string
 	var err error
@@ -229,7 +233,7 @@
 	return false
 }
 
-// linkChange is what a fault does to a link.
+// linkChange returns the change that a fault makes to the state of a link.
 func linkChange(f experiment.Fault) func(*relay.State) {
 	return func(s *relay.State) {
 		switch f.Kind {
@@ -254,36 +258,37 @@
 	}
 }
 
-// applyDuring keeps a fault's change in force on all that it befalls, until its time or the play is over.
-func applyDuring[T any](p *play, f experiment.Fault, all []*overlay[T], change func(*T)) {
-	for _, o := range all {
+// applyDuring keeps a fault's change in force on all overlays until the fault or the play ends.
+func applyDuring[T any](p *play, f experiment.Fault, overlays []*overlay[T], change func(*T)) {
+	for _, o := range overlays {
 		o.add(f.Name, change)
 	}
 	p.sleep(f.For.Duration)
-	for _, o := range all {
+	for _, o := range overlays {
 		o.remove(f.Name)
 	}
 }
 
-// linksOf are the links from the chosen sidecars to the chosen upstreams.
-func (p *play) linksOf(ev *event) (all []*overlay[relay.State]) {
+// linksOf returns the links from the event's sidecars to the upstreams in 'to'.
+func (p *play) linksOf(ev *event) (links []*overlay[relay.State]) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range ev.sidecars {
 		for _, u := range ev.toUpstreams {
-			all = append(all, s.links[u.Name].overlay)
+			links = append(links, s.links[u.Name].overlay)
 		}
 	}
-	return all
+	return links
 }
 
+// disturbUpstreams makes upstreams slow, failing or hanging.
 func (p *play) disturbUpstreams(ev *event) {
 	f := ev.Fault
-	var all []*overlay[fake.Trouble]
+	var overlays []*overlay[fake.Trouble]
 	for _, u := range ev.upstreams {
-		all = append(all, u.trouble)
+		overlays = append(overlays, u.trouble)
 	}
-	applyDuring(p, f, all, func(t *fake.Trouble) {
+	applyDuring(p, f, overlays, func(t *fake.Trouble) {
 		switch f.Kind {
 		case "slow":
 			t.Slower = max(t.Slower, 1) * f.Times
@@ -297,7 +302,8 @@
 	})
 }
 
-// loseUpstreams silences upstreams as a data centre that is lost does. They come back cold, as their machines lost power.
+// loseUpstreams silences upstreams as the loss of a data centre does. They start again cold, because their machines
+// lost power.
 func (p *play) loseUpstreams(ev *event) {
 	for _, u := range ev.upstreams {
 		p.eachLink(u, func(o *overlay[relay.State]) {
@@ -308,16 +314,16 @@
 		p.markDead(u)
 	}
 	notice := p.experiment.Discovery.SilentNotice.Duration
-	left := ev.Fault.For.Duration
-	if notice < left {
+	remaining := ev.Fault.For.Duration
+	if notice < remaining {
 		if p.sleep(notice) {
 			for _, u := range ev.upstreams {
 				p.setStatus(u, fake.Gone, false)
 			}
 		}
-		left -= notice
+		remaining -= notice
 	}
-	p.sleep(left)
+	p.sleep(remaining)
 	for _, u := range ev.upstreams {
 		u.Kill()
 		p.eachLink(u, func(o *overlay[relay.State]) { o.remove("lost") })
@@ -327,25 +333,26 @@
 	}
 }
 
-// replaceUpstreams drains upstreams in waves; a cold one takes the place of each, under another name.
+// replaceUpstreams drains upstreams in waves and starts a cold one under another name in place of each.
 func (p *play) replaceUpstreams(ev *event) {
 	f := ev.Fault
 	waves := max(1, f.Waves)
 	begun := p.rec.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, u := range ev.upstreams {
 		at := begun + f.For.Duration*time.Duration(i*waves/len(ev.upstreams))/time.Duration(waves)
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			if p.sleep(at - p.rec.Now()) {
 				p.replaceUpstream(u, f)
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
+// replaceUpstream drains one upstream, ends it and starts its cold successor.
 func (p *play) replaceUpstream(u *upstream, f experiment.Fault) {
 	p.setStatus(u, fake.Terminating, false)
 	if !p.sleep(f.Drain.Duration) {
@@ -358,21 +365,22 @@
 	}
 	entry := u.entry
 	entry.Name, entry.Status, entry.SinceMs = u.Name+"n", fake.Ready, 0
-	fresh, err := p.addUpstream(u.Spec, entry)
+	successor, err := p.addUpstream(u.Spec, entry)
 	if err != nil {
 		p.note(err)
 		return
 	}
-	p.startCold(fresh)
+	p.startCold(successor)
 }
 
+// disturbDiscovery makes the discovery of sidecars late, silent or wrong.
 func (p *play) disturbDiscovery(ev *event) {
 	f := ev.Fault
-	var all []*overlay[fake.Mood]
+	var overlays []*overlay[fake.Mood]
 	for _, s := range ev.sidecars {
-		all = append(all, s.mood)
+		overlays = append(overlays, s.mood)
 	}
-	applyDuring(p, f, all, func(m *fake.Mood) {
+	applyDuring(p, f, overlays, func(m *fake.Mood) {
 		switch f.Kind {
 		case "late":
 			m.Late += f.Delay.Duration
--- a/internal/lab/forwards.go
+++ b/internal/lab/forwards.go
@@ -9,9 +9,9 @@
 	"mosslead/internal/lab/relay"
 )
 
-const forwardStream = 78 // of what is drawn on the links of forwarded work
+const forwardStream = 78 // the random stream of the links for forwarded requests
 
-// newForwardMesh is the links for forwarded work. What is seen of it is seen here, on the way: no sidecar is asked.
+// newForwardMesh returns the links for forwarded requests. They record each hop themselves: no sidecar is asked.
 func (p *play) newForwardMesh() *relay.Mesh {
 	m := relay.NewMesh()
 	m.Hear(func(from, to string, r *http.Request) {
@@ -20,7 +20,7 @@
 	return m
 }
 
-// addForwards gives a sidecar links for forwarded work from and to all that are there; the caller holds mu.
+// addForwards links a sidecar, for forwarded requests, with all sidecars added before; the caller holds mu.
 func (p *play) addForwards(s *sidecar) error {
 	if p.forwards == nil {
 		return nil
@@ -29,7 +29,7 @@
 		p.seed*1_000_003+uint64(s.number)+forwardStream)
 }
 
-// newPeerLink is the link from one sidecar to another, for what they tell each other and for what they forward.
+// newPeerLink returns the link from one sidecar to another, for what they share and for what they forward.
 func (p *play) newPeerLink(from, to string, base relay.State) *overlay[relay.State] {
 	return newOverlay(base, func(state relay.State) {
 		p.note(p.mesh.Set(from, to, state))
@@ -39,7 +39,7 @@
 	})
 }
 
-// forwardConfig word where a sidecar takes forwarded work.
+// forwardConfig returns the configuration keys for forwarded requests; nil if sidecars forward nothing.
 func (p *play) forwardConfig(s *sidecar) map[string]any {
 	if p.forwards == nil {
 		return nil
@@ -47,13 +47,13 @@
 	return map[string]any{"forward": p.addrs.sidecar(s.number, forwardPort), "forward_advertise": p.addrs.sidecar(s.number, forwardLinkPort)}
 }
 
-// sidecarsInZone are the numbers of a zone's sidecars; of no zone, none.
-func sidecarsInZone(e *experiment.Experiment, zone string) (of []int) {
-	at := slices.Index(e.Fleet.Zones, zone)
+// sidecarsInZone returns the numbers of a zone's sidecars; nil if the zone is empty.
+func sidecarsInZone(e *experiment.Experiment, zone string) (numbers []int) {
+	index := slices.Index(e.Fleet.Zones, zone)
 	for i := range e.Fleet.Sidecars {
-		if zone != "" && i%len(e.Fleet.Zones) == at {
-			of = append(of, i)
+		if zone != "" && i%len(e.Fleet.Zones) == index {
+			numbers = append(numbers, i)
 		}
 	}
-	return of
+	return numbers
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,7 +20,7 @@
 	"mosslead/internal/lab/verdict"
 )
 
-// TestMain runs the naive sidecar where a play of the tests starts this program as one.
+// TestMain runs the naive sidecar if a play of the tests has started this program as one.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "naive" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -33,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-// naivePlay plays an experiment with a naive sidecar that breaks a rule; empty: none.
+// naivePlay plays an experiment with a naive sidecar that breaks the named rule; none if breaks is empty.
 func naivePlay(t *testing.T, e *experiment.Experiment, breaks string) *lab.Outcome {
 	t.Helper()
 	self, err := os.Executable()
@@ -50,6 +50,7 @@
 	return out
 }
 
+// judge returns the first violation of each rule.
 func judge(e *experiment.Experiment, out *lab.Outcome) map[string]verdict.Violation {
 	rules := verdict.Standard()
 	rules.DrainGrace = e.Rules.DrainGrace.Duration
@@ -62,8 +63,8 @@
 	return found
 }
 
-// Guards against a verdict that sees nothing, or too much: for each rule, a sidecar that breaks just that one is caught,
-// and one that keeps them all is not blamed.
+// Guards against verdicts that find too little or too much: for each rule, a sidecar that breaks only that rule is
+// caught, and a sidecar that breaks none has no violation.
 func TestEachVerdictCatchesItsBreach(t *testing.T) {
 	e, err := experiment.LoadFile("../../experiments/verdicts.toml")
 	if err != nil {
@@ -71,32 +72,32 @@
 	}
 	for breaks := range fake.Breaks {
 		if breaks != "" && !slices.ContainsFunc(verdict.All, func(r verdict.Rule) bool { return r.Name == breaks }) {
-			t.Errorf("no rule is called %s", breaks)
+			t.Errorf("the naive sidecar can break %q, want the name of a rule", breaks)
 		}
 	}
 	for _, rule := range append([]verdict.Rule{{}}, verdict.All...) {
 		switch rule.Name {
 		case "linearizable", "watch":
-			continue // the list service's: see internal/lab/history
+			continue // a rule of the list service: see internal/lab/history
 		case "two-hops", "two-carriers", "forward-budget":
-			continue // of forwarded work, which a naive sidecar has none of: see verdict's own tests, and edge-planted
+			continue // a naive sidecar forwards no requests: see the tests of package verdict, and the experiment edge-planted
 		}
 		t.Run("breaks "+rule.Name, func(t *testing.T) {
 			t.Parallel()
 			found := judge(e, naivePlay(t, e, rule.Name))
 			if _, ok := found[rule.Name]; rule.Name != "" && !ok {
-				t.Errorf("not caught; found %v", found)
+				t.Errorf("got violations %v, want one of rule %q", found, rule.Name)
 			}
 			for name, v := range found {
 				if rule.Name == "" {
-					t.Errorf("blamed for %s: %+v", name, v)
+					t.Errorf("got violation of %s %+v, want none", name, v)
 				}
 			}
 		})
 	}
 }
 
-// quick is a small experiment without faults.
+// quick returns a short experiment without faults; more is appended to its text.
 func quick(t *testing.T, more string) *experiment.Experiment {
 	t.Helper()
 	e, err := experiment.Parse([]byte("name = \"quick\"\nlength = \"1s\"\n[fleet]\ndoor = true\nsidecars = 2\nupstreams = 3\n[load]\nrate = 50\n" + more))
@@ -120,8 +121,8 @@
 	return []string{self, "naive", ""}
 }
 
-// A seed played twice gives the same arrivals and faults, and another seed others. A fault that would end after the run
-// ends with it.
+// Checks that a seed gives the same arrivals and faults each time, and that another seed gives different ones. A
+// fault that would outlast the run ends with it.
 func TestSeedRepeatsArrivalsAndFaults(t *testing.T) {
 	t.Parallel()
 	e := quick(t, "[[fault]]\nkind = \"slow\"\ntimes = 2\nfor = \"1h\"\nof = { kind = \"upstream\", count = 1 }\n")
@@ -132,16 +133,16 @@
 			t.Fatal(err)
 		}
 		if len(out.Record.Bands) != 1 || len(out.Record.Requests) == 0 {
-			t.Errorf("%d faults, %d requests", len(out.Record.Bands), len(out.Record.Requests))
+			t.Errorf("seed %d: got %d faults and %d requests, want 1 and more than 0", seed, len(out.Record.Bands), len(out.Record.Requests))
 		}
 		hashes = append(hashes, [2]string{out.PlanHash, out.FaultsHash})
 	}
 	if hashes[0] != hashes[1] || hashes[0][0] == hashes[2][0] {
-		t.Errorf("plans and faults of seeds 1, 1, 2: %v", hashes)
+		t.Errorf("hashes of plans and faults of seeds 1, 1, 2: got %v, want the first two equal and the third with another plan", hashes)
 	}
 }
 
-// An interrupted play ends its children, and keeps what was seen.
+// Checks that an interrupted play ends its child processes and returns what was recorded.
 func TestInterruptedPlayIsPartial(t *testing.T) {
 	t.Parallel()
 	e := quick(t, "")
@@ -149,7 +150,7 @@
 	e.Load.Rate = 20
 	var out *lab.Outcome
 	err := context.Canceled
-	for after := time.Second; errors.Is(err, context.Canceled); after *= 2 { // until it is later than the load's begin
+	for after := time.Second; errors.Is(err, context.Canceled); after *= 2 { // until the time is later than the start of the load
 		ctx, cancel := context.WithTimeoutCause(t.Context(), after, context.Canceled)
 		out, err = play(ctx, t, e, naiveCommand(t)...)
 		cancel()
@@ -161,11 +162,11 @@
 		t.Fatal(err)
 	}
 	if !out.Record.Partial {
-		t.Error("not marked as partial")
+		t.Error("Partial: got false, want true")
 	}
 	for _, l := range out.Record.Lives {
 		if l.End == 0 {
-			t.Errorf("%s was not ended", l.Party)
+			t.Errorf("%s: got no end of its process, want one", l.Party)
 		}
 	}
 }
@@ -182,7 +183,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if _, err := play(t.Context(), t, quick(t, ""), c.program...); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("got error %v, want one with %q", err, c.want)
 			}
 		})
 	}
@@ -191,15 +192,15 @@
 func TestTooManyClientsAreRefusedAtOnce(t *testing.T) {
 	e := quick(t, "connections = 6000\n")
 	if _, err := play(t.Context(), t, e, "/bin/false"); err == nil || !strings.Contains(err.Error(), "10000 at most") {
-		t.Errorf("12,000 connections: %v", err)
+		t.Errorf("12,000 connections: got error %v, want one with \"10000 at most\"", err)
 	}
 }
 
-// Every kind of fault is carried out and undone without a complaint of the laboratory's.
+// Checks that every kind of fault is carried out and undone without an error of the laboratory.
 func TestEveryFaultIsCarriedOut(t *testing.T) {
 	t.Parallel()
 	var text strings.Builder
-	for i, kind := range slices.Sorted(maps.Keys(experiment.FaultKinds)) { // one after another: each is to find its party there
+	for i, kind := range slices.Sorted(maps.Keys(experiment.FaultKinds)) { // one after another, so that each finds its party running
 		party, _, _ := strings.Cut(experiment.FaultKinds[kind].Party, " ")
 		fmt.Fprintf(&text, "[[fault]]\nkind = %q\nat = \"%dms\"\nfor = \"200ms\"\ntimes = 2\nof = { kind = %q, count = 1 }\nshare = 0.5\nto = { kind = %q, count = 1 }\n", kind, i*400, party, map[bool]string{true: "sidecar", false: "upstream"}[kind == "loss"])
 	}
@@ -214,11 +215,11 @@
 		t.Fatal(err)
 	}
 	for _, note := range out.Notes {
-		if !strings.Contains(note, "nothing to break") && !strings.Contains(note, "read-only") { // no state, and a file system without that flag
+		if !strings.Contains(note, "nothing to break") && !strings.Contains(note, "read-only") { // the naive sidecar has no state, and the file system may lack the flag
 			t.Error(note)
 		}
 	}
 	if len(out.Record.Bands) != len(experiment.FaultKinds) {
-		t.Errorf("%d faults of %d", len(out.Record.Bands), len(experiment.FaultKinds))
+		t.Errorf("got %d faults carried out, want %d", len(out.Record.Bands), len(experiment.FaultKinds))
 	}
 }
--- a/internal/lab/load/busy.go
+++ b/internal/lab/load/busy.go
@@ -11,11 +11,11 @@
 	"mosslead/internal/lab/record"
 )
 
-// maxBusyRequests bounds the requests on one connection that is kept busy.
+// maxBusyRequests is the most requests that one task of KeepBusy sends.
 const maxBusyRequests = 500
 
-// Shut says whether clients open no new connections to a sidecar: some time after it was told to end, until the next is
-// there.
+// Shut sets whether clients open no new connections to a sidecar. This holds from some time after the sidecar was
+// told to end until its next process is ready.
 func (c *Clients) Shut(sidecar int, on bool) {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
@@ -23,20 +23,20 @@
 	p.mu.Unlock()
 }
 
-// KeepBusy has a share of a sidecar's connections carry request after request, beside the plan, for as long as each stays
-// open and ctx lasts. Each begins at a moment within the time given, drawn from the seed, on a connection that is free
-// then. It returns once all have ended.
+// KeepBusy keeps a share of a sidecar's connections carrying request after request, beside the plan, for as long as
+// each stays open and ctx lasts. Each begins at a time within the given duration, drawn from the seed, on a
+// connection that is free then. KeepBusy returns once all have ended.
 func (c *Clients) KeepBusy(ctx context.Context, spec Spec, sidecar int, share float64, within time.Duration, seed uint64) {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
 	n := int(math.Ceil(share * float64(p.open)))
 	p.mu.Unlock()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range n {
 		rng := rand.New(rand.NewPCG(seed, busyStream+uint64(sidecar)<<32+uint64(i)<<8))
 		d := newDrawer(spec, rng, rng)
 		begin := c.rec.Now() + time.Duration(float64(within)*(float64(i)+rng.Float64())/float64(n))
-		all.Go(func() {
+		wg.Go(func() {
 			select {
 			case <-time.After(begin - c.rec.Now()):
 				c.keepConnBusy(ctx, d, sidecar)
@@ -44,10 +44,10 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// keepConnBusy is one connection that is kept keepConnBusy.
+// keepConnBusy sends one request after another, each on a connection that is free.
 func (c *Clients) keepConnBusy(ctx context.Context, d *drawer, sidecar int) {
 	for range maxBusyRequests {
 		conn := c.acquireIdle(sidecar)
@@ -56,14 +56,14 @@
 		}
 		a := d.draw(c.rec.Now(), sidecar)
 		class := d.spec.Classes[a.Class]
-		q := &record.Request{ID: a.ID, Wish: -int(c.extra.Add(1)), Sidecar: c.names[sidecar], Class: class.Name, Tenant: a.Tenant,
+		req := &record.Request{ID: a.ID, Wish: -int(c.extra.Add(1)), Sidecar: c.names[sidecar], Class: class.Name, Tenant: a.Tenant,
 			Key: a.Key, Worth: class.Worth, Work: a.Work, Safe: class.Safe, Intended: a.At, Aim: class.Aim, Patience: a.Patience}
 		a.Leaves = 0
-		c.sendTry(ctx, &a, q, conn)
+		c.sendTry(ctx, &a, req, conn)
 	}
 }
 
-// acquireIdle gives the latest used connection that is open and has no request; nil: there is none.
+// acquireIdle returns the open connection without a request that was used last; nil if there is none.
 func (c *Clients) acquireIdle(sidecar int) *clientConn {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// closedByPeer tells whether the other side has closed the connection, as far as this machine knows.
+// closedByPeer reports whether the other side has closed the connection, as far as this machine knows.
 func (c *clientConn) closedByPeer() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -90,10 +90,10 @@
 	if err != nil {
 		return true
 	}
-	over := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		over = n == 0 && err == nil || err != nil && err != syscall.EAGAIN
+		closed = n == 0 && err == nil || err != nil && err != syscall.EAGAIN
 	})
-	return over || err != nil
+	return closed || err != nil
 }
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// A client waits so much longer than its patience: an answer that comes by then is late, and none at all is lost.
+	// A client waits this much longer than its patience: an answer that comes by then is late, and a request without any
+	// answer is lost.
 	answerGrace = 550 * time.Millisecond
 	dialTimeout = time.Second
 	maxBody     = 1 << 20
 	maxIdle     = 30 * time.Second // a connection unused for longer is not used again
 )
 
-// Clients send a plan's arrivals.
+// Clients send the arrivals of a plan.
 type Clients struct {
 	rec       *record.Record
 	names     []string // of the sidecars
 	addresses []string
-	maxConns  int // connections to each sidecar
+	maxConns  int // to each sidecar
 	pools     []pool
 	requests  sync.WaitGroup
 	extra     atomic.Int64 // requests beside the plan, see KeepBusy
@@ -41,21 +42,22 @@
 
 type pool struct {
 	mu   sync.Mutex
-	idle []*clientConn // the latest used last
+	idle []*clientConn // in the order of their last use
 	open int
-	shut bool // no new connections, see Shut
+	shut bool // clients open no new connections, see Shut
 }
 
 type clientConn struct {
 	net.Conn
 	r        *bufio.Reader
-	used     int
+	used     int // number of requests that it has carried
 	lastUsed time.Time
 }
 
-// NewClients are the clients of sidecars that listen at these addresses, with at most so many connections to each.
-func NewClients(rec *record.Record, names, address []string, most int) *Clients {
-	return &Clients{rec: rec, names: names, addresses: address, maxConns: most, pools: make([]pool, len(names))}
+// NewClients returns the clients of the sidecars that listen at these addresses, with at most maxConns connections to
+// each.
+func NewClients(rec *record.Record, names, addresses []string, maxConns int) *Clients {
+	return &Clients{rec: rec, names: names, addresses: addresses, maxConns: maxConns, pools: make([]pool, len(names))}
 }
 
 // Run sends every arrival at its time after begin, and returns once all have ended. When ctx ends, it sends no more and
@@ -88,26 +90,26 @@
 	}
 }
 
-// Lags are how late each first try was begun.
+// Lags returns how late each arrival's first try began.
 func (c *Clients) Lags() []time.Duration { return c.lags }
 
-// sendArrival is one arrival with all of its tries.
+// sendArrival sends one arrival, with all of its tries.
 func (c *Clients) sendArrival(ctx context.Context, spec Spec, n int, a *Arrival, begin time.Duration) {
 	class := spec.Classes[a.Class]
-	q := &record.Request{ID: a.ID, Wish: n, Sidecar: c.names[a.Sidecar], Class: class.Name, Tenant: a.Tenant, Key: a.Key,
+	req := &record.Request{ID: a.ID, Wish: n, Sidecar: c.names[a.Sidecar], Class: class.Name, Tenant: a.Tenant, Key: a.Key,
 		Worth: class.Worth, Work: a.Work, Safe: class.Safe, Intended: begin + a.At, Aim: class.Aim, Patience: a.Patience}
-	lag := c.rec.Now() - q.Intended
+	lag := c.rec.Now() - req.Intended
 	c.mu.Lock()
 	c.lags = append(c.lags, lag)
 	c.mu.Unlock()
-	c.sendTry(ctx, a, q, nil)
-	again := q.End == record.Refused || (class.Safe && (q.End == record.Failed || q.End == record.NoConnect || q.End == record.Dropped))
-	if !a.Retry || !again || a.Leaves > 0 {
+	c.sendTry(ctx, a, req, nil)
+	mayRepeat := req.End == record.Refused || (class.Safe && (req.End == record.Failed || req.End == record.NoConnect || req.End == record.Dropped))
+	if !a.Retry || !mayRepeat || a.Leaves > 0 {
 		return
 	}
-	at := q.Ended + a.Backoff
-	left := q.Intended + class.Deadline - at
-	if left <= 0 {
+	at := req.Ended + a.Backoff
+	remaining := req.Intended + class.Deadline - at
+	if remaining <= 0 {
 		return
 	}
 	select {
@@ -115,75 +117,76 @@
 	case <-ctx.Done():
 		return
 	}
-	next := *q
-	next.ID, next.Try, next.Intended, next.Patience = a.RetryID, 1, at, min(a.Patience, left)
-	next.Sent, next.Ended, next.End, next.FirstUse, next.Body = 0, 0, record.Pending, false, ""
-	c.sendTry(ctx, a, &next, nil)
+	retry := *req
+	retry.ID, retry.Try, retry.Intended, retry.Patience = a.RetryID, 1, at, min(a.Patience, remaining)
+	retry.Sent, retry.Ended, retry.End, retry.FirstUse, retry.Body = 0, 0, record.Pending, false, ""
+	c.sendTry(ctx, a, &retry, nil)
 }
 
-// sendTry sends a request and waits for its end, on that connection first, unless it is nil.
-func (c *Clients) sendTry(ctx context.Context, a *Arrival, q *record.Request, conn *clientConn) {
-	c.rec.Request(q)
+// sendTry sends a request and waits for its end. The first connection that it uses is conn, unless conn is nil.
+func (c *Clients) sendTry(ctx context.Context, a *Arrival, req *record.Request, conn *clientConn) {
+	c.rec.Request(req)
 	for resent := false; ; resent = true {
 		var err error
 		if conn == nil || resent {
 			conn, err = c.acquire(a.Sidecar, resent)
 		}
 		if err != nil {
-			q.End = record.NoConnect
+			req.End = record.NoConnect
 			break
 		}
-		q.FirstUse = conn.used == 0
-		crossed := c.exchange(ctx, a, q, conn)
-		// The sidecar closed a connection that was between requests, and this one crossed it. Not so where its
-		// process was killed: then it may have run.
-		if crossed && !q.FirstUse && !resent && !c.rec.EndedSince(q.Sidecar, q.Sent) {
+		req.FirstUse = conn.used == 0
+		crossed := c.exchange(ctx, a, req, conn)
+		// The sidecar closed an idle connection while the request was on its way, so it is sent again. This does not
+		// hold if the sidecar's process was killed: then the request may have run.
+		if crossed && !req.FirstUse && !resent && !c.rec.EndedSince(req.Sidecar, req.Sent) {
 			continue
 		}
 		break
 	}
-	q.Ended = c.rec.Now()
+	req.Ended = c.rec.Now()
 }
 
-// exchange sends q on a connection and reads its answer; crossed tells that the connection ended without a byte.
-func (c *Clients) exchange(ctx context.Context, a *Arrival, q *record.Request, conn *clientConn) (crossed bool) {
-	whole := false
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+// exchange sends a request on a connection and reads its answer. crossed reports that the connection ended without a
+// byte of an answer.
+func (c *Clients) exchange(ctx context.Context, a *Arrival, req *record.Request, conn *clientConn) (crossed bool) {
+	reusable := false
+	stopCancel := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
-		stop()
-		c.release(a.Sidecar, conn, whole && ctx.Err() == nil)
+		stopCancel()
+		c.release(a.Sidecar, conn, reusable && ctx.Err() == nil)
 	}()
 	conn.used++
-	until := q.Intended + q.Patience + answerGrace
-	leaves := a.Leaves > 0 && q.Try == 0
-	if leaves {
-		until = q.Intended + a.Leaves
+	deadline := req.Intended + req.Patience + answerGrace
+	leavesEarly := a.Leaves > 0 && req.Try == 0
+	if leavesEarly {
+		deadline = req.Intended + a.Leaves
 	}
-	if err := conn.SetDeadline(c.rec.At(until)); err != nil {
-		q.End = record.Dropped
+	if err := conn.SetDeadline(c.rec.At(deadline)); err != nil {
+		req.End = record.Dropped
 		return true
 	}
 	if ctx.Err() != nil {
-		q.End = record.Unsent
+		req.End = record.Unsent
 		return false
 	}
-	if _, err := conn.Write(c.encode(q)); err != nil {
-		q.End = record.Dropped
+	if _, err := conn.Write(c.encode(req)); err != nil {
+		req.End = record.Dropped
 		return true
 	}
-	q.Sent = c.rec.Now()
+	req.Sent = c.rec.Now()
 	if _, err := conn.r.Peek(1); err != nil {
 		switch {
 		case ctx.Err() != nil:
-			q.End = record.Unsent
+			req.End = record.Unsent
 		case !isTimeout(err):
-			q.End = record.Dropped
-			c.rec.Cut(record.Cut{Request: q.ID, Sidecar: q.Sidecar, Sent: q.Sent, At: c.rec.Now(), Reset: !errors.Is(err, io.EOF)})
+			req.End = record.Dropped
+			c.rec.Cut(record.Cut{Request: req.ID, Sidecar: req.Sidecar, Sent: req.Sent, At: c.rec.Now(), Reset: !errors.Is(err, io.EOF)})
 			return true
-		case leaves:
-			q.End = record.Left
+		case leavesEarly:
+			req.End = record.Left
 		default:
-			q.End = record.Unanswered
+			req.End = record.Unanswered
 		}
 		return false
 	}
@@ -194,17 +197,17 @@
 	}
 	switch {
 	case err != nil && ctx.Err() != nil:
-		q.End = record.Unsent
+		req.End = record.Unsent
 	case err != nil:
-		q.End = record.Broken
+		req.End = record.Broken
 	case resp.StatusCode == http.StatusOK:
-		q.End, q.Body = record.Served, string(body)
+		req.End, req.Body = record.Served, string(body)
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
-		q.End = record.Refused
+		req.End = record.Refused
 	default:
-		q.End = record.Failed
+		req.End = record.Failed
 	}
-	whole = err == nil && !resp.Close
+	reusable = err == nil && !resp.Close
 	return false
 }
 
@@ -213,25 +216,25 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// encode words a request.
-func (c *Clients) encode(q *record.Request) []byte {
-	method, body := fake.Form(q)
-	var s strings.Builder
-	left := q.Intended + q.Patience - c.rec.Now()
-	fmt.Fprintf(&s, "%s %s HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n", method, fake.Path(q), q.ID, q.Class)
-	if q.Tenant != "" {
-		fmt.Fprintf(&s, "X-Tenant-Id: %s\r\n", q.Tenant)
+// encode returns the HTTP request as bytes.
+func (c *Clients) encode(req *record.Request) []byte {
+	method, body := fake.Form(req)
+	var text strings.Builder
+	remaining := req.Intended + req.Patience - c.rec.Now()
+	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n", method, fake.Path(req), req.ID, req.Class)
+	if req.Tenant != "" {
+		fmt.Fprintf(&text, "X-Tenant-Id: %s\r\n", req.Tenant)
 	}
-	fmt.Fprintf(&s, "X-Timeout: %du\r\n", max(1, left.Microseconds()))
+	fmt.Fprintf(&text, "X-Timeout: %du\r\n", max(1, remaining.Microseconds()))
 	if method != http.MethodGet {
-		fmt.Fprintf(&s, "Content-Length: %d\r\n", len(body))
+		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(body))
 	}
-	s.WriteString("\r\n")
-	s.Write(body)
-	return []byte(s.String())
+	text.WriteString("\r\n")
+	text.Write(body)
+	return []byte(text.String())
 }
 
-// acquire gives the latest used connection, or opens one; fresh wants one that was never used.
+// acquire returns the idle connection that was used last, or opens one. With fresh, it always opens one.
 func (c *Clients) acquire(sidecar int, fresh bool) (*clientConn, error) {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
@@ -265,7 +268,7 @@
 	return &clientConn{Conn: raw, r: bufio.NewReader(raw)}, nil
 }
 
-// release gives a connection back, or closes it.
+// release gives a connection back to the pool, or closes it.
 func (c *Clients) release(sidecar int, conn *clientConn, keep bool) {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -34,18 +34,18 @@
 	spec.Steps = []Step{{At: 20 * time.Second, For: 20 * time.Second, Times: 2}}
 	p := Draw(spec, 4, 1)
 	if again := Draw(spec, 4, 1); again.Hash() != p.Hash() {
-		t.Error("a seed played twice gives other arrivals")
+		t.Errorf("two draws from seed 1 have different hashes %s and %s, want equal ones", p.Hash(), again.Hash())
 	}
 	if other := Draw(spec, 4, 2); other.Hash() == p.Hash() {
-		t.Error("another seed gives the same arrivals")
+		t.Errorf("seeds 1 and 2 have the same hash %s, want different ones", p.Hash())
 	}
-	var in, out, tenantB int
+	var inside, outside, tenantB int
 	work, classes := make([]float64, 2), make([]float64, 2)
 	for _, a := range p.Arrivals {
 		if a.At >= 20*time.Second && a.At < 40*time.Second {
-			in++
+			inside++
 		} else {
-			out++
+			outside++
 		}
 		if a.Tenant == "b" {
 			tenantB++
@@ -53,38 +53,39 @@
 		work[a.Class] += a.Work.Seconds()
 		classes[a.Class]++
 	}
-	near := func(what string, got, want, within float64) {
+	checkNear := func(what string, got, want, tolerance float64) {
 		t.Helper()
-		if math.Abs(got-want) > within*want {
-			t.Errorf("%s: %.4f, want %.4f", what, got, want)
+		if math.Abs(got-want) > tolerance*want {
+			t.Errorf("%s: got %.4f, want %.4f", what, got, want)
 		}
 	}
-	near("rate outside of the step", float64(out)/60, 500, 0.08)
-	near("rate in the step", float64(in)/20, 1000, 0.08)
-	near("share of the first class", classes[0]/(classes[0]+classes[1]), 0.8, 0.02)
-	near("its work", work[0]/classes[0], 0.1, 0.05)
-	near("the other's work", work[1]/classes[1], 0.05, 0.05)
-	near("tenant b", float64(tenantB)/float64(len(p.Arrivals)), 0.6/1.3, 0.03)
+	checkNear("rate outside of the step", float64(outside)/60, 500, 0.08)
+	checkNear("rate in the step", float64(inside)/20, 1000, 0.08)
+	checkNear("share of the first class", classes[0]/(classes[0]+classes[1]), 0.8, 0.02)
+	checkNear("mean work of the first class", work[0]/classes[0], 0.1, 0.05)
+	checkNear("mean work of the second class", work[1]/classes[1], 0.05, 0.05)
+	checkNear("share of tenant b", float64(tenantB)/float64(len(p.Arrivals)), 0.6/1.3, 0.03)
 }
 
-// A bursty rate swings by itself: its seconds differ more than chance makes those of an even one differ.
+// Checks that a bursty rate changes over time: its counts per second deviate more than chance makes those of a
+// constant rate deviate.
 func TestBurstsSwing(t *testing.T) {
-	spread := func(spec Spec) float64 {
+	deviation := func(spec Spec) float64 {
 		counts := make([]float64, 80)
 		for _, a := range Draw(spec, 1, 1).Arrivals {
 			counts[int(a.At/time.Second)]++
 		}
 		return stat.StdDev(counts, nil)
 	}
-	even := testSpec()
-	bursty := even
+	constant := testSpec()
+	bursty := constant
 	bursty.Bursty, bursty.Swing = true, 0.4
-	if e, b := spread(even), spread(bursty); e > 30 || b < 3*e {
-		t.Errorf("requests in a second deviate by %.0f where bursty, by %.0f where even", b, e)
+	if e, b := deviation(constant), deviation(bursty); e > 30 || b < 3*e {
+		t.Errorf("standard deviation of requests per second: got %.0f at a constant rate and %.0f at a bursty one, want at most 30 and at least 3 times as much", e, b)
 	}
 }
 
-// slowServer answers each request with its body only after a time, one at a time.
+// slowServer starts a server that answers requests one at a time, each after the given time, and returns its address.
 func slowServer(t *testing.T, after time.Duration, answer func(net.Conn, *http.Request)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,7 +93,7 @@
 		t.Fatal(err)
 	}
 	var open sync.WaitGroup
-	var one sync.Mutex
+	var serial sync.Mutex
 	open.Add(1)
 	go func() {
 		defer open.Done()
@@ -114,9 +115,9 @@
 					if _, err := io.Copy(io.Discard, req.Body); err != nil {
 						return
 					}
-					one.Lock()
+					serial.Lock()
 					time.Sleep(after)
-					one.Unlock()
+					serial.Unlock()
 					answer(c, req)
 				}
 			}()
@@ -131,7 +132,7 @@
 }
 
 // Guards against coordinated omission: a server that serves one request in 20 ms is sent 20 within 1 ms, and the last
-// must be seen to take 400 ms, as it does for whoever meant to send it then.
+// must be recorded as taking 400 ms, counted from when it was to be sent.
 func TestLatencyCountsFromTheIntendedTime(t *testing.T) {
 	rec := record.New()
 	c := NewClients(rec, []string{"s"}, []string{slowServer(t, 20*time.Millisecond, ok)}, 100)
@@ -143,12 +144,12 @@
 	longest := time.Duration(0)
 	for _, q := range rec.Requests {
 		if q.End != record.Served {
-			t.Errorf("%s: %v", q.ID, q.End)
+			t.Errorf("request %s: got end %v, want %v", q.ID, q.End, record.Served)
 		}
 		longest = max(longest, q.Took())
 	}
 	if len(rec.Requests) != 20 || longest < 390*time.Millisecond {
-		t.Errorf("%d requests, the longest took %v; 20 of 20 ms each, sent together, take 400 ms", len(rec.Requests), longest)
+		t.Errorf("got %d requests, the longest of %v, want 20 and at least 390ms: 20 of 20 ms each, sent together, take 400 ms", len(rec.Requests), longest)
 	}
 }
 
@@ -179,7 +180,7 @@
 			p := Plan{Spec: testSpec(), Arrivals: []Arrival{{ID: "x", Patience: 100 * time.Millisecond}}}
 			clients.Run(context.Background(), p, rec.Now())
 			if got := rec.Requests[0].End; got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("got end %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -189,13 +190,13 @@
 	fail := func(c net.Conn, _ *http.Request) {
 		_, _ = io.WriteString(c, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
 	}
-	for class, want := range []int{2, 1} { // read is safe to repeat, charge is not
+	for class, want := range []int{2, 1} { // class 0, read, is safe to repeat; class 1, charge, is not
 		rec := record.New()
 		clients := NewClients(rec, []string{"s"}, []string{slowServer(t, 0, fail)}, 4)
 		p := Plan{Spec: testSpec(), Arrivals: []Arrival{{ID: "x", RetryID: "y", Class: class, Patience: time.Second, Retry: true}}}
 		clients.Run(context.Background(), p, rec.Now())
 		if len(rec.Requests) != want {
-			t.Errorf("class %d, failed: %d tries, want %d", class, len(rec.Requests), want)
+			t.Errorf("failed request of class %d: got %d tries, want %d", class, len(rec.Requests), want)
 		}
 	}
 }
@@ -214,25 +215,25 @@
 	}()
 	clients.Run(ctx, p, rec.Now())
 	if len(rec.Requests) != 1 || rec.Requests[0].End != record.Unsent {
-		t.Errorf("%d requests, the first %v", len(rec.Requests), rec.Requests[0].End)
+		t.Errorf("got %d requests, the first with end %v, want 1 with %v", len(rec.Requests), rec.Requests[0].End, record.Unsent)
 	}
 }
 
-// A step of some sidecars' clients leaves what the others ask as it was.
+// Checks that a step of some sidecars' clients does not change the rate of the others.
 func TestAStepOfOneSite(t *testing.T) {
 	spec := testSpec()
 	spec.StreamCV, spec.Steps = 0, []Step{{At: 40 * time.Second, For: 40 * time.Second, Times: 3, Of: []int{1}}}
-	before, in := make([]float64, 4), make([]float64, 4)
+	before, during := make([]float64, 4), make([]float64, 4)
 	for _, a := range Draw(spec, 4, 1).Arrivals {
 		if a.At < 40*time.Second {
 			before[a.Sidecar]++
 		} else {
-			in[a.Sidecar]++
+			during[a.Sidecar]++
 		}
 	}
 	for i, want := range []float64{1, 3, 1, 1} {
-		if got := in[i] / before[i]; math.Abs(got-want) > 0.1*want {
-			t.Errorf("sidecar %d: %.2f times as many, want %v", i, got, want)
+		if got := during[i] / before[i]; math.Abs(got-want) > 0.1*want {
+			t.Errorf("sidecar %d: got %.2f times as many requests in the step as before, want %v", i, got, want)
 		}
 	}
 }
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -1,5 +1,5 @@
-// Package load owns the traffic of a play: arrivals that are drawn ahead from a seed, and the clients that send them at
-// the drawn moments whatever is still out.
+// Package load makes the traffic of a play: it draws arrivals ahead from a seed, and its clients send them at the drawn
+// times, whether or not earlier requests have ended.
 package load
 
 import (
@@ -18,12 +18,12 @@
 // Class is a kind of request.
 type Class struct {
 	Name      string
-	Share     float64       // of the requests; shares are set against each other
+	Share     float64       // of the requests, relative to the other classes' shares
 	Work      time.Duration // mean, on a core of speed 1
-	CV        float64       // of the work: its deviation over its mean; 0: all alike
-	Pareto    bool          // else lognormal
+	CV        float64       // standard deviation of the work over its mean; 0 if all requests have the same work
+	Pareto    bool          // distribution of the work; lognormal if false
 	Aim       time.Duration
-	Deadline  time.Duration // what a client waits over all of its tries
+	Deadline  time.Duration // how long a client waits, over all of its tries
 	Worth     float64
 	LateWorth float64 // share of the worth that is left after the aim
 	Safe      bool
@@ -32,38 +32,38 @@
 // Tenant is a party that sends requests.
 type Tenant struct {
 	Name  string
-	Share float64 // of the service that is due to it
-	Usage float64 // of its share that it sends; 0: 1
+	Share float64 // of the service that is due to the tenant
+	Usage float64 // the part of its share that it sends; 0 means 1
 }
 
 // Step changes the rate for a time.
 type Step struct {
 	At, For time.Duration
 	Times   float64
-	Of      []int // the sidecars whose clients ask more; empty: all
+	Of      []int // the sidecars whose clients change their rate; all if empty
 
-	rateFactor float64 // times the whole rate, see weighed
+	rateFactor float64 // of the rate of all clients, see withRateFactors
 }
 
 // Spec is the traffic of a play.
 type Spec struct {
 	Length    time.Duration
 	Rate      float64 // requests a second, of all clients
-	Bursty    bool    // the rate swings by itself, else it is even
-	Swing     float64 // by so much up and down
+	Bursty    bool    // the rate alternates between high and low; constant if false
+	Swing     float64 // how far a bursty rate goes up and down, as a share of it
 	Steps     []Step
-	StreamCV  float64 // how unevenly clients send
+	StreamCV  float64 // standard deviation of the sidecars' weights over their mean
 	Classes   []Class
 	Tenants   []Tenant
 	Keys      int
-	KeyZipf   float64       // exponent of the keys' popularity; 0: all alike
-	TryShare  [2]float64    // of the deadline that a client gives one try
-	Retries   float64       // of clients' wishes that are tried once more after a bad answer
-	Backoff   time.Duration // mean wait before that
-	Impatient float64       // share of clients that leave early
+	KeyZipf   float64       // exponent of the keys' popularity; 0 if all are equally popular
+	TryShare  [2]float64    // least and greatest share of the deadline that a client gives one try
+	Retries   float64       // share of the arrivals that are tried once more after a bad answer
+	Backoff   time.Duration // mean wait before the second try
+	Impatient float64       // share of the clients that leave early
 }
 
-// Arrival is one wish of a client.
+// Arrival is one request of a client, with its second try if it has one.
 type Arrival struct {
 	At          time.Duration
 	Sidecar     int
@@ -71,22 +71,22 @@
 	Tenant, Key string
 	Work        time.Duration
 	Patience    time.Duration // for one try
-	Retry       bool          // tries once more
+	Retry       bool          // whether the client tries once more
 	Backoff     time.Duration
-	Leaves      time.Duration // after so long, though it would wait; 0: it stays
+	Leaves      time.Duration // the client leaves after this time, though it would wait longer; 0 if it stays
 	ID, RetryID string
 }
 
-// Plan is all arrivals of a play, in order.
+// Plan holds all arrivals of a play, in order of time.
 type Plan struct {
 	Spec     Spec
 	Arrivals []Arrival
 }
 
-// meanBurstPhase is the mean time that a bursty rate stays up or down.
+// meanBurstPhase is the mean time for which a bursty rate stays high or low.
 const meanBurstPhase = time.Second
 
-// streams numbers the independent random streams of a seed.
+// The independent random streams of a seed.
 const (
 	arrivalStream = iota + 1
 	detailStream
@@ -95,30 +95,31 @@
 	busyStream
 )
 
-// Draw draws the arrivals for so many sidecars. The same seed and spec give the same plan.
+// Draw draws the arrivals at the given number of sidecars. The same seed and spec give the same plan.
 func Draw(spec Spec, sidecars int, seed uint64) Plan {
-	when := rand.New(rand.NewPCG(seed, arrivalStream))
+	timeRNG := rand.New(rand.NewPCG(seed, arrivalStream))
 	weights := sidecarWeights(sidecars, spec.StreamCV, seed)
-	who := newChoice(weights)
+	byWeight := newChoice(weights)
 	spec = spec.withRateFactors(weights)
 	d := newDrawer(spec, rand.New(rand.NewPCG(seed, detailStream)), rand.New(rand.NewPCG(seed, idStream)))
 	p := Plan{Spec: spec}
-	for _, at := range arrivals(spec, when) {
-		from := who
+	for _, at := range arrivals(spec, timeRNG) {
+		choice := byWeight
 		if w := spec.weightsAt(weights, at); w != nil {
-			from = newChoice(w)
+			choice = newChoice(w)
 		}
-		p.Arrivals = append(p.Arrivals, d.draw(at, from.draw(d.rng)))
+		p.Arrivals = append(p.Arrivals, d.draw(at, choice.draw(d.rng)))
 	}
 	return p
 }
 
-// withRateFactors puts into each step that is of some sidecars' clients how many times the rate of all becomes.
+// withRateFactors returns the spec with the rate factor of each step. A step of some sidecars changes the rate of all
+// clients by less.
 func (s Spec) withRateFactors(weights []float64) Spec {
 	s.Steps = slices.Clone(s.Steps)
-	all := 0.0
+	sum := 0.0
 	for _, w := range weights {
-		all += w
+		sum += w
 	}
 	for i := range s.Steps {
 		step := &s.Steps[i]
@@ -126,41 +127,41 @@
 		if len(step.Of) > 0 {
 			step.rateFactor = 1
 			for _, n := range step.Of {
-				step.rateFactor += (step.Times - 1) * weights[n] / all
+				step.rateFactor += (step.Times - 1) * weights[n] / sum
 			}
 		}
 	}
 	return s
 }
 
-// weightsAt are the clients' weights at a time at which some sidecars' ask more; nil: they are as ever.
-func (s Spec) weightsAt(weights []float64, at time.Duration) (w []float64) {
+// weightsAt returns the sidecars' weights at a time at which a step of some sidecars is active; nil if none is.
+func (s Spec) weightsAt(weights []float64, at time.Duration) (changed []float64) {
 	for _, step := range s.Steps {
 		if len(step.Of) == 0 || !step.activeAt(at) {
 			continue
 		}
-		if w == nil {
-			w = slices.Clone(weights)
+		if changed == nil {
+			changed = slices.Clone(weights)
 		}
 		for _, n := range step.Of {
-			w[n] *= step.Times
+			changed[n] *= step.Times
 		}
 	}
-	return w
+	return changed
 }
 
-// activeAt tells whether the step is under way.
+// activeAt reports whether the step is active at a time.
 func (s Step) activeAt(at time.Duration) bool { return at >= s.At && at < s.At+s.For }
 
-// drawer draws what arrivals are like.
+// drawer draws the properties of arrivals.
 type drawer struct {
 	spec                   Spec
 	rng, idRNG             *rand.Rand
 	classes, tenants, keys choice
 }
 
-func newDrawer(spec Spec, what, ids *rand.Rand) *drawer {
-	return &drawer{spec: spec, rng: what, idRNG: ids,
+func newDrawer(spec Spec, rng, idRNG *rand.Rand) *drawer {
+	return &drawer{spec: spec, rng: rng, idRNG: idRNG,
 		classes: newChoice(shares(spec.Classes, func(c Class) float64 { return c.Share })),
 		tenants: newChoice(shares(spec.Tenants, func(t Tenant) float64 { return t.Share * usageOrOne(t.Usage) })),
 		keys:    newChoice(zipfWeights(spec.Keys, spec.KeyZipf))}
@@ -186,20 +187,20 @@
 	return a
 }
 
-// arrivals draws the moments: a Poisson process whose rate changes, by thinning.
-func arrivals(spec Spec, rng *rand.Rand) (at []time.Duration) {
-	most := spec.Rate * (1 + spec.Swing)
+// arrivals draws the times of the arrivals: a Poisson process whose rate changes, by thinning.
+func arrivals(spec Spec, rng *rand.Rand) (times []time.Duration) {
+	maxRate := spec.Rate * (1 + spec.Swing)
 	for _, s := range spec.Steps {
-		most *= max(1, s.rateFactor)
+		maxRate *= max(1, s.rateFactor)
 	}
-	if most <= 0 {
+	if maxRate <= 0 {
 		return nil
 	}
 	up, flip := false, time.Duration(0)
 	for t := time.Duration(0); ; {
-		t += time.Duration(rng.ExpFloat64() / most * float64(time.Second))
+		t += time.Duration(rng.ExpFloat64() / maxRate * float64(time.Second))
 		if t >= spec.Length {
-			return at
+			return times
 		}
 		for t >= flip {
 			up = !up
@@ -216,8 +217,8 @@
 				rate *= s.rateFactor
 			}
 		}
-		if rng.Float64()*most < rate {
-			at = append(at, t)
+		if rng.Float64()*maxRate < rate {
+			times = append(times, t)
 		}
 	}
 }
@@ -240,50 +241,52 @@
 	return time.Duration(x * float64(time.Second))
 }
 
-// Hash tells plans apart: equal plans have equal hashes.
+// Hash returns a hash of the plan: equal plans have equal hashes.
 func (p Plan) Hash() string {
 	h := xxhash.New()
 	var b [8]byte
-	word := func(x uint64) {
+	add := func(x uint64) {
 		binary.LittleEndian.PutUint64(b[:], x)
 		_, _ = h.Write(b[:]) // never fails
 	}
 	for _, a := range p.Arrivals {
 		for _, x := range []time.Duration{a.At, a.Work, a.Patience, a.Backoff, a.Leaves} {
-			word(uint64(x))
+			add(uint64(x))
 		}
-		word(uint64(a.Sidecar))
-		word(uint64(a.Class))
+		add(uint64(a.Sidecar))
+		add(uint64(a.Class))
 		_, _ = h.WriteString(a.Tenant + "/" + a.Key + "/" + a.ID + "/" + a.RetryID)
 	}
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// sidecarWeights gives the clients' weights, with the given deviation over the mean.
+// sidecarWeights draws how much each sidecar's clients send, relative to each other; cv is the standard deviation
+// over the mean.
 func sidecarWeights(n int, cv float64, seed uint64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, clientStream))
-	w := make([]float64, n)
+	weights := make([]float64, n)
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
-	for i := range w {
-		w[i] = math.Exp(sigma * rng.NormFloat64())
+	for i := range weights {
+		weights[i] = math.Exp(sigma * rng.NormFloat64())
 	}
-	return w
+	return weights
 }
 
+// zipfWeights returns the popularities of n keys under Zipf's law.
 func zipfWeights(n int, exponent float64) []float64 {
-	w := make([]float64, max(n, 1))
-	for i := range w {
-		w[i] = math.Pow(float64(i+1), -exponent)
+	weights := make([]float64, max(n, 1))
+	for i := range weights {
+		weights[i] = math.Pow(float64(i+1), -exponent)
 	}
-	return w
+	return weights
 }
 
-func shares[T any](of []T, share func(T) float64) []float64 {
-	w := make([]float64, len(of))
-	for i, x := range of {
-		w[i] = share(x)
+func shares[T any](items []T, share func(T) float64) []float64 {
+	weights := make([]float64, len(items))
+	for i, item := range items {
+		weights[i] = share(item)
 	}
-	return w
+	return weights
 }
 
 func usageOrOne(x float64) float64 {
@@ -293,7 +296,7 @@
 	return x
 }
 
-// choice draws numbers by weight.
+// choice draws indexes by weight.
 type choice struct{ sums []float64 }
 
 func newChoice(weights []float64) choice {
--- a/internal/lab/overlay.go
+++ b/internal/lab/overlay.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// overlay is a state that several faults alter at once: each one's change goes on top of the base, and ends alone.
+// overlay is a state that several faults can change at once. Each change applies on top of the base, and is removed
+// on its own.
 type overlay[T any] struct {
 	set func(T)
 
@@ -18,27 +19,27 @@
 
 func newOverlay[T any](base T, set func(T)) *overlay[T] { return &overlay[T]{base: base, set: set} }
 
-// add puts a change in force; the one of the same name goes.
-func (o *overlay[T]) add(by string, change func(*T)) {
+// add puts a change in force. It replaces an earlier change of the same name.
+func (o *overlay[T]) add(name string, change func(*T)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drop(by)
-	o.changes = append(o.changes, namedChange[T]{by, change})
+	o.drop(name)
+	o.changes = append(o.changes, namedChange[T]{name, change})
 	o.apply()
 }
 
 // remove ends the change of that name.
-func (o *overlay[T]) remove(by string) {
+func (o *overlay[T]) remove(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.drop(by) {
+	if o.drop(name) {
 		o.apply()
 	}
 }
 
-func (o *overlay[T]) drop(by string) bool {
+func (o *overlay[T]) drop(name string) bool {
 	for i, c := range o.changes {
-		if c.name == by {
+		if c.name == name {
 			o.changes = append(o.changes[:i:i], o.changes[i+1:]...)
 			return true
 		}
@@ -47,9 +48,9 @@
 }
 
 func (o *overlay[T]) apply() {
-	now := o.base
+	state := o.base
 	for _, c := range o.changes {
-		c.change(&now)
+		c.change(&state)
 	}
-	o.set(now)
+	o.set(state)
 }
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -18,10 +18,10 @@
 
 const (
 	maxLogLine = 64 << 10
-	peerStream = 77 // of what is lost between sidecars
+	peerStream = 77 // the random stream of the losses between sidecars
 )
 
-// addPeer puts a sidecar among those that share, with links to all that are there; the caller holds mu.
+// addPeer links a sidecar with all sidecars added before, both ways; the caller holds mu.
 func (p *play) addPeer(s *sidecar) error {
 	err := p.mesh.Add(s.name, p.addrs.sidecar(s.number, peerLinkPort), p.addrs.sidecar(s.number, peerPort), p.seed*1_000_003+uint64(s.number)+peerStream)
 	if err != nil {
@@ -31,53 +31,55 @@
 		return err
 	}
 	s.peers = map[string]*overlay[relay.State]{}
-	for _, o := range p.sidecars {
-		base := p.peerLinkState(s.zone, o.zone)
-		s.peers[o.name] = p.newPeerLink(s.name, o.name, base)
-		o.peers[s.name] = p.newPeerLink(o.name, s.name, base)
-		s.peers[o.name].apply()
-		o.peers[s.name].apply()
+	for _, other := range p.sidecars {
+		base := p.peerLinkState(s.zone, other.zone)
+		s.peers[other.name] = p.newPeerLink(s.name, other.name, base)
+		other.peers[s.name] = p.newPeerLink(other.name, s.name, base)
+		s.peers[other.name].apply()
+		other.peers[s.name].apply()
 	}
 	return nil
 }
 
-// peerConfig words what a sidecar is told of the others. Each knows its own address, and the others by their links.
+// peerConfig returns a sidecar's configuration for sharing. It holds the sidecar's own address, and the other
+// sidecars' addresses on their links.
 func (p *play) peerConfig(s *sidecar) map[string]any {
-	c := map[string]any{"address": p.addrs.sidecar(s.number, peerPort), "advertise": p.addrs.sidecar(s.number, peerLinkPort), "seeds": p.seeds(), "zone": s.zone}
+	config := map[string]any{"address": p.addrs.sidecar(s.number, peerPort), "advertise": p.addrs.sidecar(s.number, peerLinkPort), "seeds": p.seeds(), "zone": s.zone}
 	if p.service != nil {
-		var at []string
+		var addresses []string
 		for _, r := range p.service.replicas {
-			at = append(at, p.addrs.replica(r.number, replicaAPIPort))
+			addresses = append(addresses, p.addrs.replica(r.number, replicaAPIPort))
 		}
-		c["service"] = strings.Join(at, ",")
+		config["service"] = strings.Join(addresses, ",")
 	}
-	maps.Copy(c, p.forwardConfig(s))
-	return c
+	maps.Copy(config, p.forwardConfig(s))
+	return config
 }
 
-// seeds are the addresses of those that the others join by: one of each zone.
-func (p *play) seeds() (at []string) {
+// seeds returns the addresses by which sidecars join: one of each zone.
+func (p *play) seeds() (addresses []string) {
 	for i := range min(len(p.experiment.Fleet.Zones), p.experiment.Fleet.Sidecars) {
-		at = append(at, p.addrs.sidecar(i, peerLinkPort))
+		addresses = append(addresses, p.addrs.sidecar(i, peerLinkPort))
 	}
-	return at
+	return addresses
 }
 
-// peerLinksOf are the links from the chosen sidecars to those in 'to'. Where these are others too, a cut is between the chosen
-// and the others, and not among the chosen.
-func (p *play) peerLinksOf(ev *event) (all []*overlay[relay.State]) {
-	others := slices.ContainsFunc(ev.toSidecars, func(o *sidecar) bool { return !slices.Contains(ev.sidecars, o) })
+// peerLinksOf returns the links from the event's sidecars to those in 'to'. If 'to' holds other sidecars too, only
+// the links to these are returned: a cut is then between the event's sidecars and the others, and not among the
+// event's sidecars.
+func (p *play) peerLinksOf(ev *event) (links []*overlay[relay.State]) {
+	hasOthers := slices.ContainsFunc(ev.toSidecars, func(other *sidecar) bool { return !slices.Contains(ev.sidecars, other) })
 	for _, s := range ev.sidecars {
-		for _, o := range ev.toSidecars {
-			if l := s.peers[o.name]; l != nil && (!others || !slices.Contains(ev.sidecars, o)) {
-				all = append(all, l)
+		for _, other := range ev.toSidecars {
+			if link := s.peers[other.name]; link != nil && (!hasOthers || !slices.Contains(ev.sidecars, other)) {
+				links = append(links, link)
 			}
 		}
 	}
-	return all
+	return links
 }
 
-// readLogs takes from the sidecars' logs what they said of upstreams, once they have ended.
+// readLogs records what the sidecars' logs say about upstreams, once the sidecars have ended.
 func (p *play) readLogs() {
 	for _, s := range p.sidecars {
 		f, err := os.Open(filepath.Join(s.dir, "log"))
@@ -88,9 +90,9 @@
 		lines := bufio.NewScanner(f)
 		lines.Buffer(nil, maxLogLine)
 		for lines.Scan() {
-			if said, ok := parseLogLine(lines.Bytes(), p.rec); ok {
-				said.Sidecar = s.name
-				p.rec.Said = append(p.rec.Said, said)
+			if line, ok := parseLogLine(lines.Bytes(), p.rec); ok {
+				line.Sidecar = s.name
+				p.rec.Said = append(p.rec.Said, line)
 			}
 		}
 		p.note(lines.Err())
@@ -101,8 +103,10 @@
 
 var saidKinds = map[string]record.SaidKind{"report": record.Evidence, "verdict": record.Verdict, "present": record.Present}
 
-// parseEjection reads a sidecar's line on the parseEjection or reinstatement of an upstream, for all classes; not ok: it is on something else.
-// Sidecars of earlier revisions, which experiments compare with, name the upstream in the message: "eject u0: ...", "return u0 after ...".
+// parseEjection reads a log line about the ejection or reinstatement of an upstream for all classes; ok is false for
+// any other line.
+// Sidecars of earlier revisions, which experiments compare with, name the upstream in the message: "eject u0: ...",
+// "return u0 after ...".
 func parseEjection(message, upstreamAttr string) (upstream string, ejected, ok bool) {
 	switch message {
 	case "endpoint ejected":
@@ -117,7 +121,7 @@
 	return "", false, false
 }
 
-// parseLogLine reads a line of a log; not ok: it is on something else.
+// parseLogLine parses one line of a sidecar's log. It reports false for a line that is not about upstreams or peers.
 func parseLogLine(line []byte, rec *record.Record) (record.Said, bool) {
 	var l struct {
 		Time      time.Time
@@ -141,10 +145,10 @@
 	if l.Component != "peers" {
 		return record.Said{}, false
 	}
-	what, heard := saidKinds[l.Msg]
-	if !heard {
+	kind, ok := saidKinds[l.Msg]
+	if !ok {
 		return record.Said{}, false
 	}
-	return record.Said{At: rec.Since(l.Time), What: what, Upstream: l.Upstream, Class: l.Class, Open: l.Open, Members: l.Members, Suspected: l.Msg == "report" && l.Count == 1,
+	return record.Said{At: rec.Since(l.Time), What: kind, Upstream: l.Upstream, Class: l.Class, Open: l.Open, Members: l.Members, Suspected: l.Msg == "report" && l.Count == 1,
 		For: time.Duration(l.ForMs) * time.Millisecond, Why: l.Why}, true
 }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -1,5 +1,5 @@
-// Package lab plays experiments: it owns the parties of one play, their timeline and their end. What the parties are
-// made of has packages of its own below this one.
+// Package lab plays experiments. It owns the parties of one play, its timeline and its end; packages below this one
+// implement the parties.
 package lab
 
 import (
@@ -21,25 +21,25 @@
 
 const (
 	sampleEvery        = 200 * time.Millisecond
-	loadDelay          = 100 * time.Millisecond // after all are ready
-	maxClientConns     = 10_000                 // connections of clients in all
-	ownDescriptors     = 256                    // descriptors beside the parties'
-	descriptorsPerLink = 3                      // descriptors of one connection over a link: in, out, and the upstream's
+	loadDelay          = 100 * time.Millisecond // from when all parties are ready
+	maxClientConns     = 10_000                 // of all sidecars together
+	ownDescriptors     = 256                    // descriptors of the laboratory itself
+	descriptorsPerLink = 3                      // for one connection over a link: in, out, and the upstream's
 )
 
-// Outcome is a play that has ended.
+// Outcome is the result of a play that has ended.
 type Outcome struct {
 	Record     *record.Record
 	Begin      time.Duration // of the load, in the record's time
 	Plan       load.Plan
-	Lags       []time.Duration
+	Lags       []time.Duration // how late each arrival's first try began
 	PlanHash   string
 	FaultsHash string
-	Littles    [2]float64 // both sides of Little's law, over all upstreams
-	Notes      []string   // what went wrong beside the sidecars: a fault that could not be done, say
+	Littles    [2]float64 // both sides of Little's law, summed over all upstreams
+	Notes      []string   // errors of the laboratory itself, for example a fault that could not be carried out
 }
 
-// play is one play under way.
+// play is a play in progress.
 type play struct {
 	ctx        context.Context
 	experiment *experiment.Experiment
@@ -52,32 +52,32 @@
 	log        *slog.Logger
 
 	discovery *fake.Discovery
-	service   *service    // nil: sidecars ask the stand-in
-	mesh      *relay.Mesh // between sidecars; nil: they share nothing
-	forwards  *relay.Mesh // for what they forward; nil: they forward nothing
+	service   *service    // nil if the sidecars use the stand-in for discovery
+	mesh      *relay.Mesh // links between sidecars; nil if they share nothing
+	forwards  *relay.Mesh // links for forwarded requests; nil if sidecars forward nothing
 	clients   *load.Clients
-	spec      load.Spec  // of their traffic
-	mu        sync.Mutex // guards what follows, and each sidecar's links
+	spec      load.Spec  // of the clients' traffic
+	mu        sync.Mutex // guards upstreams, sidecars and each sidecar's links
 	upstreams []*upstream
 	sidecars  []*sidecar
 	notes     []string
 
-	numbersMu       sync.RWMutex // apart from mu: agents ask while it is held
+	numbersMu       sync.RWMutex // guards upstreamNumbers and notes; apart from mu, as agents look up numbers while mu is held
 	upstreamNumbers map[string]int
 
 	tasks sync.WaitGroup
 }
 
-// Programs are what the parties run: a path, and the words that come first.
+// Programs are the commands of the parties: a path and the first arguments.
 type Programs struct {
 	Sidecar []string
-	Replica []string // of the list service; the path of its configuration follows
-	First   []string // of the first replica, where it differs
+	Replica []string // of the list service; the path of its configuration is appended
+	First   []string // of the first replica, if it differs from the others
 }
 
-// Play plays an experiment once. dir is an empty directory of its own. An error means that
-// the play could not be held; a sidecar that does badly is no error. When ctx ends, what was seen until then comes back
-// marked as partial.
+// Play plays an experiment once. dir is an empty directory for this play alone. An error means that the play could
+// not be carried out; a sidecar that misbehaves is no error. If ctx ends early, Play returns what was recorded until
+// then, marked as partial.
 func Play(ctx context.Context, e *experiment.Experiment, v experiment.Variant, seed uint64, dir string, programs Programs, log *slog.Logger) (out *Outcome, err error) {
 	if err := ensureDescriptors(e); err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 	if v.Forward {
 		p.forwards = p.newForwardMesh()
 	}
-	defer func() { // whatever happened: nothing of the play is left
+	defer func() { // leaves nothing of the play behind, also after an error
 		stop()
 		p.close()
 	}()
@@ -109,18 +109,18 @@
 	timeline := p.timeline()
 	out.FaultsHash = hashOf(timeline)
 	out.Begin = p.rec.Now() + loadDelay
-	var names, at []string
+	var names, addresses []string
 	for _, s := range p.sidecars {
-		names, at = append(names, s.name), append(at, block.sidecar(s.number, sidecarPort))
+		names, addresses = append(names, s.name), append(addresses, block.sidecar(s.number, sidecarPort))
 	}
-	clients := load.NewClients(p.rec, names, at, e.Load.Connections)
-	p.clients, p.spec = clients, out.Plan.Spec // before any fault
+	clients := load.NewClients(p.rec, names, addresses, e.Load.Connections)
+	p.clients, p.spec = clients, out.Plan.Spec // set before any fault begins
 	p.background(p.sampleParties)
 	faults := p.runTimeline(timeline, out.Begin)
-	judge := p.startHistory()
+	finishHistory := p.startHistory()
 	clients.Run(ctx, out.Plan, out.Begin)
-	judge(ctx)
-	stop() // faults that are still on end now
+	finishHistory(ctx)
+	stop() // ends the faults that are still in force
 	faults.Wait()
 	p.rec.Partial = ctx.Err() != nil
 	p.endSidecars()
@@ -137,29 +137,29 @@
 	return out, nil
 }
 
-// ensureDescriptors tells whether this process may hold as many descriptors as the play can need.
+// ensureDescriptors makes sure that this process may hold as many descriptors as the play can need.
 func ensureDescriptors(e *experiment.Experiment) error {
 	f := e.Fleet
 	if n := f.Sidecars * e.Load.Connections; n > maxClientConns {
 		return fmt.Errorf("%d sidecars with %d connections of clients each: the laboratory opens %d at most", f.Sidecars, e.Load.Connections, maxClientConns)
 	}
-	upstreams := f.Upstreams * 2 // as many again may come in their place
+	upstreams := f.Upstreams * 2 // each may be replaced by another one
 	need := uint64(f.Sidecars*upstreams + f.Sidecars*e.Load.Connections + descriptorsPerLink*f.Sidecars*f.Sockets/2 + ownDescriptors)
-	var lim syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("reading the limit on descriptors: %w", err)
 	}
-	if lim.Cur >= need {
+	if limit.Cur >= need {
 		return nil
 	}
-	raised := syscall.Rlimit{Cur: need, Max: max(lim.Max, need)}
+	raised := syscall.Rlimit{Cur: need, Max: max(limit.Max, need)}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &raised); err != nil {
-		return fmt.Errorf("the play may need %d descriptors and %d are allowed: take fewer sidecars, upstreams or connections, or raise the limit (ulimit -n)", need, lim.Max)
+		return fmt.Errorf("the play may need %d descriptors and %d are allowed: take fewer sidecars, upstreams or connections, or raise the limit (ulimit -n)", need, limit.Max)
 	}
 	return nil
 }
 
-// startParties brings up all parties, and returns once all sidecars are ready.
+// startParties starts all parties, and returns once all sidecars are ready.
 func (p *play) startParties() error {
 	if p.variant.Registry > 0 {
 		if err := p.addService(); err != nil {
@@ -212,7 +212,7 @@
 	p.numbersMu.Unlock()
 }
 
-// capacity is the work that all upstreams do in a second, warm and undisturbed.
+// capacity returns the work that all upstreams do in a second, warm and undisturbed.
 func (p *play) capacity() (sum float64) {
 	for _, u := range p.upstreams {
 		sum += u.Spec.Capacity()
@@ -220,7 +220,7 @@
 	return sum
 }
 
-// loadSpec turns an experiment's load into what is drawn from.
+// loadSpec converts an experiment's load to the spec that arrivals are drawn from.
 func loadSpec(e *experiment.Experiment, capacity float64) load.Spec {
 	l := e.Load
 	s := load.Spec{Length: e.Length.Duration, Rate: l.Rate, Bursty: l.Shape == "bursty", Swing: l.Swing, StreamCV: l.StreamCV,
@@ -251,7 +251,7 @@
 		sidecars, upstreams := p.sidecars, p.upstreams
 		p.mu.Unlock()
 		for _, s := range sidecars {
-			if s.mu.TryLock() { // else it is being started or ended
+			if s.mu.TryLock() { // otherwise the sidecar is being started or ended
 				p.sample(s)
 				s.mu.Unlock()
 			}
@@ -265,13 +265,13 @@
 	}
 }
 
-// endSidecars ends all sidecars as a planned end does, side by side.
+// endSidecars ends all sidecars concurrently: by SIGTERM, or by SIGKILL in a partial play.
 func (p *play) endSidecars() {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, s := range p.sidecars {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			s.mu.Lock()
 			s.stopping = true
 			s.mu.Unlock()
@@ -282,10 +282,10 @@
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// close ends everything that is left, and waits for it. It may be called again.
+// close ends everything that still runs, and waits for it. It may be called again.
 func (p *play) close() {
 	for _, s := range p.sidecars {
 		s.mu.Lock()
@@ -323,24 +323,24 @@
 	go func() { defer p.tasks.Done(); f() }()
 }
 
-// sleep waits; false when the play ends before.
+// sleep waits for d, and reports false if the play ends first.
 func (p *play) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-p.ctx.Done():
 		return false
 	}
 }
 
-// note keeps what went wrong beside the sidecars.
+// note records an error of the laboratory itself.
 func (p *play) note(err error) {
 	if err == nil || errors.Is(err, os.ErrProcessDone) {
 		return
 	}
-	p.log.Warn("play", "err", err)
+	p.log.Warn("play disturbed", "err", err)
 	p.numbersMu.Lock()
 	p.notes = append(p.notes, err.Error())
 	p.numbersMu.Unlock()
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	serviceTimeout      = 15 * time.Second // all replicas, from their start
+	serviceTimeout      = 15 * time.Second // for all replicas to serve, from their start
 	servicePollInterval = 20 * time.Millisecond
 	statusTimeout       = time.Second
 )
 
-// replica is a party that is a real process of the list service, or one after another.
+// replica is a party of the list service. It runs one real process, or several one after another.
 type replica struct {
 	name   string
 	number int
-	dir    string           // its own: configuration, log, data
-	links  map[string]*link // to other replicas, "name raft" and "name api"
+	dir    string           // own directory: configuration, log, data
+	links  map[string]*link // to other replicas, by "NAME raft" and "NAME api"
 
 	mu       sync.Mutex
 	child    *proc.Child
@@ -42,14 +42,14 @@
 
 func (r *replica) data() string { return filepath.Join(r.dir, "data") }
 
-// service is the list service of a play, with those who register in it.
+// service is the list service of a play, with the registrar of its upstreams.
 type service struct {
 	replicas  []*replica
 	client    *client.Client
 	registrar *client.Registrar
 }
 
-// addService makes the replicas, starts them, and waits until they serve.
+// addService creates and starts the replicas, and waits until they serve.
 func (p *play) addService() error {
 	n := p.variant.Registry
 	s := &service{}
@@ -62,42 +62,42 @@
 			if j == i {
 				continue
 			}
-			for what, port := range map[string]int{"raft": replicaRaftPort, "api": replicaAPIPort} {
+			for protocol, port := range map[string]int{"raft": replicaRaftPort, "api": replicaAPIPort} {
 				l, err := relay.New(r.name, fmt.Sprintf("r%d", j), p.addrs.replicaLink(i, j, port), p.addrs.replica(j, port), nil)
 				if err != nil {
 					return err
 				}
 				o := newOverlay(relay.State{Delay: p.experiment.Net.Cross.Duration, Jitter: p.experiment.Net.Jitter.Duration}, func(state relay.State) { p.note(l.Set(state)) })
 				o.apply()
-				r.links[fmt.Sprintf("r%d %s", j, what)] = &link{l, o}
+				r.links[fmt.Sprintf("r%d %s", j, protocol)] = &link{l, o}
 			}
 		}
 		s.replicas = append(s.replicas, r)
 	}
 	p.service = s
-	var at []string
+	var addresses []string
 	for _, r := range s.replicas {
-		at = append(at, p.addrs.replica(r.number, replicaAPIPort))
+		addresses = append(addresses, p.addrs.replica(r.number, replicaAPIPort))
 		if err := p.runReplica(r); err != nil {
 			return err
 		}
 	}
-	s.client = client.New(at)
+	s.client = client.New(addresses)
 	lease := p.experiment.Registry.Lease.Duration
-	s.registrar = client.NewRegistrar(s.client, lease, func(name string, err error) { p.log.Info("registrar", "upstream", name, "err", err) })
+	s.registrar = client.NewRegistrar(s.client, lease, func(name string, err error) { p.log.Info("registrar call failed", "upstream", name, "err", err) })
 	p.background(func() { s.registrar.Run(p.ctx) })
 	return p.awaitService(0)
 }
 
-// awaitService returns once all replicas know of so many entries.
+// awaitService returns once all replicas know at least that many entries.
 func (p *play) awaitService(entries int) error {
 	ctx, cancel := context.WithTimeout(p.ctx, serviceTimeout)
 	defer cancel()
 	for {
-		said, failed := p.service.client.Status(ctx)
+		statuses, failures := p.service.client.Status(ctx)
 		serving := 0
-		for _, s := range said {
-			if s.Leader != "" && s.Endpoints >= entries && s.StalenessMs >= 0 && time.Duration(s.StalenessMs)*time.Millisecond < statusTimeout {
+		for _, status := range statuses {
+			if status.Leader != "" && status.Endpoints >= entries && status.StalenessMs >= 0 && time.Duration(status.StalenessMs)*time.Millisecond < statusTimeout {
 				serving++
 			}
 		}
@@ -106,7 +106,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the list service does not serve: %d of %d replicas, %v", serving, len(p.service.replicas), failed)
+			return fmt.Errorf("the list service is not ready: %d of %d replicas serve, %v", serving, len(p.service.replicas), failures)
 		case <-time.After(servicePollInterval):
 		}
 	}
@@ -121,15 +121,15 @@
 	}
 	var peers []map[string]any
 	dial := map[string]any{}
-	for _, o := range p.service.replicas {
-		peers = append(peers, map[string]any{"name": o.name, "raft": p.addrs.replica(o.number, replicaRaftPort), "api": p.addrs.replica(o.number, replicaAPIPort)})
-		if o != r {
-			dial[o.name] = map[string]any{"raft": p.addrs.replicaLink(r.number, o.number, replicaRaftPort), "api": p.addrs.replicaLink(r.number, o.number, replicaAPIPort)}
+	for _, other := range p.service.replicas {
+		peers = append(peers, map[string]any{"name": other.name, "raft": p.addrs.replica(other.number, replicaRaftPort), "api": p.addrs.replica(other.number, replicaAPIPort)})
+		if other != r {
+			dial[other.name] = map[string]any{"raft": p.addrs.replicaLink(r.number, other.number, replicaRaftPort), "api": p.addrs.replicaLink(r.number, other.number, replicaAPIPort)}
 		}
 	}
-	e := p.experiment.Registry
-	text, err := toml.Marshal(map[string]any{"name": r.name, "dir": r.data(), "replica": peers, "dial": dial, "grace": e.Grace.String(),
-		"preserve": e.Preserve, "stale": e.Stale.String(), "breaks": p.variant.ServiceBreaks})
+	settings := p.experiment.Registry
+	text, err := toml.Marshal(map[string]any{"name": r.name, "dir": r.data(), "replica": peers, "dial": dial, "grace": settings.Grace.String(),
+		"preserve": settings.Preserve, "stale": settings.Stale.String(), "breaks": p.variant.ServiceBreaks})
 	if err != nil {
 		return fmt.Errorf("configuration of %s: %w", r.name, err)
 	}
@@ -137,16 +137,16 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return fmt.Errorf("configuration of %s: %w", r.name, err)
 	}
-	run := p.programs.Replica
+	command := p.programs.Replica
 	if r.number == 0 && len(p.programs.First) > 0 {
-		run = p.programs.First
+		command = p.programs.First
 	}
-	r.child, err = proc.Start(proc.Spec{Name: r.name, Path: run[0], Args: append(run[1:len(run):len(run)], path), Dir: r.dir, LogFile: filepath.Join(r.dir, "log")})
+	r.child, err = proc.Start(proc.Spec{Name: r.name, Path: command[0], Args: append(command[1:len(command):len(command)], path), Dir: r.dir, LogFile: filepath.Join(r.dir, "log")})
 	if err != nil {
 		return err
 	}
 	child := r.child
-	p.background(func() { // notes an end that nobody asked for
+	p.background(func() { // reports a process that ends by itself
 		<-child.Ended()
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -168,7 +168,8 @@
 	}
 }
 
-// chosenReplicas are those that a fault befalls; who leads is found out now. Where nobody does, any is taken.
+// chosenReplicas returns the replicas that a fault affects. "leader" is resolved now; the first replica is taken if
+// there is no leader.
 func (p *play) chosenReplicas(ev *event) []*replica {
 	if !slices.Contains(ev.Fault.Of.Names, "leader") {
 		return ev.replicas
@@ -182,14 +183,14 @@
 	return ev.replicas[:1]
 }
 
-// leader is who most replicas say leads; "" : nobody.
+// leader returns the replica that most replicas call the leader; empty if there is none.
 func (p *play) leader() string {
 	ctx, cancel := context.WithTimeout(p.ctx, statusTimeout)
 	defer cancel()
-	said, _ := p.service.client.Status(ctx)
+	statuses, _ := p.service.client.Status(ctx)
 	votes := map[string]int{}
 	best := ""
-	for _, s := range said {
+	for _, s := range statuses {
 		if votes[s.Leader]++; s.Leader != "" && votes[s.Leader] > votes[best] {
 			best = s.Leader
 		}
@@ -197,10 +198,10 @@
 	return best
 }
 
-// injectReplicas lets a fault happen to replicas.
+// injectReplicas carries out a fault on replicas.
 func (p *play) injectReplicas(ev *event) {
 	if p.service == nil {
-		return // a variant without
+		return // the variant has no list service
 	}
 	f := ev.Fault
 	chosen := p.chosenReplicas(ev)
@@ -208,9 +209,9 @@
 		applyDuring(p, f, p.replicaLinks(ev, chosen), linkChange(f))
 		return
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, r := range chosen {
-		all.Go(func() {
+		wg.Go(func() {
 			switch f.Kind {
 			case "kill":
 				p.restartReplica(r, f.Down.Duration, f.For.Duration, f.Every.Duration)
@@ -233,11 +234,13 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-func (p *play) restartReplica(r *replica, down, lasts, every time.Duration) {
-	until := p.rec.Now() + lasts
+// restartReplica kills a replica and starts it again after its time down; with 'every' again and again for the
+// duration.
+func (p *play) restartReplica(r *replica, down, duration, every time.Duration) {
+	end := p.rec.Now() + duration
 	for {
 		begun := p.rec.Now()
 		p.killReplica(r)
@@ -246,7 +249,7 @@
 		}
 		p.note(p.runReplica(r))
 		next := begun + every
-		if every <= 0 || next >= until || !p.sleep(next-p.rec.Now()) {
+		if every <= 0 || next >= end || !p.sleep(next-p.rec.Now()) {
 			return
 		}
 	}
@@ -260,79 +263,82 @@
 	}
 }
 
-// limitReplicaFiles bounds the size of the files that the replica writes; nil lifts the bound.
-func (p *play) limitReplicaFiles(r *replica, bytes *uint64) {
+// limitReplicaFiles limits the size of the files that the replica writes; nil removes the limit.
+func (p *play) limitReplicaFiles(r *replica, limit *uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.child != nil {
-		p.note(r.child.FileLimit(bytes))
+		p.note(r.child.FileLimit(limit))
 	}
 }
 
-// restoreOldDisk copies the replica's directory while it is down for a moment, and puts the copy in place at the end.
+// restoreOldDisk copies the replica's directory while its process is down for a moment, and puts the copy in place
+// after the given time.
 func (p *play) restoreOldDisk(r *replica, after time.Duration) {
-	old := filepath.Join(r.dir, "old")
+	backup := filepath.Join(r.dir, "old")
 	p.killReplica(r)
-	p.note(errors.Join(os.CopyFS(old, os.DirFS(r.data())), p.runReplica(r)))
+	p.note(errors.Join(os.CopyFS(backup, os.DirFS(r.data())), p.runReplica(r)))
 	if !p.sleep(after) {
 		return
 	}
 	p.killReplica(r)
-	p.note(errors.Join(os.RemoveAll(r.data()), os.Rename(old, r.data()), p.runReplica(r)))
+	p.note(errors.Join(os.RemoveAll(r.data()), os.Rename(backup, r.data()), p.runReplica(r)))
 }
 
-// replicaLinks are the links between the chosen replicas and those in 'to', each way's in its sense: forth is from the
-// chosen ones.
-func (p *play) replicaLinks(ev *event, chosen []*replica) (all []*overlay[relay.State]) {
+// replicaLinks returns the links between the chosen replicas and those in 'to', in both directions. Forth is the
+// direction away from the chosen replicas.
+func (p *play) replicaLinks(ev *event, chosen []*replica) (links []*overlay[relay.State]) {
 	to := ev.Fault.To
 	isTo := func(r *replica) bool {
 		return to.Kind != "replica" || len(to.Names) == 0 || slices.Contains(to.Names, r.name)
 	}
-	in := map[string]bool{}
+	isChosen := map[string]bool{}
 	for _, r := range chosen {
-		in[r.name] = true
+		isChosen[r.name] = true
 	}
 	for _, a := range p.service.replicas {
 		for _, b := range p.service.replicas {
-			if a == b || (!in[a.name] || in[b.name] || !isTo(b)) {
+			if a == b || (!isChosen[a.name] || isChosen[b.name] || !isTo(b)) {
 				continue
 			}
-			for _, what := range []string{"raft", "api"} {
-				all = append(all, a.links[b.name+" "+what].overlay, mirrored(b.links[a.name+" "+what].overlay))
+			for _, protocol := range []string{"raft", "api"} {
+				links = append(links, a.links[b.name+" "+protocol].overlay, mirrored(b.links[a.name+" "+protocol].overlay))
 			}
 		}
 	}
-	return all
+	return links
 }
 
-// mirrored takes changes in the other link's sense: what is silent forth there is silent back here.
+// mirrored returns an overlay that makes its changes to o with the directions exchanged: what is silent forth in it
+// is silent back in o.
 func mirrored(o *overlay[relay.State]) *overlay[relay.State] {
 	m := newOverlay(relay.State{}, nil)
-	m.set = func(now relay.State) {
+	m.set = func(state relay.State) {
 		o.remove("mirrored")
-		if now != (relay.State{}) {
+		if state != (relay.State{}) {
 			o.add("mirrored", func(s *relay.State) {
-				s.SilentForth = s.SilentForth || now.SilentBack
-				s.SilentBack = s.SilentBack || now.SilentForth
-				s.Reset = s.Reset || now.Reset
+				s.SilentForth = s.SilentForth || state.SilentBack
+				s.SilentBack = s.SilentBack || state.SilentForth
+				s.Reset = s.Reset || state.Reset
 			})
 		}
 	}
 	return m
 }
 
-// windowsOf are the windows of the chosen sidecars on the replicas in 'to'.
-func (p *play) windowsOf(ev *event) (all []*overlay[fake.View]) {
+// windowsOf returns the windows of the event's sidecars on the replicas in 'to'.
+func (p *play) windowsOf(ev *event) (windows []*overlay[fake.View]) {
 	for _, s := range ev.sidecars {
 		for name, w := range s.windows {
 			if len(ev.Fault.To.Names) == 0 || slices.Contains(ev.Fault.To.Names, name) {
-				all = append(all, w.overlay)
+				windows = append(windows, w.overlay)
 			}
 		}
 	}
-	return all
+	return windows
 }
 
+// window is what a sidecar reaches of a replica; faults change it.
 type window struct {
 	*fake.Window
 	overlay *overlay[fake.View]
@@ -353,26 +359,27 @@
 	return nil
 }
 
-// register has the service know of an upstream what the lab's own list says.
+// register registers an upstream in the list service with the values of the laboratory's own list.
 func (p *play) register(u *upstream, e fake.Entry) {
-	g := api.Registration{Address: p.addrs.upstream(u.number), Zone: e.Zone, Machine: e.Type, Cell: e.Group, Weight: max(e.Weight, 0.01),
+	registration := api.Registration{Address: p.addrs.upstream(u.number), Zone: e.Zone, Machine: e.Type, Cell: e.Group, Weight: max(e.Weight, 0.01),
 		StartedMs: e.SinceMs, Incarnation: int64(u.starts)}
-	p.service.registrar.Set(e.Name, g, e.Status)
+	p.service.registrar.Set(e.Name, registration, e.Status)
 }
 
-// startHistory begins the calls of a history, where there is one; judge ends them and notes what it finds.
-func (p *play) startHistory() (judge func(context.Context)) {
+// startHistory starts the callers of a history, if the experiment has any. finish ends them and records the
+// violations that they found.
+func (p *play) startHistory() (finish func(context.Context)) {
 	if p.service == nil || p.experiment.History.Callers == 0 {
 		return func(context.Context) {}
 	}
-	ctx, end := context.WithCancel(p.ctx)
+	ctx, stopCallers := context.WithCancel(p.ctx)
 	spec := history.Spec{Callers: p.experiment.History.Callers, Names: p.experiment.History.Names, Seed: p.seed}
 	for _, r := range p.service.replicas {
 		spec.Replicas = append(spec.Replicas, p.addrs.replica(r.number, replicaAPIPort))
 	}
 	run := history.Start(ctx, spec)
 	return func(ctx context.Context) {
-		end()
+		stopCallers()
 		ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 		defer cancel()
 		all, err := p.service.client.Records(ctx, true)
@@ -383,13 +390,13 @@
 				final.Endpoints = append(final.Endpoints, r.Endpoint)
 			}
 		}
-		found, n := run.End(final)
+		violations, counts := run.End(final)
 		p.rec.Change(func() {
-			for _, b := range found {
-				p.rec.Reported = append(p.rec.Reported, record.Reported{Rule: b.Rule, At: b.At, Text: b.Text})
+			for _, v := range violations {
+				p.rec.Reported = append(p.rec.Reported, record.Reported{Rule: v.Rule, At: v.At, Text: v.Text})
 			}
 		})
-		p.rec.Calls, p.rec.Unknown, p.rec.Watched = n.Calls, n.Unknown, n.Messages
+		p.rec.Calls, p.rec.Unknown, p.rec.Watched = counts.Calls, counts.Unknown, counts.Messages
 	}
 }
 
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -28,33 +28,33 @@
 const (
 	readyTimeout      = 10 * time.Second // from the start of a process
 	readyPollInterval = time.Millisecond
-	maxKillDeadline   = 3 * time.Second // deadlines that are longer count as this, see killAfter
+	maxKillDeadline   = 3 * time.Second // longer deadlines count as this, see killAfter
 	killMargin        = 700 * time.Millisecond
-	minShutDelay      = 200 * time.Millisecond // new connections come for so long after SIGTERM
-	maxShutDelay      = 400 * time.Millisecond
-	busyStartWindow   = 700 * time.Millisecond // connections that are kept busy have begun to be
+	minShutDelay      = 200 * time.Millisecond // clients open new connections for at least this long after SIGTERM
+	maxShutDelay      = 400 * time.Millisecond // and for at most this long
+	busyStartWindow   = 700 * time.Millisecond // after SIGTERM, connections that are kept busy begin within this time
 	opsTimeout        = 3 * time.Second
 )
 
-// sidecar is a party that is a real process, or one after another.
+// sidecar is a party. It runs one real process, or several one after another.
 type sidecar struct {
 	name   string
 	number int
 	zone   string
-	dir    string // its own: configuration, log, TMPDIR and state
+	dir    string // own directory: configuration, log, TMPDIR and state
 	agent  *fake.Agent
 	mood   *overlay[fake.Mood]
 	links  map[string]*link                 // by upstream
-	peers  map[string]*overlay[relay.State] // links to other sidecars for what they share, by name
+	peers  map[string]*overlay[relay.State] // links to other sidecars, by name
 
-	windows  map[string]*window // by replica, where there is a list service
+	windows  map[string]*window // by replica, if there is a list service
 	replicas []string           // the windows' addresses
 
 	mu             sync.Mutex // held while a process is started or ended
 	child          *proc.Child
 	life           *record.Life
 	starts         int
-	diskFullFaults int // faults that leave no room on its disk
+	diskFullFaults int // faults in force that fill its disk
 	stopping       bool
 }
 
@@ -63,7 +63,7 @@
 	overlay *overlay[relay.State]
 }
 
-// addSidecar makes the party, with its agent of discovery and a link to each upstream; it does not run yet.
+// addSidecar adds a sidecar with its discovery agent and a link to each upstream; its process is not started yet.
 func (p *play) addSidecar(i int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,31 +108,31 @@
 	return p.upstreamNumbers[upstream]
 }
 
-// config words a sidecar's configuration as the platform does.
+// config returns a sidecar's configuration in the platform's form.
 func (p *play) config(s *sidecar, known *fake.Listing) ([]byte, error) {
-	c := map[string]any{
+	config := map[string]any{
 		"name": s.name, "listen": p.addrs.sidecar(s.number, sidecarPort), "discovery": s.discovery(),
 		"seed":     fmt.Sprintf("%x", p.seed*1_000_003+uint64(s.number)*7919+uint64(s.starts)+1),
 		"limits":   map[string]any{"cores": p.experiment.Fleet.Cores, "memory_mb": p.experiment.Fleet.MemoryMB, "sockets": p.experiment.Fleet.Sockets},
 		"settings": settings(p.experiment, s.zone, s.number),
 	}
 	if known != nil {
-		c["known"] = known
+		config["known"] = known
 	}
 	if p.experiment.Fleet.Door {
-		c["ops"] = p.addrs.sidecar(s.number, opsPort)
+		config["ops"] = p.addrs.sidecar(s.number, opsPort)
 	}
 	if p.variant.Share {
-		c["peers"] = p.peerConfig(s)
+		config["peers"] = p.peerConfig(s)
 	}
 	if p.variant.State {
-		c["state"] = filepath.Join(s.dir, "state")
+		config["state"] = filepath.Join(s.dir, "state")
 	}
-	maps.Copy(c, p.variant.Config)
-	return json.MarshalIndent(c, "", " ")
+	maps.Copy(config, p.variant.Config)
+	return json.MarshalIndent(config, "", " ")
 }
 
-// discovery is where the sidecar asks for the list.
+// discovery returns the addresses at which the sidecar asks for the list.
 func (s *sidecar) discovery() string {
 	if len(s.replicas) > 0 {
 		return strings.Join(s.replicas, ",")
@@ -140,8 +140,8 @@
 	return s.agent.Address()
 }
 
-// settings words the settings as the platform's configuration has them.
-func settings(e *experiment.Experiment, zone string, me int) map[string]any {
+// settings returns a sidecar's settings in the form of the platform's configuration.
+func settings(e *experiment.Experiment, zone string, number int) map[string]any {
 	ms := func(d experiment.Duration) float64 { return float64(d.Microseconds()) / 1e3 }
 	var classes, tenants []map[string]any
 	for _, c := range e.Classes {
@@ -156,7 +156,7 @@
 		tenants = append(tenants, map[string]any{"Name": t.Name, "Fraction": t.Share})
 	}
 	return map[string]any{
-		"Balancers": e.Fleet.Sidecars, "Me": me, "Zone": zone, "FailureDomains": e.Fleet.Zones, "Discovery": "push", "TickMs": 5, "WorthBy": "request",
+		"Balancers": e.Fleet.Sidecars, "Me": number, "Zone": zone, "FailureDomains": e.Fleet.Zones, "Discovery": "push", "TickMs": 5, "WorthBy": "request",
 		"Weights": "rough", "Classes": classes, "Tenants": tenants, "OverShareWorth": 0.05,
 		"Limits": map[string]any{"Cancelling": true, "ConnIdleMs": 60000, "ConnectTimeoutMs": 200, "Probes": true, "SendCap": e.Rules.MaxAttempts,
 			"StreamsPerConn": 1, "SecondCopies": false, "RetryAfter": false},
@@ -166,8 +166,8 @@
 	}
 }
 
-// startSidecar starts a process of the sidecar; it returns once the process is ready, or at its end. Nothing is started once the
-// sidecar is to stay down.
+// startSidecar starts a process of the sidecar, and returns once the process is ready or has ended. It starts nothing
+// if one runs or the sidecar is to stay down.
 func (p *play) startSidecar(s *sidecar) error {
 	s.mu.Lock()
 	if s.child != nil || s.stopping {
@@ -175,9 +175,9 @@
 		return nil
 	}
 	var known *fake.Listing
-	if p.service == nil && (s.starts == 0 || p.variant.Known != "none") { // the service has versions of its own
-		l := s.agent.Known()
-		known = &l
+	if p.service == nil && (s.starts == 0 || p.variant.Known != "none") { // the list service has versions of its own
+		listing := s.agent.Known()
+		known = &listing
 	}
 	text, err := p.config(s, known)
 	if err == nil {
@@ -210,7 +210,7 @@
 	p.rec.Life(life)
 	s.child, s.life = child, life
 	s.mu.Unlock()
-	p.background(func() { // notes an end that nobody asked for
+	p.background(func() { // records a process that ends by itself
 		<-child.Ended()
 		p.rec.Change(func() {
 			if life.End == 0 {
@@ -221,12 +221,13 @@
 	return p.awaitReady(s, child, life)
 }
 
+// awaitReady returns once the sidecar's process is ready, or with an error if it ends or takes too long.
 func (p *play) awaitReady(s *sidecar, child *proc.Child, life *record.Life) error {
 	address := p.addrs.sidecar(s.number, sidecarPort)
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		select {
 		case <-child.Ended():
-			_ = child.Kill() // nothing is left to kill: it waits until the log is written
+			_ = child.Kill() // waits until the log is written; the process has ended
 			return fmt.Errorf("%s ended before it was ready: %s; its log: %s", s.name, child.Exit(), p.logTail(s))
 		case <-p.ctx.Done():
 			return p.ctx.Err()
@@ -243,14 +244,14 @@
 	return fmt.Errorf("%s was not ready within %v; its log: %s", s.name, readyTimeout, p.logTail(s))
 }
 
-// ready asks once.
+// ready reports whether the sidecar answers a single readiness request with 200.
 func ready(address string) bool {
 	c, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(time.Second)) // where it fails, so does what follows
+	_ = c.SetDeadline(time.Now().Add(time.Second)) // if this fails, so do the calls below
 	if _, err := io.WriteString(c, "GET /-/ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n"); err != nil {
 		return false
 	}
@@ -262,7 +263,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// logTail is the end of a sidecar's log, on one line.
+// logTail returns the last three lines of a sidecar's log as one line.
 func (p *play) logTail(s *sidecar) string {
 	text, err := os.ReadFile(filepath.Join(s.dir, "log"))
 	if err != nil || len(text) == 0 {
@@ -272,7 +273,7 @@
 	return strings.Join(lines[max(0, len(lines)-3):], " | ")
 }
 
-// kill ends the sidecar's process as kill -9 does; it stays down until run.
+// kill ends the sidecar's process as kill -9 does; it stays down until startSidecar.
 func (p *play) kill(s *sidecar) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,7 +281,7 @@
 		return
 	}
 	p.sample(s)
-	p.rec.Change(func() { // first: whatever a client sees then is due to this
+	p.rec.Change(func() { // recorded first: it explains all that clients see from then on
 		if s.life.End == 0 {
 			s.life.End, s.life.Killed = p.rec.Now(), true
 		}
@@ -289,8 +290,8 @@
 	s.child = nil
 }
 
-// terminate asks the sidecar's process to end, and waits until it has. One that is late is killed, as the platform does; clients
-// soon open no new connections to it, and keep a share of those that they have busy.
+// terminate ends the sidecar's process by SIGTERM, and waits for it. A process that is late is killed, as on the
+// platform. Clients soon open no new connections to it, and keep a share of those that they have busy.
 func (p *play) terminate(s *sidecar, busy float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,7 +311,7 @@
 		}
 	}
 	_, err := s.child.Stop(killAfter(p.experiment), func() {
-		p.rec.Change(func() { // first, see kill
+		p.rec.Change(func() { // recorded first, see kill
 			if s.life.End == 0 {
 				s.life.End, s.life.Killed = p.rec.Now(), true
 			}
@@ -325,7 +326,7 @@
 	s.child = nil
 }
 
-// killAfter is when SIGKILL follows SIGTERM: no sooner than the protocol page has it, and no later.
+// killAfter returns when SIGKILL follows SIGTERM: exactly at the time that the protocol page states.
 func killAfter(e *experiment.Experiment) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range e.Classes {
@@ -343,30 +344,30 @@
 	}
 }
 
-// sample notes what the kernel counts; the caller holds s.mu.
+// sample records the process's use of resources as the kernel counts it; the caller holds s.mu.
 func (p *play) sample(s *sidecar) {
 	if s.child == nil {
 		return
 	}
-	if use, err := s.child.Use(); err == nil { // an error: it has ended
-		p.rec.Sample(record.Sample{At: p.rec.Now(), Party: s.name, Start: s.starts, Descriptors: use.Descriptors, MemoryMB: use.MemoryMB, CPU: use.CPU})
+	if usage, err := s.child.Use(); err == nil { // an error means that the process has ended
+		p.rec.Sample(record.Sample{At: p.rec.Now(), Party: s.name, Start: s.starts, Descriptors: usage.Descriptors, MemoryMB: usage.MemoryMB, CPU: usage.CPU})
 	}
 }
 
-// callOps asks the sidecar's door, and gives the answer's first line.
+// callOps sends a line to the sidecar's operators' port, and returns the first line of the answer.
 func (p *play) callOps(s *sidecar, line string) (string, error) {
 	c, err := net.DialTimeout("tcp", p.addrs.sidecar(s.number, opsPort), opsTimeout)
 	if err != nil {
-		return "", fmt.Errorf("door of %s: %w", s.name, err)
+		return "", fmt.Errorf("operators' port of %s: %w", s.name, err)
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(opsTimeout)) // where it fails, so does what follows
+	_ = c.SetDeadline(time.Now().Add(opsTimeout)) // if this fails, so do the calls below
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
-		return "", fmt.Errorf("door of %s: %w", s.name, err)
+		return "", fmt.Errorf("operators' port of %s: %w", s.name, err)
 	}
 	answer, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
-		return "", fmt.Errorf("door of %s: %w", s.name, err)
+		return "", fmt.Errorf("operators' port of %s: %w", s.name, err)
 	}
 	return strings.TrimSpace(answer), nil
 }
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -16,19 +16,19 @@
 	"mosslead/internal/lab/record"
 )
 
-// event is a fault with the parties that it befalls, drawn from the seed.
+// event is a fault with the parties that it affects, which are drawn from the seed.
 type event struct {
 	Fault                  experiment.Fault
 	Of, To                 []string
 	sidecars               []*sidecar
-	replicas               []*replica // who of them leads is found out when the fault begins
+	replicas               []*replica // the replica named "leader" is resolved when the fault begins
 	upstreams, toUpstreams []*upstream
-	toSidecars             []*sidecar // in 'to'
+	toSidecars             []*sidecar // the sidecars in 'to'
 }
 
-// timeline draws the faults of the play, in the order of their begin.
+// timeline draws the parties of the play's faults, and returns the faults in the order of their start.
 func (p *play) timeline() []*event {
-	var all []*event
+	var events []*event
 	for i, f := range p.experiment.Faults {
 		if p.variant.Calm || (len(p.variant.Only) > 0 && !slices.Contains(p.variant.Only, f.Name)) {
 			continue
@@ -38,11 +38,11 @@
 		switch f.Of.Kind {
 		case "replica":
 			if ev.Of = f.Of.Names; p.service != nil {
-				by := f.Of
-				if slices.Contains(by.Names, "leader") {
-					by.Names = nil
+				selection := f.Of
+				if slices.Contains(selection.Names, "leader") {
+					selection.Names = nil
 				}
-				ev.replicas = selectParties(p.service.replicas, by, rng, func(r *replica) (string, string) { return r.name, "" })
+				ev.replicas = selectParties(p.service.replicas, selection, rng, func(r *replica) (string, string) { return r.name, "" })
 			}
 		case "upstream":
 			ev.upstreams = selectParties(p.upstreams, f.Of, rng, func(u *upstream) (string, string) { return u.Name, u.entry.Zone })
@@ -60,66 +60,67 @@
 			for _, s := range ev.toSidecars {
 				ev.To = append(ev.To, s.name)
 			}
-			all = append(all, ev)
+			events = append(events, ev)
 			continue
 		}
 		ev.toUpstreams = selectParties(p.upstreams, f.To, rng, func(u *upstream) (string, string) { return u.Name, u.entry.Zone })
 		for _, u := range ev.toUpstreams {
 			ev.To = append(ev.To, u.Name)
 		}
-		all = append(all, ev)
+		events = append(events, ev)
 	}
-	slices.SortStableFunc(all, func(a, b *event) int { return cmp.Compare(a.Fault.At.Duration, b.Fault.At.Duration) })
-	return all
+	slices.SortStableFunc(events, func(a, b *event) int { return cmp.Compare(a.Fault.At.Duration, b.Fault.At.Duration) })
+	return events
 }
 
-// selectParties picks the parties that a selection names: all of its names and zone, or so many of them, drawn.
-func selectParties[T any](from []T, by experiment.Parties, rng *rand.Rand, is func(T) (name, zone string)) []T {
-	var fit []T
-	for _, x := range from {
-		name, zone := is(x)
-		if (len(by.Names) == 0 || slices.Contains(by.Names, name)) && (by.Zone == "" || by.Zone == zone) && (by.Apart == "" || by.Apart != zone) {
-			fit = append(fit, x)
+// selectParties returns the parties that match a selection's names and zone. If it has a count or a share, that many
+// of them are drawn.
+func selectParties[T any](parties []T, selection experiment.Parties, rng *rand.Rand, nameAndZone func(T) (name, zone string)) []T {
+	var matching []T
+	for _, party := range parties {
+		name, zone := nameAndZone(party)
+		if (len(selection.Names) == 0 || slices.Contains(selection.Names, name)) && (selection.Zone == "" || selection.Zone == zone) && (selection.Apart == "" || selection.Apart != zone) {
+			matching = append(matching, party)
 		}
 	}
-	n := len(fit)
-	if by.Count > 0 {
-		n = min(n, by.Count)
-	} else if by.Share > 0 {
-		n = min(n, max(1, int(math.Round(by.Share*float64(n)))))
+	n := len(matching)
+	if selection.Count > 0 {
+		n = min(n, selection.Count)
+	} else if selection.Share > 0 {
+		n = min(n, max(1, int(math.Round(selection.Share*float64(n)))))
 	}
-	if n == len(fit) {
-		return fit
+	if n == len(matching) {
+		return matching
 	}
 	var drawn []T
-	for _, i := range rng.Perm(len(fit))[:n] {
-		drawn = append(drawn, fit[i])
+	for _, i := range rng.Perm(len(matching))[:n] {
+		drawn = append(drawn, matching[i])
 	}
 	return drawn
 }
 
-// hashOf tells timelines apart: the same faults upon the same parties have the same hash.
+// hashOf returns a hash of the timeline: the same faults on the same parties have the same hash.
 func hashOf(timeline []*event) string {
 	text, err := json.Marshal(timeline)
 	if err != nil {
-		panic(err) // plain values only: a mistake here
+		panic(err) // can't happen: an event encodes plain values only
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
 
-// runTimeline lets every fault happen at its time after begin. The group is done once all are undone: at their end, or when
-// the play ends.
+// runTimeline injects every fault at its time after begin. The group is done once all faults are undone: at their own
+// end, or when the play ends.
 func (p *play) runTimeline(timeline []*event, begin time.Duration) *sync.WaitGroup {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, ev := range timeline {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			if !p.sleep(begin + ev.Fault.At.Duration - p.rec.Now()) {
 				return
 			}
 			from := p.rec.Now()
-			p.log.Info("fault", "name", ev.Fault.Name, "kind", ev.Fault.Kind, "of", ev.Of)
+			p.log.Info("fault begins", "name", ev.Fault.Name, "kind", ev.Fault.Kind, "of", ev.Of)
 			p.inject(ev)
 			to := max(p.rec.Now(), from+ev.Fault.For.Duration)
 			if ev.Fault.Stays {
@@ -128,5 +129,5 @@
 			p.rec.Band(record.Band{Name: ev.Fault.Name, Of: ev.Of, From: from, To: to})
 		}()
 	}
-	return &all
+	return &wg
 }
--- a/internal/lab/upstreams.go
+++ b/internal/lab/upstreams.go
@@ -20,20 +20,20 @@
 	trouble *overlay[fake.Trouble]
 	seed    uint64
 	starts  uint64
-	dead    bool // ended without a word; guarded by play.mu
+	dead    bool // ended without deregistering; guarded by play.mu
 }
 
-// streams numbers the independent random streams of a seed, apart from those of load.
+// The independent random streams of a seed. Package load uses other numbers.
 const (
 	fleetStream = iota + 100
 	faultStream
 	termStream
 )
 
-// drawRange draws a value of a range.
+// drawRange draws a value from a range.
 func drawRange(r experiment.Range, rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
 
-// drawUpstreams draws what the fleet's upstreams are like.
+// drawUpstreams draws the properties of the fleet's upstreams.
 func drawUpstreams(e *experiment.Experiment, n int, seed uint64) (specs []model.Spec, entries []fake.Entry) {
 	rng := rand.New(rand.NewPCG(seed, fleetStream))
 	total := 0.0
@@ -41,13 +41,13 @@
 		total += k.Share
 	}
 	for i := range n {
-		// Kinds come by their shares, spread evenly, so that a small fleet has them all.
-		at, kind := (float64(i%12)+0.5)/12*total, e.Kinds[0]
+		// The kinds are spread evenly by their shares, so that a small fleet has all of them.
+		offset, kind := (float64(i%12)+0.5)/12*total, e.Kinds[0]
 		for _, k := range e.Kinds {
-			if kind = k; at < k.Share {
+			if kind = k; offset < k.Share {
 				break
 			}
-			at -= k.Share
+			offset -= k.Share
 		}
 		spec := drawSpec(kind, e.Rules, rng)
 		zone := e.Fleet.Zones[i%len(e.Fleet.Zones)]
@@ -72,7 +72,7 @@
 	}
 }
 
-// addUpstream puts a server into the fleet, with a link from each sidecar that is there; it does not run yet.
+// addUpstream adds a server to the fleet, with a link from each sidecar; it is not started yet.
 func (p *play) addUpstream(spec model.Spec, entry fake.Entry) (*upstream, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// startUpstream begins a process of the upstream, and the links to it take connections.
+// startUpstream starts a process of the upstream, and lets the links to it take connections.
 func (p *play) startUpstream(u *upstream, cold bool) error {
 	p.mu.Lock()
 	u.starts++
@@ -128,13 +128,14 @@
 	u.Kill()
 }
 
-// handleFall is told when the upstream was pushed over: it stays down, and discovery notices.
+// handleFall is called when overload has made the upstream fall: it stays down, and discovery notices.
 func (p *play) handleFall(u *upstream) {
 	p.killUpstream(u)
 	p.markDead(u)
 	p.setStatusAfter(p.experiment.Discovery.Notice.Duration, u, fake.Gone)
 }
 
+// eachLink calls f for the link from each sidecar to the upstream.
 func (p *play) eachLink(u *upstream, f func(*overlay[relay.State])) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// markDead says that the upstream died or was cut off, without a word to the list service.
+// markDead records that the upstream died or was cut off without deregistering, and ends the renewal of its lease.
 func (p *play) markDead(u *upstream) {
 	p.mu.Lock()
 	u.dead = true
@@ -155,12 +156,12 @@
 	}
 }
 
-// setStatus changes the upstream's entry in the list. Of one that died without a word the list service is not told: its lease
-// lapses.
-func (p *play) setStatus(u *upstream, status string, since bool) {
+// setStatus changes the upstream's entry in the list. The list service does not hear of one that died without
+// deregistering: its lease expires.
+func (p *play) setStatus(u *upstream, status string, restarted bool) {
 	p.mu.Lock()
 	u.entry.Status = status
-	if since {
+	if restarted {
 		u.entry.SinceMs = time.Now().UnixMilli()
 	}
 	e, dead := u.entry, u.dead
@@ -174,7 +175,7 @@
 	p.discovery.Change(e)
 }
 
-// setStatusAfter changes it after a time, unless the play ends before.
+// setStatusAfter changes the status after a time, unless the play ends before.
 func (p *play) setStatusAfter(after time.Duration, u *upstream, status string) {
 	p.background(func() {
 		if p.sleep(after) {
--- a/internal/lab/verdict/forwards_test.go
+++ b/internal/lab/verdict/forwards_test.go
@@ -9,24 +9,24 @@
 	"mosslead/internal/lab/record"
 )
 
-// A request that a sidecar forwards goes one hop, is begun by one sidecar, and stays inside the budget.
+// Checks that a forwarded request makes one hop, is attempted by one sidecar, and stays inside the budget.
 func TestForwardedWorkIsJudged(t *testing.T) {
 	type hop struct{ from, to string }
 	for name, c := range map[string]struct {
 		hops  []hop
-		by    []string // who attempts it, in turn
+		by    []string // the sidecars that attempt it, in turn
 		count int      // of such requests, within 100 ms
 		want  []string
 	}{
 		"served by a peer":                    {[]hop{{"x", "y"}}, []string{"y"}, 1, nil},
-		"refused unbegun, and served at home": {[]hop{{"x", "y"}}, []string{"x"}, 1, nil},
-		"attempted twice at home":             {nil, []string{"x", "x"}, 1, nil},
+		"refused unbegun, and served locally": {[]hop{{"x", "y"}}, []string{"x"}, 1, nil},
+		"attempted twice locally":             {nil, []string{"x", "x"}, 1, nil},
 		"forwarded on":                        {[]hop{{"x", "y"}, {"y", "z"}}, []string{"z"}, 1, []string{"two-hops"}},
 		"to two peers":                        {[]hop{{"x", "y"}, {"x", "z"}}, []string{"z"}, 1, []string{"two-hops"}},
-		"by a way that nobody saw":            {nil, []string{"y"}, 1, []string{"two-hops"}},
-		"begun by a peer and at home":         {[]hop{{"x", "y"}}, []string{"y", "x"}, 1, []string{"two-carriers"}},
-		"all within a part and a burst":       {[]hop{{"x", "y"}}, []string{"y"}, 24, nil},
-		"beyond it":                           {[]hop{{"x", "y"}}, []string{"y"}, 40, []string{"forward-budget"}},
+		"attempted by a peer without a hop":   {nil, []string{"y"}, 1, []string{"two-hops"}},
+		"begun by a peer and locally":         {[]hop{{"x", "y"}}, []string{"y", "x"}, 1, []string{"two-carriers"}},
+		"within the part and the burst":       {[]hop{{"x", "y"}}, []string{"y"}, 24, nil},
+		"beyond the part and the burst":       {[]hop{{"x", "y"}}, []string{"y"}, 40, []string{"forward-budget"}},
 	} {
 		rec := record.New()
 		rec.Length = 20 * s
@@ -42,7 +42,7 @@
 			}
 		}
 		if got := slices.Compact(rules(rec)); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got violations %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/lab/verdict/verdict.go
+++ b/internal/lab/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict owns the judgement of a play by the rules of the platform, from what clients, upstreams and the kernel
-// saw. It never asks a sidecar's own counts.
+// Package verdict checks a play against the rules of the platform, from what clients, upstreams and the kernel saw. It
+// never uses a sidecar's own counts.
 package verdict
 
 import (
@@ -12,24 +12,24 @@
 	"mosslead/internal/lab/record"
 )
 
-// Rules are the figures of the rules.
+// Rules are the figures in the rules.
 type Rules struct {
-	DrainGrace   time.Duration // from the news on
-	Slack        time.Duration // more on every limit: real sockets
+	DrainGrace   time.Duration // from the notice on
+	Slack        time.Duration // added to every limit, because the sockets are real
 	MaxAttempts  int
-	TermGrace    time.Duration // what comes later than this after SIGTERM and SIGKILL finds is lost; what comes before is not
-	ForwardPart  float64       // of the requests that a sidecar takes, so many may be forwarded,
-	ForwardBurst float64       // and so many at once
-	Crossing     time.Duration // a close later than this after a request was sent did not cross it
+	TermGrace    time.Duration // SIGKILL excuses the loss of a request that was sent by this time after SIGTERM, and of no later one
+	ForwardPart  float64       // the part of the requests taken that a sidecar may forward
+	ForwardBurst float64       // number of requests that a sidecar may forward beyond that part at once
+	Crossing     time.Duration // a close that comes later than this after a request was sent did not cross it
 }
 
-// Standard are the rules of the protocol page.
+// Standard returns the rules of the protocol page.
 func Standard() Rules {
 	return Rules{DrainGrace: 3 * time.Second, Slack: 50 * time.Millisecond, MaxAttempts: 6, TermGrace: 700 * time.Millisecond,
 		Crossing: 50 * time.Millisecond, ForwardPart: 0.2, ForwardBurst: 20}
 }
 
-// Violation is one breach, with what shows it.
+// Violation is one breach of a rule, with its evidence.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at"`
@@ -41,7 +41,7 @@
 // Rule is one rule and its check.
 type Rule struct {
 	Name  string
-	Says  string // what must not be
+	Says  string // what must not happen
 	check func(*analysis) []Violation
 }
 
@@ -53,22 +53,22 @@
 	{"lost", "a taken request has no final answer", lost},
 	{"unanswered", "a process that was told to end took a request and did not answer it", unanswered},
 	{"reset-unread", "a process that was told to end reset a connection under a request", resetUnread},
-	{"forged", "a request was served with what no upstream made for it", forged},
+	{"forged", "a request was served with an answer that no upstream made for it", forged},
 	{"refused-after-run", "a refusal promised that an unsafe request had not run", refusedAfterRun},
 	{"drain", "work went to a draining or gone upstream after the grace", func(a *analysis) []Violation { return attemptsAfterGrace(a, record.List, "drain") }},
 	{"ban", "work went to a banned upstream after the grace", func(a *analysis) []Violation { return attemptsAfterGrace(a, record.Operator, "ban") }},
 	{"cold", "a cold upstream was sent more than its budget", cold},
-	{"two-hops", "a request was forwarded again, or by who did not take it", twoHops},
+	{"two-hops", "a request was forwarded again, or by a sidecar that did not take it", twoHops},
 	{"two-carriers", "attempts of one request came from two sidecars", twoCarriers},
 	{"forward-budget", "a sidecar forwarded more than its budget", forwardBudget},
 	{"attempts", "more attempts were made than a request may have", attempts},
 	{"limits", "a process held more descriptors or memory than it may", limits},
 	{"crash", "a process ended by itself", func(a *analysis) []Violation { return append(crash(a), reported("crash")(a)...) }},
-	{"linearizable", "calls on the list service were answered as no order of them explains", reported("linearizable")},
-	{"watch", "a watch of the list skipped or repeated a change, or told another list than others at that version", reported("watch")},
+	{"linearizable", "no order of the calls on the list service explains their answers", reported("linearizable")},
+	{"watch", "a watch of the list skipped or repeated a change, or showed another list than others at that version", reported("watch")},
 }
 
-// Judge gives every breach, by rule and time.
+// Judge returns all violations, in the order of All and for each rule in the order of time.
 func Judge(rec *record.Record, rules Rules) []Violation {
 	a := newAnalysis(rec, rules)
 	var all []Violation
@@ -80,7 +80,7 @@
 	return all
 }
 
-// reported are breaches of a rule whose checker sees more than the record holds.
+// reported returns the check of a rule that another checker, which sees more than the record holds, has applied.
 func reported(rule string) func(*analysis) []Violation {
 	return func(a *analysis) (found []Violation) {
 		for _, r := range a.Reported {
@@ -92,50 +92,50 @@
 	}
 }
 
-// analysis is a record, sorted for the checks.
+// analysis is a record that is indexed for the checks.
 type analysis struct {
 	*record.Record
 	rules      Rules
-	attempts   map[string][]*record.Attempt // by request, as they began
+	attempts   map[string][]*record.Attempt // by request, in the order of their start
 	requests   map[string]*record.Request
-	statusNews map[[2]string][]record.Told // by sidecar and upstream, in time
+	statusNews map[[2]string][]record.Told // by sidecar and upstream, in order of time
 }
 
 func newAnalysis(rec *record.Record, rules Rules) *analysis {
 	a := &analysis{Record: rec, rules: rules, attempts: map[string][]*record.Attempt{},
 		requests: map[string]*record.Request{}, statusNews: map[[2]string][]record.Told{}}
-	for _, q := range rec.Requests {
-		a.requests[q.ID] = q
+	for _, req := range rec.Requests {
+		a.requests[req.ID] = req
 	}
-	for _, at := range rec.Attempts {
-		a.attempts[at.Request] = append(a.attempts[at.Request], at)
+	for _, attempt := range rec.Attempts {
+		a.attempts[attempt.Request] = append(a.attempts[attempt.Request], attempt)
 	}
-	for _, of := range a.attempts {
-		slices.SortFunc(of, func(x, y *record.Attempt) int { return cmp.Compare(x.Begun, y.Begun) })
+	for _, group := range a.attempts {
+		slices.SortFunc(group, func(x, y *record.Attempt) int { return cmp.Compare(x.Begun, y.Begun) })
 	}
 	for _, t := range rec.Told {
 		key := [2]string{t.Sidecar, t.Upstream}
 		a.statusNews[key] = append(a.statusNews[key], t)
 	}
-	for _, of := range a.statusNews {
-		slices.SortStableFunc(of, func(x, y record.Told) int { return cmp.Compare(x.At, y.At) })
+	for _, group := range a.statusNews {
+		slices.SortStableFunc(group, func(x, y record.Told) int { return cmp.Compare(x.At, y.At) })
 	}
 	return a
 }
 
-// FormatAttempts words a request's attempts.
+// FormatAttempts describes the attempts of a request on one line.
 func FormatAttempts(attempts []*record.Attempt) string {
 	var s strings.Builder
-	for i, at := range attempts {
+	for i, attempt := range attempts {
 		if i > 0 {
 			s.WriteString("; ")
 		}
-		fmt.Fprintf(&s, "%s from %v", at.Upstream, ms(at.Begun))
+		fmt.Fprintf(&s, "%s from %v", attempt.Upstream, ms(attempt.Begun))
 		switch {
-		case at.GivenUp > 0 && (at.Ended == 0 || at.GivenUp < at.Ended):
-			fmt.Fprintf(&s, " given up at %v", ms(at.GivenUp))
-		case at.Ended > 0:
-			fmt.Fprintf(&s, " %v at %v", at.How, ms(at.Ended))
+		case attempt.GivenUp > 0 && (attempt.Ended == 0 || attempt.GivenUp < attempt.Ended):
+			fmt.Fprintf(&s, " given up at %v", ms(attempt.GivenUp))
+		case attempt.Ended > 0:
+			fmt.Fprintf(&s, " %v at %v", attempt.How, ms(attempt.Ended))
 		default:
 			s.WriteString(" out")
 		}
@@ -146,18 +146,18 @@
 func ms(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
 
 func unsafeTwice(a *analysis) (found []Violation) {
-	for id, of := range a.attempts {
-		q := a.requests[id]
-		if q == nil || q.Safe {
+	for id, attempts := range a.attempts {
+		req := a.requests[id]
+		if req == nil || req.Safe {
 			continue
 		}
 		ran := 0
-		for _, at := range of {
-			if at.How.Ran() {
+		for _, attempt := range attempts {
+			if attempt.How.Ran() {
 				ran++
 			}
 			if ran == 2 {
-				found = append(found, Violation{"unsafe-twice", at.Begun, id, q.Sidecar, FormatAttempts(of)})
+				found = append(found, Violation{"unsafe-twice", attempt.Begun, id, req.Sidecar, FormatAttempts(attempts)})
 				break
 			}
 		}
@@ -166,10 +166,10 @@
 }
 
 func twoAtOnce(a *analysis) (found []Violation) {
-	for id, of := range a.attempts {
-		for i := 1; i < len(of); i++ {
-			if over := of[i-1].Over(a.Length); of[i].Begun+a.rules.Slack < over {
-				found = append(found, Violation{"two-at-once", of[i].Begun, id, of[i].Sidecar, FormatAttempts(of)})
+	for id, attempts := range a.attempts {
+		for i := 1; i < len(attempts); i++ {
+			if ended := attempts[i-1].Over(a.Length); attempts[i].Begun+a.rules.Slack < ended {
+				found = append(found, Violation{"two-at-once", attempts[i].Begun, id, attempts[i].Sidecar, FormatAttempts(attempts)})
 				break
 			}
 		}
@@ -178,42 +178,43 @@
 }
 
 func notSent(a *analysis) (found []Violation) {
-	for id, of := range a.attempts {
-		for _, at := range of {
-			if at.How == record.Unknown {
-				found = append(found, Violation{"not-sent", at.Begun, id, at.Upstream, "no client sent this, in this form"})
+	for id, attempts := range a.attempts {
+		for _, attempt := range attempts {
+			if attempt.How == record.Unknown {
+				found = append(found, Violation{"not-sent", attempt.Begun, id, attempt.Upstream, "no client sent this, in this form"})
 			}
 		}
 	}
 	return found
 }
 
-// lost finds taken requests without a final answer. Excused is what the sidecar could not help: it was killed or
-// stopped meanwhile, its upstream broke off the answer, or the client left. The first request on a connection that ends
-// without a byte has failed and is not lost, up to one in 200.
+// lost finds taken requests without a final answer. A sidecar is excused for what it could not prevent: it was killed
+// or stopped meanwhile, its upstream broke off the answer, or the client left. A connection that ends without a byte
+// under its first request has failed that request; it counts as lost only if this happens to more than one request in
+// 200.
 func lost(a *analysis) (found []Violation) {
 	var firstUses []Violation
-	for _, q := range a.Requests {
-		if q.Sent == 0 {
+	for _, req := range a.Requests {
+		if req.Sent == 0 {
 			continue
 		}
-		v := Violation{"lost", q.Ended, q.ID, q.Sidecar, fmt.Sprintf("%s, %v after it was sent: %v; %s", q.Class,
-			ms(q.Ended-q.Sent), q.End, FormatAttempts(a.attempts[q.ID]))}
-		switch q.End {
+		v := Violation{"lost", req.Ended, req.ID, req.Sidecar, fmt.Sprintf("%s, %v after it was sent: %v; %s", req.Class,
+			ms(req.Ended-req.Sent), req.End, FormatAttempts(a.attempts[req.ID]))}
+		switch req.End {
 		case record.Unanswered:
 		case record.Broken:
-			if a.upstreamBroke(q) {
+			if a.upstreamBroke(req) {
 				continue
 			}
 		case record.Dropped:
-			if q.FirstUse && !a.excused(q) {
+			if req.FirstUse && !a.excused(req) {
 				firstUses = append(firstUses, v)
 				continue
 			}
 		default:
 			continue
 		}
-		if !a.excused(q) {
+		if !a.excused(req) {
 			found = append(found, v)
 		}
 	}
@@ -223,11 +224,12 @@
 	return found
 }
 
-// excused tells whether the process that took a request was killed or stopped before its end. One that was told to end first
-// answers what comes later than the grace, or closes its connection in order: a SIGKILL then is its own fault.
-func (a *analysis) excused(q *record.Request) bool {
+// excused reports whether the process that took a request was killed or stopped before the request's end. A process
+// that was told to end has to answer what is sent later than the grace, or close its connection in order: a SIGKILL
+// for being late does not excuse it.
+func (a *analysis) excused(req *record.Request) bool {
 	for _, l := range a.Lives {
-		if l.Party != q.Sidecar {
+		if l.Party != req.Sidecar {
 			continue
 		}
 		end := l.End
@@ -236,15 +238,15 @@
 		}
 		switch {
 		case l.Paused:
-			if l.Start <= q.Ended && end >= q.Sent {
+			if l.Start <= req.Ended && end >= req.Sent {
 				return true
 			}
 		case l.Termed > 0:
-			if l.Killed && q.Sent <= l.Termed+a.rules.TermGrace && end >= q.Sent && end <= q.Ended+a.rules.Slack {
+			if l.Killed && req.Sent <= l.Termed+a.rules.TermGrace && end >= req.Sent && end <= req.Ended+a.rules.Slack {
 				return true
 			}
-		case l.Killed || l.Exit != "": // by itself: a crash, which has a rule of its own
-			if l.End > 0 && end >= q.Sent && end <= q.Ended+a.rules.Slack {
+		case l.Killed || l.Exit != "": // Exit: it ended by itself; the rule "crash" covers that
+			if l.End > 0 && end >= req.Sent && end <= req.Ended+a.rules.Slack {
 				return true
 			}
 		}
@@ -252,7 +254,8 @@
 	return false
 }
 
-// terminatedProcess is the life that was told to end and had what was sent then, and saw its end; nil: none.
+// terminatedProcess returns the process that was told to end, that had not ended when a request was sent, and whose
+// SIGTERM came before the request ended; nil if there is none.
 func (a *analysis) terminatedProcess(sidecar string, sent, ended time.Duration) *record.Life {
 	for _, l := range a.Lives {
 		if l.Party == sidecar && l.Termed > 0 && !l.Paused && sent >= l.Start && ended >= l.Termed && (l.End == 0 || sent <= l.End) {
@@ -262,33 +265,33 @@
 	return nil
 }
 
-// unanswered finds requests that a process took which was told to end, and that it did not answer in time: it closed the
-// connection though their upstream had them, or later than a close that crosses a request can come, or it never said
-// anything. Excused is what SIGKILL found and came soon after SIGTERM.
+// unanswered finds requests that a process took which was told to end, and that it did not answer in time: it closed
+// the connection although their upstream had them, or later than a close can cross a request, or it never answered. A
+// request that was sent soon after SIGTERM and cut off by SIGKILL is excused.
 func unanswered(a *analysis) (found []Violation) {
-	add := func(q *record.Request, sent, at time.Duration, how string) {
-		l := a.terminatedProcess(q.Sidecar, sent, at)
+	add := func(req *record.Request, sent, at time.Duration, outcome string) {
+		l := a.terminatedProcess(req.Sidecar, sent, at)
 		if l == nil || l.Killed && sent <= l.Termed+a.rules.TermGrace {
 			return
 		}
-		found = append(found, Violation{"unanswered", at, q.ID, q.Sidecar, fmt.Sprintf("sent %v after SIGTERM, %s %v later; %s",
-			ms(sent-l.Termed), how, ms(at-sent), FormatAttempts(a.attempts[q.ID]))})
+		found = append(found, Violation{"unanswered", at, req.ID, req.Sidecar, fmt.Sprintf("sent %v after SIGTERM, %s %v later; %s",
+			ms(sent-l.Termed), outcome, ms(at-sent), FormatAttempts(a.attempts[req.ID]))})
 	}
-	for _, q := range a.Requests {
-		if q.Sent > 0 && (q.End == record.Unanswered || q.End == record.Broken && !a.upstreamBroke(q)) {
-			add(q, q.Sent, q.Ended, q.End.String())
+	for _, req := range a.Requests {
+		if req.Sent > 0 && (req.End == record.Unanswered || req.End == record.Broken && !a.upstreamBroke(req)) {
+			add(req, req.Sent, req.Ended, req.End.String())
 		}
 	}
 	for _, c := range a.Cuts {
-		begun := slices.ContainsFunc(a.attempts[c.Request], func(at *record.Attempt) bool { return at.Begun >= c.Sent && at.Begun <= c.At })
-		if q := a.requests[c.Request]; q != nil && !c.Reset && (begun || c.At-c.Sent > a.rules.Crossing) {
-			add(q, c.Sent, c.At, "closed")
+		begun := slices.ContainsFunc(a.attempts[c.Request], func(attempt *record.Attempt) bool { return attempt.Begun >= c.Sent && attempt.Begun <= c.At })
+		if req := a.requests[c.Request]; req != nil && !c.Reset && (begun || c.At-c.Sent > a.rules.Crossing) {
+			add(req, c.Sent, c.At, "closed")
 		}
 	}
 	return found
 }
 
-// resetUnread finds connections that a process reset under a request which was told to end. SIGKILL is excused.
+// resetUnread finds connections that a process which was told to end reset under a request. SIGKILL is excused.
 func resetUnread(a *analysis) (found []Violation) {
 	for _, c := range a.Cuts {
 		if l := a.terminatedProcess(c.Sidecar, c.Sent, c.At); l != nil && c.Reset && !l.Killed {
@@ -299,60 +302,60 @@
 	return found
 }
 
-// upstreamBroke tells whether an upstream broke an answer to q off.
-func (a *analysis) upstreamBroke(q *record.Request) bool {
-	return slices.ContainsFunc(a.attempts[q.ID], func(at *record.Attempt) bool { return at.How == record.Reset || at.How == record.Lost })
+// upstreamBroke reports whether an upstream broke off an answer to the request.
+func (a *analysis) upstreamBroke(req *record.Request) bool {
+	return slices.ContainsFunc(a.attempts[req.ID], func(attempt *record.Attempt) bool { return attempt.How == record.Reset || attempt.How == record.Lost })
 }
 
 func forged(a *analysis) (found []Violation) {
-	for _, q := range a.Requests {
-		if q.End != record.Served {
+	for _, req := range a.Requests {
+		if req.End != record.Served {
 			continue
 		}
-		if !slices.ContainsFunc(a.attempts[q.ID], func(at *record.Attempt) bool { return at.How == record.OK && at.Body == q.Body }) {
-			found = append(found, Violation{"forged", q.Ended, q.ID, q.Sidecar, fmt.Sprintf("served %.60q; %s", q.Body, FormatAttempts(a.attempts[q.ID]))})
+		if !slices.ContainsFunc(a.attempts[req.ID], func(attempt *record.Attempt) bool { return attempt.How == record.OK && attempt.Body == req.Body }) {
+			found = append(found, Violation{"forged", req.Ended, req.ID, req.Sidecar, fmt.Sprintf("served %.60q; %s", req.Body, FormatAttempts(a.attempts[req.ID]))})
 		}
 	}
 	return found
 }
 
 func refusedAfterRun(a *analysis) (found []Violation) {
-	for _, q := range a.Requests {
-		if q.End != record.Refused || q.Safe {
+	for _, req := range a.Requests {
+		if req.End != record.Refused || req.Safe {
 			continue
 		}
-		if slices.ContainsFunc(a.attempts[q.ID], func(at *record.Attempt) bool { return at.How.Ran() && at.Begun < q.Ended }) {
-			found = append(found, Violation{"refused-after-run", q.Ended, q.ID, q.Sidecar, FormatAttempts(a.attempts[q.ID])})
+		if slices.ContainsFunc(a.attempts[req.ID], func(attempt *record.Attempt) bool { return attempt.How.Ran() && attempt.Begun < req.Ended }) {
+			found = append(found, Violation{"refused-after-run", req.Ended, req.ID, req.Sidecar, FormatAttempts(a.attempts[req.ID])})
 		}
 	}
 	return found
 }
 
-// attemptsAfterGrace finds attempts whose first byte came later than the grace after the news that binds.
+// attemptsAfterGrace finds attempts whose first byte came later than the grace after the notice in force.
 func attemptsAfterGrace(a *analysis, source record.Source, rule string) (found []Violation) {
-	for _, at := range a.Attempts {
-		since, bound := time.Duration(0), false
-		for _, t := range a.statusNews[[2]string{at.Sidecar, at.Upstream}] {
-			if t.At > at.First {
+	for _, attempt := range a.Attempts {
+		noticed, forbidden := time.Duration(0), false
+		for _, news := range a.statusNews[[2]string{attempt.Sidecar, attempt.Upstream}] {
+			if news.At > attempt.First {
 				break
 			}
-			if t.Source == source && t.Usable == bound {
-				since, bound = t.At, !t.Usable
+			if news.Source == source && news.Usable == forbidden {
+				noticed, forbidden = news.At, !news.Usable
 			}
 		}
-		if bound && at.First > since+a.rules.DrainGrace+a.rules.Slack {
-			found = append(found, Violation{rule, at.First, at.Request, at.Sidecar,
-				fmt.Sprintf("sent to %s %v after it was told", at.Upstream, ms(at.First-since))})
+		if forbidden && attempt.First > noticed+a.rules.DrainGrace+a.rules.Slack {
+			found = append(found, Violation{rule, attempt.First, attempt.Request, attempt.Sidecar,
+				fmt.Sprintf("sent to %s %v after the notice", attempt.Upstream, ms(attempt.First-noticed))})
 		}
 	}
 	return found
 }
 
-// cold adds up the work sent to each cold upstream over every window of the stated length.
+// cold sums the work sent to each cold upstream over every window of length FallFor.
 func cold(a *analysis) (found []Violation) {
 	for _, c := range a.Colds {
 		if c.Fell > 0 {
-			found = append(found, Violation{"cold", c.Fell, "", c.Upstream, fmt.Sprintf("pushed over %v after its start", ms(c.Fell-c.At))})
+			found = append(found, Violation{"cold", c.Fell, "", c.Upstream, fmt.Sprintf("fell under its load %v after its start", ms(c.Fell-c.At))})
 			continue
 		}
 		if c.FallMultiple <= 0 {
@@ -360,20 +363,20 @@
 		}
 		var window []*record.Attempt
 		sum := 0.0
-		for _, at := range attemptsByBegin(a.Attempts, c.Upstream) {
-			if at.Begun < c.At || at.Begun > c.At+c.For {
+		for _, attempt := range attemptsByBegin(a.Attempts, c.Upstream) {
+			if attempt.Begun < c.At || attempt.Begun > c.At+c.For {
 				continue
 			}
-			window = append(window, at)
-			sum += at.Work.Seconds()
-			for at.Begun-window[0].Begun >= c.FallFor {
+			window = append(window, attempt)
+			sum += attempt.Work.Seconds()
+			for attempt.Begun-window[0].Begun >= c.FallFor {
 				sum -= window[0].Work.Seconds()
 				window = window[1:]
 			}
-			share := c.From + (1-c.From)*float64(at.Begun-c.At)/float64(c.For)
-			if bound := c.FallMultiple * c.Capacity * share * c.FallFor.Seconds(); sum > bound {
-				found = append(found, Violation{"cold", at.Begun, at.Request, c.Upstream,
-					fmt.Sprintf("%d requests of %.2f s of work within %v, %v after its start; it bears %.2f", len(window), sum, c.FallFor, ms(at.Begun-c.At), bound)})
+			share := c.From + (1-c.From)*float64(attempt.Begun-c.At)/float64(c.For)
+			if limit := c.FallMultiple * c.Capacity * share * c.FallFor.Seconds(); sum > limit {
+				found = append(found, Violation{"cold", attempt.Begun, attempt.Request, c.Upstream,
+					fmt.Sprintf("%d requests of %.2f s of work within %v, %v after its start; the limit is %.2f", len(window), sum, c.FallFor, ms(attempt.Begun-c.At), limit)})
 				break
 			}
 		}
@@ -381,14 +384,15 @@
 	return found
 }
 
-func attemptsByBegin(all []*record.Attempt, upstream string) (of []*record.Attempt) {
-	for _, at := range all {
-		if at.Upstream == upstream {
-			of = append(of, at)
+// attemptsByBegin returns the attempts on an upstream in the order of their start.
+func attemptsByBegin(all []*record.Attempt, upstream string) (found []*record.Attempt) {
+	for _, attempt := range all {
+		if attempt.Upstream == upstream {
+			found = append(found, attempt)
 		}
 	}
-	slices.SortFunc(of, func(x, y *record.Attempt) int { return cmp.Compare(x.Begun, y.Begun) })
-	return of
+	slices.SortFunc(found, func(x, y *record.Attempt) int { return cmp.Compare(x.Begun, y.Begun) })
+	return found
 }
 
 func attempts(a *analysis) (found []Violation) {
@@ -401,16 +405,16 @@
 }
 
 func limits(a *analysis) (found []Violation) {
-	passed := map[string]bool{} // a party is named once
+	reported := map[string]bool{} // each party is reported once
 	for _, s := range a.Samples {
-		most, ok := a.Limits[s.Party]
-		if !ok || passed[s.Party] {
+		limit, ok := a.Limits[s.Party]
+		if !ok || reported[s.Party] {
 			continue
 		}
-		if s.Descriptors > most.Descriptors || s.MemoryMB > most.MemoryMB {
-			passed[s.Party] = true
+		if s.Descriptors > limit.Descriptors || s.MemoryMB > limit.MemoryMB {
+			reported[s.Party] = true
 			found = append(found, Violation{"limits", s.At, "", s.Party, fmt.Sprintf("%d descriptors of %d, %.0f MB of %.0f",
-				s.Descriptors, most.Descriptors, s.MemoryMB, most.MemoryMB)})
+				s.Descriptors, limit.Descriptors, s.MemoryMB, limit.MemoryMB)})
 		}
 	}
 	return found
@@ -418,8 +422,8 @@
 
 func crash(a *analysis) (found []Violation) {
 	for _, l := range a.Lives {
-		asked := l.Termed > 0 && (l.Exit == "exit status 0" || l.Ready == 0) // one that has just begun can't catch a signal yet
-		if !l.Paused && !l.Killed && l.Exit != "" && !asked {
+		expected := l.Termed > 0 && (l.Exit == "exit status 0" || l.Ready == 0) // a process that has just begun can't handle a signal yet
+		if !l.Paused && !l.Killed && l.Exit != "" && !expected {
 			found = append(found, Violation{"crash", l.End, "", l.Party, l.Exit})
 		}
 	}
--- a/internal/lab/verdict/verdict_test.go
+++ b/internal/lab/verdict/verdict_test.go
@@ -9,6 +9,7 @@
 
 const s = time.Second
 
+// rules returns the names of the rules that the record violates.
 func rules(rec *record.Record) (names []string) {
 	for _, v := range Judge(rec, Standard()) {
 		names = append(names, v.Rule)
@@ -16,7 +17,7 @@
 	return names
 }
 
-// What a sidecar could not help is no breach; the same without the excuse is one.
+// Checks that a sidecar is not blamed for a loss that it could not prevent, and is blamed without such an excuse.
 func TestLostIsExcusedByWhatHappenedToTheSidecar(t *testing.T) {
 	for name, c := range map[string]struct {
 		life  *record.Life
@@ -47,35 +48,35 @@
 				rec.Life(c.life)
 			}
 			if got := rules(rec); (len(got) == 1 && got[0] == "lost") != c.lost {
-				t.Errorf("found %v", got)
+				t.Errorf("got violations %v, want \"lost\": %v", got, c.lost)
 			}
 		})
 	}
 }
 
-// What a process does that was told to end: a connection may end in order where that crosses a request, and only there.
+// Checks a process that was told to end: it may close a connection in order only if the close crosses a request.
 func TestAfterTerm(t *testing.T) {
 	for name, c := range map[string]struct {
-		after  time.Duration // the cut, from when it was sent
+		after  time.Duration // from the sending of the request to the end of the connection
 		reset  bool
-		begun  bool // at an upstream
+		begun  bool // whether an upstream received the request
 		termed time.Duration
 		killed bool
 		want   string
 	}{
 		"crosses":                       {1e6, false, false, 9 * s, false, ""},
 		"crosses, but it had been read": {1e6, false, true, 9 * s, false, "unanswered"},
-		"sat upon":                      {s, false, false, 9 * s, false, "unanswered"},
+		"closed long after sending":     {s, false, false, 9 * s, false, "unanswered"},
 		"reset":                         {1e6, true, false, 9 * s, false, "reset-unread"},
 		"reset, not told to end":        {1e6, true, false, 0, false, ""},
 		"closed, not told to end":       {s, false, true, 0, false, ""},
-		"SIGKILL found it, sent soon":   {s, true, true, 9900 * time.Millisecond, true, ""},
-		"SIGKILL found it, sent late":   {s, false, true, 9 * s, true, "unanswered"},
+		"cut off by SIGKILL, sent soon": {s, true, true, 9900 * time.Millisecond, true, ""},
+		"cut off by SIGKILL, sent late": {s, false, true, 9 * s, true, "unanswered"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rec := record.New()
 			rec.Length = 20 * s
-			rec.Request(&record.Request{ID: "a", Sidecar: "x", Safe: true, Sent: 13 * s, Ended: 14 * s, End: record.Refused}) // when sent again
+			rec.Request(&record.Request{ID: "a", Sidecar: "x", Safe: true, Sent: 13 * s, Ended: 14 * s, End: record.Refused}) // the outcome after it was sent again
 			rec.Cut(record.Cut{Request: "a", Sidecar: "x", Sent: 10 * s, At: 10*s + c.after, Reset: c.reset})
 			if c.begun {
 				rec.Attempt(&record.Attempt{Request: "a", Sidecar: "x", Upstream: "u", First: 10 * s, Begun: 10*s + 1, Ended: 11 * s, How: record.Error})
@@ -89,13 +90,14 @@
 				life.End = 0
 			}
 			if got := rules(rec); len(got) > 1 || (len(got) == 1) != (c.want != "") || c.want != "" && got[0] != c.want {
-				t.Errorf("found %v, want %q", got, c.want)
+				t.Errorf("got violations %v, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// News that binds is the latest of each source: a list's word does not lift a ban, and what was lifted binds no more.
+// Checks that the latest notice of each source is in force: a notice of the list does not lift a ban, and a lifted
+// ban is no longer in force.
 func TestDrainAndBanBindApart(t *testing.T) {
 	told := func(at time.Duration, source record.Source, usable bool) record.Told {
 		return record.Told{At: at, Sidecar: "x", Upstream: "u", Source: source, Usable: usable}
@@ -106,8 +108,8 @@
 	}{
 		"within the grace":       {[]record.Told{told(8*s, record.List, false)}, ""},
 		"after the grace":        {[]record.Told{told(6*s, record.List, false)}, "drain"},
-		"told again":             {[]record.Told{told(5*s, record.List, false), told(9*s, record.List, false)}, "drain"},
-		"back since":             {[]record.Told{told(5*s, record.List, false), told(9*s, record.List, true)}, ""},
+		"told twice":             {[]record.Told{told(5*s, record.List, false), told(9*s, record.List, false)}, "drain"},
+		"usable again since":     {[]record.Told{told(5*s, record.List, false), told(9*s, record.List, true)}, ""},
 		"banned":                 {[]record.Told{told(5*s, record.Operator, false)}, "ban"},
 		"banned, the list ready": {[]record.Told{told(5*s, record.Operator, false), told(6*s, record.List, true)}, "ban"},
 		"after the attempt":      {[]record.Told{told(11*s, record.List, false)}, ""},
@@ -120,7 +122,7 @@
 				rec.Tell(x)
 			}
 			if got := rules(rec); len(got) > 1 || (len(got) == 1) != (c.want != "") || c.want != "" && got[0] != c.want {
-				t.Errorf("found %v, want %q", got, c.want)
+				t.Errorf("got violations %v, want %q", got, c.want)
 			}
 		})
 	}
