--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -81,7 +81,7 @@
 			for i := range e.Variants {
 				v := e.Variants[(i+round)%len(e.Variants)]
 				o.Progress(len(r.Plays), total, fmt.Sprintf("%s, seed %d, play %d", v.Name, seed, repeat+1))
-				if err := o.play(ctx, e, v, seed, repeat, r, programs[v.Name]); err != nil {
+				if err := o.playOnce(ctx, e, v, seed, repeat, r, programs[v.Name]); err != nil {
 					return fmt.Errorf("%s, seed %d: %w", v.Name, seed, err)
 				}
 				if ctx.Err() != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func (o Options) play(ctx context.Context, e *experiment.Experiment, v experiment.Variant, seed uint64, repeat int, r *report.Result, run program) error {
+func (o Options) playOnce(ctx context.Context, e *experiment.Experiment, v experiment.Variant, seed uint64, repeat int, r *report.Result, run program) error {
 	dir, err := filepath.Abs(filepath.Join(o.Dir, "plays", fmt.Sprintf("%s-%d-%d", v.Name, seed, repeat+1)))
 	if err != nil {
 		return err
--- a/internal/lab/verdict/forwards_test.go
+++ b/internal/lab/verdict/forwards_test.go
@@ -29,10 +29,10 @@
 		"beyond the part and the burst":       {[]hop{{"x", "y"}}, []string{"y"}, 40, []string{"forward-budget"}},
 	} {
 		rec := record.New()
-		rec.Length = 20 * s
+		rec.Length = 20 * sec
 		for i := range c.count {
-			id, at := fmt.Sprint(i), s+time.Duration(i)*100*time.Millisecond/time.Duration(c.count)
-			rec.Request(&record.Request{ID: id, Sidecar: "x", Safe: true, Intended: at, Sent: at, Ended: at + s, End: record.Served, Body: id})
+			id, at := fmt.Sprint(i), sec+time.Duration(i)*100*time.Millisecond/time.Duration(c.count)
+			rec.Request(&record.Request{ID: id, Sidecar: "x", Safe: true, Intended: at, Sent: at, Ended: at + sec, End: record.Served, Body: id})
 			for n, h := range c.hops {
 				rec.Hop(record.Hop{At: at + time.Duration(n+1), Request: id, From: h.from, To: h.to})
 			}
@@ -41,7 +41,7 @@
 				rec.Attempt(&record.Attempt{Request: id, Sidecar: by, Upstream: "u", First: from, Begun: from, Ended: from + 5*time.Millisecond, How: record.OK, Body: id})
 			}
 		}
-		if got := slices.Compact(rules(rec)); !slices.Equal(got, c.want) {
+		if got := slices.Compact(violatedRules(rec)); !slices.Equal(got, c.want) {
 			t.Errorf("%s: got violations %v, want %v", name, got, c.want)
 		}
 	}
