--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -17,7 +17,7 @@
 	"mosslead/internal/lab/report"
 )
 
-// Options say where and how to run.
+// Options are where and how to run an experiment.
 type Options struct {
 	Dir      string   // of the result, created if it does not exist
 	Self     []string // command of this program as the naive sidecar: its path, and the arguments before the rule to break
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -197,8 +197,8 @@
 }
 
 // ban disables upstreams at a sidecar's operators' port. A ban is in force once the answer is YES.
-func (p *play) ban(s *sidecar, ups []*upstream, duration time.Duration) {
-	for _, u := range ups {
+func (p *play) ban(s *sidecar, upstreams []*upstream, duration time.Duration) {
+	for _, u := range upstreams {
 		if !p.callUntilYes(s, "DISABLE "+u.Name) {
 			continue
 		}
@@ -208,7 +208,7 @@
 		return // the ban stays
 	}
 	p.sleep(duration)
-	for _, u := range ups {
+	for _, u := range upstreams {
 		at := p.rec.Now() // before the call: the sidecar may use the upstream as soon as it answers YES
 		if p.callUntilYes(s, "ENABLE "+u.Name) {
 			p.rec.Tell(record.Told{At: at, Sidecar: s.name, Upstream: u.Name, Source: record.Operator, Usable: true})
--- a/internal/lab/liar.go
+++ b/internal/lab/liar.go
@@ -20,7 +20,7 @@
 
 // broadcastLies runs a member beside a sidecar, in its zone and with links like its own, that reports again and again
 // that upstreams never answer. The sidecars cannot distinguish it from one of theirs.
-func (p *play) broadcastLies(s *sidecar, ups []*upstream, duration time.Duration) (err error) {
+func (p *play) broadcastLies(s *sidecar, upstreams []*upstream, duration time.Duration) (err error) {
 	if p.mesh == nil {
 		return nil // sidecars share nothing
 	}
@@ -36,7 +36,7 @@
 	}
 	defer func() { err = errors.Join(err, member.Leave()) }()
 	for end := p.rec.Now() + duration; p.rec.Now() < end; {
-		for _, u := range ups {
+		for _, u := range upstreams {
 			p.mu.Lock()
 			since := u.entry.SinceMs
 			p.mu.Unlock()
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// addLiar adds a liar to the mesh, with links as the sidecar's own.
+// addLiar adds a liar to the mesh, with links like those of the sidecar s.
 func (p *play) addLiar(s *sidecar, name string, number int) error {
 	if err := p.mesh.Add(name, p.addrs.sidecar(number, peerLinkPort), p.addrs.sidecar(number, peerPort), p.seed+uint64(number)); err != nil {
 		return err
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -57,7 +57,7 @@
 	forwards  *relay.Mesh // links for forwarded requests; nil if sidecars forward nothing
 	clients   *load.Clients
 	spec      load.Spec  // of the clients' traffic
-	mu        sync.Mutex // guards upstreams, sidecars and each sidecar's links
+	mu        sync.Mutex // guards upstreams, sidecars, each sidecar's links and each upstream's entry
 	upstreams []*upstream
 	sidecars  []*sidecar
 	notes     []string
@@ -82,13 +82,13 @@
 	if err := ensureDescriptors(e); err != nil {
 		return nil, err
 	}
-	block, err := claimAddresses()
+	addrs, err := claimAddresses()
 	if err != nil {
 		return nil, err
 	}
-	defer block.release()
+	defer addrs.release()
 	running, stop := context.WithCancel(ctx)
-	p := &play{ctx: running, experiment: e, variant: v, seed: seed, dir: dir, programs: programs, rec: record.New(), addrs: block, log: log,
+	p := &play{ctx: running, experiment: e, variant: v, seed: seed, dir: dir, programs: programs, rec: record.New(), addrs: addrs, log: log,
 		upstreamNumbers: map[string]int{}}
 	p.discovery = fake.NewDiscovery(p.rec)
 	if v.Share {
@@ -97,7 +97,7 @@
 	if v.Forward {
 		p.forwards = p.newForwardMesh()
 	}
-	defer func() { // leaves nothing of the play behind, also after an error
+	defer func() { // ends everything that the play started, also after an error
 		stop()
 		p.close()
 	}()
@@ -111,7 +111,7 @@
 	out.Begin = p.rec.Now() + loadDelay
 	var names, addresses []string
 	for _, s := range p.sidecars {
-		names, addresses = append(names, s.name), append(addresses, block.sidecar(s.number, sidecarPort))
+		names, addresses = append(names, s.name), append(addresses, addrs.sidecar(s.number, sidecarPort))
 	}
 	clients := load.NewClients(p.rec, names, addresses, e.Load.Connections)
 	p.clients, p.spec = clients, out.Plan.Spec // set before any fault begins
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// chosenReplicas returns the replicas that a fault affects. "leader" is resolved now; the first replica is taken if
-// there is no leader.
+// chosenReplicas returns the replicas that a fault affects. The name "leader" is resolved when it is called; the
+// first replica is taken if there is no leader.
 func (p *play) chosenReplicas(ev *event) []*replica {
 	if !slices.Contains(ev.Fault.Of.Names, "leader") {
 		return ev.replicas
@@ -338,7 +338,7 @@
 	return windows
 }
 
-// window is what a sidecar reaches of a replica; faults change it.
+// window is the proxy through which a sidecar reaches a replica, with the faults in force on it.
 type window struct {
 	*fake.Window
 	overlay *overlay[fake.View]
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -21,7 +21,7 @@
 	Fault                  experiment.Fault
 	Of, To                 []string
 	sidecars               []*sidecar
-	replicas               []*replica // the replica named "leader" is resolved when the fault begins
+	replicas               []*replica // the name "leader" is resolved when the fault begins
 	upstreams, toUpstreams []*upstream
 	toSidecars             []*sidecar // the sidecars in 'to'
 }
@@ -73,8 +73,8 @@
 	return events
 }
 
-// selectParties returns the parties that match a selection's names and zone. If it has a count or a share, that many
-// of them are drawn.
+// selectParties returns the parties that match a selection's names and zone. If it has a count or a share, that count or
+// share of them is drawn at random.
 func selectParties[T any](parties []T, selection experiment.Parties, rng *rand.Rand, nameAndZone func(T) (name, zone string)) []T {
 	var matching []T
 	for _, party := range parties {
