--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -1,5 +1,4 @@
-// Package campaign owns a whole run of an experiment: it builds the programs, plays the variants in turn and writes the
-// result.
+// Package campaign runs a whole experiment: it builds the programs, plays the variants in turn and writes the result.
 package campaign
 
 import (
@@ -18,26 +17,26 @@
 	"mosslead/internal/lab/report"
 )
 
-// Options say where and how to run.
+// Options are where and how to run an experiment.
 type Options struct {
-	Dir      string   // of the result, made if it is not there
-	Self     []string // how to start this program, as the naive sidecar: its path, and the words before the rule to break
-	Replica  []string // how to start this program as a replica of the list service, before the path of its configuration
-	KeepLogs bool     // of plays in which all was well, too
+	Dir      string   // of the result, created if it does not exist
+	Self     []string // command of this program as the naive sidecar: its path, and the arguments before the rule to break
+	Replica  []string // command of this program as a replica of the list service, before the path of its configuration
+	KeepLogs bool     // also of plays without violations and notes
 	Log      *slog.Logger
-	// Progress is told before each play, and at the end with done = total.
+	// Progress is called before each play, and at the end with done = total.
 	Progress func(done, total int, what string)
 }
 
 // program is what a variant runs.
 type program struct {
-	command []string
-	first   []string // of the first replica of the list service; none: this program, as the others
-	from    string
+	command      []string
+	firstReplica []string // command of the first replica of the list service; empty if it runs this program, like the others
+	source       string   // what it was built from, in words
 }
 
-// Run plays an experiment. Where ctx ends before all is played, what was seen comes back as a partial result, written
-// too, with the context's error.
+// Run plays an experiment. If ctx ends before all is played, Run writes and returns what was recorded as a partial
+// result, with the context's error.
 func Run(ctx context.Context, e *experiment.Experiment, o Options) (*report.Result, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("directory of the result: %w", err)
@@ -54,17 +53,17 @@
 	programs := map[string]program{}
 	for _, v := range e.Variants {
 		r.Variants = append(r.Variants, v.Name)
-		if programs[v.Name], err = o.program(ctx, filepath.Join(work, v.Name), v, programs, e.Variants); err != nil {
+		if programs[v.Name], err = o.prepareProgram(ctx, filepath.Join(work, v.Name), v, programs, e.Variants); err != nil {
 			return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 		}
 		if v.ServiceRevision != "" {
-			if programs[v.Name], err = o.older(ctx, filepath.Join(work, v.Name+"-service"), v.ServiceRevision, programs[v.Name]); err != nil {
+			if programs[v.Name], err = o.withOlderReplica(ctx, filepath.Join(work, v.Name+"-service"), v.ServiceRevision, programs[v.Name]); err != nil {
 				return nil, fmt.Errorf("variant %s: %w", v.Name, err)
 			}
 		}
-		r.Programs[v.Name] = programs[v.Name].from
+		r.Programs[v.Name] = programs[v.Name].source
 	}
-	err = o.plays(ctx, e, r, programs, total)
+	err = o.playAll(ctx, e, r, programs, total)
 	r.Partial = err != nil
 	r.Finish(e)
 	if len(r.Plays) == 0 && err != nil {
@@ -73,16 +72,16 @@
 	return r, errors.Join(err, r.Write(o.Dir))
 }
 
-// plays holds all plays: for each seed and repeat all variants, in an order that turns, so that a machine that gets
-// slower hurts each alike.
-func (o Options) plays(ctx context.Context, e *experiment.Experiment, r *report.Result, programs map[string]program, total int) error {
+// playAll runs all plays: for each seed and repeat all variants, in an order that rotates, so that a machine that
+// becomes slower affects each variant alike.
+func (o Options) playAll(ctx context.Context, e *experiment.Experiment, r *report.Result, programs map[string]program, total int) error {
 	round := 0
 	for _, seed := range e.Seeds {
 		for repeat := range e.Repeats {
 			for i := range e.Variants {
 				v := e.Variants[(i+round)%len(e.Variants)]
 				o.Progress(len(r.Plays), total, fmt.Sprintf("%s, seed %d, play %d", v.Name, seed, repeat+1))
-				if err := o.play(ctx, e, v, seed, repeat, r, programs[v.Name]); err != nil {
+				if err := o.playOnce(ctx, e, v, seed, repeat, r, programs[v.Name]); err != nil {
 					return fmt.Errorf("%s, seed %d: %w", v.Name, seed, err)
 				}
 				if ctx.Err() != nil {
@@ -96,7 +95,7 @@
 	return nil
 }
 
-func (o Options) play(ctx context.Context, e *experiment.Experiment, v experiment.Variant, seed uint64, repeat int, r *report.Result, run program) error {
+func (o Options) playOnce(ctx context.Context, e *experiment.Experiment, v experiment.Variant, seed uint64, repeat int, r *report.Result, run program) error {
 	dir, err := filepath.Abs(filepath.Join(o.Dir, "plays", fmt.Sprintf("%s-%d-%d", v.Name, seed, repeat+1)))
 	if err != nil {
 		return err
@@ -104,11 +103,11 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("directory of the play: %w", err)
 	}
-	out, err := lab.Play(ctx, e, v, seed, dir, lab.Programs{Sidecar: run.command, Replica: o.Replica, First: run.first}, o.Log)
+	outcome, err := lab.Play(ctx, e, v, seed, dir, lab.Programs{Sidecar: run.command, Replica: o.Replica, First: run.firstReplica}, o.Log)
 	if err != nil {
 		return err
 	}
-	p := report.NewPlay(e, v.Name, seed, repeat, out)
+	p := report.NewPlay(e, v.Name, seed, repeat, outcome)
 	r.Plays = append(r.Plays, p)
 	if p.Figures["violations"] == 0 && !o.KeepLogs && len(p.Notes) == 0 {
 		return os.RemoveAll(dir)
@@ -116,8 +115,8 @@
 	return nil
 }
 
-// older has the first replica run an earlier revision of this program.
-func (o Options) older(ctx context.Context, dir, revision string, p program) (program, error) {
+// withOlderReplica returns p with an earlier revision of this program for the first replica.
+func (o Options) withOlderReplica(ctx context.Context, dir, revision string, p program) (program, error) {
 	root, err := build.Root(".")
 	if err != nil {
 		return p, err
@@ -125,24 +124,24 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return p, err
 	}
-	path, from, err := build.Service(ctx, root, dir, build.Source{Revision: revision})
+	path, source, err := build.Service(ctx, root, dir, build.Source{Revision: revision})
 	if err != nil {
 		return p, err
 	}
-	p.first = append([]string{path}, o.Replica[1:]...)
-	p.from += ", first replica " + strings.TrimSpace(from)
+	p.firstReplica = append([]string{path}, o.Replica[1:]...)
+	p.source += ", first replica " + strings.TrimSpace(source)
 	return p, nil
 }
 
-// program builds or finds what a variant runs. Variants of the same source share it.
-func (o Options) program(ctx context.Context, dir string, v experiment.Variant, have map[string]program, all []experiment.Variant) (program, error) {
+// prepareProgram builds or finds the program that a variant runs. Variants of the same source share it.
+func (o Options) prepareProgram(ctx context.Context, dir string, v experiment.Variant, built map[string]program, all []experiment.Variant) (program, error) {
 	switch {
 	case v.Program == "naive":
-		from := "naive sidecar"
+		source := "naive sidecar"
 		if v.Breaks != "" {
-			from += " that breaks " + v.Breaks
+			source += " that breaks " + v.Breaks
 		}
-		return program{command: append(append([]string{}, o.Self...), "--break="+v.Breaks), from: from}, nil
+		return program{command: append(append([]string{}, o.Self...), "--break="+v.Breaks), source: source}, nil
 	case v.Program != "":
 		path, err := filepath.Abs(v.Program)
 		if err != nil {
@@ -151,14 +150,14 @@
 		if _, err := os.Stat(path); err != nil {
 			return program{}, fmt.Errorf("program: %w", err)
 		}
-		return program{command: []string{path}, from: filepath.Base(path)}, nil
+		return program{command: []string{path}, source: filepath.Base(path)}, nil
 	}
 	for _, other := range all {
 		if other.Name == v.Name {
 			break
 		}
 		if other.Program == "" && other.Revision == v.Revision && other.Patch == v.Patch && other.Tags == v.Tags {
-			return have[other.Name], nil
+			return built[other.Name], nil
 		}
 	}
 	root, err := build.Root(".")
@@ -168,9 +167,9 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return program{}, err
 	}
-	path, from, err := build.Sidecar(ctx, root, dir, build.Source{Revision: v.Revision, Patch: v.Patch, Tags: v.Tags})
+	path, source, err := build.Sidecar(ctx, root, dir, build.Source{Revision: v.Revision, Patch: v.Patch, Tags: v.Tags})
 	if err != nil {
 		return program{}, err
 	}
-	return program{command: []string{path}, from: strings.TrimSpace(from)}, nil
+	return program{command: []string{path}, source: strings.TrimSpace(source)}, nil
 }
--- a/internal/lab/liar.go
+++ b/internal/lab/liar.go
@@ -12,65 +12,65 @@
 )
 
 const (
-	liarNumber = 500 // and up: where liars take part, beyond all sidecars
-	lieEvery   = time.Second
-	lieTTL     = 5 * time.Second
-	lieCount   = 9 // attempts that never were
+	firstLiarNumber = 500 // liars are numbered from here on, beyond all sidecars
+	lieInterval     = time.Second
+	lieTTL          = 5 * time.Second
+	lieFailures     = 9 // failed attempts that a liar reports and never made
 )
 
-// lie lets a member beside a sidecar, of its site and with links like its own, say over and over that upstreams never answer. The
-// sidecars can't tell it from one of theirs.
-func (p *play) lie(s *sidecar, ups []*upstream, duration time.Duration) (err error) {
+// broadcastLies runs a member beside a sidecar, in its zone and with links like its own, that reports again and again
+// that upstreams never answer. The sidecars cannot distinguish it from one of theirs.
+func (p *play) broadcastLies(s *sidecar, upstreams []*upstream, duration time.Duration) (err error) {
 	if p.mesh == nil {
-		return nil // nobody hears it
+		return nil // sidecars share nothing
 	}
-	name, number := s.name+"-liar", liarNumber+s.number
+	name, number := s.name+"-liar", firstLiarNumber+s.number
 	if err := p.addLiar(s, name, number); err != nil {
 		return err
 	}
-	c, err := gossip.Join(gossip.Config{Member: message.Member{Name: name, Site: s.zone, Version: "liar", Schema: message.Schema,
+	member, err := gossip.Join(gossip.Config{Member: message.Member{Name: name, Site: s.zone, Version: "liar", Schema: message.Schema,
 		Incarnation: message.Incarnation{StartedMs: time.Now().UnixMilli(), ID: rand.Uint64()}},
-		Address: p.block.sidecar(number, peerPort), Advertise: p.block.sidecar(number, peerLinkPort), Seeds: p.seeds()})
+		Address: p.addrs.sidecar(number, peerPort), Advertise: p.addrs.sidecar(number, peerLinkPort), Seeds: p.seeds()})
 	if err != nil {
 		return fmt.Errorf("liar beside %s: %w", s.name, err)
 	}
-	defer func() { err = errors.Join(err, c.Leave()) }()
-	for until := p.rec.Now() + duration; p.rec.Now() < until; {
-		for _, u := range ups {
+	defer func() { err = errors.Join(err, member.Leave()) }()
+	for end := p.rec.Now() + duration; p.rec.Now() < end; {
+		for _, u := range upstreams {
 			p.mu.Lock()
 			since := u.entry.SinceMs
 			p.mu.Unlock()
-			r := message.Report{Upstream: u.Name, StartedMs: since, State: message.Open, Evidence: message.Silence, Count: lieCount}
-			if err := c.Broadcast(message.Breaker, u.Name, r, lieTTL, false); err != nil {
+			report := message.Report{Upstream: u.Name, StartedMs: since, State: message.Open, Evidence: message.Silence, Count: lieFailures}
+			if err := member.Broadcast(message.Breaker, u.Name, report, lieTTL, false); err != nil {
 				return fmt.Errorf("liar beside %s: %w", s.name, err)
 			}
 		}
-		if !p.sleep(lieEvery) {
+		if !p.sleep(lieInterval) {
 			break
 		}
 	}
 	return nil
 }
 
-// addLiar puts a liar into the mesh.
+// addLiar adds a liar to the mesh, with links like those of the sidecar s.
 func (p *play) addLiar(s *sidecar, name string, number int) error {
-	if err := p.mesh.Add(name, p.block.sidecar(number, peerLinkPort), p.block.sidecar(number, peerPort), p.seed+uint64(number)); err != nil {
+	if err := p.mesh.Add(name, p.addrs.sidecar(number, peerLinkPort), p.addrs.sidecar(number, peerPort), p.seed+uint64(number)); err != nil {
 		return err
 	}
-	for _, o := range p.sidecars {
-		base := p.peerLink(s.zone, o.zone)
-		if err := errors.Join(p.mesh.Set(name, o.name, base), p.mesh.Set(o.name, name, base)); err != nil {
+	for _, other := range p.sidecars {
+		base := p.peerLinkState(s.zone, other.zone)
+		if err := errors.Join(p.mesh.Set(name, other.name, base), p.mesh.Set(other.name, name, base)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// peerLink is what an undisturbed link between sidecars of two zones does.
-func (p *play) peerLink(from, to string) relay.State {
-	base := relay.State{Delay: p.e.Net.Same.Duration, Jitter: p.e.Net.Jitter.Duration}
+// peerLinkState returns the state of an undisturbed link between sidecars of two zones.
+func (p *play) peerLinkState(from, to string) relay.State {
+	base := relay.State{Delay: p.experiment.Net.Same.Duration, Jitter: p.experiment.Net.Jitter.Duration}
 	if from != to {
-		base.Delay = p.e.Net.Cross.Duration
+		base.Delay = p.experiment.Net.Cross.Duration
 	}
 	return base
 }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -1,5 +1,5 @@
-// Package lab plays experiments: it owns the parties of one play, their timeline and their end. What the parties are
-// made of has packages of its own below this one.
+// Package lab plays experiments. It owns the parties of one play, its timeline and its end; packages below this one
+// implement the parties.
 package lab
 
 import (
@@ -20,112 +20,112 @@
 )
 
 const (
-	sampleEvery  = 200 * time.Millisecond
-	loadBegins   = 100 * time.Millisecond // after all are ready
-	mostClients  = 10_000                 // connections of clients in all
-	roomForOwn   = 256                    // descriptors beside the parties'
-	sockPerRelay = 3                      // descriptors of one connection over a link: in, out, and the upstream's
+	sampleEvery        = 200 * time.Millisecond
+	loadDelay          = 100 * time.Millisecond // from when all parties are ready
+	maxClientConns     = 10_000                 // of all sidecars together
+	ownDescriptors     = 256                    // descriptors of the laboratory itself
+	descriptorsPerLink = 3                      // for one connection over a link: in, out, and the upstream's
 )
 
-// Outcome is a play that has ended.
+// Outcome is the result of a play that has ended.
 type Outcome struct {
 	Record     *record.Record
 	Begin      time.Duration // of the load, in the record's time
 	Plan       load.Plan
-	Lags       []time.Duration
+	Lags       []time.Duration // how late each arrival's first try began
 	PlanHash   string
 	FaultsHash string
-	Littles    [2]float64 // both sides of Little's law, over all upstreams
-	Notes      []string   // what went wrong beside the sidecars: a fault that could not be done, say
+	Littles    [2]float64 // both sides of Little's law, summed over all upstreams
+	Notes      []string   // errors of the laboratory itself, for example a fault that could not be carried out
 }
 
-// play is one play under way.
+// play is a play in progress.
 type play struct {
-	ctx      context.Context
-	e        *experiment.Experiment
-	v        experiment.Variant
-	seed     uint64
-	dir      string
-	programs Programs
-	rec      *record.Record
-	block    *addresses
-	log      *slog.Logger
+	ctx        context.Context
+	experiment *experiment.Experiment
+	variant    experiment.Variant
+	seed       uint64
+	dir        string
+	programs   Programs
+	rec        *record.Record
+	addrs      *addresses
+	log        *slog.Logger
 
 	discovery *fake.Discovery
-	service   *service    // nil: sidecars ask the stand-in
-	mesh      *relay.Mesh // between sidecars; nil: they share nothing
-	forwards  *relay.Mesh // for what they forward; nil: they forward nothing
+	service   *service    // nil if the sidecars use the stand-in for discovery
+	mesh      *relay.Mesh // links between sidecars; nil if they share nothing
+	forwards  *relay.Mesh // links for forwarded requests; nil if sidecars forward nothing
 	clients   *load.Clients
-	spec      load.Spec  // of their traffic
-	mu        sync.Mutex // guards what follows, and each sidecar's links
+	spec      load.Spec  // of the clients' traffic
+	mu        sync.Mutex // guards upstreams, sidecars, each sidecar's links and each upstream's entry
 	upstreams []*upstream
 	sidecars  []*sidecar
 	notes     []string
 
-	numbers sync.RWMutex // apart from mu: agents ask while it is held
-	number  map[string]int
+	numbersMu       sync.RWMutex // guards upstreamNumbers and notes; apart from mu, as agents look up numbers while mu is held
+	upstreamNumbers map[string]int
 
 	tasks sync.WaitGroup
 }
 
-// Programs are what the parties run: a path, and the words that come first.
+// Programs are the commands of the parties: a path and the first arguments.
 type Programs struct {
 	Sidecar []string
-	Replica []string // of the list service; the path of its configuration follows
-	First   []string // of the first replica, where it differs
+	Replica []string // of the list service; the path of its configuration is appended
+	First   []string // of the first replica, if it differs from the others
 }
 
-// Play plays an experiment once. dir is an empty directory of its own. An error means that
-// the play could not be held; a sidecar that does badly is no error. When ctx ends, what was seen until then comes back
-// marked as partial.
+// Play plays an experiment once. dir is an empty directory for this play alone. An error means that the play could
+// not be carried out; a sidecar that misbehaves is no error. If ctx ends early, Play returns what was recorded until
+// then, marked as partial.
 func Play(ctx context.Context, e *experiment.Experiment, v experiment.Variant, seed uint64, dir string, programs Programs, log *slog.Logger) (out *Outcome, err error) {
-	if err := room(e); err != nil {
+	if err := ensureDescriptors(e); err != nil {
 		return nil, err
 	}
-	block, err := claimAddresses()
+	addrs, err := claimAddresses()
 	if err != nil {
 		return nil, err
 	}
-	defer block.release()
+	defer addrs.release()
 	running, stop := context.WithCancel(ctx)
-	p := &play{ctx: running, e: e, v: v, seed: seed, dir: dir, programs: programs, rec: record.New(), block: block, log: log,
-		number: map[string]int{}}
+	p := &play{ctx: running, experiment: e, variant: v, seed: seed, dir: dir, programs: programs, rec: record.New(), addrs: addrs, log: log,
+		upstreamNumbers: map[string]int{}}
 	p.discovery = fake.NewDiscovery(p.rec)
 	if v.Share {
 		p.mesh = relay.NewMesh()
 	}
 	if v.Forward {
-		p.forwards = p.newForwards()
+		p.forwards = p.newForwardMesh()
 	}
-	defer func() { // whatever happened: nothing of the play is left
+	defer func() { // ends everything that the play started, also after an error
 		stop()
 		p.close()
 	}()
-	if err := p.build(); err != nil {
+	if err := p.startParties(); err != nil {
 		return nil, err
 	}
 	out = &Outcome{Record: p.rec, Plan: load.Draw(loadSpec(e, p.capacity()), len(p.sidecars), seed)}
 	out.PlanHash = out.Plan.Hash()
 	timeline := p.timeline()
 	out.FaultsHash = hashOf(timeline)
-	out.Begin = p.rec.Now() + loadBegins
-	var names, at []string
+	out.Begin = p.rec.Now() + loadDelay
+	var names, addresses []string
 	for _, s := range p.sidecars {
-		names, at = append(names, s.name), append(at, block.sidecar(s.number, sidecarPort))
+		names, addresses = append(names, s.name), append(addresses, addrs.sidecar(s.number, sidecarPort))
 	}
-	clients := load.NewClients(p.rec, names, at, e.Load.Connections)
-	p.clients, p.spec = clients, out.Plan.Spec // before any fault
-	p.background(p.watch)
-	faults := p.follow(timeline, out.Begin)
-	judge := p.callService()
+	clients := load.NewClients(p.rec, names, addresses, e.Load.Connections)
+	p.clients, p.spec = clients, out.Plan.Spec // set before any fault begins
+	p.background(p.sampleParties)
+	faults := p.runTimeline(timeline, out.Begin)
+	finishHistory := p.startHistory()
 	clients.Run(ctx, out.Plan, out.Begin)
-	judge(ctx)
-	stop() // faults that are still on end now
+	finishHistory(ctx)
+	stop() // ends the faults that are still in force
 	faults.Wait()
 	p.rec.Partial = ctx.Err() != nil
 	p.endSidecars()
 	p.rec.Length = p.rec.Now()
-	p.hearLogs()
+	p.readLogs()
 	for _, u := range p.upstreams {
 		area, sojourns := u.Little()
 		out.Littles[0] += area
@@ -137,36 +137,36 @@
 	return out, nil
 }
 
-// room tells whether this process may hold as many descriptors as the play can need.
-func room(e *experiment.Experiment) error {
+// ensureDescriptors makes sure that this process may hold as many descriptors as the play can need.
+func ensureDescriptors(e *experiment.Experiment) error {
 	f := e.Fleet
-	if n := f.Sidecars * e.Load.Connections; n > mostClients {
-		return fmt.Errorf("%d sidecars with %d connections of clients each: the laboratory opens %d at most", f.Sidecars, e.Load.Connections, mostClients)
+	if n := f.Sidecars * e.Load.Connections; n > maxClientConns {
+		return fmt.Errorf("%d sidecars with %d connections of clients each: the laboratory opens %d at most", f.Sidecars, e.Load.Connections, maxClientConns)
 	}
-	upstreams := f.Upstreams * 2 // as many again may come in their place
-	need := uint64(f.Sidecars*upstreams + f.Sidecars*e.Load.Connections + sockPerRelay*f.Sidecars*f.Sockets/2 + roomForOwn)
-	var lim syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
+	upstreams := f.Upstreams * 2 // each may be replaced by another one
+	need := uint64(f.Sidecars*upstreams + f.Sidecars*e.Load.Connections + descriptorsPerLink*f.Sidecars*f.Sockets/2 + ownDescriptors)
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("reading the limit on descriptors: %w", err)
 	}
-	if lim.Cur >= need {
+	if limit.Cur >= need {
 		return nil
 	}
-	raised := syscall.Rlimit{Cur: need, Max: max(lim.Max, need)}
+	raised := syscall.Rlimit{Cur: need, Max: max(limit.Max, need)}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &raised); err != nil {
-		return fmt.Errorf("the play may need %d descriptors and %d are allowed: take fewer sidecars, upstreams or connections, or raise the limit (ulimit -n)", need, lim.Max)
+		return fmt.Errorf("the play may need %d descriptors and %d are allowed: take fewer sidecars, upstreams or connections, or raise the limit (ulimit -n)", need, limit.Max)
 	}
 	return nil
 }
 
-// build brings up all parties, and returns once all sidecars are ready.
-func (p *play) build() error {
-	if p.v.Registry > 0 {
+// startParties starts all parties, and returns once all sidecars are ready.
+func (p *play) startParties() error {
+	if p.variant.Registry > 0 {
 		if err := p.addService(); err != nil {
 			return err
 		}
 	}
-	specs, entries := drawUpstreams(p.e, p.e.Fleet.Upstreams, p.seed)
+	specs, entries := drawUpstreams(p.experiment, p.experiment.Fleet.Upstreams, p.seed)
 	for i := range specs {
 		if err := specs[i].Check(); err != nil {
 			return fmt.Errorf("upstream kind %s: %w", entries[i].Type, err)
@@ -175,7 +175,7 @@
 		if err != nil {
 			return err
 		}
-		if err := p.start(u, false); err != nil {
+		if err := p.startUpstream(u, false); err != nil {
 			return err
 		}
 		p.discovery.Change(u.entry)
@@ -188,14 +188,14 @@
 			return err
 		}
 	}
-	for i := range p.e.Fleet.Sidecars {
+	for i := range p.experiment.Fleet.Sidecars {
 		if err := p.addSidecar(i); err != nil {
 			return err
 		}
 	}
 	errs := make(chan error, len(p.sidecars))
 	for _, s := range p.sidecars {
-		go func() { errs <- p.run(s) }()
+		go func() { errs <- p.startSidecar(s) }()
 	}
 	var first error
 	for range p.sidecars {
@@ -206,13 +206,13 @@
 	return first
 }
 
-func (p *play) setNumber(upstream string, n int) {
-	p.numbers.Lock()
-	p.number[upstream] = n
-	p.numbers.Unlock()
+func (p *play) setUpstreamNumber(upstream string, n int) {
+	p.numbersMu.Lock()
+	p.upstreamNumbers[upstream] = n
+	p.numbersMu.Unlock()
 }
 
-// capacity is the work that all upstreams do in a second, warm and undisturbed.
+// capacity returns the work that all upstreams do in a second, warm and undisturbed.
 func (p *play) capacity() (sum float64) {
 	for _, u := range p.upstreams {
 		sum += u.Spec.Capacity()
@@ -220,13 +220,13 @@
 	return sum
 }
 
-// loadSpec turns an experiment's load into what is drawn from.
+// loadSpec converts an experiment's load to the spec that arrivals are drawn from.
 func loadSpec(e *experiment.Experiment, capacity float64) load.Spec {
 	l := e.Load
 	s := load.Spec{Length: e.Length.Duration, Rate: l.Rate, Bursty: l.Shape == "bursty", Swing: l.Swing, StreamCV: l.StreamCV,
 		Keys: l.Keys, KeyZipf: l.KeyZipf, TryShare: l.TryShare, Retries: l.Retries, Backoff: l.Backoff.Duration, Impatient: l.Impatient}
 	for _, step := range l.Steps {
-		s.Steps = append(s.Steps, load.Step{At: step.At.Duration, For: step.For.Duration, Times: step.Times, Of: inZone(e, step.Zone)})
+		s.Steps = append(s.Steps, load.Step{At: step.At.Duration, For: step.For.Duration, Times: step.Times, Of: sidecarsInZone(e, step.Zone)})
 	}
 	work, shares := 0.0, 0.0
 	for _, c := range e.Classes {
@@ -244,14 +244,14 @@
 	return s
 }
 
-// watch samples all parties until the play ends.
-func (p *play) watch() {
+// sampleParties samples all parties until the play ends.
+func (p *play) sampleParties() {
 	for p.sleep(sampleEvery) {
 		p.mu.Lock()
 		sidecars, upstreams := p.sidecars, p.upstreams
 		p.mu.Unlock()
 		for _, s := range sidecars {
-			if s.mu.TryLock() { // else it is being started or ended
+			if s.mu.TryLock() { // otherwise the sidecar is being started or ended
 				p.sample(s)
 				s.mu.Unlock()
 			}
@@ -265,27 +265,27 @@
 	}
 }
 
-// endSidecars ends all sidecars as a planned end does, side by side.
+// endSidecars ends all sidecars concurrently: by SIGTERM, or by SIGKILL in a partial play.
 func (p *play) endSidecars() {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, s := range p.sidecars {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			s.mu.Lock()
 			s.stopping = true
 			s.mu.Unlock()
 			if p.rec.Partial {
 				p.kill(s)
 			} else {
-				p.term(s, 0)
+				p.terminate(s, 0)
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// close ends everything that is left, and waits for it. It may be called again.
+// close ends everything that still runs, and waits for it. It may be called again.
 func (p *play) close() {
 	for _, s := range p.sidecars {
 		s.mu.Lock()
@@ -323,25 +323,25 @@
 	go func() { defer p.tasks.Done(); f() }()
 }
 
-// sleep waits; false when the play ends before.
+// sleep waits for d, and reports false if the play ends first.
 func (p *play) sleep(d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-p.ctx.Done():
 		return false
 	}
 }
 
-// note keeps what went wrong beside the sidecars.
+// note records an error of the laboratory itself.
 func (p *play) note(err error) {
 	if err == nil || errors.Is(err, os.ErrProcessDone) {
 		return
 	}
-	p.log.Warn("play", "err", err)
-	p.numbers.Lock()
+	p.log.Warn("play disturbed", "err", err)
+	p.numbersMu.Lock()
 	p.notes = append(p.notes, err.Error())
-	p.numbers.Unlock()
+	p.numbersMu.Unlock()
 }
