--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	theFleet    = "../../../experiments/capacity.toml"
-	theMeasures = "../../../docs/capacity"
-	thePage     = "../../../docs/CAPACITY.md"
-	theResults  = "../../../docs/RESULTS.md"
+	fleetPath   = "../../../experiments/capacity.toml"
+	measuresDir = "../../../docs/capacity"
+	pagePath    = "../../../docs/CAPACITY.md"
+	resultsPath = "../../../docs/RESULTS.md"
 )
 
-func table(t *testing.T) *Table {
+func buildTable(t *testing.T) *Table {
 	t.Helper()
-	f, err := LoadFleet(theFleet)
+	f, err := LoadFleet(fleetPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := ReadMeasures(theMeasures)
+	m, err := ReadMeasures(measuresDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,9 +37,9 @@
 
 // TestThePageIsWhatIsWorkedOut holds the page to its fleet and its measures, and sees a number that was changed by hand.
 func TestThePageIsWhatIsWorkedOut(t *testing.T) {
-	x := table(t)
+	x := buildTable(t)
 	var pages [2]string
-	for i, path := range []string{thePage, theResults} {
+	for i, path := range []string{pagePath, resultsPath} {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -60,12 +60,12 @@
 	if own < 7 {
 		t.Errorf("%d sections on the page", own)
 	}
-	holds(t, x, "docs/CAPACITY.md", pages[0])
-	holds(t, x, "docs/RESULTS.md", pages[1])
+	checkPage(t, x, "docs/CAPACITY.md", pages[0])
+	checkPage(t, x, "docs/RESULTS.md", pages[1])
 }
 
-// holds has a page be what is worked out, and sees each of its parts changed.
-func holds(t *testing.T, x *Table, name, page string) {
+// checkPage has a page be what is worked out, and sees each of its parts changed.
+func checkPage(t *testing.T, x *Table, name, page string) {
 	t.Helper()
 	want, err := x.Renew(page)
 	if err != nil {
@@ -109,7 +109,7 @@
 
 // TestFleetsAreReadStrictly has each mistake named with its line or key.
 func TestFleetsAreReadStrictly(t *testing.T) {
-	text, err := os.ReadFile(theFleet)
+	text, err := os.ReadFile(fleetPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 
 // TestTheLoadFollowsTheFleet changes a figure and looks at what depends on it.
 func TestTheLoadFollowsTheFleet(t *testing.T) {
-	f, err := LoadFleet(theFleet)
+	f, err := LoadFleet(fleetPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,8 +168,8 @@
 	}
 }
 
-// made is a measure on a line, with noise.
-func made(name string, constant, slope, noise float64, at ...float64) *Measure {
+// syntheticMeasure is a measure on a line, with noise.
+func syntheticMeasure(name string, constant, slope, noise float64, at ...float64) *Measure {
 	rng := rand.New(rand.NewPCG(1, 2))
 	m := &Measure{Name: name, Command: "none", Revision: "none", Series: []Series{{Name: "y", Unit: "MB", Form: "x"}}}
 	for _, x := range at {
@@ -180,7 +180,7 @@
 
 // TestLinesAreFitted has intervals hold what they promise: of 400 made lines about 380 slopes and as many next plays.
 func TestLinesAreFitted(t *testing.T) {
-	m := made("exact", 3, 2, 0, 1, 2, 3, 4)
+	m := syntheticMeasure("exact", 3, 2, 0, 1, 2, 3, 4)
 	_, l, err := m.Line("y")
 	if err != nil {
 		t.Fatal(err)
@@ -192,7 +192,7 @@
 	slopes, plays := 0, 0
 	const lines = 400
 	for range lines {
-		m := made("noisy", 0, 0, 0, 1, 2, 4, 8, 16)
+		m := syntheticMeasure("noisy", 0, 0, 0, 1, 2, 4, 8, 16)
 		for i := range m.Samples {
 			m.Samples[i].Got["y"] = 5 + 0.5*m.Samples[i].Sizes["x"] + rng.NormFloat64()
 		}
@@ -212,16 +212,16 @@
 			t.Errorf("%d of %d %s lie in their intervals", held, lines, what)
 		}
 	}
-	if _, _, err := made("few", 1, 1, 0, 1, 2, 3, 3).Line("y"); err == nil || !strings.Contains(err.Error(), "3 sizes") {
+	if _, _, err := syntheticMeasure("few", 1, 1, 0, 1, 2, 3, 3).Line("y"); err == nil || !strings.Contains(err.Error(), "3 sizes") {
 		t.Errorf("a slope from three sizes: %v", err)
 	}
 	for form, want := range map[string]float64{"x": 8, "x*z": 24, "log2(x)": 3, "pushpull(x)": 8, "pushpull(many)": 256.0 / 4} {
-		if got, err := formAt(form, map[string]float64{"x": 8, "z": 3, "many": 256}); err != nil || got != want {
+		if got, err := formValue(form, map[string]float64{"x": 8, "z": 3, "many": 256}); err != nil || got != want {
 			t.Errorf("%s: %v, %v", form, got, err)
 		}
 	}
 	for _, form := range []string{"w", "x*w", "log2(w)", "log2(zero)"} {
-		if _, err := formAt(form, map[string]float64{"x": 8, "zero": 0}); err == nil {
+		if _, err := formValue(form, map[string]float64{"x": 8, "zero": 0}); err == nil {
 			t.Errorf("%s is taken", form)
 		}
 	}
@@ -230,7 +230,7 @@
 // TestMeasuresAreKept writes one, reads it again, and has files that can't be right refused.
 func TestMeasuresAreKept(t *testing.T) {
 	dir := t.TempDir()
-	m := made("one", 3, 2, 0.1, 1, 2, 3, 4)
+	m := syntheticMeasure("one", 3, 2, 0.1, 1, 2, 3, 4)
 	if err := m.Predict(map[string]float64{"x": 4}, "none"); err == nil {
 		t.Error("a size that was played is predicted")
 	}
@@ -245,7 +245,7 @@
 	if err != nil || len(all) != 1 {
 		t.Fatalf("%v, %v", all, err)
 	}
-	checked, err := all["one"].checked()
+	checked, err := all["one"].compareChecks()
 	if err != nil || len(checked) != 1 || !checked[0].Played || checked[0].Came != 19 || !checked[0].Says.Holds(checked[0].Says.Value) {
 		t.Errorf("%+v, %v", checked, err)
 	}
@@ -280,9 +280,9 @@
 
 // TestWhatIsMissingComesFirst has rows without a carrier before those over their budget, and rows that were not measured say so.
 func TestWhatIsMissingComesFirst(t *testing.T) {
-	over := exactly(4)
-	far := exactly(8)
-	under := exactly(1)
+	over := exactInterval(4)
+	far := exactInterval(8)
+	under := exactInterval(1)
 	rows := []Row{
 		{What: "over", Figure: &over, Budget: 2, Carried: true, PerYear: 365},
 		{What: "under", Figure: &under, Budget: 2, Carried: true, PerYear: 365},
@@ -292,13 +292,13 @@
 		{What: "not measured", Budget: 2, Carried: true, PerYear: 365},
 	}
 	var got []string
-	for _, c := range missing(rows, 10) {
+	for _, c := range claimsOf(rows, 10) {
 		got = append(got, c.Row.What)
 	}
 	if want := "often, seldom, far over, over"; strings.Join(got, ", ") != want {
 		t.Errorf("%s, want %s", strings.Join(got, ", "), want)
 	}
-	f, err := LoadFleet(theFleet)
+	f, err := LoadFleet(fleetPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -322,7 +322,7 @@
 
 func TestNumbers(t *testing.T) {
 	for x, want := range map[float64]string{0: "0", 1800: "1,800", 170000: "170,000", 94.44: "94.4", 0.31: "0.31", 6.818: "6.82", 1234567.8: "1,234,568", -1234: "-1,234", 3.1e10: "3.10e+10", 0.0000123: "1.2e-05", 12: "12"} {
-		if got := number(x); got != want {
+		if got := formatNumber(x); got != want {
 			t.Errorf("%v is %s, want %s", x, got, want)
 		}
 	}
@@ -370,13 +370,13 @@
 
 // TestARefutedPredictionIsSaid has a figure that rests on it say so.
 func TestARefutedPredictionIsSaid(t *testing.T) {
-	m := made("one", 3, 2, 0.1, 1, 2, 3, 4)
+	m := syntheticMeasure("one", 3, 2, 0.1, 1, 2, 3, 4)
 	if err := m.Predict(map[string]float64{"x": 8}, "none"); err != nil {
 		t.Fatal(err)
 	}
 	for came, want := range map[float64]float64{19: 0, 20: 0, 190: 10, 9.5: 0.5} {
 		m.Checks = []Sample{{Sizes: map[string]float64{"x": 8}, Got: map[string]float64{"y": came}}}
-		if got := m.refuted("y"); math.Abs(got-want) > 0.02*want {
+		if got := m.refutedRatio("y"); math.Abs(got-want) > 0.02*want {
 			t.Errorf("%v came: %v, want %v", came, got, want)
 		}
 	}
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -18,8 +18,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// sizesLeast is from how many different sizes a slope may be worked out.
-const sizesLeast = 4
+// minSizes is from how many different sizes a slope may be worked out.
+const minSizes = 4
 
 // Measure is what a play at several sizes gave, as a file beside the page holds it.
 type Measure struct {
@@ -80,7 +80,7 @@
 	return Interval{i.Value + j.Value, i.Low + j.Low, i.High + j.High}
 }
 
-func exactly(x float64) Interval { return Interval{x, x, x} }
+func exactInterval(x float64) Interval { return Interval{x, x, x} }
 
 // Line is the straight line of a series by least squares.
 type Line struct {
@@ -106,7 +106,7 @@
 	var xs, ys []float64
 	different := map[float64]bool{}
 	for i, sample := range m.Samples {
-		x, err := formAt(s.Form, sample.Sizes)
+		x, err := formValue(s.Form, sample.Sizes)
 		if err != nil {
 			return l, fmt.Errorf("sample %d: %w", i, err)
 		}
@@ -117,8 +117,8 @@
 		xs, ys = append(xs, x), append(ys, y)
 		different[x] = true
 	}
-	if l.Sizes = len(different); l.Sizes < sizesLeast {
-		return l, fmt.Errorf("%d sizes, and a slope needs %d", l.Sizes, sizesLeast)
+	if l.Sizes = len(different); l.Sizes < minSizes {
+		return l, fmt.Errorf("%d sizes, and a slope needs %d", l.Sizes, minSizes)
 	}
 	l.Constant, l.Slope.Value = stat.LinearRegression(xs, ys, nil, false)
 	l.n, l.mean = float64(len(xs)), stat.Mean(xs, nil)
@@ -135,17 +135,17 @@
 	return l, nil
 }
 
-// formAt is a form's value at some sizes.
-func formAt(form string, sizes map[string]float64) (float64, error) {
+// formValue is a form's value at some sizes.
+func formValue(form string, sizes map[string]float64) (float64, error) {
 	if inner, ok := strings.CutPrefix(form, "log2("); ok {
-		x, err := formAt(strings.TrimSuffix(inner, ")"), sizes)
+		x, err := formValue(strings.TrimSuffix(inner, ")"), sizes)
 		if err == nil && !(x > 0) {
 			return 0, fmt.Errorf("%s of %v", form, x)
 		}
 		return math.Log2(x), err
 	}
 	if inner, ok := strings.CutPrefix(form, "pushpull("); ok {
-		x, err := formAt(strings.TrimSuffix(inner, ")"), sizes)
+		x, err := formValue(strings.TrimSuffix(inner, ")"), sizes)
 		return x / (1 + max(0, math.Ceil(math.Log2(max(x, 1))-5))), err
 	}
 	x := 1.0
@@ -183,7 +183,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %s: %w", m.Name, s.Name, err)
 		}
-		x, err := formAt(s.Form, sizes)
+		x, err := formValue(s.Form, sizes)
 		if err != nil {
 			return fmt.Errorf("%s: %s: %w", m.Name, s.Name, err)
 		}
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -18,11 +18,11 @@
 	{"plays", writePlays}, // of another page
 }
 
-func beginMark(name string) string { return beginAny + " " + name + " -->" }
+func beginMark(name string) string { return beginPrefix + " " + name + " -->" }
 
 const (
-	beginAny = "<!-- worked out:"
-	endMark  = "<!-- end of what is worked out -->"
+	beginPrefix = "<!-- worked out:"
+	endMark     = "<!-- end of what is worked out -->"
 )
 
 // Section is one part of the page, by its name.
@@ -39,7 +39,7 @@
 
 // Renew gives the page with the sections that it has worked out anew; what stands between them stays.
 func (t *Table) Renew(page string) (string, error) {
-	if !strings.Contains(page, beginAny) {
+	if !strings.Contains(page, beginPrefix) {
 		return "", fmt.Errorf("the page has no line %q, or another section's", beginMark(sections[0].name))
 	}
 	for _, s := range sections {
@@ -53,7 +53,7 @@
 		}
 		before, rest, _ := strings.Cut(page, mark)
 		old, after, ok := strings.Cut(rest, endMark)
-		if !ok || strings.Contains(old, beginAny) {
+		if !ok || strings.Contains(old, beginPrefix) {
 			return "", errors.New("the page has no " + endMark + " after " + beginMark(s.name))
 		}
 		text, err := t.Section(s.name)
@@ -68,14 +68,14 @@
 func writeFleet(w *bytes.Buffer, t *Table) {
 	fmt.Fprint(w, "| figure | value | from |\n| --- | --- | --- |\n")
 	for _, x := range t.Fleet.Figures() {
-		fmt.Fprintf(w, "| `%s` | %s | %s |\n", x.Name, number(x.Value), x.From)
+		fmt.Fprintf(w, "| `%s` | %s | %s |\n", x.Name, formatNumber(x.Value), x.From)
 	}
 }
 
 func writeLoad(w *bytes.Buffer, t *Table) {
 	fmt.Fprint(w, "| what | value | | how |\n| --- | --- | --- | --- |\n")
 	for _, q := range t.Load {
-		fmt.Fprintf(w, "| `%s`: %s | %s | %s | %s |\n", q.Name, q.What, number(q.Value), q.Unit, strings.ReplaceAll(q.How, "_", "\\_"))
+		fmt.Fprintf(w, "| `%s`: %s | %s | %s | %s |\n", q.Name, q.What, formatNumber(q.Value), q.Unit, strings.ReplaceAll(q.How, "_", "\\_"))
 	}
 }
 
@@ -91,16 +91,16 @@
 				fmt.Fprintln(w)
 			}
 			role = r.Role
-			fmt.Fprintf(w, "**%s**\n\n| what | day | at this size | budget | budget over figure | measured | mechanism |\n| --- | --- | --- | --- | --- | --- | --- |\n", upper(role))
+			fmt.Fprintf(w, "**%s**\n\n| what | day | at this size | budget | budget over figure | measured | mechanism |\n| --- | --- | --- | --- | --- | --- | --- |\n", capitalized(role))
 		}
 		var slopes []string
 		for _, s := range r.Slopes {
 			text := fmt.Sprintf("`%s.%s`", s.Measure, s.Series)
 			if s.Beyond > 1.005 {
-				text += fmt.Sprintf(", %s times beyond what was played", number(s.Beyond))
+				text += fmt.Sprintf(", %s times beyond what was played", formatNumber(s.Beyond))
 			}
 			if s.Refuted > 0 {
-				text += fmt.Sprintf(", **its prediction was refuted: what came is %s times it**", number(s.Refuted))
+				text += fmt.Sprintf(", **its prediction was refuted: what came is %s times it**", formatNumber(s.Refuted))
 			}
 			slopes = append(slopes, text)
 		}
@@ -113,41 +113,41 @@
 		}
 		budget := r.BudgetFrom
 		if r.Budget > 0 {
-			budget = fmt.Sprintf("%s (%s)", number(r.Budget), r.BudgetFrom)
+			budget = fmt.Sprintf("%s (%s)", formatNumber(r.Budget), r.BudgetFrom)
 		}
 		what := r.What
 		if r.Note != "" {
 			what += " (" + r.Note + ")"
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s |\n", what, r.Day, r.figure(), budget, r.left(), measured, r.mechanism())
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s |\n", what, r.Day, r.figureText(), budget, r.leftText(), measured, r.mechanismText())
 	}
 }
 
-func (r Row) figure() string {
+func (r Row) figureText() string {
 	switch {
 	case r.Figure == nil:
 		return "not measured"
 	case r.Figure.Low == r.Figure.High:
-		return number(r.Figure.Value) + " " + r.Unit
+		return formatNumber(r.Figure.Value) + " " + r.Unit
 	}
-	text := fmt.Sprintf("%s (%s to %s) %s", number(r.Figure.Value), number(r.Figure.Low), number(r.Figure.High), r.Unit)
+	text := fmt.Sprintf("%s (%s to %s) %s", formatNumber(r.Figure.Value), formatNumber(r.Figure.Low), formatNumber(r.Figure.High), r.Unit)
 	if n, unit := r.exchanges(); n > 0 {
-		text += fmt.Sprintf("; %s bare exchanges %s", number(n), unit)
+		text += fmt.Sprintf("; %s bare exchanges %s", formatNumber(n), unit)
 	}
 	return text
 }
 
-func (r Row) left() string {
+func (r Row) leftText() string {
 	switch {
 	case r.Left() == 0:
 		return "-"
 	case r.Over():
-		return "**" + number(r.Left()) + "**"
+		return "**" + formatNumber(r.Left()) + "**"
 	}
-	return number(r.Left())
+	return formatNumber(r.Left())
 }
 
-func (r Row) mechanism() string {
+func (r Row) mechanismText() string {
 	if !r.Carried {
 		return "**" + None + "**" + strings.TrimPrefix(r.Mechanism, None)
 	}
@@ -159,9 +159,9 @@
 	for _, c := range t.Missing {
 		over := "-"
 		if c.Over > 0 {
-			over = number(c.Over)
+			over = formatNumber(c.Over)
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", c.Row.Role, c.Row.What, c.Row.Day, c.Why, number(c.PerYear), number(c.Touches), number(c.PerYear*c.Touches), over)
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s | %s |\n", c.Row.Role, c.Row.What, c.Row.Day, c.Why, formatNumber(c.PerYear), formatNumber(c.Touches), formatNumber(c.PerYear*c.Touches), over)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	fmt.Fprint(w, "| measure | straight in | slope, 95% | unit | command | revision |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range t.Measures {
-		fmt.Fprintf(w, "| `%s.%s` | %s | %s (%s to %s) | %s | `%s` | %s |\n", c.Measure, c.Series, strings.ReplaceAll(c.Form, "*", " x "), number(c.Slope.Value), number(c.Slope.Low), number(c.Slope.High), c.Unit, c.Command, c.Revision)
+		fmt.Fprintf(w, "| `%s.%s` | %s | %s (%s to %s) | %s | `%s` | %s |\n", c.Measure, c.Series, strings.ReplaceAll(c.Form, "*", " x "), formatNumber(c.Slope.Value), formatNumber(c.Slope.Low), formatNumber(c.Slope.High), c.Unit, c.Command, c.Revision)
 	}
 }
 
@@ -185,22 +185,22 @@
 	for _, c := range t.Measures {
 		came, over, within := "not played", "-", "-"
 		if c.Played {
-			came, within = number(c.Came), "no"
+			came, within = formatNumber(c.Came), "no"
 			if c.Says.Holds(c.Came) {
 				within = "yes"
 			}
 			if c.Says.Value > 0 {
-				over = number(c.Came / c.Says.Value)
+				over = formatNumber(c.Came / c.Says.Value)
 			}
 		}
-		fmt.Fprintf(w, "| `%s.%s` | %s | %s (%s to %s) %s | %s | %s | %s |\n", c.Measure, c.Series, sizesText(c.Sizes), number(c.Says.Value), number(c.Says.Low), number(c.Says.High), c.Unit, came, over, within)
+		fmt.Fprintf(w, "| `%s.%s` | %s | %s (%s to %s) %s | %s | %s | %s |\n", c.Measure, c.Series, sizesText(c.Sizes), formatNumber(c.Says.Value), formatNumber(c.Says.Low), formatNumber(c.Says.High), c.Unit, came, over, within)
 	}
 }
 
 // writePlays is each measure's samples: its series at each size, in the order in which they were played.
 func writePlays(w *bytes.Buffer, t *Table) {
 	for _, m := range t.measures {
-		fmt.Fprintf(w, "**%s** (`%s`, revision %s, %s): %s %s.\n\n", upper(m.Name), m.Command, m.Revision, m.Machine, m.Question, upper(m.How))
+		fmt.Fprintf(w, "**%s** (`%s`, revision %s, %s): %s %s.\n\n", capitalized(m.Name), m.Command, m.Revision, m.Machine, m.Question, capitalized(m.How))
 		head, rule := "| size |", "| --- |"
 		for _, s := range m.Series {
 			head, rule = head+fmt.Sprintf(" %s, %s |", s.Name, s.Unit), rule+" --- |"
@@ -209,7 +209,7 @@
 		line := func(what string, x Sample) {
 			fmt.Fprintf(w, "| %s%s |", sizesText(x.Sizes), what)
 			for _, s := range m.Series {
-				fmt.Fprintf(w, " %s |", number(x.Got[s.Name]))
+				fmt.Fprintf(w, " %s |", formatNumber(x.Got[s.Name]))
 			}
 			fmt.Fprintln(w)
 		}
@@ -223,25 +223,25 @@
 	}
 }
 
-func upper(s string) string { return strings.ToUpper(s[:1]) + s[1:] }
+func capitalized(s string) string { return strings.ToUpper(s[:1]) + s[1:] }
 
 func sizesText(sizes map[string]float64) string {
 	var all []string
 	for _, name := range sortedKeys(sizes) {
-		all = append(all, number(sizes[name])+" "+name)
+		all = append(all, formatNumber(sizes[name])+" "+name)
 	}
 	return strings.Join(all, ", ")
 }
 
-// number is x with three digits that count, whole ones in full.
-func number(x float64) string {
+// formatNumber is x with three digits that count, whole ones in full.
+func formatNumber(x float64) string {
 	switch a := math.Abs(x); {
 	case x == 0:
 		return "0"
 	case a >= 1e9:
 		return fmt.Sprintf("%.2e", x)
 	case a >= 100 || x == math.Trunc(x):
-		return thousands(fmt.Sprintf("%.0f", x))
+		return groupThousands(fmt.Sprintf("%.0f", x))
 	case a >= 10:
 		return fmt.Sprintf("%.1f", x)
 	case a >= 1:
@@ -252,7 +252,7 @@
 	return fmt.Sprintf("%.2g", x)
 }
 
-func thousands(digits string) string {
+func groupThousands(digits string) string {
 	sign := ""
 	if strings.HasPrefix(digits, "-") {
 		sign, digits = "-", digits[1:]
--- a/internal/lab/capacity/plays/counter.go
+++ b/internal/lab/capacity/plays/counter.go
@@ -9,16 +9,16 @@
 
 // counter passes connections on to a target and counts what goes over them: the bytes of streams, without the kernel's headers.
 type counter struct {
-	ln     net.Listener
-	target string
-	sent   atomic.Int64 // to the target
-	told   atomic.Int64 // by it
-	calls  atomic.Int64 // requests that began with what was sent at once
+	ln       net.Listener
+	target   string
+	sent     atomic.Int64 // to the target
+	received atomic.Int64 // by it
+	calls    atomic.Int64 // requests that began with what was sent at once
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	closed bool
-	all    sync.WaitGroup
+	mu      sync.Mutex
+	conns   map[net.Conn]bool
+	closed  bool
+	running sync.WaitGroup
 }
 
 func newCounter(target string) (*counter, error) { return counterAt("127.0.0.1:0", target) }
@@ -29,14 +29,14 @@
 		return nil, err
 	}
 	c := &counter{ln: ln, target: target, conns: map[net.Conn]bool{}}
-	c.all.Go(c.accept)
+	c.running.Go(c.accept)
 	return c, nil
 }
 
 func (c *counter) address() string { return c.ln.Addr().String() }
 
 // bytes are those of both ways.
-func (c *counter) bytes() int64 { return c.sent.Load() + c.told.Load() }
+func (c *counter) bytes() int64 { return c.sent.Load() + c.received.Load() }
 
 func (c *counter) accept() {
 	for {
@@ -45,19 +45,19 @@
 			return
 		}
 		far, err := net.Dial("tcp", c.target)
-		if err != nil || !c.keep(near, far) {
+		if err != nil || !c.track(near, far) {
 			_ = near.Close()
 			if err == nil {
 				_ = far.Close()
 			}
 			continue
 		}
-		c.all.Go(func() { c.pass(near, far, &c.sent, true) })
-		c.all.Go(func() { c.pass(far, near, &c.told, false) })
+		c.running.Go(func() { c.forward(near, far, &c.sent, true) })
+		c.running.Go(func() { c.forward(far, near, &c.received, false) })
 	}
 }
 
-func (c *counter) keep(both ...net.Conn) bool {
+func (c *counter) track(both ...net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, x := range both {
@@ -66,8 +66,8 @@
 	return !c.closed
 }
 
-// pass ends both connections with the first end.
-func (c *counter) pass(from, to net.Conn, n *atomic.Int64, requests bool) {
+// forward ends both connections with the first end.
+func (c *counter) forward(from, to net.Conn, n *atomic.Int64, requests bool) {
 	defer func() { _ = from.Close() }()
 	defer func() { _ = to.Close() }()
 	defer func() {
@@ -102,5 +102,5 @@
 		_ = x.Close()
 	}
 	c.mu.Unlock()
-	c.all.Wait()
+	c.running.Wait()
 }
--- a/internal/lab/capacity/plays/duty.go
+++ b/internal/lab/capacity/plays/duty.go
@@ -18,16 +18,16 @@
 )
 
 func init() {
-	all["duty"] = play{
+	plays["duty"] = play{
 		question: "What does one duty cost the list service, by those who want it?",
 		how:      "so many candidates of one duty, in this process, each with a client of its own, before one replica in memory; 4 s after their start, over 8 s: calls, and bytes both ways without the kernel's headers; processor time of the replica",
 		series:   []capacity.Series{{Name: "calls", Unit: "calls/s", Form: "candidates"}, {Name: "bytes", Unit: "bytes/s", Form: "candidates"}, {Name: "core_share", Unit: "of a core", Form: "candidates"}},
-		at:       each("candidates", 32, 64, 128, 256), repeats: 1, check: sizes{"candidates": 450},
-		run: (*Player).duty,
+		at:       eachSize("candidates", 32, 64, 128, 256), repeats: 1, check: sizes{"candidates": 450},
+		run: (*Player).measureDuty,
 	}
 }
 
-func (p *Player) duty(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
+func (p *Player) measureDuty(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 	r, err := p.runner(dir)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 		d.Campaign(true, 0)
 		all.Go(func() { defer own.Close(); d.Run(running) })
 	}
-	if !pause.For(ctx, p.span(dutySettle)) {
+	if !pause.For(ctx, p.scaled(dutySettle)) {
 		return nil, ctx.Err()
 	}
 	begun, n, bytes := time.Now(), calls.calls.Load(), calls.bytes()
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !pause.For(ctx, p.span(dutyFor)) {
+	if !pause.For(ctx, p.scaled(dutyFor)) {
 		return nil, ctx.Err()
 	}
 	after, err := replica.Ran()
--- a/internal/lab/capacity/plays/exchange.go
+++ b/internal/lab/capacity/plays/exchange.go
@@ -13,9 +13,9 @@
 	exchangeBytes = 200
 )
 
-// exchange is what a bare exchange over loopback takes on this machine now: the processor time of both ends, which are in this
+// measureExchange is what a bare measureExchange over loopback takes on this machine now: the processor time of both ends, which are in this
 // process, and the median of the times. It is what times of other machines may be held against.
-func exchange() (cpu, median time.Duration, err error) {
+func measureExchange() (cpu, median time.Duration, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return 0, 0, err
--- a/internal/lab/capacity/plays/plays.go
+++ b/internal/lab/capacity/plays/plays.go
@@ -26,7 +26,7 @@
 	quick bool // a twentieth of every length: a test wants to see that it plays, and believes no figure
 }
 
-func (p *Player) span(d time.Duration) time.Duration {
+func (p *Player) scaled(d time.Duration) time.Duration {
 	if p.quick {
 		return d / 20
 	}
@@ -48,34 +48,34 @@
 	run      func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error)
 }
 
-// once plays one size.
-func (x play) once(ctx context.Context, p *Player, at sizes, dir string) (map[string]float64, error) {
+// runOnce plays one size.
+func (x play) runOnce(ctx context.Context, p *Player, at sizes, dir string) (map[string]float64, error) {
 	if !x.exchange {
 		return x.run(p, ctx, at, dir)
 	}
-	cpu, _, err := exchange()
+	cpu, _, err := measureExchange()
 	if err != nil {
 		return nil, err
 	}
 	got, err := x.run(p, ctx, at, dir)
 	if err == nil {
-		got["exchange_cpu_us"] = us(cpu)
+		got["exchange_cpu_us"] = microseconds(cpu)
 	}
 	return got, err
 }
 
-// all are the plays by the names of their measures.
-var all = map[string]play{}
+// plays are the plays by the names of their measures.
+var plays = map[string]play{}
 
 // ErrUnknown is of a measure that nobody can play.
 var ErrUnknown = errors.New("no measure is called")
 
 // Names are those of all measures that can be played.
-func Names() []string { return slices.Sorted(maps.Keys(all)) }
+func Names() []string { return slices.Sorted(maps.Keys(plays)) }
 
 // Measure plays the sizes, and predicts the one that is left for the check.
 func (p *Player) Measure(ctx context.Context, name string) (*capacity.Measure, error) {
-	x, ok := all[name]
+	x, ok := plays[name]
 	if !ok {
 		return nil, fmt.Errorf("%w %q: there are %s", ErrUnknown, name, strings.Join(Names(), ", "))
 	}
@@ -85,7 +85,7 @@
 	for i := range total {
 		at := x.at[i%len(x.at)]
 		p.progress(i, total, fmt.Sprint(name, " ", at))
-		got, err := x.once(ctx, p, at, fmt.Sprint(name, "-", i))
+		got, err := x.runOnce(ctx, p, at, fmt.Sprint(name, "-", i))
 		if err != nil {
 			return nil, fmt.Errorf("%s at %v: %w", name, at, err)
 		}
@@ -97,14 +97,14 @@
 
 // Check plays the size that was predicted.
 func (p *Player) Check(ctx context.Context, m *capacity.Measure) error {
-	x, ok := all[m.Name]
+	x, ok := plays[m.Name]
 	if !ok || m.Prediction == nil {
 		return fmt.Errorf("%w %q, or nothing of it was predicted", ErrUnknown, m.Name)
 	}
 	m.Checks = nil
 	for i := range x.repeats {
 		p.progress(i, x.repeats, fmt.Sprint(m.Name, " ", m.Prediction.Sizes))
-		got, err := x.once(ctx, p, m.Prediction.Sizes, fmt.Sprint(m.Name, "-check-", i))
+		got, err := x.runOnce(ctx, p, m.Prediction.Sizes, fmt.Sprint(m.Name, "-check-", i))
 		if err != nil {
 			return fmt.Errorf("%s at %v: %w", m.Name, m.Prediction.Sizes, err)
 		}
@@ -120,8 +120,8 @@
 	}
 }
 
-// each makes the sizes of a measure in one size alone.
-func each(name string, values ...float64) (at []sizes) {
+// eachSize makes the sizes of a measure in one size alone.
+func eachSize(name string, values ...float64) (at []sizes) {
 	for _, v := range values {
 		at = append(at, sizes{name: v})
 	}
--- a/internal/lab/capacity/plays/plays_test.go
+++ b/internal/lab/capacity/plays/plays_test.go
@@ -24,13 +24,13 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if err := be(ctx); err != nil {
+	if err := runProgram(ctx); err != nil {
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
-func be(ctx context.Context) error {
+func runProgram(ctx context.Context) error {
 	if os.Args[1] == "sidecar" {
 		c, err := sidecar.LoadConfig(os.Getenv("GW_CONFIG"))
 		if err != nil {
@@ -51,7 +51,7 @@
 	return n.Run(ctx)
 }
 
-func player(t *testing.T) *Player {
+func newTestPlayer(t *testing.T) *Player {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -71,12 +71,12 @@
 			if !ok {
 				t.Fatal("there is no small size of it here")
 			}
-			p := player(t)
-			got, err := all[name].run(p, t.Context(), at, name)
+			p := newTestPlayer(t)
+			got, err := plays[name].run(p, t.Context(), at, name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, s := range all[name].series {
+			for _, s := range plays[name].series {
 				if _, ok := got[s.Name]; !ok {
 					t.Errorf("no %s in %v", s.Name, got)
 				}
@@ -87,15 +87,15 @@
 
 // TestMeasuresArePredictedAndChecked goes the way of a measure with a play of its own.
 func TestMeasuresArePredictedAndChecked(t *testing.T) {
-	all["made"] = play{question: "none", series: []capacity.Series{{Name: "y", Unit: "s", Form: "x"}}, at: each("x", 1, 2, 3, 4), repeats: 2, check: sizes{"x": 9},
+	plays["made"] = play{question: "none", series: []capacity.Series{{Name: "y", Unit: "s", Form: "x"}}, at: eachSize("x", 1, 2, 3, 4), repeats: 2, check: sizes{"x": 9},
 		run: func(_ *Player, _ context.Context, at sizes, _ string) (map[string]float64, error) {
 			if at["x"] > 9 {
 				return nil, errors.New("too large")
 			}
 			return map[string]float64{"y": 1 + 2*at["x"]}, nil
 		}}
-	defer delete(all, "made")
-	p, steps := player(t), 0
+	defer delete(plays, "made")
+	p, steps := newTestPlayer(t), 0
 	p.Progress = func(int, int, string) { steps++ }
 	m, err := p.Measure(t.Context(), "made")
 	if err != nil || len(m.Samples) != 8 || steps != 9 {
@@ -120,7 +120,7 @@
 }
 
 func TestExchangesAreMeasured(t *testing.T) {
-	if cpu, median, err := exchange(); err != nil || cpu <= 0 || median <= 0 || median > time.Second {
+	if cpu, median, err := measureExchange(); err != nil || cpu <= 0 || median <= 0 || median > time.Second {
 		t.Errorf("%v, %v, %v", cpu, median, err)
 	}
 }
@@ -135,10 +135,10 @@
 			through[i] += time.Second
 		}
 	}
-	if got := added(through, straight, 0.99); got != 2*time.Millisecond {
+	if got := addedQuantile(through, straight, 0.99); got != 2*time.Millisecond {
 		t.Errorf("added %v", got)
 	}
-	if got := added(through[:5], straight[:5], 0.5); got != 2*time.Millisecond {
+	if got := addedQuantile(through[:5], straight[:5], 0.5); got != 2*time.Millisecond {
 		t.Errorf("of few calls: %v", got)
 	}
 }
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -27,44 +27,44 @@
 )
 
 const (
-	readyWithin  = 10 * time.Second
-	settleFor    = 5 * time.Second // of a sidecar, before it is measured
-	steadyFor    = 8 * time.Second
-	sidecarTurns = 20 // changes of the list, while it is measured
-	turnEvery    = 150 * time.Millisecond
-	loadFor      = 12 * time.Second
-	straightly   = 10 // upstreams that answer at once
-	blockCalls   = 200
-	learntFirst  = 3 * time.Second
+	readyWithin     = 10 * time.Second
+	settleFor       = 5 * time.Second // of a sidecar, before it is measured
+	steadyFor       = 8 * time.Second
+	sidecarChanges  = 20 // changes of the list, while it is measured
+	changeInterval  = 150 * time.Millisecond
+	loadFor         = 12 * time.Second
+	directUpstreams = 10 // upstreams that answer at once
+	blockCalls      = 200
+	learnFor        = 3 * time.Second
 )
 
 func init() {
-	all["sidecar"] = play{
+	plays["sidecar"] = play{
 		question: "What does a sidecar spend on a list, with no request to carry?",
 		how: "one real process, its list from one replica, state kept on disk, nothing shared: resident memory and processor time (of all its threads, to the nanosecond) by the kernel's counts over 8 quiet seconds; " +
 			"bytes of its watch both ways, without the kernel's headers; then 20 changes of one entry each, 0.15 s apart; its state directory's size and what the process wrote to it a second (all it wrote but the watch); the operators' STATS",
 		series: []capacity.Series{{Name: "memory_mb", Unit: "MB", Form: "entries"}, {Name: "core_share", Unit: "of a core", Form: "entries"}, {Name: "watch_bytes", Unit: "bytes/s", Form: "entries"},
 			{Name: "change_bytes", Unit: "bytes", Form: "entries"}, {Name: "change_cpu_ms", Unit: "ms", Form: "entries"}, {Name: "list_bytes", Unit: "bytes", Form: "entries"},
 			{Name: "disk_bytes", Unit: "bytes", Form: "entries"}, {Name: "disk_written", Unit: "bytes/s", Form: "entries"}, {Name: "stats_bytes", Unit: "bytes", Form: "entries"}},
-		at: each("entries", 10, 200, 600, 1000), repeats: 1, check: sizes{"entries": 1800},
+		at: eachSize("entries", 10, 200, 600, 1000), repeats: 1, check: sizes{"entries": 1800},
 		exchange: true,
-		run:      (*Player).quietSidecar,
+		run:      (*Player).measureSidecar,
 	}
-	all["calls"] = play{
+	plays["calls"] = play{
 		question: "What does a call through a sidecar cost and take beside the same call straight?",
 		how: "one real process before ten upstreams of this process that answer at once; calls at a rate for 12 s, in turn through the sidecar and straight, each on connections that stand; processor time of all its threads by the kernel's count; " +
 			"times of both by their quantiles in each 200 calls, which stood still with the machine or not: the median of these quantiles' differences",
 		series: []capacity.Series{{Name: "core_share", Unit: "of a core", Form: "calls"}, {Name: "added_p50_ms", Unit: "ms", Form: "calls"}, {Name: "added_p99_ms", Unit: "ms", Form: "calls"},
 			{Name: "memory_mb", Unit: "MB", Form: "calls"}},
-		at: each("calls", 50, 94, 188, 282), repeats: 2, check: sizes{"calls": 400},
-		run: (*Player).calls,
+		at: eachSize("calls", 50, 94, 188, 282), repeats: 2, check: sizes{"calls": 400},
+		run: (*Player).measureCalls,
 	}
 }
 
-// bed is a sidecar before a list service of one replica in memory.
-type bed struct {
+// testbed is a sidecar before a list service of one replica in memory.
+type testbed struct {
 	service *loadtest.Bed
-	c       *client.Client // the service's
+	client  *client.Client // the service's
 	watch   *counter
 	child   *proc.Child
 	listen  string
@@ -72,7 +72,7 @@
 	state   string
 }
 
-func (b *bed) close() {
+func (b *testbed) close() {
 	if b.child != nil {
 		_ = b.child.Kill() // whatever came of it
 	}
@@ -82,8 +82,8 @@
 	b.service.Close()
 }
 
-// bed starts both, the list with these addresses in it. Nothing of it is left after an error.
-func (p *Player) bed(ctx context.Context, dir string, upstreams []string, config map[string]any) (b *bed, err error) {
+// newTestbed starts both, the list with these addresses in it. Nothing of it is left after an error.
+func (p *Player) newTestbed(ctx context.Context, dir string, upstreams []string, config map[string]any) (b *testbed, err error) {
 	r, err := p.runner(dir)
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b = &bed{service: service, c: service.Client}
+	b = &testbed{service: service, client: service.Client}
 	defer func() {
 		if err != nil {
 			b.close()
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	for i, address := range upstreams {
-		if _, err := b.c.Register(ctx, fmt.Sprint("upstream-", i), registration(i, address)); err != nil {
+		if _, err := b.client.Register(ctx, fmt.Sprint("upstream-", i), newRegistration(i, address)); err != nil {
 			return nil, fmt.Errorf("entry %d: %w", i, err)
 		}
 	}
@@ -119,7 +119,7 @@
 
 func sidecarConfig(name, listen, ops, discovery, state string, upstreams int) map[string]any {
 	return map[string]any{"name": name, "listen": listen, "ops": ops, "discovery": discovery, "seed": "1f", "state": state,
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512}, "settings": settingsOfSidecar(upstreams)}
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512}, "settings": sidecarSettings(upstreams)}
 }
 
 // startSidecar returns once it is ready. A child is given beside an error where there is one to end.
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	for end := time.Now().Add(readyWithin); ; {
-		if text, err := door(c["ops"].(string), "READY"); err == nil && text == "YES\n" {
+		if text, err := operatorsCall(c["ops"].(string), "READY"); err == nil && text == "YES\n" {
 			return child, nil
 		}
 		select {
@@ -154,17 +154,17 @@
 	}
 }
 
-func (p *Player) quietSidecar(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
+func (p *Player) measureSidecar(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 	upstreams := make([]string, int(at["entries"]))
 	for i := range upstreams {
 		upstreams[i] = fmt.Sprintf("127.9.%d.%d:9000", i/250, 1+i%250)
 	}
-	b, err := p.bed(ctx, dir, upstreams, nil)
+	b, err := p.newTestbed(ctx, dir, upstreams, nil)
 	if err != nil {
 		return nil, err
 	}
 	defer b.close()
-	if !pause.For(ctx, p.span(settleFor)) {
+	if !pause.For(ctx, p.scaled(settleFor)) {
 		return nil, ctx.Err()
 	}
 	got := map[string]float64{"list_bytes": float64(b.watch.bytes())}
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	wasRan, wasIO, wasRead, begun := ran, io, read, began
-	if !pause.For(ctx, p.span(steadyFor)) {
+	if !pause.For(ctx, p.scaled(steadyFor)) {
 		return nil, ctx.Err()
 	}
 	if err := mark(); err != nil {
@@ -198,7 +198,7 @@
 	if got["disk_bytes"], err = sizeOf(b.state); err != nil {
 		return nil, err
 	}
-	text, err := door(b.ops, "STATS")
+	text, err := operatorsCall(b.ops, "STATS")
 	if err != nil {
 		return nil, err
 	}
@@ -207,11 +207,11 @@
 		return nil, err
 	}
 	wasRan, wasRead, begun = ran, read, began
-	for i := range sidecarTurns {
-		if _, err := b.c.PutAdminState(ctx, fmt.Sprint("upstream-", i%len(upstreams)), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/len(upstreams)%2]}); err != nil {
+	for i := range sidecarChanges {
+		if _, err := b.client.PutAdminState(ctx, fmt.Sprint("upstream-", i%len(upstreams)), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/len(upstreams)%2]}); err != nil {
 			return nil, err
 		}
-		if !pause.For(ctx, p.span(turnEvery)) {
+		if !pause.For(ctx, p.scaled(changeInterval)) {
 			return nil, ctx.Err()
 		}
 	}
@@ -219,18 +219,18 @@
 		return nil, err
 	}
 	took = began.Sub(begun).Seconds()
-	got["change_bytes"] = float64(read-wasRead) / sidecarTurns
-	got["change_cpu_ms"] = max(0, (ran-wasRan).Seconds()-quiet*took) * 1e3 / sidecarTurns
+	got["change_bytes"] = float64(read-wasRead) / sidecarChanges
+	got["change_cpu_ms"] = max(0, (ran-wasRan).Seconds()-quiet*took) * 1e3 / sidecarChanges
 	return got, nil
 }
 
-func (p *Player) calls(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
-	cpu, median, err := exchange()
+func (p *Player) measureCalls(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
+	cpu, median, err := measureExchange()
 	if err != nil {
 		return nil, err
 	}
 	var upstreams []string
-	for range straightly {
+	for range directUpstreams {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -244,7 +244,7 @@
 		defer func() { _ = s.Close() }()
 		upstreams = append(upstreams, ln.Addr().String())
 	}
-	b, err := p.bed(ctx, dir, upstreams, nil)
+	b, err := p.newTestbed(ctx, dir, upstreams, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -278,7 +278,7 @@
 			return nil, fmt.Errorf("before the load: %w", err)
 		}
 	}
-	if !pause.For(ctx, p.span(learntFirst)) {
+	if !pause.For(ctx, p.scaled(learnFor)) {
 		return nil, ctx.Err()
 	}
 	ran, err := b.child.Ran()
@@ -292,7 +292,7 @@
 	var calls sync.WaitGroup
 	for i := 0; ; i++ {
 		due := begun.Add(time.Duration(i) * gap)
-		if due.Sub(begun) >= p.span(loadFor) || !pause.For(ctx, time.Until(due)) {
+		if due.Sub(begun) >= p.scaled(loadFor) || !pause.For(ctx, time.Until(due)) {
 			break
 		}
 		one := func(k int, due time.Time, address string) {
@@ -324,17 +324,17 @@
 	if failed > 0 {
 		return nil, fmt.Errorf("%d calls failed", failed)
 	}
-	added50, added99 := added(lags[0], lags[1], 0.5), added(lags[0], lags[1], 0.99)
+	added50, added99 := addedQuantile(lags[0], lags[1], 0.5), addedQuantile(lags[0], lags[1], 0.99)
 	through50, through99, straight50, straight99 := quantile(lags[0], 0.5), quantile(lags[0], 0.99), quantile(lags[1], 0.5), quantile(lags[1], 0.99)
 	return map[string]float64{"core_share": (after - ran).Seconds() / time.Since(begun).Seconds(), "memory_mb": u.MemoryMB,
-		"through_p50_ms": us(through50) / 1e3, "through_p99_ms": us(through99) / 1e3, "straight_p50_ms": us(straight50) / 1e3, "straight_p99_ms": us(straight99) / 1e3,
-		"added_p50_ms": us(added50) / 1e3, "added_p99_ms": us(added99) / 1e3,
-		"exchange_cpu_us": us(cpu), "exchange_us": us(median)}, ctx.Err()
+		"through_p50_ms": microseconds(through50) / 1e3, "through_p99_ms": microseconds(through99) / 1e3, "straight_p50_ms": microseconds(straight50) / 1e3, "straight_p99_ms": microseconds(straight99) / 1e3,
+		"added_p50_ms": microseconds(added50) / 1e3, "added_p99_ms": microseconds(added99) / 1e3,
+		"exchange_cpu_us": microseconds(cpu), "exchange_us": microseconds(median)}, ctx.Err()
 }
 
-// added is by how much a quantile of one is over the other's: the median of blocks of calls, since a machine that stands still for
+// addedQuantile is by how much a quantile of one is over the other's: the median of blocks of calls, since a machine that stands still for
 // a moment is neither's.
-func added(through, straight []time.Duration, share float64) time.Duration {
+func addedQuantile(through, straight []time.Duration, share float64) time.Duration {
 	var all []time.Duration
 	n := min(len(through), len(straight))
 	for at := 0; at+blockCalls <= n || at == 0; at += blockCalls {
@@ -344,12 +344,12 @@
 	return quantile(all, 0.5)
 }
 
-func registration(i int, address string) api.Registration {
+func newRegistration(i int, address string) api.Registration {
 	return api.Registration{Address: address, Zone: fmt.Sprintf("zone-%d", i%4), Machine: "cores-4", Weight: 4}
 }
 
-// settingsOfSidecar are as the laboratory words them.
-func settingsOfSidecar(upstreams int) map[string]any {
+// sidecarSettings are as the laboratory words them.
+func sidecarSettings(upstreams int) map[string]any {
 	return map[string]any{
 		"Balancers": 4, "Me": 0, "Zone": "zone-0", "FailureDomains": []string{"zone-0", "zone-1", "zone-2", "zone-3"}, "Discovery": "push", "TickMs": 5, "WorthBy": "request",
 		"Weights": "rough", "OverShareWorth": 0.05, "Tenants": []map[string]any{{"Name": "tenant-1", "Fraction": 1}},
@@ -361,8 +361,8 @@
 	}
 }
 
-// door makes one call at the operators' door.
-func door(address, line string) (string, error) {
+// operatorsCall makes one call at the operators' operatorsCall.
+func operatorsCall(address, line string) (string, error) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return "", err
--- a/internal/lab/capacity/scale.go
+++ b/internal/lab/capacity/scale.go
@@ -43,8 +43,8 @@
 	{Name: "replica_cpu", Unit: "of a core", Form: "sidecars"}, {Name: "replica_mb", Unit: "MB", Form: "sidecars"},
 }
 
-// samples are what the results of the scale run say of a day: one for each play.
-func samples(day string, results [][]byte) (all []Sample, revision string, err error) {
+// scaleSamples are what the results of the scale run say of a day: one for each play.
+func scaleSamples(day string, results [][]byte) (all []Sample, revision string, err error) {
 	for i, text := range results {
 		var r ScaleResult
 		if err := json.Unmarshal(text, &r); err != nil {
@@ -87,7 +87,7 @@
 			"Hollow ones share a process",
 		Series: scaleSeries}
 	var err error
-	if m.Samples, m.Revision, err = samples(day, results); err != nil {
+	if m.Samples, m.Revision, err = scaleSamples(day, results); err != nil {
 		return nil, err
 	}
 	got := m.Samples[0].Got
@@ -100,7 +100,7 @@
 
 // CheckScale sets what the scale run found at the size that was predicted beside the prediction.
 func (m *Measure) CheckScale(day string, results [][]byte) (err error) {
-	m.Checks, _, err = samples(day, results)
+	m.Checks, _, err = scaleSamples(day, results)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -109,17 +109,17 @@
 
 // Build works the table out.
 func Build(f *Fleet, m Measures) (*Table, error) {
-	b := &builder{f: f, m: m, l: f.Work()}
-	t := &Table{Fleet: f, Load: b.l.Quantities}
+	b := &builder{fleet: f, measures: m, load: f.Work()}
+	t := &Table{Fleet: f, Load: b.load.Quantities}
 	t.Rows = b.rows()
 	t.After = b.afterRows()
 	if b.err != nil {
 		return nil, b.err
 	}
-	t.Missing = missing(t.Rows, f.Operators.Upstreams.Value)
+	t.Missing = claimsOf(t.Rows, f.Operators.Upstreams.Value)
 	for _, name := range m.names() {
 		t.measures = append(t.measures, m[name])
-		all, err := m[name].checked()
+		all, err := m[name].compareChecks()
 		if err != nil {
 			return nil, err
 		}
@@ -128,9 +128,9 @@
 	return t, nil
 }
 
-// missing are the rows without a carrier, by how often their day comes and how many of the processes it touches, and then those
+// claimsOf are the rows without a carrier, by how often their day comes and how many of the processes it touches, and then those
 // over their budget, by how far too.
-func missing(rows []Row, processes float64) (all []Claim) {
+func claimsOf(rows []Row, processes float64) (all []Claim) {
 	for _, r := range rows {
 		c := Claim{Row: r, Why: "no carrier", PerYear: r.PerYear, Touches: cmp.Or(r.Touches, processes)}
 		if r.Left() > 0 {
@@ -157,8 +157,8 @@
 	return all
 }
 
-// checked sets what was predicted beside what came.
-func (m *Measure) checked() (all []Checked, err error) {
+// compareChecks sets what was predicted beside what came.
+func (m *Measure) compareChecks() (all []Checked, err error) {
 	for _, s := range m.Series {
 		l, err := m.fit(s)
 		if err != nil {
@@ -168,45 +168,45 @@
 		if m.Prediction != nil {
 			c.Sizes, c.Says = m.Prediction.Sizes, m.Prediction.Says[s.Name]
 		}
-		c.Came, c.Played = m.came(s.Name), len(m.Checks) > 0
+		c.Came, c.Played = m.checkMean(s.Name), len(m.Checks) > 0
 		all = append(all, c)
 	}
 	return all, nil
 }
 
-const refutedBy = 1.25
+const refutationFactor = 1.25
 
-// refuted is what came of a prediction over it, where it is far off; else 0.
-func (m *Measure) refuted(series string) float64 {
+// refutedRatio is what came of a prediction over it, where it is far off; else 0.
+func (m *Measure) refutedRatio(series string) float64 {
 	if m.Prediction == nil || len(m.Checks) == 0 {
 		return 0
 	}
-	says, came := m.Prediction.Says[series], m.came(series)
-	if off := came / says.Value; !says.Holds(came) && says.Value > 0 && (off > refutedBy || off < 1/refutedBy) {
+	says, came := m.Prediction.Says[series], m.checkMean(series)
+	if off := came / says.Value; !says.Holds(came) && says.Value > 0 && (off > refutationFactor || off < 1/refutationFactor) {
 		return off
 	}
 	return 0
 }
 
-// came is the mean of what was played at the size that was predicted.
-func (m *Measure) came(series string) (mean float64) {
+// checkMean is the mean of what was played at the size that was predicted.
+func (m *Measure) checkMean(series string) (mean float64) {
 	for _, x := range m.Checks {
 		mean += x.Got[series] / float64(len(m.Checks))
 	}
 	return mean
 }
 
-// checked is what came at the size that was predicted.
-func (b *builder) checked(measure, series string) figure {
-	m, ok := b.m[measure]
+// checkedFigure is what came at the size that was predicted.
+func (b *builder) checkedFigure(measure, series string) figure {
+	m, ok := b.measures[measure]
 	if !ok || len(m.Checks) == 0 {
 		return figure{}
 	}
-	return known(m.came(series))
+	return exactFigure(m.checkMean(series))
 }
 
-// mean is that of what the samples have beside their series; 0: one has it not.
-func (m *Measure) mean(name string) (mean float64) {
+// sampleMean is that of what the samples have beside their series; 0: one has it not.
+func (m *Measure) sampleMean(name string) (mean float64) {
 	for _, x := range m.Samples {
 		got, ok := x.Got[name]
 		if !ok {
@@ -241,10 +241,10 @@
 }
 
 type builder struct {
-	f   *Fleet
-	m   Measures
-	l   Load
-	err error
+	fleet    *Fleet
+	measures Measures
+	load     Load
+	err      error
 }
 
 // figure is what a series says at some sizes, and the slope behind it; nil: not measured.
@@ -253,15 +253,15 @@
 	slopes []Slope
 }
 
-func (b *builder) at(measure, series string, sizes map[string]float64) figure {
-	m, ok := b.m[measure]
+func (b *builder) estimate(measure, series string, sizes map[string]float64) figure {
+	m, ok := b.measures[measure]
 	if !ok {
 		return figure{}
 	}
 	s, l, err := m.Line(series)
 	var x float64
 	if err == nil {
-		x, err = formAt(s.Form, sizes)
+		x, err = formValue(s.Form, sizes)
 	}
 	if err != nil {
 		b.err = cmp.Or(b.err, fmt.Errorf("%s: %s: %w", measure, series, err))
@@ -269,18 +269,18 @@
 	}
 	most := math.Inf(-1)
 	for _, played := range slices.Concat(m.Samples, m.Checks) {
-		if at, err := formAt(s.Form, played.Sizes); err == nil {
+		if at, err := formValue(s.Form, played.Sizes); err == nil {
 			most = max(most, at)
 		}
 	}
 	says := l.At(x)
 	return figure{&says, []Slope{{Measure: measure, Series: s.Name, Unit: s.Unit, Form: s.Form, Slope: l.Slope, Constant: l.Constant, Sizes: l.Sizes, At: x, Beyond: x / most,
-		Refuted: m.refuted(series), Exchange: m.mean("exchange_cpu_us"), ExchangeMedian: m.mean("exchange_us"), Revision: m.Revision, Command: m.Command}}}
+		Refuted: m.refutedRatio(series), Exchange: m.sampleMean("exchange_cpu_us"), ExchangeMedian: m.sampleMean("exchange_us"), Revision: m.Revision, Command: m.Command}}}
 }
 
-// slope is what one more of a form's sizes takes.
-func (b *builder) slope(measure, series string) figure {
-	f := b.at(measure, series, everySize)
+// slopeOf is what one more of a form's sizes takes.
+func (b *builder) slopeOf(measure, series string) figure {
+	f := b.estimate(measure, series, unitSizes)
 	if f.Interval == nil {
 		return f
 	}
@@ -289,8 +289,8 @@
 	return figure{&s.Slope, []Slope{s}}
 }
 
-// everySize lets forms be worked out where only their slope is wanted.
-var everySize = map[string]float64{"watchers": 1, "entries": 1, "calls": 1, "renewals": 1, "changes": 1, "candidates": 1, "members": 2, "documents": 1, "sidecars": 1}
+// unitSizes lets forms be worked out where only their slope is wanted.
+var unitSizes = map[string]float64{"watchers": 1, "entries": 1, "calls": 1, "renewals": 1, "changes": 1, "candidates": 1, "members": 2, "documents": 1, "sidecars": 1}
 
 func (x figure) times(by float64) figure {
 	if x.Interval == nil {
@@ -308,17 +308,19 @@
 	return figure{&i, slices.Concat(x.slopes, y.slopes)}
 }
 
-func (x figure) of(r Row) Row {
+func (x figure) inRow(r Row) Row {
 	r.Figure, r.Slopes = x.Interval, x.slopes
 	return r
 }
 
-func known(x float64) figure {
-	i := exactly(x)
+func exactFigure(x float64) figure {
+	i := exactInterval(x)
 	return figure{Interval: &i}
 }
 
 const noBudget = "none named"
 
-// size is a set of one size.
-func size(name string, value float64) map[string]float64 { return map[string]float64{name: value} }
+// singleSize is a set of one singleSize.
+func singleSize(name string, value float64) map[string]float64 {
+	return map[string]float64{name: value}
+}
--- a/internal/lab/fleet/cold_test.go
+++ b/internal/lab/fleet/cold_test.go
@@ -16,15 +16,15 @@
 		falls bool // by a planted error
 	}{
 		"release":                 {do: release},
-		"release, told late":      {do: release, plan: func(p *Plan) { p.Notice = [2]time.Duration{200 * ms, 4 * time.Second} }},
+		"release, told late":      {do: release, plan: func(p *Plan) { p.NoticeDelay = [2]time.Duration{200 * ms, 4 * time.Second} }},
 		"release, all restarted":  {do: func(f *Fleet) { release(f); f.RestartAll(7 * time.Second) }},
-		"zone back, restarted":    {do: func(f *Fleet) { f.Back(2*time.Second, "a"); f.RestartAll(4 * time.Second) }, plan: func(p *Plan) { p.Load = 0.6 }},
-		"all back":                {do: func(f *Fleet) { f.Back(2*time.Second, f.plan.Zones...) }, plan: func(p *Plan) { p.Sidecars, p.Upstreams = 100, 40 }},
-		"all back, none believed": {do: func(f *Fleet) { f.Back(2*time.Second, f.plan.Zones...) }, plan: func(p *Plan) { p.Sidecars, p.Upstreams, p.Settings.OverloadMultiple = 100, 40, 60 }, falls: true},
+		"zone back, restarted":    {do: func(f *Fleet) { f.LoseZones(2*time.Second, "a"); f.RestartAll(4 * time.Second) }, plan: func(p *Plan) { p.Load = 0.6 }},
+		"all back":                {do: func(f *Fleet) { f.LoseZones(2*time.Second, f.plan.Zones...) }, plan: func(p *Plan) { p.Sidecars, p.Upstreams = 100, 40 }},
+		"all back, none believed": {do: func(f *Fleet) { f.LoseZones(2*time.Second, f.plan.Zones...) }, plan: func(p *Plan) { p.Sidecars, p.Upstreams, p.Settings.OverloadMultiple = 100, 40, 60 }, falls: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := Mass(1)
+			p := LargePlan(1)
 			if c.plan != nil {
 				c.plan(&p)
 			}
@@ -40,9 +40,9 @@
 					breaches++
 				}
 			}
-			t.Logf("%d cold starts, fullest window %+v of %.1f", seen.Cold, seen.Fullest, seen.Fullest.Limit())
-			if (breaches > 0) != c.falls || seen.Cold < 30 {
-				t.Errorf("%d cold starts, %d pushed over, first %+v", seen.Cold, breaches, seen.Falls[:min(1, len(seen.Falls))])
+			t.Logf("%d cold starts, fullest window %+v of %.1f", seen.ColdStarts, seen.Fullest, seen.Fullest.Limit())
+			if (breaches > 0) != c.falls || seen.ColdStarts < 30 {
+				t.Errorf("%d cold starts, %d pushed over, first %+v", seen.ColdStarts, breaches, seen.Falls[:min(1, len(seen.Falls))])
 			}
 		})
 	}
@@ -50,8 +50,8 @@
 
 // Guards against a play that can't be looked at again.
 func TestSameSeedSamePlay(t *testing.T) {
-	play := func() Seen {
-		p := Mass(3)
+	play := func() Result {
+		p := LargePlan(3)
 		p.Sidecars, p.Upstreams, p.CV = 40, 24, 1.5
 		f, err := New(p)
 		if err != nil {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -11,20 +11,20 @@
 
 // Fleet is one play. It is not safe for concurrent use.
 type Fleet struct {
-	plan     Plan
-	rng      *rand.Rand
-	now      time.Duration
-	steps    stepHeap
-	seq      int
-	ids      int
-	sidecars []*sidecar
-	ups      []*upstream          // by place
-	byID     map[string]*upstream // all that ever were
-	cold     []*upstream          // all that started in the play
-	load     float64
-	perLoad  float64 // requests a second at a load of 1
-	shares   float64 // their sum
-	seen     Seen
+	plan        Plan
+	rng         *rand.Rand
+	now         time.Duration
+	steps       stepHeap
+	seq         int
+	lastID      int
+	sidecars    []*sidecar
+	upstreams   []*upstream          // by place
+	byID        map[string]*upstream // all that ever were
+	coldStarted []*upstream          // all that started in the play
+	load        float64
+	ratePerLoad float64 // requests a second at a load of 1
+	totalShare  float64 // their sum
+	result      Result
 }
 
 // New is a play before its first moment: all upstreams are warm and known, all sidecars new.
@@ -34,14 +34,14 @@
 	}
 	f := &Fleet{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0x666c656574)), byID: map[string]*upstream{}, load: p.Load}
 	for i := range p.Upstreams {
-		u := f.start(i, fmt.Sprintf("u%d", i), 0)
-		f.perLoad += u.spec.Capacity() / p.Work.Seconds()
+		u := f.startProcess(i, fmt.Sprintf("u%d", i), 0)
+		f.ratePerLoad += u.spec.Capacity() / p.Work.Seconds()
 	}
 	for i := range p.Sidecars {
-		s := &sidecar{n: i, zone: p.Zones[i%len(p.Zones)], share: p.Shares[i%len(p.Shares)], known: map[string]balancer.Endpoint{}}
-		f.shares += s.share
-		for _, u := range f.ups {
-			s.learn(u.member(balancer.Active))
+		s := &sidecar{index: i, zone: p.Zones[i%len(p.Zones)], share: p.Shares[i%len(p.Shares)], known: map[string]balancer.Endpoint{}}
+		f.totalShare += s.share
+		for _, u := range f.upstreams {
+			s.learn(u.endpoint(balancer.Active))
 		}
 		f.sidecars = append(f.sidecars, s)
 		if err := f.boot(s); err != nil {
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, s := range f.sidecars {
-		f.arrivals(s)
+		f.scheduleArrival(s)
 	}
 	return f, nil
 }
@@ -61,15 +61,15 @@
 }
 
 // Run plays up to a moment and tells what was seen by then.
-func (f *Fleet) Run(until time.Duration) Seen {
+func (f *Fleet) Run(until time.Duration) Result {
 	for len(f.steps) > 0 && f.steps[0].at <= until {
 		s := heap.Pop(&f.steps).(step)
 		f.now = s.at
-		s.do()
+		s.run()
 	}
 	f.now = until
-	f.countCold()
-	return f.seen
+	f.sumColdWork()
+	return f.result
 }
 
 // SetLoad changes the load from now on; see Plan.
@@ -78,7 +78,7 @@
 type step struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
 type stepHeap []step
--- a/internal/lab/fleet/mass.go
+++ b/internal/lab/fleet/mass.go
@@ -11,14 +11,14 @@
 
 const ms = time.Millisecond
 
-// Mass is a fleet like the one in service: 300 sidecars of unequal traffic before 160 upstreams in four zones.
-func Mass(seed uint64) Plan {
+// LargePlan is a fleet like the one in service: 300 sidecars of unequal traffic before 160 upstreams in four zones.
+func LargePlan(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{
 		Seed: seed, Sidecars: 300, Upstreams: 160, Zones: []string{"a", "b", "c", "d"},
-		Load: 0.85, Work: 130 * ms, Retries: 1, Backoff: 100 * ms, Same: ms / 2, Cross: 8 * ms,
-		Notice: [2]time.Duration{600 * ms, 1500 * ms},
-		Rule:   Rule{ColdFrom: 0.3, WarmUp: 8800 * ms, Multiple: 4, For: time.Second},
+		Load: 0.85, Work: 130 * ms, Retries: 1, Backoff: 100 * ms, SameZone: ms / 2, CrossZone: 8 * ms,
+		NoticeDelay: [2]time.Duration{600 * ms, 1500 * ms},
+		Rule:        Rule{ColdFrom: 0.3, WarmUp: 8800 * ms, Multiple: 4, Window: time.Second},
 		Settings: balancer.Settings{MaxAttempts: 6, Cancellation: true, Tick: 5 * ms, ConnectTimeout: 200 * ms,
 			CrossZoneCost: 0.1, SlowStartCapacity: 0.3, SlowStartWindow: 8800 * ms, OverloadMultiple: 4, OverloadDuration: time.Second,
 			Classes: []balancer.Class{
@@ -31,25 +31,25 @@
 	for i := range 15 {
 		k := model.Spec{Cores: 3 + i%2, Speed: 0.75 + 0.2*float64(i%2), SlotsPerCore: 8, QueuePerCore: 30, Thrash: 0.08, ThrashAt: 6}
 		k.Speed *= max(0.5, 1+0.2*rng.NormFloat64())
-		p.Kinds = append(p.Kinds, k)
+		p.Specs = append(p.Specs, k)
 	}
 	return p
 }
 
 // Release replaces a share of all upstreams from at on, one after another over d.
 func (f *Fleet) Release(at, d time.Duration, share float64) {
-	n := int(share * float64(len(f.ups)))
+	n := int(share * float64(len(f.upstreams)))
 	for i := range n {
-		f.At(at+time.Duration(i)*d/time.Duration(n), func() { f.Replace(i*len(f.ups)/n, time.Second, 500*ms) })
+		f.At(at+time.Duration(i)*d/time.Duration(n), func() { f.Replace(i*len(f.upstreams)/n, time.Second, 500*ms) })
 	}
 }
 
-// Back loses the upstreams of some zones at a moment, as lists tell, and gives them back one by one 3 to 11 s later.
-func (f *Fleet) Back(at time.Duration, zones ...string) {
+// LoseZones loses the upstreams of some zones at a moment, as lists tell, and gives them back one by one 3 to 11 s later.
+func (f *Fleet) LoseZones(at time.Duration, zones ...string) {
 	f.At(at, func() {
-		for i, u := range f.ups {
+		for i, u := range f.upstreams {
 			if slices.Contains(zones, u.zone) {
-				f.Lose(i, 3*time.Second+time.Duration(i)*8*time.Second/time.Duration(len(f.ups)), true)
+				f.Lose(i, 3*time.Second+time.Duration(i)*8*time.Second/time.Duration(len(f.upstreams)), true)
 			}
 		}
 	})
@@ -62,8 +62,8 @@
 	}
 }
 
-// HandOver moves a share of one sidecar's clients to another: from a moment on their requests come there.
-func (f *Fleet) HandOver(at time.Duration, from, to int, share float64) {
+// MoveClients moves a share of one sidecar's clients to another: from a moment on their requests come there.
+func (f *Fleet) MoveClients(at time.Duration, from, to int, share float64) {
 	f.At(at, func() {
 		moved := f.sidecars[from].share * share
 		f.sidecars[from].share -= moved
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -28,7 +28,7 @@
 	Zones    []string  // sidecars and upstreams go round them; absent: one
 
 	Upstreams int
-	Kinds     []model.Spec // upstream i is of kind i mod len; its cold start and fall are the Rule's
+	Specs     []model.Spec // upstream i is of kind i mod len; its cold start and fall are the Rule's
 
 	Load float64       // arriving work as a share of what all warm upstreams do; first tries alone
 	Work time.Duration // mean work of a request
@@ -37,8 +37,8 @@
 	Retries int           // tries that follow one refused or failed
 	Backoff time.Duration // mean wait before each
 
-	Same, Cross time.Duration    // round trip to an upstream of the own zone, and of another
-	Notice      [2]time.Duration // from a change to a sidecar being told: drawn evenly between, for each sidecar apart
+	SameZone, CrossZone time.Duration    // round trip to an upstream of the own zone, and of another
+	NoticeDelay         [2]time.Duration // from a change to a sidecar being told: drawn evenly between, for each sidecar apart
 
 	Rule Rule
 }
@@ -49,25 +49,25 @@
 	ColdFrom float64       // share of its capacity at its start
 	WarmUp   time.Duration // it rises evenly to all of it over this
 	Multiple float64       // of present capacity; 0: nothing pushes it over
-	For      time.Duration // the window
+	Window   time.Duration // the window
 }
 
 func (p *Plan) check() error {
 	switch {
 	case p.Sidecars < 1:
 		return errors.New("sidecars: none")
-	case p.Upstreams < 1 || len(p.Kinds) == 0:
+	case p.Upstreams < 1 || len(p.Specs) == 0:
 		return errors.New("upstreams: none, or of no kind")
 	case !(p.Load >= 0) || math.IsInf(p.Load, 0):
 		return fmt.Errorf("load: %v is not usable", p.Load)
 	case p.Work <= 0:
 		return fmt.Errorf("work: %v is not above 0", p.Work)
-	case p.Notice[0] < 0 || p.Notice[1] < p.Notice[0]:
-		return fmt.Errorf("notice: %v is no range", p.Notice)
-	case p.Rule.Multiple > 0 && (p.Rule.WarmUp <= 0 || p.Rule.For <= 0):
+	case p.NoticeDelay[0] < 0 || p.NoticeDelay[1] < p.NoticeDelay[0]:
+		return fmt.Errorf("notice: %v is no range", p.NoticeDelay)
+	case p.Rule.Multiple > 0 && (p.Rule.WarmUp <= 0 || p.Rule.Window <= 0):
 		return fmt.Errorf("rule: %+v lacks a time", p.Rule)
 	}
-	for i, k := range p.Kinds {
+	for i, k := range p.Specs {
 		if err := k.Check(); err != nil {
 			return fmt.Errorf("kind %d: %w", i, err)
 		}
@@ -90,30 +90,30 @@
 type Second struct {
 	Tries, InTime, Late, Refused, Failed int
 	Attempts, TurnedAway                 int
-	ToCold                               float64 // work sent to cold upstreams, in mean requests
+	ColdWork                             float64 // work sent to cold upstreams, in mean requests
 }
 
 // Window is what one cold upstream got in the rule's window, in requests of mean work.
 type Window struct {
 	Upstream string
 	At       time.Duration // its end
-	Got      float64
-	Told     float64 // of it, from sidecars that had been told of the start
-	N        float64 // what the rule allows on the mean
+	Received float64
+	Informed float64 // of it, from sidecars that had been told of the start
+	Allowed  float64 // what the rule allows on the mean
 }
 
 // Limit is N with what chance is granted: N + 2√N + 2 (the operators' standing test).
-func (w Window) Limit() float64 { return w.N + 2*math.Sqrt(w.N) + 2 }
+func (w Window) Limit() float64 { return w.Allowed + 2*math.Sqrt(w.Allowed) + 2 }
 
 // Breach tells whether the window holds more than the rule allows.
-func (w Window) Breach() bool { return w.Got > w.Limit() && w.Told > w.Got*2/3 }
+func (w Window) Breach() bool { return w.Received > w.Limit() && w.Informed > w.Received*2/3 }
 
-// Seen is what was seen in a play.
-type Seen struct {
-	Seconds []Second
-	Falls   []Window // of each upstream that fell, the window that felled it
-	Fullest Window   // the one nearest to its limit, or furthest beyond
-	Cold    int      // cold starts
+// Result is what was seen in a play.
+type Result struct {
+	Seconds    []Second
+	Falls      []Window // of each upstream that fell, the window that felled it
+	Fullest    Window   // the one nearest to its limit, or furthest beyond
+	ColdStarts int      // cold starts
 
-	ColdUsed, ColdCan float64 // mean requests that cold upstreams were sent, and could have done once all were told of them
+	ColdReceived, ColdCapacity float64 // mean requests that cold upstreams were sent, and could have done once all were told of them
 }
--- a/internal/lab/fleet/sidecars.go
+++ b/internal/lab/fleet/sidecars.go
@@ -10,36 +10,36 @@
 )
 
 type sidecar struct {
-	n     int
-	zone  string
-	share float64
-	b     *balancer.Balancer
-	life  int                          // restarts
-	armed time.Duration                // its Wake
-	known map[string]balancer.Endpoint // what its agent has
-	order []string                     // of known, as told
-	reqs  map[string]*request
-	acts  []balancer.Action
+	index       int
+	zone        string
+	share       float64
+	b           *balancer.Balancer
+	incarnation int                          // restarts
+	timerAt     time.Duration                // its Wake
+	known       map[string]balancer.Endpoint // what its agent has
+	order       []string                     // of known, as told
+	requests    map[string]*request
+	actionBuf   []balancer.Action
 }
 
 type attempt struct {
-	s     *sidecar
-	life  int
-	r     *request
-	n     int
-	u     *upstream
-	job   string
-	sent  time.Duration
-	ended bool
+	sidecar     *sidecar
+	incarnation int
+	request     *request
+	number      int
+	upstream    *upstream
+	jobID       string
+	sent        time.Duration
+	ended       bool
 }
 
-// tell spreads a change to every sidecar, in its own time.
-func (f *Fleet) tell(m balancer.Endpoint) {
+// announce spreads a change to every sidecar, in its own time.
+func (f *Fleet) announce(m balancer.Endpoint) {
 	for _, s := range f.sidecars {
-		wait := f.plan.Notice[0] + time.Duration(f.rng.Float64()*float64(f.plan.Notice[1]-f.plan.Notice[0]))
+		wait := f.plan.NoticeDelay[0] + time.Duration(f.rng.Float64()*float64(f.plan.NoticeDelay[1]-f.plan.NoticeDelay[0]))
 		f.At(f.now+wait, func() {
 			s.learn(m)
-			f.do(s, balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{m}})
+			f.handleEvent(s, balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{m}})
 		})
 	}
 }
@@ -63,100 +63,100 @@
 	set.FleetSize, set.Zone, set.Tenants = f.plan.Sidecars, s.zone, nil
 	b, err := balancer.New(set, f.rng.Uint64())
 	if err != nil {
-		return fmt.Errorf("sidecar %d: %w", s.n, err)
+		return fmt.Errorf("sidecar %d: %w", s.index, err)
 	}
-	s.life++
-	s.b, s.armed, s.reqs = b, 0, map[string]*request{}
+	s.incarnation++
+	s.b, s.timerAt, s.requests = b, 0, map[string]*request{}
 	full := balancer.EndpointUpdate{Kind: balancer.FullState}
 	for _, id := range s.order {
 		if m := s.known[id]; m.State == balancer.Active {
 			full.Endpoints = append(full.Endpoints, m)
 		}
 	}
-	f.do(s, full)
+	f.handleEvent(s, full)
 	return nil
 }
 
-// do hands a sidecar an event and carries out what it answers.
-func (f *Fleet) do(s *sidecar, e balancer.Event) {
-	acts := s.b.Handle(f.now, e, s.acts[:0])
-	s.acts = nil // what follows may come back here
+// handleEvent hands a sidecar an event and carries out what it answers.
+func (f *Fleet) handleEvent(s *sidecar, e balancer.Event) {
+	acts := s.b.Handle(f.now, e, s.actionBuf[:0])
+	s.actionBuf = nil // what follows may come back here
 	for _, a := range acts {
-		r := s.reqs[a.ID]
+		r := s.requests[a.ID]
 		switch a.Kind {
 		case balancer.StartAttempt:
 			f.send(s, r, a)
 		case balancer.CancelAttempt:
 			at := r.attempts[a.Attempt]
-			f.At(f.now, func() { f.end(at, balancer.Cancelled) })
+			f.At(f.now, func() { f.endAttempt(at, balancer.Cancelled) })
 		case balancer.Reject:
-			f.second().Refused++
-			f.answered(s, r, false)
+			f.currentSecond().Refused++
+			f.finishRequest(s, r, false)
 		case balancer.Fail:
-			f.second().Failed++
-			f.answered(s, r, false)
+			f.currentSecond().Failed++
+			f.finishRequest(s, r, false)
 		case balancer.SetTimer:
-			s.armed = a.At
-			life := s.life
+			s.timerAt = a.At
+			life := s.incarnation
 			f.At(a.At, func() {
-				if s.life == life && s.armed == a.At {
-					f.do(s, balancer.TimerFired{})
+				if s.incarnation == life && s.timerAt == a.At {
+					f.handleEvent(s, balancer.TimerFired{})
 				}
 			})
 		}
 	}
-	s.acts = acts
+	s.actionBuf = acts
 }
 
 func (f *Fleet) send(s *sidecar, r *request, act balancer.Action) {
-	f.ids++
-	a := &attempt{s: s, life: s.life, r: r, n: len(r.attempts), u: f.byID[act.Upstream], job: strconv.Itoa(f.ids), sent: f.now}
+	f.lastID++
+	a := &attempt{sidecar: s, incarnation: s.incarnation, request: r, number: len(r.attempts), upstream: f.byID[act.Upstream], jobID: strconv.Itoa(f.lastID), sent: f.now}
 	r.attempts = append(r.attempts, a)
-	f.second().Attempts++
-	f.At(f.now+f.trip(a)/2, func() { f.offer(a) })
-	f.At(f.now+act.Timeout, func() { f.end(a, balancer.Timeout) })
+	f.currentSecond().Attempts++
+	f.At(f.now+f.roundTrip(a)/2, func() { f.offer(a) })
+	f.At(f.now+act.Timeout, func() { f.endAttempt(a, balancer.Timeout) })
 }
 
 // offer brings an attempt to its upstream: the process that runs there now.
 func (f *Fleet) offer(a *attempt) {
-	a.u = f.byID[a.u.id]
-	u, back := a.u, f.now+f.trip(a)/2
+	a.upstream = f.byID[a.upstream.id]
+	u, back := a.upstream, f.now+f.roundTrip(a)/2
 	if u.silent {
 		return
 	}
 	if !u.up {
-		f.At(back, func() { f.end(a, balancer.ConnectFailed) })
+		f.At(back, func() { f.endAttempt(a, balancer.ConnectFailed) })
 		return
 	}
 	f.advance(u)
-	if f.overCold(u, a) {
-		f.stop(u, false)
-		f.At(back, func() { f.end(a, balancer.Reset) })
+	if f.recordColdArrival(u, a) {
+		f.stopProcess(u, false)
+		f.At(back, func() { f.endAttempt(a, balancer.Reset) })
 		return
 	}
-	if u.server.Offer(f.now, model.Job{ID: a.job, Work: a.r.work}) != model.Taken {
-		f.second().TurnedAway++
-		f.At(back, func() { f.end(a, balancer.Overloaded) })
+	if u.server.Offer(f.now, model.Job{ID: a.jobID, Work: a.request.work}) != model.Taken {
+		f.currentSecond().TurnedAway++
+		f.At(back, func() { f.endAttempt(a, balancer.Overloaded) })
 		return
 	}
-	u.jobs[a.job] = a
-	f.drive(u)
+	u.jobs[a.jobID] = a
+	f.scheduleAdvance(u)
 }
 
-// end reports an attempt's outcome, unless it has one or its sidecar is gone.
-func (f *Fleet) end(a *attempt, res balancer.Result) {
-	if a.ended || a.life != a.s.life {
+// endAttempt reports an attempt's outcome, unless it has one or its sidecar is gone.
+func (f *Fleet) endAttempt(a *attempt, res balancer.Result) {
+	if a.ended || a.incarnation != a.sidecar.incarnation {
 		return
 	}
 	a.ended = true
-	finished := res == balancer.OK && !a.r.done
+	finished := res == balancer.OK && !a.request.done
 	if finished {
-		if f.now <= a.r.aim {
-			f.second().InTime++
+		if f.now <= a.request.objectiveAt {
+			f.currentSecond().InTime++
 		} else {
-			f.second().Late++
+			f.currentSecond().Late++
 		}
-		f.answered(a.s, a.r, true)
+		f.finishRequest(a.sidecar, a.request, true)
 	}
-	f.do(a.s, balancer.AttemptEnded{ID: a.r.id, Attempt: a.n, Result: res, Elapsed: f.now - a.sent, Final: finished})
+	f.handleEvent(a.sidecar, balancer.AttemptEnded{ID: a.request.id, Attempt: a.number, Result: res, Elapsed: f.now - a.sent, Final: finished})
 }
--- a/internal/lab/fleet/sum_test.go
+++ b/internal/lab/fleet/sum_test.go
@@ -23,11 +23,11 @@
 				plays /= 2 // they cost as much as all others
 			}
 			for seed := range uint64(plays) {
-				name, f := sumPlay(t, seed, size.sidecars, size.upstreams)
+				name, f := newScenarioFleet(t, seed, size.sidecars, size.upstreams)
 				seen := f.Run(14 * time.Second)
-				cold += seen.Cold
-				used, allowed = used+seen.ColdUsed, allowed+seen.ColdCan
-				fullest = max(fullest, seen.Fullest.Got/seen.Fullest.Limit())
+				cold += seen.ColdStarts
+				used, allowed = used+seen.ColdReceived, allowed+seen.ColdCapacity
+				fullest = max(fullest, seen.Fullest.Received/seen.Fullest.Limit())
 				for _, s := range seen.Seconds {
 					inTime, tries = inTime+s.InTime, tries+s.Tries
 				}
@@ -40,7 +40,7 @@
 				if breaches > 0 {
 					breached++
 					fails[name]++
-					t.Errorf("seed %d, %s: %d of %d cold upstreams pushed over, first %+v", seed, name, breaches, seen.Cold, seen.Falls[0])
+					t.Errorf("seed %d, %s: %d of %d cold upstreams pushed over, first %+v", seed, name, breaches, seen.ColdStarts, seen.Falls[0])
 				}
 			}
 			t.Logf("%d cold starts, %d falls, %d plays of %d in breach %v; fullest window %.2f of its limit; %.3f of cold capacity unused; %.4f of tries in time",
@@ -49,15 +49,15 @@
 	}
 }
 
-// troubles are what a fleet goes through while upstreams start.
-var troubles = []struct {
+// scenarios are what a fleet goes through while upstreams start.
+var scenarios = []struct {
 	name string
 	do   func(*Fleet)
 }{
 	{"clients move", func(f *Fleet) {
 		f.Release(3*time.Second, 5*time.Second, 0.6)
 		for i := range len(f.sidecars) / 2 {
-			f.HandOver(3*time.Second+time.Duration(f.rng.Float64()*6e9), 2*i, 2*i+1, 0.5+0.5*f.rng.Float64())
+			f.MoveClients(3*time.Second+time.Duration(f.rng.Float64()*6e9), 2*i, 2*i+1, 0.5+0.5*f.rng.Float64())
 		}
 	}},
 	{"restarts", func(f *Fleet) {
@@ -66,7 +66,7 @@
 		f.RestartAll(8 * time.Second)
 	}},
 	{"a zone back", func(f *Fleet) {
-		f.Back(2*time.Second, f.plan.Zones[0])
+		f.LoseZones(2*time.Second, f.plan.Zones[0])
 		for i := range f.sidecars {
 			if f.rng.IntN(2) == 0 {
 				f.At(time.Duration(4e9+f.rng.Float64()*6e9), func() { f.Restart(i) })
@@ -79,16 +79,16 @@
 		f.At(6500*ms, func() { f.SetLoad(f.plan.Load * 1.2) })
 	}},
 	{"all back", func(f *Fleet) {
-		f.Back(2*time.Second, f.plan.Zones...)
+		f.LoseZones(2*time.Second, f.plan.Zones...)
 		for i := range len(f.sidecars) / 3 {
 			f.At(time.Duration(4e9+f.rng.Float64()*4e9), func() { f.Restart(3 * i) })
-			f.HandOver(time.Duration(4e9+f.rng.Float64()*4e9), 3*i, 3*i+1, 0.7)
+			f.MoveClients(time.Duration(4e9+f.rng.Float64()*4e9), 3*i, 3*i+1, 0.7)
 		}
 	}},
 	{"sidecars lost", func(f *Fleet) {
 		f.Release(3*time.Second, 5*time.Second, 0.6)
 		for i := range len(f.sidecars) / 2 {
-			f.HandOver(time.Duration(4e9+f.rng.Float64()*1e9), 2*i, 2*i+1, 1)
+			f.MoveClients(time.Duration(4e9+f.rng.Float64()*1e9), 2*i, 2*i+1, 1)
 		}
 		f.At(5*time.Second, func() {
 			for i := range len(f.sidecars) / 2 {
@@ -98,25 +98,25 @@
 	}},
 }
 
-// sumPlay is a play of a size: by its seed with one trouble, the settings of one of two sites, and lists early or late.
-func sumPlay(t *testing.T, seed uint64, sidecars, upstreams int) (string, *Fleet) {
+// newScenarioFleet is a play of a size: by its seed with one trouble, the settings of one of two sites, and lists early or late.
+func newScenarioFleet(t *testing.T, seed uint64, sidecars, upstreams int) (string, *Fleet) {
 	t.Helper()
-	p := Mass(seed)
+	p := LargePlan(seed)
 	p.Sidecars, p.Upstreams, p.Load = sidecars, upstreams, 0.8
-	trouble := troubles[seed%uint64(len(troubles))]
-	round := seed / uint64(len(troubles))
+	trouble := scenarios[seed%uint64(len(scenarios))]
+	round := seed / uint64(len(scenarios))
 	if round%2 == 1 {
-		p.Rule = Rule{ColdFrom: 0.13, WarmUp: 24 * time.Second, Multiple: 3, For: 3 * time.Second}
-		p.Zones, p.Work, p.Cross = p.Zones[:3], 60*ms, 2*ms
+		p.Rule = Rule{ColdFrom: 0.13, WarmUp: 24 * time.Second, Multiple: 3, Window: 3 * time.Second}
+		p.Zones, p.Work, p.CrossZone = p.Zones[:3], 60*ms, 2*ms
 		s := &p.Settings
-		s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration, s.CrossZoneCost = 0.13, p.Rule.WarmUp, 3, p.Rule.For, 0
+		s.SlowStartCapacity, s.SlowStartWindow, s.OverloadMultiple, s.OverloadDuration, s.CrossZoneCost = 0.13, p.Rule.WarmUp, 3, p.Rule.Window, 0
 		for i := range s.Classes {
 			s.Classes[i].LatencyObjective = 400 * ms
 		}
 	}
 	name := fmt.Sprintf("%s, multiple %.0f", trouble.name, p.Rule.Multiple)
 	if round/2%2 == 1 {
-		p.Notice = [2]time.Duration{200 * ms, 4 * time.Second}
+		p.NoticeDelay = [2]time.Duration{200 * ms, 4 * time.Second}
 		name += ", told late"
 	}
 	f, err := New(p)
--- a/internal/lab/model/keys.go
+++ b/internal/lab/model/keys.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// keyMemory remembers the keys met of late, the most recent ones only.
-type keyMemory struct {
-	most  int
-	keep  time.Duration
-	order *list.List // of keyUse, the latest first
-	at    map[string]*list.Element
+// recentKeys remembers the keys met of late, the most recent ones only.
+type recentKeys struct {
+	limit    int
+	ttl      time.Duration
+	order    *list.List // of keyUse, the latest first
+	elements map[string]*list.Element
 }
 
 type keyUse struct {
-	key  string
-	last time.Duration
+	key      string
+	lastUsed time.Duration
 }
 
-func newKeyMemory(most int, keep time.Duration) *keyMemory {
-	return &keyMemory{most: most, keep: keep, order: list.New(), at: map[string]*list.Element{}}
+func newRecentKeys(most int, keep time.Duration) *recentKeys {
+	return &recentKeys{limit: most, ttl: keep, order: list.New(), elements: map[string]*list.Element{}}
 }
 
-// meet notes a use of the key, and tells whether it was known.
-func (m *keyMemory) meet(key string, now time.Duration) bool {
-	if key == "" || m.most < 1 {
+// recordUse notes a use of the key, and tells whether it was known.
+func (m *recentKeys) recordUse(key string, now time.Duration) bool {
+	if key == "" || m.limit < 1 {
 		return false
 	}
-	if e, ok := m.at[key]; ok {
+	if e, ok := m.elements[key]; ok {
 		use := e.Value.(*keyUse)
-		known := now-use.last <= m.keep
-		use.last = now
+		known := now-use.lastUsed <= m.ttl
+		use.lastUsed = now
 		m.order.MoveToFront(e)
 		return known
 	}
-	m.at[key] = m.order.PushFront(&keyUse{key, now})
-	if m.order.Len() > m.most {
+	m.elements[key] = m.order.PushFront(&keyUse{key, now})
+	if m.order.Len() > m.limit {
 		oldest := m.order.Back()
-		delete(m.at, oldest.Value.(*keyUse).key)
+		delete(m.elements, oldest.Value.(*keyUse).key)
 		m.order.Remove(oldest)
 	}
 	return false
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// plain is a server on which nothing but its cores bounds it.
-func plain(cores int) Spec {
+// coresOnlySpec is a server on which nothing but its cores bounds it.
+func coresOnlySpec(cores int) Spec {
 	return Spec{Cores: cores, Speed: 1, SlotsPerCore: 1, QueuePerCore: 1e6}
 }
 
-// play offers n jobs with exponential gaps and works of a mean of 10 ms, and gives the mean time from arrival to end.
-func play(s *Server, n int, rho float64, seed uint64) time.Duration {
+// runJobs offers n jobs with exponential gaps and works of a mean of 10 ms, and gives the mean time from arrival to end.
+func runJobs(s *Server, n int, rho float64, seed uint64) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const work = 10 * time.Millisecond
 	gap := float64(work) / (rho * float64(s.spec.Cores))
@@ -63,8 +63,8 @@
 	}{{0.5, 1_000_000}, {0.7, 800_000}, {0.9, 2_000_000}} {
 		t.Run(fmt.Sprint(c.rho), func(t *testing.T) {
 			t.Parallel()
-			s := New(plain(4), 1, 0, 0)
-			took := play(s, c.n, c.rho, 7)
+			s := New(coresOnlySpec(4), 1, 0, 0)
+			took := runJobs(s, c.n, c.rho, 7)
 			const service = 0.010
 			want := erlangC(4, 4*c.rho) * service / (4 * (1 - c.rho))
 			got := took.Seconds() - service
@@ -78,7 +78,7 @@
 	}
 }
 
-func drain(s *Server) (last time.Duration, ended int) {
+func runToEnd(s *Server) (last time.Duration, ended int) {
 	for next := s.Next(); next != Never && next < time.Hour; next = s.Next() {
 		for _, d := range s.Advance(next) {
 			last = d.At
@@ -89,19 +89,19 @@
 }
 
 func TestSlotsShareTheCores(t *testing.T) {
-	spec := plain(2)
+	spec := coresOnlySpec(2)
 	spec.SlotsPerCore = 4
 	s := New(spec, 1, 0, 0)
 	for i := range 4 {
 		s.Offer(0, Job{ID: fmt.Sprint(i), Work: 100 * time.Millisecond})
 	}
-	if last, n := drain(s); n != 4 || last.Round(time.Millisecond) != 200*time.Millisecond {
+	if last, n := runToEnd(s); n != 4 || last.Round(time.Millisecond) != 200*time.Millisecond {
 		t.Errorf("%d jobs ended by %v; four of 100 ms on two cores take 200 ms", n, last)
 	}
 }
 
 func TestTurnsAwayBeyondTheWaitingRoom(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.QueuePerCore = 2
 	s := New(spec, 1, 0, 0)
 	got := map[Offer]int{}
@@ -114,12 +114,12 @@
 }
 
 func TestColdServerWarmsUpAndFalls(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.ColdFrom, spec.ColdFor = 0.5, 10*time.Second
 	s := New(spec, 1, 0, 0)
 	s.Offer(0, Job{ID: "a", Work: time.Second})
 	// The integral of 0.5 + 0.05 t reaches 1 at t = 10 (√1.4 - 1).
-	if last, _ := drain(s); math.Abs(last.Seconds()-10*(math.Sqrt(1.4)-1)) > 0.02 {
+	if last, _ := runToEnd(s); math.Abs(last.Seconds()-10*(math.Sqrt(1.4)-1)) > 0.02 {
 		t.Errorf("a second's work on a cold core took %v", last)
 	}
 	spec.FallMultiple, spec.FallFor = 4, time.Second
@@ -135,7 +135,7 @@
 }
 
 func TestCrowdChokesAndRestCures(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.Choke = Choke{At: 2, Over: time.Second, Slower: 3, Below: 0.4, Rest: 2 * time.Second, Most: time.Minute}
 	s := New(spec, 1, 0, 0)
 	for range 8 {
@@ -149,7 +149,7 @@
 	if !s.Choked() {
 		t.Fatal("not choked by a crowd that stayed")
 	}
-	last, _ := drain(s)
+	last, _ := runToEnd(s)
 	if last < 8*time.Second {
 		t.Errorf("all done at %v, though three times slower", last)
 	}
@@ -159,7 +159,7 @@
 }
 
 func TestKeysMetOfLateAreCheaper(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.KeyGain, spec.KeyFor, spec.KeysPerCore = 0.5, time.Second, 2
 	for _, c := range []struct {
 		name  string
@@ -190,6 +190,6 @@
 // Measures the model alone: the laboratory promises a million requests in under 10 s.
 func BenchmarkMillionRequests(b *testing.B) {
 	for range b.N {
-		play(New(plain(4), 1, 0, 0), 1_000_000, 0.8, 3)
+		runJobs(New(coresOnlySpec(4), 1, 0, 0), 1_000_000, 0.8, 3)
 	}
 }
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -11,51 +11,51 @@
 const Never = time.Duration(math.MaxInt64)
 
 const (
-	warmStep  = 20 * time.Millisecond  // how finely a cold server's capacity rises
-	chokeLook = 50 * time.Millisecond  // how often a crowded or choked server is looked at
-	utilOver  = 500 * time.Millisecond // over which the busy share and the latency are averaged
+	warmUpStep         = 20 * time.Millisecond  // how finely a cold server's capacity rises
+	chokeCheckInterval = 50 * time.Millisecond  // how often a crowded or choked server is looked at
+	utilTimeConstant   = 500 * time.Millisecond // over which the busy share and the latency are averaged
 )
 
 // Server is one process of an upstream. Jobs in work share the cores evenly, so all of them advance at one rate: each
 // ends when the work done for a job (virtual) reaches what it was when the job began, plus the job's own.
 type Server struct {
-	spec    Spec
-	rng     *rand.Rand
-	started time.Duration
-	now     time.Duration
-	virtual float64 // seconds of work done for each job in work
-	running jobHeap
-	waiting []held // first in, first out
-	extra   int    // of running: handshakes and probes, which need no slot
-	keys    *keyMemory
-	conns   int
+	spec         Spec
+	rng          *rand.Rand
+	started      time.Duration
+	now          time.Duration
+	virtual      float64 // seconds of work done for each job in work
+	running      jobHeap
+	waiting      []acceptedJob // first in, first out
+	overheadJobs int           // of running: handshakes and probes, which need no slot
+	keys         *recentKeys
+	conns        int
 
 	pausedUntil, nextPause time.Duration
 	crowdedSince           time.Duration // Never: it is not crowded
 	choked                 bool
 	chokedAt, idleSince    time.Duration
 	util, latency          float64 // of late; latency in seconds
-	slower                 float64 // by a fault; 1: none
+	slowdown               float64 // by a fault; 1: none
 	failShare              float64 // by a fault
 	fallen                 bool
-	sent                   []arrival // while cold, over the last FallFor
-	sentWork               float64
+	coldArrivals           []arrival // while cold, over the last FallFor
+	coldWork               float64
 
 	area     float64 // jobs held × seconds, see Little
 	sojourns float64
 	done     []Done
 }
 
-type held struct {
+type acceptedJob struct {
 	Job
-	arrived time.Duration
-	extra   bool
+	arrived  time.Duration
+	overhead bool
 }
 
 type runningJob struct {
-	held
-	began time.Duration
-	ends  float64 // in virtual time
+	acceptedJob
+	began         time.Duration
+	endsAtVirtual float64 // in virtual time
 }
 
 type arrival struct {
@@ -67,8 +67,8 @@
 // and errors. The spec must pass Check.
 func New(spec Spec, seed uint64, started, now time.Duration) *Server {
 	s := &Server{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x6d6f73736c656164)), started: started, now: now,
-		crowdedSince: Never, nextPause: Never, slower: 1,
-		keys: newKeyMemory(int(spec.KeysPerCore*float64(spec.Cores)), spec.KeyFor)}
+		crowdedSince: Never, nextPause: Never, slowdown: 1,
+		keys: newRecentKeys(int(spec.KeysPerCore*float64(spec.Cores)), spec.KeyFor)}
 	s.planPause()
 	return s
 }
@@ -90,7 +90,7 @@
 // Cold tells whether it still warms up.
 func (s *Server) Cold() bool { return s.warmth(s.now) < 1 }
 
-func (s *Server) held() int { return len(s.running) + len(s.waiting) }
+func (s *Server) jobsHeld() int { return len(s.running) + len(s.waiting) }
 
 // rate is the work done in a second for each job in work.
 func (s *Server) rate() float64 {
@@ -99,8 +99,8 @@
 		return 0
 	}
 	cores := float64(s.spec.Cores)
-	r := s.spec.Speed * min(1, cores/float64(k)) * s.warmth(s.now) / s.slower
-	if excess := float64(s.held())/cores - s.spec.ThrashAt; s.spec.Thrash > 0 && excess > 0 {
+	r := s.spec.Speed * min(1, cores/float64(k)) * s.warmth(s.now) / s.slowdown
+	if excess := float64(s.jobsHeld())/cores - s.spec.ThrashAt; s.spec.Thrash > 0 && excess > 0 {
 		r /= 1 + s.spec.Thrash*excess
 	}
 	if s.choked {
@@ -121,16 +121,16 @@
 	if s.now < s.pausedUntil {
 		next = min(next, s.pausedUntil)
 	} else if r := s.rate(); r > 0 {
-		left := max(0, (s.running[0].ends-s.virtual)/r)
+		left := max(0, (s.running[0].endsAtVirtual-s.virtual)/r)
 		if at := s.now + time.Duration(math.Ceil(left*1e9)); left < 1e9 {
 			next = min(next, at)
 		}
 	}
 	if len(s.running) > 0 && s.Cold() {
-		next = min(next, s.now+warmStep)
+		next = min(next, s.now+warmUpStep)
 	}
 	if s.choked || s.crowdedSince != Never {
-		next = min(next, s.now+chokeLook)
+		next = min(next, s.now+chokeCheckInterval)
 	}
 	return next
 }
@@ -143,45 +143,45 @@
 		if at > now {
 			break
 		}
-		s.accrue(at)
-		s.settle()
+		s.advanceClock(at)
+		s.processDue()
 	}
-	s.accrue(now)
+	s.advanceClock(now)
 	return s.done
 }
 
-// accrue lets time pass in which nothing changes.
-func (s *Server) accrue(to time.Duration) {
+// advanceClock lets time pass in which nothing changes.
+func (s *Server) advanceClock(to time.Duration) {
 	if to <= s.now {
 		return
 	}
 	dt := (to - s.now).Seconds()
 	s.virtual += s.rate() * dt
-	s.area += float64(s.held()) * dt
+	s.area += float64(s.jobsHeld()) * dt
 	busy := min(1, float64(len(s.running))/float64(s.spec.Cores))
-	keep := math.Exp(-dt / utilOver.Seconds())
+	keep := math.Exp(-dt / utilTimeConstant.Seconds())
 	s.util = s.util*keep + busy*(1-keep)
 	s.now = to
 }
 
-// settle does what is due now.
-func (s *Server) settle() {
+// processDue does what is due now.
+func (s *Server) processDue() {
 	if s.now >= s.nextPause {
 		s.pausedUntil = s.now + time.Duration(s.rng.Float64()*float64(s.spec.PauseFor))
 		s.planPause()
 	}
-	for len(s.running) > 0 && s.running[0].ends <= s.virtual+1e-9 {
+	for len(s.running) > 0 && s.running[0].endsAtVirtual <= s.virtual+1e-9 {
 		j := heap.Pop(&s.running).(runningJob)
-		s.finish(j)
-		s.fill()
+		s.finishJob(j)
+		s.startWaiting()
 	}
-	s.watchCrowd()
+	s.updateChoke()
 }
 
-func (s *Server) finish(j runningJob) {
+func (s *Server) finishJob(j runningJob) {
 	s.sojourns += (s.now - j.arrived).Seconds()
-	if j.extra {
-		s.extra--
+	if j.overhead {
+		s.overheadJobs--
 		return
 	}
 	took := (s.now - j.began).Seconds()
@@ -192,25 +192,25 @@
 	s.done = append(s.done, Done{Job: j.Job, At: s.now, Failed: s.rng.Float64() < s.spec.ErrorShare+s.failShare})
 }
 
-// fill lets waiting jobs begin while there are slots.
-func (s *Server) fill() {
+// startWaiting lets waiting jobs begin while there are slots.
+func (s *Server) startWaiting() {
 	for len(s.waiting) > 0 && s.slotFree() {
 		h := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		s.begin(h)
+		s.startJob(h)
 	}
 }
 
 func (s *Server) slotFree() bool {
-	return len(s.running)-s.extra < max(1, int(s.spec.SlotsPerCore*float64(s.spec.Cores)))
+	return len(s.running)-s.overheadJobs < max(1, int(s.spec.SlotsPerCore*float64(s.spec.Cores)))
 }
 
-func (s *Server) begin(h held) {
-	heap.Push(&s.running, runningJob{held: h, began: s.now, ends: s.virtual + h.Work.Seconds()})
+func (s *Server) startJob(h acceptedJob) {
+	heap.Push(&s.running, runningJob{acceptedJob: h, began: s.now, endsAtVirtual: s.virtual + h.Work.Seconds()})
 }
 
-// watchCrowd chokes the server when too many have waited for too long, and lets it recover.
-func (s *Server) watchCrowd() {
+// updateChoke chokes the server when too many have waited for too long, and lets it recover.
+func (s *Server) updateChoke() {
 	c := s.spec.Choke
 	if c.At <= 0 {
 		return
@@ -239,22 +239,22 @@
 	if s.fallen {
 		return Down
 	}
-	if s.overCold(now, j.Work.Seconds()) {
+	if s.overloadedWhileCold(now, j.Work.Seconds()) {
 		s.Fell()
 		return Down
 	}
 	if !s.slotFree() && len(s.waiting) >= int(s.spec.QueuePerCore*float64(s.spec.Cores)) {
 		return Full
 	}
-	if s.keys.meet(j.Key, now) {
+	if s.keys.recordUse(j.Key, now) {
 		j.Work = time.Duration(float64(j.Work) * (1 - s.spec.KeyGain))
 	}
 	if s.slotFree() {
-		s.begin(held{Job: j, arrived: now})
+		s.startJob(acceptedJob{Job: j, arrived: now})
 	} else {
-		s.waiting = append(s.waiting, held{Job: j, arrived: now})
+		s.waiting = append(s.waiting, acceptedJob{Job: j, arrived: now})
 	}
-	s.watchCrowd()
+	s.updateChoke()
 	return Taken
 }
 
@@ -267,25 +267,25 @@
 	for _, h := range s.waiting {
 		s.sojourns += (s.now - h.arrived).Seconds()
 	}
-	s.running, s.waiting, s.extra = nil, nil, 0
+	s.running, s.waiting, s.overheadJobs = nil, nil, 0
 }
 
 // Fallen tells whether it is down.
 func (s *Server) Fallen() bool { return s.fallen }
 
-// overCold keeps count of what a cold server was sent, and tells whether it is too much.
-func (s *Server) overCold(now time.Duration, work float64) bool {
+// overloadedWhileCold keeps count of what a cold server was sent, and tells whether it is too much.
+func (s *Server) overloadedWhileCold(now time.Duration, work float64) bool {
 	if s.spec.FallMultiple <= 0 || s.spec.FallFor <= 0 || s.warmth(now) >= 1 {
-		s.sent, s.sentWork = nil, 0
+		s.coldArrivals, s.coldWork = nil, 0
 		return false
 	}
-	for len(s.sent) > 0 && now-s.sent[0].at >= s.spec.FallFor {
-		s.sentWork -= s.sent[0].work
-		s.sent = s.sent[1:]
+	for len(s.coldArrivals) > 0 && now-s.coldArrivals[0].at >= s.spec.FallFor {
+		s.coldWork -= s.coldArrivals[0].work
+		s.coldArrivals = s.coldArrivals[1:]
 	}
-	s.sent = append(s.sent, arrival{now, work})
-	s.sentWork += work
-	return s.sentWork > s.spec.FallMultiple*s.spec.Capacity()*s.warmth(now)*s.spec.FallFor.Seconds()
+	s.coldArrivals = append(s.coldArrivals, arrival{now, work})
+	s.coldWork += work
+	return s.coldWork > s.spec.FallMultiple*s.spec.Capacity()*s.warmth(now)*s.spec.FallFor.Seconds()
 }
 
 // Charge brings work at now that no client waits for: a handshake or a probe.
@@ -293,8 +293,8 @@
 	if s.fallen || work <= 0 {
 		return
 	}
-	s.extra++
-	s.begin(held{Job: Job{Work: work}, arrived: now, extra: true})
+	s.overheadJobs++
+	s.startJob(acceptedJob{Job: Job{Work: work}, arrived: now, overhead: true})
 }
 
 // Connected changes the number of open connections by n; false where the table has no room for more.
@@ -308,7 +308,7 @@
 
 // Trouble makes the server so many times slower (1: not at all) and lets a share of its jobs fail, from now on.
 func (s *Server) Trouble(slower, failShare float64) {
-	s.slower, s.failShare = max(slower, 1e-3), failShare
+	s.slowdown, s.failShare = max(slower, 1e-3), failShare
 }
 
 // ForceChoke chokes it as a crowd would.
@@ -323,7 +323,7 @@
 
 // Report is the server's own word on its load.
 func (s *Server) Report() Report {
-	return Report{Inflight: s.held() - s.extra, Queue: len(s.waiting), Util: s.util,
+	return Report{Inflight: s.jobsHeld() - s.overheadJobs, Queue: len(s.waiting), Util: s.util,
 		Latency: time.Duration(s.latency * float64(time.Second))}
 }
 
@@ -343,7 +343,7 @@
 type jobHeap []runningJob
 
 func (h jobHeap) Len() int           { return len(h) }
-func (h jobHeap) Less(i, j int) bool { return h[i].ends < h[j].ends }
+func (h jobHeap) Less(i, j int) bool { return h[i].endsAtVirtual < h[j].endsAtVirtual }
 func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
