--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -28,16 +28,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, err := Build(f, m)
+	table, err := Build(f, m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return x
+	return table
 }
 
-// TestThePageIsWhatIsWorkedOut holds the page to its fleet and its measures, and sees a number that was changed by hand.
+// TestThePageIsWhatIsWorkedOut checks that the pages match the fleet and the measures, and that a number edited by hand is found.
 func TestThePageIsWhatIsWorkedOut(t *testing.T) {
-	x := buildTable(t)
+	table := buildTable(t)
 	var pages [2]string
 	for i, path := range []string{pagePath, resultsPath} {
 		text, err := os.ReadFile(path)
@@ -46,40 +46,41 @@
 		}
 		pages[i] = string(text)
 	}
-	own := 0
+	ownSections := 0
 	for _, s := range sections {
 		for i, page := range pages {
-			if n, is := strings.Count(page, beginMark(s.name)+"\n"), i == 1; (n == 1) != (is == (s.name == "plays")) || n > 1 {
-				t.Errorf("%s is %d times on page %d", s.name, n, i)
+			if n, otherPage := strings.Count(page, beginMark(s.name)+"\n"), i == 1; (n == 1) != (otherPage == (s.name == "plays")) || n > 1 {
+				t.Errorf("section %s: got it %d times on page %d, want once on its own page (plays on page 1, the others on page 0)", s.name, n, i)
 			}
 		}
 		if s.name != "plays" {
-			own++
+			ownSections++
 		}
 	}
-	if own < 7 {
-		t.Errorf("%d sections on the page", own)
+	if ownSections < 7 {
+		t.Errorf("got %d sections on the page, want at least 7", ownSections)
 	}
-	checkPage(t, x, "docs/CAPACITY.md", pages[0])
-	checkPage(t, x, "docs/RESULTS.md", pages[1])
+	checkPage(t, table, "docs/CAPACITY.md", pages[0])
+	checkPage(t, table, "docs/RESULTS.md", pages[1])
 }
 
-// checkPage has a page be what is worked out, and sees each of its parts changed.
-func checkPage(t *testing.T, x *Table, name, page string) {
+// checkPage checks that a page equals its generated form, that a changed digit in any section is found, and that pages without marks
+// are rejected.
+func checkPage(t *testing.T, table *Table, name, page string) {
 	t.Helper()
-	want, err := x.Renew(page)
+	want, err := table.Renew(page)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if page != want {
-		at := 0
-		for at < min(len(page), len(want)) && page[at] == want[at] {
-			at++
+		offset := 0
+		for offset < min(len(page), len(want)) && page[offset] == want[offset] {
+			offset++
 		}
-		t.Fatalf("%s is not what is worked out: run `mosslead lab capacity --page %s`. It differs at\n%.200s\nand is to be\n%.200s", name, name, page[at:], want[at:])
+		t.Fatalf("%s is not as generated: run `mosslead lab capacity --page %s`. It differs at\n%.200s\nwant\n%.200s", name, name, page[offset:], want[offset:])
 	}
 	for _, s := range sections {
-		section, err := x.Section(s.name)
+		section, err := table.Section(s.name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,24 +91,24 @@
 		if digit < 0 {
 			continue // nothing was measured for it yet
 		}
-		at := strings.Index(page, section) + digit
-		planted := page[:at] + string('1'+(page[at]-'0')%9) + page[at+1:]
+		offset := strings.Index(page, section) + digit
+		planted := page[:offset] + string('1'+(page[offset]-'0')%9) + page[offset+1:]
 		if planted == page {
-			t.Fatalf("%s: nothing was changed", s.name)
+			t.Fatalf("section %s: the planted digit is the same as before", s.name)
 		}
-		if again, err := x.Renew(planted); err != nil || again == planted {
-			t.Errorf("%s: a changed number is not seen (%v)", s.name, err)
+		if again, err := table.Renew(planted); err != nil || again == planted {
+			t.Errorf("section %s: a changed digit stays in the renewed page (error %v), want it replaced", s.name, err)
 		}
 	}
-	if _, err := x.Renew("# Another page\n"); err == nil {
-		t.Error("a page without any part is taken")
+	if _, err := table.Renew("# Another page\n"); err == nil {
+		t.Error("a page without a section: got no error, want one")
 	}
-	if _, err := x.Renew(strings.ReplaceAll(page, endMark, "")); err == nil {
-		t.Error("a part without an end is taken")
+	if _, err := table.Renew(strings.ReplaceAll(page, endMark, "")); err == nil {
+		t.Error("a section without an end mark: got no error, want one")
 	}
 }
 
-// TestFleetsAreReadStrictly has each mistake named with its line or key.
+// TestFleetsAreReadStrictly checks that the error for each mistake names its line or key.
 func TestFleetsAreReadStrictly(t *testing.T) {
 	text, err := os.ReadFile(fleetPath)
 	if err != nil {
@@ -128,47 +129,47 @@
 	} {
 		bad := strings.Replace(good, c.old, c.new, 1)
 		if bad == good {
-			t.Fatalf("%q is not in the file", c.old)
+			t.Fatalf("%q is not in the fleet's file", c.old)
 		}
 		if _, err := ParseFleet([]byte(bad)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.new, err, c.want)
+			t.Errorf("%s: got error %v, want one with %q", c.new, err, c.want)
 		}
 	}
 	if _, err := ParseFleet(nil); err == nil {
-		t.Error("an empty fleet is taken")
+		t.Error("an empty fleet: got no error, want one")
 	}
 	if _, err := LoadFleet(filepath.Join(t.TempDir(), "none.toml")); err == nil {
-		t.Error("a file that is not there is taken")
+		t.Error("a missing file: got no error, want one")
 	}
 }
 
-// TestTheLoadFollowsTheFleet changes a figure and looks at what depends on it.
+// TestTheLoadFollowsTheFleet changes a figure and checks what depends on it.
 func TestTheLoadFollowsTheFleet(t *testing.T) {
 	f, err := LoadFleet(fleetPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := f.Work()
-	near := func(name string, got, want float64) {
+	checkNear := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9*math.Abs(want) {
-			t.Errorf("%s: %v, want %v", name, got, want)
+			t.Errorf("%s: got %v, want %v", name, got, want)
 		}
 	}
-	near("calls", l.CallsMean, 170000.0/1800)
-	near("zone", l.ZoneSidecars, 1800.0/14)
-	near("region", l.RegionSidecars, 450)
-	near("chain", l.ChainSlow, 1-math.Pow(0.99, 22))
+	checkNear("calls", l.CallsMean, 170000.0/1800)
+	checkNear("zone", l.ZoneSidecars, 1800.0/14)
+	checkNear("region", l.RegionSidecars, 450)
+	checkNear("chain", l.ChainSlow, 1-math.Pow(0.99, 22))
 	f.Operators.Upstreams.Value = 3600
 	twice := f.Work()
-	near("calls of twice as many", twice.CallsMean, l.CallsMean/2)
-	near("renewals of twice as many", twice.Renewals, 2*l.Renewals)
+	checkNear("calls of twice as many", twice.CallsMean, l.CallsMean/2)
+	checkNear("renewals of twice as many", twice.Renewals, 2*l.Renewals)
 	if len(twice.Quantities) != len(l.Quantities) || len(l.Quantities) < 20 {
-		t.Errorf("%d quantities", len(l.Quantities))
+		t.Errorf("got %d quantities, and %d with twice as many upstreams; want at least 20 and the same number", len(l.Quantities), len(twice.Quantities))
 	}
 }
 
-// syntheticMeasure is a measure on a line, with noise.
+// syntheticMeasure returns a measure whose samples lie on a line, with noise.
 func syntheticMeasure(name string, constant, slope, noise float64, at ...float64) *Measure {
 	rng := rand.New(rand.NewPCG(1, 2))
 	m := &Measure{Name: name, Command: "none", Revision: "none", Series: []Series{{Name: "y", Unit: "MB", Form: "x"}}}
@@ -178,7 +179,8 @@
 	return m
 }
 
-// TestLinesAreFitted has intervals hold what they promise: of 400 made lines about 380 slopes and as many next plays.
+// TestLinesAreFitted checks that intervals have their 95%: of 400 synthetic lines, about 380 slopes and as many next runs lie
+// within them.
 func TestLinesAreFitted(t *testing.T) {
 	m := syntheticMeasure("exact", 3, 2, 0, 1, 2, 3, 4)
 	_, l, err := m.Line("y")
@@ -186,7 +188,7 @@
 		t.Fatal(err)
 	}
 	if got := l.At(10); math.Abs(got.Value-23) > 1e-9 || math.Abs(got.High-got.Low) > 1e-6 {
-		t.Errorf("an exact line: %+v", got)
+		t.Errorf("an exact line: got %+v, want 23 without scatter", got)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	slopes, plays := 0, 0
@@ -209,30 +211,30 @@
 	}
 	for what, held := range map[string]int{"slopes": slopes, "plays": plays} {
 		if held < lines*92/100 || held > lines*98/100 {
-			t.Errorf("%d of %d %s lie in their intervals", held, lines, what)
+			t.Errorf("%d of %d %s lie in their intervals, want 92%% to 98%%", held, lines, what)
 		}
 	}
 	if _, _, err := syntheticMeasure("few", 1, 1, 0, 1, 2, 3, 3).Line("y"); err == nil || !strings.Contains(err.Error(), "3 sizes") {
-		t.Errorf("a slope from three sizes: %v", err)
+		t.Errorf("a slope from three sizes: got error %v, want one with \"3 sizes\"", err)
 	}
 	for form, want := range map[string]float64{"x": 8, "x*z": 24, "log2(x)": 3, "pushpull(x)": 8, "pushpull(many)": 256.0 / 4} {
 		if got, err := formValue(form, map[string]float64{"x": 8, "z": 3, "many": 256}); err != nil || got != want {
-			t.Errorf("%s: %v, %v", form, got, err)
+			t.Errorf("%s: got %v (error %v), want %v", form, got, err, want)
 		}
 	}
 	for _, form := range []string{"w", "x*w", "log2(w)", "log2(zero)"} {
 		if _, err := formValue(form, map[string]float64{"x": 8, "zero": 0}); err == nil {
-			t.Errorf("%s is taken", form)
+			t.Errorf("form %s: got no error, want one", form)
 		}
 	}
 }
 
-// TestMeasuresAreKept writes one, reads it again, and has files that can't be right refused.
+// TestMeasuresAreKept writes a measure, reads it again, and checks that invalid files are rejected.
 func TestMeasuresAreKept(t *testing.T) {
 	dir := t.TempDir()
 	m := syntheticMeasure("one", 3, 2, 0.1, 1, 2, 3, 4)
 	if err := m.Predict(map[string]float64{"x": 4}, "none"); err == nil {
-		t.Error("a size that was played is predicted")
+		t.Error("a prediction for a size that was measured: got no error, want one")
 	}
 	if err := m.Predict(map[string]float64{"x": 8}, "none"); err != nil {
 		t.Fatal(err)
@@ -243,11 +245,11 @@
 	}
 	all, err := ReadMeasures(dir)
 	if err != nil || len(all) != 1 {
-		t.Fatalf("%v, %v", all, err)
+		t.Fatalf("got measures %v (error %v), want one", all, err)
 	}
 	checked, err := all["one"].compareChecks()
 	if err != nil || len(checked) != 1 || !checked[0].Played || checked[0].Came != 19 || !checked[0].Says.Holds(checked[0].Says.Value) {
-		t.Errorf("%+v, %v", checked, err)
+		t.Errorf("got checked %+v (error %v), want one played series that came to 19 and a prediction within its bounds", checked, err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "one.json"))
 	if err != nil {
@@ -264,21 +266,22 @@
 		bad := t.TempDir()
 		changed := strings.Replace(string(text), c.old, c.new, 1)
 		if changed == string(text) {
-			t.Fatalf("%s: %q is not in the file", name, c.old)
+			t.Fatalf("%s: %q is not in the measure's file", name, c.old)
 		}
 		if err := os.WriteFile(filepath.Join(bad, "one.json"), []byte(changed), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := ReadMeasures(bad); err == nil || !strings.Contains(err.Error(), "one.json") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one that names one.json", name, err)
 		}
 	}
 	if _, err := ReadMeasures(filepath.Join(dir, "none")); err == nil {
-		t.Error("a directory that is not there is taken")
+		t.Error("a missing directory: got no error, want one")
 	}
 }
 
-// TestWhatIsMissingComesFirst has rows without a carrier before those over their budget, and rows that were not measured say so.
+// TestWhatIsMissingComesFirst checks that rows without a carrier come before those over their budget, and that rows that were not
+// measured are marked so.
 func TestWhatIsMissingComesFirst(t *testing.T) {
 	over := exactInterval(4)
 	far := exactInterval(8)
@@ -296,7 +299,7 @@
 		got = append(got, c.Row.What)
 	}
 	if want := "often, seldom, far over, over"; strings.Join(got, ", ") != want {
-		t.Errorf("%s, want %s", strings.Join(got, ", "), want)
+		t.Errorf("got %s, want %s", strings.Join(got, ", "), want)
 	}
 	f, err := LoadFleet(fleetPath)
 	if err != nil {
@@ -308,14 +311,14 @@
 	}
 	section, err := bare.Section("table")
 	if err != nil || !strings.Contains(section, "not measured") {
-		t.Errorf("a table without measures: %v", err)
+		t.Errorf("a table without measures: got error %v and %q, want no error and \"not measured\"", err, section)
 	}
 	if _, err := json.Marshal(bare); err != nil {
 		t.Error(err)
 	}
 	for _, r := range append(bare.Rows, bare.After...) {
 		if !r.Carried && !strings.HasPrefix(r.Mechanism, None) || r.Carried && !strings.Contains(r.Mechanism, "`") || r.PerYear <= 0 || r.BudgetFrom == "" || r.Unit == "" {
-			t.Errorf("the row is not whole: %+v", r)
+			t.Errorf("incomplete row: got %+v, want a unit, a budget's source, a number per year, and a mechanism that names code exactly if it is carried", r)
 		}
 	}
 }
@@ -323,12 +326,13 @@
 func TestNumbers(t *testing.T) {
 	for x, want := range map[float64]string{0: "0", 1800: "1,800", 170000: "170,000", 94.44: "94.4", 0.31: "0.31", 6.818: "6.82", 1234567.8: "1,234,568", -1234: "-1,234", 3.1e10: "3.10e+10", 0.0000123: "1.2e-05", 12: "12"} {
 		if got := formatNumber(x); got != want {
-			t.Errorf("%v is %s, want %s", x, got, want)
+			t.Errorf("%v: got %s, want %s", x, got, want)
 		}
 	}
 }
 
-// TestScaleRunsAreTaken makes a measure of results of the scale run, and holds a check to the size that was predicted.
+// TestScaleRunsAreTaken makes a measure from results of the scale run, and checks that only results of the predicted size are
+// accepted as checks.
 func TestScaleRunsAreTaken(t *testing.T) {
 	result := func(hollow int, day, trouble string) []byte {
 		n := float64(hollow + 12)
@@ -352,23 +356,23 @@
 		t.Fatal(err)
 	}
 	if says := m.Prediction.Says["leading_replica_cpu"]; math.Abs(says.Value-0.0002*1812) > 1e-9 || m.Samples[0].Got["of_settings_p99_ms"] != 80 {
-		t.Errorf("%+v, %+v", says, m.Samples[0])
+		t.Errorf("got prediction %+v and sample %+v, want 0.0002*1812 and of_settings_p99_ms 80", says, m.Samples[0])
 	}
 	if err := m.CheckScale("steady", [][]byte{result(1800, "steady", "")}); err != nil || len(m.Checks) != 1 {
-		t.Errorf("%+v, %v", m.Checks, err)
+		t.Errorf("got checks %+v (error %v), want one check", m.Checks, err)
 	}
 	if err := m.CheckScale("steady", [][]byte{result(900, "steady", "")}); err == nil {
-		t.Error("a check of another size is taken")
+		t.Error("a check of another size: got no error, want one")
 	}
 	for what, wrong := range map[string][][]byte{"three sizes": results[:3], "another day": append(results[:3:3], result(588, "wave", "")), "broken off": append(results[:3:3], result(588, "steady", "no room")),
 		"no JSON": append(results[:3:3], []byte("{"))} {
 		if _, err := FromScale("steady", wrong, 1812); err == nil {
-			t.Errorf("%s: taken", what)
+			t.Errorf("%s: got no error, want one", what)
 		}
 	}
 }
 
-// TestARefutedPredictionIsSaid has a figure that rests on it say so.
+// TestARefutedPredictionIsSaid checks that a row whose figure rests on a refuted prediction states it.
 func TestARefutedPredictionIsSaid(t *testing.T) {
 	m := syntheticMeasure("one", 3, 2, 0.1, 1, 2, 3, 4)
 	if err := m.Predict(map[string]float64{"x": 8}, "none"); err != nil {
@@ -377,12 +381,12 @@
 	for came, want := range map[float64]float64{19: 0, 20: 0, 190: 10, 9.5: 0.5} {
 		m.Checks = []Sample{{Sizes: map[string]float64{"x": 8}, Got: map[string]float64{"y": came}}}
 		if got := m.refutedRatio("y"); math.Abs(got-want) > 0.02*want {
-			t.Errorf("%v came: %v, want %v", came, got, want)
+			t.Errorf("measured %v: got ratio %v, want %v", came, got, want)
 		}
 	}
 	var w bytes.Buffer
 	writeRows(&w, []Row{{Role: "r", What: "w", Unit: "MB", Slopes: []Slope{{Measure: "one", Series: "y", Refuted: 5.76}}, Carried: true}})
 	if !strings.Contains(w.String(), "refuted: what came is 5.76 times it") {
-		t.Error(w.String())
+		t.Errorf("got %q, want it to state that the prediction was refuted", w.String())
 	}
 }
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -1,5 +1,5 @@
-// Package capacity owns what a fleet asks of each role: from the fleet's figures and from measures at smaller sizes it works out
-// what each role bears, what its budget is, and what carries it. It plays nothing and reads no clock.
+// Package capacity calculates what a fleet demands of each role: from the fleet's figures and from measures at smaller sizes it
+// derives each role's load, its budget and the mechanism that carries it. It runs nothing and reads no clock.
 package capacity
 
 import (
@@ -10,20 +10,20 @@
 	"mosslead/internal/tomlconfig"
 )
 
-// Figure is one number of a fleet and where it comes from.
+// Figure is one number of a fleet, and its source.
 type Figure struct {
 	Value float64 `toml:"value" json:"value"`
 	From  string  `toml:"from" json:"from"`
 }
 
-// Fleet is what the operators expect, and what is assumed besides.
+// Fleet holds the figures that the operators expect, and those that are assumed besides.
 type Fleet struct {
 	Question  string    `toml:"question" json:"question"`
 	Operators Operators `toml:"operators" json:"operators"`
 	Assumed   Assumed   `toml:"assumed" json:"assumed"`
 }
 
-// Operators are the figures that the operators gave.
+// Operators holds the figures that the operators gave.
 type Operators struct {
 	Upstreams        Figure `toml:"upstreams" json:"upstreams"`
 	Services         Figure `toml:"services" json:"services"`
@@ -46,7 +46,7 @@
 	CutMinutes       Figure `toml:"cut_minutes" json:"cut_minutes"`
 }
 
-// Assumed are the figures that nobody gave, or that the program has.
+// Assumed holds the figures that nobody gave, or that the program sets itself.
 type Assumed struct {
 	ServicesCalled       Figure `toml:"services_called" json:"services_called"`
 	ServicesCalledMost   Figure `toml:"services_called_most" json:"services_called_most"`
@@ -77,7 +77,7 @@
 	StateWritesPerS      Figure `toml:"state_writes_per_s" json:"state_writes_per_s"`
 }
 
-// LoadFleet reads a fleet; an error names file, line and key.
+// LoadFleet reads a fleet from a file. Errors name the file, the line and the key.
 func LoadFleet(path string) (*Fleet, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return f, nil
 }
 
-// ParseFleet reads a fleet. Every figure has to be there, with where it comes from.
+// ParseFleet parses a fleet. Every figure must be there, with its source.
 func ParseFleet(text []byte) (*Fleet, error) {
 	f := &Fleet{}
 	if err := tomlconfig.TOML(text, f); err != nil {
@@ -98,12 +98,12 @@
 	}
 	for _, x := range f.Figures() {
 		switch {
-		case x.Name == "assumed.failing_share" && x.Value == 0: // a fleet may be without
+		case x.Name == "assumed.failing_share" && x.Value == 0: // 0 is allowed: a fleet may have no failures
 		case !(x.Value > 0 && x.Value <= 1e12):
-			return nil, fmt.Errorf("%s: %v is not above 0, or is too much", x.Name, x.Value)
+			return nil, fmt.Errorf("%s: %v is not above 0 and at most 1e12", x.Name, x.Value)
 		}
 		if x.From == "" {
-			return nil, fmt.Errorf("%s: from is missing: where the figure comes from", x.Name)
+			return nil, fmt.Errorf("%s: from is missing: the source of the figure", x.Name)
 		}
 	}
 	for _, whole := range []struct {
@@ -125,7 +125,7 @@
 	Figure
 }
 
-// Figures are all of them in the order of the file's form.
+// Figures returns all figures in the order of the struct fields.
 func (f *Fleet) Figures() (all []Named) {
 	for _, part := range []struct {
 		name string
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -18,90 +18,92 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// minSizes is from how many different sizes a slope may be worked out.
+// minSizes is the least number of different sizes for a slope.
 const minSizes = 4
 
-// Measure is what a play at several sizes gave, as a file beside the page holds it.
+// Measure holds what was measured at several sizes, as stored in a file beside the page.
 type Measure struct {
 	Name     string   `json:"name"`
 	Question string   `json:"question"`
 	Command  string   `json:"command"`
-	Revision string   `json:"revision"` // of the programs that were measured
+	Revision string   `json:"revision"` // of the measured programs
 	Machine  string   `json:"machine"`
-	How      string   `json:"how"` // what is counted, and by whom
+	How      string   `json:"how"` // what is counted, and by what
 	Series   []Series `json:"series"`
 	Samples  []Sample `json:"samples"`
-	// Prediction is of a size that is in no sample, written before that was played; Checks are what then came.
+	// Prediction is for a size that is in no sample, and is written before that size is measured; Checks are the measurements.
 	Prediction *Prediction `json:"prediction,omitempty"`
 	Checks     []Sample    `json:"checks,omitempty"`
 }
 
-// Series is one quantity of each sample, and the form that it is taken to have.
+// Series is one quantity of each sample, and the form in which it is assumed to be linear.
 type Series struct {
 	Name string `json:"name"`
 	Unit string `json:"unit"`
-	// Form is what the quantity is straight in: a size ("watchers"), a product ("watchers*entries"), "log2(members)" or
-	// "pushpull(members)", the members over the steps by which memberlist makes its exchanges of the whole roster rarer in larger
-	// fleets. Its line has a constant beside the slope.
+	// Form is the function of the sizes in which the quantity is linear: a size ("watchers"), a product ("watchers*entries"), "log2(members)" or
+	// "pushpull(members)": the members divided by the factor by which memberlist lengthens the interval of its exchanges of the
+	// whole member list in larger fleets. The line has a constant beside the slope.
 	Form string `json:"form"`
 }
 
-// Sample is what one play at one size gave.
+// Sample holds what one run at one size gave.
 type Sample struct {
 	Sizes map[string]float64 `json:"sizes"`
 	Got   map[string]float64 `json:"got"`
 }
 
-// Prediction is what the samples say of another size.
+// Prediction holds the values that the fitted lines give for another size.
 type Prediction struct {
 	Sizes    map[string]float64  `json:"sizes"`
-	Revision string              `json:"revision"` // of the work tree at which it was written
+	Revision string              `json:"revision"` // of the work tree when it was written
 	Says     map[string]Interval `json:"says"`
 }
 
-// Interval is a value with the bounds that 95 of 100 lie between.
+// Interval is a value with the bounds between which 95 in 100 values lie.
 type Interval struct {
 	Value float64 `json:"value"`
 	Low   float64 `json:"low"`
 	High  float64 `json:"high"`
 }
 
-// Holds tells whether x lies in it.
+// Holds reports whether x lies within the bounds.
 func (i Interval) Holds(x float64) bool { return i.Low <= x && x <= i.High }
 
-// Times is it in another unit; by is above 0.
-func (i Interval) Times(by float64) Interval { return Interval{i.Value * by, i.Low * by, i.High * by} }
+// Times returns the interval multiplied by by, which must be above 0.
+func (i Interval) Times(factor float64) Interval {
+	return Interval{i.Value * factor, i.Low * factor, i.High * factor}
+}
 
-// Plus adds what is known exactly.
+// Plus returns the interval plus an exact value.
 func (i Interval) Plus(x float64) Interval { return Interval{i.Value + x, i.Low + x, i.High + x} }
 
-// And adds another; the bounds are added too, which is never too narrow.
+// And returns the sum of two intervals. The bounds are added too, which is never too narrow.
 func (i Interval) And(j Interval) Interval {
 	return Interval{i.Value + j.Value, i.Low + j.Low, i.High + j.High}
 }
 
 func exactInterval(x float64) Interval { return Interval{x, x, x} }
 
-// Line is the straight line of a series by least squares.
+// Line is the straight line fitted to a series by least squares.
 type Line struct {
 	Constant float64  `json:"constant"`
 	Slope    Interval `json:"slope"`
-	Sizes    int      `json:"sizes"` // different ones
-	mean     float64  // of the form's values
-	spread   float64  // the sum of their squared distances from it
-	scatter  float64  // of samples about the line
-	t        float64  // Student's, for 95 of 100
-	n        float64
+	Sizes    int      `json:"sizes"` // number of different values of the form
+	mean     float64  // mean of the form's values
+	spread   float64  // sum of their squared distances from the mean
+	scatter  float64  // standard error of the samples about the line
+	t        float64  // quantile of Student's t for 95% intervals
+	n        float64  // number of samples
 }
 
-// At is what the line says of one play where the form has that value.
+// At returns the line's prediction for one run where the form has the value x.
 func (l Line) At(x float64) Interval {
 	value := l.Constant + l.Slope.Value*x
-	off := l.t * l.scatter * math.Sqrt(1+1/l.n+(x-l.mean)*(x-l.mean)/l.spread)
-	return Interval{value, value - off, value + off}
+	margin := l.t * l.scatter * math.Sqrt(1+1/l.n+(x-l.mean)*(x-l.mean)/l.spread)
+	return Interval{value, value - margin, value + margin}
 }
 
-// fit is the line of a series through the samples.
+// fit fits the line of a series to the samples.
 func (m *Measure) fit(s Series) (l Line, err error) {
 	var xs, ys []float64
 	different := map[float64]bool{}
@@ -118,7 +120,7 @@
 		different[x] = true
 	}
 	if l.Sizes = len(different); l.Sizes < minSizes {
-		return l, fmt.Errorf("%d sizes, and a slope needs %d", l.Sizes, minSizes)
+		return l, fmt.Errorf("%d sizes, and a slope needs at least %d", l.Sizes, minSizes)
 	}
 	l.Constant, l.Slope.Value = stat.LinearRegression(xs, ys, nil, false)
 	l.n, l.mean = float64(len(xs)), stat.Mean(xs, nil)
@@ -135,7 +137,7 @@
 	return l, nil
 }
 
-// formValue is a form's value at some sizes.
+// formValue returns the value of a form at the given sizes.
 func formValue(form string, sizes map[string]float64) (float64, error) {
 	if inner, ok := strings.CutPrefix(form, "log2("); ok {
 		x, err := formValue(strings.TrimSuffix(inner, ")"), sizes)
@@ -159,7 +161,7 @@
 	return x, nil
 }
 
-// Line is the fitted line of the series of that name.
+// Line returns the series of that name and its fitted line.
 func (m *Measure) Line(name string) (Series, Line, error) {
 	for _, s := range m.Series {
 		if s.Name == name {
@@ -170,7 +172,7 @@
 	return Series{}, Line{}, fmt.Errorf("%s: no series %q", m.Name, name)
 }
 
-// Predict writes down what the samples say of other sizes.
+// Predict stores a prediction for other sizes, and removes earlier checks.
 func (m *Measure) Predict(sizes map[string]float64, revision string) error {
 	p := &Prediction{Sizes: sizes, Revision: revision, Says: map[string]Interval{}}
 	for i, sample := range m.Samples {
@@ -193,10 +195,10 @@
 	return nil
 }
 
-// check names what is wrong with a file's content.
+// check returns an error that names what is wrong with the measure.
 func (m *Measure) check() error {
 	if m.Name == "" || m.Command == "" || m.Revision == "" || len(m.Series) == 0 || len(m.Samples) == 0 {
-		return errors.New("name, command, revision, series and samples: all have to be there")
+		return errors.New("name, command, revision, series and samples must all be there")
 	}
 	for _, s := range m.Series {
 		if _, err := m.fit(s); err != nil {
@@ -214,7 +216,7 @@
 	return nil
 }
 
-// ReadMeasure reads a file; an error names it.
+// ReadMeasure reads a measure from a file. Errors name the file.
 func ReadMeasure(path string) (*Measure, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -232,10 +234,10 @@
 	return m, nil
 }
 
-// Measures are those of a directory, by name.
+// Measures are the measures of a directory by name.
 type Measures map[string]*Measure
 
-// ReadMeasures reads all files of a directory.
+// ReadMeasures reads the measures of all *.json files of a directory.
 func ReadMeasures(dir string) (Measures, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -260,7 +262,7 @@
 	return all, nil
 }
 
-// Write writes the file NAME.json of a directory, whole or not at all.
+// Write writes the measure atomically to the file NAME.json in a directory.
 func (m *Measure) Write(dir string) error {
 	if err := m.check(); err != nil {
 		return fmt.Errorf("measure %s: %w", m.Name, err)
@@ -275,7 +277,7 @@
 	return renameio.WriteFile(filepath.Join(dir, m.Name+".json"), append(text, '\n'), 0o644)
 }
 
-// names are those of the measures, sorted.
-func (all Measures) names() []string { return sortedKeys(all) }
+// names returns the names of the measures, sorted.
+func (m Measures) names() []string { return sortedKeys(m) }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// sections are the parts of the page that are worked out, by the words of their marks.
+// sections are the generated parts of the pages, by the names in their marks.
 var sections = []struct {
 	name  string
 	write func(w *bytes.Buffer, t *Table)
 }{
 	{"fleet", writeFleet}, {"load", writeLoad}, {"table", func(w *bytes.Buffer, t *Table) { writeRows(w, t.Rows) }},
 	{"missing", writeMissing}, {"after", func(w *bytes.Buffer, t *Table) { writeRows(w, t.After) }}, {"slopes", writeSlopes}, {"checks", writeChecks},
-	{"plays", writePlays}, // of another page
+	{"plays", writePlays}, // on another page
 }
 
 func beginMark(name string) string { return beginPrefix + " " + name + " -->" }
@@ -25,7 +25,7 @@
 	endMark     = "<!-- end of what is worked out -->"
 )
 
-// Section is one part of the page, by its name.
+// Section returns the generated text of a section.
 func (t *Table) Section(name string) (string, error) {
 	for _, s := range sections {
 		if s.name == name {
@@ -37,7 +37,7 @@
 	return "", fmt.Errorf("no section is called %q", name)
 }
 
-// Renew gives the page with the sections that it has worked out anew; what stands between them stays.
+// Renew returns the page with its sections generated anew; the text between them stays.
 func (t *Table) Renew(page string) (string, error) {
 	if !strings.Contains(page, beginPrefix) {
 		return "", fmt.Errorf("the page has no line %q, or another section's", beginMark(sections[0].name))
@@ -183,9 +183,9 @@
 	}
 	fmt.Fprint(w, "| measure | size | predicted, 95% | came | came over predicted | within |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range t.Measures {
-		came, over, within := "not played", "-", "-"
+		measured, over, within := "not played", "-", "-"
 		if c.Played {
-			came, within = formatNumber(c.Came), "no"
+			measured, within = formatNumber(c.Came), "no"
 			if c.Says.Holds(c.Came) {
 				within = "yes"
 			}
@@ -193,11 +193,11 @@
 				over = formatNumber(c.Came / c.Says.Value)
 			}
 		}
-		fmt.Fprintf(w, "| `%s.%s` | %s | %s (%s to %s) %s | %s | %s | %s |\n", c.Measure, c.Series, sizesText(c.Sizes), formatNumber(c.Says.Value), formatNumber(c.Says.Low), formatNumber(c.Says.High), c.Unit, came, over, within)
+		fmt.Fprintf(w, "| `%s.%s` | %s | %s (%s to %s) %s | %s | %s | %s |\n", c.Measure, c.Series, sizesText(c.Sizes), formatNumber(c.Says.Value), formatNumber(c.Says.Low), formatNumber(c.Says.High), c.Unit, measured, over, within)
 	}
 }
 
-// writePlays is each measure's samples: its series at each size, in the order in which they were played.
+// writePlays writes the samples of each measure: its series at each size, in the order in which they were taken.
 func writePlays(w *bytes.Buffer, t *Table) {
 	for _, m := range t.measures {
 		fmt.Fprintf(w, "**%s** (`%s`, revision %s, %s): %s %s.\n\n", capitalized(m.Name), m.Command, m.Revision, m.Machine, m.Question, capitalized(m.How))
@@ -206,18 +206,18 @@
 			head, rule = head+fmt.Sprintf(" %s, %s |", s.Name, s.Unit), rule+" --- |"
 		}
 		fmt.Fprintln(w, head+"\n"+rule)
-		line := func(what string, x Sample) {
-			fmt.Fprintf(w, "| %s%s |", sizesText(x.Sizes), what)
+		line := func(what string, sample Sample) {
+			fmt.Fprintf(w, "| %s%s |", sizesText(sample.Sizes), what)
 			for _, s := range m.Series {
-				fmt.Fprintf(w, " %s |", formatNumber(x.Got[s.Name]))
+				fmt.Fprintf(w, " %s |", formatNumber(sample.Got[s.Name]))
 			}
 			fmt.Fprintln(w)
 		}
-		for _, x := range m.Samples {
-			line("", x)
+		for _, sample := range m.Samples {
+			line("", sample)
 		}
-		for _, x := range m.Checks {
-			line(" (check)", x)
+		for _, sample := range m.Checks {
+			line(" (check)", sample)
 		}
 		fmt.Fprintln(w)
 	}
@@ -226,27 +226,27 @@
 func capitalized(s string) string { return strings.ToUpper(s[:1]) + s[1:] }
 
 func sizesText(sizes map[string]float64) string {
-	var all []string
+	var parts []string
 	for _, name := range sortedKeys(sizes) {
-		all = append(all, formatNumber(sizes[name])+" "+name)
+		parts = append(parts, formatNumber(sizes[name])+" "+name)
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// formatNumber is x with three digits that count, whole ones in full.
+// formatNumber formats x with three significant digits; integers are written in full below 1e9.
 func formatNumber(x float64) string {
-	switch a := math.Abs(x); {
+	switch abs := math.Abs(x); {
 	case x == 0:
 		return "0"
-	case a >= 1e9:
+	case abs >= 1e9:
 		return fmt.Sprintf("%.2e", x)
-	case a >= 100 || x == math.Trunc(x):
+	case abs >= 100 || x == math.Trunc(x):
 		return groupThousands(fmt.Sprintf("%.0f", x))
-	case a >= 10:
+	case abs >= 10:
 		return fmt.Sprintf("%.1f", x)
-	case a >= 1:
+	case abs >= 1:
 		return fmt.Sprintf("%.2f", x)
-	case a >= 0.0005:
+	case abs >= 0.0005:
 		return fmt.Sprintf("%.3g", x)
 	}
 	return fmt.Sprintf("%.2g", x)
--- a/internal/lab/capacity/plays/counter.go
+++ b/internal/lab/capacity/plays/counter.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// counter passes connections on to a target and counts what goes over them: the bytes of streams, without the kernel's headers.
+// counter is a TCP proxy for a target that counts the bytes of the streams, without the kernel's headers.
 type counter struct {
 	ln       net.Listener
 	target   string
-	sent     atomic.Int64 // to the target
-	received atomic.Int64 // by it
-	calls    atomic.Int64 // requests that began with what was sent at once
+	sent     atomic.Int64 // bytes to the target
+	received atomic.Int64 // bytes from the target
+	calls    atomic.Int64 // reads from clients that begin with a request line
 
 	mu      sync.Mutex
 	conns   map[net.Conn]bool
@@ -35,55 +35,55 @@
 
 func (c *counter) address() string { return c.ln.Addr().String() }
 
-// bytes are those of both ways.
+// bytes returns the bytes of both directions.
 func (c *counter) bytes() int64 { return c.sent.Load() + c.received.Load() }
 
 func (c *counter) accept() {
 	for {
-		near, err := c.ln.Accept()
+		clientConn, err := c.ln.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", c.target)
-		if err != nil || !c.track(near, far) {
-			_ = near.Close()
+		targetConn, err := net.Dial("tcp", c.target)
+		if err != nil || !c.track(clientConn, targetConn) {
+			_ = clientConn.Close()
 			if err == nil {
-				_ = far.Close()
+				_ = targetConn.Close()
 			}
 			continue
 		}
-		c.running.Go(func() { c.forward(near, far, &c.sent, true) })
-		c.running.Go(func() { c.forward(far, near, &c.received, false) })
+		c.running.Go(func() { c.forward(clientConn, targetConn, &c.sent, true) })
+		c.running.Go(func() { c.forward(targetConn, clientConn, &c.received, false) })
 	}
 }
 
-func (c *counter) track(both ...net.Conn) bool {
+func (c *counter) track(conns ...net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range both {
-		c.conns[x] = true
+	for _, conn := range conns {
+		c.conns[conn] = true
 	}
 	return !c.closed
 }
 
-// forward ends both connections with the first end.
-func (c *counter) forward(from, to net.Conn, n *atomic.Int64, requests bool) {
-	defer func() { _ = from.Close() }()
-	defer func() { _ = to.Close() }()
+// forward copies one direction until it ends, and then closes both connections.
+func (c *counter) forward(src, dst net.Conn, count *atomic.Int64, requests bool) {
+	defer func() { _ = src.Close() }()
+	defer func() { _ = dst.Close() }()
 	defer func() {
 		c.mu.Lock()
-		delete(c.conns, from)
+		delete(c.conns, src)
 		c.mu.Unlock()
 	}()
 	buf := make([]byte, 32<<10)
 	for {
-		k, err := from.Read(buf)
-		n.Add(int64(k))
-		if requests && (bytes.HasPrefix(buf[:k], []byte("POST ")) || bytes.HasPrefix(buf[:k], []byte("GET ")) || bytes.HasPrefix(buf[:k], []byte("PUT "))) {
+		n, err := src.Read(buf)
+		count.Add(int64(n))
+		if requests && (bytes.HasPrefix(buf[:n], []byte("POST ")) || bytes.HasPrefix(buf[:n], []byte("GET ")) || bytes.HasPrefix(buf[:n], []byte("PUT "))) {
 			c.calls.Add(1)
 		}
-		if k > 0 {
-			if _, err := to.Write(buf[:k]); err != nil {
+		if n > 0 {
+			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
@@ -93,13 +93,13 @@
 	}
 }
 
-// close ends all connections and waits for what passes them on.
+// close closes all connections and waits until their copying has ended.
 func (c *counter) close() {
 	_ = c.ln.Close()
 	c.mu.Lock()
 	c.closed = true
-	for x := range c.conns {
-		_ = x.Close()
+	for conn := range c.conns {
+		_ = conn.Close()
 	}
 	c.mu.Unlock()
 	c.running.Wait()
--- a/internal/lab/capacity/plays/duty.go
+++ b/internal/lab/capacity/plays/duty.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	dutySettle = 4 * time.Second // a candidate's first call comes within 3
+	dutySettle = 4 * time.Second // a candidate makes its first call within 3 s
 	dutyFor    = 8 * time.Second
 )
 
@@ -44,30 +44,30 @@
 	}
 	defer calls.close()
 	running, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var candidates sync.WaitGroup
+	defer candidates.Wait()
 	defer stop()
 	for i := range int(at["candidates"]) {
-		own := client.New([]string{calls.address()})
-		d := lease.NewRunner(own, lease.Config{Name: "lab/capacity", Holder: fmt.Sprint("candidate-", i)}, func(lease.Action) {})
+		c := client.New([]string{calls.address()})
+		d := lease.NewRunner(c, lease.Config{Name: "lab/capacity", Holder: fmt.Sprint("candidate-", i)}, func(lease.Action) {})
 		d.Campaign(true, 0)
-		all.Go(func() { defer own.Close(); d.Run(running) })
+		candidates.Go(func() { defer c.Close(); d.Run(running) })
 	}
 	if !pause.For(ctx, p.scaled(dutySettle)) {
 		return nil, ctx.Err()
 	}
-	begun, n, bytes := time.Now(), calls.calls.Load(), calls.bytes()
-	ran, err := replica.Ran()
+	startedAt, n, bytes := time.Now(), calls.calls.Load(), calls.bytes()
+	cpuBefore, err := replica.Ran()
 	if err != nil {
 		return nil, err
 	}
 	if !pause.For(ctx, p.scaled(dutyFor)) {
 		return nil, ctx.Err()
 	}
-	after, err := replica.Ran()
+	cpuAfter, err := replica.Ran()
 	if err != nil {
 		return nil, err
 	}
-	took := time.Since(begun).Seconds()
-	return map[string]float64{"calls": float64(calls.calls.Load()-n) / took, "bytes": float64(calls.bytes()-bytes) / took, "core_share": (after - ran).Seconds() / took}, nil
+	took := time.Since(startedAt).Seconds()
+	return map[string]float64{"calls": float64(calls.calls.Load()-n) / took, "bytes": float64(calls.bytes()-bytes) / took, "core_share": (cpuAfter - cpuBefore).Seconds() / took}, nil
 }
--- a/internal/lab/capacity/plays/exchange.go
+++ b/internal/lab/capacity/plays/exchange.go
@@ -13,8 +13,8 @@
 	exchangeBytes = 200
 )
 
-// measureExchange is what a bare measureExchange over loopback takes on this machine now: the processor time of both ends, which are in this
-// process, and the median of the times. It is what times of other machines may be held against.
+// measureExchange returns what a bare exchange over loopback takes on this machine now: the processor time of both ends, which are in
+// this process, and the median duration. Times of other machines can be compared by it.
 func measureExchange() (cpu, median time.Duration, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/capacity/plays/plays_test.go
+++ b/internal/lab/capacity/plays/plays_test.go
@@ -16,7 +16,8 @@
 	"mosslead/internal/sidecar"
 )
 
-// TestMain lets this binary be a replica, as "TEST --dev --listen ADDRESS" or "TEST --config FILE", and a sidecar, as "TEST sidecar".
+// TestMain lets this binary run as a replica, with "TEST --dev --listen ADDRESS" or "TEST --config FILE", and as a sidecar, with
+// "TEST sidecar".
 func TestMain(m *testing.M) {
 	if len(os.Args) < 2 || os.Args[1] != "--dev" && os.Args[1] != "--config" && os.Args[1] != "sidecar" {
 		os.Exit(m.Run())
@@ -60,7 +61,7 @@
 	return &Player{Service: []string{self}, Sidecar: []string{self, "sidecar"}, Dir: t.TempDir(), Revision: "test", quick: true}
 }
 
-// TestPlaysGiveTheirSeries plays each measure once, small and short, and has every series in what it gives.
+// TestPlaysGiveTheirSeries runs each play once, small and short, and checks that its result has every series.
 func TestPlaysGiveTheirSeries(t *testing.T) {
 	small := map[string]sizes{"watchers": {"watchers": 3}, "return": {"watchers": 3, "entries": 12}, "renewals": {"renewals": 90}, "writes": {"changes": 10},
 		"cut": {"watchers": 3}, "apart": {"watchers": 3}, "sidecar": {"entries": 3}, "calls": {"calls": 100}, "duty": {"candidates": 2}, "documents": {"documents": 3}, "settings": {"sidecars": 2}, "heal": {"entries": 12}}
@@ -69,7 +70,7 @@
 			t.Parallel()
 			at, ok := small[name]
 			if !ok {
-				t.Fatal("there is no small size of it here")
+				t.Fatalf("play %s has no size in this test, want one", name)
 			}
 			p := newTestPlayer(t)
 			got, err := plays[name].run(p, t.Context(), at, name)
@@ -78,14 +79,14 @@
 			}
 			for _, s := range plays[name].series {
 				if _, ok := got[s.Name]; !ok {
-					t.Errorf("no %s in %v", s.Name, got)
+					t.Errorf("series %s is missing in the result %v", s.Name, got)
 				}
 			}
 		})
 	}
 }
 
-// TestMeasuresArePredictedAndChecked goes the way of a measure with a play of its own.
+// TestMeasuresArePredictedAndChecked measures, predicts, checks and writes a measure, with a play made for the test.
 func TestMeasuresArePredictedAndChecked(t *testing.T) {
 	plays["made"] = play{question: "none", series: []capacity.Series{{Name: "y", Unit: "s", Form: "x"}}, at: eachSize("x", 1, 2, 3, 4), repeats: 2, check: sizes{"x": 9},
 		run: func(_ *Player, _ context.Context, at sizes, _ string) (map[string]float64, error) {
@@ -99,33 +100,33 @@
 	p.Progress = func(int, int, string) { steps++ }
 	m, err := p.Measure(t.Context(), "made")
 	if err != nil || len(m.Samples) != 8 || steps != 9 {
-		t.Fatalf("%+v, %v, %d steps", m, err, steps)
+		t.Fatalf("got measure %+v (error %v) after %d steps, want 8 samples after 9 steps", m, err, steps)
 	}
 	if says := m.Prediction.Says["y"]; says.Value < 18.99 || says.Value > 19.01 {
-		t.Errorf("predicted %+v", says)
+		t.Errorf("predicted: got %+v, want 19", says)
 	}
 	if err := p.Check(t.Context(), m); err != nil || len(m.Checks) != 2 || m.Checks[0].Got["y"] != 19 {
-		t.Errorf("%+v, %v", m.Checks, err)
+		t.Errorf("got checks %+v (error %v), want two, the first with y 19", m.Checks, err)
 	}
 	if err := m.Write(t.TempDir()); err != nil {
 		t.Error(err)
 	}
 	m.Prediction.Sizes = sizes{"x": 10}
 	if err := p.Check(t.Context(), m); err == nil || !strings.Contains(err.Error(), "too large") {
-		t.Errorf("a play that fails: %v", err)
+		t.Errorf("a play that fails: got error %v, want one with \"too large\"", err)
 	}
 	if _, err := p.Measure(t.Context(), "none"); !errors.Is(err, ErrUnknown) {
-		t.Errorf("no such measure: %v", err)
+		t.Errorf("unknown measure: got error %v, want ErrUnknown", err)
 	}
 }
 
 func TestExchangesAreMeasured(t *testing.T) {
 	if cpu, median, err := measureExchange(); err != nil || cpu <= 0 || median <= 0 || median > time.Second {
-		t.Errorf("%v, %v, %v", cpu, median, err)
+		t.Errorf("got processor time %v and median %v (error %v), want both above 0 and the median at most 1s", cpu, median, err)
 	}
 }
 
-// TestAMomentsStandstillIsNotAdded has one block in three stand still, on one side.
+// TestAMomentsStandstillIsNotAdded delays calls on one side in one block of three, as a standstill of the machine does.
 func TestAMomentsStandstillIsNotAdded(t *testing.T) {
 	var through, straight []time.Duration
 	for i := range 3 * blockCalls {
@@ -136,9 +137,9 @@
 		}
 	}
 	if got := addedQuantile(through, straight, 0.99); got != 2*time.Millisecond {
-		t.Errorf("added %v", got)
+		t.Errorf("added in 3 blocks: got %v, want 2ms", got)
 	}
 	if got := addedQuantile(through[:5], straight[:5], 0.5); got != 2*time.Millisecond {
-		t.Errorf("of few calls: %v", got)
+		t.Errorf("added in 5 calls: got %v, want 2ms", got)
 	}
 }
--- a/internal/lab/capacity/plays/service.go
+++ b/internal/lab/capacity/plays/service.go
@@ -20,7 +20,7 @@
 	cutLength     = 5 * time.Second
 )
 
-// runner is burden's, with a directory of its own.
+// runner returns a loadtest.Runner with a directory of its own.
 func (p *Player) runner(dir string) (loadtest.Runner, error) {
 	dir = filepath.Join(p.Dir, dir)
 	return loadtest.Runner{Command: p.Service, Dir: dir}, os.MkdirAll(dir, 0o755)
--- a/internal/lab/capacity/plays/settings.go
+++ b/internal/lab/capacity/plays/settings.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	documentBytes    = 4096 // about; what is put is measured
+	documentBytes    = 4096 // approximate; the exact length is in the result
 	acksFor          = 25 * time.Second
 	settingsChanges  = 10
 	settingsInterval = 500 * time.Millisecond
@@ -62,7 +62,7 @@
 	}
 }
 
-// document is a service's settings of about documentBytes; those of two turns differ.
+// document returns a service's settings of about documentBytes, which differ for each turn.
 func document(turn int) (json.RawMessage, error) {
 	s := sidecarSettings(10)
 	s["Prices"] = map[string]any{"CrossZone": 0.1, "LateFail": 0.03 + float64(turn)/1e6, "Probe": 0.002, "Waste": 0.2}
@@ -79,14 +79,14 @@
 	}
 }
 
-func putSettings(ctx context.Context, c *client.Client, service string, turn int, on int64) (int64, int, error) {
+func putSettings(ctx context.Context, c *client.Client, service string, turn int, basedOn int64) (int64, int, error) {
 	text, err := document(turn)
 	if err != nil {
 		return 0, 0, err
 	}
 	for end := time.Now().Add(settingsTimeout); ; {
-		version, err := c.Put(ctx, service, api.PutRequest{Schema: settings.Schema, Settings: text, IfRevision: &on})
-		// A replica that has just begun has not said yet what it understands.
+		version, err := c.Put(ctx, service, api.PutRequest{Schema: settings.Schema, Settings: text, IfRevision: &basedOn})
+		// A new replica hasn't announced yet which schema it understands.
 		if !api.IsCode(err, api.CodeOlderReplica) || time.Now().After(end) || !pause.For(ctx, pollInterval) {
 			return version, len(text), err
 		}
@@ -104,11 +104,11 @@
 	}
 	defer b.Close()
 	c, replica := b.Client, b.Children[0]
-	before, err := replica.Use()
+	useBefore, err := replica.Use()
 	if err != nil {
 		return nil, err
 	}
-	ran, err := replica.Ran()
+	cpuBefore, err := replica.Ran()
 	if err != nil {
 		return nil, err
 	}
@@ -118,18 +118,18 @@
 			return nil, fmt.Errorf("document %d: %w", i, err)
 		}
 	}
-	ranAfter, err := replica.Ran()
+	cpuAfter, err := replica.Ran()
 	if err != nil {
 		return nil, err
 	}
 	if !pause.For(ctx, p.scaled(settleFor)) {
 		return nil, ctx.Err()
 	}
-	after, err := replica.Use()
+	useAfter, err := replica.Use()
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"memory_mb": after.MemoryMB - before.MemoryMB, "put_cpu_ms": (ranAfter - ran).Seconds() * 1e3 / float64(n), "document_bytes": float64(length)}, nil
+	return map[string]float64{"memory_mb": useAfter.MemoryMB - useBefore.MemoryMB, "put_cpu_ms": (cpuAfter - cpuBefore).Seconds() * 1e3 / float64(n), "document_bytes": float64(length)}, nil
 }
 
 func (p *Player) measureSettings(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
@@ -146,7 +146,7 @@
 	for i := 1; i < int(at["sidecars"]); i++ {
 		child, err := p.startAnother(ctx, b, dir, i)
 		if child != nil {
-			defer func() { _ = child.Kill() }() // whatever came of it
+			defer func() { _ = child.Kill() }() // an error is ignored: the process may have ended
 		}
 		if err != nil {
 			return nil, err
@@ -164,66 +164,66 @@
 	if !pause.For(ctx, p.scaled(settleFor)) {
 		return nil, ctx.Err()
 	}
-	bytes, begun := b.watch.bytes(), time.Now()
-	ran, err := totalCPU(children)
+	bytesBefore, startedAt := b.watch.bytes(), time.Now()
+	cpuBefore, err := totalCPU(children)
 	if err != nil {
 		return nil, err
 	}
 	if !pause.For(ctx, p.scaled(acksFor)) {
 		return nil, ctx.Err()
 	}
-	took := time.Since(begun).Seconds()
-	steady := float64(b.watch.bytes()-bytes) / took
-	quietRan, err := totalCPU(children)
+	took := time.Since(startedAt).Seconds()
+	steady := float64(b.watch.bytes()-bytesBefore) / took
+	cpuQuiet, err := totalCPU(children)
 	if err != nil {
 		return nil, err
 	}
-	quiet := (quietRan - ran).Seconds() / took
-	bytes, begun = b.watch.bytes(), time.Now()
-	var sum, most time.Duration
+	quietShare := (cpuQuiet - cpuBefore).Seconds() / took
+	bytesBefore, startedAt = b.watch.bytes(), time.Now()
+	var sum, longest time.Duration
 	for i := range settingsChanges {
-		asked := time.Now()
+		putAt := time.Now()
 		if version, _, err = putSettings(ctx, b.client, settingsService, i+1, version); err != nil {
 			return nil, err
 		}
-		heard, err := awaitInForce(ctx, b.client, version, len(children))
+		inForceAt, err := awaitInForce(ctx, b.client, version, len(children))
 		if err != nil {
 			return nil, err
 		}
-		sum, most = sum+heard.Sub(asked), max(most, heard.Sub(asked))
+		sum, longest = sum+inForceAt.Sub(putAt), max(longest, inForceAt.Sub(putAt))
 		if !pause.For(ctx, p.scaled(settingsInterval)) {
 			return nil, ctx.Err()
 		}
 	}
-	took = time.Since(begun).Seconds()
-	after, err := totalCPU(children)
+	took = time.Since(startedAt).Seconds()
+	cpuAfter, err := totalCPU(children)
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"steady_bytes": steady / n, "change_bytes": (float64(b.watch.bytes()-bytes) - steady*took) / n / settingsChanges,
-		"change_cpu_ms": ((after - quietRan).Seconds() - quiet*took) * 1e3 / n / settingsChanges,
-		"in_force_s":    sum.Seconds() / settingsChanges, "in_force_most_s": most.Seconds(), "document_bytes": float64(length)}, nil
+	return map[string]float64{"steady_bytes": steady / n, "change_bytes": (float64(b.watch.bytes()-bytesBefore) - steady*took) / n / settingsChanges,
+		"change_cpu_ms": ((cpuAfter - cpuQuiet).Seconds() - quietShare*took) * 1e3 / n / settingsChanges,
+		"in_force_s":    sum.Seconds() / settingsChanges, "in_force_most_s": longest.Seconds(), "document_bytes": float64(length)}, nil
 }
 
-// awaitInForce waits until a replica has heard from so many sidecars that a version of the settings is in force.
+// awaitInForce waits until the replica reports a version of the settings as in force at the given number of sidecars.
 func awaitInForce(ctx context.Context, c *client.Client, version int64, sidecars int) (time.Time, error) {
 	end := time.Now().Add(settingsTimeout)
 	for {
-		all, err := c.Rollouts(ctx)
+		rollouts, err := c.Rollouts(ctx)
 		if err != nil {
 			return time.Time{}, err
 		}
-		seen := 0
-		for _, r := range all.Rollouts {
+		inForce := 0
+		for _, r := range rollouts.Rollouts {
 			if r.Service == settingsService && r.Revision == version {
-				seen = r.InForce
+				inForce = r.InForce
 			}
 		}
-		if seen == sidecars {
+		if inForce == sidecars {
 			return time.Now(), nil
 		}
 		if time.Now().After(end) {
-			return time.Time{}, fmt.Errorf("version %d is in force at %d of %d after %v", version, seen, sidecars, settingsTimeout)
+			return time.Time{}, fmt.Errorf("version %d is in force at %d of %d after %v", version, inForce, sidecars, settingsTimeout)
 		}
 		if !pause.For(ctx, pollInterval) {
 			return time.Time{}, ctx.Err()
@@ -242,17 +242,17 @@
 	return sum, nil
 }
 
-// startAnother starts one more sidecar before the same list, like the bed's but for its name and addresses. A child is given beside an
-// error where there is one to end.
+// startAnother starts one more sidecar on the same list, like the testbed's except for its name and addresses. With an error it may
+// return a child too, which the caller has to kill.
 func (p *Player) startAnother(ctx context.Context, b *testbed, dir string, i int) (*proc.Child, error) {
-	at, err := loopback.Addresses(2)
+	addresses, err := loopback.Addresses(2)
 	if err != nil {
 		return nil, err
 	}
-	own := filepath.Join(p.Dir, dir, fmt.Sprint("sidecar-", i))
-	c := sidecarConfig(fmt.Sprint("sidecar-", i), at[0], at[1], b.watch.address(), filepath.Join(own, "state"), 10)
+	ownDir := filepath.Join(p.Dir, dir, fmt.Sprint("sidecar-", i))
+	c := sidecarConfig(fmt.Sprint("sidecar-", i), addresses[0], addresses[1], b.watch.address(), filepath.Join(ownDir, "state"), 10)
 	c["service"] = settingsService
-	return p.startSidecar(ctx, c, own)
+	return p.startSidecar(ctx, c, ownDir)
 }
 
 func (p *Player) measureHeal(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
@@ -260,19 +260,19 @@
 	if err != nil {
 		return nil, err
 	}
-	address, err := loopback.Addresses(4)
+	addresses, err := loopback.Addresses(4)
 	if err != nil {
 		return nil, err
 	}
-	link, err := newCounter(address[0])
+	link, err := newCounter(addresses[0])
 	if err != nil {
 		return nil, err
 	}
 	defer func() { link.close() }()
-	var both [2]*client.Client
+	var clients [2]*client.Client
 	for i, name := range []string{"north", "south"} {
 		c := map[string]any{"name": "r0", "dir": filepath.Join(r.Dir, name), "region": name,
-			"replica": []map[string]any{{"name": "r0", "api": address[2*i], "raft": address[2*i+1]}}}
+			"replica": []map[string]any{{"name": "r0", "api": addresses[2*i], "raft": addresses[2*i+1]}}}
 		if name == "south" {
 			c["follow"] = []map[string]any{{"region": "north", "api": []string{link.address()}}}
 		}
@@ -288,14 +288,14 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = child.Kill() }() // whatever came of it
-		both[i] = client.New(address[2*i : 2*i+1])
-		defer both[i].Close()
-		if err := loadtest.Await(ctx, both[i], 1); err != nil {
+		defer func() { _ = child.Kill() }() // an error is ignored: the process may have ended
+		clients[i] = client.New(addresses[2*i : 2*i+1])
+		defer clients[i].Close()
+		if err := loadtest.Await(ctx, clients[i], 1); err != nil {
 			return nil, err
 		}
 	}
-	north, south := both[0], both[1]
+	north, south := clients[0], clients[1]
 	n := int(at["entries"])
 	for i := range n {
 		if _, err := north.Register(ctx, fmt.Sprint("upstream-", i), newRegistration(i, fmt.Sprintf("127.9.%d.%d:9000", i/250, 1+i%250))); err != nil {
@@ -309,12 +309,12 @@
 	if err := awaitFollowed(ctx, south, version); err != nil {
 		return nil, err
 	}
-	bytes, begun := link.bytes(), time.Now()
+	bytesBefore, startedAt := link.bytes(), time.Now()
 	if !pause.For(ctx, p.scaled(steadyFor)) {
 		return nil, ctx.Err()
 	}
-	steady := float64(link.bytes()-bytes) / time.Since(begun).Seconds()
-	bytes, begun = link.bytes(), time.Now()
+	steady := float64(link.bytes()-bytesBefore) / time.Since(startedAt).Seconds()
+	bytesBefore, startedAt = link.bytes(), time.Now()
 	for i := range settingsChanges {
 		if version, err = north.PutAdminState(ctx, fmt.Sprint("upstream-", i%n), api.StateChange{AdminState: api.AdminDrain}); err != nil {
 			return nil, err
@@ -323,46 +323,46 @@
 			return nil, err
 		}
 	}
-	change := max(0, float64(link.bytes()-bytes)-steady*time.Since(begun).Seconds()) / settingsChanges
+	change := max(0, float64(link.bytes()-bytesBefore)-steady*time.Since(startedAt).Seconds()) / settingsChanges
 	link.close()
-	cut := time.Now()
+	cutAt := time.Now()
 	for i := range n {
-		hand := api.AdminDrain // a ban would leave the entry out of the whole list
+		adminState := api.AdminDrain // not a ban, which would leave the entry out of the whole list
 		if i < settingsChanges {
-			hand = api.AdminNone // it was drained before the cut
+			adminState = api.AdminNone // it was drained before the cut
 		}
-		if _, err = north.PutAdminState(ctx, fmt.Sprint("upstream-", i), api.StateChange{AdminState: hand}); err != nil {
+		if _, err = north.PutAdminState(ctx, fmt.Sprint("upstream-", i), api.StateChange{AdminState: adminState}); err != nil {
 			return nil, err
 		}
 	}
-	on, err := north.Document(ctx, settingsService, 0, true)
+	current, err := north.Document(ctx, settingsService, 0, true)
 	if err != nil {
 		return nil, err
 	}
-	if version, _, err = putSettings(ctx, north, settingsService, 1, on.Revision); err != nil {
+	if version, _, err = putSettings(ctx, north, settingsService, 1, current.Revision); err != nil {
 		return nil, err
 	}
-	if !pause.For(ctx, p.scaled(cutFor)-time.Since(cut)) {
+	if !pause.For(ctx, p.scaled(cutFor)-time.Since(cutAt)) {
 		return nil, ctx.Err()
 	}
-	healed := time.Now()
-	whole, err := counterAt(link.address(), address[0])
+	healedAt := time.Now()
+	healedLink, err := counterAt(link.address(), addresses[0])
 	if err != nil {
 		return nil, err
 	}
-	defer whole.close()
+	defer healedLink.close()
 	if err := awaitFollowed(ctx, south, version); err != nil {
 		return nil, err
 	}
-	return map[string]float64{"heal_s": time.Since(healed).Seconds(), "heal_bytes": float64(whole.bytes()), "change_bytes": change, "steady_bytes": steady}, nil
+	return map[string]float64{"heal_s": time.Since(healedAt).Seconds(), "heal_bytes": float64(healedLink.bytes()), "change_bytes": change, "steady_bytes": steady}, nil
 }
 
-// awaitFollowed waits until a region has taken in all of north's changes up to a version.
+// awaitFollowed waits until a region has applied all of north's changes up to a version.
 func awaitFollowed(ctx context.Context, c *client.Client, version int64) error {
 	end := time.Now().Add(healTimeout)
 	for {
-		said, _ := c.Status(ctx) // who does not answer is asked again
-		for _, s := range said {
+		statuses, _ := c.Status(ctx) // a replica that doesn't answer is asked again
+		for _, s := range statuses {
 			for _, f := range s.Replication {
 				if f.Region == "north" && f.Revision >= version {
 					return nil
@@ -370,7 +370,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			return errors.New("the other region is not followed")
+			return errors.New("the region has not applied north's changes in time")
 		}
 		if !pause.For(ctx, pollInterval) {
 			return ctx.Err()
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -28,9 +28,9 @@
 
 const (
 	readyWithin     = 10 * time.Second
-	settleFor       = 5 * time.Second // of a sidecar, before it is measured
+	settleFor       = 5 * time.Second // time between a sidecar's start and its measurement
 	steadyFor       = 8 * time.Second
-	sidecarChanges  = 20 // changes of the list, while it is measured
+	sidecarChanges  = 20 // changes of the list during the measurement
 	changeInterval  = 150 * time.Millisecond
 	loadFor         = 12 * time.Second
 	directUpstreams = 10 // upstreams that answer at once
@@ -61,10 +61,10 @@
 	}
 }
 
-// testbed is a sidecar before a list service of one replica in memory.
+// testbed is a sidecar with a list service of one replica in memory.
 type testbed struct {
 	service *loadtest.Bed
-	client  *client.Client // the service's
+	client  *client.Client // client of the list service
 	watch   *counter
 	child   *proc.Child
 	listen  string
@@ -74,7 +74,7 @@
 
 func (b *testbed) close() {
 	if b.child != nil {
-		_ = b.child.Kill() // whatever came of it
+		_ = b.child.Kill() // an error is ignored: the process may have ended
 	}
 	if b.watch != nil {
 		b.watch.close()
@@ -82,7 +82,7 @@
 	b.service.Close()
 }
 
-// newTestbed starts both, the list with these addresses in it. Nothing of it is left after an error.
+// newTestbed starts both, with these addresses in the list. After an error nothing is left running.
 func (p *Player) newTestbed(ctx context.Context, dir string, upstreams []string, config map[string]any) (b *testbed, err error) {
 	r, err := p.runner(dir)
 	if err != nil {
@@ -98,7 +98,7 @@
 			b.close()
 		}
 	}()
-	at, err := loopback.Addresses(2)
+	addresses, err := loopback.Addresses(2)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 	if b.watch, err = newCounter(service.At[0]); err != nil {
 		return nil, err
 	}
-	b.listen, b.ops, b.state = at[0], at[1], filepath.Join(r.Dir, "state")
+	b.listen, b.ops, b.state = addresses[0], addresses[1], filepath.Join(r.Dir, "state")
 	c := sidecarConfig("sidecar-0", b.listen, b.ops, b.watch.address(), b.state, len(upstreams))
 	maps.Copy(c, config)
 	b.child, err = p.startSidecar(ctx, c, r.Dir)
@@ -122,7 +122,7 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512}, "settings": sidecarSettings(upstreams)}
 }
 
-// startSidecar returns once it is ready. A child is given beside an error where there is one to end.
+// startSidecar starts a sidecar and returns when it is ready. With an error it may return a child too, which the caller has to kill.
 func (p *Player) startSidecar(ctx context.Context, c map[string]any, dir string) (*proc.Child, error) {
 	text, err := json.MarshalIndent(c, "", " ")
 	if err != nil {
@@ -168,28 +168,28 @@
 		return nil, ctx.Err()
 	}
 	got := map[string]float64{"list_bytes": float64(b.watch.bytes())}
-	ran, io, read, began := time.Duration(0), proc.IO{}, int64(0), time.Now()
+	cpu, diskIO, read, markedAt := time.Duration(0), proc.IO{}, int64(0), time.Now()
 	mark := func() (err1 error) {
-		began, read = time.Now(), b.watch.bytes()
-		if ran, err1 = b.child.Ran(); err1 == nil {
-			io, err1 = b.child.IO()
+		markedAt, read = time.Now(), b.watch.bytes()
+		if cpu, err1 = b.child.Ran(); err1 == nil {
+			diskIO, err1 = b.child.IO()
 		}
 		return err1
 	}
 	if err := mark(); err != nil {
 		return nil, err
 	}
-	wasRan, wasIO, wasRead, begun := ran, io, read, began
+	cpuBefore, diskIOBefore, readBefore, startedAt := cpu, diskIO, read, markedAt
 	if !pause.For(ctx, p.scaled(steadyFor)) {
 		return nil, ctx.Err()
 	}
 	if err := mark(); err != nil {
 		return nil, err
 	}
-	took := began.Sub(begun).Seconds()
-	quiet := (ran - wasRan).Seconds() / took
-	got["core_share"], got["watch_bytes"] = quiet, float64(read-wasRead)/took
-	got["disk_written"] = float64(io.Written-wasIO.Written) / took
+	took := markedAt.Sub(startedAt).Seconds()
+	idleShare := (cpu - cpuBefore).Seconds() / took
+	got["core_share"], got["watch_bytes"] = idleShare, float64(read-readBefore)/took
+	got["disk_written"] = float64(diskIO.Written-diskIOBefore.Written) / took
 	u, err := b.child.Use()
 	if err != nil {
 		return nil, err
@@ -206,7 +206,7 @@
 	if err := mark(); err != nil {
 		return nil, err
 	}
-	wasRan, wasRead, begun = ran, read, began
+	cpuBefore, readBefore, startedAt = cpu, read, markedAt
 	for i := range sidecarChanges {
 		if _, err := b.client.PutAdminState(ctx, fmt.Sprint("upstream-", i%len(upstreams)), api.StateChange{AdminState: []string{api.AdminDrain, api.AdminNone}[i/len(upstreams)%2]}); err != nil {
 			return nil, err
@@ -218,9 +218,9 @@
 	if err := mark(); err != nil {
 		return nil, err
 	}
-	took = began.Sub(begun).Seconds()
-	got["change_bytes"] = float64(read-wasRead) / sidecarChanges
-	got["change_cpu_ms"] = max(0, (ran-wasRan).Seconds()-quiet*took) * 1e3 / sidecarChanges
+	took = markedAt.Sub(startedAt).Seconds()
+	got["change_bytes"] = float64(read-readBefore) / sidecarChanges
+	got["change_cpu_ms"] = max(0, (cpu-cpuBefore).Seconds()-idleShare*took) * 1e3 / sidecarChanges
 	return got, nil
 }
 
@@ -239,7 +239,7 @@
 			_, _ = io.WriteString(w, "served at once\n")
 		})}
 		var served sync.WaitGroup
-		served.Go(func() { _ = s.Serve(ln) }) // ends with Close
+		served.Go(func() { _ = s.Serve(ln) }) // returns after Close
 		defer served.Wait()
 		defer func() { _ = s.Close() }()
 		upstreams = append(upstreams, ln.Addr().String())
@@ -249,9 +249,9 @@
 		return nil, err
 	}
 	defer b.close()
-	tr := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
-	defer tr.CloseIdleConnections()
-	web := &http.Client{Transport: tr, Timeout: 2 * time.Second}
+	transport := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
+	defer transport.CloseIdleConnections()
+	httpClient := &http.Client{Transport: transport, Timeout: 2 * time.Second}
 	call := func(i int, address string) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/read/%d", address, i), nil)
 		if err != nil {
@@ -260,7 +260,7 @@
 		req.Header.Set("X-Request-ID", fmt.Sprint("call-", i))
 		req.Header.Set("X-Priority-Class", "read")
 		req.Header.Set("X-Timeout", "1600000u")
-		resp, err := web.Do(req)
+		resp, err := httpClient.Do(req)
 		if err != nil {
 			return err
 		}
@@ -273,7 +273,7 @@
 		}
 		return nil
 	}
-	for i := range 200 { // connections stand, and what a fresh process learns is learnt
+	for i := range 200 { // opens connections, and lets the new process learn its estimates
 		if err := errors.Join(call(i, b.listen), call(i, upstreams[i%len(upstreams)])); err != nil {
 			return nil, fmt.Errorf("before the load: %w", err)
 		}
@@ -281,39 +281,39 @@
 	if !pause.For(ctx, p.scaled(learnFor)) {
 		return nil, ctx.Err()
 	}
-	ran, err := b.child.Ran()
+	cpuBefore, err := b.child.Ran()
 	if err != nil {
 		return nil, err
 	}
-	begun, gap := time.Now(), time.Duration(float64(time.Second)/at["calls"])
+	startedAt, gap := time.Now(), time.Duration(float64(time.Second)/at["calls"])
 	var mu sync.Mutex
 	var lags [2][]time.Duration
 	failed := 0
 	var calls sync.WaitGroup
 	for i := 0; ; i++ {
-		due := begun.Add(time.Duration(i) * gap)
-		if due.Sub(begun) >= p.scaled(loadFor) || !pause.For(ctx, time.Until(due)) {
+		due := startedAt.Add(time.Duration(i) * gap)
+		if due.Sub(startedAt) >= p.scaled(loadFor) || !pause.For(ctx, time.Until(due)) {
 			break
 		}
-		one := func(k int, due time.Time, address string) {
+		timeCall := func(side int, due time.Time, address string) {
 			err := call(i, address)
 			took := time.Since(due)
 			mu.Lock()
 			defer mu.Unlock()
-			if lags[k] = append(lags[k], took); err != nil {
+			if lags[side] = append(lags[side], took); err != nil {
 				failed++
 			}
 		}
-		now := time.Now() // a call that this process begins late is late in neither
+		now := time.Now() // so that a delay of this process is in neither of the two times
 		calls.Go(func() {
-			one(0, now, b.listen)
-			if pause.For(ctx, gap/3) { // the straight one goes alone too
-				one(1, time.Now(), upstreams[i%len(upstreams)])
+			timeCall(0, now, b.listen)
+			if pause.For(ctx, gap/3) { // so that the straight call doesn't overlap the other
+				timeCall(1, time.Now(), upstreams[i%len(upstreams)])
 			}
 		})
 	}
 	calls.Wait()
-	after, err := b.child.Ran()
+	cpuAfter, err := b.child.Ran()
 	if err != nil {
 		return nil, err
 	}
@@ -326,29 +326,29 @@
 	}
 	added50, added99 := addedQuantile(lags[0], lags[1], 0.5), addedQuantile(lags[0], lags[1], 0.99)
 	through50, through99, straight50, straight99 := quantile(lags[0], 0.5), quantile(lags[0], 0.99), quantile(lags[1], 0.5), quantile(lags[1], 0.99)
-	return map[string]float64{"core_share": (after - ran).Seconds() / time.Since(begun).Seconds(), "memory_mb": u.MemoryMB,
+	return map[string]float64{"core_share": (cpuAfter - cpuBefore).Seconds() / time.Since(startedAt).Seconds(), "memory_mb": u.MemoryMB,
 		"through_p50_ms": microseconds(through50) / 1e3, "through_p99_ms": microseconds(through99) / 1e3, "straight_p50_ms": microseconds(straight50) / 1e3, "straight_p99_ms": microseconds(straight99) / 1e3,
 		"added_p50_ms": microseconds(added50) / 1e3, "added_p99_ms": microseconds(added99) / 1e3,
 		"exchange_cpu_us": microseconds(cpu), "exchange_us": microseconds(median)}, ctx.Err()
 }
 
-// addedQuantile is by how much a quantile of one is over the other's: the median of blocks of calls, since a machine that stands still for
-// a moment is neither's.
+// addedQuantile returns the difference of a quantile through and straight, as the median over blocks of calls, so that a short
+// standstill of the machine doesn't count.
 func addedQuantile(through, straight []time.Duration, share float64) time.Duration {
-	var all []time.Duration
+	var differences []time.Duration
 	n := min(len(through), len(straight))
-	for at := 0; at+blockCalls <= n || at == 0; at += blockCalls {
-		to := min(n, at+blockCalls)
-		all = append(all, quantile(slices.Clone(through[at:to]), share)-quantile(slices.Clone(straight[at:to]), share))
+	for start := 0; start+blockCalls <= n || start == 0; start += blockCalls {
+		end := min(n, start+blockCalls)
+		differences = append(differences, quantile(slices.Clone(through[start:end]), share)-quantile(slices.Clone(straight[start:end]), share))
 	}
-	return quantile(all, 0.5)
+	return quantile(differences, 0.5)
 }
 
 func newRegistration(i int, address string) api.Registration {
 	return api.Registration{Address: address, Zone: fmt.Sprintf("zone-%d", i%4), Machine: "cores-4", Weight: 4}
 }
 
-// sidecarSettings are as the laboratory words them.
+// sidecarSettings returns settings in the laboratory's form.
 func sidecarSettings(upstreams int) map[string]any {
 	return map[string]any{
 		"Balancers": 4, "Me": 0, "Zone": "zone-0", "FailureDomains": []string{"zone-0", "zone-1", "zone-2", "zone-3"}, "Discovery": "push", "TickMs": 5, "WorthBy": "request",
@@ -361,14 +361,14 @@
 	}
 }
 
-// operatorsCall makes one call at the operators' operatorsCall.
+// operatorsCall sends one line to the operators' port and returns the answer.
 func operatorsCall(address, line string) (string, error) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // where it fails, so does what follows
+	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // if it fails, so do the calls below
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", err
 	}
@@ -376,14 +376,14 @@
 	return string(text), err
 }
 
-// sizeOf is the sum of a directory's files.
+// sizeOf returns the total size of a directory's files.
 func sizeOf(dir string) (sum float64, err error) {
 	err = filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
 		}
 		info, err := d.Info()
-		if errors.Is(err, fs.ErrNotExist) { // just replaced
+		if errors.Is(err, fs.ErrNotExist) { // it was just replaced
 			return nil
 		}
 		if err == nil {
--- a/internal/lab/capacity/scale.go
+++ b/internal/lab/capacity/scale.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ScaleResult is what is taken of a result of the scale run: how many there were, and what they spent on each day.
+// ScaleResult holds the parts of a scale run's result that are used here: the counts, and what each role spent on each day.
 type ScaleResult struct {
 	Hollow   int     `json:"hollow"`
 	Real     int     `json:"real"`
@@ -36,18 +36,18 @@
 	} `json:"plays"`
 }
 
-// The series that are taken of the scale run's roles.
+// scaleSeries are the series that are taken from the scale run's roles.
 var scaleSeries = []Series{
 	{Name: "hollow_bytes", Unit: "bytes/s", Form: "sidecars"}, {Name: "real_bytes", Unit: "bytes/s", Form: "sidecars"}, {Name: "real_mb", Unit: "MB", Form: "sidecars"},
 	{Name: "leading_replica_cpu", Unit: "of a core", Form: "sidecars"}, {Name: "leading_replica_mb", Unit: "MB", Form: "sidecars"},
 	{Name: "replica_cpu", Unit: "of a core", Form: "sidecars"}, {Name: "replica_mb", Unit: "MB", Form: "sidecars"},
 }
 
-// scaleSamples are what the results of the scale run say of a day: one for each play.
+// scaleSamples returns a day's samples from results of the scale run, one for each time that the day was run.
 func scaleSamples(day string, results [][]byte) (all []Sample, revision string, err error) {
-	for i, text := range results {
+	for i, result := range results {
 		var r ScaleResult
-		if err := json.Unmarshal(text, &r); err != nil {
+		if err := json.Unmarshal(result, &r); err != nil {
 			return nil, "", fmt.Errorf("result %d: %w", i+1, err)
 		}
 		revision = r.Revision
@@ -62,9 +62,9 @@
 			found = true
 			s := Sample{Sizes: map[string]float64{"sidecars": float64(r.Hollow + r.Real)},
 				Got: map[string]float64{"seed": float64(p.Seed), "lease_s": r.LeaseS, "replicas": float64(r.Replicas), "length_s": r.LengthS}}
-			for _, x := range p.Roles {
-				name := strings.ReplaceAll(x.Role, " ", "_")
-				s.Got[name+"_bytes"], s.Got[name+"_mb"], s.Got[name+"_cpu"] = x.BytesS, x.KB/1024, x.CPU
+			for _, role := range p.Roles {
+				name := strings.ReplaceAll(role.Role, " ", "_")
+				s.Got[name+"_bytes"], s.Got[name+"_mb"], s.Got[name+"_cpu"] = role.BytesS, role.KB/1024, role.CPU
 			}
 			for _, d := range p.Delays {
 				name := strings.ReplaceAll(d.Cause, " ", "_")
@@ -79,7 +79,7 @@
 	return all, revision, nil
 }
 
-// FromScale makes the measure scale-DAY of several results of the scale run, and predicts that of so many sidecars.
+// FromScale makes the measure scale-DAY from several results of the scale run, with a prediction for predict sidecars.
 func FromScale(day string, results [][]byte, predict float64) (*Measure, error) {
 	m := &Measure{Name: "scale-" + day, Question: "What do sidecars and the list service spend on the scale run's day " + day + "?",
 		Machine: "as in the results",
@@ -98,7 +98,7 @@
 	return m, m.Predict(map[string]float64{"sidecars": predict}, m.Revision)
 }
 
-// CheckScale sets what the scale run found at the size that was predicted beside the prediction.
+// CheckScale takes the results of the scale run at the predicted size as the measure's checks.
 func (m *Measure) CheckScale(day string, results [][]byte) (err error) {
 	m.Checks, _, err = scaleSamples(day, results)
 	if err != nil {
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -7,39 +7,39 @@
 	"slices"
 )
 
-// The days of a row.
+// Kinds of day that a row is for.
 const (
 	Steady = "steady day"
 	Change = "one change"
 	Worst  = "worst minute"
 )
 
-// None is the mechanism of a row that nothing carries.
+// None is the mechanism of a row that no part of the program carries.
 const None = "none"
 
 const daysPerYear = 365
 
-// Row is what a role bears on a day.
+// Row is one quantity that a role bears on a kind of day.
 type Row struct {
 	Role string `json:"role"`
 	What string `json:"what"`
 	Day  string `json:"day"`
 	Unit string `json:"unit"`
-	// Figure is at the fleet's size; nil: not measured.
+	// Figure is the value at the fleet's size; nil if it was not measured.
 	Figure *Interval `json:"figure,omitempty"`
-	// Budget is what it may be; 0: nobody named one, and BudgetFrom says so.
+	// Budget is the largest value allowed; 0 if nobody named one, which BudgetFrom states.
 	Budget     float64 `json:"budget,omitempty"`
 	BudgetFrom string  `json:"budget_from"`
-	// Slopes are the lines that the figure rests on.
+	// Slopes are the fitted lines behind the figure.
 	Slopes    []Slope `json:"slopes,omitempty"`
-	Mechanism string  `json:"mechanism"` // by package and type; None, or None and what there is instead
+	Mechanism string  `json:"mechanism"` // by package and type; None, or None and what exists instead
 	Carried   bool    `json:"carried"`
-	PerYear   float64 `json:"per_year"` // how often its day comes
-	Touches   float64 `json:"touches"`  // processes each time; 0: all
+	PerYear   float64 `json:"per_year"` // how often such a day comes
+	Touches   float64 `json:"touches"`  // processes affected each time; 0: all
 	Note      string  `json:"note,omitempty"`
 }
 
-// Slope is the line of one series at one size.
+// Slope is the fitted line of one series, with its form evaluated at one size.
 type Slope struct {
 	Measure  string   `json:"measure"`
 	Series   string   `json:"series"`
@@ -49,18 +49,19 @@
 	Constant float64  `json:"constant"`
 	Sizes    int      `json:"sizes"`
 	At       float64  `json:"at"`     // the form's value for the fleet
-	Beyond   float64  `json:"beyond"` // that, over the largest that was played
-	// Refuted is what came over what was predicted, where that was outside the interval and off by more than a quarter; else 0.
+	Beyond   float64  `json:"beyond"` // At over the largest value that was measured
+	// Refuted is the measured value over the predicted one, if it was outside the interval and the ratio is above 1.25 or below
+	// 1/1.25; otherwise 0.
 	Refuted float64 `json:"refuted,omitempty"`
-	// Exchange is the processor time of both ends of a bare exchange in the same runs, in µs, and ExchangeMedian its time; 0: not
-	// measured.
+	// Exchange is the processor time of both ends of a bare exchange in the same runs, and ExchangeMedian its duration, in µs; 0
+	// if not measured.
 	Exchange       float64 `json:"exchange_cpu_us,omitempty"`
 	ExchangeMedian float64 `json:"exchange_us,omitempty"`
 	Revision       string  `json:"revision"`
 	Command        string  `json:"command"`
 }
 
-// Left is the budget over the figure; 0: one of them is not there.
+// Left returns the budget over the figure, or 0 if one of them is missing.
 func (r Row) Left() float64 {
 	if r.Figure == nil || r.Budget == 0 || !(r.Figure.Value > 0) {
 		return 0
@@ -68,31 +69,31 @@
 	return r.Budget / r.Figure.Value
 }
 
-// Over tells whether the figure is above its budget.
+// Over reports whether the figure is above its budget.
 func (r Row) Over() bool { return r.Left() > 0 && r.Left() < 1 }
 
-// Table is all that is worked out of a fleet and of measures.
+// Table holds all results that are calculated from a fleet and measures.
 type Table struct {
 	Fleet    *Fleet     `json:"fleet"`
 	Load     []Quantity `json:"load"`
 	Rows     []Row      `json:"rows"`
 	After    []Row      `json:"after"`   // with documents and regions, see afterRows
-	Missing  []Claim    `json:"missing"` // rows that compete for the mechanism that is built first
+	Missing  []Claim    `json:"missing"` // rows that lack a mechanism or exceed their budget, the most pressing first
 	Measures []Checked  `json:"measures"`
 
-	measures []*Measure // as they were read, by name
+	measures []*Measure // as they were read, sorted by name
 }
 
-// Claim is a row that has no carrier or is over its budget.
+// Claim is a row that no mechanism carries or that is over its budget.
 type Claim struct {
 	Row     Row     `json:"row"`
 	Why     string  `json:"why"`
 	PerYear float64 `json:"per_year"`
-	Touches float64 `json:"touches"`        // processes each time
-	Over    float64 `json:"over,omitempty"` // the figure over its budget
+	Touches float64 `json:"touches"`        // processes affected each time
+	Over    float64 `json:"over,omitempty"` // the figure divided by its budget
 }
 
-// Checked is how far a prediction was off.
+// Checked compares the prediction for a series with what was measured.
 type Checked struct {
 	Measure  string             `json:"measure"`
 	Series   string             `json:"series"`
@@ -107,7 +108,7 @@
 	Revision string             `json:"revision"`
 }
 
-// Build works the table out.
+// Build calculates the table.
 func Build(f *Fleet, m Measures) (*Table, error) {
 	b := &builder{fleet: f, measures: m, load: f.Work()}
 	t := &Table{Fleet: f, Load: b.load.Quantities}
@@ -128,9 +129,9 @@
 	return t, nil
 }
 
-// claimsOf are the rows without a carrier, by how often their day comes and how many of the processes it touches, and then those
-// over their budget, by how far too.
-func claimsOf(rows []Row, processes float64) (all []Claim) {
+// claimsOf are the rows without a carrier, ordered by how often their day comes times the processes it affects, and then those over
+// their budget, ordered by the same product times the figure over the budget.
+func claimsOf(rows []Row, processes float64) (claims []Claim) {
 	for _, r := range rows {
 		c := Claim{Row: r, Why: "no carrier", PerYear: r.PerYear, Touches: cmp.Or(r.Touches, processes)}
 		if r.Left() > 0 {
@@ -140,10 +141,10 @@
 			c.Why = "over its budget"
 		}
 		if !r.Carried || r.Over() {
-			all = append(all, c)
+			claims = append(claims, c)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Claim) int {
+	slices.SortStableFunc(claims, func(a, b Claim) int {
 		switch {
 		case a.Row.Carried && !b.Row.Carried:
 			return 1
@@ -154,17 +155,17 @@
 		}
 		return cmp.Compare(b.PerYear*b.Touches, a.PerYear*a.Touches)
 	})
-	return all
+	return claims
 }
 
-// compareChecks sets what was predicted beside what came.
+// compareChecks compares the prediction of each series with the mean of its checks.
 func (m *Measure) compareChecks() (all []Checked, err error) {
 	for _, s := range m.Series {
-		l, err := m.fit(s)
+		line, err := m.fit(s)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %s: %w", m.Name, s.Name, err)
 		}
-		c := Checked{Measure: m.Name, Series: s.Name, Unit: s.Unit, Form: s.Form, Slope: l.Slope, Command: m.Command, Revision: m.Revision}
+		c := Checked{Measure: m.Name, Series: s.Name, Unit: s.Unit, Form: s.Form, Slope: line.Slope, Command: m.Command, Revision: m.Revision}
 		if m.Prediction != nil {
 			c.Sizes, c.Says = m.Prediction.Sizes, m.Prediction.Says[s.Name]
 		}
@@ -176,19 +177,19 @@
 
 const refutationFactor = 1.25
 
-// refutedRatio is what came of a prediction over it, where it is far off; else 0.
+// refutedRatio returns the measured value over the predicted one if the prediction is refuted, and 0 otherwise; see Slope.
 func (m *Measure) refutedRatio(series string) float64 {
 	if m.Prediction == nil || len(m.Checks) == 0 {
 		return 0
 	}
-	says, came := m.Prediction.Says[series], m.checkMean(series)
-	if off := came / says.Value; !says.Holds(came) && says.Value > 0 && (off > refutationFactor || off < 1/refutationFactor) {
-		return off
+	predicted, measured := m.Prediction.Says[series], m.checkMean(series)
+	if ratio := measured / predicted.Value; !predicted.Holds(measured) && predicted.Value > 0 && (ratio > refutationFactor || ratio < 1/refutationFactor) {
+		return ratio
 	}
 	return 0
 }
 
-// checkMean is the mean of what was played at the size that was predicted.
+// checkMean returns the mean of the checks, which were taken at the predicted size.
 func (m *Measure) checkMean(series string) (mean float64) {
 	for _, x := range m.Checks {
 		mean += x.Got[series] / float64(len(m.Checks))
@@ -196,7 +197,7 @@
 	return mean
 }
 
-// checkedFigure is what came at the size that was predicted.
+// checkedFigure returns the mean of a series' checks, or no figure if there are none.
 func (b *builder) checkedFigure(measure, series string) figure {
 	m, ok := b.measures[measure]
 	if !ok || len(m.Checks) == 0 {
@@ -205,7 +206,7 @@
 	return exactFigure(m.checkMean(series))
 }
 
-// sampleMean is that of what the samples have beside their series; 0: one has it not.
+// sampleMean returns the mean of a value in all samples, or 0 if a sample lacks it.
 func (m *Measure) sampleMean(name string) (mean float64) {
 	for _, x := range m.Samples {
 		got, ok := x.Got[name]
@@ -217,8 +218,8 @@
 	return mean
 }
 
-// exchanges is a time, or a processor time, in bare exchanges of the machine that it was measured on; 0: it is none, or rests on
-// several measures.
+// exchanges returns the figure, if it is a duration or a processor time, as a number of bare exchanges of the machine that it was
+// measured on. n is 0 if the figure has another unit or no exchange was measured.
 func (r Row) exchanges() (n float64, unit string) {
 	if r.Figure == nil || len(r.Slopes) == 0 {
 		return 0, ""
@@ -226,7 +227,7 @@
 	s := r.Slopes[0]
 	for _, other := range r.Slopes {
 		if other.Exchange != s.Exchange && other.Exchange > 0 {
-			s.Exchange = (s.Exchange + other.Exchange) / 2 // of runs on one machine
+			s.Exchange = (s.Exchange + other.Exchange) / 2 // both are from one machine
 		}
 	}
 	switch {
@@ -240,6 +241,7 @@
 	return 0, ""
 }
 
+// builder calculates rows; err is the first error.
 type builder struct {
 	fleet    *Fleet
 	measures Measures
@@ -247,7 +249,7 @@
 	err      error
 }
 
-// figure is what a series says at some sizes, and the slope behind it; nil: not measured.
+// figure is a value and the slopes behind it; the Interval is nil if it was not measured.
 type figure struct {
 	*Interval
 	slopes []Slope
@@ -258,7 +260,7 @@
 	if !ok {
 		return figure{}
 	}
-	s, l, err := m.Line(series)
+	s, line, err := m.Line(series)
 	var x float64
 	if err == nil {
 		x, err = formValue(s.Form, sizes)
@@ -267,18 +269,18 @@
 		b.err = cmp.Or(b.err, fmt.Errorf("%s: %s: %w", measure, series, err))
 		return figure{}
 	}
-	most := math.Inf(-1)
+	largest := math.Inf(-1)
 	for _, played := range slices.Concat(m.Samples, m.Checks) {
-		if at, err := formValue(s.Form, played.Sizes); err == nil {
-			most = max(most, at)
+		if v, err := formValue(s.Form, played.Sizes); err == nil {
+			largest = max(largest, v)
 		}
 	}
-	says := l.At(x)
-	return figure{&says, []Slope{{Measure: measure, Series: s.Name, Unit: s.Unit, Form: s.Form, Slope: l.Slope, Constant: l.Constant, Sizes: l.Sizes, At: x, Beyond: x / most,
+	value := line.At(x)
+	return figure{&value, []Slope{{Measure: measure, Series: s.Name, Unit: s.Unit, Form: s.Form, Slope: line.Slope, Constant: line.Constant, Sizes: line.Sizes, At: x, Beyond: x / largest,
 		Refuted: m.refutedRatio(series), Exchange: m.sampleMean("exchange_cpu_us"), ExchangeMedian: m.sampleMean("exchange_us"), Revision: m.Revision, Command: m.Command}}}
 }
 
-// slopeOf is what one more of a form's sizes takes.
+// slopeOf returns the slope of a series: the cost of one more unit of its form.
 func (b *builder) slopeOf(measure, series string) figure {
 	f := b.estimate(measure, series, unitSizes)
 	if f.Interval == nil {
@@ -289,27 +291,27 @@
 	return figure{&s.Slope, []Slope{s}}
 }
 
-// unitSizes lets forms be worked out where only their slope is wanted.
+// unitSizes has a value for each size, so that forms can be evaluated where only their slope is needed.
 var unitSizes = map[string]float64{"watchers": 1, "entries": 1, "calls": 1, "renewals": 1, "changes": 1, "candidates": 1, "members": 2, "documents": 1, "sidecars": 1}
 
-func (x figure) times(by float64) figure {
-	if x.Interval == nil {
-		return x
+func (f figure) times(factor float64) figure {
+	if f.Interval == nil {
+		return f
 	}
-	i := x.Times(by)
-	return figure{&i, x.slopes}
+	i := f.Times(factor)
+	return figure{&i, f.slopes}
 }
 
-func (x figure) and(y figure) figure {
-	if x.Interval == nil || y.Interval == nil {
+func (f figure) and(g figure) figure {
+	if f.Interval == nil || g.Interval == nil {
 		return figure{}
 	}
-	i := x.And(*y.Interval)
-	return figure{&i, slices.Concat(x.slopes, y.slopes)}
+	i := f.And(*g.Interval)
+	return figure{&i, slices.Concat(f.slopes, g.slopes)}
 }
 
-func (x figure) inRow(r Row) Row {
-	r.Figure, r.Slopes = x.Interval, x.slopes
+func (f figure) inRow(r Row) Row {
+	r.Figure, r.Slopes = f.Interval, f.slopes
 	return r
 }
 
@@ -320,7 +322,7 @@
 
 const noBudget = "none named"
 
-// singleSize is a set of one singleSize.
+// singleSize returns sizes with one entry.
 func singleSize(name string, value float64) map[string]float64 {
 	return map[string]float64{name: value}
 }
--- a/internal/lab/chart/chart.go
+++ b/internal/lab/chart/chart.go
@@ -24,7 +24,7 @@
 	Points plotter.XYs
 }
 
-// SaveLines adds lines to a plot, their points in the order of X, and saves it to a file whose extension gives the format.
+// SaveLines adds lines to a plot, with their points sorted by X, and saves it to a file whose extension gives the format.
 func SaveLines(p *plot.Plot, lines []Line, path string) error {
 	var all []any
 	for _, l := range lines {
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -8,12 +8,13 @@
 	"mosslead/balancer"
 )
 
+// request is one try of a client: a retry is a request of its own.
 type request struct {
 	id, class            string
 	work                 time.Duration
 	arrived, objectiveAt time.Duration
 	expiresAt            time.Duration
-	triesLeft            int // tries
+	triesLeft            int // tries that may still follow
 	attempts             []*attempt
 	done                 bool
 }
@@ -30,21 +31,21 @@
 	})
 }
 
-// drawWork draws a lognormal with the plan's mean and deviation.
+// drawWork returns a request's work, drawn from the lognormal distribution with the plan's mean and deviation.
 func (f *Fleet) drawWork() time.Duration {
 	v := math.Log(1 + f.plan.CV*f.plan.CV)
 	return time.Duration(float64(f.plan.Work) * math.Exp(f.rng.NormFloat64()*math.Sqrt(v)-v/2))
 }
 
-// sendRequest sends a request to a sidecar, for the first time or again.
+// sendRequest sends a new try to a sidecar with r's work, and counts down the retries that are left.
 func (f *Fleet) sendRequest(s *sidecar, r *request) {
 	f.lastID++
 	c := f.plan.Settings.Classes[f.rng.IntN(len(f.plan.Settings.Classes))]
-	now := &request{id: strconv.Itoa(f.lastID), class: c.Name, work: r.work, triesLeft: r.triesLeft - 1, arrived: f.now,
+	try := &request{id: strconv.Itoa(f.lastID), class: c.Name, work: r.work, triesLeft: r.triesLeft - 1, arrived: f.now,
 		objectiveAt: f.now + c.LatencyObjective, expiresAt: f.now + c.Deadline}
-	s.requests[now.id] = now
+	s.requests[try.id] = try
 	f.currentSecond().Tries++
-	f.handleEvent(s, balancer.Request{ID: now.id, Class: now.class, ExpiresAt: now.expiresAt})
+	f.handleEvent(s, balancer.Request{ID: try.id, Class: try.class, ExpiresAt: try.expiresAt})
 }
 
 func (f *Fleet) finishRequest(s *sidecar, r *request, served bool) {
--- a/internal/lab/fleet/cold.go
+++ b/internal/lab/fleet/cold.go
@@ -6,22 +6,24 @@
 	"mosslead/balancer"
 )
 
+// arrival is an attempt that reached a cold upstream.
 type arrival struct {
 	at       time.Duration
-	work     float64 // in mean requests
+	work     float64 // in requests of mean work
 	informed bool
 }
 
-// recordColdArrival counts what a cold upstream is sent, refused or not, and tells whether this pushes it over.
+// recordColdArrival counts the work that is sent to a cold upstream, also where it is refused, and reports whether this attempt
+// overloads the upstream so that it falls.
 func (f *Fleet) recordColdArrival(u *upstream, a *attempt) bool {
 	rule := f.plan.Rule
 	if rule.Multiple <= 0 || u.started == 0 || f.now-u.started >= rule.WarmUp {
 		u.window = nil
 		return false
 	}
-	m := a.sidecar.known[u.id]
+	known := a.sidecar.known[u.id]
 	work := a.request.work.Seconds() / f.plan.Work.Seconds()
-	u.window = append(u.window, arrival{f.now, work, m.State == balancer.Active && m.StartedAt == u.started})
+	u.window = append(u.window, arrival{f.now, work, known.State == balancer.Active && known.StartedAt == u.started})
 	for f.now-u.window[0].at >= rule.Window {
 		u.window = u.window[1:]
 	}
@@ -29,14 +31,14 @@
 	u.coldWork += work
 	warmth := rule.ColdFrom + (1-rule.ColdFrom)*float64(f.now-u.started)/float64(rule.WarmUp)
 	w := Window{Upstream: u.id, At: f.now, Allowed: rule.Multiple * u.spec.Capacity() * warmth * rule.Window.Seconds() / f.plan.Work.Seconds()}
-	for _, x := range u.window {
-		w.Received += x.work
-		if x.informed {
-			w.Informed += x.work
+	for _, arr := range u.window {
+		w.Received += arr.work
+		if arr.informed {
+			w.Informed += arr.work
 		}
 	}
-	if full := &f.result.Fullest; full.Upstream == "" || w.Received/w.Limit() > full.Received/full.Limit() {
-		*full = w
+	if fullest := &f.result.Fullest; fullest.Upstream == "" || w.Received/w.Limit() > fullest.Received/fullest.Limit() {
+		*fullest = w
 	}
 	if w.Received <= w.Limit() {
 		return false
@@ -45,7 +47,8 @@
 	return true
 }
 
-// sumColdWork sums what cold upstreams were sent, and what they could have done from when all had been told of them.
+// sumColdWork sums the work that cold upstreams were sent, and the work that they could have done from the moment at
+// which all sidecars had been told of them.
 func (f *Fleet) sumColdWork() {
 	rule := f.plan.Rule
 	f.result.ColdReceived, f.result.ColdCapacity = 0, 0
--- a/internal/lab/fleet/cold_test.go
+++ b/internal/lab/fleet/cold_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Guards against cold upstreams pushed over by a whole fleet that acts as it does: budgets were a part of what upstreams
-// listed now would carry, and the first of a zone to come back were sent all of its work.
+// Guards against cold upstreams that the whole fleet together overloads: budgets were a share of the capacity of the
+// upstreams listed at that moment, so the first ones of a zone to come back were sent all of the zone's work.
 func TestNoColdUpstreamIsPushedOver(t *testing.T) {
 	release := func(f *Fleet) { f.Release(3*time.Second, 7*time.Second, 0.6) }
 	for name, c := range map[string]struct {
 		do    func(*Fleet)
 		plan  func(*Plan)
-		falls bool // by a planted error
+		falls bool // wanted, because of a planted error
 	}{
 		"release":                 {do: release},
 		"release, told late":      {do: release, plan: func(p *Plan) { p.NoticeDelay = [2]time.Duration{200 * ms, 4 * time.Second} }},
@@ -33,22 +33,22 @@
 				t.Fatal(err)
 			}
 			c.do(f)
-			seen := f.Run(12 * time.Second)
+			result := f.Run(12 * time.Second)
 			breaches := 0
-			for _, w := range seen.Falls {
+			for _, w := range result.Falls {
 				if w.Breach() {
 					breaches++
 				}
 			}
-			t.Logf("%d cold starts, fullest window %+v of %.1f", seen.ColdStarts, seen.Fullest, seen.Fullest.Limit())
-			if (breaches > 0) != c.falls || seen.ColdStarts < 30 {
-				t.Errorf("%d cold starts, %d pushed over, first %+v", seen.ColdStarts, breaches, seen.Falls[:min(1, len(seen.Falls))])
+			t.Logf("%d cold starts, fullest window %+v of %.1f", result.ColdStarts, result.Fullest, result.Fullest.Limit())
+			if (breaches > 0) != c.falls || result.ColdStarts < 30 {
+				t.Errorf("got %d cold starts, want at least 30; %d upstreams overloaded beyond the limit, want some: %v; first of %d falls: %+v", result.ColdStarts, breaches, c.falls, len(result.Falls), result.Falls[:min(1, len(result.Falls))])
 			}
 		})
 	}
 }
 
-// Guards against a play that can't be looked at again.
+// Guards against runs that can't be repeated: the same plan and seed must give the same result.
 func TestSameSeedSamePlay(t *testing.T) {
 	play := func() Result {
 		p := LargePlan(3)
@@ -62,6 +62,6 @@
 		return f.Run(10 * time.Second)
 	}
 	if a, b := play(), play(); !reflect.DeepEqual(a, b) || len(a.Seconds) < 10 || a.Seconds[9].InTime == 0 {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("the two runs differ, are shorter than 10 s or served nothing in second 9:\n%+v\n%+v", a, b)
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -9,7 +9,7 @@
 	"mosslead/balancer"
 )
 
-// Fleet is one play. It is not safe for concurrent use.
+// Fleet is one simulation run. It is not safe for concurrent use.
 type Fleet struct {
 	plan        Plan
 	rng         *rand.Rand
@@ -18,16 +18,16 @@
 	seq         int
 	lastID      int
 	sidecars    []*sidecar
-	upstreams   []*upstream          // by place
-	byID        map[string]*upstream // all that ever were
-	coldStarted []*upstream          // all that started in the play
+	upstreams   []*upstream          // by index
+	byID        map[string]*upstream // every upstream that ever ran; the latest process under an id
+	coldStarted []*upstream          // every upstream that started during the run
 	load        float64
-	ratePerLoad float64 // requests a second at a load of 1
-	totalShare  float64 // their sum
+	ratePerLoad float64 // requests per second at a load of 1
+	totalShare  float64 // sum of the sidecars' shares
 	result      Result
 }
 
-// New is a play before its first moment: all upstreams are warm and known, all sidecars new.
+// New returns a run at its start: all upstreams are warm and known to all sidecars, and all sidecars have just started.
 func New(p Plan) (*Fleet, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -54,13 +54,13 @@
 	return f, nil
 }
 
-// At does something when the play comes to t.
+// At calls do when the clock reaches t.
 func (f *Fleet) At(t time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.steps, step{max(t, f.now), f.seq, do})
 }
 
-// Run plays up to a moment and tells what was seen by then.
+// Run simulates up to a moment and returns the results up to then.
 func (f *Fleet) Run(until time.Duration) Result {
 	for len(f.steps) > 0 && f.steps[0].at <= until {
 		s := heap.Pop(&f.steps).(step)
@@ -72,9 +72,10 @@
 	return f.result
 }
 
-// SetLoad changes the load from now on; see Plan.
+// SetLoad changes the load from now on; see Plan.Load.
 func (f *Fleet) SetLoad(load float64) { f.load = load }
 
+// step is a call that is due at a time; steps of the same time run in the order of seq.
 type step struct {
 	at  time.Duration
 	seq int
--- a/internal/lab/fleet/mass.go
+++ b/internal/lab/fleet/mass.go
@@ -11,7 +11,8 @@
 
 const ms = time.Millisecond
 
-// LargePlan is a fleet like the one in service: 300 sidecars of unequal traffic before 160 upstreams in four zones.
+// LargePlan returns the plan of a fleet like the one in service: 300 sidecars of unequal traffic in front of 160 upstreams in
+// four zones.
 func LargePlan(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{
@@ -26,17 +27,17 @@
 				{Name: "order", LatencyObjective: 750 * ms, Deadline: 3 * time.Second, PriorityWeight: 3, LateValueFraction: 0.5, Idempotency: balancer.NotIdempotent}}},
 	}
 	for range p.Sidecars {
-		p.Shares = append(p.Shares, 0.2+rng.ExpFloat64()) // a few several times the mean
+		p.Shares = append(p.Shares, 0.2+rng.ExpFloat64()) // a few get several times the mean
 	}
 	for i := range 15 {
-		k := model.Spec{Cores: 3 + i%2, Speed: 0.75 + 0.2*float64(i%2), SlotsPerCore: 8, QueuePerCore: 30, Thrash: 0.08, ThrashAt: 6}
-		k.Speed *= max(0.5, 1+0.2*rng.NormFloat64())
-		p.Specs = append(p.Specs, k)
+		spec := model.Spec{Cores: 3 + i%2, Speed: 0.75 + 0.2*float64(i%2), SlotsPerCore: 8, QueuePerCore: 30, Thrash: 0.08, ThrashAt: 6}
+		spec.Speed *= max(0.5, 1+0.2*rng.NormFloat64())
+		p.Specs = append(p.Specs, spec)
 	}
 	return p
 }
 
-// Release replaces a share of all upstreams from at on, one after another over d.
+// Release replaces a share of all upstreams one after another, evenly over d from at on.
 func (f *Fleet) Release(at, d time.Duration, share float64) {
 	n := int(share * float64(len(f.upstreams)))
 	for i := range n {
@@ -44,7 +45,8 @@
 	}
 }
 
-// LoseZones loses the upstreams of some zones at a moment, as lists tell, and gives them back one by one 3 to 11 s later.
+// LoseZones stops the upstreams of some zones at a moment and removes them from the lists; they start again one by one 3 to
+// 11 s later.
 func (f *Fleet) LoseZones(at time.Duration, zones ...string) {
 	f.At(at, func() {
 		for i, u := range f.upstreams {
@@ -55,14 +57,14 @@
 	})
 }
 
-// RestartAll restarts every sidecar within a second from at on.
+// RestartAll restarts every sidecar within the second that begins at at.
 func (f *Fleet) RestartAll(at time.Duration) {
 	for i := range f.sidecars {
 		f.At(at+time.Duration(i)*time.Second/time.Duration(len(f.sidecars)), func() { f.Restart(i) })
 	}
 }
 
-// MoveClients moves a share of one sidecar's clients to another: from a moment on their requests come there.
+// MoveClients moves a share of one sidecar's clients to another sidecar at a moment.
 func (f *Fleet) MoveClients(at time.Duration, from, to int, share float64) {
 	f.At(at, func() {
 		moved := f.sidecars[from].share * share
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -1,8 +1,8 @@
-// Package fleet plays many Balancers against model upstreams on one virtual clock, without sockets or processes.
+// Package fleet simulates many Balancers in front of model upstreams on one virtual clock, without sockets or processes.
 //
-// It is for questions that only a whole fleet answers: what hundreds of controllers, each of which sees little, do
-// together after a step. The same plan and seed give the same play. Not modelled: connections, bodies, discovery that
-// is lost, processors that are short.
+// It answers questions about a whole fleet: how hundreds of controllers, each of which sees little, behave together
+// after a sudden change. The same plan and seed give the same result. Connections, bodies, lost discovery messages and
+// a shortage of processor time are not modelled.
 package fleet
 
 import (
@@ -15,66 +15,66 @@
 	"mosslead/internal/lab/model"
 )
 
-// Plan says what is played. All times are durations.
+// Plan is what is simulated.
 type Plan struct {
 	Seed uint64
 
-	// Settings is what every sidecar is told; Balancers, Zone and Tenants are filled in. Its classes come with equal
-	// chance.
+	// Settings are those of every sidecar; FleetSize, Zone and Tenants are filled in. Requests are spread evenly over its
+	// classes.
 	Settings balancer.Settings
 
 	Sidecars int
-	Shares   []float64 // traffic of sidecar i, relative to the others', is Shares[i mod len]; absent: all alike
-	Zones    []string  // sidecars and upstreams go round them; absent: one
+	Shares   []float64 // relative traffic of sidecar i is Shares[i mod len]; empty: equal traffic
+	Zones    []string  // sidecars and upstreams are assigned in turn; empty: one zone
 
 	Upstreams int
-	Specs     []model.Spec // upstream i is of kind i mod len; its cold start and fall are the Rule's
+	Specs     []model.Spec // upstream i uses Specs[i mod len], with the cold start and the fall of Rule
 
-	Load float64       // arriving work as a share of what all warm upstreams do; first tries alone
+	Load float64       // arriving work, without retries, as a share of the capacity of all upstreams when warm
 	Work time.Duration // mean work of a request
-	CV   float64       // its standard deviation over its mean, lognormal; 0: all alike
+	CV   float64       // standard deviation of the work over its mean, lognormal; 0: constant work
 
-	Retries int           // tries that follow one refused or failed
-	Backoff time.Duration // mean wait before each
+	Retries int           // retries after a refused or failed try
+	Backoff time.Duration // mean wait before each retry
 
-	SameZone, CrossZone time.Duration    // round trip to an upstream of the own zone, and of another
-	NoticeDelay         [2]time.Duration // from a change to a sidecar being told: drawn evenly between, for each sidecar apart
+	SameZone, CrossZone time.Duration    // round-trip time to an upstream in the same zone, and in another
+	NoticeDelay         [2]time.Duration // least and greatest time until a sidecar learns of a change; uniform, drawn for each sidecar
 
 	Rule Rule
 }
 
-// Rule is how an upstream starts, and what pushes it over while cold. It is the truth: what sidecars believe of it is in
+// Rule is how upstreams warm up, and which load makes a cold one fall. Upstreams follow it; sidecars assume what is in
 // Settings, so that a plan can plant an error there.
 type Rule struct {
-	ColdFrom float64       // share of its capacity at its start
-	WarmUp   time.Duration // it rises evenly to all of it over this
-	Multiple float64       // of present capacity; 0: nothing pushes it over
-	Window   time.Duration // the window
+	ColdFrom float64       // share of the capacity at the start
+	WarmUp   time.Duration // time in which the capacity rises linearly to all of it
+	Multiple float64       // a cold upstream falls beyond this multiple of its present capacity; 0: it never falls
+	Window   time.Duration // time over which the work is summed
 }
 
 func (p *Plan) check() error {
 	switch {
 	case p.Sidecars < 1:
-		return errors.New("sidecars: none")
+		return errors.New("sidecars: at least 1 is needed")
 	case p.Upstreams < 1 || len(p.Specs) == 0:
-		return errors.New("upstreams: none, or of no kind")
+		return errors.New("upstreams: at least 1 is needed, with at least one spec")
 	case !(p.Load >= 0) || math.IsInf(p.Load, 0):
 		return fmt.Errorf("load: %v is not usable", p.Load)
 	case p.Work <= 0:
 		return fmt.Errorf("work: %v is not above 0", p.Work)
 	case p.NoticeDelay[0] < 0 || p.NoticeDelay[1] < p.NoticeDelay[0]:
-		return fmt.Errorf("notice: %v is no range", p.NoticeDelay)
+		return fmt.Errorf("notice delay: %v is not a range", p.NoticeDelay)
 	case p.Rule.Multiple > 0 && (p.Rule.WarmUp <= 0 || p.Rule.Window <= 0):
-		return fmt.Errorf("rule: %+v lacks a time", p.Rule)
+		return fmt.Errorf("rule: %+v has no warm-up time or no window", p.Rule)
 	}
-	for i, k := range p.Specs {
-		if err := k.Check(); err != nil {
-			return fmt.Errorf("kind %d: %w", i, err)
+	for i, spec := range p.Specs {
+		if err := spec.Check(); err != nil {
+			return fmt.Errorf("spec %d: %w", i, err)
 		}
 	}
-	for i, x := range p.Shares {
-		if !(x > 0) || math.IsInf(x, 0) {
-			return fmt.Errorf("share %d: %v is not above 0", i, x)
+	for i, share := range p.Shares {
+		if !(share > 0) || math.IsInf(share, 0) {
+			return fmt.Errorf("share %d: %v is not above 0", i, share)
 		}
 	}
 	if len(p.Shares) == 0 {
@@ -86,34 +86,34 @@
 	return nil
 }
 
-// Second is what clients and upstreams saw in one second of a play. Requests count where they came, tries each.
+// Second holds the counts of one second of a run. Each try counts as a request.
 type Second struct {
 	Tries, InTime, Late, Refused, Failed int
 	Attempts, TurnedAway                 int
-	ColdWork                             float64 // work sent to cold upstreams, in mean requests
+	ColdWork                             float64 // work sent to cold upstreams, in requests of mean work
 }
 
-// Window is what one cold upstream got in the rule's window, in requests of mean work.
+// Window is the work that one cold upstream received in the rule's window, in requests of mean work.
 type Window struct {
 	Upstream string
-	At       time.Duration // its end
+	At       time.Duration // end of the window
 	Received float64
-	Informed float64 // of it, from sidecars that had been told of the start
-	Allowed  float64 // what the rule allows on the mean
+	Informed float64 // the part from sidecars that had been told of the start
+	Allowed  float64 // mean that the rule allows
 }
 
-// Limit is N with what chance is granted: N + 2√N + 2 (the operators' standing test).
+// Limit is N plus an allowance for chance: N + 2√N + 2, where N is Allowed (the operators' standing test).
 func (w Window) Limit() float64 { return w.Allowed + 2*math.Sqrt(w.Allowed) + 2 }
 
-// Breach tells whether the window holds more than the rule allows.
+// Breach reports whether the window exceeds its limit, with more than two thirds of it from informed sidecars.
 func (w Window) Breach() bool { return w.Received > w.Limit() && w.Informed > w.Received*2/3 }
 
-// Result is what was seen in a play.
+// Result is the outcome of a run.
 type Result struct {
 	Seconds    []Second
-	Falls      []Window // of each upstream that fell, the window that felled it
-	Fullest    Window   // the one nearest to its limit, or furthest beyond
+	Falls      []Window // one for each upstream that fell, ending at its fall
+	Fullest    Window   // the window with the largest share of its limit
 	ColdStarts int      // cold starts
 
-	ColdReceived, ColdCapacity float64 // mean requests that cold upstreams were sent, and could have done once all were told of them
+	ColdReceived, ColdCapacity float64 // work that cold upstreams were sent, and could have done once all sidecars knew of them, in requests of mean work
 }
--- a/internal/lab/fleet/sidecars.go
+++ b/internal/lab/fleet/sidecars.go
@@ -9,19 +9,21 @@
 	"mosslead/internal/lab/model"
 )
 
+// sidecar is a Balancer with its process and its discovery agent.
 type sidecar struct {
 	index       int
 	zone        string
 	share       float64
 	b           *balancer.Balancer
-	incarnation int                          // restarts
-	timerAt     time.Duration                // its Wake
-	known       map[string]balancer.Endpoint // what its agent has
-	order       []string                     // of known, as told
+	incarnation int                          // number of its processes up to now
+	timerAt     time.Duration                // when the last timer set is due
+	known       map[string]balancer.Endpoint // endpoints that its agent knows
+	order       []string                     // keys of known in the order in which they were learnt
 	requests    map[string]*request
 	actionBuf   []balancer.Action
 }
 
+// attempt is one attempt of a request at an upstream.
 type attempt struct {
 	sidecar     *sidecar
 	incarnation int
@@ -33,35 +35,35 @@
 	ended       bool
 }
 
-// announce spreads a change to every sidecar, in its own time.
-func (f *Fleet) announce(m balancer.Endpoint) {
+// announce sends a change to every sidecar, each after a delay of its own.
+func (f *Fleet) announce(ep balancer.Endpoint) {
 	for _, s := range f.sidecars {
 		wait := f.plan.NoticeDelay[0] + time.Duration(f.rng.Float64()*float64(f.plan.NoticeDelay[1]-f.plan.NoticeDelay[0]))
 		f.At(f.now+wait, func() {
-			s.learn(m)
-			f.handleEvent(s, balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{m}})
+			s.learn(ep)
+			f.handleEvent(s, balancer.EndpointUpdate{Kind: balancer.Delta, Endpoints: []balancer.Endpoint{ep}})
 		})
 	}
 }
 
-func (s *sidecar) learn(m balancer.Endpoint) {
-	if _, known := s.known[m.Upstream]; !known {
-		s.order = append(s.order, m.Upstream)
+func (s *sidecar) learn(ep balancer.Endpoint) {
+	if _, known := s.known[ep.Upstream]; !known {
+		s.order = append(s.order, ep.Upstream)
 	}
-	s.known[m.Upstream] = m
+	s.known[ep.Upstream] = ep
 }
 
-// Restart kills a sidecar's process; the next one begins at once, and knows what its agent has.
+// Restart kills a sidecar's process. The next one begins at once, with the endpoints that its agent knows.
 func (f *Fleet) Restart(n int) {
 	if err := f.boot(f.sidecars[n]); err != nil {
-		panic(err) // these settings were taken before
+		panic(err) // New accepted these settings before
 	}
 }
 
 func (f *Fleet) boot(s *sidecar) error {
-	set := f.plan.Settings
-	set.FleetSize, set.Zone, set.Tenants = f.plan.Sidecars, s.zone, nil
-	b, err := balancer.New(set, f.rng.Uint64())
+	settings := f.plan.Settings
+	settings.FleetSize, settings.Zone, settings.Tenants = f.plan.Sidecars, s.zone, nil
+	b, err := balancer.New(settings, f.rng.Uint64())
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.index, err)
 	}
@@ -69,26 +71,26 @@
 	s.b, s.timerAt, s.requests = b, 0, map[string]*request{}
 	full := balancer.EndpointUpdate{Kind: balancer.FullState}
 	for _, id := range s.order {
-		if m := s.known[id]; m.State == balancer.Active {
-			full.Endpoints = append(full.Endpoints, m)
+		if ep := s.known[id]; ep.State == balancer.Active {
+			full.Endpoints = append(full.Endpoints, ep)
 		}
 	}
 	f.handleEvent(s, full)
 	return nil
 }
 
-// handleEvent hands a sidecar an event and carries out what it answers.
+// handleEvent passes an event to a sidecar's balancer and carries out the actions that it returns.
 func (f *Fleet) handleEvent(s *sidecar, e balancer.Event) {
-	acts := s.b.Handle(f.now, e, s.actionBuf[:0])
-	s.actionBuf = nil // what follows may come back here
-	for _, a := range acts {
+	actions := s.b.Handle(f.now, e, s.actionBuf[:0])
+	s.actionBuf = nil // the actions below may call handleEvent again
+	for _, a := range actions {
 		r := s.requests[a.ID]
 		switch a.Kind {
 		case balancer.StartAttempt:
 			f.send(s, r, a)
 		case balancer.CancelAttempt:
-			at := r.attempts[a.Attempt]
-			f.At(f.now, func() { f.endAttempt(at, balancer.Cancelled) })
+			cancelled := r.attempts[a.Attempt]
+			f.At(f.now, func() { f.endAttempt(cancelled, balancer.Cancelled) })
 		case balancer.Reject:
 			f.currentSecond().Refused++
 			f.finishRequest(s, r, false)
@@ -97,15 +99,15 @@
 			f.finishRequest(s, r, false)
 		case balancer.SetTimer:
 			s.timerAt = a.At
-			life := s.incarnation
+			incarnation := s.incarnation
 			f.At(a.At, func() {
-				if s.incarnation == life && s.timerAt == a.At {
+				if s.incarnation == incarnation && s.timerAt == a.At {
 					f.handleEvent(s, balancer.TimerFired{})
 				}
 			})
 		}
 	}
-	s.actionBuf = acts
+	s.actionBuf = actions
 }
 
 func (f *Fleet) send(s *sidecar, r *request, act balancer.Action) {
@@ -117,39 +119,39 @@
 	f.At(f.now+act.Timeout, func() { f.endAttempt(a, balancer.Timeout) })
 }
 
-// offer brings an attempt to its upstream: the process that runs there now.
+// offer delivers an attempt to its upstream, in the process that runs under that id now.
 func (f *Fleet) offer(a *attempt) {
 	a.upstream = f.byID[a.upstream.id]
-	u, back := a.upstream, f.now+f.roundTrip(a)/2
+	u, answerAt := a.upstream, f.now+f.roundTrip(a)/2
 	if u.silent {
 		return
 	}
 	if !u.up {
-		f.At(back, func() { f.endAttempt(a, balancer.ConnectFailed) })
+		f.At(answerAt, func() { f.endAttempt(a, balancer.ConnectFailed) })
 		return
 	}
 	f.advance(u)
 	if f.recordColdArrival(u, a) {
 		f.stopProcess(u, false)
-		f.At(back, func() { f.endAttempt(a, balancer.Reset) })
+		f.At(answerAt, func() { f.endAttempt(a, balancer.Reset) })
 		return
 	}
 	if u.server.Offer(f.now, model.Job{ID: a.jobID, Work: a.request.work}) != model.Taken {
 		f.currentSecond().TurnedAway++
-		f.At(back, func() { f.endAttempt(a, balancer.Overloaded) })
+		f.At(answerAt, func() { f.endAttempt(a, balancer.Overloaded) })
 		return
 	}
 	u.jobs[a.jobID] = a
 	f.scheduleAdvance(u)
 }
 
-// endAttempt reports an attempt's outcome, unless it has one or its sidecar is gone.
-func (f *Fleet) endAttempt(a *attempt, res balancer.Result) {
+// endAttempt reports an attempt's outcome, unless it has ended before or its sidecar has restarted.
+func (f *Fleet) endAttempt(a *attempt, result balancer.Result) {
 	if a.ended || a.incarnation != a.sidecar.incarnation {
 		return
 	}
 	a.ended = true
-	finished := res == balancer.OK && !a.request.done
+	finished := result == balancer.OK && !a.request.done
 	if finished {
 		if f.now <= a.request.objectiveAt {
 			f.currentSecond().InTime++
@@ -158,5 +160,5 @@
 		}
 		f.finishRequest(a.sidecar, a.request, true)
 	}
-	f.handleEvent(a.sidecar, balancer.AttemptEnded{ID: a.request.id, Attempt: a.number, Result: res, Elapsed: f.now - a.sent, Final: finished})
+	f.handleEvent(a.sidecar, balancer.AttemptEnded{ID: a.request.id, Attempt: a.number, Result: result, Elapsed: f.now - a.sent, Final: finished})
 }
--- a/internal/lab/fleet/sum_test.go
+++ b/internal/lab/fleet/sum_test.go
@@ -9,8 +9,8 @@
 
 var seeds = flag.Int("fleet.seeds", 6, "plays of each size of fleet, below 100 half as many of the largest")
 
-// Guards against budgets that hold for one size of fleet and not for the sum over another: few sidecars that each send
-// much, and many that each may send one at once, all of unequal traffic.
+// Guards against budgets for cold upstreams that hold for one size of fleet, and whose sum over all sidecars is too much
+// for another: few sidecars that each send much, or many that may each send one request at once, with unequal traffic.
 func TestColdBudgetsOfFleetsOfEverySize(t *testing.T) {
 	for _, size := range []struct{ sidecars, upstreams int }{{2, 10}, {4, 12}, {20, 16}, {30, 20}, {100, 60}, {300, 200}} {
 		t.Run(fmt.Sprint(size.sidecars), func(t *testing.T) {
@@ -20,19 +20,19 @@
 			fails := map[string]int{}
 			plays := *seeds
 			if size.sidecars >= 300 && plays < 100 {
-				plays /= 2 // they cost as much as all others
+				plays /= 2 // these runs take as long as all others together
 			}
 			for seed := range uint64(plays) {
 				name, f := newScenarioFleet(t, seed, size.sidecars, size.upstreams)
-				seen := f.Run(14 * time.Second)
-				cold += seen.ColdStarts
-				used, allowed = used+seen.ColdReceived, allowed+seen.ColdCapacity
-				fullest = max(fullest, seen.Fullest.Received/seen.Fullest.Limit())
-				for _, s := range seen.Seconds {
+				result := f.Run(14 * time.Second)
+				cold += result.ColdStarts
+				used, allowed = used+result.ColdReceived, allowed+result.ColdCapacity
+				fullest = max(fullest, result.Fullest.Received/result.Fullest.Limit())
+				for _, s := range result.Seconds {
 					inTime, tries = inTime+s.InTime, tries+s.Tries
 				}
 				breaches := 0
-				for _, w := range seen.Falls {
+				for _, w := range result.Falls {
 					if falls++; w.Breach() {
 						breaches++
 					}
@@ -40,7 +40,7 @@
 				if breaches > 0 {
 					breached++
 					fails[name]++
-					t.Errorf("seed %d, %s: %d of %d cold upstreams pushed over, first %+v", seed, name, breaches, seen.ColdStarts, seen.Falls[0])
+					t.Errorf("seed %d, %s: %d of %d cold upstreams overloaded beyond the limit, want none; first %+v", seed, name, breaches, result.ColdStarts, result.Falls[0])
 				}
 			}
 			t.Logf("%d cold starts, %d falls, %d plays of %d in breach %v; fullest window %.2f of its limit; %.3f of cold capacity unused; %.4f of tries in time",
@@ -49,7 +49,7 @@
 	}
 }
 
-// scenarios are what a fleet goes through while upstreams start.
+// scenarios are the disturbances of a fleet while upstreams start.
 var scenarios = []struct {
 	name string
 	do   func(*Fleet)
@@ -98,7 +98,8 @@
 	}},
 }
 
-// newScenarioFleet is a play of a size: by its seed with one trouble, the settings of one of two sites, and lists early or late.
+// newScenarioFleet returns a run of the given size. Its seed selects the disturbance, the settings of one of two sites, and
+// whether sidecars learn of changes early or late.
 func newScenarioFleet(t *testing.T, seed uint64, sidecars, upstreams int) (string, *Fleet) {
 	t.Helper()
 	p := LargePlan(seed)
--- a/internal/lab/fleet/upstreams.go
+++ b/internal/lab/fleet/upstreams.go
@@ -10,39 +10,40 @@
 	"mosslead/internal/lab/model"
 )
 
+// upstream is one process of an upstream.
 type upstream struct {
 	id        string
 	index     int
 	zone      string
 	server    *model.Server
 	spec      model.Spec
-	started   time.Duration // 0: long ago
+	started   time.Duration // 0: before the run, and warm
 	up        bool
-	silent    bool // it does not answer, or even refuse
+	silent    bool // it neither answers nor refuses connections
 	advanceAt time.Duration
 	jobs      map[string]*attempt
-	window    []arrival     // of the rule's window, while cold
-	coldWork  float64       // in all, while cold, in mean requests
-	endedAt   time.Duration // 0: it runs
+	window    []arrival     // arrivals within the rule's window, while cold
+	coldWork  float64       // all work received while cold, in requests of mean work
+	endedAt   time.Duration // 0: it still runs
 }
 
-// startProcess begins a process at place, cold unless the play begins.
-func (f *Fleet) startProcess(place int, id string, at time.Duration) *upstream {
+// startProcess starts a process at an index. It is cold, unless it starts with the run.
+func (f *Fleet) startProcess(index int, id string, at time.Duration) *upstream {
 	p := &f.plan
-	spec := p.Specs[place%len(p.Specs)]
-	spec.ColdFrom, spec.ColdFor, spec.FallMultiple = p.Rule.ColdFrom, p.Rule.WarmUp, 0 // falls are counted here
-	began := at
+	spec := p.Specs[index%len(p.Specs)]
+	spec.ColdFrom, spec.ColdFor, spec.FallMultiple = p.Rule.ColdFrom, p.Rule.WarmUp, 0 // falls are decided by recordColdArrival
+	processStart := at
 	if at == 0 {
-		began = -p.Rule.WarmUp
+		processStart = -p.Rule.WarmUp
 	} else {
 		f.result.ColdStarts++
 	}
-	u := &upstream{id: id, index: place, zone: p.Zones[place%len(p.Zones)], spec: spec, started: at, up: true,
-		server: model.New(spec, f.rng.Uint64(), began, at), advanceAt: model.Never, jobs: map[string]*attempt{}}
-	if place == len(f.upstreams) {
+	u := &upstream{id: id, index: index, zone: p.Zones[index%len(p.Zones)], spec: spec, started: at, up: true,
+		server: model.New(spec, f.rng.Uint64(), processStart, at), advanceAt: model.Never, jobs: map[string]*attempt{}}
+	if index == len(f.upstreams) {
 		f.upstreams = append(f.upstreams, nil)
 	}
-	f.upstreams[place], f.byID[id] = u, u
+	f.upstreams[index], f.byID[id] = u, u
 	if at > 0 {
 		f.coldStarted = append(f.coldStarted, u)
 	}
@@ -53,32 +54,32 @@
 	return balancer.Endpoint{Upstream: u.id, Zone: u.zone, State: s, StartedAt: u.started}
 }
 
-// Replace drains the process at place for a time, then ends it; another, with a name of its own, starts after boot.
-func (f *Fleet) Replace(place int, drain, boot time.Duration) {
-	old := f.upstreams[place]
+// Replace drains the process at an index for a time and then stops it; after boot another one starts there under a new id.
+func (f *Fleet) Replace(index int, drain, boot time.Duration) {
+	old := f.upstreams[index]
 	f.announce(old.endpoint(balancer.Draining))
 	f.At(f.now+drain, func() {
 		f.stopProcess(old, false)
 		f.announce(old.endpoint(balancer.Removed))
 		f.At(f.now+boot, func() {
 			f.lastID++
-			f.announce(f.startProcess(place, fmt.Sprintf("u%d.%d", place, f.lastID), f.now).endpoint(balancer.Active))
+			f.announce(f.startProcess(index, fmt.Sprintf("u%d.%d", index, f.lastID), f.now).endpoint(balancer.Active))
 		})
 	})
 }
 
-// Lose makes the process at place vanish without a word for a time. Its list entry stays, as while nobody has noticed,
-// or goes where noticed says so; then the same upstream starts anew.
-func (f *Fleet) Lose(place int, d time.Duration, noticed bool) {
-	old := f.upstreams[place]
+// Lose makes the process at an index unreachable for a time; then the same upstream starts anew. Its list entry is
+// removed meanwhile if noticed is true, and stays otherwise.
+func (f *Fleet) Lose(index int, d time.Duration, noticed bool) {
+	old := f.upstreams[index]
 	f.stopProcess(old, true)
 	if noticed {
 		f.announce(old.endpoint(balancer.Removed))
 	}
-	f.At(f.now+d, func() { f.announce(f.startProcess(place, old.id, f.now).endpoint(balancer.Active)) })
+	f.At(f.now+d, func() { f.announce(f.startProcess(index, old.id, f.now).endpoint(balancer.Active)) })
 }
 
-// stopProcess ends a process; what it held is reset, or never heard of again.
+// stopProcess ends a process. Its attempts are reset, or get no answer at all if silent.
 func (f *Fleet) stopProcess(u *upstream, silent bool) {
 	u.up, u.silent, u.advanceAt, u.endedAt = false, silent, model.Never, f.now
 	u.server.Fell()
@@ -87,7 +88,7 @@
 	if silent {
 		return
 	}
-	for _, job := range slices.Sorted(maps.Keys(jobs)) { // in order, so that a play repeats
+	for _, job := range slices.Sorted(maps.Keys(jobs)) { // sorted, so that a run can be repeated
 		f.endAttempt(jobs[job], balancer.Reset)
 	}
 }
@@ -109,14 +110,14 @@
 }
 
 func (f *Fleet) advance(u *upstream) {
-	for _, d := range u.server.Advance(f.now) {
-		a := u.jobs[d.ID]
-		delete(u.jobs, d.ID)
-		res := balancer.OK
-		if d.Failed {
-			res = balancer.ServerError
+	for _, done := range u.server.Advance(f.now) {
+		a := u.jobs[done.ID]
+		delete(u.jobs, done.ID)
+		result := balancer.OK
+		if done.Failed {
+			result = balancer.ServerError
 		}
-		f.At(f.now+f.roundTrip(a)/2, func() { f.endAttempt(a, res) })
+		f.At(f.now+f.roundTrip(a)/2, func() { f.endAttempt(a, result) })
 	}
 }
 
--- a/internal/lab/model/keys.go
+++ b/internal/lab/model/keys.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// recentKeys remembers the keys met of late, the most recent ones only.
+// recentKeys holds the most recently used keys, at most limit of them, each for ttl after its last use.
 type recentKeys struct {
 	limit    int
 	ttl      time.Duration
-	order    *list.List // of keyUse, the latest first
+	order    *list.List // of *keyUse, the latest first
 	elements map[string]*list.Element
 }
 
+// keyUse is a key and the time of its last use.
 type keyUse struct {
 	key      string
 	lastUsed time.Duration
 }
 
-func newRecentKeys(most int, keep time.Duration) *recentKeys {
-	return &recentKeys{limit: most, ttl: keep, order: list.New(), elements: map[string]*list.Element{}}
+func newRecentKeys(limit int, ttl time.Duration) *recentKeys {
+	return &recentKeys{limit: limit, ttl: ttl, order: list.New(), elements: map[string]*list.Element{}}
 }
 
-// recordUse notes a use of the key, and tells whether it was known.
-func (m *recentKeys) recordUse(key string, now time.Duration) bool {
-	if key == "" || m.limit < 1 {
+// recordUse records a use of the key, and reports whether its last use was at most ttl ago.
+func (k *recentKeys) recordUse(key string, now time.Duration) bool {
+	if key == "" || k.limit < 1 {
 		return false
 	}
-	if e, ok := m.elements[key]; ok {
+	if e, ok := k.elements[key]; ok {
 		use := e.Value.(*keyUse)
-		known := now-use.lastUsed <= m.ttl
+		known := now-use.lastUsed <= k.ttl
 		use.lastUsed = now
-		m.order.MoveToFront(e)
+		k.order.MoveToFront(e)
 		return known
 	}
-	m.elements[key] = m.order.PushFront(&keyUse{key, now})
-	if m.order.Len() > m.limit {
-		oldest := m.order.Back()
-		delete(m.elements, oldest.Value.(*keyUse).key)
-		m.order.Remove(oldest)
+	k.elements[key] = k.order.PushFront(&keyUse{key, now})
+	if k.order.Len() > k.limit {
+		oldest := k.order.Back()
+		delete(k.elements, oldest.Value.(*keyUse).key)
+		k.order.Remove(oldest)
 	}
 	return false
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// coresOnlySpec is a server on which nothing but its cores bounds it.
+// coresOnlySpec returns the spec of a server that only its cores limit.
 func coresOnlySpec(cores int) Spec {
 	return Spec{Cores: cores, Speed: 1, SlotsPerCore: 1, QueuePerCore: 1e6}
 }
 
-// runJobs offers n jobs with exponential gaps and works of a mean of 10 ms, and gives the mean time from arrival to end.
+// runJobs offers n jobs with exponential gaps and exponential work of 10 ms on the mean, and returns the mean time from
+// arrival to end.
 func runJobs(s *Server, n int, rho float64, seed uint64) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const work = 10 * time.Millisecond
@@ -44,7 +45,7 @@
 	return total / time.Duration(n)
 }
 
-// erlangC is the chance that an arrival finds all c servers busy (Erlang, 1917), a being the offered load.
+// erlangC returns the probability that an arrival finds all c servers busy (Erlang, 1917) at an offered load of a.
 func erlangC(c int, a float64) float64 {
 	sum, term := 0.0, 1.0
 	for k := range c {
@@ -55,7 +56,7 @@
 	return last / (sum + last)
 }
 
-// Guards against a queue that waits too long or too little: M/M/4 against Erlang C, and Little's law beside it.
+// Guards against wrong waiting times: compares an M/M/4 queue with Erlang C, and checks Little's law.
 func TestWaitingAgreesWithErlangC(t *testing.T) {
 	for _, c := range []struct {
 		rho float64
@@ -69,10 +70,10 @@
 			want := erlangC(4, 4*c.rho) * service / (4 * (1 - c.rho))
 			got := took.Seconds() - service
 			if math.Abs(got-want) > 0.03*want+0.00002 {
-				t.Errorf("mean wait %.3f ms, Erlang C says %.3f ms", got*1e3, want*1e3)
+				t.Errorf("mean wait: got %.3f ms, want %.3f ms (Erlang C)", got*1e3, want*1e3)
 			}
 			if area, sojourns := s.Little(); math.Abs(area-sojourns) > 1e-6*area {
-				t.Errorf("Little's law: %v held over time, %v spent", area, sojourns)
+				t.Errorf("Little's law: got %v job-seconds held over time and %v spent by jobs, want both equal", area, sojourns)
 			}
 		})
 	}
@@ -96,7 +97,7 @@
 		s.Offer(0, Job{ID: fmt.Sprint(i), Work: 100 * time.Millisecond})
 	}
 	if last, n := runToEnd(s); n != 4 || last.Round(time.Millisecond) != 200*time.Millisecond {
-		t.Errorf("%d jobs ended by %v; four of 100 ms on two cores take 200 ms", n, last)
+		t.Errorf("got %d jobs ended, the last at %v; want 4 at 200ms (100 ms each on two cores)", n, last)
 	}
 }
 
@@ -109,7 +110,7 @@
 		got[s.Offer(0, Job{ID: fmt.Sprint(i), Work: time.Second})]++
 	}
 	if got[Taken] != 3 || got[Full] != 2 {
-		t.Errorf("offers %v; one slot and two places take three", got)
+		t.Errorf("got offers %v, want 3 taken (one slot, two waiting places) and 2 turned away", got)
 	}
 }
 
@@ -120,17 +121,17 @@
 	s.Offer(0, Job{ID: "a", Work: time.Second})
 	// The integral of 0.5 + 0.05 t reaches 1 at t = 10 (√1.4 - 1).
 	if last, _ := runToEnd(s); math.Abs(last.Seconds()-10*(math.Sqrt(1.4)-1)) > 0.02 {
-		t.Errorf("a second's work on a cold core took %v", last)
+		t.Errorf("work of 1 s on a cold core: took %v, want 10 (√1.4 - 1) s, within 0.02 s", last)
 	}
 	spec.FallMultiple, spec.FallFor = 4, time.Second
 	s = New(spec, 1, 0, 0)
 	for i := range 3 {
 		if got := s.Offer(0, Job{Work: 600 * time.Millisecond}); got != Taken {
-			t.Fatalf("offer %d within the budget of 2 s of work: %v", i, got)
+			t.Fatalf("offer %d within the budget of 2 s of work: got %v, want Taken", i, got)
 		}
 	}
 	if got := s.Offer(0, Job{Work: 600 * time.Millisecond}); got != Down || !s.Fallen() {
-		t.Errorf("2.4 s of work within a second, to half a core: %v", got)
+		t.Errorf("2.4 s of work within a second, to half a core: got %v, fallen: %v, want Down and fallen", got, s.Fallen())
 	}
 }
 
@@ -143,18 +144,18 @@
 	}
 	s.Advance(900 * time.Millisecond)
 	if s.Choked() {
-		t.Error("choked before its time")
+		t.Error("choked after 900 ms of a long queue, want not before 1 s")
 	}
 	s.Advance(1200 * time.Millisecond)
 	if !s.Choked() {
-		t.Fatal("not choked by a crowd that stayed")
+		t.Fatal("not choked after 1.2 s of a long queue, want choked after 1 s")
 	}
 	last, _ := runToEnd(s)
 	if last < 8*time.Second {
-		t.Errorf("all done at %v, though three times slower", last)
+		t.Errorf("all jobs done at %v, want not before 8 s, because a choked server is three times slower", last)
 	}
 	if s.Advance(last + 4*time.Second); s.Choked() {
-		t.Error("still choked after its rest")
+		t.Error("still choked 4 s after its last job, want recovered after 2 s")
 	}
 }
 
@@ -182,12 +183,12 @@
 		}
 		want := time.Duration(len(c.keys))*100*time.Millisecond - time.Duration(c.cheap)*50*time.Millisecond
 		if took.Round(time.Millisecond) != want {
-			t.Errorf("%s: worked for %v, want %v", c.name, took, want)
+			t.Errorf("%s: got %v of work, want %v", c.name, took, want)
 		}
 	}
 }
 
-// Measures the model alone: the laboratory promises a million requests in under 10 s.
+// Measures the model alone: the laboratory requires a million requests in under 10 s.
 func BenchmarkMillionRequests(b *testing.B) {
 	for range b.N {
 		runJobs(New(coresOnlySpec(4), 1, 0, 0), 1_000_000, 0.8, 3)
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -7,45 +7,47 @@
 	"time"
 )
 
-// Never is when nothing will happen by itself.
+// Never is the time of the next event where there is none.
 const Never = time.Duration(math.MaxInt64)
 
 const (
-	warmUpStep         = 20 * time.Millisecond  // how finely a cold server's capacity rises
-	chokeCheckInterval = 50 * time.Millisecond  // how often a crowded or choked server is looked at
-	utilTimeConstant   = 500 * time.Millisecond // over which the busy share and the latency are averaged
+	warmUpStep         = 20 * time.Millisecond  // interval in which the capacity of a cold server is recomputed
+	chokeCheckInterval = 50 * time.Millisecond  // interval in which a crowded or choked server is checked
+	utilTimeConstant   = 500 * time.Millisecond // time constant of the moving average of the busy share
 )
 
-// Server is one process of an upstream. Jobs in work share the cores evenly, so all of them advance at one rate: each
-// ends when the work done for a job (virtual) reaches what it was when the job began, plus the job's own.
+// Server is one process of an upstream. Running jobs share the cores evenly, so all of them advance at one rate. virtual
+// is the work done for one such job since the start: a job ends when it reaches its value at the job's begin plus the
+// job's work.
 type Server struct {
 	spec         Spec
 	rng          *rand.Rand
 	started      time.Duration
 	now          time.Duration
-	virtual      float64 // seconds of work done for each job in work
+	virtual      float64 // seconds of work done for each running job
 	running      jobHeap
 	waiting      []acceptedJob // first in, first out
-	overheadJobs int           // of running: handshakes and probes, which need no slot
+	overheadJobs int           // running handshakes and probes, which need no slot
 	keys         *recentKeys
 	conns        int
 
 	pausedUntil, nextPause time.Duration
-	crowdedSince           time.Duration // Never: it is not crowded
+	crowdedSince           time.Duration // Never if it is not crowded
 	choked                 bool
 	chokedAt, idleSince    time.Duration
-	util, latency          float64 // of late; latency in seconds
-	slowdown               float64 // by a fault; 1: none
-	failShare              float64 // by a fault
+	util, latency          float64 // moving averages; latency in seconds
+	slowdown               float64 // factor by a fault; 1: none
+	failShare              float64 // share of failing jobs, by a fault
 	fallen                 bool
-	coldArrivals           []arrival // while cold, over the last FallFor
+	coldArrivals           []arrival // while cold, in the last FallFor
 	coldWork               float64
 
-	area     float64 // jobs held × seconds, see Little
+	area     float64 // jobs held × seconds; see Little
 	sojourns float64
 	done     []Done
 }
 
+// acceptedJob is a job that runs or waits.
 type acceptedJob struct {
 	Job
 	arrived  time.Duration
@@ -58,13 +60,14 @@
 	endsAtVirtual float64 // in virtual time
 }
 
+// arrival is the work that reached a cold server at a time.
 type arrival struct {
 	at   time.Duration
 	work float64
 }
 
-// New is a server whose process began at started: before it by ColdFor or more, it is warm. The seed decides its pauses
-// and errors. The spec must pass Check.
+// New returns a server at now whose process began at started; it is warm if that is ColdFor or more ago. The seed
+// decides its pauses and errors. The spec must pass Check.
 func New(spec Spec, seed uint64, started, now time.Duration) *Server {
 	s := &Server{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x6d6f73736c656164)), started: started, now: now,
 		crowdedSince: Never, nextPause: Never, slowdown: 1,
@@ -79,7 +82,7 @@
 	}
 }
 
-// warmth is the share of its capacity that it has at t.
+// warmth returns the share of the full capacity that the server has at t.
 func (s *Server) warmth(t time.Duration) float64 {
 	if s.spec.ColdFor <= 0 || t-s.started >= s.spec.ColdFor {
 		return 1
@@ -87,32 +90,32 @@
 	return s.spec.ColdFrom + (1-s.spec.ColdFrom)*float64(t-s.started)/float64(s.spec.ColdFor)
 }
 
-// Cold tells whether it still warms up.
+// Cold reports whether the server is still warming up.
 func (s *Server) Cold() bool { return s.warmth(s.now) < 1 }
 
 func (s *Server) jobsHeld() int { return len(s.running) + len(s.waiting) }
 
-// rate is the work done in a second for each job in work.
+// rate returns the work done per second for each running job.
 func (s *Server) rate() float64 {
-	k := len(s.running)
-	if k == 0 || s.now < s.pausedUntil {
+	n := len(s.running)
+	if n == 0 || s.now < s.pausedUntil {
 		return 0
 	}
 	cores := float64(s.spec.Cores)
-	r := s.spec.Speed * min(1, cores/float64(k)) * s.warmth(s.now) / s.slowdown
+	r := s.spec.Speed * min(1, cores/float64(n)) * s.warmth(s.now) / s.slowdown
 	if excess := float64(s.jobsHeld())/cores - s.spec.ThrashAt; s.spec.Thrash > 0 && excess > 0 {
 		r /= 1 + s.spec.Thrash*excess
 	}
 	if s.choked {
 		r /= s.spec.Choke.Slower
 	}
-	if most := s.spec.ConnsPerCore * s.spec.Cores; most > 0 {
-		r *= 1 - s.spec.FullTax*min(1, float64(s.conns)/float64(most))
+	if maxConns := s.spec.ConnsPerCore * s.spec.Cores; maxConns > 0 {
+		r *= 1 - s.spec.FullTax*min(1, float64(s.conns)/float64(maxConns))
 	}
 	return r
 }
 
-// Next is when something happens unless a job comes before; Never: nothing will.
+// Next returns the time of the next event if no job arrives before it, or Never if there is none.
 func (s *Server) Next() time.Duration {
 	if s.fallen {
 		return Never
@@ -121,8 +124,8 @@
 	if s.now < s.pausedUntil {
 		next = min(next, s.pausedUntil)
 	} else if r := s.rate(); r > 0 {
-		left := max(0, (s.running[0].endsAtVirtual-s.virtual)/r)
-		if at := s.now + time.Duration(math.Ceil(left*1e9)); left < 1e9 {
+		remaining := max(0, (s.running[0].endsAtVirtual-s.virtual)/r)
+		if at := s.now + time.Duration(math.Ceil(remaining*1e9)); remaining < 1e9 {
 			next = min(next, at)
 		}
 	}
@@ -135,7 +138,7 @@
 	return next
 }
 
-// Advance brings the server to now, and gives the jobs that ended by then. The slice is valid until the next call.
+// Advance moves the server to now and returns the jobs that ended by then. The slice is valid until the next call.
 func (s *Server) Advance(now time.Duration) []Done {
 	s.done = s.done[:0]
 	for !s.fallen {
@@ -150,7 +153,7 @@
 	return s.done
 }
 
-// advanceClock lets time pass in which nothing changes.
+// advanceClock moves the clock over a time in which no event is due.
 func (s *Server) advanceClock(to time.Duration) {
 	if to <= s.now {
 		return
@@ -159,12 +162,12 @@
 	s.virtual += s.rate() * dt
 	s.area += float64(s.jobsHeld()) * dt
 	busy := min(1, float64(len(s.running))/float64(s.spec.Cores))
-	keep := math.Exp(-dt / utilTimeConstant.Seconds())
-	s.util = s.util*keep + busy*(1-keep)
+	decay := math.Exp(-dt / utilTimeConstant.Seconds())
+	s.util = s.util*decay + busy*(1-decay)
 	s.now = to
 }
 
-// processDue does what is due now.
+// processDue processes the events that are due now.
 func (s *Server) processDue() {
 	if s.now >= s.nextPause {
 		s.pausedUntil = s.now + time.Duration(s.rng.Float64()*float64(s.spec.PauseFor))
@@ -192,7 +195,7 @@
 	s.done = append(s.done, Done{Job: j.Job, At: s.now, Failed: s.rng.Float64() < s.spec.ErrorShare+s.failShare})
 }
 
-// startWaiting lets waiting jobs begin while there are slots.
+// startWaiting starts waiting jobs while there are free slots.
 func (s *Server) startWaiting() {
 	for len(s.waiting) > 0 && s.slotFree() {
 		h := s.waiting[0]
@@ -209,7 +212,7 @@
 	heap.Push(&s.running, runningJob{acceptedJob: h, began: s.now, endsAtVirtual: s.virtual + h.Work.Seconds()})
 }
 
-// updateChoke chokes the server when too many have waited for too long, and lets it recover.
+// updateChoke chokes the server when too many jobs have waited for too long, and lets it recover.
 func (s *Server) updateChoke() {
 	c := s.spec.Choke
 	if c.At <= 0 {
@@ -234,7 +237,7 @@
 	}
 }
 
-// Offer brings a job at now, to which the server must have been advanced.
+// Offer submits a job at now. The server must have been advanced to now before.
 func (s *Server) Offer(now time.Duration, j Job) Offer {
 	if s.fallen {
 		return Down
@@ -258,7 +261,7 @@
 	return Taken
 }
 
-// Fell takes the server down for good, with all that it held.
+// Fell stops the server for good and drops all of its jobs.
 func (s *Server) Fell() {
 	s.fallen = true
 	for _, j := range s.running {
@@ -270,10 +273,10 @@
 	s.running, s.waiting, s.overheadJobs = nil, nil, 0
 }
 
-// Fallen tells whether it is down.
+// Fallen reports whether the server is down.
 func (s *Server) Fallen() bool { return s.fallen }
 
-// overloadedWhileCold keeps count of what a cold server was sent, and tells whether it is too much.
+// overloadedWhileCold counts the work that a cold server is sent, and reports whether it is too much.
 func (s *Server) overloadedWhileCold(now time.Duration, work float64) bool {
 	if s.spec.FallMultiple <= 0 || s.spec.FallFor <= 0 || s.warmth(now) >= 1 {
 		s.coldArrivals, s.coldWork = nil, 0
@@ -288,7 +291,7 @@
 	return s.coldWork > s.spec.FallMultiple*s.spec.Capacity()*s.warmth(now)*s.spec.FallFor.Seconds()
 }
 
-// Charge brings work at now that no client waits for: a handshake or a probe.
+// Charge adds work at now that no client waits for: a handshake or a probe.
 func (s *Server) Charge(now time.Duration, work time.Duration) {
 	if s.fallen || work <= 0 {
 		return
@@ -297,38 +300,39 @@
 	s.startJob(acceptedJob{Job: Job{Work: work}, arrived: now, overhead: true})
 }
 
-// Connected changes the number of open connections by n; false where the table has no room for more.
+// Connected changes the number of open connections by n, and reports whether the table has room for them.
 func (s *Server) Connected(n int) bool {
-	if most := s.spec.ConnsPerCore * s.spec.Cores; n > 0 && most > 0 && s.conns+n > most {
+	if maxConns := s.spec.ConnsPerCore * s.spec.Cores; n > 0 && maxConns > 0 && s.conns+n > maxConns {
 		return false
 	}
 	s.conns += n
 	return true
 }
 
-// Trouble makes the server so many times slower (1: not at all) and lets a share of its jobs fail, from now on.
+// Trouble divides the server's speed by slower (1: no change) and lets a share of its jobs fail, from now on.
 func (s *Server) Trouble(slower, failShare float64) {
 	s.slowdown, s.failShare = max(slower, 1e-3), failShare
 }
 
-// ForceChoke chokes it as a crowd would.
+// ForceChoke chokes the server as a long queue would; it does nothing if the spec never chokes.
 func (s *Server) ForceChoke() {
 	if s.spec.Choke.At > 0 {
 		s.choked, s.chokedAt, s.idleSince = true, s.now, s.now
 	}
 }
 
-// Choked tells whether a crowd has turned it slow.
+// Choked reports whether the server is choked; see Choke.
 func (s *Server) Choked() bool { return s.choked }
 
-// Report is the server's own word on its load.
+// Report returns the load as the server itself reports it.
 func (s *Server) Report() Report {
 	return Report{Inflight: s.jobsHeld() - s.overheadJobs, Queue: len(s.waiting), Util: s.util,
 		Latency: time.Duration(s.latency * float64(time.Second))}
 }
 
-// Little gives both sides of Little's law over the server's whole life, in job-seconds: the number held, integrated
-// over time, and the time that each job spent here, added up. They are counted apart and must agree.
+// Little returns both sides of Little's law over the server's whole life, in job-seconds: area is the number of jobs
+// held, integrated over time, and sojourns is the sum of the times that jobs spent here. They are counted separately and
+// must agree.
 func (s *Server) Little() (area, sojourns float64) {
 	sojourns = s.sojourns
 	for _, j := range s.running {
--- a/internal/lab/model/spec.go
+++ b/internal/lab/model/spec.go
@@ -1,7 +1,7 @@
-// Package model owns the behaviour of one upstream as a queueing model: jobs and times in, finished jobs out.
+// Package model simulates one upstream as a queueing model that takes jobs and times and returns finished jobs.
 //
-// It opens no socket and reads no clock: the caller says what time it is, asks when something will happen next, and
-// calls again then. All times are durations since the beginning of a play. A Server is not safe for concurrent use.
+// It opens no socket and reads no clock: the caller passes the time, asks for the time of the next event, and calls
+// again then. All times are durations since the beginning of a run. A Server is not safe for concurrent use.
 package model
 
 import (
@@ -10,53 +10,54 @@
 	"time"
 )
 
-// Spec says what one upstream is like. Work is counted in seconds of a core of speed 1.
+// Spec describes one upstream. Work is counted in seconds of a core of speed 1.
 type Spec struct {
 	Cores        int
-	Speed        float64 // work that a core does in a second; above 0
-	SlotsPerCore float64 // jobs in work at once; they share the cores evenly
-	QueuePerCore float64 // jobs that wait for a slot; beyond, a job is turned away unseen
+	Speed        float64 // work that a core does per second; above 0
+	SlotsPerCore float64 // jobs that run at once; they share the cores evenly
+	QueuePerCore float64 // jobs that may wait for a slot; further jobs are turned away
 
 	// With more than ThrashAt jobs held for each core, capacity falls to 1/(1 + Thrash × excess per core).
 	Thrash, ThrashAt float64
 
-	// A server that starts has ColdFrom of its capacity, which rises evenly to all of it over ColdFor.
+	// A server starts with the share ColdFrom of its capacity, which rises linearly to all of it over ColdFor.
 	ColdFrom float64
 	ColdFor  time.Duration
-	// Sent more than FallMultiple times its present capacity over FallFor while cold, it falls over and stays down.
-	// 0: it bears everything.
+	// A cold server that is sent more than FallMultiple times its present capacity over FallFor goes down and stays down.
+	// 0: it never does.
 	FallMultiple float64
 	FallFor      time.Duration
 
-	PauseEvery, PauseFor time.Duration // it stands still now and then: mean time between, greatest length
+	PauseEvery, PauseFor time.Duration // mean time between pauses in which it does no work, and their greatest length
 
-	ErrorShare float64 // of finished jobs that end as an error
+	ErrorShare float64 // share of finished jobs that end as an error
 
 	Choke Choke
 
-	// A job whose key was met here in the last KeyFor does KeyGain less work; the KeysPerCore latest are remembered.
+	// A job whose key was used here in the last KeyFor needs the share KeyGain less work. The KeysPerCore keys used last,
+	// times Cores, are remembered.
 	KeyGain     float64
 	KeyFor      time.Duration
 	KeysPerCore float64
 
-	ConnsPerCore  int           // connections held at most; 0: any number
-	Handshake     time.Duration // work of opening one
-	HandshakeRTTs float64       // round trips that its first request waits for
+	ConnsPerCore  int           // most open connections; 0: any number
+	Handshake     time.Duration // work of opening a connection
+	HandshakeRTTs float64       // round trips that a connection's first request waits for
 	FullTax       float64       // share of the capacity that a full table of connections takes
 	ProbeWork     time.Duration // work of answering one probe
 }
 
-// Choke is how a crowd turns a server slow, and how it recovers.
+// Choke describes how a long queue makes a server slow, and how it recovers.
 type Choke struct {
-	At     float64       // jobs waiting for each core; 0: it never chokes
-	Over   time.Duration // for so long
-	Slower float64       // then it is so many times slower
-	Below  float64       // until less than this share of its cores was busy
-	Rest   time.Duration // for so long
-	Most   time.Duration // or, at the latest, after this
+	At     float64       // it chokes above this number of waiting jobs per core; 0: never
+	Over   time.Duration // time for which the queue must be so long
+	Slower float64       // factor by which a choked server is slower
+	Below  float64       // it recovers after less than this share of its cores was busy
+	Rest   time.Duration // for this time
+	Most   time.Duration // longest time choked; 0: no limit
 }
 
-// Check names the first value that makes no server.
+// Check returns an error that names the first invalid value.
 func (s Spec) Check() error {
 	switch {
 	case s.Cores < 1:
@@ -77,13 +78,13 @@
 	return nil
 }
 
-// Capacity is the work that it does in a second when warm and undisturbed.
+// Capacity returns the work per second of a server that is warm and undisturbed.
 func (s Spec) Capacity() float64 { return float64(s.Cores) * s.Speed }
 
 // Job is a piece of work.
 type Job struct {
 	ID   string
-	Key  string        // what it concerns; empty: nothing
+	Key  string        // key of the data that it uses; empty: none
 	Work time.Duration // on a core of speed 1
 }
 
@@ -94,19 +95,19 @@
 	Failed bool // it ended as an error
 }
 
-// Offer is what became of a job that arrived.
+// Offer is the outcome of offering a job.
 type Offer int
 
-// What can become of it.
+// Outcomes of an offer.
 const (
-	Taken Offer = iota
-	Full        // turned away: no slot and no place to wait
-	Down        // the server has fallen over
+	Taken Offer = iota // it runs or waits
+	Full               // turned away: no slot and no place to wait
+	Down               // the server has fallen
 )
 
-// Report is a server's own word on its load.
+// Report is the load of a server as it reports it itself.
 type Report struct {
 	Inflight, Queue int
-	Latency         time.Duration // service time of late, without waiting
-	Util            float64       // of the cores, of late
+	Latency         time.Duration // moving average of the service time, without waiting
+	Util            float64       // moving average of the busy share of the cores
 }
