--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -69,7 +69,7 @@
 // Holds reports whether x lies within the bounds.
 func (i Interval) Holds(x float64) bool { return i.Low <= x && x <= i.High }
 
-// Times returns the interval multiplied by by, which must be above 0.
+// Times returns the interval multiplied by factor, which must be above 0.
 func (i Interval) Times(factor float64) Interval {
 	return Interval{i.Value * factor, i.Low * factor, i.High * factor}
 }
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -138,7 +138,7 @@
 // afterRows returns the rows that documents and regions change: each region has a quorum, each zone one machine.
 func (b *builder) afterRows() (rows []Row) {
 	o, a, l := b.fleet.Operators, b.fleet.Assumed, b.load
-	add := func(x figure, r Row) { rows = append(rows, x.inRow(r)) }
+	add := func(f figure, r Row) { rows = append(rows, f.inRow(r)) }
 	n := o.Upstreams.Value
 	entries := singleSize("entries", n)
 	const (
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -129,7 +129,7 @@
 	return t, nil
 }
 
-// claimsOf are the rows without a carrier, ordered by how often their day comes times the processes it affects, and then those over
+// claimsOf returns the rows without a carrier, ordered by how often their day comes times the processes it affects, and then those over
 // their budget, ordered by the same product times the figure over the budget.
 func claimsOf(rows []Row, processes float64) (claims []Claim) {
 	for _, r := range rows {
@@ -255,6 +255,7 @@
 	slopes []Slope
 }
 
+// estimate returns the value of a series' fitted line at the given sizes, or no figure if the measure is missing.
 func (b *builder) estimate(measure, series string, sizes map[string]float64) figure {
 	m, ok := b.measures[measure]
 	if !ok {
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -19,6 +19,7 @@
 	done                 bool
 }
 
+// scheduleArrival schedules a sidecar's next request of a client; each arrival schedules the next one.
 func (f *Fleet) scheduleArrival(s *sidecar) {
 	rate := f.load * f.ratePerLoad * s.share / f.totalShare
 	if rate <= 0 {
@@ -37,7 +38,7 @@
 	return time.Duration(float64(f.plan.Work) * math.Exp(f.rng.NormFloat64()*math.Sqrt(v)-v/2))
 }
 
-// sendRequest sends a new try to a sidecar with r's work, and counts down the retries that are left.
+// sendRequest sends the next try of r to a sidecar as a request of its own, with one try less left.
 func (f *Fleet) sendRequest(s *sidecar, r *request) {
 	f.lastID++
 	c := f.plan.Settings.Classes[f.rng.IntN(len(f.plan.Settings.Classes))]
@@ -48,6 +49,7 @@
 	f.handleEvent(s, balancer.Request{ID: try.id, Class: try.class, ExpiresAt: try.expiresAt})
 }
 
+// finishRequest ends a request once, and schedules a retry if it was not served and tries are left.
 func (f *Fleet) finishRequest(s *sidecar, r *request, served bool) {
 	if r.done {
 		return
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -15,7 +15,7 @@
 	"mosslead/internal/lab/model"
 )
 
-// Plan is what is simulated.
+// Plan describes a simulation run.
 type Plan struct {
 	Seed uint64
 
@@ -43,7 +43,7 @@
 	Rule Rule
 }
 
-// Rule is how upstreams warm up, and which load makes a cold one fall. Upstreams follow it; sidecars assume what is in
+// Rule describes how upstreams warm up, and which load makes a cold one fall. Upstreams follow it; sidecars assume what is in
 // Settings, so that a plan can plant an error there.
 type Rule struct {
 	ColdFrom float64       // share of the capacity at the start
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Second holds the counts of one second of a run. Each try counts as a request.
+// Second holds the counts of the events in one second of a run. Each try counts as a request.
 type Second struct {
 	Tries, InTime, Late, Refused, Failed int
 	Attempts, TurnedAway                 int
@@ -102,7 +102,7 @@
 	Allowed  float64 // mean that the rule allows
 }
 
-// Limit is N plus an allowance for chance: N + 2√N + 2, where N is Allowed (the operators' standing test).
+// Limit returns N + 2√N + 2, where N is Allowed: the mean with an allowance for chance (the operators' standing test).
 func (w Window) Limit() float64 { return w.Allowed + 2*math.Sqrt(w.Allowed) + 2 }
 
 // Breach reports whether the window exceeds its limit, with more than two thirds of it from informed sidecars.
@@ -113,7 +113,7 @@
 	Seconds    []Second
 	Falls      []Window // one for each upstream that fell, ending at its fall
 	Fullest    Window   // the window with the largest share of its limit
-	ColdStarts int      // cold starts
+	ColdStarts int      // number of cold starts
 
 	ColdReceived, ColdCapacity float64 // work that cold upstreams were sent, and could have done once all sidecars knew of them, in requests of mean work
 }
