--- a/internal/lab/capacity/plays/duty.go
+++ b/internal/lab/capacity/plays/duty.go
@@ -19,10 +19,10 @@
 
 func init() {
 	plays["duty"] = play{
-		question: "What does one duty cost the list service, by those who want it?",
-		how:      "so many candidates of one duty, in this process, each with a client of its own, before one replica in memory; 4 s after their start, over 8 s: calls, and bytes both ways without the kernel's headers; processor time of the replica",
-		series:   []capacity.Series{{Name: "calls", Unit: "calls/s", Form: "candidates"}, {Name: "bytes", Unit: "bytes/s", Form: "candidates"}, {Name: "core_share", Unit: "of a core", Form: "candidates"}},
-		at:       eachSize("candidates", 32, 64, 128, 256), repeats: 1, check: sizes{"candidates": 450},
+		question:    "What does one duty cost the list service, by those who want it?",
+		how:         "so many candidates of one duty, in this process, each with a client of its own, before one replica in memory; 4 s after their start, over 8 s: calls, and bytes both ways without the kernel's headers; processor time of the replica",
+		series:      []capacity.Series{{Name: "calls", Unit: "calls/s", Form: "candidates"}, {Name: "bytes", Unit: "bytes/s", Form: "candidates"}, {Name: "core_share", Unit: "of a core", Form: "candidates"}},
+		sampleSizes: eachSize("candidates", 32, 64, 128, 256), repeats: 1, checkSizes: sizes{"candidates": 450},
 		run: (*Player).measureDuty,
 	}
 }
--- a/internal/lab/capacity/plays/plays.go
+++ b/internal/lab/capacity/plays/plays.go
@@ -37,12 +37,12 @@
 
 // play is the measurement behind one measure.
 type play struct {
-	question string
-	how      string
-	series   []capacity.Series
-	at       []sizes // measured in this order; the whole order is run repeats times
-	repeats  int
-	check    sizes // predicted first, and then measured
+	question    string
+	how         string
+	series      []capacity.Series
+	sampleSizes []sizes // measured in this order; the whole order is run repeats times
+	repeats     int
+	checkSizes  sizes // predicted first, and then measured
 	// exchange is set if a bare exchange is measured in the same run, with its processor time as exchange_cpu_us.
 	exchange bool
 	run      func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error)
@@ -81,9 +81,9 @@
 	}
 	m := &capacity.Measure{Name: name, Question: pl.question, Command: "mosslead lab capacity measure " + name, Revision: p.Revision,
 		Machine: fmt.Sprintf("%d processors, %s, %s", runtime.NumCPU(), runtime.GOARCH, runtime.Version()), How: pl.how, Series: pl.series}
-	total := len(pl.at) * pl.repeats
+	total := len(pl.sampleSizes) * pl.repeats
 	for i := range total {
-		at := pl.at[i%len(pl.at)]
+		at := pl.sampleSizes[i%len(pl.sampleSizes)]
 		p.progress(i, total, fmt.Sprint(name, " ", at))
 		got, err := pl.runOnce(ctx, p, at, fmt.Sprint(name, "-", i))
 		if err != nil {
@@ -92,7 +92,7 @@
 		m.Samples = append(m.Samples, capacity.Sample{Sizes: at, Got: got})
 	}
 	p.progress(total, total, name)
-	return m, m.Predict(pl.check, p.Revision)
+	return m, m.Predict(pl.checkSizes, p.Revision)
 }
 
 // Check measures the size that was predicted.
--- a/internal/lab/capacity/plays/plays_test.go
+++ b/internal/lab/capacity/plays/plays_test.go
@@ -88,7 +88,7 @@
 
 // TestMeasuresArePredictedAndChecked measures, predicts, checks and writes a measure, with a play made for the test.
 func TestMeasuresArePredictedAndChecked(t *testing.T) {
-	plays["made"] = play{question: "none", series: []capacity.Series{{Name: "y", Unit: "s", Form: "x"}}, at: eachSize("x", 1, 2, 3, 4), repeats: 2, check: sizes{"x": 9},
+	plays["made"] = play{question: "none", series: []capacity.Series{{Name: "y", Unit: "s", Form: "x"}}, sampleSizes: eachSize("x", 1, 2, 3, 4), repeats: 2, checkSizes: sizes{"x": 9},
 		run: func(_ *Player, _ context.Context, at sizes, _ string) (map[string]float64, error) {
 			if at["x"] > 9 {
 				return nil, errors.New("too large")
--- a/internal/lab/capacity/plays/service.go
+++ b/internal/lab/capacity/plays/service.go
@@ -31,8 +31,8 @@
 		question: "What does a replica spend on those who watch its list?",
 		how: "resident memory of one replica (the kernel's count) after so many have opened a watch, less that before; its processor time for a change of one entry of 450, " +
 			"told to all, in hundredths of a second over twelve changes; exchange_cpu_us: processor time of both ends of a bare exchange of 200 bytes over loopback, in the same run",
-		series: []capacity.Series{{Name: "memory_kb", Unit: "KB", Form: "watchers"}, {Name: "cpu_ms_change", Unit: "ms", Form: "watchers"}},
-		at:     eachSize("watchers", 200, 400, 800, 1200), repeats: 2, check: sizes{"watchers": 1800},
+		series:      []capacity.Series{{Name: "memory_kb", Unit: "KB", Form: "watchers"}, {Name: "cpu_ms_change", Unit: "ms", Form: "watchers"}},
+		sampleSizes: eachSize("watchers", 200, 400, 800, 1200), repeats: 2, checkSizes: sizes{"watchers": 1800},
 		exchange: true,
 		run: func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 			r, err := p.runner(dir)
@@ -52,8 +52,8 @@
 			"over all of it and its resident memory at the end",
 		series: []capacity.Series{{Name: "bytes", Unit: "bytes", Form: "watchers*entries"}, {Name: "cpu_ms", Unit: "ms", Form: "watchers*entries"},
 			{Name: "memory_mb", Unit: "MB", Form: "watchers*entries"}},
-		at:      []sizes{{"watchers": 150, "entries": 225}, {"watchers": 300, "entries": 450}, {"watchers": 450, "entries": 900}, {"watchers": 900, "entries": 900}, {"watchers": 900, "entries": 1350}},
-		repeats: 2, check: sizes{"watchers": 1800, "entries": 1800},
+		sampleSizes: []sizes{{"watchers": 150, "entries": 225}, {"watchers": 300, "entries": 450}, {"watchers": 450, "entries": 900}, {"watchers": 900, "entries": 900}, {"watchers": 900, "entries": 1350}},
+		repeats:     2, checkSizes: sizes{"watchers": 1800, "entries": 1800},
 		exchange: true,
 		run: func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 			r, err := p.runner(dir)
@@ -65,10 +65,10 @@
 		},
 	}
 	plays["renewals"] = play{
-		question: "What do signs of life cost a quorum of three?",
-		how:      "450 leases renewed one by one for 6 s, a third through each replica; processor time by the kernel's count, of the leader and of the other two together",
-		series:   []capacity.Series{{Name: "leader_cores", Unit: "cores", Form: "renewals"}, {Name: "followers_cores", Unit: "cores", Form: "renewals"}},
-		at:       eachSize("renewals", 45, 90, 180, 270), repeats: 2, check: sizes{"renewals": 600},
+		question:    "What do signs of life cost a quorum of three?",
+		how:         "450 leases renewed one by one for 6 s, a third through each replica; processor time by the kernel's count, of the leader and of the other two together",
+		series:      []capacity.Series{{Name: "leader_cores", Unit: "cores", Form: "renewals"}, {Name: "followers_cores", Unit: "cores", Form: "renewals"}},
+		sampleSizes: eachSize("renewals", 45, 90, 180, 270), repeats: 2, checkSizes: sizes{"renewals": 600},
 		exchange: true,
 		run: func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 			r, err := p.runner(dir)
@@ -89,7 +89,7 @@
 		series: []capacity.Series{{Name: "leader_cores", Unit: "cores", Form: "changes"}, {Name: "follower_cores", Unit: "cores", Form: "changes"},
 			{Name: "leader_bytes", Unit: "bytes/s", Form: "changes"}, {Name: "follower_bytes", Unit: "bytes/s", Form: "changes"},
 			{Name: "leader_mb", Unit: "MB", Form: "changes"}, {Name: "follower_mb", Unit: "MB", Form: "changes"}},
-		at: eachSize("changes", 0, 2, 5, 10, 20), repeats: 1, check: sizes{"changes": 40},
+		sampleSizes: eachSize("changes", 0, 2, 5, 10, 20), repeats: 1, checkSizes: sizes{"changes": 40},
 		exchange: true,
 		run: func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 			r, err := p.runner(dir)
@@ -105,10 +105,10 @@
 		},
 	}
 	plays["apart"] = play{
-		question: "What goes on in a region that is cut off from the others?",
-		how:      "two regions, each a quorum of three, that follow each other; so many watch one replica of the one; all of the other's are stopped (SIGSTOP) for 5 s: watches that ended, and of registrations asked for in turn those that were refused or not answered in 1 s",
-		series:   []capacity.Series{{Name: "ended", Unit: "watches", Form: "watchers"}, {Name: "refused_share", Unit: "of registrations", Form: "watchers"}},
-		at:       eachSize("watchers", 50, 100, 200, 300), repeats: 1, check: sizes{"watchers": 450},
+		question:    "What goes on in a region that is cut off from the others?",
+		how:         "two regions, each a quorum of three, that follow each other; so many watch one replica of the one; all of the other's are stopped (SIGSTOP) for 5 s: watches that ended, and of registrations asked for in turn those that were refused or not answered in 1 s",
+		series:      []capacity.Series{{Name: "ended", Unit: "watches", Form: "watchers"}, {Name: "refused_share", Unit: "of registrations", Form: "watchers"}},
+		sampleSizes: eachSize("watchers", 50, 100, 200, 300), repeats: 1, checkSizes: sizes{"watchers": 450},
 		run: func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 			r, err := p.runner(dir)
 			if err != nil {
@@ -123,7 +123,7 @@
 		how:      "a quorum of three; so many watch one follower; the other two are stopped (SIGSTOP) for 5 s: watches that ended, the last of them after the cut, and of registrations asked for in turn those that were refused or not answered in 1 s",
 		series: []capacity.Series{{Name: "ended", Unit: "watches", Form: "watchers"}, {Name: "ended_after_s", Unit: "s", Form: "watchers"},
 			{Name: "refused_share", Unit: "of registrations", Form: "watchers"}},
-		at: eachSize("watchers", 50, 100, 200, 300), repeats: 1, check: sizes{"watchers": 450},
+		sampleSizes: eachSize("watchers", 50, 100, 200, 300), repeats: 1, checkSizes: sizes{"watchers": 450},
 		run: func(p *Player, ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 			r, err := p.runner(dir)
 			if err != nil {
--- a/internal/lab/capacity/plays/settings.go
+++ b/internal/lab/capacity/plays/settings.go
@@ -35,10 +35,10 @@
 
 func init() {
 	plays["documents"] = play{
-		question: "What does a replica spend on the settings of many services?",
-		how:      "resident memory of one replica in memory (the kernel's count) after so many documents of about 4 KB were put, less that before; bytes of one document, and its processor time for one put",
-		series:   []capacity.Series{{Name: "memory_mb", Unit: "MB", Form: "documents"}, {Name: "put_cpu_ms", Unit: "ms", Form: "documents"}},
-		at:       eachSize("documents", 50, 200, 400, 700), repeats: 2, check: sizes{"documents": 1000},
+		question:    "What does a replica spend on the settings of many services?",
+		how:         "resident memory of one replica in memory (the kernel's count) after so many documents of about 4 KB were put, less that before; bytes of one document, and its processor time for one put",
+		series:      []capacity.Series{{Name: "memory_mb", Unit: "MB", Form: "documents"}, {Name: "put_cpu_ms", Unit: "ms", Form: "documents"}},
+		sampleSizes: eachSize("documents", 50, 200, 400, 700), repeats: 2, checkSizes: sizes{"documents": 1000},
 		exchange: true,
 		run:      (*Player).measureDocuments,
 	}
@@ -48,7 +48,7 @@
 			"then ten changes of about 4 KB, 0.5 s after the one before was in force: bytes and processor time of a sidecar for each, and from the put's call until the replica has heard from all that it is in force, the mean and the longest of ten",
 		series: []capacity.Series{{Name: "steady_bytes", Unit: "bytes/s", Form: "sidecars"}, {Name: "change_bytes", Unit: "bytes", Form: "sidecars"}, {Name: "change_cpu_ms", Unit: "ms", Form: "sidecars"},
 			{Name: "in_force_s", Unit: "s", Form: "sidecars"}, {Name: "in_force_most_s", Unit: "s", Form: "sidecars"}},
-		at: eachSize("sidecars", 2, 4, 8, 16), repeats: 1, check: sizes{"sidecars": 24},
+		sampleSizes: eachSize("sidecars", 2, 4, 8, 16), repeats: 1, checkSizes: sizes{"sidecars": 24},
 		exchange: true,
 		run:      (*Player).measureSettings,
 	}
@@ -56,8 +56,8 @@
 		question: "What does a heal cost two regions that follow each other?",
 		how: "two regions of one replica each, one with so many entries and one document; the link from the other, which follows it, is cut for 11 s (after 10 s a follower asks for the whole list), in which each entry and the document change; then it is whole again: until the follower " +
 			"has taken all of it in, and the bytes over the link, without the kernel's headers; before that bytes over the link for one change, the mean of ten, and of 8 quiet seconds",
-		series: []capacity.Series{{Name: "heal_s", Unit: "s", Form: "entries"}, {Name: "heal_bytes", Unit: "bytes", Form: "entries"}, {Name: "change_bytes", Unit: "bytes", Form: "entries"}, {Name: "steady_bytes", Unit: "bytes/s", Form: "entries"}},
-		at:     eachSize("entries", 60, 120, 240, 360), repeats: 1, check: sizes{"entries": 450},
+		series:      []capacity.Series{{Name: "heal_s", Unit: "s", Form: "entries"}, {Name: "heal_bytes", Unit: "bytes", Form: "entries"}, {Name: "change_bytes", Unit: "bytes", Form: "entries"}, {Name: "steady_bytes", Unit: "bytes/s", Form: "entries"}},
+		sampleSizes: eachSize("entries", 60, 120, 240, 360), repeats: 1, checkSizes: sizes{"entries": 450},
 		run: (*Player).measureHeal,
 	}
 }
@@ -164,7 +164,7 @@
 	if !pause.For(ctx, p.scaled(settleFor)) {
 		return nil, ctx.Err()
 	}
-	bytesBefore, startedAt := b.watch.bytes(), time.Now()
+	bytesBefore, startedAt := b.watchCounter.bytes(), time.Now()
 	cpuBefore, err := totalCPU(children)
 	if err != nil {
 		return nil, err
@@ -173,13 +173,13 @@
 		return nil, ctx.Err()
 	}
 	took := time.Since(startedAt).Seconds()
-	steady := float64(b.watch.bytes()-bytesBefore) / took
+	steady := float64(b.watchCounter.bytes()-bytesBefore) / took
 	cpuQuiet, err := totalCPU(children)
 	if err != nil {
 		return nil, err
 	}
 	quietShare := (cpuQuiet - cpuBefore).Seconds() / took
-	bytesBefore, startedAt = b.watch.bytes(), time.Now()
+	bytesBefore, startedAt = b.watchCounter.bytes(), time.Now()
 	var sum, longest time.Duration
 	for i := range settingsChanges {
 		putAt := time.Now()
@@ -200,7 +200,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"steady_bytes": steady / n, "change_bytes": (float64(b.watch.bytes()-bytesBefore) - steady*took) / n / settingsChanges,
+	return map[string]float64{"steady_bytes": steady / n, "change_bytes": (float64(b.watchCounter.bytes()-bytesBefore) - steady*took) / n / settingsChanges,
 		"change_cpu_ms": ((cpuAfter - cpuQuiet).Seconds() - quietShare*took) * 1e3 / n / settingsChanges,
 		"in_force_s":    sum.Seconds() / settingsChanges, "in_force_most_s": longest.Seconds(), "document_bytes": float64(length)}, nil
 }
@@ -250,7 +250,7 @@
 		return nil, err
 	}
 	ownDir := filepath.Join(p.Dir, dir, fmt.Sprint("sidecar-", i))
-	c := sidecarConfig(fmt.Sprint("sidecar-", i), addresses[0], addresses[1], b.watch.address(), filepath.Join(ownDir, "state"), 10)
+	c := sidecarConfig(fmt.Sprint("sidecar-", i), addresses[0], addresses[1], b.watchCounter.address(), filepath.Join(ownDir, "state"), 10)
 	c["service"] = settingsService
 	return p.startSidecar(ctx, c, ownDir)
 }
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -46,7 +46,7 @@
 		series: []capacity.Series{{Name: "memory_mb", Unit: "MB", Form: "entries"}, {Name: "core_share", Unit: "of a core", Form: "entries"}, {Name: "watch_bytes", Unit: "bytes/s", Form: "entries"},
 			{Name: "change_bytes", Unit: "bytes", Form: "entries"}, {Name: "change_cpu_ms", Unit: "ms", Form: "entries"}, {Name: "list_bytes", Unit: "bytes", Form: "entries"},
 			{Name: "disk_bytes", Unit: "bytes", Form: "entries"}, {Name: "disk_written", Unit: "bytes/s", Form: "entries"}, {Name: "stats_bytes", Unit: "bytes", Form: "entries"}},
-		at: eachSize("entries", 10, 200, 600, 1000), repeats: 1, check: sizes{"entries": 1800},
+		sampleSizes: eachSize("entries", 10, 200, 600, 1000), repeats: 1, checkSizes: sizes{"entries": 1800},
 		exchange: true,
 		run:      (*Player).measureSidecar,
 	}
@@ -56,28 +56,28 @@
 			"times of both by their quantiles in each 200 calls, which stood still with the machine or not: the median of these quantiles' differences",
 		series: []capacity.Series{{Name: "core_share", Unit: "of a core", Form: "calls"}, {Name: "added_p50_ms", Unit: "ms", Form: "calls"}, {Name: "added_p99_ms", Unit: "ms", Form: "calls"},
 			{Name: "memory_mb", Unit: "MB", Form: "calls"}},
-		at: eachSize("calls", 50, 94, 188, 282), repeats: 2, check: sizes{"calls": 400},
+		sampleSizes: eachSize("calls", 50, 94, 188, 282), repeats: 2, checkSizes: sizes{"calls": 400},
 		run: (*Player).measureCalls,
 	}
 }
 
 // testbed is a sidecar with a list service of one replica in memory.
 type testbed struct {
-	service *loadtest.Bed
-	client  *client.Client // client of the list service
-	watch   *counter
-	child   *proc.Child
-	listen  string
-	ops     string
-	state   string
+	service      *loadtest.Bed
+	client       *client.Client // client of the list service
+	watchCounter *counter
+	child        *proc.Child
+	listen       string
+	ops          string
+	state        string
 }
 
 func (b *testbed) close() {
 	if b.child != nil {
 		_ = b.child.Kill() // an error is ignored: the process may have ended
 	}
-	if b.watch != nil {
-		b.watch.close()
+	if b.watchCounter != nil {
+		b.watchCounter.close()
 	}
 	b.service.Close()
 }
@@ -107,11 +107,11 @@
 			return nil, fmt.Errorf("entry %d: %w", i, err)
 		}
 	}
-	if b.watch, err = newCounter(service.At[0]); err != nil {
+	if b.watchCounter, err = newCounter(service.At[0]); err != nil {
 		return nil, err
 	}
 	b.listen, b.ops, b.state = addresses[0], addresses[1], filepath.Join(r.Dir, "state")
-	c := sidecarConfig("sidecar-0", b.listen, b.ops, b.watch.address(), b.state, len(upstreams))
+	c := sidecarConfig("sidecar-0", b.listen, b.ops, b.watchCounter.address(), b.state, len(upstreams))
 	maps.Copy(c, config)
 	b.child, err = p.startSidecar(ctx, c, r.Dir)
 	return b, err
@@ -167,10 +167,10 @@
 	if !pause.For(ctx, p.scaled(settleFor)) {
 		return nil, ctx.Err()
 	}
-	got := map[string]float64{"list_bytes": float64(b.watch.bytes())}
+	got := map[string]float64{"list_bytes": float64(b.watchCounter.bytes())}
 	cpu, diskIO, read, markedAt := time.Duration(0), proc.IO{}, int64(0), time.Now()
 	mark := func() (err1 error) {
-		markedAt, read = time.Now(), b.watch.bytes()
+		markedAt, read = time.Now(), b.watchCounter.bytes()
 		if cpu, err1 = b.child.Ran(); err1 == nil {
 			diskIO, err1 = b.child.IO()
 		}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -44,7 +44,7 @@
 			s.learn(u.endpoint(balancer.Active))
 		}
 		f.sidecars = append(f.sidecars, s)
-		if err := f.boot(s); err != nil {
+		if err := f.startSidecar(s); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/fleet/sidecars.go
+++ b/internal/lab/fleet/sidecars.go
@@ -14,7 +14,7 @@
 	index       int
 	zone        string
 	share       float64
-	b           *balancer.Balancer
+	balancer    *balancer.Balancer
 	incarnation int                          // number of its processes up to now
 	timerAt     time.Duration                // when the last timer set is due
 	known       map[string]balancer.Endpoint // endpoints that its agent knows
@@ -55,12 +55,12 @@
 
 // Restart kills a sidecar's process. The next one begins at once, with the endpoints that its agent knows.
 func (f *Fleet) Restart(n int) {
-	if err := f.boot(f.sidecars[n]); err != nil {
+	if err := f.startSidecar(f.sidecars[n]); err != nil {
 		panic(err) // New accepted these settings before
 	}
 }
 
-func (f *Fleet) boot(s *sidecar) error {
+func (f *Fleet) startSidecar(s *sidecar) error {
 	settings := f.plan.Settings
 	settings.FleetSize, settings.Zone, settings.Tenants = f.plan.Sidecars, s.zone, nil
 	b, err := balancer.New(settings, f.rng.Uint64())
@@ -68,7 +68,7 @@
 		return fmt.Errorf("sidecar %d: %w", s.index, err)
 	}
 	s.incarnation++
-	s.b, s.timerAt, s.requests = b, 0, map[string]*request{}
+	s.balancer, s.timerAt, s.requests = b, 0, map[string]*request{}
 	full := balancer.EndpointUpdate{Kind: balancer.FullState}
 	for _, id := range s.order {
 		if ep := s.known[id]; ep.State == balancer.Active {
@@ -81,13 +81,13 @@
 
 // handleEvent passes an event to a sidecar's balancer and carries out the actions that it returns.
 func (f *Fleet) handleEvent(s *sidecar, e balancer.Event) {
-	actions := s.b.Handle(f.now, e, s.actionBuf[:0])
+	actions := s.balancer.Handle(f.now, e, s.actionBuf[:0])
 	s.actionBuf = nil // the actions below may call handleEvent again
 	for _, a := range actions {
 		r := s.requests[a.ID]
 		switch a.Kind {
 		case balancer.StartAttempt:
-			f.send(s, r, a)
+			f.startAttempt(s, r, a)
 		case balancer.CancelAttempt:
 			cancelled := r.attempts[a.Attempt]
 			f.At(f.now, func() { f.endAttempt(cancelled, balancer.Cancelled) })
@@ -110,23 +110,23 @@
 	s.actionBuf = actions
 }
 
-func (f *Fleet) send(s *sidecar, r *request, act balancer.Action) {
+func (f *Fleet) startAttempt(s *sidecar, r *request, act balancer.Action) {
 	f.lastID++
 	a := &attempt{sidecar: s, incarnation: s.incarnation, request: r, number: len(r.attempts), upstream: f.byID[act.Upstream], jobID: strconv.Itoa(f.lastID), sent: f.now}
 	r.attempts = append(r.attempts, a)
 	f.currentSecond().Attempts++
-	f.At(f.now+f.roundTrip(a)/2, func() { f.offer(a) })
+	f.At(f.now+f.roundTrip(a)/2, func() { f.deliver(a) })
 	f.At(f.now+act.Timeout, func() { f.endAttempt(a, balancer.Timeout) })
 }
 
-// offer delivers an attempt to its upstream, in the process that runs under that id now.
-func (f *Fleet) offer(a *attempt) {
+// deliver delivers an attempt to its upstream, in the process that runs under that id now.
+func (f *Fleet) deliver(a *attempt) {
 	a.upstream = f.byID[a.upstream.id]
 	u, answerAt := a.upstream, f.now+f.roundTrip(a)/2
 	if u.silent {
 		return
 	}
-	if !u.up {
+	if !u.running {
 		f.At(answerAt, func() { f.endAttempt(a, balancer.ConnectFailed) })
 		return
 	}
--- a/internal/lab/fleet/upstreams.go
+++ b/internal/lab/fleet/upstreams.go
@@ -18,7 +18,7 @@
 	server    *model.Server
 	spec      model.Spec
 	started   time.Duration // 0: before the run, and warm
-	up        bool
+	running   bool
 	silent    bool // it neither answers nor refuses connections
 	advanceAt time.Duration
 	jobs      map[string]*attempt
@@ -38,7 +38,7 @@
 	} else {
 		f.result.ColdStarts++
 	}
-	u := &upstream{id: id, index: index, zone: p.Zones[index%len(p.Zones)], spec: spec, started: at, up: true,
+	u := &upstream{id: id, index: index, zone: p.Zones[index%len(p.Zones)], spec: spec, started: at, running: true,
 		server: model.New(spec, f.rng.Uint64(), processStart, at), advanceAt: model.Never, jobs: map[string]*attempt{}}
 	if index == len(f.upstreams) {
 		f.upstreams = append(f.upstreams, nil)
@@ -81,7 +81,7 @@
 
 // stopProcess ends a process. Its attempts are reset, or get no answer at all if silent.
 func (f *Fleet) stopProcess(u *upstream, silent bool) {
-	u.up, u.silent, u.advanceAt, u.endedAt = false, silent, model.Never, f.now
+	u.running, u.silent, u.advanceAt, u.endedAt = false, silent, model.Never, f.now
 	u.server.Fell()
 	jobs := u.jobs
 	u.jobs = map[string]*attempt{}
@@ -100,7 +100,7 @@
 	}
 	u.advanceAt = at
 	f.At(at, func() {
-		if u.advanceAt != at || !u.up {
+		if u.advanceAt != at || !u.running {
 			return
 		}
 		f.advance(u)
