--- a/internal/lab/capacity/plays/service.go
+++ b/internal/lab/capacity/plays/service.go
@@ -13,7 +13,7 @@
 
 const (
 	watchChanges  = 12
-	watchEntries  = 450 // of a region
+	watchEntries  = 450 // entries of a region
 	renewLength   = 6 * time.Second
 	writesLength  = 6 * time.Second
 	returnsWithin = time.Second
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -28,7 +28,7 @@
 
 const (
 	readyWithin     = 10 * time.Second
-	settleFor       = 5 * time.Second // time between a sidecar's start and its measurement
+	settleFor       = 5 * time.Second // wait for a process to settle before it is measured
 	steadyFor       = 8 * time.Second
 	sidecarChanges  = 20 // changes of the list during the measurement
 	changeInterval  = 150 * time.Millisecond
@@ -332,8 +332,8 @@
 		"exchange_cpu_us": microseconds(cpu), "exchange_us": microseconds(median)}, ctx.Err()
 }
 
-// addedQuantile returns the difference of a quantile through and straight, as the median over blocks of calls, so that a short
-// standstill of the machine doesn't count.
+// addedQuantile returns by how much a quantile of the calls through the sidecar exceeds that of the straight calls: the median over
+// blocks of calls, so that a short standstill of the machine doesn't count.
 func addedQuantile(through, straight []time.Duration, share float64) time.Duration {
 	var differences []time.Duration
 	n := min(len(through), len(straight))
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -19,8 +19,8 @@
 type Plan struct {
 	Seed uint64
 
-	// Settings are those of every sidecar; FleetSize, Zone and Tenants are filled in. Requests are spread evenly over its
-	// classes.
+	// Settings are those of every sidecar; FleetSize, Zone and Tenants are filled in. Each request is of a
+	// random class, all equally likely.
 	Settings balancer.Settings
 
 	Sidecars int
--- a/internal/lab/fleet/sidecars.go
+++ b/internal/lab/fleet/sidecars.go
@@ -119,7 +119,7 @@
 	f.At(f.now+act.Timeout, func() { f.endAttempt(a, balancer.Timeout) })
 }
 
-// deliver delivers an attempt to its upstream, in the process that runs under that id now.
+// deliver brings an attempt to its upstream, in the process that runs under that id now.
 func (f *Fleet) deliver(a *attempt) {
 	a.upstream = f.byID[a.upstream.id]
 	u, answerAt := a.upstream, f.now+f.roundTrip(a)/2
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -300,7 +300,8 @@
 	s.startJob(acceptedJob{Job: Job{Work: work}, arrived: now, overhead: true})
 }
 
-// Connected changes the number of open connections by n, and reports whether the table has room for them.
+// Connected changes the number of open connections by n. If the table has no room for them, it
+// changes nothing and returns false.
 func (s *Server) Connected(n int) bool {
 	if maxConns := s.spec.ConnsPerCore * s.spec.Cores; n > 0 && maxConns > 0 && s.conns+n > maxConns {
 		return false
