--- a/internal/lab/capacity/plays/duty.go
+++ b/internal/lab/capacity/plays/duty.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	dutySettle = 4 * time.Second // a candidate's first call comes within 3
+	dutySettle = 4 * time.Second // a candidate makes its first call within 3 s
 	dutyFor    = 8 * time.Second
 )
 
 func init() {
-	all["duty"] = play{
-		question: "What does one duty cost the list service, by those who want it?",
-		how:      "so many candidates of one duty, in this process, each with a client of its own, before one replica in memory; 4 s after their start, over 8 s: calls, and bytes both ways without the kernel's headers; processor time of the replica",
-		series:   []capacity.Series{{Name: "calls", Unit: "calls/s", Form: "candidates"}, {Name: "bytes", Unit: "bytes/s", Form: "candidates"}, {Name: "core_share", Unit: "of a core", Form: "candidates"}},
-		at:       each("candidates", 32, 64, 128, 256), repeats: 1, check: sizes{"candidates": 450},
-		run: (*Player).duty,
+	plays["duty"] = play{
+		question:    "What does one duty cost the list service, by those who want it?",
+		how:         "so many candidates of one duty, in this process, each with a client of its own, before one replica in memory; 4 s after their start, over 8 s: calls, and bytes both ways without the kernel's headers; processor time of the replica",
+		series:      []capacity.Series{{Name: "calls", Unit: "calls/s", Form: "candidates"}, {Name: "bytes", Unit: "bytes/s", Form: "candidates"}, {Name: "core_share", Unit: "of a core", Form: "candidates"}},
+		sampleSizes: eachSize("candidates", 32, 64, 128, 256), repeats: 1, checkSizes: sizes{"candidates": 450},
+		run: (*Player).measureDuty,
 	}
 }
 
-func (p *Player) duty(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
+func (p *Player) measureDuty(ctx context.Context, at sizes, dir string) (map[string]float64, error) {
 	r, err := p.runner(dir)
 	if err != nil {
 		return nil, err
@@ -44,30 +44,30 @@
 	}
 	defer calls.close()
 	running, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var candidates sync.WaitGroup
+	defer candidates.Wait()
 	defer stop()
 	for i := range int(at["candidates"]) {
-		own := client.New([]string{calls.address()})
-		d := lease.NewRunner(own, lease.Config{Name: "lab/capacity", Holder: fmt.Sprint("candidate-", i)}, func(lease.Action) {})
+		c := client.New([]string{calls.address()})
+		d := lease.NewRunner(c, lease.Config{Name: "lab/capacity", Holder: fmt.Sprint("candidate-", i)}, func(lease.Action) {})
 		d.Campaign(true, 0)
-		all.Go(func() { defer own.Close(); d.Run(running) })
+		candidates.Go(func() { defer c.Close(); d.Run(running) })
 	}
-	if !pause.For(ctx, p.span(dutySettle)) {
+	if !pause.For(ctx, p.scaled(dutySettle)) {
 		return nil, ctx.Err()
 	}
-	begun, n, bytes := time.Now(), calls.calls.Load(), calls.bytes()
-	ran, err := replica.Ran()
+	startedAt, n, bytes := time.Now(), calls.calls.Load(), calls.bytes()
+	cpuBefore, err := replica.Ran()
 	if err != nil {
 		return nil, err
 	}
-	if !pause.For(ctx, p.span(dutyFor)) {
+	if !pause.For(ctx, p.scaled(dutyFor)) {
 		return nil, ctx.Err()
 	}
-	after, err := replica.Ran()
+	cpuAfter, err := replica.Ran()
 	if err != nil {
 		return nil, err
 	}
-	took := time.Since(begun).Seconds()
-	return map[string]float64{"calls": float64(calls.calls.Load()-n) / took, "bytes": float64(calls.bytes()-bytes) / took, "core_share": (after - ran).Seconds() / took}, nil
+	took := time.Since(startedAt).Seconds()
+	return map[string]float64{"calls": float64(calls.calls.Load()-n) / took, "bytes": float64(calls.bytes()-bytes) / took, "core_share": (cpuAfter - cpuBefore).Seconds() / took}, nil
 }
--- a/internal/lab/model/keys.go
+++ b/internal/lab/model/keys.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// keyMemory remembers the keys met of late, the most recent ones only.
-type keyMemory struct {
-	most  int
-	keep  time.Duration
-	order *list.List // of keyUse, the latest first
-	at    map[string]*list.Element
+// recentKeys holds the most recently used keys, at most limit of them. A key is known for ttl after its last use.
+type recentKeys struct {
+	limit    int
+	ttl      time.Duration
+	order    *list.List // of *keyUse, the latest first
+	elements map[string]*list.Element
 }
 
+// keyUse is a key and the time of its last use.
 type keyUse struct {
-	key  string
-	last time.Duration
+	key      string
+	lastUsed time.Duration
 }
 
-func newKeyMemory(most int, keep time.Duration) *keyMemory {
-	return &keyMemory{most: most, keep: keep, order: list.New(), at: map[string]*list.Element{}}
+func newRecentKeys(limit int, ttl time.Duration) *recentKeys {
+	return &recentKeys{limit: limit, ttl: ttl, order: list.New(), elements: map[string]*list.Element{}}
 }
 
-// meet notes a use of the key, and tells whether it was known.
-func (m *keyMemory) meet(key string, now time.Duration) bool {
-	if key == "" || m.most < 1 {
+// recordUse records a use of the key, and reports whether its last use was at most ttl ago.
+func (k *recentKeys) recordUse(key string, now time.Duration) bool {
+	if key == "" || k.limit < 1 {
 		return false
 	}
-	if e, ok := m.at[key]; ok {
+	if e, ok := k.elements[key]; ok {
 		use := e.Value.(*keyUse)
-		known := now-use.last <= m.keep
-		use.last = now
-		m.order.MoveToFront(e)
+		known := now-use.lastUsed <= k.ttl
+		use.lastUsed = now
+		k.order.MoveToFront(e)
 		return known
 	}
-	m.at[key] = m.order.PushFront(&keyUse{key, now})
-	if m.order.Len() > m.most {
-		oldest := m.order.Back()
-		delete(m.at, oldest.Value.(*keyUse).key)
-		m.order.Remove(oldest)
+	k.elements[key] = k.order.PushFront(&keyUse{key, now})
+	if k.order.Len() > k.limit {
+		oldest := k.order.Back()
+		delete(k.elements, oldest.Value.(*keyUse).key)
+		k.order.Remove(oldest)
 	}
 	return false
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// plain is a server on which nothing but its cores bounds it.
-func plain(cores int) Spec {
+// coresOnlySpec returns the spec of a server that only its cores limit.
+func coresOnlySpec(cores int) Spec {
 	return Spec{Cores: cores, Speed: 1, SlotsPerCore: 1, QueuePerCore: 1e6}
 }
 
-// play offers n jobs with exponential gaps and works of a mean of 10 ms, and gives the mean time from arrival to end.
-func play(s *Server, n int, rho float64, seed uint64) time.Duration {
+// runJobs offers n jobs with exponential gaps and exponential work of 10 ms on the mean, and returns the mean time from
+// arrival to end.
+func runJobs(s *Server, n int, rho float64, seed uint64) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const work = 10 * time.Millisecond
 	gap := float64(work) / (rho * float64(s.spec.Cores))
@@ -44,7 +45,7 @@
 	return total / time.Duration(n)
 }
 
-// erlangC is the chance that an arrival finds all c servers busy (Erlang, 1917), a being the offered load.
+// erlangC returns the probability that an arrival finds all c servers busy (Erlang, 1917) at an offered load of a.
 func erlangC(c int, a float64) float64 {
 	sum, term := 0.0, 1.0
 	for k := range c {
@@ -55,7 +56,7 @@
 	return last / (sum + last)
 }
 
-// Guards against a queue that waits too long or too little: M/M/4 against Erlang C, and Little's law beside it.
+// Guards against wrong waiting times: compares an M/M/4 queue with Erlang C, and checks Little's law.
 func TestWaitingAgreesWithErlangC(t *testing.T) {
 	for _, c := range []struct {
 		rho float64
@@ -63,22 +64,22 @@
 	}{{0.5, 1_000_000}, {0.7, 800_000}, {0.9, 2_000_000}} {
 		t.Run(fmt.Sprint(c.rho), func(t *testing.T) {
 			t.Parallel()
-			s := New(plain(4), 1, 0, 0)
-			took := play(s, c.n, c.rho, 7)
+			s := New(coresOnlySpec(4), 1, 0, 0)
+			took := runJobs(s, c.n, c.rho, 7)
 			const service = 0.010
 			want := erlangC(4, 4*c.rho) * service / (4 * (1 - c.rho))
 			got := took.Seconds() - service
 			if math.Abs(got-want) > 0.03*want+0.00002 {
-				t.Errorf("mean wait %.3f ms, Erlang C says %.3f ms", got*1e3, want*1e3)
+				t.Errorf("mean wait: got %.3f ms, want %.3f ms (Erlang C)", got*1e3, want*1e3)
 			}
 			if area, sojourns := s.Little(); math.Abs(area-sojourns) > 1e-6*area {
-				t.Errorf("Little's law: %v held over time, %v spent", area, sojourns)
+				t.Errorf("Little's law: got %v job-seconds held over time and %v spent by jobs, want both equal", area, sojourns)
 			}
 		})
 	}
 }
 
-func drain(s *Server) (last time.Duration, ended int) {
+func runToEnd(s *Server) (last time.Duration, ended int) {
 	for next := s.Next(); next != Never && next < time.Hour; next = s.Next() {
 		for _, d := range s.Advance(next) {
 			last = d.At
@@ -89,19 +90,19 @@
 }
 
 func TestSlotsShareTheCores(t *testing.T) {
-	spec := plain(2)
+	spec := coresOnlySpec(2)
 	spec.SlotsPerCore = 4
 	s := New(spec, 1, 0, 0)
 	for i := range 4 {
 		s.Offer(0, Job{ID: fmt.Sprint(i), Work: 100 * time.Millisecond})
 	}
-	if last, n := drain(s); n != 4 || last.Round(time.Millisecond) != 200*time.Millisecond {
-		t.Errorf("%d jobs ended by %v; four of 100 ms on two cores take 200 ms", n, last)
+	if last, n := runToEnd(s); n != 4 || last.Round(time.Millisecond) != 200*time.Millisecond {
+		t.Errorf("got %d jobs ended, the last at %v; want 4 at 200ms (100 ms each on two cores)", n, last)
 	}
 }
 
 func TestTurnsAwayBeyondTheWaitingRoom(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.QueuePerCore = 2
 	s := New(spec, 1, 0, 0)
 	got := map[Offer]int{}
@@ -109,33 +110,33 @@
 		got[s.Offer(0, Job{ID: fmt.Sprint(i), Work: time.Second})]++
 	}
 	if got[Taken] != 3 || got[Full] != 2 {
-		t.Errorf("offers %v; one slot and two places take three", got)
+		t.Errorf("got offers %v, want 3 taken (one slot, two waiting places) and 2 turned away", got)
 	}
 }
 
 func TestColdServerWarmsUpAndFalls(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.ColdFrom, spec.ColdFor = 0.5, 10*time.Second
 	s := New(spec, 1, 0, 0)
 	s.Offer(0, Job{ID: "a", Work: time.Second})
 	// The integral of 0.5 + 0.05 t reaches 1 at t = 10 (√1.4 - 1).
-	if last, _ := drain(s); math.Abs(last.Seconds()-10*(math.Sqrt(1.4)-1)) > 0.02 {
-		t.Errorf("a second's work on a cold core took %v", last)
+	if last, _ := runToEnd(s); math.Abs(last.Seconds()-10*(math.Sqrt(1.4)-1)) > 0.02 {
+		t.Errorf("work of 1 s on a cold core: took %v, want 10 (√1.4 - 1) s, within 0.02 s", last)
 	}
 	spec.FallMultiple, spec.FallFor = 4, time.Second
 	s = New(spec, 1, 0, 0)
 	for i := range 3 {
 		if got := s.Offer(0, Job{Work: 600 * time.Millisecond}); got != Taken {
-			t.Fatalf("offer %d within the budget of 2 s of work: %v", i, got)
+			t.Fatalf("offer %d within the budget of 2 s of work: got %v, want Taken", i, got)
 		}
 	}
 	if got := s.Offer(0, Job{Work: 600 * time.Millisecond}); got != Down || !s.Fallen() {
-		t.Errorf("2.4 s of work within a second, to half a core: %v", got)
+		t.Errorf("2.4 s of work within a second, to half a core: got %v, fallen: %v, want Down and fallen", got, s.Fallen())
 	}
 }
 
 func TestCrowdChokesAndRestCures(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.Choke = Choke{At: 2, Over: time.Second, Slower: 3, Below: 0.4, Rest: 2 * time.Second, Most: time.Minute}
 	s := New(spec, 1, 0, 0)
 	for range 8 {
@@ -143,23 +144,23 @@
 	}
 	s.Advance(900 * time.Millisecond)
 	if s.Choked() {
-		t.Error("choked before its time")
+		t.Error("choked after 900 ms of a long queue, want not before 1 s")
 	}
 	s.Advance(1200 * time.Millisecond)
 	if !s.Choked() {
-		t.Fatal("not choked by a crowd that stayed")
+		t.Fatal("not choked after 1.2 s of a long queue, want choked after 1 s")
 	}
-	last, _ := drain(s)
+	last, _ := runToEnd(s)
 	if last < 8*time.Second {
-		t.Errorf("all done at %v, though three times slower", last)
+		t.Errorf("all jobs done at %v, want not before 8 s, because a choked server is three times slower", last)
 	}
 	if s.Advance(last + 4*time.Second); s.Choked() {
-		t.Error("still choked after its rest")
+		t.Error("still choked 4 s after its last job, want recovered after 2 s")
 	}
 }
 
 func TestKeysMetOfLateAreCheaper(t *testing.T) {
-	spec := plain(1)
+	spec := coresOnlySpec(1)
 	spec.KeyGain, spec.KeyFor, spec.KeysPerCore = 0.5, time.Second, 2
 	for _, c := range []struct {
 		name  string
@@ -182,14 +183,14 @@
 		}
 		want := time.Duration(len(c.keys))*100*time.Millisecond - time.Duration(c.cheap)*50*time.Millisecond
 		if took.Round(time.Millisecond) != want {
-			t.Errorf("%s: worked for %v, want %v", c.name, took, want)
+			t.Errorf("%s: got %v of work, want %v", c.name, took, want)
 		}
 	}
 }
 
-// Measures the model alone: the laboratory promises a million requests in under 10 s.
+// Measures the model alone: the laboratory requires a million requests in under 10 s.
 func BenchmarkMillionRequests(b *testing.B) {
 	for range b.N {
-		play(New(plain(4), 1, 0, 0), 1_000_000, 0.8, 3)
+		runJobs(New(coresOnlySpec(4), 1, 0, 0), 1_000_000, 0.8, 3)
 	}
 }
