--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -26,10 +26,10 @@
 		sentD = sentToD
 	}
 	if sentC["u0"] > 2 || sentD["u0"] == 0 {
-		t.Errorf("got %d attempts of class c and %d of class d at u0 in the last round, want 2 or fewer and some", sentC["u0"], sentD["u0"])
+		t.Errorf("got %d attempts of class c and %d of class d at u0 in the last round, want at most 2 of class c and at least 1 of class d", sentC["u0"], sentD["u0"])
 	}
 	if len(reports) == 0 || reports[0].Class != "c" || reports[0].Evidence != EvidenceErrors || reports[0].Count < 3 {
-		t.Fatalf("got reports %+v, want first one of EvidenceErrors for class c with a count of 3 or more", reports)
+		t.Fatalf("got reports %+v, want the first to be of EvidenceErrors for class c with a count of at least 3", reports)
 	}
 	r.now += maxEjectionTime * 2
 	reports = nil
@@ -39,7 +39,7 @@
 		reports = append(reports, newReports...)
 	}
 	if sentAgain["u0"] == 0 || len(reports) != 1 || reports[0].Evidence != EvidenceNone || reports[0].Class != "c" {
-		t.Errorf("after the errors ended: got %d attempts at u0 and reports %+v, want some and one report of EvidenceNone for class c",
+		t.Errorf("after the errors ended: got %d attempts at u0 and reports %+v, want at least 1 attempt and 1 report of EvidenceNone for class c",
 			sentAgain["u0"], reports)
 	}
 }
@@ -60,10 +60,12 @@
 		answer("c", ServerError)
 	}
 	if ep.health.ejections > 0 || ep.gossip.evidence.windows["c"].ejections == 0 {
-		t.Errorf("got %d ejections for all classes and %d for class c, want 0 and some", ep.health.ejections, ep.gossip.evidence.windows["c"].ejections)
+		t.Errorf("got %d ejections for all classes and %d for class c, want 0 and at least 1", ep.health.ejections, ep.gossip.evidence.windows["c"].ejections)
 	}
 
-	r = newSharingRig(t, 4) // without requests of d, the endpoint is ejected for all classes and reported for c; errors of one tenant are not reported
+	// Without requests of d, u0 is ejected for all classes and reported for c. The errors of u1 concern one tenant only, and are
+	// not reported.
+	r = newSharingRig(t, 4)
 	r.b.now = r.now
 	for tenant := range 2 {
 		ep = r.b.endpoints.byID[fmt.Sprint("u", tenant)]
@@ -102,9 +104,9 @@
 	}
 }
 
-// Only the sidecar that a verdict names probes an endpoint. It uses idempotent requests, one at a time, at intervals, with a
-// timeout after which there is time for another attempt. The other sidecars do not probe it, even after the end of their own
-// ejection of it.
+// If a verdict names the sidecar that probes an endpoint, only that sidecar probes it. It uses idempotent requests, one at a
+// time, at intervals, with a timeout that leaves time for another attempt. The other sidecars do not probe the endpoint, even
+// after their own ejection of the endpoint has ended.
 func TestOneTrialForAll(t *testing.T) {
 	silent := func(u string) Result {
 		if u == "u0" {
@@ -150,18 +152,18 @@
 		r = newSharingRig(t, 4)
 		r.sendRequests(500, "c", silent)
 		if r.b.endpoints.byID["u0"].health.ejections == 0 {
-			t.Fatal("u0 does not answer: got 0 ejections, want some")
+			t.Fatal("u0 does not answer: got 0 ejections, want at least 1")
 		}
 		r.now += 10 * time.Second
 		r.applyVerdict("u0", "", owner, 0)
 		if sentTo, _ := r.sendRequests(50, "c", silent); sentTo["u0"] > 0 != (owner == ProbeByEach) {
-			t.Errorf("probe owner %d: got %d probes by this sidecar, want some only if each sidecar probes", owner, sentTo["u0"])
+			t.Errorf("probe owner %d: got %d probes by this sidecar, want at least 1 if the owner is ProbeByEach, otherwise 0", owner, sentTo["u0"])
 		}
 		r.b.endpoints.byID["u0"].health.ejectedUntil = r.now + 2*maxEjectionTime
 		r.handle(PeerVerdict{Upstream: "u0", ProbeSucceeded: true})
 		r.now += reinstatementTime
 		if sentTo, _ := r.sendRequests(100, "c", alwaysOK); sentTo["u0"] == 0 {
-			t.Errorf("probe owner %d: got no attempts at u0 after a successful probe by another sidecar, want some", owner)
+			t.Errorf("probe owner %d: got no attempts at u0 after a successful probe by another sidecar, want at least 1", owner)
 		}
 	}
 }
@@ -179,10 +181,10 @@
 	r.now += time.Second
 	r.b.endpoints.byID["u0"].slowStart.refilledAt = r.now
 	if to := r.wantAttempt(r.request("x", "c", time.Second)); to == "u0" {
-		t.Error("slow-start bucket without a token: got a probe at u0, want none")
+		t.Error("slow-start bucket without a token: got an attempt at u0, want one at another endpoint")
 	}
 	r.b.endpoints.byID["u0"].slowStart.tokens = 5
 	if to := r.wantAttempt(r.request("y", "c", time.Second)); to != "u0" {
-		t.Errorf("slow-start bucket with five tokens: request went to %s, want a probe at u0", to)
+		t.Errorf("slow-start bucket with five tokens: got an attempt at %s, want one at u0", to)
 	}
 }
--- a/internal/durable/crashfs/crashes.go
+++ b/internal/durable/crashfs/crashes.go
@@ -49,7 +49,8 @@
 	return indexes
 }
 
-// subsets returns all subsets of up to maxEnumeratedOps calls; of more, the empty one, the full one, and random ones.
+// subsets returns all subsets of the calls if there are at most maxEnumeratedOps; otherwise the empty subset, the full one and
+// random ones.
 func subsets(indexes []int, rng *rand.Rand) (all [][]int) {
 	pick := func(mask uint64) (subset []int) {
 		for i, index := range indexes {
--- a/internal/durable/crashfs/crashfs.go
+++ b/internal/durable/crashfs/crashfs.go
@@ -23,7 +23,7 @@
 	files    map[string]*inode // by name, as the process sees them
 	inodes   int               // number of inodes created
 	fail     func(call string, name string) error
-	space    int // bytes that can still be written; below 0: unlimited
+	space    int // bytes that can still be written; unlimited if below 0
 	readOnly bool
 }
 
@@ -48,7 +48,7 @@
 	kind     kind
 	name, to string
 	inode    int
-	offset   int // of a write; -1: the write was lost in a failed sync
+	offset   int // of a write; -1 if a failed sync lost the write
 	data     []byte
 }
 
@@ -242,7 +242,7 @@
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	if err := f.fs.failure("sync", f.name, false); err != nil {
-		for i := range f.fs.ops { // not durable after a later sync either
+		for i := range f.fs.ops { // a later sync does not make these writes durable either
 			if written := &f.fs.ops[i]; written.kind == write && written.inode == f.inode.id && !f.fs.synced(i) {
 				written.data, written.offset = nil, -1
 			}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -21,11 +21,11 @@
 
 const maxValueBytes = 1 << 16
 
-// changeAttempt is one attempt to change a key. Times are numbers of calls that the file system had recorded.
+// changeAttempt is one attempt to change a key. Its times are the number of calls that the file system had recorded by then.
 type changeAttempt struct {
 	key, value  string // an empty value removes the key
 	begunAt     int
-	confirmedAt int // -1: the change failed
+	confirmedAt int // -1 if the change failed
 }
 
 // applyChanges opens a log, makes n changes with values of at least size bytes, and returns them.
@@ -33,7 +33,7 @@
 	t.Helper()
 	log, _, err := durable.OpenKeyValueLog(f, "bans")
 	if err != nil {
-		return nil // a call of the reader failed: nothing was changed
+		return nil // the log could not be read, so nothing was changed
 	}
 	for i := range n {
 		a := changeAttempt{key: fmt.Sprintf("u%d", i%5), value: fmt.Sprintf("%d%s", i, strings.Repeat("x", size)), begunAt: f.Ops(), confirmedAt: -1}
@@ -54,8 +54,8 @@
 	return attempts
 }
 
-// findMismatch describes an entry that must not exist after n calls, and returns "" if there is none. A key may have the last
-// value that was confirmed, or one that was attempted since then.
+// findMismatch describes an entry that must not exist after a crash that follows n calls, and returns "" if there is none. A
+// key may have the last value that was confirmed, or one that was attempted since then.
 func findMismatch(attempts []changeAttempt, n int, got map[string]string) string {
 	allowed := map[string][]string{}
 	for _, a := range attempts {
@@ -112,7 +112,7 @@
 	states := checkCrashStates(t, f, applyChanges(t, f, 60, 10))
 	large := crashfs.New() // exceeds the compaction threshold, so that new segments are written
 	states += checkCrashStates(t, large, applyChanges(t, large, 120, 900))
-	t.Logf("%d states of a disk", states)
+	t.Logf("checked %d disk states", states)
 	if states < 3000 {
 		t.Errorf("got %d disk states, want at least 3000", states)
 	}
@@ -142,7 +142,7 @@
 		}
 		return true
 	})
-	t.Logf("%d states of a disk", states)
+	t.Logf("checked %d disk states", states)
 }
 
 // Guards against confirming a change that is not durable. Each kind of call fails once, at its first to eighth use, and every
@@ -168,7 +168,7 @@
 			if len(attempts) > 0 {
 				// A single failure affects one change only, so the last change must be confirmed.
 				if last := attempts[len(attempts)-1]; last.confirmedAt < 0 && nth < 4 {
-					t.Errorf("call %s fails once, at use %d: the last change got no confirmation, want one", call, nth+1)
+					t.Errorf("call %s fails once, at use %d: the last change failed, want it confirmed", call, nth+1)
 				}
 			}
 			if t.Failed() {
@@ -176,7 +176,7 @@
 			}
 		}
 	}
-	t.Logf("%d states of a disk", states)
+	t.Logf("checked %d disk states", states)
 }
 
 // While the disk is full or read-only, changes fail and nothing else is lost; once it is writable, changes succeed again.
@@ -251,7 +251,7 @@
 			got, corruptions, err := durable.ReadKeyValueLog(disk, "bans")
 			value, snapshotCorruptions, snapshotErr := durable.NewSnapshotFile(disk, "list", maxValueBytes).Read()
 			if len(corruptions)+len(snapshotCorruptions) == 0 && err == nil && snapshotErr == nil {
-				t.Fatalf("%s, bit %d flipped: got no corruption and no error, want one", name, bit)
+				t.Fatalf("%s, bit %d flipped: got no corruption and no error, want at least one of them", name, bit)
 			}
 			for key, gotValue := range got {
 				if want[key] != gotValue {
@@ -268,7 +268,7 @@
 	}
 }
 
-// Files of a newer version are neither read nor changed, and the error says so.
+// Files of a newer version are neither read nor changed. The error says that a newer version has written them.
 func TestNewerFormIsRefused(t *testing.T) {
 	f := crashfs.New()
 	log, _, err := durable.OpenKeyValueLog(f, "bans")
@@ -406,7 +406,7 @@
 		}
 		value, corruptions, err := durable.NewSnapshotFile(disk, "list", maxValueBytes).Read()
 		if err == nil && len(corruptions) == 0 && !bytes.HasSuffix(snapshot, value) {
-			t.Errorf("got value %q, want one that ends the file", value)
+			t.Errorf("got value %q, want the last bytes of the file", value)
 		}
 	})
 }
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -10,7 +10,7 @@
 	"io/fs"
 )
 
-// All data is written in frames: the magic, the length of the payload, a sequence number that never falls, the CRC32C of
+// All data is written in frames: the magic, the length of the payload, a sequence number that never decreases, the CRC32C of
 // these and of the payload, and the payload. Integers are little-endian.
 //
 //	4 bytes magic | 4 bytes length | 8 bytes sequence number | 4 bytes CRC32C | payload
@@ -81,7 +81,7 @@
 	File string
 	At   int64 // offset of its first byte in the file
 	Err  error
-	Torn bool // it is the rest of a write that a crash cut short before it was confirmed: no confirmed data is lost
+	Torn bool // a crash cut the write short before it was confirmed: no confirmed data is lost
 }
 
 func (c Corruption) String() string {
@@ -108,10 +108,10 @@
 	return text, nil
 }
 
-// writeNew creates a file with this content, in place of a file of the same name. With sync, the content is durable when
+// writeNew creates a file with this content and replaces any file of the same name. With sync, the content is durable when
 // writeNew returns; the name becomes durable with FS.Sync.
 func writeNew(f FS, name string, text []byte, sync bool) (err error) {
-	if err := f.Remove(name); err != nil { // a crash may have left one
+	if err := f.Remove(name); err != nil { // a crash may have left a file of this name
 		return err
 	}
 	file, err := f.Create(name)
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -137,8 +137,8 @@
 	return &DirLock{f}, nil
 }
 
-// Holds reports whether the lock still protects the directory: it does not once the directory has been deleted, or replaced
-// by a copy.
+// Holds reports whether the lock still protects the directory. It returns false once the directory has been deleted or
+// replaced by a copy.
 func (l *DirLock) Holds(dir string) bool {
 	own, err := l.f.Stat()
 	if err != nil {
--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -14,7 +14,7 @@
 const (
 	maxEntryBytes         = 1 << 10  // maximum bytes of a key with its value
 	maxSegmentBytes       = 4 << 20  // maximum bytes of a segment
-	compactThresholdBytes = 32 << 10 // a segment may grow to this size before growth compacts it
+	compactThresholdBytes = 32 << 10 // a segment that has grown is compacted only above this size
 	maxQueuedChanges      = 64       // changes that can wait for the disk; further calls block
 )
 
@@ -33,7 +33,7 @@
 	entries map[string]string
 
 	// Owned by the committing goroutine.
-	segmentFile    File // the open segment; nil: the next commit writes a new segment
+	segmentFile    File // the open segment, or nil if the next commit has to start a new one
 	segment        uint64
 	sequence       uint64
 	size           int
@@ -47,7 +47,7 @@
 }
 
 // OpenKeyValueLog opens the log of that name for reading and writing. Damaged records are returned as corruptions, all
-// others are kept. It fails if the file system does, or if a newer version of the program has written the log.
+// others are kept. It fails if the file system fails, or if a newer version of the program has written the log.
 func OpenKeyValueLog(f FS, name string) (*KeyValueLog, []Corruption, error) {
 	l := &KeyValueLog{fs: f, name: name, changes: make(chan entryChange, maxQueuedChanges), stopped: make(chan struct{}), entries: map[string]string{}}
 	corruptions, err := l.load()
@@ -80,7 +80,7 @@
 	return l.change(entryChange{key: key, value: value})
 }
 
-// Delete removes a key, as durably as Set.
+// Delete removes a key, and blocks until the change is durable, as Set does.
 func (l *KeyValueLog) Delete(key string) error { return l.change(entryChange{key: key, remove: true}) }
 
 func (l *KeyValueLog) change(c entryChange) error {
@@ -118,7 +118,7 @@
 	defer close(l.stopped)
 	defer func() {
 		if l.segmentFile != nil {
-			_ = l.segmentFile.Close() // all of it is durable
+			_ = l.segmentFile.Close() // its content is durable already, so an error does not matter
 		}
 	}()
 	for {
@@ -338,7 +338,8 @@
 	return corruptions, nil
 }
 
-// resync returns the offset of the next intact record at or after from, or a negative number if there is none.
+// resync returns the first offset, from on, of an intact record whose sequence number is minSequence or higher. It returns a
+// negative number if there is none.
 func resync(text []byte, from int, minSequence uint64) int {
 	for offset := from; offset+frameHeaderBytes <= len(text); offset++ {
 		if text[offset] != recordMagic[0] {
--- a/internal/durable/lossy.go
+++ b/internal/durable/lossy.go
@@ -31,14 +31,14 @@
 type lossyFS struct {
 	disk    osFS
 	mu      sync.Mutex
-	pending map[string]*lossyFile // by name, the files whose name changed since the last sync; nil: removed
+	pending map[string]*lossyFile // by name, the files whose name changed since the last sync; nil if the name was removed
 }
 
 type lossyFile struct {
 	fs          *lossyFS
 	data        []byte // the content as the process sees it
 	synced      []byte // the content as of the last sync
-	durableName string // name on disk; empty: none
+	durableName string // name on disk, empty if there is none
 	reader      *bytes.Reader
 }
 
--- a/internal/durable/snapshotfile.go
+++ b/internal/durable/snapshotfile.go
@@ -28,7 +28,7 @@
 }
 
 // Read returns the newest intact value, or nil if there is none, and a corruption for each file that is damaged. It fails
-// if the file system does, or if a newer version of the program has written the file.
+// if the file system fails, or if a newer version of the program has written the file.
 func (s *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
 	found := false
 	for slot := range uint64(2) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -19,8 +19,8 @@
 	goldie.New(t, goldie.WithFixtureDir("testdata/golden"), goldie.WithNameSuffix(".txt"), goldie.WithDiffEngine(goldie.Simple)).Assert(t, name, []byte(text))
 }
 
-// JSON compares the JSON encodings of values, one per line, with the file testdata/golden/NAME.txt. Each value is a pointer;
-// JSON fills it with Fill first.
+// JSON compares the JSON encodings of values, one per line, with the file testdata/golden/NAME.txt. Each value is a pointer, and
+// is first set by Fill.
 func JSON(t *testing.T, name string, values ...any) {
 	t.Helper()
 	var text strings.Builder
--- a/internal/statestore/settings_test.go
+++ b/internal/statestore/settings_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("damaged file: got settings %+v, corruptions %v, error %v, want no settings and 1 corruption", l.Settings, l.Corruptions, err)
 	}
 	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
-		t.Errorf("Repair: got dropped %v, error %v, want 1 dropped", dropped, err)
+		t.Errorf("Repair: got corruptions %v, error %v, want 1 corruption and no error", dropped, err)
 	}
 	if l, err = New(dir, "s1").Load(noon); err != nil || l.Settings != nil || len(l.Corruptions) != 0 {
 		t.Errorf("after Repair: got settings %+v, corruptions %v, error %v, want none", l.Settings, l.Corruptions, err)
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -40,11 +40,11 @@
 	lockRetryInterval = 5 * time.Millisecond
 )
 
-// List is the endpoint list as last received. On disk the first line is a JSON object with all fields but Listing; Listing
-// follows as it was received, since it is large and a start waits until it is read.
+// List is the endpoint list as last received. On disk the first line is a JSON object with all fields but Listing. Listing
+// follows unencoded: it is large, and decoding it as JSON would delay the start.
 type List struct {
 	SavedMs int64  `json:"SavedMs"` // Unix time, milliseconds
-	Source  string `json:"Source"`  // address of the discovery that sent it; its revisions can't be compared with another discovery's
+	Source  string `json:"Source"`  // address of the discovery that sent the list; revisions of two discoveries can't be compared
 	Listing []byte `json:"-"`       // in discovery's format
 }
 
@@ -195,14 +195,15 @@
 	if text == nil {
 		return false
 	}
-	if err := json.Unmarshal(text, into); err != nil { // the checksum is right, so a version of this program wrote malformed data
+	if err := json.Unmarshal(text, into); err != nil { // the checksum is right, so the malformed data was written like this
 		l.Notes = append(l.Notes, fmt.Sprintf("a stored value can't be decoded: %v", err))
 		return false
 	}
 	return true
 }
 
-// fresh reports whether a value saved at that time is still usable. A list saved in the future is.
+// fresh reports whether a value saved at that time is still usable. A value saved in the future is not, except a list, which
+// has MaxListAge as its maxAge.
 func (l *Loaded) fresh(name string, savedMs int64, maxAge time.Duration, now time.Time) bool {
 	age := now.Sub(time.UnixMilli(savedMs))
 	switch {
@@ -245,7 +246,7 @@
 	}
 	for _, corruption := range l.Corruptions {
 		if !corruption.Torn && !slices.Contains(files, corruption.File) && !strings.HasPrefix(corruption.File, "bans.") {
-			files = append(files, corruption.File) // intact records of bans are still needed, see Open
+			files = append(files, corruption.File) // damaged files of bans stay until Open has copied their intact records
 		}
 	}
 	if err := durable.Quarantine(s.dir, files, maxQuarantined, now); err != nil {
@@ -297,7 +298,7 @@
 	return s.bans.Set(banPrefix+id, now.UTC().Format(time.RFC3339))
 }
 
-// Unban removes a ban, as durably as Ban.
+// Unban removes a ban. Once it has returned nil, the removal is durable.
 func (s *Store) Unban(id string) error { return s.bans.Delete(banPrefix + id) }
 
 // WriteList stores a list in discovery's format.
@@ -324,8 +325,8 @@
 	return s.writeIncarnation()
 }
 
-// Holds reports whether this process still holds the lock of the directory. It does not once the directory has been deleted
-// or replaced by a copy.
+// Holds reports whether this process still holds the lock of the directory. It returns false once the directory has been
+// deleted or replaced by a copy.
 func (s *Store) Holds() bool { return s.lock != nil && s.lock.Holds(s.dir) }
 
 // Release closes the store and releases the lock. With clean it first records a clean exit. It may be called more than once.
@@ -410,7 +411,7 @@
 
 // Repair keeps the intact parts of a directory, quarantines the damaged files, and returns the damage. It takes the lock, so
 // that no sidecar writes in the meantime.
-func Repair(dir string, now time.Time) (dropped []durable.Corruption, err error) {
+func Repair(dir string, now time.Time) (corruptions []durable.Corruption, err error) {
 	s := New(dir, "")
 	if err := s.TryLock(); err != nil {
 		return nil, err
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -76,7 +76,7 @@
 		t.Errorf("got %+v, want no bans, no list and a note", l)
 	}
 	if names, err := durable.Quarantined(dir); err != nil || len(names) == 0 {
-		t.Errorf("got quarantined files %v, error %v, want some files", names, err)
+		t.Errorf("got quarantined files %v, error %v, want at least 1 file and no error", names, err)
 	}
 	if l, err := New(dir, "s2").Load(noon); err != nil || l.Name != "s2" || len(l.Bans) != 1 || len(l.Notes) > 0 {
 		t.Errorf("second process of s2: got %+v, error %v, want 1 ban and no notes", l, err)
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
-		t.Errorf("Repair: got dropped %v, error %v, want 1 dropped", dropped, err)
+		t.Errorf("Repair: got corruptions %v, error %v, want 1 corruption and no error", dropped, err)
 	}
 	if s, corruptions, err := Summarize(dir, noon); err != nil || len(corruptions) > 0 || s.Upstreams != 2 || len(s.Quarantined) != 1 || len(s.Bans) != 1 {
 		t.Errorf("after Repair: got %+v, corruptions %v, error %v, want 2 upstreams, 1 quarantined file, 1 ban, no corruption", s, corruptions, err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,7 +14,7 @@
 	"mosslead/balancer"
 )
 
-// timerCookie is the cookie of an instance's timer. There is only one timer, so it is always the same.
+// timerCookie identifies an instance's timer in the protocol. An instance has only one timer, so the cookie is constant.
 const timerCookie = "w"
 
 type batch struct {
@@ -33,7 +33,7 @@
 	Scope      string        `json:"Scope"`
 	ID         string        `json:"Id"`
 	Class      string        `json:"Type"`
-	Tenant     any           `json:"Billing"`
+	Tenant     any           `json:"Billing"` // any type is accepted; only a string is used
 	ExpiresMs  float64       `json:"ExpiresMs"`
 	CostHintMs float64       `json:"PredictedMs"`
 	Flags      int           `json:"Bits"`
@@ -117,7 +117,7 @@
 func (a *adapter) handleBatch(text []byte) ([]action, error) {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
-		return nil, fmt.Errorf("not a batch: %w", err)
+		return nil, fmt.Errorf("decoding the batch: %w", err)
 	}
 	reply := []action{}
 	now := duration(b.NowMs)
@@ -141,7 +141,7 @@
 		return reply, nil
 	case "PowerOn":
 		if e.Settings == nil {
-			return nil, fmt.Errorf("no Env")
+			return nil, fmt.Errorf("Env is missing")
 		}
 		b, err := balancer.New(e.Settings.settings(), seed(e.Seed))
 		if err != nil {
@@ -152,7 +152,7 @@
 	}
 	translated := a.translate(e)
 	if translated == nil && e.Verb != "Teardown" {
-		return reply, nil // this adapter does not know the event
+		return reply, nil // the verb or the scope is unknown: the event is ignored
 	}
 	b := a.balancers[e.Instance]
 	if b == nil {
@@ -165,7 +165,8 @@
 	return a.decide(b, now, e.Instance, translated, reply), nil
 }
 
-// decide passes one event to the balancer and appends its actions to reply. A panic becomes a BailOut action with its text.
+// decide passes one event to the balancer and appends its actions to reply. After a panic, a BailOut action with the text of
+// the panic is appended to the actions encoded so far.
 func (a *adapter) decide(b *balancer.Balancer, now time.Duration, instance int, e balancer.Event, reply []action) (out []action) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -47,10 +47,10 @@
 
 func TestBadInputNamesItsLine(t *testing.T) {
 	for in, want := range map[string]string{
-		"{\"TsMs\":1,\"in\":[]}\nnonsense\n":                                "line 2: not a batch",
+		"{\"TsMs\":1,\"in\":[]}\nnonsense\n":                                "line 2: decoding the batch",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"Wakeup\",\"I\":4}]}\n":             "line 1: event 0 (Wakeup): instance 4 was never started",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"Teardown\",\"I\":4}]}\n":           "instance 4 was never started",
-		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0}]}\n":            "no Env",
+		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0}]}\n":            "Env is missing",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{}}]}\n": "setting Classes",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"Order\",\"I\":\"x\"}]}\n":          "line 1: event 0",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{\"Classes\":[{\"Name\":\"a\",\"Semantics\":\"odd\",\"AimMs\":1,\"DeadlineMs\":1}]}}]}\n": "Idempotency",
@@ -119,7 +119,7 @@
 const powerOn = `{"verb":"PowerOn","I":0,"Prng":-7,"Odd":[1],"Env":{"Oddity":{"x":1},"Classes":[{"Name":"c",` +
 	`"Semantics":"retryable","AimMs":100,"DeadlineMs":1000,"Colour":"red"}]}}`
 
-// Unknown fields, settings, verbs and scopes of lists are ignored.
+// Fields, settings, verbs and list scopes that the adapter does not know are ignored.
 func TestUnknownIsPassedOver(t *testing.T) {
 	got, err := serve(t, `{"TsMs":1,"Extra":0,"in":[`+powerOn+`,{"verb":"Sing","I":0},{"verb":"Sing","I":9},`+
 		`{"verb":"Topology","I":0,"Scope":"SIDEWAYS","Table":3}]}`)
