--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -117,7 +117,7 @@
 	a.done.Add(1)
 	go func() { defer a.done.Done(); _ = a.server.Serve(ln) }() // ends with Close
 	a.mu.Lock()
-	a.visibleChanges = len(d.changes) // the sidecar knows at once what was listed before its agent started
+	a.visibleChanges = len(d.changes) // changes made before the agent started are visible without delay
 	a.mu.Unlock()
 	return a, nil
 }
@@ -145,11 +145,11 @@
 	a.takeDueChanges()
 }
 
-// Restarted notes that a new process of the sidecar starts. It knows only the list that it is given, nil if there is
+// Restarted notes that a new process of the sidecar starts. That process knows only the list known, which is nil if there is
 // none.
 func (a *Agent) Restarted(known *Listing) { a.teller.reset(known) }
 
-// Teller returns the agent's record of the news that reach its sidecar, for use by others that also bring it news.
+// Teller returns the agent's record of the lists sent to its sidecar, for use by other servers that also send it lists.
 func (a *Agent) Teller() *Teller { return a.teller }
 
 // Known returns the latest list that the sidecar can have.
@@ -261,7 +261,7 @@
 	controller := http.NewResponseController(w)
 	emptyLines := time.NewTicker(emptyLineInterval)
 	defer emptyLines.Stop()
-	sent, begun := from, false // sent is the version that the other side has
+	sent, begun := from, false // sent is the version that the client has
 	var mood Mood
 	for {
 		a.mu.Lock()
@@ -291,7 +291,7 @@
 			l = a.changesSince(sent)
 			line, hasNews, sent = encode(l), true, a.visibleChanges
 		}
-		if hasNews { // before the write, so that a sidecar that acts at once does not seem to act before the news
+		if hasNews { // recorded before the write, so that a sidecar that acts at once does not seem to act before it got the list
 			a.teller.recordNews(l)
 		}
 		a.mu.Unlock()
@@ -318,7 +318,7 @@
 func encode(l Listing) string {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // can't happen: a Listing holds plain values only
+		panic(err) // can't fail: a Listing holds plain values only
 	}
 	return string(text) + "\n"
 }
--- a/internal/lab/fake/naive.go
+++ b/internal/lab/fake/naive.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// Breaks names the rules that the naive sidecar can be told to break, one at a time, and describes what it does then.
-// The naive sidecar serves to show that a verdict finds the breach that it looks for, and finds none where there is
+// Breaks describes what the naive sidecar does to break a rule, by the rule's name. A process breaks at most one rule. The
+// naive sidecar serves to test the verdicts: each must find the breach that it looks for, and must find none if there is
 // none.
 var Breaks = map[string]string{
 	"":                  "keeps every rule",
@@ -50,7 +50,7 @@
 	stopping  atomic.Bool
 	mu        sync.Mutex
 	listed    map[string]Entry
-	withdrawn map[string]Entry // endpoints that are no longer ready, which it goes on using if it breaks the rule "drain"
+	withdrawn map[string]Entry // endpoints that are no longer ready; still used if breaks is "drain"
 	banned    map[string]bool
 }
 
@@ -136,19 +136,19 @@
 // shutdownDelay is how long the naive sidecar goes on serving after SIGTERM.
 const shutdownDelay = 800 * time.Millisecond
 
-// stalledListener accepts connections whose reads block for good once the sidecar is stopping.
+// stalledListener accepts connections whose reads block forever once the sidecar is stopping.
 type stalledListener struct {
 	net.Listener
 	stopping *atomic.Bool
 }
 
-// Accept accepts a connection, which is answered no more once the sidecar is stopping.
+// Accept accepts a connection. No more requests are read from it once the sidecar is stopping.
 func (l stalledListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	return stalledConn{conn, l.stopping}, err
 }
 
-// stalledConn is a connection whose reads block for good once the sidecar is stopping.
+// stalledConn is a connection whose reads block forever once the sidecar is stopping.
 type stalledConn struct {
 	net.Conn
 	stopping *atomic.Bool
@@ -203,7 +203,7 @@
 	}
 }
 
-// pick returns a random upstream that may get work, other than except. The entry is empty if there is none.
+// pick returns a random upstream, other than except, for a request. The entry is empty if there is none.
 func (n *naive) pick(except string) Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -313,7 +313,7 @@
 	}
 }
 
-// statusNotRun stands for the status of an attempt that has not run.
+// statusNotRun is the status of an attempt that the upstream has not run.
 const statusNotRun = 0
 
 // send makes one attempt. The status is statusNotRun if the upstream has not run it.
--- a/internal/lab/fake/teller.go
+++ b/internal/lab/fake/teller.go
@@ -12,14 +12,14 @@
 	sidecar string
 
 	mu     sync.Mutex
-	usable map[string]bool // by upstream, as it was last told
+	usable map[string]bool // by upstream, as of the latest message
 }
 
 func newTeller(rec *record.Record, sidecar string) *Teller {
 	return &Teller{rec: rec, sidecar: sidecar, usable: map[string]bool{}}
 }
 
-// reset starts over for a new process, which knows only the list known, nil if there is none.
+// reset starts over for a new process, which knows only the list known. known is nil if there is no such list.
 func (t *Teller) reset(known *Listing) {
 	t.mu.Lock()
 	t.usable = map[string]bool{}
--- a/internal/lab/fake/upstream.go
+++ b/internal/lab/fake/upstream.go
@@ -27,11 +27,11 @@
 // Trouble is the fault that an upstream shows. The zero value is no fault.
 type Trouble struct {
 	Slower    float64 // factor by which work takes longer; 0 and 1 change nothing
-	FailShare float64 // share of its jobs that end in an error
+	FailShare float64 // share of the upstream's jobs that end in an error
 	FailClass string  // class whose requests fail; empty if there is none
 	FailPart  float64 // share of the requests of FailClass that fail, evenly spread
 	Hang      bool    // answers probes, and never answers requests
-	TurnAway  bool    // accepts no new request, as while it drains
+	TurnAway  bool    // accepts no new requests, as an upstream that drains
 }
 
 // Upstream is a fake server. Its address stays the same over restarts.
@@ -59,11 +59,11 @@
 	onFall        func() // called when overload ends the process
 }
 
-// conn is a connection over which requests come.
+// conn is a connection on which requests arrive.
 type conn struct {
 	net.Conn
 	closed   chan struct{}   // closed once the other side has ended the connection
-	attempt  *record.Attempt // the latest one
+	attempt  *record.Attempt // the latest attempt on the connection
 	accepted bool            // whether it has a place in the model's connection table
 }
 
@@ -206,7 +206,7 @@
 	u.resetTimer()
 }
 
-// advance brings the model to the present time and delivers the jobs that have ended. The caller holds mu.
+// advance brings the model to the present time and delivers the results of the jobs that have ended. The caller holds mu.
 func (u *Upstream) advance() {
 	for _, d := range u.server.Advance(u.rec.Now()) {
 		if result := u.results[d.ID]; result != nil {
@@ -362,8 +362,8 @@
 	return u.openedBy[c.RemoteAddr().String()]
 }
 
-// endAttempt records the end of an attempt. It is called before the first byte of the answer is written, so that what
-// the sidecar does upon that answer never seems to come before the end.
+// endAttempt records the end of an attempt. It is called before the first byte of the answer is written, so that the
+// sidecar's reaction to the answer is never recorded as earlier than the end.
 func (u *Upstream) endAttempt(a *record.Attempt, how record.How, status int) {
 	now := u.rec.Now()
 	u.mu.Lock()
--- a/internal/lab/fake/window.go
+++ b/internal/lab/fake/window.go
@@ -98,7 +98,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	resp, err := w.client.Do(req)
-	if err != nil { // stands for a refused connection
+	if err != nil { // the abort stands for a refused connection
 		panic(http.ErrAbortHandler)
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -140,6 +140,6 @@
 			l.Endpoints[i].Address = w.address(e.Name)
 		}
 	}
-	w.teller.recordNews(l) // before the write, so that a sidecar that acts at once does not seem to act before the news
+	w.teller.recordNews(l) // recorded before the write, so that a sidecar that acts at once does not seem to act before it got the list
 	return json.Marshal(l)
 }
--- a/internal/lab/memnet/conn.go
+++ b/internal/lab/memnet/conn.go
@@ -19,16 +19,16 @@
 	delay   time.Duration // from this end to the other
 	addr    *net.TCPAddr
 
-	inbox                       []segment // what is on its way to this end, or has arrived and is unread
+	inbox                       []segment // segments that are on their way to this end, or have arrived and are unread
 	inboxBytes                  int       // bytes in inbox
 	readDeadline, writeDeadline time.Time
 	writeClosed                 bool // this end has closed its sending direction
 	closed                      bool
 }
 
-// segment is something on its way to an end, or arrived there: bytes, or the reason why no more come.
+// segment is what one end sends to the other: bytes, or the error that ends the stream of bytes.
 type segment struct {
-	due   time.Time
+	due   time.Time // when it arrives
 	bytes []byte
 	err   error // io.EOF or errReset
 }
@@ -43,7 +43,7 @@
 	e.network.observe(Event{At: time.Now(), Conn: e.number, From: e.host.name, To: e.peer.host.name, Kind: kind, Bytes: bytes})
 }
 
-// opError returns err as the net.OpError of an operation, and io.EOF as it is.
+// opError wraps err in a net.OpError for an operation. It returns io.EOF unchanged.
 func (e *connEnd) opError(op string, err error) error {
 	if errors.Is(err, io.EOF) {
 		return err
@@ -56,8 +56,8 @@
 	return slices.ContainsFunc(e.inbox, func(s segment) bool { return errors.Is(s.err, errReset) && reached(s.due) })
 }
 
-// send sends bytes, or err in their place, to the other end. They arrive after the connection's delay and the further
-// wait after.
+// send sends bytes, or err in their place, to the other end. They arrive after the connection's delay and the additional
+// time after.
 func (e *connEnd) send(after time.Duration, bytes []byte, err error) {
 	p := e.peer
 	if p.closed {
@@ -68,8 +68,8 @@
 	time.AfterFunc(after+e.delay, e.network.wake)
 }
 
-// Pending reports what has arrived, without reading it: bytes alone, or the other side's end, even if unread bytes
-// precede it.
+// Pending reports what has arrived and is unread. end is true if the other side has ended the connection, even if unread
+// bytes precede the end; bytes is true if there are unread bytes and no end.
 func (e *connEnd) Pending() (bytes, end bool) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
@@ -200,7 +200,7 @@
 	e.closeLocked()
 }
 
-// closeLocked closes this end without telling the other. The caller holds the network's lock.
+// closeLocked closes this end and sends nothing to the other. The caller holds the network's lock.
 func (e *connEnd) closeLocked() {
 	e.closed, e.inbox, e.inboxBytes = true, nil, 0
 	e.host.ends = slices.DeleteFunc(e.host.ends, func(x *connEnd) bool { return x == e })
--- a/internal/lab/memnet/memnet_test.go
+++ b/internal/lab/memnet/memnet_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// Guards against ends of connections that can't be told apart: an orderly close, a close with bytes unread or on their
-// way, and the death of a process.
+// Guards against different ends of a connection that look the same to the other side: an orderly close, a close with bytes
+// unread or on their way, and the death of a process.
 func TestEnds(t *testing.T) {
 	for name, c := range map[string]struct {
 		end         func(near, far net.Conn, b *Host)
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards against two connections with one local address: a dial that takes longer than the next one must keep a port of
-// its own.
+// Guards against two connections with one local address: a dial that takes longer than the next one must keep its
+// own port.
 func TestPortsAreOnesOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(func(Event) {})
@@ -112,12 +112,13 @@
 			}()
 		}
 		if first, second := <-ports, <-ports; first == second {
-			t.Errorf("both connections have local address %s, want different ones", first)
+			t.Errorf("got local address %s for both connections, want different ones", first)
 		}
 	})
 }
 
-// Guards against a dial that ends too early or never: over the delay there and back, when refused, silent, or without a host.
+// Guards against a dial that ends too early or never. A dial takes the delay there and back if it succeeds or is refused, and
+// otherwise lasts until its context ends.
 func TestDialling(t *testing.T) {
 	for name, c := range map[string]struct {
 		address string
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -1,8 +1,8 @@
 // Package memnet provides a network in memory for the bubbles of testing/synctest. Every wait in it is durably blocking, so
 // that the bubble's clock advances, and it reports every connection and every byte in the order of that clock.
 //
-// Every message takes time to arrive, so that its effects are later than the message itself. What parties do at the same
-// moment has no order: a comparison of two runs has to choose one.
+// Every message takes time to arrive, so that its effects are later than the message itself. Events of several hosts at the
+// same moment have no defined order: a comparison of two runs has to choose one.
 package memnet
 
 import (
@@ -19,8 +19,8 @@
 )
 
 const (
-	backlog     = 128      // connections waiting to be accepted; a further one waits to come up
-	windowBytes = 64 << 10 // bytes in one direction of a connection, on the way or unread
+	backlog     = 128      // maximum number of connections that wait to be accepted; further dials wait
+	windowBytes = 64 << 10 // maximum bytes in one direction of a connection that are on their way or unread
 	firstPort   = 40000    // the local ports of dialled connections are above this
 )
 
@@ -48,7 +48,7 @@
 	Bytes    []byte
 }
 
-// Network joins hosts. It and everything that is called on it must be used in one bubble.
+// Network connects hosts. The network, its hosts and their connections must be used in one bubble.
 type Network struct {
 	observe func(Event)
 
@@ -65,7 +65,7 @@
 	return n
 }
 
-// wait waits, with mu held, for a change or the time until. The zero time never comes.
+// wait waits for a change, or until the given time if that is not zero. The caller holds mu.
 func (n *Network) wait(until time.Time) {
 	if !until.IsZero() {
 		defer time.AfterFunc(time.Until(until), n.wake).Stop()
@@ -73,14 +73,14 @@
 	n.changed.Wait()
 }
 
-// wake wakes everybody who waits on the network.
+// wake wakes all goroutines that wait on the network.
 func (n *Network) wake() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.changed.Broadcast()
 }
 
-// Close kills every host, so that everybody who waits on the network gets an error.
+// Close kills every host, so that all calls that wait on the network return an error.
 func (n *Network) Close() {
 	n.mu.Lock()
 	hosts := n.hosts
@@ -98,10 +98,10 @@
 	delay   time.Duration
 	// The network's lock guards the fields below.
 	silent        bool
-	lastPort      int // local port of the latest connection that it dialled
+	lastPort      int // local port of the latest connection that the host dialled
 	listeners     map[int]*listener
 	ends          []*connEnd
-	connectDelays []time.Duration // further delays of the next connections to it; negative: never up
+	connectDelays []time.Duration // additional delays of the next connections to the host; if negative, the connection is never established
 }
 
 // Host adds a machine. A message between two hosts takes the sum of their delays, which must be above 0.
@@ -125,8 +125,8 @@
 	h.network.changed.Broadcast()
 }
 
-// Late makes the next connection to the host come up later by a time, or never if that is negative. A further call
-// applies to the connection after that.
+// Late delays the next connection to the host by the given time. If the time is negative, that connection is never
+// established. A further call applies to the connection after that.
 func (h *Host) Late(by time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -159,8 +159,8 @@
 	return l, nil
 }
 
-// Dial opens a TCP connection to an address of the network. It takes twice the delay between the hosts. It is refused if
-// nobody listens on the port, and lasts until ctx ends if there is no such host or one of the two is silent.
+// Dial opens a TCP connection to an address of the network, which takes twice the delay between the hosts. The connection is
+// refused if no listener has the port. Dial blocks until ctx ends if there is no such host or one of the two is silent.
 func (h *Host) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
@@ -204,7 +204,7 @@
 	if err := d.awaitArrival(ctx, d.delay); err != nil {
 		return dialError(err)
 	}
-	if l != nil && l.closed { // closed while the connection came up
+	if l != nil && l.closed { // closed while the connection was being established
 		d.observe(to.name, h.name, Refuses)
 	}
 	if l == nil || l.closed {
@@ -219,14 +219,14 @@
 	return near, nil
 }
 
-// dialAttempt is a connection that is coming up.
+// dialAttempt is a connection that is being established.
 type dialAttempt struct {
 	network       *Network
 	number        int
 	from, to      *Host
 	toName        string
 	delay         time.Duration
-	neverConnects bool // the connection never comes up
+	neverConnects bool // the connection is never established
 }
 
 // observe reports an event of the attempt. The caller holds the network's lock.
@@ -234,7 +234,7 @@
 	d.network.observe(Event{At: time.Now(), Conn: d.number, From: from, To: to, Kind: kind})
 }
 
-// awaitArrival waits until what is sent now arrives after delay, or until ctx ends.
+// awaitArrival waits until a message that is sent now and takes delay has arrived. It fails if ctx ends first.
 func (d *dialAttempt) awaitArrival(ctx context.Context, delay time.Duration) error {
 	due := time.Now().Add(delay)
 	for {
@@ -268,7 +268,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{IP: l.host.ip, Port: l.port} }
 
-// opError returns err as the net.OpError of an operation.
+// opError wraps err in a net.OpError for an operation.
 func (l *listener) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Addr: l.Addr(), Err: err}
 }
--- a/internal/lab/relay/mesh.go
+++ b/internal/lab/relay/mesh.go
@@ -17,8 +17,8 @@
 	maxConnsPerLink  = 16   // connections that one link of a mesh carries at once; further ones are reset
 )
 
-// Mesh joins parties that talk to each other over datagrams and connections. Each party has one address for all others.
-// A link knows the sender by the source IP address, which every party has to itself.
+// Mesh connects parties that communicate over datagrams and connections. All others reach a party at one address. The mesh
+// identifies a sender by its source IP address, which no other party has.
 type Mesh struct {
 	mu         sync.Mutex
 	hubs       map[string]*hub          // by party
@@ -27,7 +27,8 @@
 	onRequest  func(from, to string, r *http.Request)
 }
 
-// hub is where all others reach one party: one socket for datagrams and one listener, however many others there are.
+// hub receives what all others send to one party. It has one socket for datagrams and one listener, however many others
+// there are.
 type hub struct {
 	mesh      *Mesh
 	name      string
@@ -43,8 +44,8 @@
 	link *Link // carries the connections that the sender opens
 
 	mu        sync.Mutex
-	requested State // as set for this direction
-	effective State // with what the opposite direction adds
+	requested State // as passed to Mesh.Set
+	effective State // requested, with the silence and the reset that the opposite direction requests
 	rng       *rand.Rand
 	count     Passed
 }
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// Set changes what the link between two parties does from now on. Forth is what from sends, also over connections that
-// to opened.
+// Set changes what the link between two parties does from now on. In s, forth stands for what from sends, also over
+// connections that to opened.
 func (m *Mesh) Set(from, to string, s State) error {
 	m.mu.Lock()
 	d, opposite := m.directions[[2]string{from, to}], m.directions[[2]string{to, from}]
@@ -108,7 +109,7 @@
 	return errors.Join(d.combine(opposite), opposite.combine(d))
 }
 
-// combine puts in force what is set for this direction and for the opposite one.
+// combine sets the effective state from the states requested for this direction and for the opposite one.
 func (d *direction) combine(opposite *direction) error {
 	opposite.mu.Lock()
 	o := opposite.requested
@@ -134,7 +135,7 @@
 	return d.count
 }
 
-// directionFrom returns the direction to h from the party with an address, nil if no party has it.
+// directionFrom returns the direction to h from the party with an address, or nil if no party has it.
 func (h *hub) directionFrom(address net.IP) *direction {
 	h.mesh.mu.Lock()
 	defer h.mesh.mu.Unlock()
@@ -161,19 +162,19 @@
 			continue
 		}
 		if wait <= 0 {
-			_, _ = h.datagrams.WriteToUDP(buf[:n], h.target) // a datagram may be lost
+			_, _ = h.datagrams.WriteToUDP(buf[:n], h.target) // the error is ignored: UDP may lose a datagram anyway
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
 		h.held.Add(1)
 		time.AfterFunc(wait, func() {
 			h.held.Add(-1)
-			_, _ = h.datagrams.WriteToUDP(data, h.target) // may be lost too; fails once the mesh is closed
+			_, _ = h.datagrams.WriteToUDP(data, h.target) // the error is ignored: UDP may lose the datagram anyway, and the write fails once the mesh is closed
 		})
 	}
 }
 
-// drawDelay draws the delay of a datagram of n bytes, or whether it is lost, and counts it.
+// drawDelay draws whether a datagram of n bytes is lost, and its delay if it is not, and counts the datagram.
 func (d *direction) drawDelay(n int) (wait time.Duration, lost bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -191,7 +192,7 @@
 	return wait, false
 }
 
-// accept forwards connections until the mesh closes. On a silent link they come up and no data passes.
+// accept forwards connections until the mesh closes. On a silent link, connections are established but pass no data.
 func (h *hub) accept() {
 	for {
 		c, err := h.listener.Accept()
--- a/internal/lab/relay/mesh_test.go
+++ b/internal/lab/relay/mesh_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Finds a port that is free for TCP and UDP, as above.
+	// Finds a port for the mesh. A port that is free for TCP is taken to be free for UDP too, as above.
 	free, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,8 +78,8 @@
 	}
 }
 
-// A cut of one direction drops what a sends, as datagrams and over connections that b opened, and nothing of what b
-// sends.
+// While the direction from a to b is cut, the datagrams that a sends are dropped, and what it sends over a connection that b
+// opened is held back. What b sends arrives.
 func TestMeshCutsOneWay(t *testing.T) {
 	m, a, b := newMeshOfTwo(t)
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: b.udp.LocalAddr().(*net.UDPAddr).IP}, Timeout: testTimeout}
@@ -147,14 +147,14 @@
 		}
 	}
 	if lost := m.Count("a", "b").Lost; lost < datagrams/5 || lost > datagrams*2/5 {
-		t.Errorf("%d of %d datagrams lost, want from %d to %d", lost, datagrams, datagrams/5, datagrams*2/5)
+		t.Errorf("got %d of %d datagrams lost, want %d to %d", lost, datagrams, datagrams/5, datagrams*2/5)
 	}
 }
 
-// A connection from an address that is no party's is broken.
+// A connection from an address that belongs to no party is broken.
 func TestMeshKnowsItsParties(t *testing.T) {
 	_, _, b := newMeshOfTwo(t)
-	c, err := net.DialTimeout("tcp", b.address, testTimeout) // from an address that is no party's
+	c, err := net.DialTimeout("tcp", b.address, testTimeout) // from an address that belongs to no party
 	if err == nil {
 		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(testTimeout))
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -19,17 +19,17 @@
 // State is what a link does to the traffic. The zero State passes everything at once.
 type State struct {
 	Delay  time.Duration // in each direction
-	Jitter time.Duration // greatest further delay; on a connection it depends on the bytes' position, so that it repeats
-	Setup  time.Duration // further delay of a connection's first bytes, for its handshakes
+	Jitter time.Duration // maximum additional delay; on a connection it depends on the position of the bytes only, so that a run can be repeated
+	Setup  time.Duration // additional delay of a connection's first bytes, for its handshakes
 	Rate   int           // bytes per second in each direction; 0 is no limit
-	Chop   int           // greatest number of bytes passed on at once; 0 is no limit
+	Chop   int           // maximum number of bytes that one write passes on; 0 is no limit
 
-	// SilentForth and SilentBack hold back everything in that direction, new connections too: nothing arrives and
-	// nothing fails.
+	// SilentForth and SilentBack hold back all data in that direction, and new connections: nothing arrives and nothing
+	// fails.
 	SilentForth, SilentBack bool
 	// Reset breaks open connections and refuses new ones.
 	Reset bool
-	// Loss is the share of datagrams that are dropped. On a connection, that share of the pieces is delayed by
+	// Loss is the share of datagrams that are dropped. On a connection, that share of the pieces read is delayed by
 	// retransmitAfter.
 	Loss float64
 	// ResetShare is the share of new connections that are reset at the first byte of their first answer.
@@ -37,11 +37,11 @@
 }
 
 const (
-	pieceBytes    = 32 << 10 // largest read; a direction queues at most 8 of them, besides the kernel's buffers
+	pieceBytes    = 32 << 10 // maximum size of a read; a direction queues at most 8 reads, besides the kernel's buffers
 	maxHeldPieces = 8
 	dialLimit     = 2 * time.Second
 	backlog       = 1024
-	// retransmitAfter is the shortest time after which Linux sends lost data of a connection again.
+	// retransmitAfter is the shortest time after which Linux retransmits lost data of a connection.
 	retransmitAfter = 200 * time.Millisecond
 )
 
@@ -51,7 +51,7 @@
 	target    string
 	onBegin   func(localAddr string) // called when a connection to the target is open, before any byte passes; nil if nobody observes it
 	onRequest func(*http.Request)    // called for each request that the initiator sends; nil if nobody observes them
-	onEnd     func(localAddr string) // called when the initiator ends the connection or its sending, also on a silent link
+	onEnd     func(localAddr string) // called when the initiator closes the connection or its sending direction, also on a silent link
 
 	mu            sync.Mutex
 	state         State
@@ -125,13 +125,13 @@
 		wasFiller := slices.ContainsFunc(l.queueFillers, func(s net.Conn) bool { return s.LocalAddr().String() == c.RemoteAddr().String() })
 		l.queueFillers = append(l.queueFillers, c)
 		if wasFiller { // the queue has room again
-			_ = l.fillQueue() // on an error, new connections come up and hang
+			_ = l.fillQueue() // after an error, new connections are established, but hang
 		}
 		return
 	}
 	p := &pair{in: c}
 	l.acceptedCount++
-	// Evenly spread over the connections, so that a run repeats: every 8th for a share of 0.125.
+	// The resets are spread evenly, so that a run can be repeated: with a share of 0.125, every 8th connection is reset.
 	p.resetAtAnswer = int(float64(l.acceptedCount)*l.state.ResetShare) > int(float64(l.acceptedCount-1)*l.state.ResetShare)
 	l.conns[p] = true
 	l.done.Add(1)
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// awaitSilenceEnd waits while the link is silent. It reports false once its listener is no longer in use.
+// awaitSilenceEnd waits while the link is silent. It returns false once the listener ln is no longer in use.
 func (l *Link) awaitSilenceEnd(ln *net.TCPListener) bool {
 	for {
 		l.mu.Lock()
@@ -300,15 +300,16 @@
 	_ = p.out.Close()
 }
 
-// piece is data on its way. Its err, if there is one, ends the direction.
+// piece is the result of one read. If err is not nil, the direction ends after the data.
 type piece struct {
 	data     []byte
 	received time.Time
 	err      error
 }
 
-// copyDirection forwards one direction of a pair, from the initiator to the target if forth. A goroutine reads, so that
-// an end is always noticed; the caller's goroutine writes when the link's state lets it.
+// copyDirection forwards one direction of a pair: initiator to target if forth is set, otherwise target to initiator.
+// Reading has its own goroutine, so that the end of the connection is noticed even while the link's state blocks writing,
+// which the caller's goroutine does.
 func (l *Link) copyDirection(p *pair, forth bool) {
 	from, to := p.in, p.out
 	if !forth {
@@ -319,7 +320,7 @@
 	if forth && l.onRequest != nil {
 		requests = newTap(l.onRequest)
 	}
-	go func() { // ends with from, which abort closes after a failed write
+	go func() { // ends when from is closed, which abort does after a failed write
 		defer close(pieces)
 		defer requests.close()
 		buf := make([]byte, pieceBytes)
@@ -368,7 +369,8 @@
 	}
 }
 
-// awaitRelease waits until bytes received at a time may be passed on. It reports false once the link is closed.
+// awaitRelease waits until bytes that were received at the given time may be passed on. It returns false once the link is
+// closed.
 func (l *Link) awaitRelease(received time.Time, forth, first bool, passed int) bool {
 	for {
 		s, changed, closed := l.current()
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// On a silent link, open connections stay open and bring no data, and new ones don't come up. Afterwards both work
-// again.
+// On a silent link, open connections stay open but pass no data, and new ones are not established. After the silence, both
+// work again.
 func TestSilence(t *testing.T) {
 	for name, s := range map[string]State{"forth": {SilentForth: true}, "back": {SilentBack: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// Guards against an accept queue that is left empty when a call to Accept, begun before the silence and delayed, takes
-// the connection that was to fill the queue.
+// Guards against an accept queue that stays empty during a silence. A call to Accept that began before the silence may take
+// the connection that was to fill the queue; the queue must then be filled again.
 func TestSilenceWhoseQueueWasTakenFrom(t *testing.T) {
 	l := newLink(t, nil)
 	setState(t, l, State{SilentBack: true})
@@ -183,7 +183,7 @@
 		}
 	}
 	if failed != 2 {
-		t.Errorf("%d of 8 connections failed, want 2", failed)
+		t.Errorf("got %d of 8 connections failed, want 2", failed)
 	}
 }
 
--- a/internal/lab/relay/tap.go
+++ b/internal/lab/relay/tap.go
@@ -24,7 +24,7 @@
 				onRequest(req)
 				_, err = io.Copy(io.Discard, req.Body)
 			}
-			if err != nil { // the end, or data that isn't HTTP: the tap ignores the rest, and the link forwards it
+			if err != nil { // the data has ended or isn't HTTP: the tap ignores the rest, which the link still forwards
 				out.CloseWithError(err)
 				return
 			}
@@ -55,7 +55,7 @@
 // before parties are added.
 func (m *Mesh) Hear(onRequest func(from, to string, r *http.Request)) { m.onRequest = onRequest }
 
-// requestObserver returns the function that a link of the mesh calls for each request, nil if nobody observes them.
+// requestObserver returns the function that a link of the mesh calls for each request, or nil if nobody observes them.
 func (m *Mesh) requestObserver(from, to string) func(*http.Request) {
 	if m.onRequest == nil {
 		return nil
