--- a/internal/lab/fake/naive.go
+++ b/internal/lab/fake/naive.go
@@ -329,8 +329,8 @@
 	out.Header.Set("X-Request-ID", r.Header.Get("X-Request-ID"))
 	resp, err := n.client.Do(out)
 	if err != nil {
-		var dial *net.OpError
-		if errors.As(err, &dial) && dial.Op == "dial" {
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
 			return statusNotRun, nil
 		}
 		return http.StatusBadGateway, nil
--- a/internal/lab/memnet/conn.go
+++ b/internal/lab/memnet/conn.go
@@ -56,20 +56,19 @@
 	return slices.ContainsFunc(e.inbox, func(s segment) bool { return errors.Is(s.err, errReset) && reached(s.due) })
 }
 
-// send sends bytes, or err in their place, to the other end. They arrive after the connection's delay and the additional
-// time after.
-func (e *connEnd) send(after time.Duration, bytes []byte, err error) {
+// send sends bytes, or err in their place, to the other end. They arrive after the connection's delay and extraDelay.
+func (e *connEnd) send(extraDelay time.Duration, bytes []byte, err error) {
 	p := e.peer
 	if p.closed {
 		return
 	}
-	p.inbox = append(p.inbox, segment{time.Now().Add(after + e.delay), bytes, err})
+	p.inbox = append(p.inbox, segment{time.Now().Add(extraDelay + e.delay), bytes, err})
 	p.inboxBytes += len(bytes)
-	time.AfterFunc(after+e.delay, e.network.wake)
+	time.AfterFunc(extraDelay+e.delay, e.network.wake)
 }
 
 // Pending reports what has arrived and is unread. end is true if the other side has ended the connection, even if unread
-// bytes precede the end; bytes is true if there are unread bytes and no end.
+// bytes precede the end, or if this end is closed; bytes is true if there are unread bytes and no end.
 func (e *connEnd) Pending() (bytes, end bool) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -125,12 +125,12 @@
 	h.network.changed.Broadcast()
 }
 
-// Late delays the next connection to the host by the given time. If the time is negative, that connection is never
+// Late delays the next connection to the host by the given time. If that is negative, that connection is never
 // established. A further call applies to the connection after that.
-func (h *Host) Late(by time.Duration) {
+func (h *Host) Late(delay time.Duration) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	h.connectDelays = append(h.connectDelays, by)
+	h.connectDelays = append(h.connectDelays, delay)
 }
 
 // Kill ends the host's process: its connections are reset, and new ones are refused until it listens again.
--- a/internal/lab/relay/mesh_test.go
+++ b/internal/lab/relay/mesh_test.go
@@ -99,18 +99,18 @@
 	if got := a.receive(t); got != "heard" {
 		t.Errorf("a received %q, want \"heard\"", got)
 	}
-	one := make([]byte, 1)
+	buf := make([]byte, 1)
 	if _, err := c.Write([]byte{7}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(in, one); err != nil {
+	if _, err := io.ReadFull(in, buf); err != nil {
 		t.Errorf("a reading b's byte: got error %v, want none", err)
 	}
 	if _, err := in.Write([]byte{8}); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if _, err := c.Read(one); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("b reading a's byte during the cut: got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	setMeshState(t, m, State{})
@@ -119,8 +119,8 @@
 		t.Errorf("b received %q, want \"after\"", got)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, err := io.ReadFull(c, one); err != nil || one[0] != 8 {
-		t.Errorf("b reading a's byte after the cut: got %d and error %v, want 8 and no error", one[0], err)
+	if _, err := io.ReadFull(c, buf); err != nil || buf[0] != 8 {
+		t.Errorf("b reading a's byte after the cut: got %d and error %v, want 8 and no error", buf[0], err)
 	}
 	if got := m.Count("a", "b"); got.Lost != 1 || got.Packets != 1 {
 		t.Errorf("datagrams from a to b: got %+v, want 1 lost and 1 passed", got)
--- a/internal/statestore/settings_test.go
+++ b/internal/statestore/settings_test.go
@@ -70,8 +70,8 @@
 	if err != nil || l.Settings != nil || len(l.Corruptions) != 1 {
 		t.Errorf("damaged file: got settings %+v, corruptions %v, error %v, want no settings and 1 corruption", l.Settings, l.Corruptions, err)
 	}
-	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
-		t.Errorf("Repair: got corruptions %v, error %v, want 1 corruption and no error", dropped, err)
+	if corruptions, err := Repair(dir, noon); err != nil || len(corruptions) != 1 {
+		t.Errorf("Repair: got corruptions %v, error %v, want 1 corruption and no error", corruptions, err)
 	}
 	if l, err = New(dir, "s1").Load(noon); err != nil || l.Settings != nil || len(l.Corruptions) != 0 {
 		t.Errorf("after Repair: got settings %+v, corruptions %v, error %v, want none", l.Settings, l.Corruptions, err)
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -165,8 +165,8 @@
 	if err := s.Release(false); err != nil {
 		t.Fatal(err)
 	}
-	if dropped, err := Repair(dir, noon); err != nil || len(dropped) != 1 {
-		t.Errorf("Repair: got corruptions %v, error %v, want 1 corruption and no error", dropped, err)
+	if corruptions, err := Repair(dir, noon); err != nil || len(corruptions) != 1 {
+		t.Errorf("Repair: got corruptions %v, error %v, want 1 corruption and no error", corruptions, err)
 	}
 	if s, corruptions, err := Summarize(dir, noon); err != nil || len(corruptions) > 0 || s.Upstreams != 2 || len(s.Quarantined) != 1 || len(s.Bans) != 1 {
 		t.Errorf("after Repair: got %+v, corruptions %v, error %v, want 2 upstreams, 1 quarantined file, 1 ban, no corruption", s, corruptions, err)
