--- a/cmd/mosslead-sidecar/descriptors_test.go
+++ b/cmd/mosslead-sidecar/descriptors_test.go
@@ -86,10 +86,10 @@
 }
 
 // Guards against a process that lacks descriptors because idle clients take all that they can get, while discovery is silent and
-// operators hold connections open. If also more requests hang than there are descriptors for clients, the process stays within
-// its limit, the descriptors that it reserves for itself are enough, and SIGHUP can open the file. With idle clients alone, a new
-// client is served within a second after discovery answers again. With requests that hang this is not tested, because then the
-// balancer decides which requests are admitted.
+// operators hold connections open. If, in addition, more requests hang than there are descriptors for clients, the process stays
+// within its limit, the descriptors that it reserves for itself are enough, and SIGHUP can open the file. With idle clients
+// alone, a new client is served within a second after discovery answers again. With requests that hang this is not tested,
+// because then the balancer decides which requests are admitted.
 func TestIdleClientsTakeEveryDescriptor(t *testing.T) {
 	for name, hanging := range map[string]bool{"with requests that hang": true, "alone": false} {
 		t.Run(name, func(t *testing.T) { testIdleClients(t, hanging) })
@@ -118,7 +118,7 @@
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("not within 20s: %s", what)
+				t.Fatalf("timeout after 20s, want: %s", what)
 			}
 		}
 	}
@@ -131,10 +131,10 @@
 	}
 	wait("two watches, and a third that replaces one of them", func() bool { return calls.Load() >= 3 })
 	http.DefaultClient.CloseIdleConnections()
-	most := descriptors(t, cmd.Process.Pid)
-	t.Logf("%d descriptors without clients", most)
-	if most > reservedDescriptors+adminDescriptors {
-		t.Errorf("without clients: got %d descriptors, want at most the %d reserved", most, reservedDescriptors+adminDescriptors)
+	maxOpen := descriptors(t, cmd.Process.Pid)
+	t.Logf("%d descriptors without clients", maxOpen)
+	if maxOpen > reservedDescriptors+adminDescriptors {
+		t.Errorf("without clients: got %d descriptors, want at most the %d reserved", maxOpen, reservedDescriptors+adminDescriptors)
 	}
 
 	// connectRepeatedly starts n clients, each of which connects again and again and calls use, until stop is called.
@@ -172,10 +172,10 @@
 	reloads := 0
 	// This takes at least two seconds; a busy machine may need longer until all available descriptors are taken.
 	begun := time.Now()
-	allTaken := func() bool { return !hanging || most >= limit-reservedDescriptors }
+	allTaken := func() bool { return !hanging || maxOpen >= limit-reservedDescriptors }
 	for ; time.Since(begun) < 2*time.Second || !allTaken() && time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
-		if n := descriptors(t, cmd.Process.Pid); n > most {
-			most = n
+		if n := descriptors(t, cmd.Process.Pid); n > maxOpen {
+			maxOpen = n
 		}
 		if reloads++; reloads%20 == 0 {
 			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -183,12 +183,12 @@
 			}
 		}
 	}
-	t.Logf("at most %d descriptors", most)
-	if most > limit {
-		t.Errorf("got %d descriptors, want at most %d", most, limit)
+	t.Logf("at most %d descriptors", maxOpen)
+	if maxOpen > limit {
+		t.Errorf("got %d descriptors, want at most %d", maxOpen, limit)
 	}
 	if !allTaken() {
-		t.Errorf("got at most %d descriptors, want at least %d: all that are not reserved", most, limit-reservedDescriptors)
+		t.Errorf("got at most %d descriptors, want at least %d: all that are not reserved", maxOpen, limit-reservedDescriptors)
 	}
 	if log := stderr.String(); strings.Contains(log, reloadRejected) || strings.Contains(log, "too many open files") {
 		t.Errorf("got log %s, want no rejected reload and no lack of descriptors", log)
--- a/cmd/mosslead-sidecar/main.go
+++ b/cmd/mosslead-sidecar/main.go
@@ -24,7 +24,7 @@
 	slog.SetDefault(slog.New(handler(os.Stderr)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one pending signal is enough for all that follow
+	hup := make(chan os.Signal, 1) // one pending signal also stands for those that follow it
 	signal.Notify(hup, syscall.SIGHUP)
 	path := os.Getenv("GW_CONFIG")
 	c, err := sidecar.LoadConfig(path)
--- a/cmd/mosslead-sidecar/main_test.go
+++ b/cmd/mosslead-sidecar/main_test.go
@@ -77,7 +77,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("not ready within 20s, last error %v", err)
+			t.Fatalf("got no status 200 from /-/ready within 20s (last error %v), want one", err)
 		}
 	}
 }
--- a/cmd/mosslead-sidecar/restart_test.go
+++ b/cmd/mosslead-sidecar/restart_test.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if n < count*9/10 {
-		t.Errorf("after 10 s: got %d of %d processes ready, want %d", n, count, count*9/10)
+		t.Errorf("after 10 s: got %d of %d processes ready, want at least %d", n, count, count*9/10)
 	}
 	t.Logf("%d of %d ready after %v", n, count, time.Since(begun))
 	for _, cmd := range cmds {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -36,7 +36,7 @@
 	verbose        bool
 }
 
-// Main runs the command and returns its exit status. SIGINT and SIGTERM cancel its context.
+// Main runs the command and returns its exit status. SIGINT and SIGTERM cancel the command's context.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -95,7 +95,7 @@
 	return slog.New(slog.NewJSONHandler(a.stderr, options))
 }
 
-// newServerLogger returns the logger of a command that runs a server. It logs normal events too, also without --verbose.
+// newServerLogger returns the logger of a command that runs a server. It logs normal events even without --verbose.
 func (a *app) newServerLogger() *slog.Logger { return a.newLogger(slog.LevelInfo) }
 
 // version returns the version of the module and the revision that it was built from.
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -48,7 +48,7 @@
 
 func (a *app) configPut(replicas *string) *cobra.Command {
 	var path string
-	var based int64
+	var ifVersion int64
 	c := &cobra.Command{
 		Use:   "put SERVICE --file FILE",
 		Short: "Change the settings of a service, once they pass the check that its sidecars make",
@@ -59,19 +59,19 @@
 	}
 	format := outputFlag(c)
 	c.Flags().StringVar(&path, "file", "", "settings, as a sidecar's file has them under \"settings\"; -: standard input")
-	c.Flags().Int64Var(&based, "if-version", -1, "put only if the settings are at this version; 0: only if there are none")
+	c.Flags().Int64Var(&ifVersion, "if-version", -1, "put only if the settings are at this version; 0: only if there are none")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if path == "" {
 			return usageError{errors.New("config put: --file FILE")}
 		}
-		if c.Flags().Changed("if-version") && based < 0 {
-			return usageError{fmt.Errorf("--if-version: at least 0, not %d", based)}
+		if c.Flags().Changed("if-version") && ifVersion < 0 {
+			return usageError{fmt.Errorf("--if-version: at least 0, not %d", ifVersion)}
 		}
 		text, err := readSettings(c.InOrStdin(), path)
 		if err != nil {
 			return usageError{err}
 		}
-		return a.applyChange(c, *replicas, *format, settingsChange{service: args[0], baseVersion: based, schema: settings.Schema, settings: text})
+		return a.applyChange(c, *replicas, *format, settingsChange{service: args[0], baseVersion: ifVersion, schema: settings.Schema, settings: text})
 	}
 	return c
 }
@@ -100,7 +100,7 @@
 		p := settings.Locate(text, err)
 		if p.Line > 0 {
 			if reason := errors.Unwrap(err); reason != nil && strings.HasPrefix(err.Error(), "line ") {
-				err = reason // without the line, which the error names already
+				err = reason // drops "line N" from the error, since name holds the line
 			}
 			name = fmt.Sprintf("%s:%d:%d", name, p.Line, p.Column)
 		}
@@ -147,7 +147,7 @@
 			if none && change.settings == nil {
 				return api.Errorf(api.CodeNotFound, "there are no settings of %s", change.service)
 			}
-			if change.baseVersion = change.base.Revision; none { // a put after a deletion is based on 0: the deletion may be of another region
+			if change.baseVersion = change.base.Revision; none { // a put after a deletion is based on 0, since the deletion may have been made in another region
 				change.baseVersion = 0
 			}
 		}
@@ -349,7 +349,7 @@
 }
 
 func (a *app) configDelete(replicas *string) *cobra.Command {
-	var based int64
+	var ifVersion int64
 	c := &cobra.Command{
 		Use:     "delete SERVICE",
 		Short:   "End the settings of a service: its sidecars go back to those of their files",
@@ -357,12 +357,12 @@
 		Args:    checkArgs(cobra.ExactArgs(1)),
 	}
 	format := outputFlag(c)
-	c.Flags().Int64Var(&based, "if-version", -1, "delete only if the settings are at this version")
+	c.Flags().Int64Var(&ifVersion, "if-version", -1, "delete only if the settings are at this version")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		if c.Flags().Changed("if-version") && based < 1 {
-			return usageError{fmt.Errorf("--if-version: at least 1, not %d", based)}
+		if c.Flags().Changed("if-version") && ifVersion < 1 {
+			return usageError{fmt.Errorf("--if-version: at least 1, not %d", ifVersion)}
 		}
-		return a.applyChange(c, *replicas, *format, settingsChange{service: args[0], baseVersion: based})
+		return a.applyChange(c, *replicas, *format, settingsChange{service: args[0], baseVersion: ifVersion})
 	}
 	return c
 }
--- a/internal/cli/config_status.go
+++ b/internal/cli/config_status.go
@@ -17,7 +17,7 @@
 	"mosslead/internal/registry/client"
 )
 
-// maxListedSidecars is how many of the sidecars where a document is not in force a table lists; -o json has all that the service lists.
+// maxListedSidecars is the maximum number of sidecars without a document in force that a table lists; -o json has all that the service lists.
 const maxListedSidecars = 20
 
 // regionStatus is the response of one region about the settings at its own sidecars.
@@ -79,7 +79,7 @@
 
 // regionClient is a client of the list service of a region.
 type regionClient struct {
-	name    string // expected name of the region; empty if any is right
+	name    string // expected name of the region; empty if any name is accepted
 	service *client.Client
 }
 
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -118,7 +118,7 @@
 
 // Guards against a mistake in a file, a flag or an argument that leads to a request, or to an error of several lines.
 func TestMistakesInSettingsAreFoundBeforeAnybodyIsAsked(t *testing.T) {
-	s, at := startFakeService(t, ordersSettings)
+	s, address := startFakeService(t, ordersSettings)
 	good := writeOrdersFile(t, ordersSettings)
 	bad := func(old, new string) string { return writeOrdersFile(t, strings.Replace(ordersSettings, old, new, 1)) }
 	for _, c := range []struct {
@@ -156,7 +156,7 @@
 	} {
 		args := append([]string{"config"}, c.args...)
 		if !strings.Contains(strings.Join(args, " "), "--registry") {
-			args = append(args, "--registry", at)
+			args = append(args, "--registry", address)
 		}
 		status, stdout, stderr := call(t, args...)
 		if status != exitUsage || stdout != "" || !strings.Contains(stderr, c.want) || strings.Count(stderr, "\n") != 1 {
@@ -179,7 +179,7 @@
 
 // Settings can be put, read, reverted to an earlier version and deleted. Each change is a new version, based on the current one.
 func TestSettingsArePutReadAndTakenBack(t *testing.T) {
-	s, at := startFakeService(t)
+	s, address := startFakeService(t)
 	first, second := writeOrdersFile(t, ordersSettings), writeOrdersFile(t, otherSettings)
 	for _, c := range []struct {
 		line, stdout, stderr string
@@ -206,7 +206,7 @@
 		{"back orders --to 28", "", "version 28 of the settings of orders is not remembered", exitFailed},
 		{"back orders --to 14", "orders   done     42       35", "", exitOK},
 	} {
-		status, stdout, stderr := call(t, append(strings.Fields("config "+c.line), "--registry", at)...)
+		status, stdout, stderr := call(t, append(strings.Fields("config "+c.line), "--registry", address)...)
 		if status != c.status || !strings.Contains(stdout, c.stdout) || c.stdout == "" && stdout != "" || !strings.Contains(stderr, c.stderr) || c.stderr == "" && stderr != "" {
 			t.Fatalf("%s: got status %d, stdout %q, stderr %q; want status %d, stdout %q, stderr %q", c.line, status, stdout, stderr, c.status, c.stdout, c.stderr)
 		}
@@ -216,7 +216,7 @@
 	}
 }
 
-// Guards against a wrong outcome of a change whose response is lost: the command looks up whether it was done.
+// Guards against a wrongly reported outcome of a change whose response is lost: the command looks up whether the change was done.
 func TestTheOutcomeOfAPutWhoseAnswerIsLostIsTheTrueOne(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -249,11 +249,11 @@
 		{"not deleted", 2, func(*fakeService, func()) {}, true, outcomeNotDone, 14, exitFailed, "the delete was not done up to now"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, at := startFakeService(t, []string{ordersSettings, ordersSettings}[:c.before]...)
+			s, address := startFakeService(t, []string{ordersSettings, ordersSettings}[:c.before]...)
 			s.loseAnswer = c.lose
-			args := []string{"config", "put", "orders", "--file", writeOrdersFile(t, otherSettings), "-o", "json", "--registry", at}
+			args := []string{"config", "put", "orders", "--file", writeOrdersFile(t, otherSettings), "-o", "json", "--registry", address}
 			if c.delete {
-				args = []string{"config", "delete", "orders", "-o", "json", "--registry", at}
+				args = []string{"config", "delete", "orders", "-o", "json", "--registry", address}
 			}
 			status, stdout, stderr := call(t, args...)
 			var got changeResult
@@ -293,7 +293,7 @@
 	return status, outBuf.String(), errBuf.String()
 }
 
-// A service that can't be reached is an error of one line, and a change is not reported as done.
+// If the service can't be reached, a command prints an error of one line, and does not report a change as done.
 func TestAServiceThatCantBeReachedIsSaid(t *testing.T) {
 	path := writeOrdersFile(t, ordersSettings)
 	for _, line := range []string{"put orders --file " + path, "put orders --if-version 3 --file " + path, "get orders", "get", "back orders", "delete orders", "status"} {
@@ -301,7 +301,7 @@
 			t.Parallel()
 			status, stdout, stderr := callWithin1s(t, append(strings.Fields("config "+line), "--registry", "127.0.0.1:1")...)
 			if status != exitFailed || !strings.Contains(stderr, "connection refused") || strings.Count(stderr, "\n") != 1 || strings.Contains(stdout, outcomeDone) {
-				t.Errorf("got status %d, stdout %q, stderr %q; want status %d, one line on stderr with connection refused, no outcome %s", status, stdout, stderr, exitFailed, outcomeDone)
+				t.Errorf("got status %d, stdout %q, stderr %q; want status %d, one line on stderr with \"connection refused\", no outcome %s on stdout", status, stdout, stderr, exitFailed, outcomeDone)
 			}
 		})
 	}
@@ -309,15 +309,15 @@
 	defer server.Close()
 	if status, stdout, stderr := callWithin1s(t, "config", "get", "orders", "--registry", server.Listener.Addr().String()); status != exitFailed || stdout != "" ||
 		!strings.Contains(stderr, "invalid character") {
-		t.Errorf("response that is not JSON: got status %d, stdout %q, stderr %q; want status %d, no stdout, stderr with invalid character", status, stdout, stderr, exitFailed)
+		t.Errorf("response that is not JSON: got status %d, stdout %q, stderr %q; want status %d, no stdout, stderr with \"invalid character\"", status, stdout, stderr, exitFailed)
 	}
 }
 
 // The status lists the counts of each region, and the sidecars where settings are not in force, with the reason. A region that does not
 // respond is named after the other regions' counts, and the command fails.
 func TestStatusTellsRegionsApart(t *testing.T) {
-	south, at := startFakeService(t)
-	north, northAt := startFakeService(t)
+	south, address := startFakeService(t)
+	north, northAddress := startFakeService(t)
 	document := api.Document{Service: "orders", Region: "south", Revision: 41, Schema: 1}
 	south.rollouts = api.Rollouts{Region: "south", Rollouts: []api.Rollout{
 		{Document: document, InForce: 7, Behind: 1, Rejected: 1, Silent: 25, NotInForce: []api.Ack{
@@ -327,7 +327,7 @@
 		south.rollouts.Rollouts[0].NotInForce = append(south.rollouts.Rollouts[0].NotInForce, api.Ack{Node: "n0", Region: "north", Revision: 9})
 	}
 	north.rollouts = api.Rollouts{Region: "north", Rollouts: []api.Rollout{{Document: document, InForce: 5}}}
-	status, stdout, stderr := call(t, "config", "status", "--registry", at, "--region", "north="+northAt)
+	status, stdout, stderr := call(t, "config", "status", "--registry", address, "--region", "north="+northAddress)
 	for _, want := range []string{"orders   south  41         south        7         1       1         25", "orders   south  41         north        5",
 		"fares    south  3 deleted", "orders version 41 is not in force in south at:", "rejected 41: setting Classes: none given", "has its file's settings", "not heard for 3m1s",
 		"has version 9 of north", "and 7 more"} {
@@ -335,18 +335,18 @@
 			t.Errorf("got status %d, stderr %q; want status %d, no stderr, and %q in stdout:\n%s", status, stderr, exitOK, want, stdout)
 		}
 	}
-	if status, stdout, _ := call(t, "config", "status", "fares", "--registry", at, "--region", "north="+northAt); status != exitOK || strings.Contains(stdout, "orders") {
+	if status, stdout, _ := call(t, "config", "status", "fares", "--registry", address, "--region", "north="+northAddress); status != exitOK || strings.Contains(stdout, "orders") {
 		t.Errorf("status of fares: got status %d, want %d, and no orders in stdout:\n%s", status, exitOK, stdout)
 	}
-	if status, _, stderr := call(t, "config", "status", "nothing", "--registry", at); status != exitFailed || !strings.Contains(stderr, "there are no settings of nothing") {
-		t.Errorf("status of an unknown service: got status %d, stderr %q; want status %d, stderr with there are no settings of nothing", status, stderr, exitFailed)
+	if status, _, stderr := call(t, "config", "status", "nothing", "--registry", address); status != exitFailed || !strings.Contains(stderr, "there are no settings of nothing") {
+		t.Errorf("status of an unknown service: got status %d, stderr %q; want status %d, stderr with \"there are no settings of nothing\"", status, stderr, exitFailed)
 	}
-	status, stdout, stderr = callWithin1s(t, "config", "status", "--registry", at, "--region", "west=127.0.0.1:1", "--region", "east="+northAt)
+	status, stdout, stderr = callWithin1s(t, "config", "status", "--registry", address, "--region", "west=127.0.0.1:1", "--region", "east="+northAddress)
 	if status != exitFailed || !strings.Contains(stderr, "no answer from west, east") || !strings.Contains(stdout, "connection refused") ||
 		!strings.Contains(stdout, `east: region "north" answers there`) || !strings.Contains(stdout, "orders   south  41") {
-		t.Errorf("west and east: got status %d, stderr %q; want status %d, no answer from west, east, and in stdout the reasons and the counts of south:\n%s", status, stderr, exitFailed, stdout)
+		t.Errorf("west and east: got status %d, stderr %q; want status %d, stderr with \"no answer from west, east\", and the reasons and the counts of south in stdout:\n%s", status, stderr, exitFailed, stdout)
 	}
-	status, stdout, _ = callWithin1s(t, "config", "status", "-o", "json", "--registry", at, "--region", "west=127.0.0.1:1")
+	status, stdout, _ = callWithin1s(t, "config", "status", "-o", "json", "--registry", address, "--region", "west=127.0.0.1:1")
 	var all struct{ Regions []regionStatus }
 	if err := json.Unmarshal([]byte(stdout), &all); status != exitFailed || err != nil || len(all.Regions) != 2 || all.Regions[0].Rollouts[0].InForce != 7 ||
 		all.Regions[1].Region != "west" || all.Regions[1].Error == "" {
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -20,7 +20,7 @@
 	"mosslead/internal/lab/report"
 )
 
-// threadsPerProcessor is GOMAXPROCS of the laboratory, for each processor.
+// threadsPerProcessor is the factor by which GOMAXPROCS of the laboratory exceeds the number of processors.
 const threadsPerProcessor = 4
 
 func (a *app) lab() *cobra.Command {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// progress shows how far a run is, only on a terminal.
+// progress shows how far a run has got, if standard error is a terminal.
 func (a *app) progress(done, total int, what string) {
 	if !a.terminal {
 		return
@@ -201,7 +201,7 @@
 			w := tabwriter.NewWriter(a.stdout, 0, 4, 2, ' ', 0)
 			for _, path := range paths {
 				e, err := experiment.LoadFile(path)
-				if f, fleetErr := capacity.LoadFleet(path); err != nil && fleetErr == nil { // the file has figures of a fleet, and no experiment
+				if f, fleetErr := capacity.LoadFleet(path); err != nil && fleetErr == nil { // the file holds figures of a fleet, not an experiment
 					_, _ = fmt.Fprintf(w, "%s\t%s\n", path, f.Question)
 					continue
 				}
--- a/internal/cli/leadership.go
+++ b/internal/cli/leadership.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// run plays each kind with each seed, t.concurrent of them at the same time, and returns the results in order. The logs are in
-// directories below dir.
+// run plays each kind with each seed, t.concurrent plays at the same time, and returns the results ordered by kind and seed. The
+// logs are in directories below dir.
 func (t *leadershipTest) run(ctx context.Context, program, dir string) ([]leases.Result, error) {
 	results := make([]leases.Result, len(t.kinds)*t.seeds)
 	errs := make([]error, len(results))
--- a/internal/cli/loadtest.go
+++ b/internal/cli/loadtest.go
@@ -19,7 +19,7 @@
 	churnEntries    = 5000
 	churnChanges    = 1500
 	churnTime       = 7 * time.Second
-	churnFraction   = 10 // 1 of churnFraction returning watchers also watches the churn
+	churnFraction   = 10 // the churn is measured with 1/churnFraction of the number of returning watchers
 	returnEntries   = 500
 	returnTime      = time.Second
 )
@@ -27,7 +27,7 @@
 // loadTest holds the parameters of `mosslead lab service`.
 type loadTest struct {
 	watchers, entries  []int         // each number of watchers is measured with each number of entries
-	changes, returning int           // changes in each of these measurements; number of watchers that come back at once
+	changes, returning int           // changes in each of these measurements; number of watchers that reconnect at once
 	renewals           float64       // per second
 	length             time.Duration // how long leases are renewed
 }
--- a/internal/cli/registry.go
+++ b/internal/cli/registry.go
@@ -171,7 +171,8 @@
 	return c
 }
 
-// replicationTable writes how far the region of a replica follows other regions. Only the status of the leader has that.
+// replicationTable writes up to which version the region of a replica has replicated other regions. Only the leader's status has
+// these versions.
 func replicationTable(w io.Writer, s api.Status) {
 	if len(s.Replication) == 0 {
 		return
--- a/internal/cli/resultdir.go
+++ b/internal/cli/resultdir.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// resultDir returns the directory that a flag names, or if that is empty the default one of a command, whose name contains the
-// current time. It does not create the directory.
+// resultDir returns flagValue, or if that is empty, the default directory of a command, whose name contains the current time. It
+// does not create the directory.
 func resultDir(flagValue, command string) string {
 	if flagValue != "" {
 		return flagValue
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -43,7 +43,7 @@
 		if err := spec.Check(); err != nil {
 			return usageError{err}
 		}
-		if *format != "table" && *format != "json" { // checked before a run of minutes
+		if *format != "table" && *format != "json" { // checked before a run that takes minutes
 			return usageError{fmt.Errorf("--output: table or json, not %q", *format)}
 		}
 		var err error
@@ -179,7 +179,7 @@
 		Hidden:  true,
 		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			slog.SetDefault(a.log) // the sidecars log warnings to it, without their statistics
+			slog.SetDefault(a.log) // hollow sidecars log to the default logger: warnings, but not their statistics
 			return scale.Host(c.Context(), c.InOrStdin(), a.stdout)
 		},
 	}
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -58,23 +58,23 @@
 	_, _ = fmt.Fprintf(w, "sidecar\t%s\nlast start\t%s\nits end\t%s\nearly ends in a row\t%d\n", s.Sidecar, s.Started, s.Ended, s.EarlyExits)
 	_, _ = fmt.Fprintf(w, "list\t%d upstreams, version %d of %s, %s old\n", s.Upstreams, s.ListIndex, s.ListSource, formatAge(s.ListAgeS))
 	_, _ = fmt.Fprintf(w, "learnt\tof %d upstreams, %s old\n", s.SnapshotEndpoints, formatAge(s.SnapshotAgeS))
-	if k := s.Settings; k != nil {
-		suffix := map[bool]string{true: ", deleted: those of the file are in force"}[k.Deleted]
-		_, _ = fmt.Fprintf(w, "settings\tof %s, version %d of region %q%s, %s old\n", k.Service, k.Version, k.Region, suffix, formatAge(k.AgeS))
+	if stored := s.Settings; stored != nil {
+		suffix := map[bool]string{true: ", deleted: those of the file are in force"}[stored.Deleted]
+		_, _ = fmt.Fprintf(w, "settings\tof %s, version %d of region %q%s, %s old\n", stored.Service, stored.Version, stored.Region, suffix, formatAge(stored.AgeS))
 	}
 	_, _ = fmt.Fprintf(w, "left out\t%s\n", strings.Join(s.Ejected, " "))
-	if k := s.Settings; k != nil {
-		what := fmt.Sprintf("version %d", k.Version)
+	if stored := s.Settings; stored != nil {
+		what := fmt.Sprintf("version %d", stored.Version)
 		switch {
-		case k.Version == 0:
+		case stored.Version == 0:
 			what = "none in force yet"
-		case k.Deleted:
+		case stored.Deleted:
 			what += ", a deletion: those of the file are in force"
 		}
-		if k.Region != "" {
-			what += " of " + k.Region
+		if stored.Region != "" {
+			what += " of " + stored.Region
 		}
-		_, _ = fmt.Fprintf(w, "settings\tof %s: %s, %s old\n", k.Service, what, formatAge(k.AgeS))
+		_, _ = fmt.Fprintf(w, "settings\tof %s: %s, %s old\n", stored.Service, what, formatAge(stored.AgeS))
 	}
 	var bans []string
 	for id, since := range s.Bans {
@@ -104,9 +104,9 @@
 		Example: "  mosslead state check /var/lib/mosslead-sidecar",
 		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, damages, err := summarize(args[0])
+			_, corruptions, err := summarize(args[0])
 			n := 0
-			for _, d := range damages {
+			for _, d := range corruptions {
 				_, _ = fmt.Fprintln(a.stdout, d)
 				if !d.Torn {
 					n++
@@ -134,11 +134,11 @@
 			if _, _, err := summarize(args[0]); err != nil {
 				return err
 			}
-			dropped, err := statestore.Repair(args[0], time.Now())
+			corruptions, err := statestore.Repair(args[0], time.Now())
 			if errors.Is(err, durable.ErrLocked) {
 				return fmt.Errorf("%s: a sidecar writes there; stop it first, or let it put damaged files aside at its next start", args[0])
 			}
-			for _, d := range dropped {
+			for _, d := range corruptions {
 				_, _ = fmt.Fprintf(a.stdout, "dropped %s\n", d)
 			}
 			return err
--- a/internal/cli/transcript_test.go
+++ b/internal/cli/transcript_test.go
@@ -32,7 +32,7 @@
 	*testing.T
 	script *transcript.Script
 	dir    string                        // working directory of the operator
-	taps   map[[2]string]*transcript.Tap // by from and to; the newest if there were several
+	taps   map[[2]string]*transcript.Tap // by the names of both sides, as in newTap; the newest tap of each pair
 }
 
 // region is a list service of one replica, which stores nothing on disk.
@@ -115,7 +115,7 @@
 	return c
 }
 
-// newTap starts a tap, which records the requests of from to the service to at the address target.
+// newTap starts a tap that records the requests that the party from sends to the service to, which listens at target.
 func (h *harness) newTap(from, to, target string) *transcript.Tap {
 	h.Helper()
 	t, err := transcript.NewTap(h.script, from, to, strings.Split(freeAddress(h.T), ":")[0], target)
@@ -125,7 +125,7 @@
 	return t
 }
 
-// tapBetween returns the newest tap that records requests of from to the service to.
+// tapBetween returns the newest tap that newTap started for from and to.
 func (h *harness) tapBetween(from, to string) *transcript.Tap { return h.taps[[2]string{from, to}] }
 
 // writeFile writes settings to a file in the working directory of the operator.
@@ -243,7 +243,7 @@
 type newerService struct {
 	mu      sync.Mutex
 	lines   []string
-	changed chan struct{} // closed with the next line
+	changed chan struct{} // closed and replaced when a line is added
 }
 
 // addLine adds a line and sends it to all watches.
