--- a/internal/cli/loadtest.go
+++ b/internal/cli/loadtest.go
@@ -28,7 +28,7 @@
 type loadTest struct {
 	watchers, entries  []int         // each number of watchers is measured with each number of entries
 	changes, returning int           // changes in each of these measurements; number of watchers that reconnect at once
-	renewals           float64       // per second
+	renewals           float64       // renewals per second
 	length             time.Duration // how long leases are renewed
 }
 
--- a/internal/durable/crashfs/crashfs.go
+++ b/internal/durable/crashfs/crashfs.go
@@ -16,7 +16,7 @@
 	"mosslead/internal/durable"
 )
 
-// FS implements durable.FS. Safe for concurrent use.
+// FS implements durable.FS. It is safe for concurrent use.
 type FS struct {
 	mu       sync.Mutex
 	ops      []op
@@ -48,7 +48,7 @@
 	kind     kind
 	name, to string
 	inode    int
-	offset   int // of a write; -1 if a failed sync lost the write
+	offset   int // offset of a write; -1 if a failed sync lost the write
 	data     []byte
 }
 
--- a/internal/durable/frame.go
+++ b/internal/durable/frame.go
@@ -11,7 +11,7 @@
 )
 
 // All data is written in frames: the magic, the length of the payload, a sequence number that never decreases, the CRC32C of
-// these and of the payload, and the payload. Integers are little-endian.
+// these three and of the payload, and the payload. Integers are little-endian.
 //
 //	4 bytes magic | 4 bytes length | 8 bytes sequence number | 4 bytes CRC32C | payload
 const (
--- a/internal/durable/keyvaluelog.go
+++ b/internal/durable/keyvaluelog.go
@@ -20,7 +20,7 @@
 
 // KeyValueLog stores small entries by key, as a log with group commit: each change is appended as a record, and all changes
 // that wait at the same time become durable with one sync. The log is compacted into a new segment when it has grown, and
-// after a failed write, since nothing may be appended to a file whose content on disk is unknown. Safe for concurrent use.
+// after a failed write, since nothing may be appended to a file whose content on disk is unknown. It is safe for concurrent use.
 type KeyValueLog struct {
 	fs   FS
 	name string
--- a/internal/durable/snapshotfile.go
+++ b/internal/durable/snapshotfile.go
@@ -8,12 +8,12 @@
 const temporarySuffix = ".tmp"
 
 // SnapshotFile stores one value of bounded size, in two generations: a write replaces the older generation, and a read
-// returns the newest intact one. Not safe for concurrent use.
+// returns the newest intact one. It is not safe for concurrent use.
 type SnapshotFile struct {
 	fs         FS
 	name       string
 	maxBytes   int
-	generation uint64 // of the newest value on disk
+	generation uint64 // generation of the newest value on disk
 	loaded     bool
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
 // Package golden compares the encodings of this program with recorded ones: messages between processes of two versions, stored
-// data, configuration keys. The test of a package fails if a field is renamed and its encoded name changes with it. For tests
-// only. `go test -update` records the encodings again; a commit that does so has to explain why the format changes.
+// data, configuration keys. The test of a package fails if a field is renamed and its encoded name changes with it. The
+// package is for tests only. `go test -update` records the encodings again; a commit that does so has to explain why the format changes.
 package golden
 
 import (
--- a/internal/lab/fake/naive.go
+++ b/internal/lab/fake/naive.go
@@ -43,7 +43,7 @@
 // naive is a sidecar that sends each request to a random upstream that is ready and warm.
 type naive struct {
 	breaks    string
-	unsafe    map[string]bool // by class
+	unsafe    map[string]bool // whether requests of a class are unsafe to repeat, by class
 	warmUp    time.Duration
 	client    *http.Client
 	requests  atomic.Int64
--- a/internal/lab/memnet/conn.go
+++ b/internal/lab/memnet/conn.go
@@ -16,7 +16,7 @@
 	host    *Host
 	peer    *connEnd
 	number  int
-	delay   time.Duration // from this end to the other
+	delay   time.Duration // time that data takes from this end to the other
 	addr    *net.TCPAddr
 
 	inbox                       []segment // segments that are on their way to this end, or have arrived and are unread
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -18,7 +18,7 @@
 
 // State is what a link does to the traffic. The zero State passes everything at once.
 type State struct {
-	Delay  time.Duration // in each direction
+	Delay  time.Duration // delay in each direction
 	Jitter time.Duration // maximum additional delay; on a connection it depends on the position of the bytes only, so that a run can be repeated
 	Setup  time.Duration // additional delay of a connection's first bytes, for its handshakes
 	Rate   int           // bytes per second in each direction; 0 is no limit
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// setSilentQueue makes new connections hang, by keeping the accept queue full, or lets them come up again. The caller
+// setSilentQueue makes new connections hang, by keeping the accept queue full, or lets the link accept them again. The caller
 // holds mu.
 func (l *Link) setSilentQueue(silent bool) error {
 	for _, c := range l.queueFillers {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -2,8 +2,8 @@
 // long they stay usable.
 //
 // A state directory holds bans (in a KeyValueLog: none is lost once confirmed) and, each in a SnapshotFile, the endpoint list,
-// the balancer's snapshot, the settings of the sidecar's service and the sidecar's incarnation. A sidecar starts without any
-// part that is missing or lost.
+// the balancer's snapshot, the settings of the sidecar's service and the sidecar's incarnation. A sidecar can start if any
+// part is missing or lost.
 package statestore
 
 import (
@@ -56,7 +56,7 @@
 
 // Incarnation describes one process of the sidecar.
 type Incarnation struct {
-	Name       string `json:"Name"` // of the sidecar
+	Name       string `json:"Name"` // name of the sidecar
 	StartedMs  int64  `json:"StartedMs"`
 	CleanExit  bool   `json:"Clean"`    // the process exited cleanly
 	Settled    bool   `json:"Settled"`  // the process ran for at least SettledAfter
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -141,7 +141,7 @@
 		return reply, nil
 	case "PowerOn":
 		if e.Settings == nil {
-			return nil, fmt.Errorf("Env is missing")
+			return nil, fmt.Errorf("missing key Env")
 		}
 		b, err := balancer.New(e.Settings.settings(), seed(e.Seed))
 		if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,7 +50,7 @@
 		"{\"TsMs\":1,\"in\":[]}\nnonsense\n":                                "line 2: decoding the batch",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"Wakeup\",\"I\":4}]}\n":             "line 1: event 0 (Wakeup): instance 4 was never started",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"Teardown\",\"I\":4}]}\n":           "instance 4 was never started",
-		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0}]}\n":            "Env is missing",
+		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0}]}\n":            "missing key Env",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{}}]}\n": "setting Classes",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"Order\",\"I\":\"x\"}]}\n":          "line 1: event 0",
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{\"Classes\":[{\"Name\":\"a\",\"Semantics\":\"odd\",\"AimMs\":1,\"DeadlineMs\":1}]}}]}\n": "Idempotency",
