--- a/internal/durable/snapshotfile.go
+++ b/internal/durable/snapshotfile.go
@@ -8,12 +8,12 @@
 const temporarySuffix = ".tmp"
 
 // SnapshotFile stores one value of bounded size, in two generations: a write replaces the older generation, and a read
-// returns the newest intact one. Not safe for concurrent use.
+// returns the newest intact one. It is not safe for concurrent use.
 type SnapshotFile struct {
 	fs         FS
 	name       string
 	maxBytes   int
-	generation uint64 // of the newest value on disk
+	generation uint64 // generation of the newest value on disk
 	loaded     bool
 }
 
@@ -28,7 +28,7 @@
 }
 
 // Read returns the newest intact value, or nil if there is none, and a corruption for each file that is damaged. It fails
-// if the file system does, or if a newer version of the program has written the file.
+// if the file system fails, or if a newer version of the program has written the file.
 func (s *SnapshotFile) Read() (value []byte, corruptions []Corruption, err error) {
 	found := false
 	for slot := range uint64(2) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
 // Package golden compares the encodings of this program with recorded ones: messages between processes of two versions, stored
-// data, configuration keys. The test of a package fails if a field is renamed and its encoded name changes with it. For tests
-// only. `go test -update` records the encodings again; a commit that does so has to explain why the format changes.
+// data, configuration keys. The test of a package fails if a field is renamed and its encoded name changes with it. The
+// package is for tests only. `go test -update` records the encodings again; a commit that does so has to explain why the format changes.
 package golden
 
 import (
@@ -19,8 +19,8 @@
 	goldie.New(t, goldie.WithFixtureDir("testdata/golden"), goldie.WithNameSuffix(".txt"), goldie.WithDiffEngine(goldie.Simple)).Assert(t, name, []byte(text))
 }
 
-// JSON compares the JSON encodings of values, one per line, with the file testdata/golden/NAME.txt. Each value is a pointer;
-// JSON fills it with Fill first.
+// JSON compares the JSON encodings of values, one per line, with the file testdata/golden/NAME.txt. Each value is a pointer, and
+// is first set by Fill.
 func JSON(t *testing.T, name string, values ...any) {
 	t.Helper()
 	var text strings.Builder
--- a/internal/lab/relay/mesh_test.go
+++ b/internal/lab/relay/mesh_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Finds a port that is free for TCP and UDP, as above.
+	// Finds a port for the mesh. A port that is free for TCP is taken to be free for UDP too, as above.
 	free, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,8 +78,8 @@
 	}
 }
 
-// A cut of one direction drops what a sends, as datagrams and over connections that b opened, and nothing of what b
-// sends.
+// While the direction from a to b is cut, the datagrams that a sends are dropped, and what it sends over a connection that b
+// opened is held back. What b sends arrives.
 func TestMeshCutsOneWay(t *testing.T) {
 	m, a, b := newMeshOfTwo(t)
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: b.udp.LocalAddr().(*net.UDPAddr).IP}, Timeout: testTimeout}
@@ -99,18 +99,18 @@
 	if got := a.receive(t); got != "heard" {
 		t.Errorf("a received %q, want \"heard\"", got)
 	}
-	one := make([]byte, 1)
+	buf := make([]byte, 1)
 	if _, err := c.Write([]byte{7}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(in, one); err != nil {
+	if _, err := io.ReadFull(in, buf); err != nil {
 		t.Errorf("a reading b's byte: got error %v, want none", err)
 	}
 	if _, err := in.Write([]byte{8}); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if _, err := c.Read(one); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("b reading a's byte during the cut: got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	setMeshState(t, m, State{})
@@ -119,8 +119,8 @@
 		t.Errorf("b received %q, want \"after\"", got)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, err := io.ReadFull(c, one); err != nil || one[0] != 8 {
-		t.Errorf("b reading a's byte after the cut: got %d and error %v, want 8 and no error", one[0], err)
+	if _, err := io.ReadFull(c, buf); err != nil || buf[0] != 8 {
+		t.Errorf("b reading a's byte after the cut: got %d and error %v, want 8 and no error", buf[0], err)
 	}
 	if got := m.Count("a", "b"); got.Lost != 1 || got.Packets != 1 {
 		t.Errorf("datagrams from a to b: got %+v, want 1 lost and 1 passed", got)
@@ -147,14 +147,14 @@
 		}
 	}
 	if lost := m.Count("a", "b").Lost; lost < datagrams/5 || lost > datagrams*2/5 {
-		t.Errorf("%d of %d datagrams lost, want from %d to %d", lost, datagrams, datagrams/5, datagrams*2/5)
+		t.Errorf("got %d of %d datagrams lost, want %d to %d", lost, datagrams, datagrams/5, datagrams*2/5)
 	}
 }
 
-// A connection from an address that is no party's is broken.
+// A connection from an address that belongs to no party is broken.
 func TestMeshKnowsItsParties(t *testing.T) {
 	_, _, b := newMeshOfTwo(t)
-	c, err := net.DialTimeout("tcp", b.address, testTimeout) // from an address that is no party's
+	c, err := net.DialTimeout("tcp", b.address, testTimeout) // from an address that belongs to no party
 	if err == nil {
 		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(testTimeout))
