--- a/internal/circuitbreaker/probe.go
+++ b/internal/circuitbreaker/probe.go
@@ -31,18 +31,18 @@
 	*p = probeState{epoch: p.epoch, startedMs: startedMs, failedAt: -evidenceLifetime}
 }
 
-func (b *VerdictTracker) onProbe(now time.Duration, e ProbeResult) {
+func (t *VerdictTracker) onProbe(now time.Duration, e ProbeResult) {
 	if len(e.Result.Upstream) > message.MaxName || e.Result.Step < 0 || e.Result.Step > ProbeSteps {
 		return
 	}
-	u, listed := b.listed[e.Result.Upstream]
+	u, listed := t.listed[e.Result.Upstream]
 	if !listed || u.StartedMs != e.Result.StartedMs {
 		return
 	}
-	p := b.probes[u.Name]
+	p := t.probes[u.Name]
 	if p == nil {
 		p = &probeState{startedMs: u.StartedMs, failedAt: -evidenceLifetime}
-		b.probes[u.Name] = p
+		t.probes[u.Name] = p
 	}
 	if e.Result.Epoch < p.epoch || e.TTL <= 0 {
 		return // a delayed result of an earlier leader, or an expired one
@@ -61,19 +61,19 @@
 }
 
 // round returns how often an upstream's breaker was closed for all sidecars in its present incarnation.
-func (b *VerdictTracker) round(upstream string) uint64 {
-	if p := b.probes[upstream]; p != nil {
+func (t *VerdictTracker) round(upstream string) uint64 {
+	if p := t.probes[upstream]; p != nil {
 		return p.round
 	}
 	return 0
 }
 
 // Round returns the number of closings of an upstream's breaker, for reports that are made now.
-func (b *VerdictTracker) Round(upstream string) uint64 { return b.round(upstream) }
+func (t *VerdictTracker) Round(upstream string) uint64 { return t.round(upstream) }
 
 // probeFailedAt returns when a probe of upstream last failed. A failed probe confirms the reports on it.
-func (b *VerdictTracker) probeFailedAt(upstream string) time.Duration {
-	if p := b.probes[upstream]; p != nil {
+func (t *VerdictTracker) probeFailedAt(upstream string) time.Duration {
+	if p := t.probes[upstream]; p != nil {
 		return p.failedAt
 	}
 	return -evidenceLifetime
@@ -81,15 +81,15 @@
 
 // probing returns who probes upstream, how many probes in a row succeeded, and the fraction of picks that is
 // let through.
-func (b *VerdictTracker) probing(now time.Duration, upstream string) (owner ProbeOwner, step int, passFraction float64) {
-	p := b.probes[upstream]
+func (t *VerdictTracker) probing(now time.Duration, upstream string) (owner ProbeOwner, step int, passFraction float64) {
+	p := t.probes[upstream]
 	if p != nil && now < p.until {
 		if owner = ProbeByPeer; p.result.OK {
 			step = min(p.result.Step, ProbeSteps-1)
 			passFraction = passFractions[step]
 		}
 	}
-	if b.ownProbes[upstream] {
+	if t.ownProbes[upstream] {
 		owner = ProbeBySelf
 	}
 	return owner, step, passFraction
--- a/internal/circuitbreaker/tracker.go
+++ b/internal/circuitbreaker/tracker.go
@@ -107,7 +107,7 @@
 	maxReporters          = 64              // reporters of one subject
 	maxSubjectsOfReporter = 128             // subjects that one member reports on
 	ownTTL                = time.Minute     // validity of this sidecar's own reports
-	servedTTL             = 5 * time.Second // longest validity of a report of success
+	successTTL            = 5 * time.Second // longest validity of a report of success
 )
 
 // subject is what a verdict applies to: an upstream, or one class of requests at it.
@@ -152,35 +152,35 @@
 }
 
 // Handle applies an event that happened at now, and returns the verdicts that have changed or would expire soon.
-func (b *VerdictTracker) Handle(now time.Duration, e Event) []Verdict {
-	if b.startedAt < 0 {
-		b.startedAt = now
+func (t *VerdictTracker) Handle(now time.Duration, e Event) []Verdict {
+	if t.startedAt < 0 {
+		t.startedAt = now
 	}
-	b.apply(now, e)
-	return b.evaluate(now)
+	t.apply(now, e)
+	return t.evaluate(now)
 }
 
-func (b *VerdictTracker) apply(now time.Duration, e Event) {
+func (t *VerdictTracker) apply(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case Batch:
 		for _, event := range e {
-			b.apply(now, event)
+			t.apply(now, event)
 		}
 	case PeerReport:
-		b.onReport(now, e.From, e.Report, e.TTL, e.Withdrawn)
+		t.onReport(now, e.From, e.Report, e.TTL, e.Withdrawn)
 	case OwnReport:
-		self := message.Member{Name: b.config.Self, Incarnation: b.members[b.config.Self].Incarnation}
-		b.onReport(now, self, e.Report, ownTTL, e.Report.State == message.Closed && e.Report.Count == 0)
+		self := message.Member{Name: t.config.Self, Incarnation: t.members[t.config.Self].Incarnation}
+		t.onReport(now, self, e.Report, ownTTL, e.Report.State == message.Closed && e.Report.Count == 0)
 	case ProbeResult:
-		b.onProbe(now, e)
+		t.onProbe(now, e)
 	case ProbeLeadership:
-		if delete(b.ownProbes, e.Upstream); e.Acquired {
-			b.ownProbes[e.Upstream] = true
+		if delete(t.ownProbes, e.Upstream); e.Acquired {
+			t.ownProbes[e.Upstream] = true
 		}
 	case Roster:
-		b.setMembers(now, e.Members)
+		t.setMembers(now, e.Members)
 	case EndpointList:
-		b.setEndpoints(e.Upstreams)
+		t.setEndpoints(e.Upstreams)
 	}
 }
 
@@ -191,25 +191,25 @@
 		r.Count >= 0 && (r.State == message.Closed || r.Evidence >= message.ErrorAnswers && r.Evidence <= message.Rejections) && r.SelfSuspicion >= 0 && r.SelfSuspicion <= 1
 }
 
-func (b *VerdictTracker) onReport(now time.Duration, from message.Member, r message.Report, ttl time.Duration, withdrawn bool) {
+func (t *VerdictTracker) onReport(now time.Duration, from message.Member, r message.Report, ttl time.Duration, withdrawn bool) {
 	s := subject{r.Upstream, r.Class}
-	byReporter := b.reports[s]
+	byReporter := t.reports[s]
 	if withdrawn {
 		delete(byReporter, from.Name)
 		return
 	}
-	if !valid(&r) || ttl <= 0 || b.outdated(&r) {
+	if !valid(&r) || ttl <= 0 || t.outdated(&r) {
 		return
 	}
 	stored := byReporter[from.Name]
 	if stored == nil {
-		if len(byReporter) >= maxReporters || byReporter == nil && len(b.reports) >= maxSubjects || b.subjectsOf(from.Name) >= maxSubjectsOfReporter {
+		if len(byReporter) >= maxReporters || byReporter == nil && len(t.reports) >= maxSubjects || t.subjectsOf(from.Name) >= maxSubjectsOfReporter {
 			return
 		}
 		stored = &peerReport{firstAt: now, newEvidenceAt: now}
 		if byReporter == nil {
 			byReporter = map[string]*peerReport{}
-			b.reports[s] = byReporter
+			t.reports[s] = byReporter
 		}
 		byReporter[from.Name] = stored
 	} else if stored.incarnation != from.Incarnation || stored.open() != (r.State != message.Closed) || stored.report.StartedMs != r.StartedMs || stored.report.Round != r.Round {
@@ -218,21 +218,21 @@
 		stored.newEvidenceAt = now
 	}
 	if r.State == message.Closed {
-		stored.newEvidenceAt, ttl = now, min(ttl, servedTTL)
+		stored.newEvidenceAt, ttl = now, min(ttl, successTTL)
 	}
 	stored.incarnation, stored.report, stored.until = from.Incarnation, r, now+min(ttl, message.MaxTTL)
-	b.penalizeContradicted(now, s)
+	t.penalizeContradicted(now, s)
 }
 
 // outdated reports whether a report is on an earlier incarnation of an upstream than the listed one.
-func (b *VerdictTracker) outdated(r *message.Report) bool {
-	u, listed := b.listed[r.Upstream]
+func (t *VerdictTracker) outdated(r *message.Report) bool {
+	u, listed := t.listed[r.Upstream]
 	return listed && r.StartedMs < u.StartedMs
 }
 
 // subjectsOf counts the subjects that a reporter reports on.
-func (b *VerdictTracker) subjectsOf(name string) (n int) {
-	for _, byReporter := range b.reports {
+func (t *VerdictTracker) subjectsOf(name string) (n int) {
+	for _, byReporter := range t.reports {
 		if byReporter[name] != nil {
 			n++
 		}
@@ -242,47 +242,47 @@
 
 // setEndpoints replaces the endpoint list. Reports on an upstream that was removed are dropped, so they don't
 // count if it is listed again; the epochs of its probes are retained.
-func (b *VerdictTracker) setEndpoints(upstreams []Upstream) {
-	before := b.listed
-	b.listed, b.upstreamsBySite = map[string]Upstream{}, map[string]int{}
+func (t *VerdictTracker) setEndpoints(upstreams []Upstream) {
+	before := t.listed
+	t.listed, t.upstreamsBySite = map[string]Upstream{}, map[string]int{}
 	for _, u := range upstreams {
-		b.listed[u.Name] = u
-		b.upstreamsBySite[u.Site]++
-		if p := b.probes[u.Name]; p != nil && p.startedMs != u.StartedMs {
+		t.listed[u.Name] = u
+		t.upstreamsBySite[u.Site]++
+		if p := t.probes[u.Name]; p != nil && p.startedMs != u.StartedMs {
 			p.reset(u.StartedMs)
 		}
 	}
-	for s := range b.reports {
+	for s := range t.reports {
 		_, wasListed := before[s.upstream]
-		if _, isListed := b.listed[s.upstream]; wasListed && !isListed {
-			delete(b.reports, s)
+		if _, isListed := t.listed[s.upstream]; wasListed && !isListed {
+			delete(t.reports, s)
 		}
 	}
-	if len(b.probes) > maxSubjects {
-		maps.DeleteFunc(b.probes, func(name string, _ *probeState) bool {
-			_, isListed := b.listed[name]
+	if len(t.probes) > maxSubjects {
+		maps.DeleteFunc(t.probes, func(name string, _ *probeState) bool {
+			_, isListed := t.listed[name]
 			return !isListed
 		})
 	}
 }
 
 // sweep drops reports that have expired, or are on an earlier incarnation.
-func (b *VerdictTracker) sweep(now time.Duration) {
-	for s, byReporter := range b.reports {
+func (t *VerdictTracker) sweep(now time.Duration) {
+	for s, byReporter := range t.reports {
 		maps.DeleteFunc(byReporter, func(_ string, r *peerReport) bool {
-			return r.until <= now || b.outdated(&r.report)
+			return r.until <= now || t.outdated(&r.report)
 		})
 		if len(byReporter) == 0 {
-			delete(b.reports, s)
+			delete(t.reports, s)
 		}
 	}
 }
 
 // subjects returns the subjects with a report or a verdict, sorted.
-func (b *VerdictTracker) subjects() []subject {
-	all := slices.Collect(maps.Keys(b.reports))
-	for s := range b.announced {
-		if b.reports[s] == nil {
+func (t *VerdictTracker) subjects() []subject {
+	all := slices.Collect(maps.Keys(t.reports))
+	for s := range t.announced {
+		if t.reports[s] == nil {
 			all = append(all, s)
 		}
 	}
@@ -291,9 +291,9 @@
 }
 
 // Open returns the open verdicts, as they were last announced.
-func (b *VerdictTracker) Open() (open []Verdict) {
-	for _, s := range slices.SortedFunc(maps.Keys(b.announced), subject.compare) {
-		if v := b.announced[s]; v.Open {
+func (t *VerdictTracker) Open() (open []Verdict) {
+	for _, s := range slices.SortedFunc(maps.Keys(t.announced), subject.compare) {
+		if v := t.announced[s]; v.Open {
 			open = append(open, v.Verdict)
 		}
 	}
--- a/internal/circuitbreaker/tracker_test.go
+++ b/internal/circuitbreaker/tracker_test.go
@@ -21,13 +21,13 @@
 // newTestTracker returns the tracker of n00 at makati. There are 4 sites with perSite members and 4 upstreams
 // each; u0 and u4 are at makati.
 func newTestTracker(perSite int) *VerdictTracker {
-	b := New(Config{Self: "n00", Site: "makati"})
+	tracker := New(Config{Self: "n00", Site: "makati"})
 	var members []message.Member
 	for i := range 4 * perSite {
 		members = append(members, message.Member{Name: fmt.Sprintf("n%02d", i), Site: siteNames[i%4]})
 	}
-	b.Handle(0, Batch{Roster{members}, EndpointList{testEndpoints(1)}})
-	return b
+	tracker.Handle(0, Batch{Roster{members}, EndpointList{testEndpoints(1)}})
+	return tracker
 }
 
 func testEndpoints(startedMs int64) (all []Upstream) {
@@ -49,8 +49,8 @@
 	return reportFrom(n, message.Report{Upstream: upstream, StartedMs: 1, State: message.Closed, Count: 1})
 }
 
-func (b *VerdictTracker) isOpen(upstream, class string) bool {
-	verdict := b.announced[subject{upstream, class}]
+func (t *VerdictTracker) isOpen(upstream, class string) bool {
+	verdict := t.announced[subject{upstream, class}]
 	return verdict != nil && verdict.Open
 }
 
@@ -103,31 +103,31 @@
 		{"a reporter restarted", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), Roster{[]message.Member{
 			{Name: "n01", Site: "cebu", Incarnation: message.Incarnation{StartedMs: 9}}, {Name: "n02", Site: "davao"}}}}, false},
 	} {
-		b := newTestTracker(c.perSite)
+		tracker := newTestTracker(c.perSite)
 		for _, e := range c.events {
-			b.Handle(testTime, e)
+			tracker.Handle(testTime, e)
 		}
-		open := b.isOpen("u5", "")
-		b.Handle(testTime+2*time.Second, Tick{}) // a verdict that was only delayed would open now
-		if open != c.open || b.isOpen("u5", "") != c.open {
-			t.Errorf("%s: verdict on u5 is open: got %v, and %v 2 s later, want %v", c.name, open, b.isOpen("u5", ""), c.open)
+		open := tracker.isOpen("u5", "")
+		tracker.Handle(testTime+2*time.Second, Tick{}) // a verdict that was only delayed would open now
+		if open != c.open || tracker.isOpen("u5", "") != c.open {
+			t.Errorf("%s: verdict on u5 is open: got %v, and %v 2 s later, want %v", c.name, open, tracker.isOpen("u5", ""), c.open)
 		}
 	}
 }
 
 // Guards against a verdict while as many sites are served as report a fault, and against reports of success
-// that are believed longer than servedTTL. The tracker is at a fifth site without reports of its own.
+// that are believed longer than successTTL. The tracker is at a fifth site without reports of its own.
 func TestSitesContradict(t *testing.T) {
-	b := newTestTracker(1)
-	b.config.Site = "quezon"
-	if b.Handle(testTime, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence)), successFrom(3, "u5"), successFrom(0, "u5")}); b.isOpen("u5", "") {
+	tracker := newTestTracker(1)
+	tracker.config.Site = "quezon"
+	if tracker.Handle(testTime, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence)), successFrom(3, "u5"), successFrom(0, "u5")}); tracker.isOpen("u5", "") {
 		t.Error("got an open verdict while as many sites are served as report a fault, want closed")
 	}
-	if b.Handle(testTime+servedTTL-time.Millisecond, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))}); b.isOpen("u5", "") {
-		t.Error("got an open verdict before servedTTL ended, want the reports of success to count")
+	if tracker.Handle(testTime+successTTL-time.Millisecond, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))}); tracker.isOpen("u5", "") {
+		t.Error("got an open verdict before successTTL ended, want the reports of success to count")
 	}
-	if b.Handle(testTime+servedTTL, Tick{}); !b.isOpen("u5", "") {
-		t.Error("got a closed verdict after servedTTL, want the reports of success to have expired")
+	if tracker.Handle(testTime+successTTL, Tick{}); !tracker.isOpen("u5", "") {
+		t.Error("got a closed verdict after successTTL, want the reports of success to have expired")
 	}
 }
 
@@ -136,50 +136,50 @@
 // verdict, and a success before the fault does not contradict the reporters.
 func TestCaution(t *testing.T) {
 	twoReports := Batch{reportFrom(1, failureReport("u5", "", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "", message.ErrorAnswers))}
-	b := newTestTracker(1)
-	if b.Handle(startupTime/2, twoReports); b.isOpen("u5", "") {
+	tracker := newTestTracker(1)
+	if tracker.Handle(startupTime/2, twoReports); tracker.isOpen("u5", "") {
 		t.Error("got an open verdict before startupTime, want closed")
 	}
-	if b.Handle(startupTime, Tick{}); !b.isOpen("u5", "") {
+	if tracker.Handle(startupTime, Tick{}); !tracker.isOpen("u5", "") {
 		t.Error("got a closed verdict at startupTime, want open")
 	}
 	unsureReport := twoReports[1].(PeerReport)
 	unsureReport.Report.SelfSuspicion = 0.3
-	if b.Handle(testTime, Batch{twoReports[0], unsureReport}); !b.isOpen("u5", "") {
+	if tracker.Handle(testTime, Batch{twoReports[0], unsureReport}); !tracker.isOpen("u5", "") {
 		t.Error("got the open verdict closed by a reporter with self-suspicion 0.3, want it open")
 	}
-	b = newTestTracker(1)
-	if b.Handle(testTime, Batch{twoReports[0], unsureReport}); b.isOpen("u5", "") {
+	tracker = newTestTracker(1)
+	if tracker.Handle(testTime, Batch{twoReports[0], unsureReport}); tracker.isOpen("u5", "") {
 		t.Error("got a verdict opened by a reporter with self-suspicion 0.3, want closed")
 	}
-	b = newTestTracker(75)
-	b.Handle(testTime, Roster{[]message.Member{{Name: "n00", Site: "makati"}, {Name: "n01", Site: "cebu"}, {Name: "n02", Site: "davao"}, {Name: "n03", Site: "iloilo"}}})
-	if b.Handle(testTime, twoReports); b.isOpen("u5", "") {
+	tracker = newTestTracker(75)
+	tracker.Handle(testTime, Roster{[]message.Member{{Name: "n00", Site: "makati"}, {Name: "n01", Site: "cebu"}, {Name: "n02", Site: "davao"}, {Name: "n03", Site: "iloilo"}}})
+	if tracker.Handle(testTime, twoReports); tracker.isOpen("u5", "") {
 		t.Error("got an open verdict by 2 reporters after the roster shrank from 300 to 4 members, want closed")
 	}
-	b = newTestTracker(1)
-	b.Handle(testTime, OwnReport{successFrom(0, "u5").Report})
-	if b.Handle(testTime+time.Second, twoReports); !b.isOpen("u5", "") || len(b.scores) > 0 {
-		t.Errorf("success before the fault: got an open verdict %v and scores %v, want true and none", b.isOpen("u5", ""), b.scores)
+	tracker = newTestTracker(1)
+	tracker.Handle(testTime, OwnReport{successFrom(0, "u5").Report})
+	if tracker.Handle(testTime+time.Second, twoReports); !tracker.isOpen("u5", "") || len(tracker.scores) > 0 {
+		t.Errorf("success before the fault: got an open verdict %v and scores %v, want true and none", tracker.isOpen("u5", ""), tracker.scores)
 	}
 }
 
 // Guards against unbounded memory: many reporters and many subjects are limited.
 func TestTheBoardIsBounded(t *testing.T) {
-	b := newTestTracker(75)
+	tracker := newTestTracker(75)
 	var all Batch
 	for i := range 1500 {
 		all = append(all, reportFrom(i%100, failureReport(fmt.Sprint("x", i/100), "", message.Silence)), reportFrom(i/150, failureReport(fmt.Sprint("y", i), "", message.Silence)))
 	}
-	b.Handle(testTime, all)
+	tracker.Handle(testTime, all)
 	stored := 0
-	for _, byReporter := range b.reports {
+	for _, byReporter := range tracker.reports {
 		if stored += len(byReporter); len(byReporter) > maxReporters {
 			t.Fatalf("got %d reporters of one subject, want %d at most", len(byReporter), maxReporters)
 		}
 	}
-	if len(b.reports) > maxSubjects || b.subjectsOf("n00") > maxSubjectsOfReporter {
-		t.Errorf("got %d subjects and %d of one reporter, want %d and %d at most", len(b.reports), b.subjectsOf("n00"), maxSubjects, maxSubjectsOfReporter)
+	if len(tracker.reports) > maxSubjects || tracker.subjectsOf("n00") > maxSubjectsOfReporter {
+		t.Errorf("got %d subjects and %d of one reporter, want %d and %d at most", len(tracker.reports), tracker.subjectsOf("n00"), maxSubjects, maxSubjectsOfReporter)
 	}
 }
 
@@ -225,51 +225,51 @@
 // Checks that a verdict applies to the reported class, and that it ends when the reports expire, also if they
 // are repeated without new evidence.
 func TestAVerdictEnds(t *testing.T) {
-	b := newTestTracker(1)
-	b.Handle(testTime, reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)))
-	v := b.Handle(testTime, reportFrom(2, failureReport("u5", "c", message.ErrorAnswers)))
+	tracker := newTestTracker(1)
+	tracker.Handle(testTime, reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)))
+	v := tracker.Handle(testTime, reportFrom(2, failureReport("u5", "c", message.ErrorAnswers)))
 	if len(v) != 1 || !v[0].Open || v[0].Class != "c" || v[0].For != ttl || !strings.Contains(v[0].Reason, "cebu/n01 errors 3") {
 		t.Fatalf("got verdicts %+v, want one open verdict on class c for %v that names the report of cebu/n01", v, ttl)
 	}
 	for now := testTime; now < testTime+time.Minute; now += time.Second {
-		b.Handle(now, Batch{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "c", message.ErrorAnswers))})
-		if open := now <= testTime+evidenceLifetime; b.isOpen("u5", "c") != open {
+		tracker.Handle(now, Batch{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "c", message.ErrorAnswers))})
+		if open := now <= testTime+evidenceLifetime; tracker.isOpen("u5", "c") != open {
 			t.Fatalf("verdict is open after %v of repeated reports: got %v, want %v", now-testTime, !open, open)
 		}
 	}
-	if b.Handle(testTime+2*time.Minute, Tick{}); len(b.reports)+len(b.announced) > 0 {
-		t.Errorf("got %d stored reports and %d verdicts after all expired, want 0 and 0", len(b.reports), len(b.announced))
+	if tracker.Handle(testTime+2*time.Minute, Tick{}); len(tracker.reports)+len(tracker.announced) > 0 {
+		t.Errorf("got %d stored reports and %d verdicts after all expired, want 0 and 0", len(tracker.reports), len(tracker.announced))
 	}
 }
 
 // Checks that reports of a member count less for a while if successes of this sidecar contradicted it.
 func TestALiarIsMarkedDown(t *testing.T) {
-	b := newTestTracker(1)
+	tracker := newTestTracker(1)
 	for i := range 3 {
 		u := fmt.Sprint("u", 4*i)
-		b.Handle(testTime, reportFrom(1, failureReport(u, "", message.ErrorAnswers)))
-		b.Handle(testTime, OwnReport{successFrom(0, u).Report})
-		b.Handle(testTime, PeerReport{From: message.Member{Name: "n01"}, Report: failureReport(u, "", message.ErrorAnswers), Withdrawn: true})
+		tracker.Handle(testTime, reportFrom(1, failureReport(u, "", message.ErrorAnswers)))
+		tracker.Handle(testTime, OwnReport{successFrom(0, u).Report})
+		tracker.Handle(testTime, PeerReport{From: message.Member{Name: "n01"}, Report: failureReport(u, "", message.ErrorAnswers), Withdrawn: true})
 	}
 	later := testTime + 10*time.Second
-	b.Handle(later, Batch{reportFrom(1, failureReport("u5", "", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "", message.ErrorAnswers))})
-	if b.isOpen("u5", "") {
+	tracker.Handle(later, Batch{reportFrom(1, failureReport("u5", "", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "", message.ErrorAnswers))})
+	if tracker.isOpen("u5", "") {
 		t.Error("got an open verdict by a reporter that was contradicted three times, want closed")
 	}
 	later += 10 * time.Minute
-	b.Handle(later, Batch{reportFrom(1, failureReport("u6", "", message.ErrorAnswers)), reportFrom(2, failureReport("u6", "", message.ErrorAnswers))})
-	if !b.isOpen("u6", "") {
+	tracker.Handle(later, Batch{reportFrom(1, failureReport("u6", "", message.ErrorAnswers)), reportFrom(2, failureReport("u6", "", message.ErrorAnswers))})
+	if !tracker.isOpen("u6", "") {
 		t.Error("got a closed verdict ten minutes after the contradictions, want the reporter to count fully again")
 	}
 }
 
 // Guards against a verdict that opens and closes with each change of a report.
 func TestNoFlapping(t *testing.T) {
-	b, opened := newTestTracker(1), 0
+	tracker, opened := newTestTracker(1), 0
 	for now := testTime; now < testTime+20*time.Second; now += 200 * time.Millisecond {
 		alternating := reportFrom(2, failureReport("u5", "", message.Silence))
 		alternating.Withdrawn = now/(200*time.Millisecond)%2 == 0
-		for _, v := range b.Handle(now, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), alternating}) {
+		for _, v := range tracker.Handle(now, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), alternating}) {
 			if v.Open {
 				opened++
 			}
@@ -283,11 +283,11 @@
 // Checks that the probes of the leader close the breaker for all in steps. Probes of an earlier leader, and
 // reports and probes of an earlier round or incarnation, have no effect.
 func TestTrialsCloseInSteps(t *testing.T) {
-	b := newTestTracker(1)
-	b.Handle(testTime, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))})
+	tracker := newTestTracker(1)
+	tracker.Handle(testTime, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))})
 	probe := func(epoch uint64, step, count int, round uint64) *announcement {
-		b.Handle(testTime, ProbeResult{From: "n01", TTL: ttl, Result: message.ProbeResult{Upstream: "u5", StartedMs: 1, Epoch: epoch, OK: step > 0, Step: step, Count: count, Round: round}})
-		return b.announced[subject{"u5", ""}]
+		tracker.Handle(testTime, ProbeResult{From: "n01", TTL: ttl, Result: message.ProbeResult{Upstream: "u5", StartedMs: 1, Epoch: epoch, OK: step > 0, Step: step, Count: count, Round: round}})
+		return tracker.announced[subject{"u5", ""}]
 	}
 	if v := probe(7, 0, 0, 0); v.Probes != ProbeByPeer || v.PassFraction != 0 || !v.Open {
 		t.Fatalf("after a failed probe of a peer: got %+v, want an open verdict with ProbeByPeer and no picks let through", v)
@@ -301,13 +301,13 @@
 	if v := probe(7, ProbeSteps, 3, 1); v.Open {
 		t.Fatalf("after the last step: got %+v, want a closed verdict", v)
 	}
-	b.Handle(testTime, Batch{reportFrom(3, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))})
-	if b.isOpen("u5", "") {
+	tracker.Handle(testTime, Batch{reportFrom(3, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))})
+	if tracker.isOpen("u5", "") {
 		t.Error("got an open verdict by reports of the round before, want closed")
 	}
-	b.Handle(testTime, EndpointList{testEndpoints(2)})
-	if probe(9, 1, 1, 5); b.Round("u5") != 0 || b.probes["u5"].epoch != 7 {
-		t.Errorf("after a probe result of an earlier incarnation: got round %d and epoch %d, want 0 and 7", b.Round("u5"), b.probes["u5"].epoch)
+	tracker.Handle(testTime, EndpointList{testEndpoints(2)})
+	if probe(9, 1, 1, 5); tracker.Round("u5") != 0 || tracker.probes["u5"].epoch != 7 {
+		t.Errorf("after a probe result of an earlier incarnation: got round %d and epoch %d, want 0 and 7", tracker.Round("u5"), tracker.probes["u5"].epoch)
 	}
 }
 
@@ -332,11 +332,11 @@
 		}
 		var views [2]string
 		for i := range views {
-			b := newTestTracker(2)
+			tracker := newTestTracker(2)
 			order := rapid.Permutation(events).Draw(t, "order")
-			b.Handle(testTime, append(append(Batch{}, order...), order[:len(order)/2]...))
-			for _, s := range b.subjects() {
-				if v := b.announced[s]; v.Open {
+			tracker.Handle(testTime, append(append(Batch{}, order...), order[:len(order)/2]...))
+			for _, s := range tracker.subjects() {
+				if v := tracker.announced[s]; v.Open {
 					views[i] += fmt.Sprintf("%v %v %v %v\n", s, v.PassFraction, v.Probes, v.Reason)
 				}
 			}
@@ -351,7 +351,7 @@
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{1, 5, 0, 1, 2, 5, 0, 1, 9, 9, 9, 9})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		b, now := newTestTracker(2), testTime
+		tracker, now := newTestTracker(2), testTime
 		for ; len(script) >= 4; script = script[4:] {
 			kind, x, y, z := script[0], script[1], script[2], script[3]
 			r := message.Report{Upstream: fmt.Sprint("u", x%20), StartedMs: int64(y % 3), State: message.BreakerState(y % 4), Evidence: message.Evidence(z % 6),
@@ -369,13 +369,13 @@
 				e = ProbeLeadership{r.Upstream, z%2 == 0}
 			}
 			now += time.Duration(z) * time.Millisecond
-			for _, v := range b.Handle(now, e) {
-				if _, listed := b.listed[v.Upstream]; v.Open && (!listed || v.For <= 0 || v.For > message.MaxTTL || v.PassFraction < 0 || v.PassFraction >= 1) {
+			for _, v := range tracker.Handle(now, e) {
+				if _, listed := tracker.listed[v.Upstream]; v.Open && (!listed || v.For <= 0 || v.For > message.MaxTTL || v.PassFraction < 0 || v.PassFraction >= 1) {
 					t.Fatalf("got the open verdict %+v (upstream listed: %v), want a listed upstream, For within (0, %v] and PassFraction within [0, 1)", v, listed, message.MaxTTL)
 				}
 			}
-			if len(b.reports) > maxSubjects || len(b.probes) > maxSubjects+16 {
-				t.Fatalf("got %d subjects and %d probed upstreams, want %d and %d at most", len(b.reports), len(b.probes), maxSubjects, maxSubjects+16)
+			if len(tracker.reports) > maxSubjects || len(tracker.probes) > maxSubjects+16 {
+				t.Fatalf("got %d subjects and %d probed upstreams, want %d and %d at most", len(tracker.reports), len(tracker.probes), maxSubjects, maxSubjects+16)
 			}
 		}
 	})
--- a/internal/circuitbreaker/verdict.go
+++ b/internal/circuitbreaker/verdict.go
@@ -47,24 +47,24 @@
 
 // weights holds the summed weights of the reports on one subject.
 type weights struct {
-	open, served                 map[string]float64 // reports of an open breaker, and of success, by site
+	open, healthy                map[string]float64 // reports of an open breaker, and of success, by site
 	pathEvidence, serverEvidence map[string]float64 // parts of open, by site: evidence that may be a fault of the path, and of the server
-	firm                         bool               // at least one report is more than a suspicion
+	confirmed                    bool               // at least one report is more than a suspicion
 	since, last                  time.Duration      // when the first open report was received, and when the last one expires
 }
 
 // evaluate returns the verdicts on all subjects that have changed or would expire soon. There are few subjects,
 // since mostly open breakers are reported.
-func (b *VerdictTracker) evaluate(now time.Duration) (changed []Verdict) {
-	b.sweep(now)
-	all := b.accusations()
-	for _, s := range b.subjects() {
-		old := b.announced[s]
+func (t *VerdictTracker) evaluate(now time.Duration) (changed []Verdict) {
+	t.sweep(now)
+	reported := t.accusations()
+	for _, s := range t.subjects() {
+		old := t.announced[s]
 		if old == nil {
 			old = &announcement{closedAt: -flapWithin}
-			b.announced[s] = old
+			t.announced[s] = old
 		}
-		v := b.verdict(now, s, old, all)
+		v := t.verdict(now, s, old, reported)
 		if v.Open && !old.Open {
 			if now-old.closedAt > flapWithin {
 				old.flaps = 0
@@ -78,57 +78,57 @@
 		v.Changed = v.Open != old.Open || v.PassFraction != old.PassFraction || v.Probes != old.Probes || v.Open && v.StartedMs != old.StartedMs
 		if v.Changed || expires {
 			v.ProbesSucceeded = !v.Open && v.Round > old.Round && v.StartedMs == old.StartedMs
-			v.Reason = b.explain(now, s, all)
+			v.Reason = t.explain(now, s, reported)
 			changed = append(changed, v)
 			if old.until = now + v.For; old.Open && !v.Open {
 				old.closedAt = now
 			}
 			old.Verdict = v
 		}
-		if !old.Open && b.reports[s] == nil && now-old.closedAt > flapWithin {
-			delete(b.announced, s)
+		if !old.Open && t.reports[s] == nil && now-old.closedAt > flapWithin {
+			delete(t.announced, s)
 		}
 	}
 	return changed
 }
 
 // verdict returns the verdict on s at now; old is the last announced verdict.
-func (b *VerdictTracker) verdict(now time.Duration, s subject, old *announcement, all accusations) Verdict {
-	u, listed := b.listed[s.upstream]
-	t := b.sumWeights(now, s, all)
-	v := Verdict{Upstream: s.upstream, StartedMs: u.StartedMs, Class: s.class, Since: t.since, Round: b.round(s.upstream)}
-	need, siteNeed := float64(requiredReporters(b.potentialReporters(""))), float64(requiredReporters(b.potentialReporters(b.config.Site)))
+func (t *VerdictTracker) verdict(now time.Duration, s subject, old *announcement, reported accusations) Verdict {
+	u, listed := t.listed[s.upstream]
+	sums := t.sumWeights(now, s, reported)
+	v := Verdict{Upstream: s.upstream, StartedMs: u.StartedMs, Class: s.class, Since: sums.since, Round: t.round(s.upstream)}
+	need, siteNeed := float64(requiredReporters(t.potentialReporters(""))), float64(requiredReporters(t.potentialReporters(t.config.Site)))
 	if old.Open { // hysteresis: an open verdict closes at half a report less
 		need, siteNeed = need-0.5, siteNeed-0.5
 	}
-	v.Open = listed && now-b.startedAt >= startupTime && t.firm && (t.fleetQuorum(need, b.config.Site) || t.siteQuorum(siteNeed, b.config.Site))
+	v.Open = listed && now-t.startedAt >= startupTime && sums.confirmed && (sums.fleetQuorum(need, t.config.Site) || sums.siteQuorum(siteNeed, t.config.Site))
 	if s.class == "" {
-		v.Probes, v.Step, v.PassFraction = b.probing(now, s.upstream)
+		v.Probes, v.Step, v.PassFraction = t.probing(now, s.upstream)
 	}
 	if !v.Open && old.Open && listed && v.StartedMs == old.StartedMs && v.Step > 0 && v.Round == old.Round { // a breaker that closes in steps stays open even if reports are withdrawn
-		v.Open, t.last = true, b.probes[s.upstream].until
+		v.Open, sums.last = true, t.probes[s.upstream].until
 	}
 	if !v.Open {
 		v.Probes, v.Step, v.PassFraction = ProbeByEach, 0, 0
 		return v
 	}
-	v.For = t.last - now
+	v.For = sums.last - now
 	return v
 }
 
 // sumWeights adds up the weights of the reports on s.
-func (b *VerdictTracker) sumWeights(now time.Duration, s subject, all accusations) *weights {
-	sums := &weights{open: map[string]float64{}, served: map[string]float64{}, pathEvidence: map[string]float64{}, serverEvidence: map[string]float64{}, since: now}
-	names := slices.Sorted(maps.Keys(b.reports[s])) // sorted, since a sum of fractions depends on the order
+func (t *VerdictTracker) sumWeights(now time.Duration, s subject, reported accusations) *weights {
+	sums := &weights{open: map[string]float64{}, healthy: map[string]float64{}, pathEvidence: map[string]float64{}, serverEvidence: map[string]float64{}, since: now}
+	names := slices.Sorted(maps.Keys(t.reports[s])) // sorted, since a sum of fractions depends on the order
 	for _, name := range names {
-		r := b.reports[s][name]
-		weight, _ := b.reportWeight(now, s, name, r, all)
+		r := t.reports[s][name]
+		weight, _ := t.reportWeight(now, s, name, r, reported)
 		if !r.open() || weight == 0 {
 			continue
 		}
-		site := b.members[name].Site
+		site := t.members[name].Site
 		sums.open[site] += weight
-		sums.firm = sums.firm || r.report.SelfSuspicion < Suspicion && weight >= 0.5
+		sums.confirmed = sums.confirmed || r.report.SelfSuspicion < Suspicion && weight >= 0.5
 		sums.since, sums.last = min(sums.since, r.firstAt), max(sums.last, r.until)
 		if isPathEvidence(r.report.Evidence) {
 			sums.pathEvidence[site] += weight
@@ -137,9 +137,9 @@
 		}
 	}
 	for _, name := range names {
-		if r := b.reports[s][name]; !r.open() && r.newEvidenceAt >= sums.since { // successes before the fault don't count
-			weight, _ := b.reportWeight(now, s, name, r, all)
-			sums.served[b.members[name].Site] += weight
+		if r := t.reports[s][name]; !r.open() && r.newEvidenceAt >= sums.since { // successes before the fault don't count
+			weight, _ := t.reportWeight(now, s, name, r, reported)
+			sums.healthy[t.members[name].Site] += weight
 		}
 	}
 	return sums
@@ -149,27 +149,27 @@
 // one site contributes at most half, so it takes at least two sites; and more sites have to report the fault
 // than are served. If path evidence prevails, it does not hold while the own site's members are served.
 func (w *weights) fleetQuorum(need float64, own string) bool {
-	sum, open, served := 0.0, 0, 0
+	sum, open, healthy := 0.0, 0, 0
 	for _, weight := range w.open {
 		if sum += min(weight, math.Ceil(need/2)); weight >= 0.5 {
 			open++
 		}
 	}
-	for site, weight := range w.served {
+	for site, weight := range w.healthy {
 		if weight >= 0.5 && weight >= w.open[site] {
-			served++
+			healthy++
 		}
 	}
-	if own != "" && w.served[own] > w.pathEvidence[own] && total(w.serverEvidence) < total(w.pathEvidence) {
+	if own != "" && w.healthy[own] > w.pathEvidence[own] && total(w.serverEvidence) < total(w.pathEvidence) {
 		return false
 	}
-	return sum >= need && open > served
+	return sum >= need && open > healthy
 }
 
 // siteQuorum reports whether the own site agrees that its paths to the upstream fail: the weight reaches need,
 // and exceeds that of the members of the site that are served.
 func (w *weights) siteQuorum(need float64, own string) bool {
-	return w.pathEvidence[own] >= need && w.pathEvidence[own] > w.served[own]
+	return w.pathEvidence[own] >= need && w.pathEvidence[own] > w.healthy[own]
 }
 
 func total(weightBySite map[string]float64) (sum float64) {
@@ -182,23 +182,23 @@
 var evidenceNames = map[message.Evidence]string{message.ErrorAnswers: "errors", message.BrokenConnections: "breaks", message.Silence: "silence", message.Rejections: "full"}
 
 // explain describes for operators which member reports what on s, and how far each report counts.
-func (b *VerdictTracker) explain(now time.Duration, s subject, all accusations) string {
+func (t *VerdictTracker) explain(now time.Duration, s subject, reported accusations) string {
 	var parts []string
-	for _, name := range slices.Sorted(maps.Keys(b.reports[s])) {
+	for _, name := range slices.Sorted(maps.Keys(t.reports[s])) {
 		if len(parts) == maxNamedReporters {
-			parts = append(parts, fmt.Sprintf("%d more", len(b.reports[s])-maxNamedReporters))
+			parts = append(parts, fmt.Sprintf("%d more", len(t.reports[s])-maxNamedReporters))
 			break
 		}
-		r := b.reports[s][name]
+		r := t.reports[s][name]
 		finding := "serves it"
 		if r.open() {
 			finding = evidenceNames[r.report.Evidence]
 		}
-		text := fmt.Sprintf("%s/%s %s %d", b.members[name].Site, name, finding, r.report.Count)
-		if weight, reason := b.reportWeight(now, s, name, r, all); reason != "" {
+		text := fmt.Sprintf("%s/%s %s %d", t.members[name].Site, name, finding, r.report.Count)
+		if weight, reason := t.reportWeight(now, s, name, r, reported); reason != "" {
 			text += fmt.Sprintf(" (counts %.1f: %s)", weight, reason)
 		}
 		parts = append(parts, text)
 	}
-	return fmt.Sprintf("%d of %d needed: %s", requiredReporters(b.potentialReporters("")), b.potentialReporters(""), strings.Join(parts, "; "))
+	return fmt.Sprintf("%d of %d needed: %s", requiredReporters(t.potentialReporters("")), t.potentialReporters(""), strings.Join(parts, "; "))
 }
--- a/internal/circuitbreaker/weight.go
+++ b/internal/circuitbreaker/weight.go
@@ -41,37 +41,37 @@
 
 // setMembers replaces the roster. Scores of members that left are retained while they matter, or a member
 // could clear its score by leaving.
-func (b *VerdictTracker) setMembers(now time.Duration, all []message.Member) {
-	b.members = map[string]message.Member{}
+func (t *VerdictTracker) setMembers(now time.Duration, all []message.Member) {
+	t.members = map[string]message.Member{}
 	count := map[string]int{}
 	for _, m := range all {
-		b.members[m.Name] = m
+		t.members[m.Name] = m
 		count[m.Site]++
 	}
 	for site, n := range count {
-		if old := b.siteSizes[site]; n >= old.n || now-old.at > sizeMemory {
-			b.siteSizes[site] = memberCount{n, now}
+		if old := t.siteSizes[site]; n >= old.n || now-old.at > sizeMemory {
+			t.siteSizes[site] = memberCount{n, now}
 		}
 	}
-	for site, old := range b.siteSizes {
+	for site, old := range t.siteSizes {
 		if count[site] == 0 && now-old.at > sizeMemory {
-			delete(b.siteSizes, site)
+			delete(t.siteSizes, site)
 		}
 	}
-	for name, s := range b.scores {
+	for name, s := range t.scores {
 		if s.decayed(now) < 0.1 {
-			delete(b.scores, name)
+			delete(t.scores, name)
 		}
 	}
 }
 
 // potentialReporters returns how many members could have seen a fault: those of site, or of all sites if site
 // is "".
-func (b *VerdictTracker) potentialReporters(site string) (n int) {
+func (t *VerdictTracker) potentialReporters(site string) (n int) {
 	if site != "" {
-		return b.siteSizes[site].n
+		return t.siteSizes[site].n
 	}
-	for _, s := range b.siteSizes {
+	for _, s := range t.siteSizes {
 		n += s.n
 	}
 	return n
@@ -80,25 +80,25 @@
 // penalizeContradicted raises the scores of the reporters that accuse s while it serves this sidecar, or as
 // many others as a verdict requires. A success contradicts only a report that a difference of paths can't
 // explain: one on the server's own answers, or one from the same site.
-func (b *VerdictTracker) penalizeContradicted(now time.Duration, s subject) {
-	required := requiredReporters(b.potentialReporters(""))
-	for reporter, r := range b.reports[s] {
+func (t *VerdictTracker) penalizeContradicted(now time.Duration, s subject) {
+	required := requiredReporters(t.potentialReporters(""))
+	for reporter, r := range t.reports[s] {
 		if !r.open() || r.contradicted {
 			continue
 		}
 		contradictions := 0
-		for name, other := range b.reports[s] {
-			m, present := b.members[name]
-			if other.open() || !present || other.newEvidenceAt < r.firstAt || isPathEvidence(r.report.Evidence) && b.members[reporter].Site != m.Site {
+		for name, other := range t.reports[s] {
+			m, present := t.members[name]
+			if other.open() || !present || other.newEvidenceAt < r.firstAt || isPathEvidence(r.report.Evidence) && t.members[reporter].Site != m.Site {
 				continue
 			}
-			if contradictions++; name == b.config.Self {
+			if contradictions++; name == t.config.Self {
 				contradictions = required
 			}
 		}
 		if contradictions >= required {
 			r.contradicted = true
-			b.scores[reporter] = score{min(maxScore, b.scores[reporter].decayed(now)+1), now}
+			t.scores[reporter] = score{min(maxScore, t.scores[reporter].decayed(now)+1), now}
 		}
 	}
 }
@@ -107,10 +107,10 @@
 // reporter and site of the upstream; site "" is the total.
 type accusations map[string]map[string]int
 
-func (b *VerdictTracker) accusations() accusations {
-	all, counted := accusations{}, map[subject]bool{} // the key of counted is upstream and reporter
-	for s, byReporter := range b.reports {
-		u, listed := b.listed[s.upstream]
+func (t *VerdictTracker) accusations() accusations {
+	reported, counted := accusations{}, map[subject]bool{} // the key of counted is upstream and reporter
+	for s, byReporter := range t.reports {
+		u, listed := t.listed[s.upstream]
 		if !listed {
 			continue
 		}
@@ -119,42 +119,42 @@
 				continue
 			}
 			counted[subject{s.upstream, name}] = true
-			if all[name] == nil {
-				all[name] = map[string]int{}
+			if reported[name] == nil {
+				reported[name] = map[string]int{}
 			}
-			all[name][u.Site]++
-			all[name][""]++
+			reported[name][u.Site]++
+			reported[name][""]++
 		}
 	}
-	return all
+	return reported
 }
 
 // accusesTooMany reports whether a reporter accuses too many upstreams of a site, or in total.
-func (b *VerdictTracker) accusesTooMany(all accusations, name, site string) bool {
-	n, limit := all[name], maxAccusedFraction
-	return n[site] > 1 && float64(n[site]) > limit*float64(b.upstreamsBySite[site]) || n[""] > 1 && float64(n[""]) > limit*float64(len(b.listed))
+func (t *VerdictTracker) accusesTooMany(reported accusations, name, site string) bool {
+	n, limit := reported[name], maxAccusedFraction
+	return n[site] > 1 && float64(n[site]) > limit*float64(t.upstreamsBySite[site]) || n[""] > 1 && float64(n[""]) > limit*float64(len(t.listed))
 }
 
 // reportWeight returns how much a report counts, 0 to 1, and the reason if it does not count fully.
-func (b *VerdictTracker) reportWeight(now time.Duration, s subject, name string, r *peerReport, all accusations) (float64, string) {
-	m, present := b.members[name]
+func (t *VerdictTracker) reportWeight(now time.Duration, s subject, name string, r *peerReport, reported accusations) (float64, string) {
+	m, present := t.members[name]
 	switch {
 	case !present:
 		return 0, "not present"
 	case m.Incarnation.Newer(r.incarnation):
 		return 0, "said by a process before"
-	case now-max(r.newEvidenceAt, b.probeFailedAt(s.upstream)) > evidenceLifetime:
+	case now-max(r.newEvidenceAt, t.probeFailedAt(s.upstream)) > evidenceLifetime:
 		return 0, "nothing new for long"
-	case r.report.Round < b.round(s.upstream):
+	case r.report.Round < t.round(s.upstream):
 		return 0, "said before it was closed"
-	case b.accusesTooMany(all, name, b.listed[s.upstream].Site):
+	case t.accusesTooMany(reported, name, t.listed[s.upstream].Site):
 		return 0, "speaks ill of most upstreams"
 	}
 	weight, reason := 1-r.report.SelfSuspicion, ""
 	if r.report.SelfSuspicion > 0 {
 		reason = "doubts itself"
 	}
-	if score := b.scores[name].decayed(now); score >= 0.1 {
+	if score := t.scores[name].decayed(now); score >= 0.1 {
 		weight, reason = weight*math.Exp2(-score), "was wrong of late"
 	}
 	return weight, reason
--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -29,7 +29,7 @@
 
 // Gauge holds the averaged pressure of one sidecar.
 type Gauge struct {
-	now       message.Pressure // as of the latest sample
+	pressure  message.Pressure // as of the latest sample
 	sampledAt time.Duration
 	hot       bool
 }
@@ -39,24 +39,24 @@
 func (g *Gauge) Add(now time.Duration, p message.Pressure) message.Pressure {
 	w := 1 - math.Exp(-float64(now-g.sampledAt)/float64(smoothingTime))
 	g.sampledAt = now
-	parts, samples := g.now.Parts(), p.Parts()
-	g.now.Total = 0
+	parts, samples := g.pressure.Parts(), p.Parts()
+	g.pressure.Total = 0
 	for i, part := range parts {
 		*part += w * (min(max(*samples[i], 0), 1) - *part)
-		g.now.Total = max(g.now.Total, *part)
+		g.pressure.Total = max(g.pressure.Total, *part)
 	}
 	switch {
-	case g.now.Total >= hotThreshold:
+	case g.pressure.Total >= hotThreshold:
 		g.hot = true
-	case g.now.Total <= coolThreshold:
+	case g.pressure.Total <= coolThreshold:
 		g.hot = false
 	}
-	return g.now
+	return g.pressure
 }
 
 // Accepts reports whether the sidecar accepts forwarded requests. They rank behind requests of its own clients
 // and are rejected first.
-func (g *Gauge) Accepts() bool { return !g.hot && g.now.Total < coolThreshold }
+func (g *Gauge) Accepts() bool { return !g.hot && g.pressure.Total < coolThreshold }
 
 // Choice is where a request is handled.
 type Choice int
@@ -130,7 +130,7 @@
 	}
 	// If only this process is short of something, others of its site have it; if the site is, those of another
 	// site do.
-	siteShort := g.now.Site >= max(g.now.CPU, g.now.Sockets, g.now.Heap) || g.now.InFlight >= max(g.now.CPU, g.now.Sockets, g.now.Heap)
+	siteShort := g.pressure.Site >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap) || g.pressure.InFlight >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap)
 	var best *peer
 	seen := 0
 	for range maxCandidates {
@@ -153,7 +153,7 @@
 	if siteShort {
 		price = r.Cost
 	}
-	if servedFraction(d.effectivePressure(now, best))-price < servedFraction(g.now.Total)+minGain {
+	if servedFraction(d.effectivePressure(now, best))-price < servedFraction(g.pressure.Total)+minGain {
 		return Local, ""
 	}
 	d.tokens--
@@ -166,7 +166,7 @@
 func (g *Gauge) Hot() bool { return g.hot }
 
 // Now returns the pressure as of the latest sample.
-func (g *Gauge) Now() message.Pressure { return g.now }
+func (g *Gauge) Now() message.Pressure { return g.pressure }
 
 // PeersToQuery returns the names of up to n random peers that are to be asked for their pressure.
 func (d *Decider) PeersToQuery(n int) (names []string) {
--- a/internal/forwarding/decider_test.go
+++ b/internal/forwarding/decider_test.go
@@ -33,12 +33,12 @@
 
 func TestOneSpikeDoesNotFlip(t *testing.T) {
 	g := settledGauge(message.Pressure{CPU: 0.6})
-	if g.Add(10*second, message.Pressure{CPU: 1}); g.hot || !g.Accepts() && g.now.Total < coolThreshold {
-		t.Errorf("after one sample of 1: got hot %v at pressure %v, want a sidecar that is not hot", g.hot, g.now.Total)
+	if g.Add(10*second, message.Pressure{CPU: 1}); g.hot || !g.Accepts() && g.pressure.Total < coolThreshold {
+		t.Errorf("after one sample of 1: got hot %v at pressure %v, want a sidecar that is not hot", g.hot, g.pressure.Total)
 	}
 	g = settledGauge(message.Pressure{CPU: 0.9})
 	if g.Add(10*second, message.Pressure{CPU: 0.7}); !g.hot {
-		t.Errorf("after one sample of 0.7: got hot %v at pressure %v, want true", g.hot, g.now.Total)
+		t.Errorf("after one sample of 0.7: got hot %v at pressure %v, want true", g.hot, g.pressure.Total)
 	}
 }
 
