--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -14,8 +14,8 @@
 	"mosslead/internal/registry/api"
 )
 
-// Service grants leaderships; the list service implements it. A call that returns an error neither grants nor
-// extends a lease as far as the caller knows.
+// Service grants leaderships; the list service implements it. If a call returns an error, the caller
+// assumes that no lease was granted or extended.
 type Service interface {
 	// AcquireLeadership grants the leadership to the claim's holder, under a new epoch, unless another
 	// holder's lease is valid. The grant names the holder.
@@ -30,28 +30,28 @@
 // Config configures an Elector.
 type Config struct {
 	Name   string        // name of the leadership
-	Holder string        // name of this process; no other process has it, nor had an earlier process of the same member
+	Holder string        // name of this process, unique among all processes, including earlier ones of the same member
 	Lease  time.Duration // length of the lease; default: DefaultLease
 	// Margin is subtracted from the lease's end: the holder's clock may run slower than the service's by
 	// Margin/Lease. Default: a tenth of the lease, which is a hundred times the drift of a working clock.
 	Margin time.Duration
 	// Timeout is how long to wait for a response. Default: DefaultTimeout, or less if the lease is short, so
-	// that a failed renewal leaves time for others.
+	// that after a failed renewal there is time for further ones.
 	Timeout    time.Duration
 	StartDelay time.Duration  // the first request is sent within this time; default: DefaultStartDelay
 	Random     func() float64 // returns at least 0 and below 1; default: rand.Float64
 }
 
-// Times of an elector. With them a leadership costs the service one request a second from its holder and at
+// Times of an elector. With these, a leadership costs the service one request a second from its holder and at
 // most ten from all waiting candidates together (leasetable.RetrySpacing). While the service does not answer,
 // each elector sends a request every 2 to 4 s (maxBackoff): 100 requests a second from 300 electors.
 const (
 	DefaultLease      = 3 * time.Second
 	DefaultStartDelay = 3 * time.Second
-	DefaultTimeout    = time.Second // of a request
+	DefaultTimeout    = time.Second // how long to wait for the response to a request
 	renewalsPerLease  = 3
 	baseBackoff       = 200 * time.Millisecond
-	jitter            = 20 * time.Millisecond // added to the service's retry time
+	jitter            = 20 * time.Millisecond // bound of a random time that is added to the service's retry time
 	// A leader hands over to a fitter candidate only after minTenure, and does not campaign for yieldTime
 	// afterwards. This limits how often two processes with changing fitness hand over to each other.
 	minTenure = 10 * time.Second
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -18,7 +18,7 @@
 	Release
 )
 
-// Event is an input of an Elector: one of the types below, or nil when time has passed.
+// Event is an input of an Elector: one of the types below, or nil if only time has passed.
 type Event any
 
 type (
@@ -83,14 +83,14 @@
 	epoch           uint64
 	expiresAt       time.Duration // end of the lease, less the margin
 	acquiredAt      time.Duration
-	releasedEpoch   uint64        // the latest epoch that was released; a grant up to it is ignored
+	releasedEpoch   uint64        // the latest released epoch; grants under this or an earlier epoch are ignored
 	releasePending  bool          // the service may not know of the release yet
-	releaseDeadline time.Duration // by then the lease has expired at the service too
+	releaseDeadline time.Duration // when the lease has expired at the service even without the release
 
-	nextRequestAt     time.Duration // no request is sent before
+	nextRequestAt     time.Duration // earliest time of the next request
 	failures          int           // requests in a row without a known outcome
-	cooldownUntil     time.Duration // no request to acquire is sent before
-	workFailures      int           // recent failures at the work, see workFailureWindow
+	cooldownUntil     time.Duration // earliest time of the next Acquire
+	workFailures      int           // recent failures at the leader's work, see workFailureWindow
 	lastWorkFailureAt time.Duration
 
 	actions []Action
@@ -143,7 +143,7 @@
 	return e.actions
 }
 
-// Next returns the time by which Handle is to be called even if no event comes. ok is false if there is none.
+// Next returns the time by which Handle has to be called even without an event; ok is false if there is no such time.
 func (e *Elector) Next() (at time.Duration, ok bool) {
 	earlier := func(t time.Duration) {
 		if !ok || t < at {
@@ -166,7 +166,8 @@
 	return at, ok
 }
 
-// sendNextRequest sends the next sendNextRequest if it is due.
+// sendNextRequest sends the next request if one is due. Once the elector is stopped and has nothing to release,
+// it emits Done.
 func (e *Elector) sendNextRequest(now time.Duration) {
 	if e.releasePending && now >= e.releaseDeadline {
 		e.releasePending = false
@@ -190,6 +191,7 @@
 		e.emit(Done{})
 		return
 	case e.campaigning && now >= max(e.nextRequestAt, e.cooldownUntil):
+		// The service takes the claim for a retry only if this process holds the leadership under a later epoch.
 		e.pending, claim.Epoch = Acquire, e.releasedEpoch
 	default:
 		return
@@ -246,7 +248,7 @@
 	}
 }
 
-// backoff returns the wait after a failed request of that operation.
+// backoff returns the wait after a failed request of operation op.
 func (e *Elector) backoff(op Op) time.Duration {
 	limit := min(baseBackoff<<min(e.failures, 10), e.config.maxBackoff())
 	if op != Acquire && e.held || op == Release { // the lease may still be valid at the service
@@ -266,7 +268,7 @@
 	e.emit(Expired{e.epoch, reason})
 }
 
-// release ends the lease here first, and then schedules the request that ends it at the service. A pending
+// release ends the lease locally first, and then schedules the request that ends it at the service. A pending
 // renewal is abandoned: it has no effect whether it arrives before the release or after it.
 func (e *Elector) release(now time.Duration, reason string) {
 	if e.held {
@@ -279,7 +281,7 @@
 	e.nextRequestAt, e.failures = now, 0
 }
 
-// onWorkFailed releases the leadership because this process fails at its work, and starts a cooldown.
+// onWorkFailed releases the leadership because this process fails at the leader's work, and starts a cooldown.
 func (e *Elector) onWorkFailed(now time.Duration) {
 	if !e.held {
 		return
@@ -293,9 +295,9 @@
 	e.release(now, "it fails at it")
 }
 
-// AppendKey appends everything that the elector's future may depend on, for state exploration: times relative
-// to now, epochs as their distance from highest, and nothing that no longer matters. The ID of the pending
-// request is left out.
+// AppendKey appends a key of the elector's state for state exploration. It encodes times relative to now, and
+// epochs as their distance from highest. State that can't affect the future is left out, as is the ID of the
+// pending request.
 func (e *Elector) AppendKey(b []byte, now time.Duration, highest uint64) []byte {
 	flags := byte(e.pending)
 	for i, set := range []bool{e.campaigning, e.stopped, e.held, e.releasePending} {
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -94,8 +94,8 @@
 	g.runUntil(d, func() bool { return g.now >= end })
 }
 
-// Guards the request rates that config.go states: with 300 candidates, while the leadership is held and while the service does not
-// answer.
+// Checks the limits on request rates that config.go states, with 300 candidates: while the leadership is held, and while the service
+// does not answer.
 func TestThreeHundredCandidates(t *testing.T) {
 	g := newElectorGroup(t, 300)
 	rate := func(phase string, limit float64) {
@@ -109,7 +109,7 @@
 	held := func() bool { return g.holder() >= 0 }
 	g.runUntil(lease.DefaultStartDelay, held)
 	g.advance(time.Minute)
-	rate("held", 12)
+	rate("leadership held", 12)
 	g.handle(g.holder(), lease.Stop{})
 	g.runUntil(time.Second, held)
 	g.service.Down(true)
@@ -118,7 +118,7 @@
 		t.Errorf("elector %d holds the lease after %v without a service, want none", holder, lease.DefaultLease)
 	}
 	g.advance(10 * time.Second)
-	rate("down", 105)
+	rate("service down", 105)
 	g.service.Down(false)
 	g.runUntil(lease.DefaultLease+time.Second, held)
 }
@@ -141,8 +141,9 @@
 	return s.Service.RenewLeadership(ctx, c)
 }
 
-// A partitioned holder holds the lease no longer than until its own clock ends it, and another candidate takes over within lease,
-// margin and a second. A holder that fails at its work, or is less fit, hands over and does not get the leadership back at once.
+// Checks that a partitioned holder stops holding the lease when it expires by its own clock, and that another candidate takes over
+// within lease + margin + 1 s. A holder that fails at its work, or is less fit than another candidate, hands over; one that failed
+// does not get the leadership back for 20 s.
 func TestTheDutyGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := memory.New(nil)
@@ -173,7 +174,7 @@
 					return holder
 				}
 				if time.Since(start) > limit {
-					t.Fatalf("got holder %d after %v, want another than %d", holder, limit, previous)
+					t.Fatalf("got holder %d after %v, want a holder other than %d (-1: none)", holder, limit, previous)
 				}
 			}
 		}
@@ -193,8 +194,9 @@
 				t.Fatalf("runner %d holds the lease again within 20 s of its failure, want another holder", second)
 			}
 		}
+		// The holder is first or third: first can still acquire the lease, and only its renewals fail. third becomes the other one.
 		third := 3 - first - second
-		if holder := awaitHolder(time.Second, -1); holder == third { // the partitioned runner may be the fitter candidate as well
+		if holder := awaitHolder(time.Second, -1); holder == third {
 			third = first
 		}
 		runners[third].Campaign(true, 500)
--- a/internal/lease/explore/explore.go
+++ b/internal/lease/explore/explore.go
@@ -1,6 +1,6 @@
 // Package explore checks the invariants of the leadership protocol by exhaustive state exploration. The model has two candidates
 // (the elector that sidecars run), one service (the list and the lease table that replicas run) and one target of the leader's
-// actions. The exploration takes them through every order of steps, to a depth.
+// actions. The exploration covers every order of steps, up to a given depth.
 //
 // A step is one of: a tick of time, in which a candidate's clock may stand still as often as the drift allows; the arrival of a
 // message in flight, in any order (a message that never arrives is lost); the late commit of a log entry; an election of a new
@@ -22,7 +22,7 @@
 	Tick          = time.Second
 	Lease         = 3 * Tick
 	Margin        = Tick
-	stallInterval = int(Lease / Tick) // in ticks, between two stalls of a clock
+	stallInterval = int(Lease / Tick) // shortest time between two stalls of a clock, in ticks
 )
 
 // Bounds limit the length of a path, and how often each kind of step occurs on it.
@@ -33,7 +33,7 @@
 	Elections   int
 	Withdrawals int // a candidate stops campaigning; it may start again at any time
 	Delays      int // a log entry is not committed at once
-	Actions     int // actions that are started; Broken checks in each state who could act, whatever the bound
+	Actions     int // actions that are started; Broken checks in each state which candidates may act, regardless of this bound
 }
 
 // Faults are faults injected into the model, to test that the exploration finds them.
--- a/internal/lease/explore/explore_test.go
+++ b/internal/lease/explore/explore_test.go
@@ -7,7 +7,7 @@
 
 var deeper = flag.Int("deeper", 0, "steps to add to the depth of the cases without an injected fault")
 
-// The invariants hold on every path, and each injected fault breaks one.
+// Checks that the invariants hold on every path, and that each injected fault breaks one.
 func TestExplore(t *testing.T) {
 	const unlimited = 99
 	for _, test := range []struct {
--- a/internal/lease/explore/state.go
+++ b/internal/lease/explore/state.go
@@ -42,7 +42,7 @@
 	remaining  Bounds // steps that may still occur
 	faults     Faults
 	now        time.Duration
-	list       *list.List // shared by states until one changes it; leases too
+	list       *list.List // shared between states until one changes it; so is leases
 	leases     *leasetable.Table
 	log        []entry // uncommitted
 	candidates [2]candidate
@@ -189,7 +189,7 @@
 	return h
 }
 
-// key appends an encoding of the state without what makes no difference: the origins of time and epochs, and the IDs of requests.
+// key appends an encoding of the state that leaves out what makes no difference: the origins of time and epochs, and the IDs of requests.
 func (s *state) key(b []byte) []byte {
 	d, held := s.list.Leadership(leadershipName)
 	highest := s.list.Epoch()
--- a/internal/lease/explore/steps.go
+++ b/internal/lease/explore/steps.go
@@ -7,7 +7,7 @@
 	"mosslead/internal/lease"
 )
 
-// Steps adds all steps that may come next.
+// Steps adds all steps that are possible in this state.
 func (s *state) Steps(add func(name string, do func(*state))) {
 	for stalled := range 4 { // a bit mask of the candidates whose clocks stand still
 		if s.remaining.Ticks == 0 || stalled&1 != 0 && s.candidates[0].ticksSinceStall < stallInterval || stalled&2 != 0 && s.candidates[1].ticksSinceStall < stallInterval {
--- a/internal/lease/fence.go
+++ b/internal/lease/fence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CurrentLease is the lease of a leader, read before each action as the leader. Safe for concurrent use.
+// CurrentLease is the lease of a leader, which checks it before each action. Safe for concurrent use.
 type CurrentLease struct {
 	mu        sync.Mutex
 	epoch     uint64
--- a/internal/lease/memory/memory.go
+++ b/internal/lease/memory/memory.go
@@ -33,7 +33,7 @@
 	return s
 }
 
-// Down stops the service from answering, or starts it again as a newly elected leader.
+// Down stops the service from answering if down is true; otherwise it starts the service again as a newly elected leader.
 func (s *Service) Down(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Run takes part in the election until ctx ends, and then releases the lease. It returns within about two
-// timeouts after that, or when the lease has ended.
+// Run takes part in the election until ctx ends, and then releases the lease. After that it
+// returns within about two timeouts, or when the lease has expired at the service.
 func (r *Runner) Run(ctx context.Context) {
 	now := func() time.Duration { return time.Since(r.startedAt) }
 	elector := NewElector(r.config, now())
--- a/internal/lease/transcript_test.go
+++ b/internal/lease/transcript_test.go
@@ -12,7 +12,7 @@
 	"mosslead/internal/lease/memory"
 )
 
-// scenario has candidates for the leadership of the trials of s-1, their service 2 ms away, and the target of their actions.
+// scenario is a test with candidates for one leadership, a service that they reach in 2 ms, and the target of the leader's actions.
 type scenario struct {
 	*testing.T
 	record  transcript.Transcript
@@ -136,7 +136,7 @@
 	}},
 }
 
-// Guards the messages between candidates and the service: they must be those of the approved transcripts.
+// Guards against changed messages between candidates and the service: each transcript must equal the approved one.
 func TestApprovedTranscripts(t *testing.T) {
 	for _, test := range scenarios {
 		t.Run(test.name, func(t *testing.T) {
