--- a/internal/circuitbreaker/probe.go
+++ b/internal/circuitbreaker/probe.go
@@ -14,8 +14,8 @@
 // passFractions holds the fraction of picks that is let through, by the number of completed steps.
 var passFractions = [ProbeSteps]float64{0, 0.1, 0.4}
 
-// probeState is the latest probe result of an upstream. Only results of the highest epoch seen count, so
-// a delayed result of an earlier leader changes nothing; of those the latest one counts.
+// probeState is the latest probe result of an upstream. Of the results under the highest epoch seen,
+// the latest one counts; a delayed result of an earlier leader is ignored.
 type probeState struct {
 	epoch     uint64 // highest epoch seen; it is retained when results expire and the upstream restarts
 	startedMs int64  // start of the upstream's incarnation
@@ -26,7 +26,8 @@
 	failedAt  time.Duration // when a probe last failed
 }
 
-// reset starts with another incarnation of the upstream. The epoch belongs to the leadership and stays.
+// reset clears the state for another incarnation of the upstream. The epoch belongs to the leadership and is
+// retained.
 func (p *probeState) reset(startedMs int64) {
 	*p = probeState{epoch: p.epoch, startedMs: startedMs, failedAt: -evidenceLifetime}
 }
@@ -68,7 +69,7 @@
 	return 0
 }
 
-// Round returns the number of closings of an upstream's breaker, for reports that are made now.
+// Round returns the number of closings of an upstream's breaker, for new reports of this sidecar.
 func (t *VerdictTracker) Round(upstream string) uint64 { return t.round(upstream) }
 
 // probeFailedAt returns when a probe of upstream last failed. A failed probe confirms the reports on it.
--- a/internal/circuitbreaker/tracker.go
+++ b/internal/circuitbreaker/tracker.go
@@ -19,8 +19,8 @@
 // Batch holds several events that are evaluated together.
 type Batch []Event
 
-// PeerReport is another member's report on an upstream, valid for TTL at most. If its state is closed and it
-// counts successes, the upstream serves the reporter, whatever others report.
+// PeerReport is another member's report on an upstream, valid for TTL at most. If its state is closed and its
+// count is above 0, it is a report of success: the reporter gets answers from the upstream.
 type PeerReport struct {
 	From      message.Member // name and incarnation; the site is taken from the Roster
 	Report    message.Report
@@ -124,7 +124,7 @@
 	firstAt       time.Duration // when the first evidence of this open (or closed) breaker was received
 	newEvidenceAt time.Duration // when new evidence was last received
 	until         time.Duration
-	contradicted  bool // it has already raised its reporter's score
+	contradicted  bool // the report was contradicted, and has raised its reporter's score
 }
 
 func (r *peerReport) open() bool { return r.report.State != message.Closed }
--- a/internal/circuitbreaker/tracker_test.go
+++ b/internal/circuitbreaker/tracker_test.go
@@ -82,7 +82,7 @@
 		{"one site", 3, []Event{reportFrom(1, silent), reportFrom(5, silent), reportFrom(9, silent)}, false},
 		{"the own site, path evidence", 3, []Event{reportFrom(4, silent), reportFrom(8, silent)}, true},
 		{"the own site, server evidence", 3, []Event{reportFrom(4, errs), reportFrom(8, errs)}, false},
-		{"the own site, where another member is served", 3, []Event{reportFrom(4, silent), reportFrom(8, silent), OwnReport{successFrom(0, "u5").Report}}, false},
+		{"the own site, where this sidecar gets answers", 3, []Event{reportFrom(4, silent), reportFrom(8, silent), OwnReport{successFrom(0, "u5").Report}}, false},
 		{"2 reporters of 300 members", 75, []Event{reportFrom(1, silent), reportFrom(2, silent)}, false},
 		{"5 reporters of 300 members, at 3 sites", 75, []Event{reportFrom(1, silent), reportFrom(2, silent), reportFrom(5, silent), reportFrom(6, silent), reportFrom(3, silent)}, true},
 		{"4 reporters at one site and 1 at another", 75, []Event{reportFrom(1, silent), reportFrom(5, silent), reportFrom(9, silent), reportFrom(13, silent), reportFrom(2, silent)}, false},
@@ -95,7 +95,7 @@
 		{"reporters that accuse all upstreams", 1, []Event{allUpstreams(1), allUpstreams(2)}, false},
 		{"a reporter that is not present", 1, []Event{reportFrom(1, silent), reportFrom(99, silent)}, false},
 		{"a withdrawn report", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), PeerReport{From: message.Member{Name: "n02"}, Report: silent, Withdrawn: true}}, false},
-		{"other sites, while the own site is served", 3, []Event{reportFrom(1, silent), reportFrom(2, silent), successFrom(4, "u5")}, false},
+		{"other sites, while a member of the own site gets answers", 3, []Event{reportFrom(1, silent), reportFrom(2, silent), successFrom(4, "u5")}, false},
 		{"reports on a class, verdict on all classes", 1, []Event{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "c", message.ErrorAnswers))}, false},
 		{"reports on two classes", 1, []Event{reportFrom(1, failureReport("u5", "c", message.ErrorAnswers)), reportFrom(2, failureReport("u5", "d", message.ErrorAnswers))}, false},
 		{"removed from the list and listed again", 1, []Event{reportFrom(1, silent), reportFrom(2, silent), EndpointList{testEndpoints(1)[6:]}, EndpointList{testEndpoints(1)}}, false},
@@ -115,13 +115,13 @@
 	}
 }
 
-// Guards against a verdict while as many sites are served as report a fault, and against reports of success
+// Guards against a verdict while as many sites get answers as report a fault, and against reports of success
 // that are believed longer than successTTL. The tracker is at a fifth site without reports of its own.
 func TestSitesContradict(t *testing.T) {
 	tracker := newTestTracker(1)
 	tracker.config.Site = "quezon"
 	if tracker.Handle(testTime, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence)), successFrom(3, "u5"), successFrom(0, "u5")}); tracker.isOpen("u5", "") {
-		t.Error("got an open verdict while as many sites are served as report a fault, want closed")
+		t.Error("got an open verdict while as many sites get answers as report a fault, want closed")
 	}
 	if tracker.Handle(testTime+successTTL-time.Millisecond, Batch{reportFrom(1, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))}); tracker.isOpen("u5", "") {
 		t.Error("got an open verdict before successTTL ended, want the reports of success to count")
@@ -164,7 +164,7 @@
 	}
 }
 
-// Guards against unbounded memory: many reporters and many subjects are limited.
+// Guards against unbounded memory: the numbers of reporters and of subjects are limited.
 func TestTheBoardIsBounded(t *testing.T) {
 	tracker := newTestTracker(75)
 	var all Batch
@@ -214,7 +214,7 @@
 			t.Errorf("suspicion 3 s after a stop: got %v, want 0.2 at most", got)
 		}
 	}
-	for range 60 { // stopped for 400 ms in 500
+	for range 60 { // a gap of 400 ms is four times the interval, but below stoppedGap (500 ms)
 		check(400*time.Millisecond, 40, 0)
 	}
 	if got := check(400*time.Millisecond, 40, 0); got < 0.9 {
@@ -303,7 +303,7 @@
 	}
 	tracker.Handle(testTime, Batch{reportFrom(3, failureReport("u5", "", message.Silence)), reportFrom(2, failureReport("u5", "", message.Silence))})
 	if tracker.isOpen("u5", "") {
-		t.Error("got an open verdict by reports of the round before, want closed")
+		t.Error("got an open verdict by reports of an earlier round, want closed")
 	}
 	tracker.Handle(testTime, EndpointList{testEndpoints(2)})
 	if probe(9, 1, 1, 5); tracker.Round("u5") != 0 || tracker.probes["u5"].epoch != 7 {
--- a/internal/circuitbreaker/verdict.go
+++ b/internal/circuitbreaker/verdict.go
@@ -14,16 +14,16 @@
 const (
 	startupTime       = time.Second      // a new tracker opens nothing for this long, since its roster is incomplete
 	falseReportRate   = 1.0 / 200        // probability that a member is wrong about a given upstream
-	maxFalseVerdict   = 1.0 / 50         // highest accepted probability that as many members as a verdict requires are wrong at once
+	maxFalseVerdict   = 1.0 / 50         // highest accepted probability that all reporters that a verdict requires are wrong at once
 	flapWithin        = 30 * time.Second // a verdict that opens again within this time after it closed is delayed
-	baseFlapDelay     = time.Second      // delay of the first reopening; it doubles with each one
+	baseFlapDelay     = time.Second      // delay of the first reopening; it doubles with each further one
 	maxFlapDelay      = 16 * time.Second
 	maxNamedReporters = 8 // reporters that a reason lists
 )
 
 // requiredReporters returns how many independent reporters a verdict requires if n members could have seen the
-// fault: the smallest number, but at least 2, such that as many members are wrong at once with a probability
-// of at most maxFalseVerdict. The number of wrong members is taken as Poisson distributed.
+// fault: the smallest k, at least 2, such that k or more members are wrong at once with a probability of at
+// most maxFalseVerdict. The number of wrong members is taken as Poisson distributed.
 func requiredReporters(n int) int {
 	mean := falseReportRate * float64(n)
 	term := math.Exp(-mean) // P(exactly k)
@@ -42,12 +42,12 @@
 	Verdict
 	until    time.Duration // end of its validity
 	closedAt time.Duration // when it last closed
-	flaps    int           // openings within flapWithin of the closing before
+	flaps    int           // consecutive reopenings, each within flapWithin of the previous closing
 }
 
 // weights holds the summed weights of the reports on one subject.
 type weights struct {
-	open, healthy                map[string]float64 // reports of an open breaker, and of success, by site
+	open, healthy                map[string]float64 // weights of the reports of an open breaker, and of success, by site
 	pathEvidence, serverEvidence map[string]float64 // parts of open, by site: evidence that may be a fault of the path, and of the server
 	confirmed                    bool               // at least one report is more than a suspicion
 	since, last                  time.Duration      // when the first open report was received, and when the last one expires
@@ -98,7 +98,7 @@
 	sums := t.sumWeights(now, s, reported)
 	v := Verdict{Upstream: s.upstream, StartedMs: u.StartedMs, Class: s.class, Since: sums.since, Round: t.round(s.upstream)}
 	need, siteNeed := float64(requiredReporters(t.potentialReporters(""))), float64(requiredReporters(t.potentialReporters(t.config.Site)))
-	if old.Open { // hysteresis: an open verdict closes at half a report less
+	if old.Open { // hysteresis: an open verdict needs half a report less to stay open
 		need, siteNeed = need-0.5, siteNeed-0.5
 	}
 	v.Open = listed && now-t.startedAt >= startupTime && sums.confirmed && (sums.fleetQuorum(need, t.config.Site) || sums.siteQuorum(siteNeed, t.config.Site))
@@ -146,8 +146,9 @@
 }
 
 // fleetQuorum reports whether the fleet agrees that the upstream fails. The weight has to reach need, of which
-// one site contributes at most half, so it takes at least two sites; and more sites have to report the fault
-// than are served. If path evidence prevails, it does not hold while the own site's members are served.
+// one site contributes at most half, so at least two sites have to report the fault; and more sites have to
+// report it than report success. If most evidence may be a fault of the path, there is no quorum while members
+// of this sidecar's own site still get answers.
 func (w *weights) fleetQuorum(need float64, own string) bool {
 	sum, open, healthy := 0.0, 0, 0
 	for _, weight := range w.open {
@@ -166,8 +167,8 @@
 	return sum >= need && open > healthy
 }
 
-// siteQuorum reports whether the own site agrees that its paths to the upstream fail: the weight reaches need,
-// and exceeds that of the members of the site that are served.
+// siteQuorum reports whether this sidecar's own site agrees that its paths to the upstream fail: the weight of
+// its path evidence reaches need, and exceeds the weight of its reports of success.
 func (w *weights) siteQuorum(need float64, own string) bool {
 	return w.pathEvidence[own] >= need && w.pathEvidence[own] > w.healthy[own]
 }
@@ -179,9 +180,11 @@
 	return sum
 }
 
+// evidenceNames has the names of evidence in the reasons for operators: "breaks" are broken connections, and
+// "full" are rejections.
 var evidenceNames = map[message.Evidence]string{message.ErrorAnswers: "errors", message.BrokenConnections: "breaks", message.Silence: "silence", message.Rejections: "full"}
 
-// explain describes for operators which member reports what on s, and how far each report counts.
+// explain describes for operators which member reports what on s, and how much each report counts.
 func (t *VerdictTracker) explain(now time.Duration, s subject, reported accusations) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(t.reports[s])) {
--- a/internal/circuitbreaker/weight.go
+++ b/internal/circuitbreaker/weight.go
@@ -11,7 +11,7 @@
 // opens no verdict unless there is also a report with less self-suspicion.
 const Suspicion = 0.5
 
-// Limits of how much reports count.
+// Limits on the weight of reports.
 const (
 	// sizeMemory is how long a site's largest number of members counts, so that a sidecar that no longer sees
 	// other members does not require fewer reporters.
@@ -77,9 +77,9 @@
 	return n
 }
 
-// penalizeContradicted raises the scores of the reporters that accuse s while it serves this sidecar, or as
-// many others as a verdict requires. A success contradicts only a report that a difference of paths can't
-// explain: one on the server's own answers, or one from the same site.
+// penalizeContradicted raises the scores of the reporters with an open report on s that is contradicted by a
+// report of success of this sidecar, or of as many others as a verdict requires. A success contradicts only
+// a report that a difference of paths can't explain: one on the server's own answers, or one from the same site.
 func (t *VerdictTracker) penalizeContradicted(now time.Duration, s subject) {
 	required := requiredReporters(t.potentialReporters(""))
 	for reporter, r := range t.reports[s] {
@@ -103,8 +103,8 @@
 	}
 }
 
-// accusations is the number of upstreams that each reporter accuses, for all requests or for a class, by
-// reporter and site of the upstream; site "" is the total.
+// accusations counts the upstreams that each reporter accuses, for all requests or for a class. The keys are
+// the reporter and the site of the upstream; site "" has the total.
 type accusations map[string]map[string]int
 
 func (t *VerdictTracker) accusations() accusations {
