--- a/internal/federation/chunks.go
+++ b/internal/federation/chunks.go
@@ -1,5 +1,5 @@
 // Package federation turns watch events from another region's list service into chunks for this region's log.
-// It decides which of their content is plausible, and bounds the size of chunks. It does no I/O and reads no clock.
+// It rejects implausible events, leaves out implausible documents, and bounds the size of chunks. It does no I/O and reads no clock.
 package federation
 
 import (
@@ -16,7 +16,7 @@
 const (
 	MaxChunkEntries    = 500
 	MaxChunkBytes      = 256 << 10
-	entryOverheadBytes = 128 // upper bound of the encoded size of an entry or document, without its texts
+	entryOverheadBytes = 128 // upper bound of the encoded size of an entry or document, without its strings
 )
 
 // ChunkLimit bounds a chunk. A single entry or document may exceed Bytes.
--- a/internal/federation/chunks_test.go
+++ b/internal/federation/chunks_test.go
@@ -238,8 +238,8 @@
 	return w.read(south.list)
 }
 
-// In any order of events, what a follower replicates never goes back, and lost, late and duplicated chunks do no harm. At the end it
-// has what the owner has; its watchers have its list at each step.
+// Checks that in any order of events, with lost, late and duplicated chunks, the revisions that a follower replicates never go back.
+// At the end the follower has what the owner has; its watchers have its list at each step.
 func TestAFollowerOnlyGoesOn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := runScenario(t, false); violation != "" {
@@ -248,7 +248,7 @@
 	})
 }
 
-// The same scenarios detect a follower that applies older revisions.
+// Checks that the scenarios of TestAFollowerOnlyGoesOn detect a follower that applies older revisions.
 func TestAFollowerThatGoesBackIsFound(t *testing.T) {
 	violation := ""
 	rapid.Check(t, func(t *rapid.T) {
@@ -327,8 +327,8 @@
 	}
 }
 
-// Settings that two regions have put for one service during a partition resolve to the same region's in both, also once that region
-// has deleted its own. A document that both have deleted stays deleted.
+// If two regions put settings for one service during a partition, both regions use the settings of the same region, and those of the
+// other once that region has deleted its own. A document that both have deleted stays deleted.
 func TestTheSmallerRegionsSettingsAreTold(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	follow := func(follower, source *region) (anomaly string) {
@@ -401,7 +401,7 @@
 		t.Errorf("restored owner: got entries %+v, want u among them", south.list.Full().Endpoints)
 	}
 	if _, _, rejected := Chunks("north", south.list.Replicated("north"), api.WatchEvent{Revision: 1 << 40, Region: "west"}); rejected == "" {
-		t.Error("event of region west as of north: got no rejection, want one")
+		t.Error("event of region west for the replication of north: got no rejection, want one")
 	}
 }
 
@@ -425,12 +425,12 @@
 	restored := north.clone(t, list.CompactionWindow)
 	north.changeDocument(list.PutDocument, "s", `1`, 0)
 	restored.changeDocument(list.PutDocument, "s", `2`, 0)
-	for range 2 { // an unchanged document is no anomaly
+	for range 2 { // the second time, the document is unchanged, which is no anomaly
 		if anomaly := replicate(north); anomaly != "" {
 			t.Errorf("owner: got anomaly %q, want none", anomaly)
 		}
 	}
-	for range 2 { // at the same revision of the list, and at a higher one
+	for range 2 { // first at the same revision of the list, then at a higher one
 		if anomaly := replicate(restored); !strings.Contains(anomaly, "settings of s at version 1 are others") {
 			t.Errorf("restored owner: got anomaly %q, want other settings of s at version 1", anomaly)
 		}
--- a/internal/federation/explore/explore.go
+++ b/internal/federation/explore/explore.go
@@ -1,7 +1,7 @@
 // Package explore checks the replication of one region's documents and entries to another by exhaustive state exploration: what is
-// replicated must never go back. The model has an owner with two replicas, one up to date and one that may lag; a follower's log, in
-// which two replicas may both act as the leader that replicates; and a sidecar that reads at a replica of the follower that is up to
-// date, or at one that lags. The exploration takes them through every order of steps, to a depth.
+// replicated must never go back. The model has an owner with two replicas, one up to date and one that may lag; a follower, of
+// which two replicas may both act as the leader and write chunks to its log; and a sidecar that reads from an up-to-date or from a
+// lagging replica of the follower. The exploration covers every order of steps, up to a given depth.
 //
 // A step is one of: a change by the owner, whose history keeps only the last changes; a replica that catches up; a leader that starts
 // a watch at either replica of the owner, receives one more event, or loses the watch with all its events; an event that is applied,
@@ -33,7 +33,7 @@
 	Elections  int  // another leader starts
 	Restarts   int  // the follower restarts from its snapshot
 	Restores   int  // the owner is restored to its lagging replica
-	Barrier    bool // leaders start as in the program, see elect; otherwise only the log separates them
+	Barrier    bool // leaders start as in the program, see elect; otherwise the former leader and its abandoned chunks remain
 	Reads      int  // reads by the sidecar
 }
 
--- a/internal/federation/explore/explore_test.go
+++ b/internal/federation/explore/explore_test.go
@@ -8,7 +8,8 @@
 
 var deeper = flag.Int("deeper", 0, "steps to add to the depth of the cases without an injected fault")
 
-// The invariants hold on every path, and each injected fault breaks one, but for one case whose fault the log makes harmless.
+// Checks that the invariants hold on every path, and that each injected fault breaks one, except for ContinueAfterLoss alone, which
+// the log makes harmless.
 func TestExplore(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/federation/explore/promises.go
+++ b/internal/federation/explore/promises.go
@@ -50,7 +50,7 @@
 	return s.checkOwn()
 }
 
-// checkIssued returns what is replicated although the owner never issued it, or an empty string.
+// checkIssued describes replicated content that the owner never issued. It returns an empty string if there is none.
 func (s *state) checkIssued(replicated list.Replicated) string {
 	for name, d := range replicated.Documents {
 		if !slices.ContainsFunc(s.issuedViews, func(view ownerView) bool { issued, ok := view.documents[name]; return ok && equalDocuments(issued, d) }) {
@@ -65,7 +65,7 @@
 	return ""
 }
 
-// checkOwn returns what has changed of the follower's own entries and documents, or an empty string.
+// checkOwn describes a change of the follower's own entries and documents. It returns an empty string if there is none.
 func (s *state) checkOwn() string {
 	own := s.follower.OwnChangesSince(-1)
 	if len(own.Endpoints) != 2 || len(own.Documents) != 1 || own.Documents[0].Revision != 3 || own.Documents[0].Region != south {
@@ -88,7 +88,7 @@
 	return a.Service == b.Service && a.Region == b.Region && a.Revision == b.Revision && a.Deleted == b.Deleted && string(a.Settings) == string(b.Settings)
 }
 
-// changeNumber returns the number of the owner's change that an entry is of.
+// changeNumber returns the number of the owner's change that produced an entry.
 func changeNumber(e api.Endpoint) int {
 	n, _ := strconv.Atoi(e.Address)
 	return n
@@ -97,8 +97,8 @@
 // maxSettleSteps is more steps than settle takes in any state of the model.
 const maxSettleSteps = 64
 
-// settle continues until no step remains: with the leader that started last, the owner's up-to-date replica, and nothing lost or late.
-// It returns false if that does not end within maxSettleSteps.
+// settle replicates until no event or chunk remains, with the leader that started last and the owner's up-to-date replica; nothing is
+// lost or late. It returns false if events or chunks remain after maxSettleSteps.
 func (s *state) settle() bool {
 	s.laggingOwner, s.lateChunks, s.remaining = s.owner, nil, Bounds{}
 	s.leaders[1-s.newestLeader] = leader{}
@@ -129,8 +129,8 @@
 	return false
 }
 
-// checkConvergence returns what settle leaves wrong, or an empty string. The follower must have everything of the owner or report what
-// it has set aside, for which there is no cause unless the owner was restored; the sidecar must have what the follower's list has.
+// checkConvergence describes what is wrong after settle, or returns an empty string. The follower must have all entries and documents
+// of the owner, or, only if the owner was restored, report what it has set aside. The sidecar must have the follower's settings.
 func (s *state) checkConvergence() string {
 	settled := s.Clone()
 	if !settled.settle() {
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -15,7 +15,7 @@
 
 const (
 	history     = 1 // length of the owner's change history: the third change compacts the first away
-	maxInFlight = 2 // events of a watch, and abandoned chunks
+	maxInFlight = 2 // limit of the unapplied events of a watch, and of the abandoned chunks
 )
 
 // oneItem bounds chunks to one entry or document.
@@ -58,9 +58,9 @@
 	watchRevision    int64            // revision of the latest event
 	events           []api.WatchEvent // received and not applied yet
 	chunks           []list.Chunk     // of the event applied last, to be proposed one by one
-	snapshot         bool             // that event was one
-	anomaly          string           // what is left out of its chunks
-	droppedDocuments []string         // services whose documents it removes, see Faults.DropUnnamed
+	snapshot         bool             // the event applied last is a snapshot
+	anomaly          string           // what the chunks leave out of that event
+	droppedDocuments []string         // services whose documents the last chunk removes, see Faults.DropUnnamed
 }
 
 // endWatch drops the watch with its events and chunks.
@@ -82,7 +82,7 @@
 	restored        bool        // the owner was restored
 	leaders         [2]leader
 	newestLeader    int          // index of the leader that started last
-	lateChunks      []list.Chunk // may be committed later
+	lateChunks      []list.Chunk // chunks that may be committed later
 	sidecarDocument api.Document // the settings that the sidecar has
 	violation       string       // the invariant that the step itself broke; empty if none
 }
--- a/internal/federation/explore/steps.go
+++ b/internal/federation/explore/steps.go
@@ -8,7 +8,7 @@
 	"mosslead/internal/registry/list"
 )
 
-// Steps adds all steps that may come next.
+// Steps adds all steps that are possible in this state.
 func (s *state) Steps(add func(name string, do func(*state))) {
 	s.ownerSteps(add)
 	for i := range s.leaders {
--- a/internal/federation/syncstate.go
+++ b/internal/federation/syncstate.go
@@ -3,13 +3,13 @@
 // SyncState is the state of the replication of one region.
 type SyncState struct {
 	Synced   bool   // a full list was applied, and nothing since then makes another one necessary
-	Anomaly  string // what was left out, since the last full list; empty if nothing
+	Anomaly  string // what was left out of the events since the last full list; empty if nothing was
 	Rejected string // why the last event was rejected; empty if it was applied
 }
 
-// NextRevision returns the revision since which to request changes, which is the replicated one, or -1 to request
-// the full list. silent says that the region has sent nothing for so long that it may have been restored to an
-// earlier state.
+// NextRevision returns the revision after which to request changes: the replicated one, or -1 for the full list
+// if the region is not synced. silent says that the region has sent nothing for so long that it may have been
+// restored to an earlier state; it clears Synced.
 func (s *SyncState) NextRevision(replicated int64, silent bool) int64 {
 	if s.Synced = s.Synced && !silent; !s.Synced {
 		return -1
