--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -18,13 +18,13 @@
 	hotThreshold         = 0.85                   // pressure at which a sidecar becomes hot and starts to forward
 	coolThreshold        = 0.65                   // pressure at which it is no longer hot; a sidecar at or above it accepts no forwarded requests
 	smoothingTime        = 500 * time.Millisecond // time over which pressure is averaged, so that one sample does not change the state
-	agingAfter           = time.Second            // a peer's pressure counts as it was for this long
-	expiredAfter         = 4 * time.Second        // and as full from this age on
-	minGain              = 0.1                    // fraction of a request's value that forwarding must bring
-	maxForwardedFraction = 0.2                    // of the arriving requests
-	burst                = 20.0                   // forwarded requests at once
-	maxCandidates        = 6                      // peers that are looked at for each request
-	minRoundTrips        = 4                      // round trips that must fit into the time that is left
+	agingAfter           = time.Second            // age up to which a peer's pressure counts as it was received
+	expiredAfter         = 4 * time.Second        // age from which a peer's pressure counts as full
+	minGain              = 0.1                    // fraction of a request's value that forwarding must gain
+	maxForwardedFraction = 0.2                    // highest fraction of the arriving requests that is forwarded in the long run
+	burst                = 20.0                   // limit of the forwarding budget: requests that may be forwarded in a row
+	maxCandidates        = 6                      // random picks of a peer for each request, at most
+	minRoundTrips        = 4                      // round trips that must fit into the time until the client stops waiting
 )
 
 // Gauge holds the averaged pressure of one sidecar.
@@ -128,8 +128,8 @@
 	if !g.hot || d.tokens < 1 || len(d.order) == 0 {
 		return Local, ""
 	}
-	// If only this process is short of something, others of its site have it; if the site is, those of another
-	// site do.
+	// If only this process is short of a resource, the request goes to a peer of the same site. If the site's
+	// upstreams are, or the limit of admission is reached, it goes to another site.
 	siteShort := g.pressure.Site >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap) || g.pressure.InFlight >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap)
 	var best *peer
 	seen := 0
--- a/internal/forwarding/decider_test.go
+++ b/internal/forwarding/decider_test.go
@@ -31,19 +31,21 @@
 	}
 }
 
+// Checks that one sample does not change whether a sidecar is hot.
 func TestOneSpikeDoesNotFlip(t *testing.T) {
 	g := settledGauge(message.Pressure{CPU: 0.6})
 	if g.Add(10*second, message.Pressure{CPU: 1}); g.hot || !g.Accepts() && g.pressure.Total < coolThreshold {
-		t.Errorf("after one sample of 1: got hot %v at pressure %v, want a sidecar that is not hot", g.hot, g.pressure.Total)
+		t.Errorf("after one sample of 1: got hot %v, accepting %v at pressure %v, want not hot, and accepting below %v", g.hot, g.Accepts(), g.pressure.Total, coolThreshold)
 	}
 	g = settledGauge(message.Pressure{CPU: 0.9})
 	if g.Add(10*second, message.Pressure{CPU: 0.7}); !g.hot {
-		t.Errorf("after one sample of 0.7: got hot %v at pressure %v, want true", g.hot, g.pressure.Total)
+		t.Errorf("after one sample of 0.7 at a pressure of 0.9: got hot %v at pressure %v, want true", g.hot, g.pressure.Total)
 	}
 }
 
+// Checks to which peers requests are forwarded, by pressure, site and the time left.
 func TestWhoGetsTheWork(t *testing.T) {
-	process, site := message.Pressure{CPU: 1, Site: 0.2}, message.Pressure{CPU: 0.2, Site: 1}
+	processShort, siteShort := message.Pressure{CPU: 1, Site: 0.2}, message.Pressure{CPU: 0.2, Site: 1}
 	request := Request{TimeLeft: second, RoundTrip: 20 * time.Millisecond, Cost: 0.1}
 	for name, c := range map[string]struct {
 		own   message.Pressure
@@ -53,14 +55,14 @@
 		want  []string // peers that are chosen over many seeds; none if the request stays local
 	}{
 		"no resource is scarce":                  {message.Pressure{CPU: 0.5}, request, map[string]float64{"a1": 0, "b1": 0}, 0, nil},
-		"only the process is short of something": {process, request, map[string]float64{"a1": 0.1, "b1": 0}, 0, []string{"a1"}},
-		"the site is short of something":         {site, request, map[string]float64{"a1": 0, "b1": 0.1, "c1": 0.1}, 0, []string{"b1", "c1"}},
-		"the lower pressure of two":              {site, request, map[string]float64{"b1": 0.6, "b2": 0.1}, 0, []string{"b2"}},
-		"all peers are under pressure":           {site, request, map[string]float64{"b1": 0.8, "c1": 0.9}, 0, nil},
-		"not enough time for the round trips":    {site, Request{TimeLeft: 70 * time.Millisecond, RoundTrip: 20 * time.Millisecond}, map[string]float64{"b1": 0}, 0, nil},
-		"crossing costs more than it gains":      {site, Request{TimeLeft: second, Cost: 0.95}, map[string]float64{"b1": 0}, 0, nil},
-		"the received pressures are expired":     {site, request, map[string]float64{"b1": 0, "c1": 0}, 4 * second, nil},
-		"no peers":                               {site, request, nil, 0, nil},
+		"only the process is short of something": {processShort, request, map[string]float64{"a1": 0.1, "b1": 0}, 0, []string{"a1"}},
+		"the site is short of something":         {siteShort, request, map[string]float64{"a1": 0, "b1": 0.1, "c1": 0.1}, 0, []string{"b1", "c1"}},
+		"the lower pressure of two":              {siteShort, request, map[string]float64{"b1": 0.6, "b2": 0.1}, 0, []string{"b2"}},
+		"all peers are under pressure":           {siteShort, request, map[string]float64{"b1": 0.8, "c1": 0.9}, 0, nil},
+		"not enough time for the round trips":    {siteShort, Request{TimeLeft: 70 * time.Millisecond, RoundTrip: 20 * time.Millisecond}, map[string]float64{"b1": 0}, 0, nil},
+		"crossing costs more than it gains":      {siteShort, Request{TimeLeft: second, Cost: 0.95}, map[string]float64{"b1": 0}, 0, nil},
+		"the received pressures are expired":     {siteShort, request, map[string]float64{"b1": 0, "c1": 0}, 4 * second, nil},
+		"no peers":                               {siteShort, request, nil, 0, nil},
 	} {
 		got := map[string]bool{}
 		for seed := range uint64(20) {
--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -37,7 +37,7 @@
 // delegate implements memberlist.Delegate. The library calls it on its own goroutines.
 type delegate Gossiper
 
-// NodeMeta returns this process as an encoded Member. Its bounds were checked, so it fits.
+// NodeMeta returns this process as an encoded Member. The bounds of its fields were checked, so it fits.
 func (d *delegate) NodeMeta(int) []byte {
 	d.mu.Lock()
 	self := d.self
@@ -104,7 +104,7 @@
 	}
 }
 
-// events implements memberlist.EventDelegate. It keeps the members that are present.
+// events implements memberlist.EventDelegate. It maintains the set of present members.
 type events Gossiper
 
 // NotifyJoin implements memberlist.EventDelegate.
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -1,6 +1,6 @@
 // Package gossip tracks which sidecars are present, and spreads small records among them. Membership and
-// failure detection (SWIM) are done by hashicorp/memberlist, which also broadcasts the records; they are merged
-// here (store.go).
+// failure detection (SWIM) are done by hashicorp/memberlist, which also broadcasts the records; this
+// package merges them (store.go).
 package gossip
 
 import (
@@ -25,7 +25,7 @@
 )
 
 const (
-	inboxSize      = 512                    // records of a kind that wait for their reader, at most
+	inboxSize      = 512                    // highest number of records of one kind that wait for their reader
 	sweepInterval  = time.Second            // interval of removing expired records
 	streamTimeout  = 2 * time.Second        // timeout of connecting to a member, and of reads and writes on the connection
 	leaveTimeout   = 500 * time.Millisecond // time for the leave message to reach other members
@@ -40,9 +40,9 @@
 	// add about 1 KB/s. Records beyond the bound are sent later, only the newest one of each key.
 	maxBytesPerSecond = 6 << 10
 	maxBurstBytes     = 16 << 10
-	// establishedAfter is how long a process has run before a newer process with its name fences it. Before
-	// that, a newer incarnation under its name is taken for that of its predecessor, whose clock was ahead, and
-	// the process sets its own start time to a later one.
+	// establishedAfter is the time after its start from which a process is fenced by a newer incarnation under
+	// its name. Earlier, the process takes such an incarnation for that of its predecessor, whose clock was
+	// ahead, and sets its own start time to a later one.
 	establishedAfter = 5 * time.Second
 )
 
@@ -71,8 +71,8 @@
 
 	mu       sync.Mutex
 	self     message.Member
-	fenced   bool   // a newer process has this one's name
-	seq      uint64 // of the latest record of this process
+	fenced   bool   // a newer process has the same name as this one
+	seq      uint64 // sequence number of the latest record of this process
 	records  *store
 	members  map[string]message.Member // present members by name, including this process
 	departed map[string]departedMember // members that failed without leaving, by name
@@ -158,7 +158,7 @@
 }
 
 // join joins the seeds, or a random member if any is present, and returns the delay until the next call.
-// attempt is the number of calls before.
+// attempt is the number of earlier calls.
 func (g *Gossiper) join(attempt int) time.Duration {
 	addresses := g.seeds
 	if others := g.list.Members(); len(others) > 1 {
@@ -195,8 +195,8 @@
 // Self returns the name of this process.
 func (g *Gossiper) Self() string { return g.name }
 
-// Fenced reports whether a newer process has this one's name. A fenced process broadcasts nothing more, and
-// must not act for others.
+// Fenced reports whether a newer process has the same name as this one. A fenced process broadcasts
+// nothing more, and must not act for others.
 func (g *Gossiper) Fenced() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,8 +221,8 @@
 	return all
 }
 
-// Dropped returns the number of records that readers did not read in time, and of those dropped because their
-// owner had too many.
+// Dropped returns the numbers of records that were dropped because readers did not read them in time, and
+// because their owner had too many.
 func (g *Gossiper) Dropped() (late, overBound uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -232,8 +232,8 @@
 	return late, g.records.dropped
 }
 
-// Inbox returns the queue of the records of a kind that other members send. It is for one reader, and bounded
-// if nobody reads it.
+// Inbox returns the queue of the records of a kind that other members send. It is for one reader; its length is
+// bounded even if nobody reads it.
 func (g *Gossiper) Inbox(kind message.Kind) *conflate.Queue[message.Key, message.Record] {
 	return g.inboxes[kind]
 }
@@ -272,7 +272,7 @@
 			return g.list.SendBestEffort(n, encoded)
 		}
 	}
-	return fmt.Errorf("member %s is not present", to)
+	return fmt.Errorf("no member named %s in the gossip cluster", to)
 }
 
 var (
@@ -324,7 +324,7 @@
 	}
 }
 
-// onOwnName handles a message of a process with this one's name. A newer process fences this one, see
+// onOwnName handles a message of a process with the same name as this one. A newer process fences this one, see
 // establishedAfter. The caller holds mu.
 func (g *Gossiper) onOwnName(other message.Incarnation) {
 	if !other.Newer(g.self.Incarnation) || g.fenced {
--- a/internal/gossip/gossiper_test.go
+++ b/internal/gossip/gossiper_test.go
@@ -8,8 +8,8 @@
 	"mosslead/internal/gossip/message"
 )
 
-// Checks that a process takes a newer incarnation under its name for its predecessor if it arrives early, and
-// is fenced by it if it arrives after establishedAfter.
+// Checks that a process that receives a record of a newer incarnation under its name takes it for one of its
+// predecessor before establishedAfter, and is fenced afterwards.
 func TestTheOlderProcessOfANameStandsAside(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Config{Member: message.Member{Name: "n1", Incarnation: message.Incarnation{StartedMs: 1000}}}
--- a/internal/gossip/message/message.go
+++ b/internal/gossip/message/message.go
@@ -39,7 +39,7 @@
 
 // Member is a process that takes part in the gossip.
 type Member struct {
-	Name        string      `cbor:"1,keyasint"` // the same after a restart
+	Name        string      `cbor:"1,keyasint"` // unchanged by a restart
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	Site        string      `cbor:"3,keyasint"` // data center
 	Version     string      `cbor:"4,keyasint"` // version of the program
@@ -168,7 +168,7 @@
 	Count     int    `cbor:"7,keyasint"` // number of probes made under Epoch
 }
 
-// Summary is the report of the leader of a site's digest for all members of the site.
+// Summary is the digest of a site, which its leader sends for all members of the site.
 type Summary struct {
 	Site     string   `cbor:"1,keyasint"`
 	Epoch    uint64   `cbor:"2,keyasint"`
