--- a/internal/conflate/queue.go
+++ b/internal/conflate/queue.go
@@ -32,7 +32,8 @@
 }
 
 // Push adds a value, or replaces the queued value of the same key, which keeps its place. When the queue is full,
-// the oldest value without mustDeliver is dropped; if there is none, the new value is, unless it has mustDeliver.
+// the oldest value without mustDeliver is dropped; if there is none, the new value is dropped unless it has
+// mustDeliver.
 // A value with mustDeliver is never dropped, nor is one that replaces it: the end of a ban or of a leadership must
 // arrive. Such values may exceed the bound, so producers have to bound their keys.
 func (q *Queue[K, V]) Push(key K, v V, mustDeliver bool) {
@@ -67,7 +68,8 @@
 	return false
 }
 
-// Ready returns a channel that is readable when there may be a value to pop. That of a nil Queue never is.
+// Ready returns a channel that is readable when there may be a value to pop. The channel of a nil
+// Queue is never readable.
 func (q *Queue[K, V]) Ready() <-chan struct{} {
 	if q == nil {
 		return nil
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -1,5 +1,5 @@
-// Package modelcheck explores every order of the steps of a small model, breadth first and to a depth. A path that
-// it finds to a broken invariant is therefore one of the shortest.
+// Package modelcheck explores every order of the steps of a small model, breadth first and up to a given
+// depth. The path that it reports to a broken invariant is therefore one of the shortest.
 package modelcheck
 
 import (
@@ -27,7 +27,7 @@
 	States int      // number of different states seen
 	Depth  int      // all states up to this depth were seen
 	Broken string   // the invariant that does not hold; empty if all hold
-	Path   []string // one of the shortest paths of steps to where it breaks
+	Path   []string // steps of a shortest path to the broken invariant; empty if all hold
 }
 
 // node is a state and the last step of the path to it.
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -77,7 +77,7 @@
 	return ""
 }
 
-// contains reports whether k has a key, or the empty list in whose objects the key would be.
+// contains reports whether k has key, or an empty list whose objects could have it.
 func (k Keys) contains(key string) bool {
 	for i, x := range key {
 		if x == '.' && k[key[:i+1]] {
--- a/internal/settings/locate_test.go
+++ b/internal/settings/locate_test.go
@@ -20,8 +20,8 @@
  "Tenants": [{"Name": "a", "Fraction": 0.5}]
 }`
 
-// Guards against an error that leaves the operator to search: for each setting that Check rejects, Locate returns its line and
-// its key in the file. Also guards against settings that balancer names and keyOfSetting lacks.
+// Checks that for each setting that Check rejects, Locate returns its line and its key in the file, so that the operator need not
+// search for it. Also guards against settings that balancer names and keyOfSetting lacks.
 func TestWhatIsTurnedDownIsLocated(t *testing.T) {
 	if _, err := Check(1, []byte(validFile)); err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 			continue
 		}
 		if place := Locate([]byte(text), err); place.Line != c.line || place.Key != c.key || place.Column < 1 {
-			t.Errorf("%s: error %v is located at %+v, want line %d and key %q", c.new, err, place, c.line, c.key)
+			t.Errorf("%s: error %v is located at %+v, want line %d, key %q and a column of 1 or more", c.new, err, place, c.line, c.key)
 		}
 	}
 	for _, text := range []string{`{}`, `null`, `[]`, ``, `{"Classes":[]}`, `{"Classes":[{}]}`} {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,7 @@
 // settings in force stay.
 const Schema = 1
 
-// Check decodes and checks the settings of a document of that schema. text is the object that a sidecar's file has under
+// Check decodes and checks the settings of a document of the given schema. text is the object that a sidecar's file has under
 // "settings". An error names the key, or line and column.
 func Check(schema int, text []byte) (wire.Settings, error) {
 	if schema < 1 || schema > Schema {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,8 +10,8 @@
   {"Name":"paid","Semantics":"fragile","AimMs":500,"DeadlineMs":1000,"AimStretch":2}],
  "Limits":{"SendCap":3},"Comment":"none reads it","Tenants":[]}`
 
-// Guards against an error that does not say where the settings are wrong, and against a document that a sidecar's file could
-// not contain.
+// Guards against an error that does not say where the settings are wrong, and against accepting a document that would be
+// invalid in a sidecar's file.
 func TestCheckNamesTheKeyOrThePlace(t *testing.T) {
 	s, err := Check(1, []byte(validDocument))
 	if err != nil || len(s.Classes) != 2 || s.MaxAttempts != 3 {
