--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -69,7 +69,7 @@
 func (k Keys) Lacks(old Keys, exempt ...string) string {
 	for _, key := range slices.Sorted(maps.Keys(old)) {
 		mayBeMissing := slices.Contains(exempt, key) || key == Under+"Classes.AimStretch" || strings.HasSuffix(key, ".") ||
-			strings.HasPrefix(key, Under) && !readKeys()[key]
+			strings.HasPrefix(key, Under) && !knownKeys()[key]
 		if !mayBeMissing && !k.contains(key) {
 			return key
 		}
@@ -87,8 +87,8 @@
 	return k[key]
 }
 
-// readKeys returns the keys of settings that the program reads.
-var readKeys = sync.OnceValue(func() Keys {
+// knownKeys returns the keys of settings that the program reads.
+var knownKeys = sync.OnceValue(func() Keys {
 	keys, err := DocumentKeys(wire.Keys())
 	if err != nil {
 		panic(err) // cannot happen: the text is the program's own
