--- a/internal/circuitbreaker/tracker_test.go
+++ b/internal/circuitbreaker/tracker_test.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// Checks that a process distrusts itself for a while if it was stopped, its event loop is blocked, or it lost
-// sight of most members.
+// Checks that a process distrusts itself for a while if it was stopped, its event loop is blocked, or it no
+// longer sees most members.
 func TestDoubt(t *testing.T) {
 	now := testTime
 	suspicion := NewSelfSuspicion(now, 100*time.Millisecond)
@@ -222,7 +222,7 @@
 	}
 }
 
-// Checks that a verdict applies to the reported class, and that it ends when the reports expire, also if they
+// Checks that a verdict applies to the reported class, and that it ends when the reports expire, even if they
 // are repeated without new evidence.
 func TestAVerdictEnds(t *testing.T) {
 	tracker := newTestTracker(1)
--- a/internal/circuitbreaker/verdict.go
+++ b/internal/circuitbreaker/verdict.go
@@ -74,7 +74,7 @@
 				old.flaps++
 			}
 		}
-		expires := v.Open && old.until-now < v.For/2 // it would expire before it is announced again
+		expires := v.Open && old.until-now < v.For/2 // the verdict would expire before it is announced again
 		v.Changed = v.Open != old.Open || v.PassFraction != old.PassFraction || v.Probes != old.Probes || v.Open && v.StartedMs != old.StartedMs
 		if v.Changed || expires {
 			v.ProbesSucceeded = !v.Open && v.Round > old.Round && v.StartedMs == old.StartedMs
--- a/internal/federation/chunks_test.go
+++ b/internal/federation/chunks_test.go
@@ -262,7 +262,7 @@
 }
 
 // A follower catches up on ten thousand entries: chunks are bounded, documents come first, and the follower's own changes reach its
-// watchers between any two chunks. If the source or the leader is killed on the way, only the remaining entries are sent again.
+// watchers between any two chunks. If the source or the leader is killed before the end, only the remaining entries are sent again.
 func TestTenThousandEntriesToCatchUp(t *testing.T) {
 	north, south := newRegion("north", list.CompactionWindow), newRegion("south", list.CompactionWindow)
 	south.register("own", "127.0.0.1:1")
@@ -487,7 +487,7 @@
 			t.Errorf("replicated at %d, want %d", replicated.Revision, north.list.Revision())
 		}
 	}
-	for _, chunk := range first { // they precede what is replicated now
+	for _, chunk := range first { // these chunks continue from an older state than the replicated one
 		if apply(chunk) == nil {
 			t.Errorf("chunk %+v is applied, want it rejected", chunk)
 		}
--- a/internal/federation/explore/explore.go
+++ b/internal/federation/explore/explore.go
@@ -1,5 +1,5 @@
-// Package explore checks the replication of one region's documents and entries to another by exhaustive state exploration: what is
-// replicated must never go back. The model has an owner with two replicas, one up to date and one that may lag; a follower, of
+// Package explore checks the replication of one region's documents and entries to another by exhaustive state exploration: the
+// replicated state must never go back. The model has an owner with two replicas, one up to date and one that may lag; a follower, of
 // which two replicas may both act as the leader and write chunks to its log; and a sidecar that reads from an up-to-date or from a
 // lagging replica of the follower. The exploration covers every order of steps, up to a given depth.
 //
@@ -44,7 +44,7 @@
 	NoPartCheck       bool // the log does not check how many chunks were applied
 	ContinueAfterLoss bool // a leader continues with the next chunk after one was lost
 	DropUnnamed       bool // documents that a full list does not name are removed
-	NoResync          bool // a leader requests changes only, however long the owner was silent
+	NoResync          bool // a leader requests only changes even after a long silence of the owner
 	AcceptOlder       bool // the sidecar accepts an older revision
 }
 
--- a/internal/federation/explore/promises.go
+++ b/internal/federation/explore/promises.go
@@ -79,7 +79,7 @@
 	return ""
 }
 
-// matches reports whether what is replicated is exactly the view.
+// matches reports whether the replicated entries and documents equal those of the view.
 func (v ownerView) matches(replicated list.Replicated) bool {
 	return maps.Equal(replicated.Entries, v.entries) && maps.EqualFunc(replicated.Documents, v.documents, equalDocuments)
 }
@@ -115,7 +115,7 @@
 			s.applyEvent(s.newestLeader)
 			if l.syncState.Rejected != "" {
 				if rejected++; rejected > 2 {
-					return true // the rejection is reported, and lasts until the owner's next change
+					return true // the rejection is reported, and is repeated until the owner's next change
 				}
 			}
 		case !l.watching:
--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -78,7 +78,7 @@
 	laggingFollower sharedList  // the follower's lagging replica
 	issuedViews     []ownerView // the owner's list after each of its changes
 	currentView     ownerView   // the owner's list now
-	changeLog       string      // the changes by the owner, one word each
+	changeLog       string      // the changes by the owner, each followed by a space
 	restored        bool        // the owner was restored
 	leaders         [2]leader
 	newestLeader    int          // index of the leader that started last
@@ -94,7 +94,7 @@
 		*l = sharedList{List: list.New(history)}
 	}
 	s.follower.change(func(l *list.List) {
-		for _, name := range []string{"a", "o"} { // north has an entry a too
+		for _, name := range []string{"a", "o"} { // north also has an entry a
 			l.Apply(list.Command{Op: list.Register, Region: south, Name: name, Registration: &api.Registration{Address: "own", Weight: 1}})
 		}
 		revision := int64(0)
@@ -303,7 +303,7 @@
 	}
 }
 
-// Hash returns a hash of the state. Two states with equal hashes are taken for the same; the chance of that is 1 in 2^128 for a pair.
+// Hash returns a hash of the state. States with equal hashes are taken for the same; the chance of a collision is 1 in 2^128 for a pair.
 func (s *state) Hash() (h modelcheck.Hash) {
 	s.setKeys()
 	sum := sha256.New()
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-// Checks that a record expires after the time to live that its owner set, however many members pass it on.
+// Checks that a record expires after the time to live that its owner set, regardless of how many members pass it on.
 func TestRecordsAgeAtEachHop(t *testing.T) {
 	r := message.Record{Key: message.Key{Owner: "a", Kind: message.Breaker, Name: "s-1"}, Seq: 1, TTL: 5 * time.Second}
 	for hop, now := 0, time.Duration(0); hop < 3; hop++ {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -14,7 +14,7 @@
 
 // transport is the library's transport, except that streams have this process's address as their source, as
 // its datagrams do. So a firewall, an address translation or the laboratory's links between the members can
-// identify the sender. Shutdown closes the streams too.
+// identify the sender. Shutdown also closes the streams.
 type transport struct {
 	*memberlist.NetTransport
 	localIP net.IP // nil if the host is not an IP address
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -2,8 +2,8 @@
 // at a time, under an epoch that rises with every holder. The holder checks its lease before each action that
 // it takes as leader, and the target of the action rejects an older epoch (Fence).
 //
-// elector.go is the state machine, without I/O; runner.go carries out its actions; fence.go has the checks of
-// leaders and of their targets. Package lease/explore checks the protocol by state exploration.
+// elector.go is the state machine, without I/O; runner.go carries out its actions; fence.go has the checks that
+// leaders and the targets of their actions make. Package lease/explore checks the protocol by state exploration.
 package lease
 
 import (
--- a/internal/lease/explore/state.go
+++ b/internal/lease/explore/state.go
@@ -181,8 +181,7 @@
 	return ""
 }
 
-// Hash returns a hash of the key. Two keys with equal hashes are taken for the same state; the chance of that is 1 in 2^128 for a
-// pair.
+// Hash returns a hash of the key. States with equal hashes are taken for the same; the chance of a collision is 1 in 2^128 for a pair.
 func (s *state) Hash() (h modelcheck.Hash) {
 	sum := sha256.Sum256(s.key(make([]byte, 0, 256)))
 	copy(h[:], sum[:])
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// count is a model of a number, initially 0. A step adds one to it below 9, or doubles it from 1 to 4. It must not be 7.
+// count is a model of a number that starts at 0. A step adds one to a number below 9, or doubles a number from 1 to 4. The number 7
+// breaks the invariant unless allowSeven is set.
 type count struct {
 	n          int
 	allowSeven bool // 7 breaks no invariant
