--- a/internal/federation/explore/state.go
+++ b/internal/federation/explore/state.go
@@ -15,7 +15,7 @@
 
 const (
 	history     = 1 // length of the owner's change history: the third change compacts the first away
-	maxInFlight = 2 // events of a watch, and abandoned chunks
+	maxInFlight = 2 // limit of the unapplied events of a watch, and of the abandoned chunks
 )
 
 // oneItem bounds chunks to one entry or document.
@@ -58,9 +58,9 @@
 	watchRevision    int64            // revision of the latest event
 	events           []api.WatchEvent // received and not applied yet
 	chunks           []list.Chunk     // of the event applied last, to be proposed one by one
-	snapshot         bool             // that event was one
-	anomaly          string           // what is left out of its chunks
-	droppedDocuments []string         // services whose documents it removes, see Faults.DropUnnamed
+	snapshot         bool             // the event applied last is a snapshot
+	anomaly          string           // what the chunks leave out of that event
+	droppedDocuments []string         // services whose documents the last chunk removes, see Faults.DropUnnamed
 }
 
 // endWatch drops the watch with its events and chunks.
@@ -78,11 +78,11 @@
 	laggingFollower sharedList  // the follower's lagging replica
 	issuedViews     []ownerView // the owner's list after each of its changes
 	currentView     ownerView   // the owner's list now
-	changeLog       string      // the changes by the owner, one word each
+	changeLog       string      // the changes by the owner, each followed by a space
 	restored        bool        // the owner was restored
 	leaders         [2]leader
 	newestLeader    int          // index of the leader that started last
-	lateChunks      []list.Chunk // may be committed later
+	lateChunks      []list.Chunk // chunks that may be committed later
 	sidecarDocument api.Document // the settings that the sidecar has
 	violation       string       // the invariant that the step itself broke; empty if none
 }
@@ -94,7 +94,7 @@
 		*l = sharedList{List: list.New(history)}
 	}
 	s.follower.change(func(l *list.List) {
-		for _, name := range []string{"a", "o"} { // north has an entry a too
+		for _, name := range []string{"a", "o"} { // north also has an entry a
 			l.Apply(list.Command{Op: list.Register, Region: south, Name: name, Registration: &api.Registration{Address: "own", Weight: 1}})
 		}
 		revision := int64(0)
@@ -303,7 +303,7 @@
 	}
 }
 
-// Hash returns a hash of the state. Two states with equal hashes are taken for the same; the chance of that is 1 in 2^128 for a pair.
+// Hash returns a hash of the state. States with equal hashes are taken for the same; the chance of a collision is 1 in 2^128 for a pair.
 func (s *state) Hash() (h modelcheck.Hash) {
 	s.setKeys()
 	sum := sha256.New()
--- a/internal/lease/explore/state.go
+++ b/internal/lease/explore/state.go
@@ -42,7 +42,7 @@
 	remaining  Bounds // steps that may still occur
 	faults     Faults
 	now        time.Duration
-	list       *list.List // shared by states until one changes it; leases too
+	list       *list.List // shared between states until one changes it; so is leases
 	leases     *leasetable.Table
 	log        []entry // uncommitted
 	candidates [2]candidate
@@ -181,15 +181,14 @@
 	return ""
 }
 
-// Hash returns a hash of the key. Two keys with equal hashes are taken for the same state; the chance of that is 1 in 2^128 for a
-// pair.
+// Hash returns a hash of the key. States with equal hashes are taken for the same; the chance of a collision is 1 in 2^128 for a pair.
 func (s *state) Hash() (h modelcheck.Hash) {
 	sum := sha256.Sum256(s.key(make([]byte, 0, 256)))
 	copy(h[:], sum[:])
 	return h
 }
 
-// key appends an encoding of the state without what makes no difference: the origins of time and epochs, and the IDs of requests.
+// key appends an encoding of the state that leaves out what makes no difference: the origins of time and epochs, and the IDs of requests.
 func (s *state) key(b []byte) []byte {
 	d, held := s.list.Leadership(leadershipName)
 	highest := s.list.Epoch()
