--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -147,7 +147,7 @@
 	CodeNoLeader         = "no leader"
 	CodeStale            = "stale"
 	CodeOlderReplica     = "older replica"   // a replica of the quorum does not understand the command
-	CodeOutcomeUnknown   = "outcome unknown" // the command may have been carried out, or may still be
+	CodeOutcomeUnknown   = "outcome unknown" // the command may have been carried out, or may be carried out later
 )
 
 // Error is the body of a response with a status other than 200. errors.As finds it in errors of package client.
@@ -158,12 +158,12 @@
 
 func (e *Error) Error() string { return e.Code + ": " + e.Text }
 
-// Errorf returns an Error with that code.
+// Errorf returns an Error with the given code.
 func Errorf(code, format string, args ...any) *Error {
 	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// IsCode reports whether err is or wraps an Error with that code.
+// IsCode reports whether err is or wraps an Error with the given code.
 func IsCode(err error, code string) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -23,7 +23,7 @@
 
 const (
 	dialTimeout    = 500 * time.Millisecond
-	attemptTimeout = 3 * time.Second // of one attempt; a write waits for a quorum
+	attemptTimeout = 3 * time.Second // of one attempt, which for a write includes the commit by a quorum
 )
 
 // Client calls a list service of one or several replicas. Its methods block until there is a response or ctx ends, and
@@ -124,7 +124,7 @@
 			return api.Errorf(api.CodeOutcomeUnknown, "%v", err)
 		}
 		c.switchFrom(address)
-		if lastErr == nil || ctx.Err() == nil { // the error of an attempt that ctx cut short says less than the previous one
+		if lastErr == nil || ctx.Err() == nil { // if ctx cut the attempt short, the error of the previous attempt is more useful
 			lastErr = err
 		}
 		if !retry.wait(ctx) {
@@ -278,7 +278,7 @@
 }
 
 // Overrule removes the entries of servers with expired leases that the service kept because too many expired at once. It returns
-// their names.
+// the names of these servers.
 func (c *Client) Overrule(ctx context.Context) (ended []string, err error) {
 	var result api.HeartbeatResult
 	err = c.call(ctx, true, http.MethodPost, "/v1/overrule", nil, &result)
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -17,15 +17,15 @@
 	// maxListBytes bounds one message: it is twice the size of the largest list of the service.
 	maxListBytes = 8 << 20
 
-	// callTimeout is the longest time from one call of a watch to the next, at another replica, whatever the result of the
-	// first. It keeps the bound of watch.NotifyDeadline: a list arrives within that time once a majority of replicas has it
-	// and can be reached, even if the preceding calls go to all the others. The longest case with five replicas:
+	// callTimeout is the longest time from the start of one call of a watch to the next call, at another replica, including the
+	// wait between them. With it, watch.NotifyDeadline holds: a list arrives within that time once a majority of replicas has
+	// it and can be reached, even if the preceding calls go to all the other replicas. The longest case with five replicas:
 	//
-	//	a watch that has just become silent                        2.5 s (watch.Silence; or a call: callTimeout)
+	//	a watch that has just become silent                        2.5 s (watch.Silence; callTimeout for a call without a line)
 	//	two replicas that are unreachable, fail or don't respond   3.0 s (2 * callTimeout, including the wait between)
 	//	remaining for connecting and one list                      0.5 s
 	//
-	// The draining endpoints of an implausible list are applied at once; the second read lasts verifyTimeout at most.
+	// The draining endpoints of an implausible list are applied at once; its second read (see verify) lasts verifyTimeout at most.
 	callTimeout   = 1500 * time.Millisecond
 	verifyTimeout = time.Second
 )
@@ -43,9 +43,9 @@
 	OnError func(address string, reason error)
 }
 
-// Watch follows the list until ctx ends. start is the list in use before, or nil: changes since its revision are
-// requested, unless that is 0, as for a list from another source. When a watch is silent, the next is opened at
-// another replica.
+// Watch follows the list until ctx ends. start is the list in use so far, or nil. If its revision is above 0, only
+// later changes are requested; a list from another source has revision 0. When a watch is silent, another is opened
+// at the next replica.
 func (c *Client) Watch(ctx context.Context, start *api.WatchEvent, w Watcher) {
 	inUse := &plausibility{}
 	if start != nil {
@@ -94,7 +94,7 @@
 
 // Region follows the changes that the service's own region writes, until ctx ends. from returns the revision that is
 // replicated, or -1 to request the full list. Events are not checked for plausibility before w.Apply; w.Query is not
-// used. onHeard is called for each line.
+// used. onHeard is called for each line, including empty ones.
 func (c *Client) Region(ctx context.Context, from func() int64, w Watcher, onHeard func()) {
 	var retry backoff
 	f := watch.Follower[api.WatchEvent]{Client: c.http, Step: callTimeout, MaxMessageBytes: maxRegionBytes, Address: c.currentAddress, OnEstablished: w.OnEstablished, Revision: from, OnLine: onHeard,
@@ -117,7 +117,7 @@
 
 // verify handles an implausible list. It applies only the endpoints that drain, and reads the list a second time, from another
 // replica if there is one. The second list is applied if it is plausible or has the same anomaly; with any other anomaly, both
-// are rejected.
+// are rejected. The error, which is never nil, is the reason why this watch ends; the next one is opened at another replica.
 func (c *Client) verify(ctx context.Context, address string, inUse *plausibility, w Watcher, event api.WatchEvent, anomaly string) error {
 	w.OnError(address, fmt.Errorf("list %d is implausible: %s", event.Revision, anomaly))
 	if drains, ok := inUse.drainsOnly(event); ok {
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -58,7 +58,7 @@
 	Dial map[string]Peer `toml:"dial"`
 
 	Dev    bool   `toml:"-"`      // a single replica that keeps its data in memory
-	Breaks string `toml:"breaks"` // injects a fault, to prove that checkers detect it; never in production
+	Breaks string `toml:"breaks"` // a fault to inject, such as faultStaleRead, to test that checkers detect it; never in production
 }
 
 // faultStaleRead makes a replica serve a stale list as if it were fresh.
@@ -113,9 +113,9 @@
 		case p.Name == "" || seen[p.Name]:
 			return fmt.Errorf("replica.name: %q is absent or listed twice", p.Name)
 		case !api.IsAddress(p.Raft):
-			return fmt.Errorf("replica.raft of %s: host:port, not %q", p.Name, p.Raft)
+			return fmt.Errorf("replica.raft of %s: must be host:port, not %q", p.Name, p.Raft)
 		case !api.IsAddress(p.API):
-			return fmt.Errorf("replica.api of %s: host:port, not %q", p.Name, p.API)
+			return fmt.Errorf("replica.api of %s: must be host:port, not %q", p.Name, p.API)
 		}
 		seen[p.Name] = true
 		if p.Name == c.Name {
@@ -130,17 +130,17 @@
 	case !c.Join && !seen[c.Name]:
 		return fmt.Errorf("replica: there is no entry for %s", c.Name)
 	case !api.IsAddress(c.Listen):
-		return fmt.Errorf("listen: host:port, not %q", c.Listen)
+		return fmt.Errorf("listen: must be host:port, not %q", c.Listen)
 	case !api.IsAddress(c.RaftBind):
-		return fmt.Errorf("raft_bind: host:port, not %q", c.RaftBind)
+		return fmt.Errorf("raft_bind: must be host:port, not %q", c.RaftBind)
 	case c.Metrics != "" && !api.IsAddress(c.Metrics):
-		return fmt.Errorf("metrics: host:port, not %q", c.Metrics)
+		return fmt.Errorf("metrics: must be host:port, not %q", c.Metrics)
 	case !(c.Preserve > 0 && c.Preserve <= 1):
 		return fmt.Errorf("preserve: must be above 0 and at most 1, not %g", c.Preserve)
 	case c.Grace.Duration < 0 || c.MaxStaleness.Duration < 0 || c.Heartbeat.Duration < 0 || c.Watchers < 0:
 		return errors.New("grace, stale, heartbeat and watchers: must be at least 0")
 	case len(c.Region) > api.MaxLabel:
-		return fmt.Errorf("region: at most %d bytes", api.MaxLabel)
+		return fmt.Errorf("region: must have at most %d bytes", api.MaxLabel)
 	case c.Region == "" && len(c.Follow) > 0:
 		return errors.New("region: absent, but follow lists other regions")
 	case c.Breaks != "" && c.Breaks != faultStaleRead && c.Breaks != faultRollback:
@@ -167,7 +167,7 @@
 		seen[f.Region] = true
 		for _, address := range f.API {
 			if !api.IsAddress(address) {
-				return fmt.Errorf("follow.api of %s: host:port, not %q", f.Region, address)
+				return fmt.Errorf("follow.api of %s: must be host:port, not %q", f.Region, address)
 			}
 		}
 	}
--- a/internal/registry/config_test.go
+++ b/internal/registry/config_test.go
@@ -15,17 +15,17 @@
 	}
 	for _, test := range []struct{ name, top, tables, wantErr string }{
 		{"one region", "", "", ""},
-		{"two", "region = \"south\"\n", follow("north", `"127.0.0.1:3", "127.0.0.1:4"`), ""},
-		{"a region without others", "region = \"south\"\n", "", ""},
-		{"others without an own name", "", follow("north", `"127.0.0.1:3"`), "region: absent"},
-		{"itself", "region = \"south\"\n", follow("south", `"127.0.0.1:3"`), "this one"},
-		{"twice", "region = \"south\"\n", follow("north", `"127.0.0.1:3"`) + follow("north", `"127.0.0.1:3"`), "twice"},
-		{"no name", "region = \"south\"\n", follow("", `"127.0.0.1:3"`), "absent"},
-		{"nowhere", "region = \"south\"\n", follow("north", ``), "follow.api of north: absent"},
-		{"no address", "region = \"south\"\n", follow("north", `"north"`), `host:port, not "north"`},
+		{"two regions", "region = \"south\"\n", follow("north", `"127.0.0.1:3", "127.0.0.1:4"`), ""},
+		{"a region that follows none", "region = \"south\"\n", "", ""},
+		{"follows another region without a name of its own", "", follow("north", `"127.0.0.1:3"`), "region: absent"},
+		{"follows itself", "region = \"south\"\n", follow("south", `"127.0.0.1:3"`), "this one"},
+		{"a region listed twice", "region = \"south\"\n", follow("north", `"127.0.0.1:3"`) + follow("north", `"127.0.0.1:3"`), "twice"},
+		{"a followed region without a name", "region = \"south\"\n", follow("", `"127.0.0.1:3"`), "absent"},
+		{"no addresses", "region = \"south\"\n", follow("north", ``), "follow.api of north: absent"},
+		{"an invalid address", "region = \"south\"\n", follow("north", `"north"`), `host:port, not "north"`},
 		{"unknown key", "region = \"south\"\n", follow("north", `"127.0.0.1:3"`) + "name = \"n\"\n", "unknown key follow.name"},
 		{"a long name", "region = \"" + strings.Repeat("r", 65) + "\"\n", "", "at most 64"},
-		{"too many", "region = \"south\"\n", strings.Repeat(follow("north", `"127.0.0.1:3"`), MaxFollow+1), "at most 15 are allowed"},
+		{"too many regions", "region = \"south\"\n", strings.Repeat(follow("north", `"127.0.0.1:3"`), MaxFollow+1), "at most 15 are allowed"},
 	} {
 		path := filepath.Join(t.TempDir(), "replica.toml")
 		if err := os.WriteFile(path, []byte(base+test.top+replica+test.tables), 0o644); err != nil {
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -19,17 +19,17 @@
 
 const (
 	identityRetryInterval = 300 * time.Millisecond
-	// identityTimeout is how long a replica that belonged to the quorum waits for the others to answer whether they know a newer
-	// disk or start of it. Then it continues with its own data, since all replicas may have been down.
+	// identityTimeout is how long a replica that belonged to the quorum asks the others whether they know it with another disk or
+	// a later start. If none of them reports that in time, it continues with its own data, since all replicas may have been down.
 	identityTimeout = time.Second
 )
 
 // joinQuorum makes this replica join the quorum. It returns the servers of the quorum if it is to be formed, otherwise nil.
 //
 // A quorum is formed once, and only when all of its replicas report that they belong to none, so that a replica that lost
-// its disk does not form a second quorum. If others know this replica with another disk, or with more starts than its own disk
-// has recorded (a restored copy), its data is quarantined and it joins as a new replica: a forgotten vote could undo
-// committed entries.
+// its disk does not form a second quorum. If others know this replica with another disk, or with more starts than its disk had
+// recorded before this start (a restored copy), its data is quarantined and it joins as a new replica: a forgotten vote could
+// undo committed entries.
 func (n *Node) joinQuorum(ctx context.Context) ([]raft.Server, error) {
 	if n.config.Dev {
 		return []raft.Server{{ID: raft.ServerID(n.self.Name), Address: "dev"}}, nil
@@ -88,7 +88,7 @@
 var errNotMember = errors.New("there is a quorum that does not include this replica")
 
 // queryIdentities requests the identities of the others. known is this replica as members of a formed quorum know it, with the
-// highest start count that they report; nil if none of them knows it.
+// highest start count that they report, or nil if none of them knows it.
 func (n *Node) queryIdentities(ctx context.Context) (answered int, known *api.Replica, err error) {
 	for _, p := range n.others() {
 		var id api.Identity
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// evictReplica removes a replica.
+// evictReplica removes a replica from the list and from the quorum, as the leader.
 func (n *Node) evictReplica(name string) error {
 	r := n.raft.Load()
 	if r == nil {
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -17,7 +17,7 @@
 	mu           sync.RWMutex
 	list         *list.List
 	onEntries    func(records []api.Record) // called without mu after a command, with the records that it may have changed
-	onLeadership func(r list.Result)        // called without mu after a command on leaderships, or one that voids them
+	onLeadership func(r list.Result)        // called without mu after a command on leaderships, or a command that voids them
 
 	uncheckedRegions bool // see faultRollback
 }
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -10,10 +10,11 @@
 
 const maxClaimBody = 4 << 10 // bytes of a request body with a claim
 
-// schemaFeatures says, for error messages, what a schema added.
+// schemaFeatures names, for error messages, the features that each schema introduced.
 var schemaFeatures = map[int]string{list.LeadershipSchema: "duties", list.DocumentSchema: "settings and other regions"}
 
-// requireSchema returns an error unless all replicas of the quorum understand a schema: one that does not would diverge.
+// requireSchema returns an error unless all replicas of the quorum understand a schema. The list of a replica that does not
+// understand it would diverge.
 func (n *Node) requireSchema(schema int) error {
 	names := n.voterNames()
 	if schema < list.LeadershipSchema {
@@ -62,7 +63,7 @@
 }
 
 // acquireLeadership grants a leadership that nobody holds, or whose lease has expired; otherwise the grant names the holder
-// and when to retry. A rejection is not written to the log, since one by a deposed leader does no harm.
+// and when to retry. A rejection is not written to the log, since a rejection by a deposed leader does no harm.
 func (n *Node) acquireLeadership(r *http.Request, body []byte) (any, error) {
 	c, err := decodeClaim(r, body, false)
 	if err != nil {
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -27,7 +27,7 @@
 
 const (
 	leaseCheckInterval = 100 * time.Millisecond
-	// stallThreshold is the time between two checks above which this process was stopped, not the servers.
+	// stallThreshold is the time between two checks above which it is assumed that this process was stopped, and not the servers.
 	stallThreshold = 10 * leaseCheckInterval
 	// minExpiredToPreserve is the number of expired leases below which entries are never preserved.
 	minExpiredToPreserve = 3
@@ -75,7 +75,7 @@
 }
 
 // expire returns the leases whose entries are to be removed. If too many expired within grace of each other, the fault is
-// assumed to be the service's, and no entry is removed until heartbeats return or an operator overrules.
+// assumed to be the service's, and no entry is removed until heartbeats are received again or an operator overrules this.
 func (l *leaseTable) expire(now time.Duration) (toRemove []api.Heartbeat) {
 	if gap := now - l.checkedAt; gap > stallThreshold { // heartbeats could not be received meanwhile
 		for name, lease := range l.byName {
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -42,25 +42,25 @@
 		run    func(l *leaseTable, silent map[int]bool) []string
 		want   []string
 	}{
-		{"one falls silent", []int{3}, func(l *leaseTable, silent map[int]bool) []string { return advance(l, 0, 3*s, 10, silent) }, []string{"u3"}},
-		{"not before its grace", []int{3}, func(l *leaseTable, silent map[int]bool) []string {
+		{"one server is silent", []int{3}, func(l *leaseTable, silent map[int]bool) []string { return advance(l, 0, 3*s, 10, silent) }, []string{"u3"}},
+		{"one server is silent, within the grace period", []int{3}, func(l *leaseTable, silent map[int]bool) []string {
 			return advance(l, 0, 1400*time.Millisecond, 10, silent)
 		}, nil},
-		{"many at once: the service is suspected", []int{0, 1, 2}, func(l *leaseTable, silent map[int]bool) []string { return advance(l, 0, 60*s, 10, silent) }, nil},
+		{"many at once, preserved", []int{0, 1, 2}, func(l *leaseTable, silent map[int]bool) []string { return advance(l, 0, 60*s, 10, silent) }, nil},
 		{"many at once, overruled", []int{0, 1, 2}, func(l *leaseTable, silent map[int]bool) []string {
 			advance(l, 0, 5*s, 10, silent)
 			l.overruled = true
 			return advance(l, 5*s, 6*s, 10, silent)
 		}, []string{"u0", "u1", "u2"}},
-		{"many, and most are heard again", []int{0, 1, 2}, func(l *leaseTable, silent map[int]bool) []string {
+		{"many at once, and most renew again", []int{0, 1, 2}, func(l *leaseTable, silent map[int]bool) []string {
 			advance(l, 0, 5*s, 10, silent)
 			return advance(l, 5*s, 6*s, 10, map[int]bool{0: true})
 		}, []string{"u0"}},
-		{"this process stood still", nil, func(l *leaseTable, silent map[int]bool) []string {
+		{"this process was stopped", nil, func(l *leaseTable, silent map[int]bool) []string {
 			advance(l, 0, s, 10, nil)
 			return advance(l, 31*s, 32*s, 10, nil)
 		}, nil},
-		{"a new leader gives the full time", []int{3}, func(l *leaseTable, silent map[int]bool) []string {
+		{"a new leader renews all leases", []int{3}, func(l *leaseTable, silent map[int]bool) []string {
 			advance(l, 0, 1300*time.Millisecond, 10, silent)
 			l.reset(1300*time.Millisecond, newRecords(10))
 			return advance(l, 1300*time.Millisecond, 2700*time.Millisecond, 10, silent)
--- a/internal/registry/leasetable/table.go
+++ b/internal/registry/leasetable/table.go
@@ -1,11 +1,11 @@
-// Package leasetable records, at the leader of the list service, until when leaderships are held by the leader's
-// clock, and when waiting candidates are to ask again. It is pure: times are passed in, monotonic from any
-// origin. What it decides is a proposal; the replicated log decides (list.AcquireLeadership).
+// Package leasetable records, at the leader of the list service, when the leases of leaderships end by the leader's
+// clock, and when waiting candidates are to retry. It reads no clock: times are passed in, monotonic from any
+// origin. Its decisions are proposals; the replicated log makes the final decision (list.AcquireLeadership).
 //
 // An expiry is decided when a candidate claims the leadership, and enters the log with that claim as a
 // compare-and-set on the term that has expired. So an expiry that no candidate waits for costs no log entry, and
-// a leader that was deposed meanwhile can't end a term: the term that it names is no longer the present one, or
-// its command is not committed.
+// a leader that has been deposed in the meantime can't end a term: the term in its command is no longer the
+// current one, or the command is not committed.
 package leasetable
 
 import (
@@ -33,7 +33,7 @@
 // Not safe for concurrent use.
 type Table struct {
 	entries      map[string]*entry
-	blockedUntil time.Duration // until then no leadership is granted whose holder is not known
+	blockedUntil time.Duration // until then, a leadership without a known holder is not granted
 }
 
 type entry struct {
@@ -47,31 +47,31 @@
 	reservedUntil    time.Duration // until then only the candidate is granted the leadership
 }
 
-// Lead starts with the leaderships of the list, each with its full lease again: an election only makes a lease
-// longer.
+// Lead starts with the leaderships of the list, each with its full lease again, so that an
+// election can only extend a lease.
 func (t *Table) Lead(now time.Duration, leaderships []list.Leadership) {
 	*t = Table{entries: map[string]*entry{}}
-	for _, d := range leaderships {
-		t.Committed(now, d)
+	for _, leadership := range leaderships {
+		t.Committed(now, leadership)
 	}
 }
 
 // Committed applies a leadership that the log has just committed. Its holder sent the claim earlier, so the lease
 // ends by the holder's own clock before it ends here.
-func (t *Table) Committed(now time.Duration, d list.Leadership) {
-	e := t.entry(d.Name)
-	if d.Holder == "" {
+func (t *Table) Committed(now time.Duration, leadership list.Leadership) {
+	e := t.entry(leadership.Name)
+	if leadership.Holder == "" {
 		if e.Epoch != 0 && e.hasFitterCandidate(now) {
 			e.reservedUntil = now + ReservationTime
 		}
 		e.LeaseTerm = list.LeaseTerm{}
 		return
 	}
-	if e.Epoch != d.Epoch {
+	if e.Epoch != leadership.Epoch {
 		e.expiresAt, e.candidate, e.reservedUntil = 0, "", 0
 	}
-	e.LeaseTerm = d.LeaseTerm
-	e.expiresAt = max(e.expiresAt, now+time.Duration(d.LeaseMs)*time.Millisecond)
+	e.LeaseTerm = leadership.LeaseTerm
+	e.expiresAt = max(e.expiresAt, now+time.Duration(leadership.LeaseMs)*time.Millisecond)
 }
 
 func (t *Table) entry(name string) *entry {
@@ -83,30 +83,30 @@
 	return e
 }
 
-// Invalidate is called when the list has lost who holds the leaderships. For the duration of the longest lease
-// nobody is granted a leadership that somebody may still hold. If the leader fails in that time, the next one
-// does not wait, and only epochs protect from two holders.
+// Invalidate is called when the list no longer contains the holders of the leaderships. For the duration of the
+// longest lease, no leadership without a known holder is granted, since another candidate may still hold it. If the
+// leader fails in that time, the next leader does not wait, and only epochs protect from two holders.
 func (t *Table) Invalidate(now time.Duration) {
 	t.entries = map[string]*entry{}
 	t.blockedUntil = now + api.MaxLeadershipLeaseMs*time.Millisecond
 }
 
-// Decide reports whether a claim is to be proposed to the log. If so, expired is the term that the claim ends, or
-// nil if it ends none; otherwise retryAfter is how long the claimant is to wait before it asks again. d is the
-// leadership in the list here, and isHeld whether somebody holds it.
-func (t *Table) Decide(now time.Duration, d list.Leadership, isHeld bool, c api.LeadershipClaim) (expired *list.LeaseTerm, retryAfter time.Duration, acquire bool) {
+// Decide reports whether a claim is to be proposed to the log. If it is, expired is the term that the claim ends,
+// or nil if it ends none; otherwise retryAfter is how long the claimant is to wait before it retries. leadership
+// is the one in the list of this replica, and isHeld is whether it has a holder.
+func (t *Table) Decide(now time.Duration, leadership list.Leadership, isHeld bool, c api.LeadershipClaim) (expired *list.LeaseTerm, retryAfter time.Duration, acquire bool) {
 	e := t.entry(c.Name)
-	if isHeld && e.LeaseTerm != d.LeaseTerm {
-		t.Committed(now, d)
+	if isHeld && e.LeaseTerm != leadership.LeaseTerm {
+		t.Committed(now, leadership)
 	}
 	switch {
-	case isHeld && d.Holder == c.Holder:
+	case isHeld && leadership.Holder == c.Holder:
 		return nil, 0, true
 	case !isHeld && now < t.blockedUntil:
 		return nil, max(min(t.blockedUntil-now, MaxRetryAfter), MinRetryAfter), false
 	case (!isHeld || now >= e.expiresAt) && (now >= e.reservedUntil || e.candidate == c.Holder):
 		if isHeld {
-			expired = &d.LeaseTerm
+			expired = &leadership.LeaseTerm
 		}
 		return expired, 0, true
 	}
@@ -170,14 +170,14 @@
 
 // AppendKey appends everything that the future of a leadership may depend on, for state exploration: times relative
 // to now, epochs and renewals relative to the leadership's, and nothing for a candidate that no longer counts.
-func (t *Table) AppendKey(b []byte, now time.Duration, d list.Leadership) []byte {
-	e := t.entries[d.Name]
+func (t *Table) AppendKey(b []byte, now time.Duration, leadership list.Leadership) []byte {
+	e := t.entries[leadership.Name]
 	if e == nil {
 		return append(b, 0)
 	}
 	appendTime := func(at time.Duration) { b = binary.AppendVarint(b, int64(max(0, at-now))) }
-	b = binary.AppendVarint(append(b, 1), int64(d.Epoch-e.Epoch))
-	b = binary.AppendVarint(b, int64(d.Renewals-e.Renewals))
+	b = binary.AppendVarint(append(b, 1), int64(leadership.Epoch-e.Epoch))
+	b = binary.AppendVarint(b, int64(leadership.Renewals-e.Renewals))
 	b = binary.AppendVarint(b, int64(1000*e.fitness))
 	appendTime(e.expiresAt)
 	appendTime(e.lastRetryAt)
--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -23,7 +23,7 @@
 // MaxEarlierRevisions is the number of revisions of a document that are stored besides the current one.
 const MaxEarlierRevisions = api.MaxEarlierRevisions
 
-// Document is a document that this region owns, with its earlier revisions. Its Region is empty: it is the list's region.
+// Document is a document that this region owns, with its earlier revisions. Its Region is empty, which means the region of the list.
 type Document struct {
 	api.Document
 	Earlier []api.Document `json:"earlier,omitempty"` // ascending by revision
@@ -55,7 +55,7 @@
 	switch {
 	case c.IfRevision == nil || isPut && c.Document == nil:
 		return Result{Revision: ownRevision, Err: api.Errorf(api.CodeBadRequest, "%s: a version that it is based on, and a document, are needed", c.Name)}
-	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (isPut || !live): // an own document beside another region's can still be deleted
+	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (isPut || !live): // if this region has a document too, that one can still be deleted
 		return Result{Revision: ownRevision, Err: api.Errorf(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, visible.Region, visible.Revision)}
 	case own == nil && !isPut:
 		return Result{Err: api.Errorf(api.CodeNotFound, "settings of %s", c.Name)}
--- a/internal/registry/list/list.go
+++ b/internal/registry/list/list.go
@@ -1,5 +1,5 @@
 // Package list implements the endpoint list of the list service: it applies commands, and returns what has changed
-// since a revision. It is deterministic: the same commands in the same order make the same list on every replica.
+// since a revision. It is deterministic: the same commands in the same order produce the same list on every replica.
 package list
 
 import (
@@ -17,8 +17,8 @@
 	Deregister    = "leave" // requested by the server itself
 	SetAdminState = "hand"  // requested by an operator
 	Expire        = "expire"
-	AddReplica    = "join" // a replica has joined, or changed
-	RemoveReplica = "part" // a replica has left
+	AddReplica    = "join" // adds or updates a replica
+	RemoveReplica = "part" // removes a replica
 	Restore       = "restore"
 )
 
@@ -187,7 +187,7 @@
 }
 
 // Remembers reports whether the changes since a revision are known. They are unknown for a revision before the compaction window,
-// and for one above the list's, which another service has sent.
+// and for a revision above the list's, which comes from another service or from lost data.
 func (l *List) Remembers(revision int64) bool {
 	return revision >= l.compactedRevision && revision <= l.revision
 }
@@ -254,7 +254,7 @@
 		delete(l.replicas, c.Name)
 		return Result{Revision: l.revision}
 	case Restore:
-		if c.Region != "" { // a new quorum does not know its region's name yet, and sends the restored documents under that name at once
+		if c.Region != "" { // set first, because a new quorum does not know its region's name yet, and documents are sent under that name
 			l.setRegion(c.Region)
 		}
 		l.restore(c.State)
--- a/internal/registry/list/list_test.go
+++ b/internal/registry/list/list_test.go
@@ -54,6 +54,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("u", rapid.IntRange(0, 4).Draw(t, "name"))
 			c := Command{Name: name, Incarnation: rapid.Int64Range(0, 3).Draw(t, "incarnation")}
+			// "of tomorrow" is an operation that this program does not know.
 			switch c.Op = rapid.SampledFrom([]string{Register, Register, Drain, Deregister, SetAdminState, Expire, "of tomorrow"}).Draw(t, "op"); c.Op {
 			case Register:
 				c.Registration = &api.Registration{Address: fmt.Sprint("127.0.0.1:", rapid.IntRange(1, 3).Draw(t, "port")), Incarnation: c.Incarnation, LeaseMs: 1000}
@@ -128,15 +129,15 @@
 		got  Result
 		want string
 	}{
-		{"if there is none, and there is none", register(5, 0), ""},
-		{"if there is none, and there is one", register(5, 0), api.CodeConflict},
-		{"older", register(4), api.CodeOlderIncarnation},
-		{"the same again", register(5), ""},
+		{"conditional on no entry, without an entry", register(5, 0), ""},
+		{"conditional on no entry, with an entry", register(5, 0), api.CodeConflict},
+		{"older incarnation", register(4), api.CodeOlderIncarnation},
+		{"same incarnation again", register(5), ""},
 		{"drain of an older process", l.Apply(Command{Op: Drain, Name: "u", Incarnation: 4}), api.CodeOlderIncarnation},
 		{"leave", l.Apply(Command{Op: Deregister, Name: "u", Incarnation: 5}), ""},
-		{"drain of who left", l.Apply(Command{Op: Drain, Name: "u"}), api.CodeNotFound},
-		{"older after its end", register(4), api.CodeOlderIncarnation},
-		{"newer", register(6), ""},
+		{"drain after the entry was removed", l.Apply(Command{Op: Drain, Name: "u"}), api.CodeNotFound},
+		{"older incarnation after the entry was removed", register(4), api.CodeOlderIncarnation},
+		{"newer incarnation", register(6), ""},
 	} {
 		if code(step.got) != step.want {
 			t.Errorf("%s: got code %q, want %q", step.name, code(step.got), step.want)
--- a/internal/registry/list/regions.go
+++ b/internal/registry/list/regions.go
@@ -33,8 +33,8 @@
 // regionCopy is the replicated state of another region, as part of a List.
 type regionCopy struct {
 	revision     int64 // all changes up to this one are applied
-	seenRevision int64 // To of the latest chunk that was applied; a chunk with a lower To is rejected
-	part         int   // number of chunks applied since all changes up to revision were
+	seenRevision int64 // Chunk.To of the latest applied chunk; a chunk with a lower To is rejected
+	part         int   // number of chunks applied since all changes up to revision were applied
 	entries      map[string]api.Endpoint
 	documents    map[string]api.Document
 }
@@ -90,8 +90,8 @@
 // Regions returns the names of the replicated regions, sorted.
 func (l *List) Regions() []string { return slices.Sorted(maps.Keys(l.regions)) }
 
-// SkipRegionChecks makes the list apply all chunks of other regions, including those of older revisions. It injects a fault that
-// checkers have to detect, and has no other use.
+// SkipRegionChecks makes the list apply all chunks of other regions, including those of older revisions. It injects a fault, only to
+// test that checkers detect it.
 func (l *List) SkipRegionChecks() { l.skipRegionChecks = true }
 
 // applyChunk applies a chunk. It rejects a chunk that does not follow the replicated state, that was computed before another one
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -48,7 +48,7 @@
 	fsm          *stateMachine
 	watches      *watches
 	client       *http.Client // for calls to other replicas
-	start        time.Time    // origin of the times here
+	start        time.Time    // origin of all time.Duration values of this replica
 
 	raft atomic.Pointer[raft.Raft] // nil until the replica has joined the quorum
 
@@ -62,11 +62,11 @@
 	freshAt atomic.Int64 // time since start at which the list was last known to be fresh; 0 if it never was
 }
 
-// identity is what a replica stores about itself. Formed means that it has belonged to the quorum.
+// identity is what a replica stores about itself.
 type identity struct {
-	Disk   string `json:"disk"`
-	Starts int64  `json:"starts"`
-	Formed bool   `json:"formed"`
+	Disk   string `json:"disk"`   // random ID, created with the directory
+	Starts int64  `json:"starts"` // number of starts with this directory
+	Formed bool   `json:"formed"` // whether the replica has belonged to the quorum
 }
 
 // Open opens a replica. It fails if its directory can't be used, or is locked by another process.
@@ -79,7 +79,7 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	self := c.self()
 	n.self = api.Replica{Name: c.Name, Raft: self.Raft, API: self.API, DiskID: rand.Text(), StartCount: 1, Schema: list.Schema}
-	if c.Dev {
+	if c.Dev { // it stores no identity
 		return n, nil
 	}
 	return n, n.loadIdentity()
@@ -220,7 +220,7 @@
 	n.mu.Unlock()
 }
 
-// onLeaderChange starts the leader's work if this replica has become the leader, and otherwise ends it.
+// onLeaderChange ends the leader's work, and starts it anew if this replica has become the leader.
 func (n *Node) onLeaderChange(r *raft.Raft, leads bool) {
 	n.stopLeading()
 	if !leads {
@@ -245,7 +245,8 @@
 	n.log.Info("leadership acquired", "component", "registry", "node", n.self.Name, "epoch", r.CurrentTerm(), "entries", len(records))
 }
 
-// announce records this start in the list, so that a restored copy of the disk is recognised.
+// announce adds this replica to the list, with its disk ID and start count, and retries until the list contains them. A restored copy of
+// the disk is recognised by its start count, which is not above the listed one.
 func (n *Node) announce(ctx context.Context) {
 	for n.members()[n.self.Name] != n.self {
 		err := error(errNotJoined)
@@ -317,12 +318,12 @@
 }
 
 // trackFreshness records when the list here was last known to be fresh. After a start the log holds an old list, and raft
-// learns of a leader before it learns the commit index. So the list is not fresh until it contains this start itself (see
-// announce), which the quorum commits after everything earlier, or until this replica leads and has applied all earlier commits.
+// learns of a leader before it learns the commit index. Therefore the list is not fresh until it contains the start count of this start
+// (see announce), which the quorum commits after everything earlier, or until this replica leads and has applied all earlier commits.
 func (n *Node) trackFreshness(ctx context.Context, r *raft.Raft) {
 	tick := time.NewTicker(freshnessInterval)
 	defer tick.Stop()
-	announced := false // whether this start is in the list
+	announced := false // whether the list contains the start count of this start
 	for {
 		checkedAt := n.now()
 		switch r.State() {
@@ -379,7 +380,7 @@
 			idleTerms = n.leaderships.Expired(n.now())
 		}
 		n.mu.Unlock()
-		if preserving != wasPreserving {
+		if preserving != wasPreserving { // preserving has begun, or has ended
 			n.log.Warn("many leases expired together, endpoints preserved", "component", "registry", "node", n.self.Name, "holding", preserving)
 		}
 		if len(expired) > 0 {
--- a/internal/registry/plays_test.go
+++ b/internal/registry/plays_test.go
@@ -202,7 +202,7 @@
 				t.Errorf("got %+v, want at least 20 calls and 20 messages", n)
 			}
 			for _, violation := range violations {
-				t.Errorf("%s at %v: %s", violation.Rule, violation.At.Round(time.Millisecond), violation.Text)
+				t.Errorf("violation of rule %s at %v: %s", violation.Rule, violation.At.Round(time.Millisecond), violation.Text)
 			}
 		})
 	}
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -177,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(q.t.Context(), 10*time.Second)
 	defer cancel()
 	if _, err := q.client.Register(ctx, name, api.Registration{Address: "127.0.0.1:1", Weight: 1}); err != nil {
-		q.t.Fatalf("registering %s: %v", name, err)
+		q.t.Fatalf("registering %s: got error %v, want nil", name, err)
 	}
 }
 
@@ -362,7 +362,7 @@
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			t.Fatalf("%s %.40s: %v", test.method, test.path, err)
+			t.Fatalf("%s %.40s: got error %v, want a response", test.method, test.path, err)
 		}
 		text, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
@@ -386,7 +386,7 @@
 		defer cancel()
 		for err := error(context.Canceled); err != nil; {
 			if g, err = call(ctx); ctx.Err() != nil {
-				t.Fatalf("%s: %v", what, err)
+				t.Fatalf("%s: timed out after 15 s, last error %v", what, err)
 			}
 			if err != nil {
 				time.Sleep(10 * time.Millisecond) // between two attempts
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -17,7 +17,7 @@
 // it may have been restored from an old copy, and its revision may have grown so far again that the restore can't be seen.
 const resyncAfter = 10 * time.Second
 
-// errNotLeader is returned once this replica no longer leads.
+// errNotLeader is the cause of the end of replication when this replica no longer leads.
 var errNotLeader = errors.New("this replica is no longer the leader")
 
 // follower replicates one other region while this replica leads. The fields below mu are shared with replication.
@@ -27,7 +27,7 @@
 	client *client.Client
 
 	mu        sync.Mutex
-	lastHeard time.Duration // when the region last sent anything; 0 if it has not since this replica leads
+	lastHeard time.Duration // when the region last sent a line; 0 if it has sent none since this replica became the leader
 	syncState federation.SyncState
 }
 
--- a/internal/registry/regions_test.go
+++ b/internal/registry/regions_test.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	if _, err := r.clients[region].Register(ctx, name, api.Registration{Address: "127.0.0.1:1", Weight: 1, LeaseMs: 60_000}); err != nil {
-		r.t.Fatalf("registering %s in %s: %v", name, region, err)
+		r.t.Fatalf("registering %s in %s: got error %v, want nil", name, region, err)
 	}
 }
 
@@ -69,7 +69,7 @@
 			continue
 		}
 		if err != nil {
-			t.Fatalf("put of settings of %s: %v", service, err)
+			t.Fatalf("put of settings of %s: got error %v, want nil", service, err)
 		}
 		return version
 	}
--- a/internal/registry/registrytest/registrytest.go
+++ b/internal/registry/registrytest/registrytest.go
@@ -24,7 +24,7 @@
 	stop = sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Error("replica ended with an error:", err)
+			t.Errorf("Run of replica %s: got error %v, want nil", c.Name, err)
 		}
 	})
 	t.Cleanup(stop)
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -25,8 +25,8 @@
 	forwardedHeader = "X-Registry-Forwarded" // on calls that another replica has forwarded
 )
 
-// server serves calls. Any replica whose list is fresh enough serves reads of it; all other calls are served by the leader,
-// to which other replicas forward them. A forwarded call is not forwarded again.
+// server returns the HTTP server of the API. Any replica whose list is fresh enough serves reads of the list; all other calls are served
+// by the leader, to which other replicas forward them. A forwarded call is not forwarded again.
 func (n *Node) server(ctx context.Context) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", n.targets)
@@ -155,7 +155,7 @@
 	api.CodeStale: http.StatusServiceUnavailable, api.CodeOutcomeUnknown: http.StatusGatewayTimeout,
 	api.CodeOlderReplica: http.StatusServiceUnavailable}
 
-// writeError writes an error as JSON. One without a code is written with CodeOutcomeUnknown.
+// writeError writes an error as JSON. An error without a code gets CodeOutcomeUnknown.
 func writeError(rw http.ResponseWriter, err error) {
 	var apiErr *api.Error
 	if !errors.As(err, &apiErr) {
@@ -263,7 +263,7 @@
 	return api.HeartbeatResult{Expired: expired}, nil
 }
 
-// overrule has the entries removed that are preserved because too many leases expired at once.
+// overrule makes the next check of leases remove the entries that are preserved because too many leases expired at once.
 func (n *Node) overrule(*http.Request, []byte) (any, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -280,7 +280,7 @@
 		id := api.Identity{Replica: n.self, Formed: n.raft.Load() != nil, Members: n.members()}
 		for _, name := range n.voterNames() {
 			if _, ok := id.Members[name]; !ok {
-				id.Members[name] = api.Replica{Name: name} // the voter has never been announced
+				id.Members[name] = api.Replica{Name: name} // this voter has not announced itself yet
 			}
 		}
 		return id, nil
@@ -291,7 +291,7 @@
 	writeAnswer(rw, r, nil, func(*http.Request, []byte) (any, error) { return n.Status(), nil })
 }
 
-// Status returns the state of this replica, and of the service as far as known here.
+// Status returns the state of this replica, and the state of the service as this replica knows it.
 func (n *Node) Status() api.Status {
 	s := api.Status{Replica: n.self, State: "starting", Members: n.members(), Voters: n.voterNames(), Watchers: n.watches.activeCount(), StalenessMs: -1,
 		Region: n.config.Region}
--- a/internal/registry/settings_test.go
+++ b/internal/registry/settings_test.go
@@ -89,16 +89,16 @@
 	own := openRawWatch(t, address, "from=-1&own=1")
 	for _, watch := range []*rawWatch{plain, orders, own} {
 		if got, want := watch.next(), `{"index":1,"snapshot":true,"endpoints":[`+entry+`]}`; got != want {
-			t.Errorf("got %s\nwant %s", got, want)
+			t.Errorf("line of the watch: got %s\nwant %s", got, want)
 		}
 	}
 	put("other", settingsJSON(0), 0) // a change that is received on its own, since changes that come together are sent together
 	if got, want := own.next(), `{"index":2,"snapshot":false,"endpoints":[],"documents":[{"service":"other","version":2,"schema":1,"settings":`+settingsJSON(0)+`}]}`; got != want {
-		t.Errorf("got %s\nwant %s", got, want)
+		t.Errorf("line of the watch: got %s\nwant %s", got, want)
 	}
 	put("orders", settingsJSON(0), 0)
 	if got, want := orders.next(), `{"index":3,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":3,"schema":1,"settings":`+settingsJSON(0)+`}]}`; got != want {
-		t.Errorf("got %s\nwant %s", got, want)
+		t.Errorf("line of the watch: got %s\nwant %s", got, want)
 	}
 	// A watcher that has the settings is not sent them again, and one that has others is sent them at once.
 	current := openRawWatch(t, address, "from=3&service=orders&held="+"@3")
@@ -110,13 +110,13 @@
 	drained := `{"index":4,"snapshot":false,"endpoints":[` + strings.Replace(entry, "Ready", "Terminating", 1) + `]}`
 	for _, watch := range []*rawWatch{plain, current, other} {
 		if got := watch.next(); got != drained {
-			t.Errorf("got %s\nwant %s", got, drained)
+			t.Errorf("line of the watch: got %s\nwant %s", got, drained)
 		}
 	}
 	requireVersion(c.Delete(ctx, "orders", 3))
 	for _, watch := range []*rawWatch{current, other} {
 		if got, want := watch.next(), `{"index":5,"snapshot":false,"endpoints":[],"documents":[{"service":"orders","version":5,"schema":0,"deleted":true}]}`; got != want {
-			t.Errorf("got %s\nwant %s", got, want)
+			t.Errorf("line of the watch: got %s\nwant %s", got, want)
 		}
 	}
 
@@ -263,6 +263,6 @@
 	}
 	announce(3)
 	if err := put(); err != nil {
-		t.Errorf("put once all replicas have schema 3: %v", err)
+		t.Errorf("put once all replicas have schema 3: got error %v, want nil", err)
 	}
 }
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -46,13 +46,13 @@
 	publishedRevision int64                   // revision up to which watchers are notified
 	changed           chan struct{}           // closed and replaced at each publication
 	lines             map[lineKey]encodedLine // lines that several watchers are sent, up to publishedRevision
-	publishTimer      *time.Timer             // of the next publication; nil if none is due
+	publishTimer      *time.Timer             // fires at the next publication; nil if none is scheduled
 	publishedAt       time.Time
 }
 
 // lineKey identifies a line that several watchers may be sent.
 type lineKey struct {
-	from    int64  // the revision of the watchers before the line, or fullList
+	from    int64  // revision that the watchers have before they receive the line, or fullList
 	own     bool   // only entries and documents that this region owns
 	service string // the service whose settings the line contains; empty if it contains none
 }
@@ -86,7 +86,7 @@
 	w.publishTimer = time.AfterFunc(max(0, pace-time.Since(w.publishedAt)), w.publish)
 }
 
-// publish wakes all watchers, to send them the changes up to the present revision.
+// publish wakes the goroutines of all watches, which then send the changes up to the current revision.
 func (w *watches) publish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,7 +125,7 @@
 				}
 			}
 		}
-		if cached := w.lines[key]; cached.text != nil { // the list may already be newer than the line
+		if cached := w.lines[key]; cached.text != nil { // the line ends at publishedRevision; the list may already be newer
 			if text = cached.text; key.service != "" {
 				newState.settings = cached.settings
 			}
@@ -177,7 +177,7 @@
 		writeError(rw, api.Errorf(api.CodeBadRequest, "service: at most %d bytes, and not with own", api.MaxName))
 		return
 	}
-	if !state.own { // another region handles a list of an older revision itself
+	if !state.own { // a region that follows this one detects an older revision itself
 		w.catchUp(r.Context(), from)
 	}
 	if err := w.checkFreshness(); err != nil {
@@ -206,7 +206,7 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	if buffers.Reader.Buffered() > 0 { // a pipelined second request: the response to the first one has no end
+	if buffers.Reader.Buffered() > 0 { // a pipelined second request could never be answered, since a watch has no end
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
--- a/internal/watch/messages.go
+++ b/internal/watch/messages.go
@@ -13,11 +13,11 @@
 // never reaches the decoder, which would store it: empty lines are heartbeats, and may continue for days.
 type Messages struct {
 	body      io.Reader
-	buffered  []byte           // read after the latest message
+	buffered  []byte           // bytes read from body that follow the latest message
 	inMessage bool             // whether a message has begun
 	maxBytes  int              // limit of the bytes of one message
-	bytesLeft int              // remaining for the current message
-	onData    func(blank bool) // called for each part of a message that is read, and with blank for white space between messages
+	bytesLeft int              // how many more bytes the current message may have
+	onData    func(blank bool) // called for each read from body; blank is set if it returned only white space between messages
 }
 
 // NewMessages returns a decoder of the messages in body, each of at most maxBytes.
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -15,9 +15,10 @@
 // NotifyDeadline bounds the time from when a server has a change and can be reached until the change is
 // applied here, whatever failed before. This time consists of the wait that began just before the server
 // could be reached, and of the response to the next call, which needs hardly any time (a discovery agent has
-// the change at hand, and a list service reads it from memory). With a Wait of 2 s at most, the waits are:
+// the change at hand, and a list service reads it from memory). With a Wait of 2 s at most, the longest
+// wait after each kind of failure is:
 //
-//	refused, reset, ended, an error or an invalid list, repeatedly: Wait 2.0 s
+//	calls repeatedly refused, reset, ended, or answered with an error or an invalid list: Wait 2.0 s
 //	no connection, or no response head: Step 1.25 s, outageStep 2.0 s
 //	silent after a line, a head or a part of a message: Silence 2.5 s
 //	a part of a message just before the end of that silence: twice Silence, 5.0 s
@@ -27,8 +28,8 @@
 const NotifyDeadline = 6 * time.Second
 
 const (
-	// Silence is how long a watch may be silent. The server sends an empty line every 2 s. If one is a quarter
-	// late, this costs one more call and loses nothing, since the silent watch stays open beside the new one.
+	// Silence is how long a watch may be silent. The server sends an empty line every 2 s. If a line is more
+	// than a quarter of that late, the only cost is one more call, since the silent watch stays open beside the new one.
 	Silence = 2500 * time.Millisecond
 	// Step is how long a call may be silent before a second is opened beside it. A third replaces the first, so
 	// that each call has two steps to respond: some servers hold back the response head until the first line.
@@ -51,11 +52,11 @@
 	Client          *http.Client
 	Step            time.Duration                      // step of the calls; default: the constant Step, or outageStep during an outage
 	MaxMessageBytes int                                // limit of the bytes of one message
-	MaxCalls        int                                // number of calls without a line after which Follow gives up, as it does when no call is open; 0 if it never gives up
+	MaxCalls        int                                // Follow gives up after this many calls without a line, or when its only call ends; 0 if it never gives up
 	Address         func() string                      // returns the host:port of the next call
 	AddressChanged  <-chan struct{}                    // receives a value when Address has changed, which is then called at once; nil if it never changes
 	Revision        func() int64                       // returns the known revision, or -1 to request the full list
-	Query           func() string                      // returns the additional query of the next call, such as "&own=1"; may be nil
+	Query           func() string                      // returns what is appended to the query of the next call, such as "&own=1"; may be nil
 	Apply           func(address string, m *M) error   // applies a message; an error ends its watch
 	OnEstablished   func()                             // called once for each watch that is established without a change; may be nil
 	OnLine          func()                             // called for each line, before it is applied; may be nil
@@ -83,7 +84,8 @@
 	<-c.done
 }
 
-// event is an event of a call: a message, an empty line or an error, or else that a head or a part of a message was received.
+// event reports that a call has received a message or an empty line, or has ended with an error. If none of these is set, the call has
+// received the response head or a part of a message.
 type event[M any] struct {
 	call    *call
 	message *M
@@ -163,7 +165,7 @@
 	s.scheduleCall(0)
 }
 
-// onTimer starts the next call, beside a silent one if there is one, or gives up with an error.
+// onTimer starts the next call, beside the newest open call if there is one. It returns an error if Follow is to give up.
 func (s *followState[M]) onTimer() error {
 	if len(s.openCalls) > 0 && !s.openCalls[len(s.openCalls)-1].formerAddress {
 		s.reportSilent(s.openCalls[len(s.openCalls)-1])
@@ -201,7 +203,7 @@
 	case isLine:
 		e.call.partial = false
 		s.scheduleCall(Silence)
-	case newest && !e.call.partial: // once per line, so that a message that never becomes complete does not keep a watch open
+	case newest && !e.call.partial: // only once after each line: a message that never ends must not keep the watch open
 		e.call.partial = true
 		s.scheduleCall(s.lineTimeout(e.call))
 	}
@@ -267,7 +269,7 @@
 	return Silence
 }
 
-// reportSilent reports that a call is silent, once until it receives a line.
+// reportSilent reports a silent call, unless that has already been reported since its last line.
 func (f *Follower[M]) reportSilent(c *call) {
 	if !c.reportedSilent {
 		c.reportedSilent = true
@@ -330,7 +332,7 @@
 		report(event[M]{err: fmt.Errorf("answered %s", resp.Status)})
 		return
 	}
-	report(event[M]{}) // a head counts as a sign of life
+	report(event[M]{}) // the response head has been received
 	messages := NewMessages(resp.Body, f.MaxMessageBytes)
 	messages.onData = func(blank bool) { report(event[M]{blank: blank}) }
 	for err == nil {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -262,7 +262,7 @@
 				return nil
 			}, Wait: func() time.Duration { return time.Hour }}
 		if err := f.Follow(ctx); !errors.Is(err, context.Canceled) {
-			t.Error(err)
+			t.Errorf("Follow: got error %v, want %v", err, context.Canceled)
 		}
 		server.Close()
 		if got := <-queries; got != test.want || !slices.Equal(applied, []int{1, 2}) || lines < 2 {
