--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -97,7 +97,8 @@
 	Heartbeats []Heartbeat `json:"leases"`
 }
 
-// HeartbeatResult names the servers that have no lease, or whose lease has expired, and that have to register.
+// HeartbeatResult names the servers that have no lease, or whose lease has expired, and that have to register. As the
+// response to an overrule, it names the servers whose entries are removed.
 type HeartbeatResult struct {
 	Expired []string `json:"lost"`
 }
@@ -112,7 +113,7 @@
 	Schema     int    `json:"schema"` // newest schema of commands that it understands
 }
 
-// Identity is what a replica reports about itself before it joins a quorum.
+// Identity is what a replica reports about itself to replicas that join the quorum.
 type Identity struct {
 	Replica
 	Formed  bool               `json:"formed"` // whether it belongs to a quorum that was formed
@@ -122,7 +123,7 @@
 // Status is the state of a replica, and of the service as it sees it.
 type Status struct {
 	Replica       Replica             `json:"replica"`
-	State         string              `json:"state"` // leader, follower, candidate, starting
+	State         string              `json:"state"` // leader, follower, candidate, starting, stopped
 	Leader        string              `json:"leader"`
 	Term          uint64              `json:"term"`
 	Revision      int64               `json:"version"`
--- a/internal/registry/api/settings.go
+++ b/internal/registry/api/settings.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 )
 
-// Document contains the settings of one service. One region owns it. Its revision rises there only, and no process that
-// has seen a revision accepts an older one of the same region.
+// Document contains the settings of one service. One region owns it, and only that region changes it, each time
+// under a higher revision. A process that has seen a revision rejects lower ones of the same region.
 type Document struct {
 	Service  string          `json:"service"`
 	Region   string          `json:"region,omitempty"` // the region that owns it; empty if there is only one region
@@ -32,7 +32,7 @@
 }
 
 // Ack is a sidecar's acknowledgement of a document: the document is in force there, or it was rejected and the previous
-// one still is.
+// document stays in force.
 type Ack struct {
 	Node             string `json:"node"`
 	Service          string `json:"service"`
--- a/internal/registry/client/outcome.go
+++ b/internal/registry/client/outcome.go
@@ -25,8 +25,8 @@
 // was none. Outcome returns the revision of the change and the current document. It does not distinguish two
 // writers of the same text, and reports OutcomeDone for both.
 //
-// OutcomeNotDone with the document still at the revision of before is preliminary: a call that has not arrived
-// yet can be carried out as long as the revision stays.
+// OutcomeNotDone is preliminary if the document is still at the revision of before: as long as that is the current
+// revision, a call that has not arrived yet can be carried out.
 func (c *Client) Outcome(ctx context.Context, service string, before api.Document, settings json.RawMessage) (outcome WriteOutcome, revision int64, current api.Document, err error) {
 	current, err = c.Document(ctx, service, 0, true)
 	if api.IsCode(err, api.CodeNotFound) {
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -37,8 +37,8 @@
 type Config struct {
 	Name         string   `toml:"name"`
 	Dir          string   `toml:"dir"`       // log, snapshots and identity; absent with Dev
-	Listen       string   `toml:"listen"`    // host:port of the API; absent: the one in Peers
-	RaftBind     string   `toml:"raft_bind"` // host:port for other replicas; absent: the one in Peers
+	Listen       string   `toml:"listen"`    // host:port of the API; absent: the address of this replica in Peers
+	RaftBind     string   `toml:"raft_bind"` // host:port for other replicas; absent: the address of this replica in Peers
 	Metrics      string   `toml:"metrics"`   // host:port of the metrics; absent: they are not served
 	Join         bool     `toml:"join"`      // join an existing quorum instead of forming one
 	Peers        []Peer   `toml:"replica"`   // the initial quorum, including this replica; with Join, some replicas of the existing quorum
--- a/internal/registry/forming.go
+++ b/internal/registry/forming.go
@@ -24,7 +24,8 @@
 	identityTimeout = time.Second
 )
 
-// joinQuorum makes this replica join the quorum. It returns the servers of the quorum if it is to be formed, otherwise nil.
+// joinQuorum makes this replica join the quorum. It returns the servers of the quorum if it has yet to be formed, and
+// otherwise nil.
 //
 // A quorum is formed once, and only when all of its replicas report that they belong to none, so that a replica that lost
 // its disk does not form a second quorum. If others know this replica with another disk, or with more starts than its disk had
@@ -88,7 +89,8 @@
 var errNotMember = errors.New("there is a quorum that does not include this replica")
 
 // queryIdentities requests the identities of the others. known is this replica as members of a formed quorum know it, with the
-// highest start count that they report, or nil if none of them knows it.
+// highest start count that they report, or nil if none of them knows it. answered is the number of others that responded. err is
+// errNotMember if a formed quorum does not include this replica.
 func (n *Node) queryIdentities(ctx context.Context) (answered int, known *api.Replica, err error) {
 	for _, p := range n.others() {
 		var id api.Identity
@@ -112,15 +114,15 @@
 func (n *Node) rejoin(ctx context.Context, known api.Replica) error {
 	n.log.Warn("disk unknown to the quorum, rejoining as a new replica", "component", "registry", "node", n.self.Name,
 		"starts", n.self.StartCount, "known_starts", known.StartCount)
-	aside := filepath.Join(n.config.Dir, "aside-"+time.Now().UTC().Format("20060102T150405.000"))
+	quarantineDir := filepath.Join(n.config.Dir, "aside-"+time.Now().UTC().Format("20060102T150405.000"))
 	for _, name := range []string{"log.bolt", "snapshots"} {
 		if _, err := os.Stat(filepath.Join(n.config.Dir, name)); err != nil {
 			continue
 		}
-		if err := os.MkdirAll(aside, 0o755); err != nil {
+		if err := os.MkdirAll(quarantineDir, 0o755); err != nil {
 			return err
 		}
-		if err := os.Rename(filepath.Join(n.config.Dir, name), filepath.Join(aside, name)); err != nil {
+		if err := os.Rename(filepath.Join(n.config.Dir, name), filepath.Join(quarantineDir, name)); err != nil {
 			return err
 		}
 	}
@@ -172,7 +174,7 @@
 	return api.ReadAnswer(resp, result)
 }
 
-// admitReplica adds a replica as the leader, or changes its address or disk.
+// admitReplica adds a replica, or changes its address or disk. This replica must be the leader.
 func (n *Node) admitReplica(m api.Replica) error {
 	r := n.raft.Load()
 	if r == nil {
@@ -199,7 +201,7 @@
 	return nil
 }
 
-// evictReplica removes a replica from the list and from the quorum, as the leader.
+// evictReplica removes a replica from the list and from the quorum. This replica must be the leader.
 func (n *Node) evictReplica(name string) error {
 	r := n.raft.Load()
 	if r == nil {
--- a/internal/registry/leasetable/table.go
+++ b/internal/registry/leasetable/table.go
@@ -23,9 +23,9 @@
 	RetrySpacing    = 100 * time.Millisecond // between the retries of two candidates
 	MinRetryAfter   = 500 * time.Millisecond // earliest retry of a rejected candidate, unless the lease ends before that
 	MaxRetryAfter   = time.Minute            // latest retry of a rejected candidate
-	HandoverMargin  = 100                    // fitness by which a candidate must exceed the holder for the holder to be told
+	HandoverMargin  = 100                    // fitness by which a candidate must exceed the holder before the holder is informed of it
 	WaitingTime     = 2 * MinRetryAfter      // a candidate counts as waiting for this long after its last rejection
-	ReservationTime = 700 * time.Millisecond // a released leadership is reserved this long for the candidate that the holder was told of
+	ReservationTime = 700 * time.Millisecond // how long a released leadership is reserved for the candidate that the holder was informed of
 	IdleTime        = 10 * time.Second       // an expired leadership that nobody claims is forgotten after this
 )
 
@@ -57,7 +57,7 @@
 }
 
 // Committed applies a leadership that the log has just committed. Its holder sent the claim earlier, so the lease
-// ends by the holder's own clock before it ends here.
+// ends earlier by the holder's clock than by the leader's.
 func (t *Table) Committed(now time.Duration, leadership list.Leadership) {
 	e := t.entry(leadership.Name)
 	if leadership.Holder == "" {
@@ -168,8 +168,8 @@
 	return c
 }
 
-// AppendKey appends everything that the future of a leadership may depend on, for state exploration: times relative
-// to now, epochs and renewals relative to the leadership's, and nothing for a candidate that no longer counts.
+// AppendKey appends all state on which later decisions about a leadership depend, for state exploration: times relative
+// to now, epochs and renewals relative to the leadership's, and nothing for a candidate that no longer counts as waiting.
 func (t *Table) AppendKey(b []byte, now time.Duration, leadership list.Leadership) []byte {
 	e := t.entries[leadership.Name]
 	if e == nil {
--- a/internal/registry/list/list.go
+++ b/internal/registry/list/list.go
@@ -50,7 +50,7 @@
 	Document     *api.Document     `json:"document,omitempty"`
 	Chunk        *Chunk            `json:"piece,omitempty"`
 
-	Index uint64 `json:"-"` // its index in the log, the same at all replicas
+	Index uint64 `json:"-"` // index of the command in the log, the same at all replicas
 }
 
 // Result is the result of a command.
--- a/internal/registry/plays_test.go
+++ b/internal/registry/plays_test.go
@@ -180,8 +180,8 @@
 }
 
 // Checks histories of documents in a region of three replicas that another region of three replicates, while links fail and replicas
-// are killed or stopped: calls to the owning region are linearizable, no replica serves an older version after a newer one, or one that
-// nobody put, and the other region catches up soon. More histories: go test -run TestHistoriesOfDocuments -plays 40 -timeout 30m.
+// are killed or stopped: calls to the owning region are linearizable, no replica serves an older version after a newer one, or a
+// version that nobody put, and the other region catches up soon. More histories: go test -run TestHistoriesOfDocuments -plays 40 -timeout 30m.
 func TestHistoriesOfDocuments(t *testing.T) {
 	for i := range max(1, *historyCount) {
 		seed := *historySeed + uint64(i)
--- a/internal/registry/processes_test.go
+++ b/internal/registry/processes_test.go
@@ -258,9 +258,9 @@
 	q.register("while a disk is old")
 	q.start(follower, nil)
 	q.waitServing(3)
-	aside, err := filepath.Glob(filepath.Join(q.dir, follower, "aside-*"))
-	if err != nil || len(aside) != 1 {
-		t.Errorf("got directories %v, error %v, want one directory with the old copy", aside, err)
+	quarantined, err := filepath.Glob(filepath.Join(q.dir, follower, "aside-*"))
+	if err != nil || len(quarantined) != 1 {
+		t.Errorf("got directories %v, error %v, want one directory with the old copy", quarantined, err)
 	}
 	waitForEntry("while a disk is old")
 }
--- a/internal/registry/raft.go
+++ b/internal/registry/raft.go
@@ -87,7 +87,7 @@
 	return b, nil
 }
 
-// bootstrap forms a quorum of servers, unless the stores hold one already.
+// bootstrap forms a quorum of servers, unless the stores already contain the state of one.
 func (b *raftBackend) bootstrap(c *raft.Config, servers []raft.Server) error {
 	exists, err := raft.HasExistingState(b.logs, b.stable, b.snapshots)
 	if err != nil {
--- a/internal/registry/regions.go
+++ b/internal/registry/regions.go
@@ -20,7 +20,7 @@
 // errNotLeader is the cause of the end of replication when this replica no longer leads.
 var errNotLeader = errors.New("this replica is no longer the leader")
 
-// follower replicates one other region while this replica leads. The fields below mu are shared with replication.
+// follower replicates one other region while this replica leads. Node.replication reads the fields below mu.
 type follower struct {
 	node   *Node
 	region string
--- a/internal/registry/regions_test.go
+++ b/internal/registry/regions_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Checks that two regions replicate each other. While they are disconnected, each continues with what it has of the other; once they
+// Checks that two regions replicate each other. While they are disconnected, each keeps the state of the other that it has replicated; once they
 // are connected again, each catches up with the other's changes, including deletions. Only the owner of settings may write them.
 func TestRegionsFollowEachOther(t *testing.T) {
 	r := newTwoRegions(t)
@@ -146,7 +146,7 @@
 	}
 	second := r.put("north", "orders", 2, first)
 	repaired := r.put("north", "orders", 4, second)
-	r.put("south", "late", 5, 0) // both regions put the same settings while they are disconnected
+	r.put("south", "late", 5, 0) // both regions put settings of the same service while they are disconnected
 	r.put("north", "late", 6, 0)
 	list.waitForLine(`"name":"dies"`, `"Gone"`)
 	r.waitForReplicationStatus("south", "south has received nothing from north", func(status api.ReplicationStatus) bool { return status.AgeMs > 2500 })
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -65,7 +65,8 @@
 // handler serves a call whose body has been read. It returns the value to respond with, or an error.
 type handler func(r *http.Request, body []byte) (any, error)
 
-// onLeader serves a call here if this replica leads, and otherwise forwards it to the leader. A body has at most limit bytes.
+// onLeader serves a call here if this replica leads, and otherwise forwards it to the leader. A request body may
+// have at most limit bytes.
 func (n *Node) onLeader(limit int64, handle handler) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, limit))
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -18,10 +18,10 @@
 
 const (
 	keepaliveInterval = 2 * time.Second
-	// writeTimeout is how long a watcher may read nothing before its watch is ended. It reconnects with its revision and is sent
+	// writeTimeout is how long a watcher may read nothing before its watch is ended. The watcher reconnects with its revision and is sent
 	// the changes since then, or the full list, so that nothing needs to be queued for it and nothing is skipped.
 	writeTimeout = 5 * time.Second
-	// pacePerWatcher is about the processor time that it takes to notify one watcher. Changes within the time that it takes to
+	// pacePerWatcher is the approximate processor time to notify one watcher. Changes within the time that it takes to
 	// notify all watchers are sent together.
 	pacePerWatcher = 8 * time.Microsecond
 	maxPace        = 100 * time.Millisecond
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -28,8 +28,8 @@
 const NotifyDeadline = 6 * time.Second
 
 const (
-	// Silence is how long a watch may be silent. The server sends an empty line every 2 s. If a line is more
-	// than a quarter of that late, the only cost is one more call, since the silent watch stays open beside the new one.
+	// Silence is how long a watch may be silent. The server sends an empty line every 2 s. If a line comes
+	// more than a quarter of that interval late, the only cost is one more call: the silent watch stays open beside it.
 	Silence = 2500 * time.Millisecond
 	// Step is how long a call may be silent before a second is opened beside it. A third replaces the first, so
 	// that each call has two steps to respond: some servers hold back the response head until the first line.
@@ -54,7 +54,7 @@
 	MaxMessageBytes int                                // limit of the bytes of one message
 	MaxCalls        int                                // Follow gives up after this many calls without a line, or when its only call ends; 0 if it never gives up
 	Address         func() string                      // returns the host:port of the next call
-	AddressChanged  <-chan struct{}                    // receives a value when Address has changed, which is then called at once; nil if it never changes
+	AddressChanged  <-chan struct{}                    // receives a value when the result of Address has changed; Address is then called at once; nil if it never changes
 	Revision        func() int64                       // returns the known revision, or -1 to request the full list
 	Query           func() string                      // returns what is appended to the query of the next call, such as "&own=1"; may be nil
 	Apply           func(address string, m *M) error   // applies a message; an error ends its watch
@@ -74,11 +74,11 @@
 	established    bool // whether it has received a line
 	partial        bool // whether a head or a part of a message was received since its last line
 	reportedSilent bool
-	// whether it goes to the former address; it is then read until a call to the new one has received a line
+	// whether the call goes to the former address; it is then read until a call to the new address has received a line
 	formerAddress bool
 }
 
-// end ends the call and waits until its connection is no longer in use, so that there is never a third one.
+// end ends the call and waits until its connection is no longer in use, so that there is never a third connection.
 func (c *call) end() {
 	c.cancel()
 	<-c.done
@@ -165,7 +165,7 @@
 	s.scheduleCall(0)
 }
 
-// onTimer starts the next call, beside the newest open call if there is one. It returns an error if Follow is to give up.
+// onTimer starts the next call, and keeps the newest open call beside it. It returns an error if Follow is to give up.
 func (s *followState[M]) onTimer() error {
 	if len(s.openCalls) > 0 && !s.openCalls[len(s.openCalls)-1].formerAddress {
 		s.reportSilent(s.openCalls[len(s.openCalls)-1])
