--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -245,7 +245,7 @@
 	for text, want := range map[string]string{"127.0.0.1:1,127.0.0.2:1": "[127.0.0.1:1 127.0.0.2:1]", "a": "", "127.0.0.1:1,": "", "a:1,a:1": ""} {
 		got, err := Addresses(text)
 		if (err != nil) != (want == "") || err == nil && fmt.Sprint(got) != want {
-			t.Errorf("%q: got %v, error %v; want %q", text, got, err, want)
+			t.Errorf("%q: got %v, error %v; want %q, or an error if that is empty", text, got, err, want)
 		}
 	}
 }
--- a/internal/registry/client/registrar_test.go
+++ b/internal/registry/client/registrar_test.go
@@ -44,7 +44,7 @@
 		var change api.Heartbeats
 		renewed := api.HeartbeatResult{Expired: []string{}}
 		if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
-			s.t.Error(err)
+			s.t.Errorf("decoding a request: got error %v, want nil", err)
 		}
 		for _, heartbeat := range change.Heartbeats {
 			if record, ok := s.list.Get(heartbeat.Name); !ok || record.Incarnation != heartbeat.Incarnation {
@@ -67,13 +67,13 @@
 	if r.Method == http.MethodPut {
 		command.Registration = &api.Registration{}
 		if err := json.NewDecoder(r.Body).Decode(command.Registration); err != nil {
-			s.t.Error(err)
+			s.t.Errorf("decoding a request: got error %v, want nil", err)
 		}
 		command.IfRevision = command.Registration.IfRevision
 	} else {
 		var change api.StateChange
 		if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
-			s.t.Error(err)
+			s.t.Errorf("decoding a request: got error %v, want nil", err)
 		}
 		command.Op = r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:]
 		command.Incarnation, command.IfRevision = change.Incarnation, change.IfRevision
--- a/internal/registry/config_test.go
+++ b/internal/registry/config_test.go
@@ -33,7 +33,7 @@
 		}
 		_, err := LoadConfig(path)
 		if (test.wantErr == "") != (err == nil) || err != nil && (!strings.Contains(err.Error(), test.wantErr) || !strings.Contains(err.Error(), path)) {
-			t.Errorf("%s: got error %v, want one with %q and the path", test.name, err, test.wantErr)
+			t.Errorf("%s: got error %v, want one with %q and the path, or nil if that is empty", test.name, err, test.wantErr)
 		}
 	}
 }
--- a/internal/registry/list/documents_test.go
+++ b/internal/registry/list/documents_test.go
@@ -71,7 +71,7 @@
 				text, err := json.Marshal(l.State())
 				var s State
 				if err != nil || json.Unmarshal(text, &s) != nil {
-					t.Fatal(err)
+					t.Fatalf("snapshot: got error %v and text %s, want a state that can be decoded", err, text)
 				}
 				l = Load(s, CompactionWindow)
 				backups = append(backups, s)
@@ -133,7 +133,7 @@
 		if r := l.Apply(Command{Op: ReplicateRegion, Region: "south", Chunk: &Chunk{Region: "north", From: from, To: to, Last: true,
 			Entries:   []api.Endpoint{{Name: name, Status: api.Ready}},
 			Documents: []api.Document{{Service: "s", Revision: to, Schema: 1, Settings: json.RawMessage(`{}`)}}}}); r.Err != nil {
-			t.Fatal(r.Err)
+			t.Fatalf("chunk up to revision %d: got error %v, want nil", to, r.Err)
 		}
 	}
 	replicate(5, "early")
--- a/internal/registry/list/leadership_test.go
+++ b/internal/registry/list/leadership_test.go
@@ -24,16 +24,16 @@
 				Claim: &LeadershipClaim{LeadershipClaim: api.LeadershipClaim{Name: before.Name, Holder: fmt.Sprint("h", rapid.IntRange(0, 2).Draw(t, "holder")), LeaseMs: 1000,
 					Epoch: uint64(rapid.IntRange(0, int(highest%64)).Draw(t, "epoch"))}}}
 			if rapid.Bool().Draw(t, "over") {
-				over := before.LeaseTerm
-				over.Renewals -= uint64(rapid.IntRange(0, 1).Draw(t, "turns ago"))
-				c.Claim.ExpiredTerm, c.ExpiredTerms = &over, []LeaseTerm{over}
+				expiredTerm := before.LeaseTerm
+				expiredTerm.Renewals -= uint64(rapid.IntRange(0, 1).Draw(t, "turns ago"))
+				c.Claim.ExpiredTerm, c.ExpiredTerms = &expiredTerm, []LeaseTerm{expiredTerm}
 			}
 			switch c.Op {
 			case "snapshot":
 				var s State
 				text, err := json.Marshal(l.State())
 				if err != nil || json.Unmarshal(text, &s) != nil {
-					t.Fatal(err)
+					t.Fatalf("snapshot: got error %v and text %s, want a state that can be decoded", err, text)
 				}
 				l = Load(s, CompactionWindow)
 				backups = append(backups, s)
