--- a/internal/registry/api/api.go
+++ b/internal/registry/api/api.go
@@ -97,7 +97,8 @@
 	Heartbeats []Heartbeat `json:"leases"`
 }
 
-// HeartbeatResult names the servers that have no lease, or whose lease has expired, and that have to register.
+// HeartbeatResult names the servers that have no lease, or whose lease has expired, and that have to register. As the
+// response to an overrule, it names the servers whose entries are removed.
 type HeartbeatResult struct {
 	Expired []string `json:"lost"`
 }
@@ -112,7 +113,7 @@
 	Schema     int    `json:"schema"` // newest schema of commands that it understands
 }
 
-// Identity is what a replica reports about itself before it joins a quorum.
+// Identity is what a replica reports about itself to replicas that join the quorum.
 type Identity struct {
 	Replica
 	Formed  bool               `json:"formed"` // whether it belongs to a quorum that was formed
@@ -122,7 +123,7 @@
 // Status is the state of a replica, and of the service as it sees it.
 type Status struct {
 	Replica       Replica             `json:"replica"`
-	State         string              `json:"state"` // leader, follower, candidate, starting
+	State         string              `json:"state"` // leader, follower, candidate, starting, stopped
 	Leader        string              `json:"leader"`
 	Term          uint64              `json:"term"`
 	Revision      int64               `json:"version"`
@@ -147,7 +148,7 @@
 	CodeNoLeader         = "no leader"
 	CodeStale            = "stale"
 	CodeOlderReplica     = "older replica"   // a replica of the quorum does not understand the command
-	CodeOutcomeUnknown   = "outcome unknown" // the command may have been carried out, or may still be
+	CodeOutcomeUnknown   = "outcome unknown" // the command may have been carried out, or may be carried out later
 )
 
 // Error is the body of a response with a status other than 200. errors.As finds it in errors of package client.
@@ -158,12 +159,12 @@
 
 func (e *Error) Error() string { return e.Code + ": " + e.Text }
 
-// Errorf returns an Error with that code.
+// Errorf returns an Error with the given code.
 func Errorf(code, format string, args ...any) *Error {
 	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// IsCode reports whether err is or wraps an Error with that code.
+// IsCode reports whether err is or wraps an Error with the given code.
 func IsCode(err error, code string) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
--- a/internal/registry/regions_test.go
+++ b/internal/registry/regions_test.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	if _, err := r.clients[region].Register(ctx, name, api.Registration{Address: "127.0.0.1:1", Weight: 1, LeaseMs: 60_000}); err != nil {
-		r.t.Fatalf("registering %s in %s: %v", name, region, err)
+		r.t.Fatalf("registering %s in %s: got error %v, want nil", name, region, err)
 	}
 }
 
@@ -69,7 +69,7 @@
 			continue
 		}
 		if err != nil {
-			t.Fatalf("put of settings of %s: %v", service, err)
+			t.Fatalf("put of settings of %s: got error %v, want nil", service, err)
 		}
 		return version
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// Checks that two regions replicate each other. While they are disconnected, each continues with what it has of the other; once they
+// Checks that two regions replicate each other. While they are disconnected, each keeps the state of the other that it has replicated; once they
 // are connected again, each catches up with the other's changes, including deletions. Only the owner of settings may write them.
 func TestRegionsFollowEachOther(t *testing.T) {
 	r := newTwoRegions(t)
@@ -146,7 +146,7 @@
 	}
 	second := r.put("north", "orders", 2, first)
 	repaired := r.put("north", "orders", 4, second)
-	r.put("south", "late", 5, 0) // both regions put the same settings while they are disconnected
+	r.put("south", "late", 5, 0) // both regions put settings of the same service while they are disconnected
 	r.put("north", "late", 6, 0)
 	list.waitForLine(`"name":"dies"`, `"Gone"`)
 	r.waitForReplicationStatus("south", "south has received nothing from north", func(status api.ReplicationStatus) bool { return status.AgeMs > 2500 })
