--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -44,8 +44,8 @@
 	pipelined    chan struct{} // receives when bytes were read behind the request in flight, after which net/http stops reading; has a buffer of one
 
 	mu           sync.Mutex
-	ending       bool // it is to be closed once it is between requests
-	evicted      bool // it is ending only because its descriptor is needed
+	toBeClosed   bool // it is to be closed once it is between requests
+	evicting     bool // toBeClosed is set only because its descriptor is needed
 	active       bool // net/http has a request in flight
 	waiting      bool // the read in progress can only return the next request
 	stage        connStage
@@ -69,21 +69,21 @@
 	if !readingBody {
 		c.bodyWait, c.bodyBytes = 0, 0
 	}
-	if c.waiting && c.ending {
+	if c.waiting && c.toBeClosed {
 		c.boundRead()
 	}
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	evictionCancelled := false
-	if bounded := c.waiting && c.ending; bounded || c.readCut {
+	if bounded := c.waiting && c.toBeClosed; bounded || c.readCut {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			n, err = c.readAvailable(p)
 		}
 		if n > 0 { // more has arrived meanwhile
 			evictionCancelled = true
-			c.ending = c.ending && !c.evicted
-			c.evicted, c.readCut = false, false
+			c.toBeClosed = c.toBeClosed && !c.evicting
+			c.evicting, c.readCut = false, false
 			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by net/http; fails on a closed connection only
 		}
 	}
@@ -164,7 +164,7 @@
 		grace, stall = minLinger, newConnGrace
 	}
 	switch {
-	case c.readCut || c.evicted:
+	case c.readCut || c.evicting:
 		return classBusy, since, 0
 	case !c.closingSince.IsZero():
 		return classAnswered, c.closingSince, minLinger
@@ -182,12 +182,12 @@
 	return classIdle, since, 0
 }
 
-// end closes the connection once it is between requests, and reports whether it is. Requests that arrive before that are
+// closeWhenIdle closes the connection once it is between requests, and reports whether it is. Requests that arrive before that are
 // answered.
-func (c *framedConn) end() bool {
+func (c *framedConn) closeWhenIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
+	c.toBeClosed = true
 	if c.waiting {
 		c.boundRead()
 	}
@@ -197,14 +197,14 @@
 // evict is like end, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
 func (c *framedConn) evict() bool {
 	c.mu.Lock()
-	c.evicted = !c.ending // otherwise it is closed in any case
+	c.evicting = !c.toBeClosed // otherwise it is closed in any case
 	c.mu.Unlock()
-	if c.end() {
+	if c.closeWhenIdle() {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending, c.evicted = c.ending && !c.evicted, false
+	c.toBeClosed, c.evicting = c.toBeClosed && !c.evicting, false
 	return false
 }
 
@@ -225,7 +225,7 @@
 // connection that is not evicted has newConnGrace for its first request. The caller holds mu.
 func (c *framedConn) boundRead() {
 	deadline := time.Now().Add(finalReadTimeout)
-	if graceEnd := c.acceptedAt.Add(newConnGrace); !c.evicted && c.framing.noRequest() && graceEnd.After(deadline) {
+	if graceEnd := c.acceptedAt.Add(newConnGrace); !c.evicting && c.framing.noRequest() && graceEnd.After(deadline) {
 		deadline = graceEnd
 	}
 	_ = c.Conn.SetReadDeadline(deadline) // fails on a closed connection only
@@ -285,7 +285,7 @@
 	lingers := !c.clientClosed.Load() && c.closingSince.IsZero() && !c.listener.stopped.Load() && (c.listener.lingering.Load() || c.hasWritten)
 	if lingers {
 		c.closingSince = time.Now()
-		c.readSince, c.readCut, c.evicted = c.closingSince, false, false
+		c.readSince, c.readCut, c.evicting = c.closingSince, false, false
 	}
 	c.mu.Unlock()
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); lingers && ok && halfCloser.CloseWrite() == nil {
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -63,7 +63,7 @@
 		conn, err := c.Listener.Accept()
 		switch {
 		case err == nil:
-			return &framedConn{Conn: conn, arrivedAt: c.earliestArrival(start), acceptedAt: time.Now(), listener: c, ending: finishing, pipelined: make(chan struct{}, 1)}, nil
+			return &framedConn{Conn: conn, arrivedAt: c.earliestArrival(start), acceptedAt: time.Now(), listener: c, toBeClosed: finishing, pipelined: make(chan struct{}, 1)}, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case !errors.Is(err, os.ErrDeadlineExceeded): // pause and finish set deadlines
@@ -113,7 +113,7 @@
 	c.mu.Lock()
 	c.finishing = true
 	for conn := range c.idleSince {
-		conn.end()
+		conn.closeWhenIdle()
 	}
 	c.mu.Unlock()
 	c.setAcceptDeadline(time.Now().Add(acceptQueueTimeout))
@@ -169,13 +169,13 @@
 	c.changed.Broadcast()
 }
 
-// endIdle closes all connections that have been idle for minIdle or longer.
-func (c *clientConns) endIdle(minIdle time.Duration) {
+// closeIdle closes all connections that have been idle for minIdle or longer.
+func (c *clientConns) closeIdle(minIdle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, since := range c.idleSince {
 		if !since.IsZero() && time.Since(since) >= minIdle {
-			conn.end()
+			conn.closeWhenIdle()
 		}
 	}
 }
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -90,10 +90,10 @@
 // requestArrived is the event of a new request.
 type requestArrived struct{ request *clientRequest }
 
-// bodyComplete is the event that the body of a request has been received; expires is the request's deadline.
+// bodyComplete is the event that the body of a request has been received; expiresAt is the request's deadline.
 type bodyComplete struct {
-	request *clientRequest
-	expires time.Duration
+	request   *clientRequest
+	expiresAt time.Duration
 }
 
 // clientDisconnected is the event that the client of a request has disconnected.
@@ -359,15 +359,15 @@
 		return
 	}
 	now := d.clock.now()
-	f.acceptedAt, f.expiresAt = now, e.expires
+	f.acceptedAt, f.expiresAt = now, e.expiresAt
 	for i := range f.attempts {
 		if a := &f.attempts[i]; a.endedAt == 0 {
 			a.sentAt = now
-			timer := time.AfterFunc(e.expires-now, func() { a.endWithCause(context.DeadlineExceeded) })
+			timer := time.AfterFunc(e.expiresAt-now, func() { a.endWithCause(context.DeadlineExceeded) })
 			context.AfterFunc(a.ctx, func() { timer.Stop() })
 		}
 	}
-	d.handle(balancer.BodyComplete{ID: f.request.id, ExpiresAt: e.expires})
+	d.handle(balancer.BodyComplete{ID: f.request.id, ExpiresAt: e.expiresAt})
 	d.forgetRequest(f.request.id)
 }
 
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -41,7 +41,7 @@
 		p.conns.awaitNone(max(killAfter-maxObjective, drainNoticeTime))
 	} else {
 		time.Sleep(drainNoticeTime)
-		p.conns.endIdle(newConnGrace) // a client whose request crosses the close opens a new connection
+		p.conns.closeIdle(newConnGrace) // a client whose request crosses the close opens a new connection
 		time.Sleep(drainAcceptTime - drainNoticeTime)
 	}
 	p.conns.finish()
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -264,7 +264,7 @@
 					readErr <- err
 				}()
 				synctest.Wait()
-				conn.end()
+				conn.closeWhenIdle()
 				sender := time.AfterFunc(c.at, func() { _, _ = client.Write([]byte("G")) }) // fails if the connection is not read
 				defer sender.Stop()
 				if err := <-readErr; !errors.Is(err, c.want) {
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -272,8 +272,8 @@
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		if conn.ending || conn.evicted || len(listener.evicting) > 0 {
-			t.Errorf("got ending %v, evicted %v and %d evictions, want none", conn.ending, conn.evicted, len(listener.evicting))
+		if conn.toBeClosed || conn.evicting || len(listener.evicting) > 0 {
+			t.Errorf("got toBeClosed %v, evicting %v and %d evictions, want none", conn.toBeClosed, conn.evicting, len(listener.evicting))
 		}
 		if err := <-read(); !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Equal(until) {
 			t.Errorf("read returned error %v at %v, want a time-out at %v, the deadline set by net/http", err, time.Now(), until)
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -92,7 +92,7 @@
 // request returns the request as it is sent, with callbacks that record its progress.
 func (x *upstreamExchange) request() *http.Request {
 	c := x.conn
-	c.checkAllowed = func() error { return x.pool.checkBegin(x.ctx, c, x.clientReq, x.startBefore) }
+	c.checkMayBegin = func() error { return x.pool.checkMayBegin(x.ctx, c, x.clientReq, x.startBefore) }
 	c.firstByteSent.Store(false)
 	c.requestEncoded.Store(false)
 	var req *http.Request
@@ -124,7 +124,7 @@
 func (x *upstreamExchange) failureReply(err error) attemptReply {
 	c := x.conn
 	switch {
-	case c.disallowed.Load():
+	case c.beginRefused.Load():
 		return attemptReply{result: balancer.NotSent, err: err}
 	case !c.requestEncoded.Load() && x.clientReq.body.readError() != nil: // the client failed, not the upstream
 		return attemptReply{result: balancer.NotSent, err: x.clientReq.body.readError()}
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -134,7 +134,7 @@
 	p.server.stopping.Store(true)
 	p.conns.pause(true)
 	p.conns.lingering.Store(true)
-	p.conns.endIdle(closableAfter)
+	p.conns.closeIdle(closableAfter)
 	p.upstreams.setRetention(false, 0)
 	p.persister.setWriting(false)
 }
--- a/internal/sidecar/upstreamconn.go
+++ b/internal/sidecar/upstreamconn.go
@@ -20,9 +20,9 @@
 	closed      bool      // guarded by the pool's lock
 
 	writeTimeout   time.Duration // of one write
-	checkAllowed   func() error  // returns the reason why the next request may not be written, or nil if it may
+	checkMayBegin  func() error  // returns the reason why the next request may not be written, or nil if it may
 	firstByteSent  atomic.Bool   // Write was called with the first byte of the present request
-	disallowed     atomic.Bool   // the request was stopped before its first byte
+	beginRefused   atomic.Bool   // the request was stopped before its first byte
 	requestEncoded atomic.Bool   // the library has written the request completely, perhaps into a buffer
 	writeFailed    atomic.Bool   // a write failed, so that the last byte was not sent
 	idleReading    atomic.Bool   // the library is waiting for bytes, and has none buffered
@@ -32,8 +32,8 @@
 // decision the upstream may have begun to drain, the client may have disconnected, or the time for a retry may be over.
 func (c *upstreamConn) Write(p []byte) (int, error) {
 	if !c.firstByteSent.Swap(true) {
-		if err := c.checkAllowed(); err != nil {
-			c.disallowed.Store(true)
+		if err := c.checkMayBegin(); err != nil {
+			c.beginRefused.Store(true)
 			return 0, err
 		}
 	}
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -148,15 +148,15 @@
 	case err != nil:
 		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
 	}
-	if err := u.checkBegin(ctx, c, r, startBefore); err != nil { // it was too late once c was open; another request can use c
+	if err := u.checkMayBegin(ctx, c, r, startBefore); err != nil { // it was too late once c was open; another request can use c
 		u.release(c)
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	}
 	return c, failure
 }
 
-// checkBegin returns the reason why an attempt may not begin, or nil if it may.
-func (u *upstreamPool) checkBegin(ctx context.Context, c *upstreamConn, r *clientRequest, startBefore time.Duration) error {
+// checkMayBegin returns the reason why an attempt may not begin, or nil if it may.
+func (u *upstreamPool) checkMayBegin(ctx context.Context, c *upstreamConn, r *clientRequest, startBefore time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
