--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	maxRetainedBytes = 64 << 10 // of one body or answer, retained so that it can be sent again
-	minRetainedBytes = 4 << 10  // retained even if the budget is used up
-	maxBodyBytes     = 32 << 20 // of a request or an answer
-	budgetFraction   = 0.25     // of the memory limit, for all retained bodies and answers
+	maxRetainedBytes = 64 << 10 // maximum size of the retained part of a body or answer, which can be sent again
+	minRetainedBytes = 4 << 10  // size of the part that is retained even if the budget is used up
+	maxBodyBytes     = 32 << 20 // maximum size of the body of a request or an answer
+	budgetFraction   = 0.25     // fraction of the memory limit for all retained bodies and answers
 	minBodyRate      = 48 << 10 // bytes per second: clients must send 64 kB/s, and a quarter less is allowed for a busy machine
 	// bodyStartTimeout is the minimum time allowed for the first bytes of a body after its head.
 	bodyStartTimeout = 700 * time.Millisecond
@@ -53,7 +53,7 @@
 type clientBody struct {
 	retained []byte
 	length   int64 // -1 if not stated
-	reserved int64 // bytes of the budget
+	reserved int64 // bytes reserved in budget
 	budget   *byteBudget
 
 	rest       io.Reader   // nil if the complete body is retained
@@ -64,8 +64,8 @@
 	mu             sync.Mutex
 	consumed       bool  // an attempt has read some of the rest
 	ended          bool  // the rest has been read to its end
-	err            error // of reading from the client
-	restBytes      int64 // bytes read of the rest
+	err            error // error of reading from the client
+	restBytes      int64 // number of bytes of the rest that were read
 	currentAttempt int   // number of the attempt that may read
 }
 
@@ -91,8 +91,8 @@
 	return b.err
 }
 
-// reader returns the body for another attempt, and ends the reading of the one before. A consumed body fails at the first
-// read.
+// reader returns a reader of the body for the next attempt, and stops the reading of the previous one. If some of the rest has
+// been consumed, the first read fails.
 func (b *clientBody) reader() io.ReadCloser {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,13 +110,13 @@
 	b.currentAttempt++
 }
 
-// drain discards the rest of the body, since a client may not read its answer before it has sent the body. The reader in
-// rest limits the time.
+// drain discards the rest of the body, since a client may not read its answer before it has sent the body. The
+// time-out of rest limits how long that takes.
 func (b *clientBody) drain() {
 	b.endReading()
 	b.readMu.Lock()
 	defer b.readMu.Unlock()
-	_, _ = io.CopyN(io.Discard, b.rest, maxBodyBytes) // errors end it, too
+	_, _ = io.CopyN(io.Discard, b.rest, maxBodyBytes) // ends early if reading fails
 }
 
 // release returns the reserved bytes to the budget.
@@ -130,7 +130,7 @@
 	body      *clientBody
 	attempt   int
 	retained  []byte
-	delivered atomic.Int64 // bytes
+	delivered atomic.Int64 // number of bytes returned by Read
 	ended     atomic.Bool  // the body has been read to its end, or failed
 }
 
@@ -215,9 +215,9 @@
 	timeLeft time.Duration // grows with each byte read
 }
 
-// newRateCheckedReader starts the timeout of a body. arrivedAt is the earliest time at which a connection without an
-// earlier request can have arrived: it must be answered or closed within requestTimeout of that. It is the zero time for
-// any other connection.
+// newRateCheckedReader starts the time-out of a body. For the first request on a connection, arrivedAt is the earliest time
+// at which the connection can have arrived; the request must be answered, or the connection closed, within requestTimeout
+// after it. For later requests arrivedAt is zero.
 func newRateCheckedReader(body io.Reader, conn *http.ResponseController, arrivedAt time.Time) *rateCheckedReader {
 	timeLeft := requestTimeout
 	if !arrivedAt.IsZero() {
@@ -233,7 +233,7 @@
 	n, err := r.body.Read(p)
 	r.timeLeft += time.Duration(n)*time.Second/minBodyRate - time.Since(start)
 	if errors.Is(err, io.EOF) {
-		_ = r.conn.SetReadDeadline(time.Time{}) // net/http now reads, to notice a disconnect
+		_ = r.conn.SetReadDeadline(time.Time{}) // no deadline: net/http now reads to notice a disconnect
 	}
 	return n, err
 }
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -42,7 +42,7 @@
 // evidenceReport is what the dispatcher reports about an upstream.
 type evidenceReport struct {
 	report message.Report
-	probe  bool // the report is the result of a probe made for all sidecars, which succeeded if the report's state is closed
+	probe  bool // the report is the result of a probe made for all sidecars; the probe succeeded if the report's state is closed
 }
 
 // ownProbe is the state of the probe leadership of one upstream, which this sidecar holds or campaigns for.
@@ -332,8 +332,8 @@
 // onReceived records that the loop received its messages at now.
 func (d *stallDetector) onReceived(now time.Duration) { d.receivedAt.Store(int64(now)) }
 
-// delay returns how long the message queued after an earlier call has waited, or 0 if the loop has received messages since
-// then, or has never received any.
+// delay returns how long the message that was queued after an earlier call has been waiting. It returns 0 if the loop has
+// received messages since then, or has never received any.
 func (d *stallDetector) delay(now time.Duration) (waited time.Duration) {
 	if received := time.Duration(d.receivedAt.Load()); d.sentAt > 0 && received < d.sentAt && received > 0 {
 		return now - d.sentAt
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -16,10 +16,10 @@
 	// bodyStallTimeout is how long a body may stall, beyond what minBodyRate allows, while other clients wait for a descriptor.
 	bodyStallTimeout   = 150 * time.Millisecond
 	finalReadTimeout   = time.Millisecond       // for reading a request that has already arrived when its connection is to be closed
-	acceptQueueTimeout = 10 * time.Millisecond  // for accepting a connection from the kernel's queue; waited twice, as a goroutine may be late
+	acceptQueueTimeout = 10 * time.Millisecond  // for accepting a connection from the kernel's queue; waited twice, as Accept's goroutine may run only after the first time-out
 	maxLinger          = 100 * time.Millisecond // for the client to close its side of a connection that the sidecar has closed
-	minLinger          = 10 * time.Millisecond  // the same while other clients wait for its descriptor; enough for the answer to arrive
-	maxLingerBytes     = 1 << 20                // bytes discarded meanwhile, which were in flight when the connection was closed
+	minLinger          = 10 * time.Millisecond  // minimum of that time while other clients wait for the descriptor; enough for the answer to arrive
+	maxLingerBytes     = 1 << 20                // maximum number of bytes that are discarded during that time; they were in flight when the connection was closed
 )
 
 // connStage is how far the next request of a connection has been read.
@@ -31,23 +31,23 @@
 	headComplete // all of its head, and maybe some of its body
 )
 
-// framedConn is a client's connection. It closes gracefully: never while a partially read request is unanswered, and its
-// sending side first, so that bytes in flight don't make the kernel reset it and discard an answer. The HTTP server calls
-// the methods of net.Conn; the other methods are safe for concurrent use.
+// framedConn is a client's connection. It is not closed while a partially read request is unanswered. Its sending side is
+// closed first: otherwise unread bytes would make the kernel reset the connection and discard the answer. The HTTP server
+// calls the methods of net.Conn; the other methods are safe for concurrent use.
 type framedConn struct {
 	net.Conn
-	arrivedAt    time.Time // the earliest time at which it can have reached the kernel's queue
+	arrivedAt    time.Time // the earliest time at which it can have entered the kernel's accept queue
 	acceptedAt   time.Time
 	listener     *clientConns
 	framing      framing
 	clientClosed atomic.Bool   // the client has closed it, or reading failed
-	pipelined    chan struct{} // receives when bytes were read behind the request in flight, after which net/http stops reading; has a buffer of one
+	pipelined    chan struct{} // receives a value when bytes after the request in flight were read; net/http then stops reading. Has a buffer of one
 
 	mu           sync.Mutex
 	toBeClosed   bool // it is to be closed once it is between requests
 	evicting     bool // toBeClosed is set only because its descriptor is needed
 	active       bool // net/http has a request in flight
-	waiting      bool // the read in progress can only return the next request
+	waiting      bool // the read in progress began between requests, so it waits for the next one
 	stage        connStage
 	readSince    time.Time     // when the read in progress began; zero if there is none
 	headSince    time.Time     // when the first bytes of an incomplete head arrived
@@ -75,13 +75,13 @@
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
-	evictionCancelled := false
+	moreArrived := false
 	if bounded := c.waiting && c.toBeClosed; bounded || c.readCut {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			n, err = c.readAvailable(p)
 		}
-		if n > 0 { // more has arrived meanwhile
-			evictionCancelled = true
+		if n > 0 {
+			moreArrived = true
 			c.toBeClosed = c.toBeClosed && !c.evicting
 			c.evicting, c.readCut = false, false
 			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by net/http; fails on a closed connection only
@@ -100,7 +100,7 @@
 	}
 	c.waiting, c.stage, c.readSince = false, stage, time.Time{}
 	c.mu.Unlock()
-	if evictionCancelled {
+	if moreArrived {
 		c.listener.cancelEviction(c)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -119,7 +119,8 @@
 }
 
 // SetReadDeadline implements net.Conn for net/http. The deadline is stored, to be restored after an eviction that was
-// cancelled. The deadline of a first request counts from the connection's arrival, as far as that is known.
+// cancelled. The deadline of a first request counts from arrivedAt, not acceptedAt, but leaves at least bodyStartTimeout after
+// the accept.
 func (c *framedConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +152,7 @@
 	classSlowHead
 	classIdle     // it has carried no request since its last answer
 	classSlowBody // the body of its request in flight is incomplete
-	classBusy     // a complete request is in flight, or the connection is being closed: not evicted
+	classBusy     // a complete request is in flight, or the connection is already being evicted: it is not a candidate
 )
 
 // evictionClass returns the class of the connection, since when it has had this class, and how long it must have had it
@@ -160,7 +161,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	grace, stall := newConnGrace, bodyStallTimeout
-	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has already had this time while it waited to be accepted
+	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has already had newConnGrace in the accept queue
 		grace, stall = minLinger, newConnGrace
 	}
 	switch {
@@ -182,8 +183,8 @@
 	return classIdle, since, 0
 }
 
-// closeWhenIdle closes the connection once it is between requests, and reports whether it is. Requests that arrive before that are
-// answered.
+// closeWhenIdle closes the connection once it is between requests, and reports whether it is now. Requests that arrive before
+// the close are answered.
 func (c *framedConn) closeWhenIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +195,7 @@
 	return !c.active && c.stage == betweenRequests
 }
 
-// evict is like end, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
+// evict is like closeWhenIdle, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
 func (c *framedConn) evict() bool {
 	c.mu.Lock()
 	c.evicting = !c.toBeClosed // otherwise it is closed in any case
@@ -231,8 +232,8 @@
 	_ = c.Conn.SetReadDeadline(deadline) // fails on a closed connection only
 }
 
-// readAvailable reads the bytes that have arrived, without blocking. After its deadline, net.Conn's Read returns none of
-// them.
+// readAvailable reads the bytes that have arrived, without blocking. It is needed because net.Conn's Read returns only the
+// time-out once its deadline has passed, even if bytes have arrived.
 func (c *framedConn) readAvailable(p []byte) (n int, err error) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -295,7 +296,7 @@
 		}
 		c.mu.Unlock()
 		c.listener.changed.Broadcast()                      // Accept may need the descriptor
-		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // errors end it, too
+		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // ends at the client's close, after maxLingerBytes, or at an error such as the deadline
 	}
 	return c.Conn.Close()
 }
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -26,8 +26,8 @@
 	evictionTimer *time.Timer               // wakes Accept to evict again; nil until first needed
 	fullSince     time.Time                 // since when connections may be waiting to be accepted; zero if none are
 
-	lingering atomic.Bool // after SIGTERM: every close lingers
-	stopped   atomic.Bool // later closes don't linger
+	lingering atomic.Bool // set after SIGTERM: every closed connection lingers, see framedConn.Close
+	stopped   atomic.Bool // set at the end: connections are closed without lingering
 }
 
 // newClientConns returns a listener that limits the connections of l to maxConns.
@@ -107,8 +107,8 @@
 	return c.paused
 }
 
-// finish has Accept accept the connections in the kernel's queue, which a closed listener would reset, and then fail with
-// net.ErrClosed. Each connection is closed once it is between requests.
+// finish makes Accept accept the connections that are still in the kernel's queue, since closing the listener would reset them,
+// and then fail with net.ErrClosed. Each connection is closed once it is between requests.
 func (c *clientConns) finish() {
 	c.mu.Lock()
 	c.finishing = true
@@ -161,7 +161,7 @@
 	return c.Listener.Close()
 }
 
-// cancelEviction records that a request has arrived on a connection that was being evicted.
+// cancelEviction records that bytes have arrived on a connection, which is then no longer being evicted.
 func (c *clientConns) cancelEviction(conn *framedConn) {
 	c.mu.Lock()
 	delete(c.evicting, conn)
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -25,11 +25,11 @@
 	failures        *limitedLog               // log of requests that failed
 	lateAnswers     *limitedLog               // log of requests answered late
 	classes         map[string]balancer.Class // by name, as in the settings of the balancer
-	counts          attemptCounts             // of attempts, since the last line of statistics
+	counts          attemptCounts             // counts of attempts since the last log line of statistics
 	stats           *stats
-	lastLogged      statsSnapshot          // at the last line of statistics
+	lastLogged      statsSnapshot          // totals at the last log line of statistics
 	onEjected       func(ejected []string) // receives the ejected endpoints for the statistics; may be nil
-	connectionStats func() slog.Attr       // for the line of statistics
+	connectionStats func() slog.Attr       // returns the part of the log line of statistics about connections
 	zone            func(upstream string) string
 
 	urgent chan any // events handled before requests: endpoint updates, bans, settings, snapshots
@@ -62,9 +62,9 @@
 	upstream     string
 	sentAt       time.Duration
 	endedAt      time.Duration           // 0 while it is pending
-	reply        attemptReply            // result, connection and error
-	cancel       context.CancelCauseFunc // cancels ctx with a cause, which may be nil, and frees its timer; also called after the attempt has ended
-	endWithCause context.CancelCauseFunc // cancels ctx with a cause when the attempt's time is over
+	reply        attemptReply            // set once it has ended, without header and body
+	cancel       context.CancelCauseFunc // cancels ctx with a cause, which may be nil, and frees its timer; must be called once the attempt has ended
+	endWithCause context.CancelCauseFunc // cancels ctx with a cause but does not free its timer
 	ctx          context.Context
 }
 
@@ -173,7 +173,7 @@
 	}
 }
 
-// run handles events until stop is closed. It starts with the known list.
+// run handles events until stop is closed. First it applies known, the list known at the start.
 func (d *dispatcher) run(known balancer.EndpointUpdate) {
 	d.handle(known)
 	d.ready.Store(true)
@@ -277,7 +277,7 @@
 		if f := d.inFlight[e.request.id]; f != nil && f.request == e.request && !f.done {
 			d.onClientDisconnected(f)
 		}
-		select { // the handler no longer waits for an answer
+		select { // the handler no longer waits, so an answer already in the channel is dropped here
 		case a := <-e.request.answer:
 			a.reply.drop()
 		default:
@@ -298,7 +298,7 @@
 		r.answer <- answer{kind: duplicate}
 		return
 	}
-	if d.stopped || d.classes[r.class] != r.classSettings { // it was parsed with settings that have changed since
+	if d.stopped || d.classes[r.class] != r.classSettings { // or the class's settings have changed since the request was parsed
 		r.answer <- answer{kind: rejected}
 		return
 	}
@@ -343,7 +343,7 @@
 	if e.reply.result == balancer.OK && !d.answer(id, answer{kind: served, reply: e.reply}) {
 		e.reply.drop()
 	}
-	if errors.Is(e.reply.err, errClientDisconnected) && !f.done { // the attempt noticed it before the handler reported it
+	if errors.Is(e.reply.err, errClientDisconnected) && !f.done { // the attempt noticed the disconnect before the handler reported it
 		d.onClientDisconnected(f)
 		f.request.answer <- answer{kind: disconnected}
 	}
@@ -352,7 +352,8 @@
 	d.forgetRequest(id)
 }
 
-// onBodyComplete starts the deadline of a request, and the time of a pending attempt, since its upstream can begin only now.
+// onBodyComplete starts the deadline of a request, and restarts the time of its pending attempts, since their upstreams can
+// process the complete request only now.
 func (d *dispatcher) onBodyComplete(e bodyComplete) {
 	f := d.inFlight[e.request.id]
 	if f == nil || f.request != e.request || f.done {
@@ -464,7 +465,7 @@
 	return true
 }
 
-// forgetRequest removes a request that has been answered and has no pending attempts.
+// forgetRequest removes the request if it is done and has no pending attempts.
 func (d *dispatcher) forgetRequest(id string) {
 	if f := d.inFlight[id]; f != nil && f.done && f.pendingAttempts == 0 {
 		delete(d.inFlight, id)
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	drainNoticeTime = 450 * time.Millisecond // after SIGTERM, during which clients still use their connections
-	drainAcceptTime = 600 * time.Millisecond // after SIGTERM, during which clients may open connections
-	newConnGrace    = 50 * time.Millisecond  // for the first request on a new connection
+	drainNoticeTime = 450 * time.Millisecond // time after SIGTERM during which clients still use their connections
+	drainAcceptTime = 600 * time.Millisecond // time after SIGTERM during which clients may open connections
+	newConnGrace    = 50 * time.Millisecond  // time for the first request to arrive on a new connection
 	// SIGKILL follows SIGTERM after maxDrainTime, or the longest deadline if that is shorter, plus 0.7 s. Requests still
 	// unanswered drainMargin after maxDrainTime, or that deadline, fail.
 	maxDrainTime   = 3 * time.Second
 	drainMargin    = 500 * time.Millisecond
-	finalWriteTime = writeTimeout // for answers that are being written at that time
+	finalWriteTime = writeTimeout // for answers that are being written when the other requests fail
 )
 
 // drain accepts clients until they have noticed the shutdown, answers all accepted requests, and returns before the process
@@ -41,7 +41,7 @@
 		p.conns.awaitNone(max(killAfter-maxObjective, drainNoticeTime))
 	} else {
 		time.Sleep(drainNoticeTime)
-		p.conns.closeIdle(newConnGrace) // a client whose request crosses the close opens a new connection
+		p.conns.closeIdle(newConnGrace) // a client that sends a request during the close opens a new connection
 		time.Sleep(drainAcceptTime - drainNoticeTime)
 	}
 	p.conns.finish()
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -86,8 +86,8 @@
 // expectClose checks that the connection is closed without a reset, which could discard an answer.
 func (c *rawClient) expectClose() {
 	c.t.Helper()
-	if n, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Errorf("got byte %q with error %v, want EOF", n, err)
+	if b, err := c.r.ReadByte(); !errors.Is(err, io.EOF) {
+		c.t.Errorf("got byte %q with error %v, want EOF", b, err)
 	}
 }
 
@@ -144,7 +144,8 @@
 	client.expectClose()
 }
 
-// Guards against the loss of a request that follows an answer whose head was sent before SIGTERM, without Connection: close.
+// Guards against the loss of a request after SIGTERM. The head of the answer before it was sent before SIGTERM, so without
+// Connection: close, and the client may send another request.
 func TestTermWithHalfAnAnswer(t *testing.T) {
 	t.Parallel()
 	rest := make(chan struct{})
@@ -175,7 +176,8 @@
 	client.expectClose()
 }
 
-// Guards against connections that are reset in the accept queue, to which clients have already written their requests.
+// Guards against resets of connections that wait in the accept queue at the connection limit: clients have already written
+// requests on them.
 func TestTermWithAFullHouse(t *testing.T) {
 	t.Parallel()
 	s, release := pendingUpstream(t)
@@ -206,7 +208,7 @@
 }
 
 // Guards against a request that is never answered because its body is complete only after the dispatcher has failed all
-// requests: it is rejected at once.
+// requests. Such a request must be rejected at once.
 func TestTermWithHalfABody(t *testing.T) {
 	t.Parallel()
 	s, _ := pendingUpstream(t)
@@ -234,13 +236,14 @@
 	}
 }
 
-// Guards against the close of a connection on which a request has arrived, or of a new one on which one is about to arrive.
+// Guards against closeWhenIdle closing a connection on which a request has just arrived, or a new one on which a request
+// arrives within newConnGrace.
 func TestEndLooksOnceMore(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		used   bool
-		at     time.Duration // when the request is sent, counted from the call of end
-		active bool          // a request is in flight, and the read only detects a disconnect
+		at     time.Duration // when the request is sent, counted from the call of closeWhenIdle
+		active bool          // a request is in flight, and the pending read serves only to detect a disconnect
 		want   error
 	}{
 		"new, soon":      {false, newConnGrace - time.Millisecond, false, nil},
--- a/internal/sidecar/eviction.go
+++ b/internal/sidecar/eviction.go
@@ -42,9 +42,10 @@
 	}
 }
 
-// evictionCandidate returns the connection of the lowest eviction class that can be evicted now, of these the one that became
-// evictable first. While one of a lower class has yet to become evictable, no idle connection and no slow body is chosen,
-// except a connection idle for closableAfter. If there is none, conn is nil and wait is the time until there may be one.
+// evictionCandidate returns the connection of the lowest eviction class that can be evicted now; within a class, the one that
+// became evictable first. While a connection of a lower class is not evictable yet, neither a connection idle for less than
+// closableAfter nor one with a slow body is chosen. If there is no candidate, conn is nil and wait is the time until there may
+// be one.
 func (c *clientConns) evictionCandidate(now time.Time) (conn *framedConn, class evictionClass, wait time.Duration) {
 	type candidate struct {
 		conn  *framedConn
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Guards against a flood that evicts earlier clients: connections that never carried a request are evicted first, a connection
-// that has been idle only briefly is not.
+// Guards against a flood that evicts earlier clients: connections that never carried a request are evicted first, and one that
+// became idle only a moment ago is not evicted at all.
 func TestFloodDoesNotDelayClients(t *testing.T) {
 	t.Parallel()
 	const bound = 8
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -14,8 +14,8 @@
 	"mosslead/balancer"
 )
 
-// upstreamExchange is one request and its answer on a connection. It may outlast its attempt, which waits until ctx ends: the
-// answer is then still read until readCtx ends, so that the connection can be used again, see awaitLateAnswer.
+// upstreamExchange is one request and its answer on a connection. Its attempt waits for the answer until ctx ends. After that
+// the late answer is still read until readCtx ends, so that the connection can be used again, see awaitLateAnswer.
 type upstreamExchange struct {
 	pool        *upstreamPool
 	ctx         context.Context
@@ -23,14 +23,14 @@
 	cancelRead  context.CancelFunc // ends readCtx
 	conn        *upstreamConn
 	clientReq   *clientRequest
-	startBefore time.Duration // clock time at which it may no longer begin, 0 if there is no limit
+	startBefore time.Duration // clock time before which it must begin; 0 if there is no limit
 	use         connUse
 
 	reply     chan attemptReply // delivers the result to the attempt
-	abandoned chan struct{}     // closed when its attempt no longer waits
+	abandoned chan struct{}     // closed when the attempt no longer waits for reply
 
 	answered      bool        // the answer has begun, so the request may have been processed
-	answeredEarly atomic.Bool // the answer began before the complete body had been passed to the writer
+	answeredEarly atomic.Bool // the answer began before the complete request body had been passed to the writer
 }
 
 // startExchange starts sending a request.
@@ -79,11 +79,11 @@
 		}
 	}()
 	switch {
-	case resp.StatusCode == http.StatusSwitchingProtocols: // not requested, and its body has no end
+	case resp.StatusCode == http.StatusSwitchingProtocols: // the request asked for no upgrade; the body of such an answer has no end
 		return attemptReply{result: balancer.ServerError}, false
 	case resp.StatusCode != http.StatusOK:
 		return x.readErrorAnswer(resp)
-	case x.answeredEarly.Load() && x.conn.uses > 1: // probably a second answer to the previous request
+	case x.answeredEarly.Load() && x.conn.uses > 1: // on a reused connection, probably a second answer to the previous request
 		return x.failureReply(errUnexpectedBytes), false
 	}
 	return x.readSuccess(resp)
@@ -126,7 +126,7 @@
 	switch {
 	case c.beginRefused.Load():
 		return attemptReply{result: balancer.NotSent, err: err}
-	case !c.requestEncoded.Load() && x.clientReq.body.readError() != nil: // the client failed, not the upstream
+	case !c.requestEncoded.Load() && x.clientReq.body.readError() != nil: // reading the body from the client failed
 		return attemptReply{result: balancer.NotSent, err: x.clientReq.body.readError()}
 	case timedOut(x.ctx):
 		return attemptReply{result: balancer.Timeout, err: err}
@@ -149,7 +149,7 @@
 	if complete {
 		return rep, reusable
 	}
-	if x.ctx.Err() != nil { // too late
+	if x.ctx.Err() != nil { // the attempt ended while the answer was read
 		rep.release()
 		return x.failureReply(x.ctx.Err()), false
 	}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -23,7 +23,7 @@
 const (
 	linkName          = "handover.sock"        // file in TMPDIR: the socket
 	bansName          = "bans.json"            // file in TMPDIR: the bans
-	linkTimeout       = time.Second            // to await the first message of the other process; a complete start may last 6 s
+	linkTimeout       = time.Second            // for dialling, each write, the first message, and the predecessor to stop accepting; a complete start may last 6 s
 	banRelayTimeout   = 350 * time.Millisecond // to await the other process's confirmation of a ban; together with adminTimeout below the 1 s of a call
 	useReportInterval = 20 * time.Millisecond  // time between reports of the connections in use, whose number changes as requests end
 )
@@ -34,7 +34,8 @@
 	Upstreams int `json:"Upstreams"`
 }
 
-// handoverMessage is one line on the link, in JSON. Exactly one field is set, or Ack and Persisted.
+// handoverMessage is one line on the link, in JSON. Exactly one field is set, or Ack and Persisted. The JSON names here and
+// below stay as they are, since the other process may run another version.
 type handoverMessage struct {
 	State     *handoverState `json:"State,omitempty"` // from the predecessor: the state to start with
 	Ready     bool           `json:"Ready,omitempty"` // from the successor: it can accept clients
@@ -59,7 +60,7 @@
 	Number  int    `json:"Number"`
 	ID      string `json:"ID"`
 	Cleared bool   `json:"Lifted"`
-	Writes  bool   `json:"Writes,omitempty"` // the sender writes the ban to disk itself
+	Writes  bool   `json:"Writes,omitempty"` // the sender writes the ban to disk itself, so the receiver does not
 }
 
 // handoverLink is one end of the link between the two processes.
@@ -118,8 +119,8 @@
 }
 
 // relayBan sends a ban to the other process, waits until that process has applied it, and reports whether that process has
-// written it to disk as well. If the ban can't be sent, the link counts as ended, so that no other process needs the ban,
-// and relayBan returns no error.
+// written it to disk as well. If the ban can't be sent, the link has ended and no other process needs the
+// ban, so relayBan returns no error.
 func (l *handoverLink) relayBan(ban banMessage) (persisted bool, err error) {
 	done := make(chan bool, 1)
 	l.mu.Lock()
@@ -149,14 +150,14 @@
 	stopAccepting   func()                         // stops accepting clients
 	resumeAccepting func()                         // accepts clients again
 	ownUse          func() connectionUse           // returns the connections that this process uses
-	limitConns      func(others *connectionUse)    // subtracts what the other process uses from the limits; others is nil once that process has ended
+	limitConns      func(others *connectionUse)    // lowers the limits by what the other process uses; nil, once that process has ended, restores them
 	halveMemory     func(bool)                     // halves the memory limit while another process shares it, or restores it
 
 	predecessorStopped chan struct{} // closed once the predecessor no longer accepts clients, or there is none
 
 	mu          sync.Mutex
-	other       *handoverLink // nil if there is no other process
-	predecessor *handoverLink // nil if there is none, or it has ended
+	other       *handoverLink // link to the successor, or else to the predecessor; nil if there is neither
+	predecessor *handoverLink // link to the predecessor; nil if there is none, or it has ended
 	closedCh    chan struct{} // closed by close
 	listener    net.Listener
 	closed      bool
@@ -273,7 +274,7 @@
 	if closed {
 		return l.Close()
 	}
-	go func() { // ends with close
+	go func() { // ends when h.close closes the listener
 		for {
 			conn, err := l.Accept()
 			if errors.Is(err, net.ErrClosed) {
@@ -419,8 +420,8 @@
 	h.predecessor = nil
 }
 
-// relayBan makes a ban outlive this process: it writes all bans to the file in TMPDIR, and relays ban to the other process, if
-// there is one. It reports whether the other process has written the ban to disk.
+// relayBan stores all bans in the file in TMPDIR, and relays ban to the other process, if there is one. So the ban outlives this
+// process. It reports whether the other process has written the ban to disk.
 func (h *handover) relayBan(ban banMessage, allBans []string) (persisted bool, err error) {
 	data, err := json.Marshal(allBans)
 	if err == nil {
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -66,7 +66,7 @@
 	dir                 *endpointDirectory
 	drainedAt           atomic.Int64  // when the drain was applied to the directory; 0 if it was not
 	failureReports      atomic.Int64  // number of failures reported to the balancer
-	eventAt             time.Duration // when discovery recovers or moves
+	eventAt             time.Duration // when discovery recovers, or moves to another address
 	ignoresFirstCall    bool          // the first call at the new address is never answered
 	firstCallIgnored    atomic.Bool   // that call was made
 	running             *sync.WaitGroup
--- a/internal/sidecar/persister.go
+++ b/internal/sidecar/persister.go
@@ -40,7 +40,7 @@
 	settings func() (*statestore.Settings, int64)
 	log      func(slog.Level, string, error) // logs disk errors
 
-	writtenSource        string // of the list written last
+	writtenSource        string // source of the list written last
 	writtenRevision      int64  // revision of that list
 	writtenSettingsCount int64  // number of changes of the settings written last
 
@@ -59,7 +59,7 @@
 	statsMu      sync.Mutex
 	lastWriteErr error // nil if the last write succeeded
 	errorCount   int64
-	savedAt      time.Time // of the snapshot
+	savedAt      time.Time // when the snapshot was last written
 }
 
 func newStatePersister(store *statestore.Store) *statePersister {
--- a/internal/sidecar/requesthandler.go
+++ b/internal/sidecar/requesthandler.go
@@ -48,7 +48,7 @@
 // begin counts the request, once its body has been received.
 func (h *requestHandler) begin() { h.beginOnce.Do(h.server.stats.begin) }
 
-// followBody has the body report to the dispatcher once it is complete, or to the handler if reading it fails.
+// followBody makes the body report its completion to the dispatcher, and a read error to the handler.
 func (h *requestHandler) followBody() {
 	req := h.req
 	if !req.bodyPending {
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxBufferTime       = 100 * time.Millisecond // for which an answer of unknown length is buffered before it is streamed
+	maxBufferTime       = 100 * time.Millisecond // how long an answer of unknown length is buffered before it is streamed
 	transferBufferBytes = 32 << 10               // bytes of a streamed answer that are read at a time
 	minResponseRate     = 4 << 10                // bytes per second: a slower answer is aborted after its stall time-out
 )
@@ -19,8 +19,8 @@
 // responseRest is the rest of an answer whose start has been read. Its owner must call drop.
 type responseRest struct {
 	body         io.ReadCloser
-	length       int64         // of the complete answer, -1 if not stated
-	stallTimeout time.Duration // for which the upstream may send nothing
+	length       int64         // length of the complete answer; -1 if not stated
+	stallTimeout time.Duration // how long the upstream may send nothing
 	cancelRead   func()        // interrupts a read
 	finish       func(reusable bool)
 	reusable     bool // the connection can be used again after this answer
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -13,7 +13,7 @@
 // clientRequest is a request of a client, parsed and checked.
 type clientRequest struct {
 	id, class, tenant string
-	classSettings     balancer.Class // its class, as it was when the request was parsed
+	classSettings     balancer.Class // settings of the class when the request was parsed
 	expiresAt         time.Duration  // clock time at which the client stops waiting
 	costHint          time.Duration  // expected work, 0 if unknown
 
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -130,7 +130,7 @@
 	s.mu.Unlock()
 	c, err := file.withDocument(d)
 	if err != nil {
-		return nil, fmt.Errorf("under the settings of %s, version %d, which are in force: %w", d.Service, d.Revision, err)
+		return nil, fmt.Errorf("combining the reloaded file with the settings in force (service %s, version %d): %w", d.Service, d.Revision, err)
 	}
 	return c, nil
 }
@@ -214,7 +214,7 @@
 	}
 }
 
-// ack returns the acknowledgement of the document received last.
+// ack returns the acknowledgement to send: the revision in force, and the document received last if it was rejected.
 func (s *settingsFollower) ack() api.Ack {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -365,7 +365,7 @@
 	inForce := func(r *testSidecar) func() bool {
 		return func() bool { return strings.Contains(r.adminCall(t, "STATS\n"), "gw.settings_version:7|g\n") }
 	}
-	eventually(t, "the settings in the old process", inForce(old))
+	eventually(t, "settings version 7 in force in the old process", inForce(old))
 	eventually(t, "the socket of the hand-over", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
 	_ = svc.srv.Close()
 	fresh := startOnListener(t, c, listeners[1], tmp)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -94,7 +94,7 @@
 	persister    *statePersister                 // nil if no state is stored
 	loaded       statestore.Loaded               // state that was read from disk at the start
 	cachedList   atomic.Pointer[statestore.List] // the list from disk, if one is used
-	maxConns     int                             // to clients, and likewise to upstreams
+	maxConns     int                             // maximum number of connections to clients, and likewise to upstreams
 	handsOver    bool                            // the platform passes the listener, so that upgrades are possible
 	maxHeapBytes float64                         // heap limit while no other process runs beside this one
 	listReceived atomic.Bool                     // discovery has sent a list since the start
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -18,8 +18,8 @@
 
 const (
 	maxHeader           = 16 << 10
-	replacedIdleTimeout = 500 * time.Millisecond // for which a process that is being replaced retains idle connections, for its last requests
-	idleFraction        = 0.6                    // of the upstreams' idle time-out, after which an idle connection is closed
+	replacedIdleTimeout = 500 * time.Millisecond // how long a process that is being replaced retains idle connections for its last requests
+	idleFraction        = 0.6                    // fraction of the upstreams' idle time-out after which an idle connection is closed
 	minIdleBeforeReuse  = 10 * time.Millisecond  // an upstream may send a surplus second answer milliseconds after the first
 )
 
@@ -37,7 +37,7 @@
 	open         int             // number of open connections
 	opened       int             // number of connections opened since the last log line of counts
 	idle         []*upstreamConn // longest idle first
-	awaitingLate []*upstreamConn // with an outstanding answer for which no request waits; oldest first
+	awaitingLate []*upstreamConn // connections with an outstanding answer for which no request waits; oldest first
 }
 
 func newUpstreamPool(c *Config, clk clock, maxConns int) *upstreamPool {
@@ -148,7 +148,7 @@
 	case err != nil:
 		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
 	}
-	if err := u.checkMayBegin(ctx, c, r, startBefore); err != nil { // it was too late once c was open; another request can use c
+	if err := u.checkMayBegin(ctx, c, r, startBefore); err != nil { // the attempt may no longer begin now that c is open; another request can use c
 		u.release(c)
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	}
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -16,7 +16,7 @@
 const (
 	maxList          = 4 << 20                // bytes of one message
 	baseRewatchDelay = 250 * time.Millisecond // first pause between watches, if lists are pushed
-	maxRewatchDelay  = 2 * time.Second        // to which the pause grows
+	maxRewatchDelay  = 2 * time.Second        // maximum to which that pause grows
 	// subscribeStep and subscribeCalls apply to discovery on demand, which answers calls in turn, so that each call is given more
 	// time for its answer. After subscribeCalls failed calls the balancer decides when to subscribe again. The longest delay
 	// is still watch.NotifyDeadline:
@@ -118,7 +118,7 @@
 // run watches until ctx ends. With onDemand, each watch starts when the balancer subscribes; the balancer also decides when
 // to watch again after a failure.
 func (w *watcher) run(ctx context.Context, onDemand bool) {
-	moved := false // the last watch ended for another address; the next one starts without a call of subscribe
+	moved := false // the last watch ended because the address has changed; the next one starts without a call of subscribe
 	for ctx.Err() == nil {
 		if onDemand && !moved && !w.awaitSubscribe(ctx) {
 			return
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Guards against a list that is no longer updated after a watch has ended: a pushed list is watched again without a call of
-// subscribe, and the balancer gets no failure of a watch that it did not request.
+// Guards against a list that is no longer updated after its watch has ended. If discovery pushes the list (the balancer did
+// not subscribe), the watcher opens a new watch by itself, and reports no failed watch to the balancer.
 func TestPushedListIsWatchedAgain(t *testing.T) {
 	d := newDiscovery(t, func(n int, send func(string), done <-chan struct{}) {
 		send(list(6+n, false))
@@ -160,7 +160,7 @@
 		}
 	}
 	if froms := d.watches(); !slices.Equal(froms, []string{"1", "7"}) {
-		t.Errorf("got watches from %v, want [1 7]", froms)
+		t.Errorf("got watches that start at revisions %v, want [1 7]", froms)
 	}
 }
 
