--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -180,7 +180,7 @@
 	eventually(t, "the expected answer to STATS", func() bool { got = r.adminCall(t, "STATS\n"); return got == want || t.Failed() })
 }
 
-// Guards against an operators' port that is not configured, and against a malformed address for it.
+// Guards against an operators' port that the configuration does not name, and against accepting a malformed address for it.
 func TestDoorIsConfigured(t *testing.T) {
 	text := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:9000","discovery":"127.0.0.1:1","seed":"1",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, testSettings)
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Guards against large bodies that are changed, and against a connection that is not reused after one: they pass in both
-// directions, in chunks and with a length.
+// Guards against large bodies that are changed, in chunks or with a length and in both directions, and against a connection that
+// is not reused after one.
 func TestLargeBodiesPass(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 64<<10) // 1 MiB
 	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -45,7 +45,7 @@
 
 	mu           sync.Mutex
 	toBeClosed   bool // it is to be closed once it is between requests
-	evicting     bool // toBeClosed is set only because its descriptor is needed
+	evicting     bool // toBeClosed is set only because the connection's descriptor is needed
 	active       bool // net/http has a request in flight
 	waiting      bool // the read in progress began between requests, so it waits for the next one
 	stage        connStage
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Guards against an error that the client can't read: bytes that it sent behind the request are unread when the connection is
+// Guards against an error that the client can't read: bytes that it sent after the request are unread when the connection is
 // closed, and a socket closed with unread bytes is reset.
 func TestErrorIsReadBeforeTheClose(t *testing.T) {
 	t.Parallel()
@@ -134,7 +134,7 @@
 			second.expectAnswer(200)
 			for _, g := range s.requests() {
 				if strings.Contains(crossing, g.header.Get(headerID)) {
-					t.Error("the request that crossed the close reached the upstream, want it not sent")
+					t.Error("the request that arrived at the moment of the close reached the upstream, want it not sent")
 				}
 			}
 		})
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Guards against a client whose disconnect goes unnoticed: net/http reads one byte or none behind a request, and nothing of a large
+// Guards against a client whose disconnect goes unnoticed: net/http reads at most one byte after a request, and nothing of a large
 // body while no attempt reads it. The client still counts as disconnected, while its request waits or an attempt is in progress.
 func TestLeavingIsSeenBehindWhatNobodyReads(t *testing.T) {
 	for name, c := range map[string]struct{ first, more string }{
@@ -132,7 +132,7 @@
 			var n atomic.Int32
 			s := newUpstream(t, func(c net.Conn, _ receivedRequest) bool {
 				if n.Add(1) == 1 {
-					return false // it may have run
+					return false // the request may have run
 				}
 				_, err := io.WriteString(c, ok200("again"))
 				return err == nil
@@ -174,7 +174,7 @@
 		_, err := io.WriteString(c, ok200("for "+g.body))
 		if g.body == "1" {
 			select {
-			case <-next: // the next one has been sent, on this connection or another
+			case <-next: // the next request has been sent, on this connection or another
 			case <-time.After(testTimeout):
 			}
 			_, err = io.WriteString(c, ok200("for 1"))
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -97,7 +97,7 @@
 	return start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
 }
 
-// sendSIGTERM stops the sidecar as SIGTERM does, and returns the time.
+// sendSIGTERM stops the sidecar as SIGTERM does, and returns the time of the call.
 func sendSIGTERM(r *testSidecar) time.Time {
 	r.stop()
 	return time.Now()
@@ -162,7 +162,7 @@
 	r := startWithUpstream(t, s)
 	client := dialRaw(t, r.address)
 	client.send(requestText("confirm"))
-	if _, err := client.r.Peek(1); err != nil { // its head has been sent
+	if _, err := client.r.Peek(1); err != nil { // the head of the answer has been sent
 		t.Fatal(err)
 	}
 	begun := sendSIGTERM(r)
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -21,7 +21,7 @@
 )
 
 // Guards against a flood that uses all descriptors: each of many peers that connect at once to a sidecar with few descriptors
-// gets an error or a close within 3 s of connecting, and a client that connects after them is served in that time, too. The
+// gets an error or a close within 3 s of connecting, and a client that connects after them is also served within 3 s. The
 // limit allows 1 s more for a busy machine; evicting one peer at a time would last 6 s or more.
 func TestFlood(t *testing.T) {
 	t.Parallel()
@@ -79,7 +79,7 @@
 			}
 			_ = resp.Body.Close()
 			if elapsed := time.Since(begun); resp.StatusCode != 200 || elapsed > limit {
-				t.Errorf("the client after them got %s after %v, want 200 in %v", resp.Status, elapsed, limit)
+				t.Errorf("the client that connected after the peers got %s after %v, want 200 in %v", resp.Status, elapsed, limit)
 			}
 			all.Wait()
 			if n := errorsRead.Load(); wanted.error && n < peers*9/10 { // peers whose bytes arrived late need only a close
@@ -87,7 +87,7 @@
 			}
 			for _, g := range s.requests() {
 				if !strings.HasPrefix(g.target, "/search") {
-					t.Errorf("a request of a peer reached the upstream: %v", g)
+					t.Errorf("the upstream got request %v of a peer, want none", g)
 				}
 			}
 		})
@@ -350,7 +350,7 @@
 		returned := time.Now()
 		var queries sync.WaitGroup
 		elapsed := make(chan time.Duration, 30)
-		for range cap(elapsed) { // at different moments of what the idle clients do
+		for range cap(elapsed) { // one every 7 ms, so at different phases of the idle clients' reconnects
 			queries.Go(func() {
 				begun := time.Now()
 				conn, err := clients.Dial(ctx, "tcp", "10.0.0.1:9000")
--- a/internal/sidecar/forwarder_test.go
+++ b/internal/sidecar/forwarder_test.go
@@ -93,7 +93,7 @@
 		}
 	}
 	fromClient := request(t, r.address, "confirm", "x")
-	fromClient.Header.Set(forwarding.HeaderHop, "1") // ignored from a client
+	fromClient.Header.Set(forwarding.HeaderHop, "1") // the sidecar ignores this header if a client sends it
 	if resp, _ := r.do(t, fromClient); resp.StatusCode != 200 {
 		t.Errorf("client that sets the hop header: got status %d, want 200", resp.StatusCode)
 	}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -59,7 +59,7 @@
 	c, b := twoUpstreams(t)
 	old := startOnListener(t, c, listeners[0], tmp)
 	old.awaitReady(t, "YES")
-	eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
+	eventually(t, "the socket of the hand-over", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
 	if got := old.adminCall(t, "DISABLE b\n"); got != "YES\n" {
 		t.Fatalf("DISABLE b: got %q, want YES", got)
 	}
@@ -116,7 +116,7 @@
 	old.awaitReady(t, "YES")
 	for _, ready := range []bool{false, true} {
 		var conn net.Conn
-		eventually(t, "the socket", func() (ok bool) {
+		eventually(t, "the socket of the hand-over", func() (ok bool) {
 			var err error
 			conn, err = net.Dial("unix", filepath.Join(tmp, linkName))
 			return err == nil
@@ -155,7 +155,7 @@
 		c.Ops = "127.0.0.1:0"
 		old := startOnListener(t, c, listeners[0], tmp)
 		old.awaitReady(t, "YES")
-		eventually(t, "the socket", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
+		eventually(t, "the socket of the hand-over", func() bool { _, err := os.Stat(filepath.Join(tmp, linkName)); return err == nil })
 		fresh := startOnListener(t, c, listeners[1], tmp)
 		if tookOver {
 			fresh.awaitReady(t, "YES")
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -88,7 +88,7 @@
 			if !slices.Equal(got, want) {
 				t.Errorf("observer calls: got %q, want %q", got, want)
 			}
-			// The list is on disk, as that of a real sidecar is.
+			// The list must be on disk, as with a real sidecar.
 			persisted, err := statestore.New(c.State, c.Name).Load(time.Now())
 			if err != nil || persisted.List == nil || !strings.Contains(string(persisted.List.Listing), `"name":"b"`) || persisted.Crashed {
 				t.Errorf("state on disk: got %+v, error %v; want a list with b and a clean end", persisted, err)
--- a/internal/sidecar/orders_discovery_test.go
+++ b/internal/sidecar/orders_discovery_test.go
@@ -28,7 +28,7 @@
 	at                 time.Duration
 	silenceBound       time.Duration // when the sidecar must have noticed that a watch is silent; 0 if none was
 	announcedAt        time.Duration // when it first arrived at the sidecar on a watch; 0 if it never did
-	announcedCorruptAt time.Duration // the same, on watches that had delivered invalid data
+	announcedCorruptAt time.Duration // when it first arrived on a watch that had delivered invalid data; 0 if it never did
 }
 
 // orderDiscovery is the discovery service at one address.
--- a/internal/sidecar/orders_rules_test.go
+++ b/internal/sidecar/orders_rules_test.go
@@ -19,27 +19,27 @@
 // use nothing of the sidecar's internals.
 
 const (
-	answerGrace        = 500*milli + slack      // for an answer, after the client's timeout
-	disconnectGrace    = 100 * milli            // for the first byte of an attempt, after the client has left
-	hangupUpdateGrace  = 4 * time.Second        // for the sidecar to learn a change of the list, after SIGHUP
-	updateGrace        = 6 * time.Second        // the same, without SIGHUP
+	answerGrace        = 500*milli + slack      // limit for an answer, counted from the client's timeout
+	disconnectGrace    = 100 * milli            // limit for the first byte of an attempt, counted from the client's disconnect
+	hangupUpdateGrace  = 4 * time.Second        // limit for the sidecar to learn a change of the list, counted from SIGHUP
+	updateGrace        = 6 * time.Second        // limit for the sidecar to learn a change of the list, counted from the change or the end of an outage
 	slack              = 50 * milli             // added to every limit
-	drainGrace         = 3 * time.Second        // for a change that was sent on a watch with invalid data before it, or while a watch was silent
-	malformedPeerLimit = 3*time.Second + slack  // for an error answer or a close, to a peer that sends no valid request
+	drainGrace         = 3 * time.Second        // limit for acting on a change that followed invalid data on its watch, or that came while a watch was silent
+	malformedPeerLimit = 3*time.Second + slack  // limit for an error answer or a close, if a peer sends no valid request
 	minIdle            = 10 * milli             // shortest idle time of a connection before it carries another request
-	drainAnswerWindow  = 700 * time.Millisecond // after SIGTERM; a request sent by then must be answered before SIGKILL
+	drainAnswerWindow  = 700 * time.Millisecond // time after SIGTERM; a request sent within it must be answered before SIGKILL
 )
 
 // recordPos is a position in the record of events.
 type recordPos struct {
 	at    time.Duration
-	index int // of the event
+	index int // of the event in the record
 }
 
 // flow is the data that one side sent on a connection.
 type flow struct {
 	bytes     []byte
-	offsets   []int // where each chunk begins in bytes
+	offsets   []int // where each sent chunk begins in bytes
 	positions []recordPos
 	end       *recordPos // when the side stopped sending; nil if it did not
 	reset     bool       // the end was a reset
@@ -54,11 +54,11 @@
 // connRecord is the record of one connection.
 type connRecord struct {
 	from, to       string
-	port           int           // of the sidecar, if it dialled
-	delay          time.Duration // one way, on the network
+	port           int           // the sidecar's port, if the sidecar dialled
+	delay          time.Duration // one-way delay on the network
 	dialled        recordPos
 	failed         bool // it was never established
-	sent, received flow // by the dialler, and by the accepting side
+	sent, received flow // data sent by the dialling side, and received by it
 }
 
 // wireMessage is a request or an answer on the network.
@@ -187,7 +187,7 @@
 type ruleChecker struct {
 	*orderHarness
 	violations []string
-	recordEnd  time.Duration              // since the beginning
+	recordEnd  time.Duration              // when the record ends, since the beginning
 	attempts   map[string][]*orderAttempt // by request id, in the order of their first bytes
 }
 
@@ -318,14 +318,14 @@
 func (c *ruleChecker) checkAnswer(r *orderRequest, m, answer, previous *wireMessage, disconnectedAt, closedAt recordPos) {
 	readAt := m.last.at
 	if r.pipelined && previous != nil {
-		readAt = max(readAt, previous.last.at+clientDelay) // the sidecar reads it only then
+		readAt = max(readAt, previous.last.at+clientDelay) // the sidecar reads a pipelined request only after its previous answer
 	}
 	limit := readAt + r.timeout + answerGrace
-	clientLeft := disconnectedAt.at < limit // before the answer was due
+	clientLeft := disconnectedAt.at < limit // the client disconnected before the answer was due
 	switch {
 	case answer == nil && clientLeft:
 	case answer == nil && r.pipelined && previous != nil && (previous.closes || !previous.complete) && len(c.attempts[r.id]) == 0:
-		// the client has to send it again on another connection
+		// the previous answer ended the connection: the client has to send the request again on another one
 	case answer == nil && closedAt.at <= m.last.at+m.conn.delay+2*milli && len(c.attempts[r.id]) == 0:
 		// the sidecar ended the connection before it could have read the request
 	case answer == nil && !c.terminatedAt.IsZero() && m.last.at > c.terminatedAt.Sub(c.begun)+drainAnswerWindow && closedAt.at >= c.killTime():
@@ -459,7 +459,7 @@
 func (c *ruleChecker) bindsAt(change *orderChange) time.Duration {
 	earliest := time.Duration(never)
 	for at, grace := range map[time.Duration]time.Duration{change.announcedAt: slack, change.announcedCorruptAt: drainGrace + slack} {
-		cutOff := func(o outage) bool { return o.from <= at && o.to >= at-discoveryDelay } // the change arrived later or never
+		cutOff := func(o outage) bool { return o.from <= at && o.to >= at-discoveryDelay } // an outage then delayed the change or kept it from arriving
 		if at > 0 && !slices.ContainsFunc(c.discoveries, func(d *orderDiscovery) bool { return slices.ContainsFunc(d.outages, cutOff) }) {
 			earliest = min(earliest, at+grace)
 		}
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -207,13 +207,13 @@
 		default:
 			at += pick(r, 1000*milli, 1500*milli, 2500*milli, 3000*milli, 6000*milli)
 		}
-		if i == actions-1 && degraded && r.IntN(2) == 0 { // a request by whose time the sidecar must know the change
+		if i == actions-1 && degraded && r.IntN(2) == 0 { // the last action is a request at a time by which the sidecar must know the change
 			a.kind = pick(r, sendsIdempotent, sendsNotIdempotent, sendsIdempotentByKey)
 			at += pick(r, 3*time.Second, 4100*milli, 6100*milli, 6100*milli)
 		}
 		degraded = degraded || a.kind == upstreamDrains || a.kind == upstreamRemoved
 		a.at = at
-		if terminated && r.IntN(2) == 0 { // close to the sidecar's own deadlines during shutdown
+		if terminated && r.IntN(2) == 0 { // a time close to the sidecar's own deadlines during shutdown
 			a.at = terminatedAt + pick(r, 50*milli, 449*milli, 450*milli, 451*milli, 452*milli, 599*milli, 600*milli, 601*milli, 610*milli, 611*milli, 620*milli,
 				621*milli, 700*milli, 3500*milli)
 			at = max(at, a.at)
--- a/internal/sidecar/orders_upstream_test.go
+++ b/internal/sidecar/orders_upstream_test.go
@@ -20,7 +20,7 @@
 	autoAnswer time.Duration // delay of its answer to a request for which no action is planned; negative: never
 	// The fields below are guarded by orderHarness.mu.
 	conns          []*orderUpstreamConn
-	plannedAnswers []orderAction // for the next requests, one each
+	plannedAnswers []orderAction // planned for the next requests, one for each
 	pending        []*orderCall
 	down           bool
 }
@@ -51,7 +51,7 @@
 	begun        bool
 	complete     bool
 	at           time.Duration // when its last byte was sent
-	index        int           // number of recorded events by then
+	index        int           // number of recorded events at that time
 	secondAt     time.Duration // when a second answer was sent after it; 0 if none was
 }
 
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -44,7 +44,7 @@
 	events         []memnet.Event
 	clients        [2]*orderClient
 	upstreams      [2]*orderUpstream
-	requestCount   int                       // so far
+	requestCount   int                       // number of requests created so far
 	clientRequests map[string]*orderRequest  // by id
 	answers        map[string][]*orderAnswer // by the id of the request
 
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -32,7 +32,7 @@
 	writes  []string
 	pause   time.Duration // between writes, and between repeats
 	resets  bool
-	repeats string // written again and again after writes, also after the outage
+	repeats string // written repeatedly after writes, even after the outage
 }{
 	{name: "refused", dial: "refused"},
 	{name: "hangs", dial: "hangs"},
@@ -68,7 +68,7 @@
 	failureReports      atomic.Int64  // number of failures reported to the balancer
 	eventAt             time.Duration // when discovery recovers, or moves to another address
 	ignoresFirstCall    bool          // the first call at the new address is never answered
-	firstCallIgnored    atomic.Bool   // that call was made
+	firstCallIgnored    atomic.Bool   // the first call at the new address was made
 	running             *sync.WaitGroup
 }
 
@@ -193,9 +193,9 @@
 // event is 50 ms after offset, and the last one length after offset.
 type eventTimes struct{ failsAt, offset, length time.Duration }
 
-// outageEventTimes returns times in an outage from the start, in one after a while without an outage, and late in an outage,
-// when all waits are at their longest, over one round of calls: two calls and the balancer's back-off with onDemand, otherwise
-// one silence.
+// outageEventTimes returns event times in three outages: one from the start, one that begins after a while, and one that has
+// lasted so long that all waits are at their longest. The times cover one round of calls: with onDemand two calls and the
+// balancer's back-off, otherwise one silence.
 func outageEventTimes(onDemand bool) []eventTimes {
 	const sec = time.Second
 	if onDemand {
@@ -245,7 +245,7 @@
 			}
 		}
 		if firstCallDelay > 0 {
-			t.Errorf("got the drain up to %v after the move where the first call to the new address is answered, want at once", firstCallDelay)
+			t.Errorf("got the drain up to %v after the move where the first call to the new address is answered, want 0s", firstCallDelay)
 		}
 	})
 	return longest
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -61,10 +61,10 @@
 	}
 	svc.announce(document(5, probeSettings))
 	eventually(t, "the class of the document", classHasStatus(200))
-	eventually(t, "its acknowledgement", acked(ack(5, 0)))
+	eventually(t, "the acknowledgement of version 5", acked(ack(5, 0)))
 
 	svc.announce(document(6, strings.Replace(testSettings, `"SecondCopies":true,`, ``, 1))) // valid, but without a key that the file has
-	eventually(t, "a rejection", acked(ack(5, 6)))
+	eventually(t, "the acknowledgement that rejects version 6", acked(ack(5, 6)))
 	if reason := svc.lastAck().Reason; !strings.Contains(reason, "lacks settings.Limits.SecondCopies") {
 		t.Errorf("got reason %q, want lacks settings.Limits.SecondCopies", reason)
 	}
@@ -86,7 +86,7 @@
 	r.reloads <- Reload{Config: file}
 	more := ordersConfigWith(t, svc.address, strings.Replace(testSettings, `"Limits":{`, `"Limits":{"Probes":true,`, 1), entry("s", u.address, "Ready"))
 	r.reloads <- Reload{Config: more}
-	r.reloads <- Reload{Err: errors.New("not readable")} // once this is received, the reload before was applied
+	r.reloads <- Reload{Err: errors.New("not readable")} // once this reload is received, the previous one has been processed
 	if !classHasStatus(200)() {
 		t.Error("got no status 200 for a class of the document: the reloaded file replaced its settings")
 	}
@@ -95,11 +95,11 @@
 		t.Errorf("got STATS %s, want gw.reload_success:1|c, gw.settings_version:9|g and gw.list_version", figures)
 	}
 
-	svc.announce(document(4, testSettings)) // an older version, as from a copy of the owner's state
+	svc.announce(document(4, testSettings)) // an older version, as sent by an owner with an old copy of its state
 	deleted := api.Document{Region: "south", Revision: 11, Deleted: true}
 	svc.announce(deleted)
 	eventually(t, "the file's settings in force", classHasStatus(404))
-	eventually(t, "their acknowledgement", func() bool { return svc.lastAck() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
+	eventually(t, "the acknowledgement without a version", func() bool { return svc.lastAck() == api.Ack{Node: "n1", Service: "orders", Region: "south"} })
 	svc.announce(document(12, probeSettings))
 	eventually(t, "settings in force after the deletion", classHasStatus(200))
 	stop()
@@ -150,7 +150,7 @@
 			svc.announce(document(12, probeSettings)) // below 20, which this sidecar has received
 			outcomes, _ = startHollowWithOutcomes(t, c)
 			expectOutcome(t, outcomes, 9, "")
-			eventually(t, "the watch", func() bool { return len(svc.requests()) >= 2 })
+			eventually(t, "the second watch", func() bool { return len(svc.requests()) >= 2 })
 			svc.announce(document(21, testSettings))
 			expectOutcome(t, outcomes, 21, "")
 		},
@@ -183,7 +183,7 @@
 			endAfterPersisting(t, c, end)
 			c.Service = "billing"
 			outcomes, _ = startHollowWithOutcomes(t, c)
-			svc.announce(document(10, testSettings)) // still of the service orders
+			svc.announce(document(10, testSettings)) // this document still belongs to the service orders
 			other := document(2, testSettings)
 			other.Service = "billing"
 			svc.announce(other)
@@ -282,7 +282,7 @@
 	if !ok || d.Revision != 2 {
 		t.Fatalf("got document %+v to apply, %v, want version 2, true", d, ok)
 	}
-	s.onDocuments([]api.Document{valid}) // meanwhile
+	s.onDocuments([]api.Document{valid}) // received before the invalid document was processed
 	_, err := c.withDocument(d)
 	s.recordOutcome(d, err)
 	if d, ok = s.nextDocument(); !ok || d.Revision != 3 {
@@ -293,7 +293,7 @@
 	if a := s.ack(); a.Revision != 3 || a.RejectedRevision != 0 {
 		t.Errorf("got acknowledgement %+v, want version 3 without a rejection", a)
 	}
-	s.onDocuments([]api.Document{invalid, valid}) // again, as a new watch may send them
+	s.onDocuments([]api.Document{invalid, valid}) // a new watch may send both again
 	if d, ok = s.nextDocument(); ok {
 		t.Errorf("got document %+v to apply again, want none", d)
 	}
--- a/internal/sidecar/transcript_test.go
+++ b/internal/sidecar/transcript_test.go
@@ -107,7 +107,7 @@
 	return c
 }
 
-// expectStatus waits for the answer to a client, compares its status, and then waits for what follows it.
+// expectStatus waits for the answer to a client, compares its status, and then waits 20 ms for what the answer causes.
 func (tt *transcriptTest) expectStatus(c *transcript.Line, want int) {
 	tt.Helper()
 	if status, err := c.Answer(); status != want || err != nil {
@@ -132,7 +132,7 @@
 	{"retry-after-connect-failure", "up-2 > sidecar refuses", func(tt *transcriptTest) {
 		s := tt.start(entry("up-1", upstream1Address, "Ready"), entry("up-2", upstream2Address, "Ready"))
 		tt.upstreams[1].Kill()
-		c := tt.request(s, strings.Replace(confirmRequest, "900m", "9000m", 1)) // enough for two attempts
+		c := tt.request(s, strings.Replace(confirmRequest, "900m", "9000m", 1)) // the timeout is long enough for two attempts
 		tt.check(tt.nextCall(tt.calls).Say(ok200("ok")))
 		tt.expectStatus(c, 200)
 	}},
