--- a/internal/sidecar/acks.go
+++ b/internal/sidecar/acks.go
@@ -14,7 +14,7 @@
 const (
 	ackInterval = 20 * time.Second // well below api.HeardMs, even if one acknowledgement is dropped
 	ackJitter   = time.Second      // longest delay after a change, which reaches all sidecars of a region at once
-	ackTimeout  = 10 * time.Second // for one acknowledgement, including the client's retries
+	ackTimeout  = 10 * time.Second // time-out of one acknowledgement, including the client's retries
 	ackSockets  = 2                // file descriptors: of one connection, and of the one that replaces it
 )
 
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -17,9 +17,9 @@
 	maxAdminLine        = 512                    // length of a call in bytes
 	adminReadTimeout    = 5 * time.Second        // for reading the line of a call
 	adminWriteTimeout   = time.Second            // for writing the answer
-	adminTimeout        = 500 * time.Millisecond // for the dispatcher to apply a ban: a call must be answered within 1 s
-	adminLinger         = 100 * time.Millisecond // for reading bytes in flight: closing before that sends a reset, which can lose the answer
-	acceptRetryInterval = 20 * time.Millisecond  // after a failed accept, for example for lack of file descriptors
+	adminTimeout        = 500 * time.Millisecond // time for the dispatcher to apply a ban: a call must be answered within 1 s
+	adminLinger         = 100 * time.Millisecond // time for reading bytes in flight: an earlier close sends a reset, which can lose the answer
+	acceptRetryInterval = 20 * time.Millisecond  // pause after a failed accept, which may be for lack of file descriptors
 )
 
 // adminServer serves the operators' port: one call per connection, one line per call.
@@ -92,7 +92,7 @@
 	_ = c.SetReadDeadline(time.Now().Add(adminReadTimeout))
 	in := bufio.NewScanner(c)
 	in.Buffer(make([]byte, maxAdminLine), maxAdminLine)
-	ok := in.Scan() // also true for the part of a line before an error
+	ok := in.Scan() // true even if an error ended the line
 	s.mu.Lock()
 	s.waiting = slices.DeleteFunc(s.waiting, func(x net.Conn) bool { return x == c })
 	s.mu.Unlock()
@@ -102,7 +102,7 @@
 		answer = "NO the line is too long\n"
 	case in.Err() != nil || !ok:
 		answer = "NO a call is one line, and none came\n"
-	default: // also if the caller closed its sending side instead of sending a newline
+	default: // the line may also end with the caller's close of its sending side
 		answer = s.handle(in.Text())
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(adminWriteTimeout))
--- a/internal/sidecar/answerwriter.go
+++ b/internal/sidecar/answerwriter.go
@@ -74,7 +74,7 @@
 
 // write writes an answer with a complete body.
 func (s *server) write(w http.ResponseWriter, status int, body []byte) {
-	// It fails on a closed connection only, on which the write fails, too.
+	// SetWriteDeadline fails only on a closed connection, on which the write then fails too.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	s.writeHead(w, status, strconv.Itoa(len(body)))
 	_, _ = w.Write(body) // fails if the client has disconnected
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -191,7 +191,7 @@
 		return err == nil
 	})
 	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
-	c.Limits.MemoryMB = 0 // so the budget is 0
+	c.Limits.MemoryMB = 0 // makes the budget 0
 	r := start(t, c, "127.0.0.1:0")
 	body := strings.Repeat("x", 50000)
 	if resp, text := r.do(t, request(t, r.address, "confirm", body)); resp.StatusCode != 200 || text != body {
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -50,7 +50,7 @@
 	startedMs   int64 // start of the upstream's process
 	campaigning bool
 	leading     bool
-	result      message.ProbeResult // as last broadcast
+	result      message.ProbeResult // the result that was last broadcast
 	announcedAt time.Duration
 }
 
@@ -243,7 +243,7 @@
 		probe.result.Round++
 	}
 	b.handle(b.announceProbe(probe))
-	if probe.result.Step >= circuitbreaker.ProbeSteps { // after the broadcast: a breaker that opens again starts at the first step
+	if probe.result.Step >= circuitbreaker.ProbeSteps { // reset only after the broadcast: a breaker that opens again starts at the first step
 		probe.result.Step, probe.result.OK = 0, false
 	}
 }
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -15,9 +15,9 @@
 const (
 	// bodyStallTimeout is how long a body may stall, beyond what minBodyRate allows, while other clients wait for a descriptor.
 	bodyStallTimeout   = 150 * time.Millisecond
-	finalReadTimeout   = time.Millisecond       // for reading a request that has already arrived when its connection is to be closed
-	acceptQueueTimeout = 10 * time.Millisecond  // for accepting a connection from the kernel's queue; waited twice, as Accept's goroutine may run only after the first time-out
-	maxLinger          = 100 * time.Millisecond // for the client to close its side of a connection that the sidecar has closed
+	finalReadTimeout   = time.Millisecond       // time for reading a request that has already arrived when its connection is to be closed
+	acceptQueueTimeout = 10 * time.Millisecond  // time for accepting a connection from the kernel's queue; waited twice, since Accept's goroutine may run only after the first time-out
+	maxLinger          = 100 * time.Millisecond // time for the client to close its side of a connection that the sidecar has closed
 	minLinger          = 10 * time.Millisecond  // minimum of that time while other clients wait for the descriptor; enough for the answer to arrive
 	maxLingerBytes     = 1 << 20                // maximum number of bytes that are discarded during that time; they were in flight when the connection was closed
 )
@@ -53,7 +53,7 @@
 	headSince    time.Time     // when the first bytes of an incomplete head arrived
 	bodyWait     time.Duration // total duration of the reads of the body in flight
 	bodyBytes    int           // number of bytes of the body in flight that were read
-	readDeadline time.Time     // as set by net/http
+	readDeadline time.Time     // the read deadline that net/http has set
 	readCut      bool          // the read of the rest of a request was cut short
 	closingSince time.Time     // when its sending side was closed; zero while it is open
 	hasWritten   bool          // something was sent to the client
@@ -84,7 +84,7 @@
 			moreArrived = true
 			c.toBeClosed = c.toBeClosed && !c.evicting
 			c.evicting, c.readCut = false, false
-			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by net/http; fails on a closed connection only
+			_ = c.Conn.SetReadDeadline(c.readDeadline) // fails on a closed connection only
 		}
 	}
 	if readingBody {
@@ -198,7 +198,7 @@
 // evict is like closeWhenIdle, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
 func (c *framedConn) evict() bool {
 	c.mu.Lock()
-	c.evicting = !c.toBeClosed // otherwise it is closed in any case
+	c.evicting = !c.toBeClosed // a connection that was to be closed before is closed in any case
 	c.mu.Unlock()
 	if c.closeWhenIdle() {
 		return true
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -44,7 +44,7 @@
 
 const (
 	statsInterval   = 5 * time.Second
-	ejectedInterval = 200 * time.Millisecond // between updates of the ejected endpoints; statistics may lag by 0.5 s
+	ejectedInterval = 200 * time.Millisecond // time between updates of the ejected endpoints; statistics may lag by 0.5 s
 )
 
 // inFlightRequest is a request from its arrival until it has its answer and the results of all its attempts.
@@ -422,7 +422,7 @@
 	}
 	ctx, endWithCause := context.WithCancelCause(context.Background())
 	stop := func() {}
-	if f.expiresAt > 0 { // otherwise the time starts once the body is complete, see onBodyComplete
+	if f.expiresAt > 0 { // if it is 0, the time starts once the body is complete, see onBodyComplete
 		limit := f.expiresAt - now
 		if a.Timeout > 0 {
 			limit = min(limit, a.Timeout)
--- a/internal/sidecar/endpointdirectory.go
+++ b/internal/sidecar/endpointdirectory.go
@@ -100,7 +100,7 @@
 	mu           sync.RWMutex
 	listRevision int64               // revision of the list
 	entries      map[string]endpoint // by name; includes draining upstreams
-	banned       map[string]bool     // by an operator, independently of the list
+	banned       map[string]bool     // names of upstreams that an operator has banned, listed or not
 	removed      []string            // names removed from the list, the latest last; up to maxRemoved
 }
 
--- a/internal/sidecar/eviction.go
+++ b/internal/sidecar/eviction.go
@@ -50,7 +50,7 @@
 	type candidate struct {
 		conn  *framedConn
 		since time.Time
-		wait  time.Duration // until it may be evicted
+		wait  time.Duration // time until it may be evicted
 	}
 	var perClass [classBusy]candidate
 	for conn, idleSince := range c.idleSince {
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -111,10 +111,10 @@
 	for range 5 * bound {
 		dialRaw(t, r.address)
 	}
-	late := dialRaw(t, r.address) // after them all
+	late := dialRaw(t, r.address) // connects after all others
 	late.send(requestText("search"))
 	late.expectAnswer(200)
-	if time.Since(idleSince) < closableAfter { // otherwise it may have been closed
+	if time.Since(idleSince) < closableAfter { // an older idle connection may have been closed
 		early.send(requestText("search"))
 		early.expectAnswer(200)
 	}
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -40,7 +40,7 @@
 	lastHeader                     byte // 'l' or 't' if the previous line was a Content-Length or a Transfer-Encoding, else 0
 
 	mu          sync.Mutex
-	ambiguities []bool // for each request read that net/http has not delivered yet: whether it is ambiguous
+	ambiguities []bool // whether each request is ambiguous that was read and that net/http has not delivered yet
 	delivered   int    // number of requests that net/http has delivered
 }
 
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -23,8 +23,8 @@
 const (
 	linkName          = "handover.sock"        // file in TMPDIR: the socket
 	bansName          = "bans.json"            // file in TMPDIR: the bans
-	linkTimeout       = time.Second            // for dialling, each write, the first message, and the predecessor to stop accepting; a complete start may last 6 s
-	banRelayTimeout   = 350 * time.Millisecond // to await the other process's confirmation of a ban; together with adminTimeout below the 1 s of a call
+	linkTimeout       = time.Second            // time-out for dialling, each write, the first message, and the predecessor to stop accepting; a complete start may last 6 s
+	banRelayTimeout   = 350 * time.Millisecond // time for the other process to confirm a ban; with adminTimeout it is less than the 1 s that a call may last
 	useReportInterval = 20 * time.Millisecond  // time between reports of the connections in use, whose number changes as requests end
 )
 
@@ -201,7 +201,7 @@
 		}
 		_ = conn.Close()
 	}
-	if !errors.Is(err, os.ErrNotExist) {
+	if !errors.Is(err, os.ErrNotExist) { // the dial failed, or the predecessor sent no usable state
 		logWarning(componentHandover, "no predecessor found, starting alone", err)
 	}
 	data, err := os.ReadFile(filepath.Join(h.dir, bansName))
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -15,8 +15,8 @@
 type HollowObserver struct {
 	// OnList is called after each message of discovery has been applied, with the list's revision and number of entries.
 	OnList func(index int64, entries int, at time.Time)
-	// OnChange is called for each entry in a message, and for each entry that a full list no longer contains. It needs a
-	// second table of names.
+	// OnChange is called for each entry in a message, and for each entry that a full list no longer contains. Setting it
+	// costs a second table of names.
 	OnChange func(name, status string, index int64)
 	// OnSettings is called with each document of the service that was applied, or rejected with an error. After the deletion
 	// of a document the settings of the sidecar's file are in force.
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -92,7 +92,7 @@
 // connUse describes how the connection of an attempt was used before.
 type connUse struct {
 	nth  int           // number of the request on its connection, from 1; 0 if there was no connection
-	idle time.Duration // since the previous request
+	idle time.Duration // time since the previous request; 0 if there was none
 }
 
 // describeAttempts describes the attempts of a request in order, each with its upstream, result, time and connection.
@@ -136,13 +136,13 @@
 // uses it. Requests are counted by stats.
 type attemptCounts struct {
 	results   map[balancer.Result]int
-	upstreams map[string]*upstreamCounts // by name; only upstreams with an attempt that ended
+	upstreams map[string]*upstreamCounts // by name; holds only upstreams with an attempt that ended
 }
 
 // upstreamCounts counts the results of the attempts at one upstream.
 type upstreamCounts struct {
 	served, unserved int
-	totalTime        time.Duration // of the served attempts
+	totalTime        time.Duration // total duration of the served attempts
 }
 
 func newAttemptCounts() attemptCounts {
--- a/internal/sidecar/orders_rules_test.go
+++ b/internal/sidecar/orders_rules_test.go
@@ -66,10 +66,10 @@
 	first, last recordPos // positions of its first and last byte; last is set only if it is complete
 	complete    bool
 	body        string
-	id          string // of a request
+	id          string // id of a request
 	method      string
 	target      string
-	status      int  // of an answer
+	status      int  // status of an answer
 	closes      bool // the answer announces the close of the connection
 	conn        *connRecord
 	nth         int // ordinal on the connection, from 1
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -30,7 +30,7 @@
 	name    string
 	dial    string // "refused", "hangs", or "" if the connection is established
 	writes  []string
-	pause   time.Duration // between writes, and between repeats
+	pause   time.Duration // pause between writes, and between repeats
 	resets  bool
 	repeats string // written repeatedly after writes, even after the outage
 }{
--- a/internal/sidecar/peek.go
+++ b/internal/sidecar/peek.go
@@ -9,7 +9,7 @@
 )
 
 // pending reports, without reading, whether bytes have arrived on a connection, and whether the other side has closed it,
-// maybe behind unread bytes. A read reports the close only after those bytes, and its goroutine may be late.
+// maybe behind unread bytes. A read would report the close only after those bytes, and perhaps late.
 func pending(c net.Conn) (bytes, end bool) {
 	if m, ok := c.(interface{ Pending() (bytes, end bool) }); ok { // a connection of an in-memory network
 		return m.Pending()
@@ -29,7 +29,7 @@
 				continue
 			}
 			end = fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-			bytes = fds[0].Revents&unix.POLLIN != 0 && !end // a closed connection is readable, too
+			bytes = fds[0].Revents&unix.POLLIN != 0 && !end // a closed connection is also readable
 			return
 		}
 	})
--- a/internal/sidecar/persister.go
+++ b/internal/sidecar/persister.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	persistInterval   = 2 * time.Second        // between writes of the snapshot, and of the list if it has changed
+	persistInterval   = 2 * time.Second        // time between writes of the snapshot, and of the list if it has changed
 	writePauseFactor  = 100                    // minimum ratio of the pause after a write to the duration of the write
-	persistStartDelay = 20 * time.Millisecond  // before the directory is acquired, so that the list is in use first
-	lockPollInterval  = 20 * time.Millisecond  // between attempts to lock, while another process of the sidecar is the writer
-	diskRetryInterval = time.Second            // after a disk error
-	banTimeout        = 350 * time.Millisecond // for a ban to reach the disk; together with adminTimeout below the 1 s of a call
+	persistStartDelay = 20 * time.Millisecond  // delay before the directory is acquired, so that the list is in use first
+	lockPollInterval  = 20 * time.Millisecond  // time between attempts to lock, while another process of the sidecar is the writer
+	diskRetryInterval = time.Second            // pause after a disk error
+	banTimeout        = 350 * time.Millisecond // time for a ban to reach the disk; with adminTimeout it is less than the 1 s that a call may last
 	maxWaitingBans    = 64                     // bans that may wait for a disk that hangs
 	stateSockets      = 4                      // file descriptors: the lock, the log, and a file being written
 )
@@ -126,7 +126,7 @@
 			timer.Stop()
 			if !enabled {
 				p.save()
-				p.release(true) // the successor acquires it
+				p.release(true) // the successor then acquires the directory
 			}
 		case <-timer.C:
 		}
@@ -203,7 +203,7 @@
 	}
 	p.recordResult(err)
 	p.clearedBans = map[string]bool{}
-	p.writtenSource, p.writtenSettingsCount = "", 0 // so that the list and the settings are written
+	p.writtenSource, p.writtenSettingsCount = "", 0 // makes save write the list and the settings
 	p.isWriter = true
 	close(p.writing)
 	return 0
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -47,7 +47,7 @@
 		if err == nil {
 			return to
 		}
-		if !errors.Is(err, os.ErrNotExist) { // otherwise a file was renamed meanwhile
+		if !errors.Is(err, os.ErrNotExist) { // a file that no longer exists was renamed during the copy
 			t.Fatal(err)
 		}
 	}
--- a/internal/sidecar/pressure.go
+++ b/internal/sidecar/pressure.go
@@ -25,9 +25,9 @@
 
 // loopStatus is the state of the dispatcher's loop at its latest heartbeat. It is safe for concurrent use.
 type loopStatus struct {
-	delay    atomic.Int64  // of the latest heartbeat, in nanoseconds
-	inFlight atomic.Uint64 // as in message.Pressure, the bits of a float64
-	site     atomic.Uint64 // likewise
+	delay    atomic.Int64  // delay of the latest heartbeat in nanoseconds
+	inFlight atomic.Uint64 // InFlight of message.Pressure, as the bits of a float64
+	site     atomic.Uint64 // Site of message.Pressure, as the bits of a float64
 }
 
 // record stores the state at a heartbeat; the loop calls it.
--- a/internal/sidecar/requesthandler.go
+++ b/internal/sidecar/requesthandler.go
@@ -15,7 +15,7 @@
 	r         *http.Request
 	conn      *framedConn
 	req       *clientRequest
-	outcome   answerKind // for the statistics
+	outcome   answerKind // how the request was answered, for the statistics
 	beginOnce sync.Once
 }
 
--- a/internal/sidecar/requestparser.go
+++ b/internal/sidecar/requestparser.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// classOf returns the class of a request. Header, path and method must name the same class: the upstream could use another
-// of them, whose class may not be idempotent.
+// classOf returns the class of a request. Header, path and method must agree on the class: an upstream that uses another of
+// them could treat the request as one of a class that is not idempotent.
 func (s *server) classOf(w http.ResponseWriter, r *http.Request) (balancer.Class, *rejection) {
 	pathClass, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	name := cmp.Or(r.Header.Get(headerClass), pathClass)
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -73,7 +73,7 @@
 // restoreSnapshot reads the balancer's snapshot, adjusts it for its age and sends it to the dispatcher. It runs concurrently
 // with the start, since it takes milliseconds; until then upstreams in slow start get no requests beyond their budgets.
 func (p *process) restoreSnapshot() {
-	loaded := p.loaded // p.loaded stays as it is, so that only the notes on this read are logged below
+	loaded := p.loaded // a copy without the earlier notes, so that only those on this read are logged below
 	loaded.Notes, loaded.Corruptions = nil, nil
 	if err := p.persister.store.LoadSnapshot(&loaded, time.Now()); err != nil {
 		p.persister.recordError(err)
@@ -145,7 +145,7 @@
 	}
 	p.persister.list = func() (string, *listing) { // returns a nil list if there is none to write
 		if !p.listReceived.Load() && p.cachedList.Load() != nil {
-			return "", nil // it was read from the disk
+			return "", nil // the list in use was read from the disk, and need not be written
 		}
 		l := p.upstreams.directory.fullList()
 		if len(l.Endpoints) == 0 {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -39,8 +39,8 @@
 
 	headerNotProcessed = "X-Not-Processed"
 
-	writeTimeout           = 5 * time.Second       // for each write of an answer
-	disconnectPollInterval = 50 * time.Millisecond // between checks whether a client has disconnected while its connection is not read; 0.1 s are allowed
+	writeTimeout           = 5 * time.Second       // time-out of each write of an answer
+	disconnectPollInterval = 50 * time.Millisecond // time between checks whether a client has disconnected while its connection is not read; a disconnect must be noticed within 0.1 s
 )
 
 // hopByHopHeaders are the headers that are not forwarded (RFC 9110, section 7.6.1).
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -25,7 +25,7 @@
 	changed       chan struct{}             // buffer of one; signals a change to acknowledge
 	onOutcome     func(api.Document, error) // called with each document that was applied or rejected; may be nil
 	muted         func() bool               // reports whether another process of this sidecar sends the acknowledgements
-	fileConfig    *Config                   // as last read; used only by the goroutine of the process
+	fileConfig    *Config                   // configuration file as last read; used only by the goroutine of the process
 
 	mu            sync.Mutex
 	seenRevisions map[string]int64 // the highest received revision, by region
--- a/internal/sidecar/sharing.go
+++ b/internal/sidecar/sharing.go
@@ -42,8 +42,8 @@
 	clock        clock
 	forwarder    *forwarder                                    // nil if nothing is forwarded
 	stall        stallDetector                                 // detects a stall of the dispatcher's loop
-	reports      *conflate.Queue[string, evidenceReport]       // from the dispatcher
-	verdicts     *conflate.Queue[string, balancer.PeerVerdict] // to the dispatcher
+	reports      *conflate.Queue[string, evidenceReport]       // reports from the dispatcher to the breaker tracker
+	verdicts     *conflate.Queue[string, balancer.PeerVerdict] // verdicts from the breaker tracker to the dispatcher
 	leaderships  *leaderships                                  // nil if no list service is configured
 	openVerdicts chan chan []circuitbreaker.Verdict            // requests for the open verdicts, from the admin port to the breaker tracker
 	parts        sync.WaitGroup
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -31,13 +31,13 @@
 
 const (
 	fixedSockets = 32   // file descriptors other than those of clients and upstreams
-	heapFraction = 0.75 // of the memory limit, for the heap
+	heapFraction = 0.75 // fraction of the memory limit for the heap
 	// requestTimeout is the time after connecting within which a client must send a complete request. A client must get an
 	// answer or a close within 3 s, and a connection without a request may be closed after 2 s.
 	requestTimeout    = 2500 * time.Millisecond
 	clientIdleTimeout = 2 * time.Minute
 	closableAfter     = 2 * time.Second      // time without a request after which a connection may be closed
-	startPollInterval = 5 * time.Millisecond // between a new process's checks whether it can accept clients
+	startPollInterval = 5 * time.Millisecond // time between a new process's checks whether it can accept clients
 	// readyWithoutListAfter is how long a process without a list reports that it is not ready. It is enough for three calls
 	// to discovery: a call that hangs is followed by another after 1.25 s. Nine in ten processes must be ready within
 	// 10 s, even if discovery is down for longer.
@@ -83,7 +83,7 @@
 
 // process holds the parts of one sidecar process.
 type process struct {
-	config       *Config // in use; reload changes it
+	config       *Config // the configuration in use; reload and a settings document change it
 	upstreams    *upstreamPool
 	dispatcher   *dispatcher
 	watcher      *watcher
@@ -138,7 +138,7 @@
 	defer p.handover.close()
 	defer p.startPersister(runCtx, !hasPredecessor)()
 	if p.follower != nil {
-		p.follower.muted = p.server.stopping.Load // then the other process of the upgrade acknowledges
+		p.follower.muted = p.server.stopping.Load // while this process is being replaced, the other process of the upgrade acknowledges
 		go p.follower.acknowledge(runCtx, p.watcher.source)
 	}
 	if ops != nil {
--- a/internal/sidecar/upstreamconn.go
+++ b/internal/sidecar/upstreamconn.go
@@ -19,7 +19,7 @@
 	releasedAt  time.Time // when it was last released
 	closed      bool      // guarded by the pool's lock
 
-	writeTimeout   time.Duration // of one write
+	writeTimeout   time.Duration // time-out of one write
 	checkMayBegin  func() error  // returns the reason why the next request may not be written, or nil if it may
 	firstByteSent  atomic.Bool   // Write was called with the first byte of the present request
 	beginRefused   atomic.Bool   // the request was stopped before its first byte
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -51,7 +51,7 @@
 // connTimeouts are the time-outs of connections, from the settings.
 type connTimeouts struct {
 	connect time.Duration
-	idle    time.Duration // after which an idle connection is closed
+	idle    time.Duration // an idle connection is closed after this time
 	late    time.Duration // longest wait for a late answer, and for one write
 }
 
@@ -141,7 +141,7 @@
 	}
 	c, err := u.connect(ctx, name, address)
 	switch {
-	case errors.Is(err, errSaturated): // not a failure of the upstream
+	case errors.Is(err, errSaturated): // does not count as a failure of the upstream
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
 		return nil, attemptReply{result: balancer.Cancelled, err: err}
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -124,7 +124,7 @@
 		<-done
 	})
 	dir, updates := startWatcher(t, d, entry("a", "127.0.0.2:1", "Ready"))
-	for range 2 { // for the answer and for the changes, none for the second empty line
+	for range 2 { // one update for the answer and one for the changes, none for the second empty line
 		if m := nextUpdate(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
 			t.Errorf("got update %+v, want kind %d without endpoints", m, balancer.Delta)
 		}
