--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -196,7 +196,7 @@
 // any answer once the complete body has been sent.
 func TestASecondAnswerWithinTheNextRequestIsNobodys(t *testing.T) {
 	for name, tc := range map[string]struct {
-		reused, bodySent bool // whether the connection carried a request before; whether the client sends the complete body
+		reused, bodySent bool // the connection carried a request before; the client sends the complete body
 		want             balancer.Result
 	}{
 		"after another request": {true, false, balancer.Reset},
@@ -233,7 +233,7 @@
 			u := testUpstreams(t, 4, entry("s", listener.Addr().String(), "Ready"))
 			if tc.reused {
 				if rep := u.attempt(t.Context(), "s", testRequest("POST", "1"), 0); rep.result != balancer.OK {
-					t.Fatalf("request before: got result %d, want %d", rep.result, balancer.OK)
+					t.Fatalf("the previous request on the connection: got result %d, want %d", rep.result, balancer.OK)
 				}
 				u.awaitReusable(t)
 			}
--- a/internal/sidecar/dispatcher_test.go
+++ b/internal/sidecar/dispatcher_test.go
@@ -110,7 +110,7 @@
 		select {
 		case <-abandoned:
 		default:
-			t.Error("the second attempt began before the first was abandoned")
+			t.Error("the second attempt began before the first was abandoned, want it after")
 		}
 		return attemptReply{result: balancer.OK}
 	})
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -277,11 +277,11 @@
 	}()
 	arrival, ok := (<-events).(requestArrived)
 	if !ok {
-		t.Fatal("the first event is not requestArrived")
+		t.Fatal("got another event first, want requestArrived")
 	}
 	disconnect()
 	if event, ok := (<-events).(clientDisconnected); !ok || event.request != arrival.request {
-		t.Error("the event after the disconnect is not clientDisconnected for the request that arrived")
+		t.Error("got another event after the disconnect, want clientDisconnected for the request that arrived")
 	}
 }
 
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -57,7 +57,7 @@
 		return api.Ack{Node: "n1", Service: "orders", Region: "south", Revision: version, RejectedRevision: rejected}
 	}
 	if !classHasStatus(404)() {
-		t.Fatal("got no status 404 for a class that is in no settings")
+		t.Fatal("got another status than 404 for a class that is in no settings, want 404")
 	}
 	svc.announce(document(5, probeSettings))
 	eventually(t, "the class of the document", classHasStatus(200))
@@ -72,7 +72,7 @@
 	svc.announce(document(8, strings.Replace(probeSettings, `"probe"`, `"repaired"`, 1))) // version 7 may not be applied yet
 	eventually(t, "the acknowledgement of the corrected settings", acked(ack(8, 0)))
 	if !classHasStatus(404)() {
-		t.Error("got no status 404 for a class that the settings no longer have")
+		t.Error("got another status than 404 for a class that the settings no longer have, want 404")
 	}
 	svc.announce(document(9, probeSettings))
 	eventually(t, "the acknowledgement of the next settings", acked(ack(9, 0)))
@@ -88,7 +88,7 @@
 	r.reloads <- Reload{Config: more}
 	r.reloads <- Reload{Err: errors.New("not readable")} // once this reload is received, the previous one has been processed
 	if !classHasStatus(200)() {
-		t.Error("got no status 200 for a class of the document: the reloaded file replaced its settings")
+		t.Error("got another status than 200 for a class of the document, want 200: the reloaded file must not replace its settings")
 	}
 	if figures := r.adminCall(t, "STATS\n"); !strings.Contains(figures, "gw.reload_success:1|c") || !strings.Contains(figures, "gw.settings_version:9|g") ||
 		!strings.Contains(figures, "gw.list_version:") {
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if froms := d.watches(); !slices.Equal(froms, []string{"1"}) {
-		t.Errorf("got watches from %v, want [1]", froms)
+		t.Errorf("got watches that start at revisions %v, want [1]", froms)
 	}
 }
 
@@ -106,7 +106,7 @@
 			}
 			eventually(t, "a second watch", func() bool { return len(d.watches()) == 2 })
 			if froms := d.watches(); froms[1] != "7" {
-				t.Errorf("got a second watch from %s, want 7", froms[1])
+				t.Errorf("got a second watch that starts at revision %s, want 7", froms[1])
 			}
 			if _, ok := dir.address("a"); !ok {
 				t.Error("got no address for a, want the one of the last good list")
@@ -219,7 +219,7 @@
 				}
 			}
 			if from := second.watches(); from[0] != "5" {
-				t.Errorf("got the first watch at the new address from %s, want 5", from[0])
+				t.Errorf("got a first watch at the new address that starts at revision %s, want 5", from[0])
 			}
 			cancel()
 			<-done
