--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Guards against large bodies that are changed, and against a connection that is not reused after one: they pass in both
-// directions, in chunks and with a length.
+// Guards against large bodies that are changed, in chunks or with a length and in both directions, and against a connection that
+// is not reused after one.
 func TestLargeBodiesPass(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 64<<10) // 1 MiB
 	s := newUpstream(t, func(c net.Conn, g receivedRequest) bool {
@@ -191,7 +191,7 @@
 		return err == nil
 	})
 	c := testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready"))
-	c.Limits.MemoryMB = 0 // so the budget is 0
+	c.Limits.MemoryMB = 0 // makes the budget 0
 	r := start(t, c, "127.0.0.1:0")
 	body := strings.Repeat("x", 50000)
 	if resp, text := r.do(t, request(t, r.address, "confirm", body)); resp.StatusCode != 200 || text != body {
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -15,11 +15,11 @@
 const (
 	// bodyStallTimeout is how long a body may stall, beyond what minBodyRate allows, while other clients wait for a descriptor.
 	bodyStallTimeout   = 150 * time.Millisecond
-	finalReadTimeout   = time.Millisecond       // for reading a request that has already arrived when its connection is to be closed
-	acceptQueueTimeout = 10 * time.Millisecond  // for accepting a connection from the kernel's queue; waited twice, as a goroutine may be late
-	maxLinger          = 100 * time.Millisecond // for the client to close its side of a connection that the sidecar has closed
-	minLinger          = 10 * time.Millisecond  // the same while other clients wait for its descriptor; enough for the answer to arrive
-	maxLingerBytes     = 1 << 20                // bytes discarded meanwhile, which were in flight when the connection was closed
+	finalReadTimeout   = time.Millisecond       // time for reading a request that has already arrived when its connection is to be closed
+	acceptQueueTimeout = 10 * time.Millisecond  // time for accepting a connection from the kernel's queue; waited twice, since Accept's goroutine may run only after the first time-out
+	maxLinger          = 100 * time.Millisecond // time for the client to close its side of a connection that the sidecar has closed
+	minLinger          = 10 * time.Millisecond  // minimum of that time while other clients wait for the descriptor; enough for the answer to arrive
+	maxLingerBytes     = 1 << 20                // maximum number of bytes that are discarded during that time; they were in flight when the connection was closed
 )
 
 // connStage is how far the next request of a connection has been read.
@@ -31,29 +31,29 @@
 	headComplete // all of its head, and maybe some of its body
 )
 
-// framedConn is a client's connection. It closes gracefully: never while a partially read request is unanswered, and its
-// sending side first, so that bytes in flight don't make the kernel reset it and discard an answer. The HTTP server calls
-// the methods of net.Conn; the other methods are safe for concurrent use.
+// framedConn is a client's connection. It is not closed while a partially read request is unanswered. Its sending side is
+// closed first: otherwise unread bytes would make the kernel reset the connection and discard the answer. The HTTP server
+// calls the methods of net.Conn; the other methods are safe for concurrent use.
 type framedConn struct {
 	net.Conn
-	arrivedAt    time.Time // the earliest time at which it can have reached the kernel's queue
+	arrivedAt    time.Time // the earliest time at which it can have entered the kernel's accept queue
 	acceptedAt   time.Time
 	listener     *clientConns
 	framing      framing
 	clientClosed atomic.Bool   // the client has closed it, or reading failed
-	pipelined    chan struct{} // receives when bytes were read behind the request in flight, after which net/http stops reading; has a buffer of one
+	pipelined    chan struct{} // receives a value when bytes after the request in flight were read; net/http then stops reading. Has a buffer of one
 
 	mu           sync.Mutex
-	ending       bool // it is to be closed once it is between requests
-	evicted      bool // it is ending only because its descriptor is needed
+	toBeClosed   bool // it is to be closed once it is between requests
+	evicting     bool // toBeClosed is set only because the connection's descriptor is needed
 	active       bool // net/http has a request in flight
-	waiting      bool // the read in progress can only return the next request
+	waiting      bool // the read in progress began between requests, so it waits for the next one
 	stage        connStage
 	readSince    time.Time     // when the read in progress began; zero if there is none
 	headSince    time.Time     // when the first bytes of an incomplete head arrived
 	bodyWait     time.Duration // total duration of the reads of the body in flight
 	bodyBytes    int           // number of bytes of the body in flight that were read
-	readDeadline time.Time     // as set by net/http
+	readDeadline time.Time     // the read deadline that net/http has set
 	readCut      bool          // the read of the rest of a request was cut short
 	closingSince time.Time     // when its sending side was closed; zero while it is open
 	hasWritten   bool          // something was sent to the client
@@ -69,22 +69,22 @@
 	if !readingBody {
 		c.bodyWait, c.bodyBytes = 0, 0
 	}
-	if c.waiting && c.ending {
+	if c.waiting && c.toBeClosed {
 		c.boundRead()
 	}
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
-	evictionCancelled := false
-	if bounded := c.waiting && c.ending; bounded || c.readCut {
+	moreArrived := false
+	if bounded := c.waiting && c.toBeClosed; bounded || c.readCut {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			n, err = c.readAvailable(p)
 		}
-		if n > 0 { // more has arrived meanwhile
-			evictionCancelled = true
-			c.ending = c.ending && !c.evicted
-			c.evicted, c.readCut = false, false
-			_ = c.Conn.SetReadDeadline(c.readDeadline) // as set by net/http; fails on a closed connection only
+		if n > 0 {
+			moreArrived = true
+			c.toBeClosed = c.toBeClosed && !c.evicting
+			c.evicting, c.readCut = false, false
+			_ = c.Conn.SetReadDeadline(c.readDeadline) // fails on a closed connection only
 		}
 	}
 	if readingBody {
@@ -100,7 +100,7 @@
 	}
 	c.waiting, c.stage, c.readSince = false, stage, time.Time{}
 	c.mu.Unlock()
-	if evictionCancelled {
+	if moreArrived {
 		c.listener.cancelEviction(c)
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -119,7 +119,8 @@
 }
 
 // SetReadDeadline implements net.Conn for net/http. The deadline is stored, to be restored after an eviction that was
-// cancelled. The deadline of a first request counts from the connection's arrival, as far as that is known.
+// cancelled. The deadline of a first request counts from arrivedAt, not acceptedAt, but leaves at least bodyStartTimeout after
+// the accept.
 func (c *framedConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +152,7 @@
 	classSlowHead
 	classIdle     // it has carried no request since its last answer
 	classSlowBody // the body of its request in flight is incomplete
-	classBusy     // a complete request is in flight, or the connection is being closed: not evicted
+	classBusy     // a complete request is in flight, or the connection is already being evicted: it is not a candidate
 )
 
 // evictionClass returns the class of the connection, since when it has had this class, and how long it must have had it
@@ -160,11 +161,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	grace, stall := newConnGrace, bodyStallTimeout
-	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has already had this time while it waited to be accepted
+	if c.framing.firstRequestOnly() && c.acceptedAt.Sub(c.arrivedAt) > newConnGrace { // it has already had newConnGrace in the accept queue
 		grace, stall = minLinger, newConnGrace
 	}
 	switch {
-	case c.readCut || c.evicted:
+	case c.readCut || c.evicting:
 		return classBusy, since, 0
 	case !c.closingSince.IsZero():
 		return classAnswered, c.closingSince, minLinger
@@ -182,29 +183,29 @@
 	return classIdle, since, 0
 }
 
-// end closes the connection once it is between requests, and reports whether it is. Requests that arrive before that are
-// answered.
-func (c *framedConn) end() bool {
+// closeWhenIdle closes the connection once it is between requests, and reports whether it is now. Requests that arrive before
+// the close are answered.
+func (c *framedConn) closeWhenIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
+	c.toBeClosed = true
 	if c.waiting {
 		c.boundRead()
 	}
 	return !c.active && c.stage == betweenRequests
 }
 
-// evict is like end, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
+// evict is like closeWhenIdle, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
 func (c *framedConn) evict() bool {
 	c.mu.Lock()
-	c.evicted = !c.ending // otherwise it is closed in any case
+	c.evicting = !c.toBeClosed // a connection that was to be closed before is closed in any case
 	c.mu.Unlock()
-	if c.end() {
+	if c.closeWhenIdle() {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending, c.evicted = c.ending && !c.evicted, false
+	c.toBeClosed, c.evicting = c.toBeClosed && !c.evicting, false
 	return false
 }
 
@@ -225,14 +226,14 @@
 // connection that is not evicted has newConnGrace for its first request. The caller holds mu.
 func (c *framedConn) boundRead() {
 	deadline := time.Now().Add(finalReadTimeout)
-	if graceEnd := c.acceptedAt.Add(newConnGrace); !c.evicted && c.framing.noRequest() && graceEnd.After(deadline) {
+	if graceEnd := c.acceptedAt.Add(newConnGrace); !c.evicting && c.framing.noRequest() && graceEnd.After(deadline) {
 		deadline = graceEnd
 	}
 	_ = c.Conn.SetReadDeadline(deadline) // fails on a closed connection only
 }
 
-// readAvailable reads the bytes that have arrived, without blocking. After its deadline, net.Conn's Read returns none of
-// them.
+// readAvailable reads the bytes that have arrived, without blocking. It is needed because net.Conn's Read returns only the
+// time-out once its deadline has passed, even if bytes have arrived.
 func (c *framedConn) readAvailable(p []byte) (n int, err error) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -285,7 +286,7 @@
 	lingers := !c.clientClosed.Load() && c.closingSince.IsZero() && !c.listener.stopped.Load() && (c.listener.lingering.Load() || c.hasWritten)
 	if lingers {
 		c.closingSince = time.Now()
-		c.readSince, c.readCut, c.evicted = c.closingSince, false, false
+		c.readSince, c.readCut, c.evicting = c.closingSince, false, false
 	}
 	c.mu.Unlock()
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); lingers && ok && halfCloser.CloseWrite() == nil {
@@ -295,7 +296,7 @@
 		}
 		c.mu.Unlock()
 		c.listener.changed.Broadcast()                      // Accept may need the descriptor
-		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // errors end it, too
+		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // ends at the client's close, after maxLingerBytes, or at an error such as the deadline
 	}
 	return c.Conn.Close()
 }
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -21,7 +21,7 @@
 )
 
 // Guards against a flood that uses all descriptors: each of many peers that connect at once to a sidecar with few descriptors
-// gets an error or a close within 3 s of connecting, and a client that connects after them is served in that time, too. The
+// gets an error or a close within 3 s of connecting, and a client that connects after them is also served within 3 s. The
 // limit allows 1 s more for a busy machine; evicting one peer at a time would last 6 s or more.
 func TestFlood(t *testing.T) {
 	t.Parallel()
@@ -79,7 +79,7 @@
 			}
 			_ = resp.Body.Close()
 			if elapsed := time.Since(begun); resp.StatusCode != 200 || elapsed > limit {
-				t.Errorf("the client after them got %s after %v, want 200 in %v", resp.Status, elapsed, limit)
+				t.Errorf("the client that connected after the peers got %s after %v, want 200 in %v", resp.Status, elapsed, limit)
 			}
 			all.Wait()
 			if n := errorsRead.Load(); wanted.error && n < peers*9/10 { // peers whose bytes arrived late need only a close
@@ -87,15 +87,15 @@
 			}
 			for _, g := range s.requests() {
 				if !strings.HasPrefix(g.target, "/search") {
-					t.Errorf("a request of a peer reached the upstream: %v", g)
+					t.Errorf("the upstream got request %v of a peer, want none", g)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a flood that evicts earlier clients: connections that never carried a request are evicted first, a connection
-// that has been idle only briefly is not.
+// Guards against a flood that evicts earlier clients: connections that never carried a request are evicted first, and one that
+// became idle only a moment ago is not evicted at all.
 func TestFloodDoesNotDelayClients(t *testing.T) {
 	t.Parallel()
 	const bound = 8
@@ -111,10 +111,10 @@
 	for range 5 * bound {
 		dialRaw(t, r.address)
 	}
-	late := dialRaw(t, r.address) // after them all
+	late := dialRaw(t, r.address) // connects after all others
 	late.send(requestText("search"))
 	late.expectAnswer(200)
-	if time.Since(idleSince) < closableAfter { // otherwise it may have been closed
+	if time.Since(idleSince) < closableAfter { // an older idle connection may have been closed
 		early.send(requestText("search"))
 		early.expectAnswer(200)
 	}
@@ -272,8 +272,8 @@
 			t.Fatal(err)
 		}
 		synctest.Wait()
-		if conn.ending || conn.evicted || len(listener.evicting) > 0 {
-			t.Errorf("got ending %v, evicted %v and %d evictions, want none", conn.ending, conn.evicted, len(listener.evicting))
+		if conn.toBeClosed || conn.evicting || len(listener.evicting) > 0 {
+			t.Errorf("got toBeClosed %v, evicting %v and %d evictions, want none", conn.toBeClosed, conn.evicting, len(listener.evicting))
 		}
 		if err := <-read(); !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Equal(until) {
 			t.Errorf("read returned error %v at %v, want a time-out at %v, the deadline set by net/http", err, time.Now(), until)
@@ -350,7 +350,7 @@
 		returned := time.Now()
 		var queries sync.WaitGroup
 		elapsed := make(chan time.Duration, 30)
-		for range cap(elapsed) { // at different moments of what the idle clients do
+		for range cap(elapsed) { // one every 7 ms, so at different phases of the idle clients' reconnects
 			queries.Go(func() {
 				begun := time.Now()
 				conn, err := clients.Dial(ctx, "tcp", "10.0.0.1:9000")
--- a/internal/sidecar/logging.go
+++ b/internal/sidecar/logging.go
@@ -15,13 +15,13 @@
 	"mosslead/balancer"
 )
 
-// A request that failed or was late is logged in one line, with all its attempts and their connections, and so is a request
-// that was rejected before admission. The rate of these lines is limited, so that logging does not use CPU time that is
+// A request that failed or was late is logged in one line, with all its attempts and their connections. So is a request that
+// was rejected before admission. The rate of these lines is limited, so that logging does not use CPU time that is
 // scarce in an overload.
 
 const (
 	maxFailureLines = 20  // lines on failed requests per second, and in one burst
-	maxLateLines    = 2   // the same for requests that were served late
+	maxLateLines    = 2   // lines on requests that were served late per second, and in one burst
 	maxQuotedBytes  = 160 // maximum length of text from a peer in a log line
 )
 
@@ -92,7 +92,7 @@
 // connUse describes how the connection of an attempt was used before.
 type connUse struct {
 	nth  int           // number of the request on its connection, from 1; 0 if there was no connection
-	idle time.Duration // since the previous request
+	idle time.Duration // time since the previous request; 0 if there was none
 }
 
 // describeAttempts describes the attempts of a request in order, each with its upstream, result, time and connection.
@@ -136,13 +136,13 @@
 // uses it. Requests are counted by stats.
 type attemptCounts struct {
 	results   map[balancer.Result]int
-	upstreams map[string]*upstreamCounts // by name; only upstreams with an attempt that ended
+	upstreams map[string]*upstreamCounts // by name; holds only upstreams with an attempt that ended
 }
 
 // upstreamCounts counts the results of the attempts at one upstream.
 type upstreamCounts struct {
 	served, unserved int
-	totalTime        time.Duration // of the served attempts
+	totalTime        time.Duration // total duration of the served attempts
 }
 
 func newAttemptCounts() attemptCounts {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -13,7 +13,7 @@
 // clientRequest is a request of a client, parsed and checked.
 type clientRequest struct {
 	id, class, tenant string
-	classSettings     balancer.Class // its class, as it was when the request was parsed
+	classSettings     balancer.Class // settings of the class when the request was parsed
 	expiresAt         time.Duration  // clock time at which the client stops waiting
 	costHint          time.Duration  // expected work, 0 if unknown
 
@@ -39,8 +39,8 @@
 
 	headerNotProcessed = "X-Not-Processed"
 
-	writeTimeout           = 5 * time.Second       // for each write of an answer
-	disconnectPollInterval = 50 * time.Millisecond // between checks whether a client has disconnected while its connection is not read; 0.1 s are allowed
+	writeTimeout           = 5 * time.Second       // time-out of each write of an answer
+	disconnectPollInterval = 50 * time.Millisecond // time between checks whether a client has disconnected while its connection is not read; a disconnect must be noticed within 0.1 s
 )
 
 // hopByHopHeaders are the headers that are not forwarded (RFC 9110, section 7.6.1).
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -18,8 +18,8 @@
 
 const (
 	maxHeader           = 16 << 10
-	replacedIdleTimeout = 500 * time.Millisecond // for which a process that is being replaced retains idle connections, for its last requests
-	idleFraction        = 0.6                    // of the upstreams' idle time-out, after which an idle connection is closed
+	replacedIdleTimeout = 500 * time.Millisecond // how long a process that is being replaced retains idle connections for its last requests
+	idleFraction        = 0.6                    // fraction of the upstreams' idle time-out after which an idle connection is closed
 	minIdleBeforeReuse  = 10 * time.Millisecond  // an upstream may send a surplus second answer milliseconds after the first
 )
 
@@ -37,7 +37,7 @@
 	open         int             // number of open connections
 	opened       int             // number of connections opened since the last log line of counts
 	idle         []*upstreamConn // longest idle first
-	awaitingLate []*upstreamConn // with an outstanding answer for which no request waits; oldest first
+	awaitingLate []*upstreamConn // connections with an outstanding answer for which no request waits; oldest first
 }
 
 func newUpstreamPool(c *Config, clk clock, maxConns int) *upstreamPool {
@@ -51,7 +51,7 @@
 // connTimeouts are the time-outs of connections, from the settings.
 type connTimeouts struct {
 	connect time.Duration
-	idle    time.Duration // after which an idle connection is closed
+	idle    time.Duration // an idle connection is closed after this time
 	late    time.Duration // longest wait for a late answer, and for one write
 }
 
@@ -141,22 +141,22 @@
 	}
 	c, err := u.connect(ctx, name, address)
 	switch {
-	case errors.Is(err, errSaturated): // not a failure of the upstream
+	case errors.Is(err, errSaturated): // does not count as a failure of the upstream
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
 		return nil, attemptReply{result: balancer.Cancelled, err: err}
 	case err != nil:
 		return nil, attemptReply{result: balancer.ConnectFailed, err: err}
 	}
-	if err := u.checkBegin(ctx, c, r, startBefore); err != nil { // it was too late once c was open; another request can use c
+	if err := u.checkMayBegin(ctx, c, r, startBefore); err != nil { // the attempt may no longer begin now that c is open; another request can use c
 		u.release(c)
 		return nil, attemptReply{result: balancer.NotSent, err: err}
 	}
 	return c, failure
 }
 
-// checkBegin returns the reason why an attempt may not begin, or nil if it may.
-func (u *upstreamPool) checkBegin(ctx context.Context, c *upstreamConn, r *clientRequest, startBefore time.Duration) error {
+// checkMayBegin returns the reason why an attempt may not begin, or nil if it may.
+func (u *upstreamPool) checkMayBegin(ctx context.Context, c *upstreamConn, r *clientRequest, startBefore time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
 		return context.Cause(ctx)
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if froms := d.watches(); !slices.Equal(froms, []string{"1"}) {
-		t.Errorf("got watches from %v, want [1]", froms)
+		t.Errorf("got watches that start at revisions %v, want [1]", froms)
 	}
 }
 
@@ -106,7 +106,7 @@
 			}
 			eventually(t, "a second watch", func() bool { return len(d.watches()) == 2 })
 			if froms := d.watches(); froms[1] != "7" {
-				t.Errorf("got a second watch from %s, want 7", froms[1])
+				t.Errorf("got a second watch that starts at revision %s, want 7", froms[1])
 			}
 			if _, ok := dir.address("a"); !ok {
 				t.Error("got no address for a, want the one of the last good list")
@@ -124,7 +124,7 @@
 		<-done
 	})
 	dir, updates := startWatcher(t, d, entry("a", "127.0.0.2:1", "Ready"))
-	for range 2 { // for the answer and for the changes, none for the second empty line
+	for range 2 { // one update for the answer and one for the changes, none for the second empty line
 		if m := nextUpdate(t, updates); m.Kind != balancer.Delta || len(m.Endpoints) != 0 {
 			t.Errorf("got update %+v, want kind %d without endpoints", m, balancer.Delta)
 		}
@@ -137,8 +137,8 @@
 	}
 }
 
-// Guards against a list that is no longer updated after a watch has ended: a pushed list is watched again without a call of
-// subscribe, and the balancer gets no failure of a watch that it did not request.
+// Guards against a list that is no longer updated after its watch has ended. If discovery pushes the list (the balancer did
+// not subscribe), the watcher opens a new watch by itself, and reports no failed watch to the balancer.
 func TestPushedListIsWatchedAgain(t *testing.T) {
 	d := newDiscovery(t, func(n int, send func(string), done <-chan struct{}) {
 		send(list(6+n, false))
@@ -160,7 +160,7 @@
 		}
 	}
 	if froms := d.watches(); !slices.Equal(froms, []string{"1", "7"}) {
-		t.Errorf("got watches from %v, want [1 7]", froms)
+		t.Errorf("got watches that start at revisions %v, want [1 7]", froms)
 	}
 }
 
@@ -219,7 +219,7 @@
 				}
 			}
 			if from := second.watches(); from[0] != "5" {
-				t.Errorf("got the first watch at the new address from %s, want 5", from[0])
+				t.Errorf("got a first watch at the new address that starts at revision %s, want 5", from[0])
 			}
 			cancel()
 			<-done
