--- a/internal/lab/transcript/duties.go
+++ b/internal/lab/transcript/duties.go
@@ -20,77 +20,77 @@
 	Name    string // the candidate's
 	Way     time.Duration
 
-	mu  sync.Mutex
-	cut bool
+	mu          sync.Mutex
+	dropAnswers bool
 }
 
 // Cut has answers not arrive, or arrive again.
 func (l *DutyLine) Cut(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = on
+	l.dropAnswers = on
 }
 
 // AcquireLeadership implements lease.Service.
 func (l *DutyLine) AcquireLeadership(ctx context.Context, c api.LeadershipClaim) (g api.LeadershipGrant, err error) {
-	return l.ask(ctx, fmt.Sprintf("take %s for %d ms, fitness %g, above epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
+	return l.call(ctx, fmt.Sprintf("take %s for %d ms, fitness %g, above epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
 		return l.Service.AcquireLeadership(ctx, c)
 	})
 }
 
 // RenewLeadership implements lease.Service.
 func (l *DutyLine) RenewLeadership(ctx context.Context, c api.LeadershipClaim) (api.LeadershipGrant, error) {
-	return l.ask(ctx, fmt.Sprintf("renew %s for %d ms, fitness %g, epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
+	return l.call(ctx, fmt.Sprintf("renew %s for %d ms, fitness %g, epoch %d", c.Name, c.LeaseMs, c.Fitness, c.Epoch), func() (api.LeadershipGrant, error) {
 		return l.Service.RenewLeadership(ctx, c)
 	})
 }
 
 // ReleaseLeadership implements lease.Service.
 func (l *DutyLine) ReleaseLeadership(ctx context.Context, c api.LeadershipClaim) error {
-	_, err := l.ask(ctx, fmt.Sprintf("release %s, epoch %d", c.Name, c.Epoch), func() (api.LeadershipGrant, error) {
+	_, err := l.call(ctx, fmt.Sprintf("release %s, epoch %d", c.Name, c.Epoch), func() (api.LeadershipGrant, error) {
 		return api.LeadershipGrant{}, l.Service.ReleaseLeadership(ctx, c)
 	})
 	return err
 }
 
 const (
-	service = "service"
-	itself  = "itself"
+	partyService = "service"
+	partySelf    = "itself"
 )
 
-func (l *DutyLine) ask(ctx context.Context, words string, call func() (api.LeadershipGrant, error)) (g api.LeadershipGrant, err error) {
-	l.Record.Say(l.Name, service, "%s", words)
-	if !l.pass(ctx) {
+func (l *DutyLine) call(ctx context.Context, words string, call func() (api.LeadershipGrant, error)) (g api.LeadershipGrant, err error) {
+	l.Record.Say(l.Name, partyService, "%s", words)
+	if !l.delay(ctx) {
 		return g, ctx.Err()
 	}
 	if g, err = call(); err != nil {
-		l.Record.Say(service, l.Name, "fails: %v", err)
+		l.Record.Say(partyService, l.Name, "fails: %v", err)
 	} else {
-		l.Record.Say(service, l.Name, "%s", grantWords(g))
+		l.Record.Say(partyService, l.Name, "%s", formatGrant(g))
 	}
 	l.mu.Lock()
-	cut := l.cut
+	cut := l.dropAnswers
 	l.mu.Unlock()
 	if cut {
 		<-ctx.Done()
 	}
-	if !l.pass(ctx) {
+	if !l.delay(ctx) {
 		return api.LeadershipGrant{}, errors.Join(ctx.Err(), err)
 	}
 	return g, err
 }
 
-func (l *DutyLine) pass(ctx context.Context) bool {
+func (l *DutyLine) delay(ctx context.Context) bool {
 	select {
 	case <-time.After(l.Way):
 		return ctx.Err() == nil
 	case <-ctx.Done():
-		l.Record.Say(l.Name, itself, "waits no longer")
+		l.Record.Say(l.Name, partySelf, "waits no longer")
 		return false
 	}
 }
 
-func grantWords(g api.LeadershipGrant) string {
+func formatGrant(g api.LeadershipGrant) string {
 	if g.Holder == "" && g.Epoch == 0 {
 		return "done"
 	}
@@ -129,20 +129,20 @@
 	*lease.Runner
 	Line DutyLine
 
-	mu   sync.Mutex
-	hold chan struct{} // while it is there the process is stopped, once its candidate has something to decide
+	mu     sync.Mutex
+	resume chan struct{} // while it is there the process is stopped, once its candidate has something to decide
 }
 
-// candidateStart bounds the wait before a candidate's first call.
-const candidateStart = 8 * time.Millisecond
+// candidateStartDelay bounds the wait before a candidate's first call.
+const candidateStartDelay = 8 * time.Millisecond
 
 // NewCandidate prepares a candidate of that name for a duty; Line.Way is how long its calls take.
 func NewCandidate(record *Transcript, s lease.Service, way time.Duration, name, of string) *Candidate {
 	c := &Candidate{Line: DutyLine{Service: s, Record: record, Name: name, Way: way}}
 	chance, begun := rand.New(rand.NewPCG(uint64(name[0]), 1)), time.Now()
-	c.Runner = lease.NewRunner(&c.Line, lease.Config{Name: of, Holder: name, StartDelay: candidateStart, Random: func() float64 {
+	c.Runner = lease.NewRunner(&c.Line, lease.Config{Name: of, Holder: name, StartDelay: candidateStartDelay, Random: func() float64 {
 		c.mu.Lock()
-		hold := c.hold
+		hold := c.resume
 		c.mu.Unlock()
 		if hold != nil {
 			<-hold
@@ -152,12 +152,12 @@
 		switch a := a.(type) {
 		case lease.Acquired:
 			if left := a.ExpiresAt - time.Since(begun); left > 0 {
-				record.Say(name, itself, "may act under epoch %d for %d ms", a.Epoch, left.Milliseconds())
+				record.Say(name, partySelf, "may act under epoch %d for %d ms", a.Epoch, left.Milliseconds())
 			} else {
-				record.Say(name, itself, "epoch %d was over before it knew of it", a.Epoch)
+				record.Say(name, partySelf, "epoch %d was over before it knew of it", a.Epoch)
 			}
 		case lease.Expired:
-			record.Say(name, itself, "may not act any more under epoch %d: %s", a.Epoch, a.Reason)
+			record.Say(name, partySelf, "may not act any more under epoch %d: %s", a.Epoch, a.Reason)
 		}
 	})
 	return c
@@ -169,7 +169,7 @@
 	set := func(to chan struct{}) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.hold = to
+		c.resume = to
 	}
 	set(hold)
 	return func() {
--- a/internal/lab/transcript/party.go
+++ b/internal/lab/transcript/party.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	patience = time.Minute // of the bubble's clock, for what a script waits for
-	waiting  = 64          // calls that no script has taken yet; the next has to wait
+	waitTimeout   = time.Minute // of the bubble's clock, for what a script waits for
+	callsCapacity = 64          // calls that no script has taken yet; the next has to wait
 )
 
 // Line is a party's side of a connection.
@@ -46,7 +46,7 @@
 
 // Answer reads one answer whole and returns its status, within a minute.
 func (l *Line) Answer() (status int, err error) {
-	if err := l.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := l.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 		return 0, err
 	}
 	resp, err := http.ReadResponse(l.in, nil)
@@ -76,14 +76,14 @@
 type Calls chan Call
 
 // NewCalls is for one bubble.
-func NewCalls() Calls { return make(Calls, waiting) }
+func NewCalls() Calls { return make(Calls, callsCapacity) }
 
 // Next waits for a call, a minute at most.
 func (c Calls) Next() (Call, error) {
 	select {
 	case call := <-c:
 		return call, nil
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		return Call{}, errors.New("no call came")
 	}
 }
@@ -102,14 +102,14 @@
 			if err != nil {
 				return
 			}
-			go take(ctx, newLine(c), h.Name(), calls)
+			go readRequests(ctx, newLine(c), h.Name(), calls)
 		}
 	}()
 	return nil
 }
 
-// take reads requests until the line ends: with the network at the latest.
-func take(ctx context.Context, l *Line, name string, calls Calls) {
+// readRequests reads requests until the line ends: with the network at the latest.
+func readRequests(ctx context.Context, l *Line, name string, calls Calls) {
 	for {
 		req, err := http.ReadRequest(l.in)
 		if err != nil {
--- a/internal/lab/transcript/script.go
+++ b/internal/lab/transcript/script.go
@@ -13,15 +13,15 @@
 // its own order, and no times are told. So nothing varies as long as each step waits for all that it brings about. Safe for concurrent
 // use.
 type Script struct {
-	mu      sync.Mutex
-	pairs   [][2]string // conversations, in the order in which they are told
-	steps   []step
-	changed chan struct{} // closed with the next word
+	mu            sync.Mutex
+	conversations [][2]string // conversations, in the order in which they are told
+	steps         []step
+	changed       chan struct{} // closed with the next word
 }
 
 type step struct {
 	title string
-	said  map[int][]string // by conversation
+	lines map[int][]string // by conversation
 }
 
 // NewScript is a record without a step. What is said before the first is not recorded.
@@ -38,14 +38,14 @@
 func (s *Script) Between(a, b string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conversation(a, b)
+	s.conversationIndex(a, b)
 }
 
-func (s *Script) conversation(a, b string) int {
-	i := slices.IndexFunc(s.pairs, func(p [2]string) bool { return p == [2]string{a, b} || p == [2]string{b, a} })
+func (s *Script) conversationIndex(a, b string) int {
+	i := slices.IndexFunc(s.conversations, func(p [2]string) bool { return p == [2]string{a, b} || p == [2]string{b, a} })
 	if i < 0 {
-		i = len(s.pairs)
-		s.pairs = append(s.pairs, [2]string{a, b})
+		i = len(s.conversations)
+		s.conversations = append(s.conversations, [2]string{a, b})
 	}
 	return i
 }
@@ -62,21 +62,21 @@
 		who += " > " + to
 	}
 	now := &s.steps[len(s.steps)-1]
-	i := s.conversation(from, to)
+	i := s.conversationIndex(from, to)
 	text := strings.TrimRight(fmt.Sprintf(format, args...), "\n")
-	now.said[i] = append(now.said[i], who+": "+strings.ReplaceAll(text, "\n", "\n\t")+"\n")
+	now.lines[i] = append(now.lines[i], who+": "+strings.ReplaceAll(text, "\n", "\n\t")+"\n")
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Await waits, a minute at most, until a party has said something that holds part to another in this step.
 func (s *Script) Await(ctx context.Context, from, to, part string) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
 		s.mu.Lock()
 		changed, heard := s.changed, false
-		for _, text := range s.steps[len(s.steps)-1].said[s.conversation(from, to)] {
+		for _, text := range s.steps[len(s.steps)-1].lines[s.conversationIndex(from, to)] {
 			heard = heard || strings.HasPrefix(text, from+" > "+to+": ") && strings.Contains(text, part)
 		}
 		s.mu.Unlock()
@@ -93,7 +93,7 @@
 
 // Eventually waits, a minute at most, until something is so that is said nowhere.
 func Eventually(ctx context.Context, what string, so func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for !so() {
 		select {
@@ -115,8 +115,8 @@
 			text.WriteString("\n")
 		}
 		fmt.Fprintf(&text, "== %s\n", now.title)
-		for c := range s.pairs {
-			for _, words := range now.said[c] {
+		for c := range s.conversations {
+			for _, words := range now.lines[c] {
 				text.WriteString(words)
 			}
 		}
--- a/internal/lab/transcript/tap.go
+++ b/internal/lab/transcript/tap.go
@@ -25,15 +25,15 @@
 	address  string
 	serving  sync.WaitGroup
 
-	mu     sync.Mutex
-	target string
-	cut    bool
-	skip   func(call, body string) bool       // calls that are not written down either
-	left   int                                // calls that are still written down; below 0: all
-	news   bool                               // of the others: lines that are new
-	told   map[string]bool                    // lines of watches
-	lose   func(call string) (way, back bool) // what of a call is lost
-	open   map[context.Context]context.CancelFunc
+	mu        sync.Mutex
+	target    string
+	cut       bool
+	skip      func(call, body string) bool       // calls that are not written down either
+	remaining int                                // calls that are still written down; below 0: all
+	recordNew bool                               // of the others: lines that are new
+	seenLines map[string]bool                    // lines of watches
+	lose      func(call string) (way, back bool) // what of a call is lost
+	openCalls map[context.Context]context.CancelFunc
 }
 
 // NewTap listens for a party on a free port of ip, in front of the service at target. With an ip that no other process uses no call of
@@ -43,10 +43,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("tap: %w", err)
 	}
-	t := &Tap{record: record, from: from, to: to, target: target, address: l.Addr().String(), left: -1, told: map[string]bool{}, open: map[context.Context]context.CancelFunc{},
+	t := &Tap{record: record, from: from, to: to, target: target, address: l.Addr().String(), remaining: -1, seenLines: map[string]bool{}, openCalls: map[context.Context]context.CancelFunc{},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	record.Between(from, to)
-	t.server = &http.Server{Handler: t, ReadHeaderTimeout: patience}
+	t.server = &http.Server{Handler: t, ReadHeaderTimeout: waitTimeout}
 	t.serving.Go(func() { _ = t.server.Serve(l) }) // ends with Close alone
 	return t, nil
 }
@@ -69,7 +69,7 @@
 	defer t.mu.Unlock()
 	t.cut = on
 	if on {
-		for _, cancel := range t.open {
+		for _, cancel := range t.openCalls {
 			cancel()
 		}
 	}
@@ -80,21 +80,21 @@
 func (t *Tap) Only(calls int, news bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.left, t.news = calls, news
+	t.remaining, t.recordNew = calls, news
 }
 
 // Skip leaves calls out, such as those that come by chance or again and again; of watches among them news is written down, as by Only.
 func (t *Tap) Skip(skip func(call, body string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.skip, t.news = skip, true
+	t.skip, t.recordNew = skip, true
 }
 
-// tell writes down a line of a watch.
-func (t *Tap) tell(quiet bool, line string) {
+// recordWatchLine writes down a line of a watch.
+func (t *Tap) recordWatchLine(quiet bool, line string) {
 	t.mu.Lock()
-	skip := quiet && (!t.news || t.told[line])
-	t.told[line] = true
+	skip := quiet && (!t.recordNew || t.seenLines[line])
+	t.seenLines[line] = true
 	t.mu.Unlock()
 	if !skip {
 		t.record.Say(t.to, t.from, "%s", line)
@@ -110,10 +110,10 @@
 
 // call is one that is passed on.
 type call struct {
-	ctx       context.Context
-	end       func()
-	quiet     bool // it is not written down
-	way, back bool // it is lost there, or its answer
+	ctx                     context.Context
+	finish                  func()
+	unrecorded              bool // it is not written down
+	requestLost, answerLost bool // it is lost there, or its answer
 }
 
 // begin counts a call in; false: it meets a cut.
@@ -124,24 +124,24 @@
 		return c, false
 	}
 	own, cancel := context.WithCancel(r.Context())
-	t.open[own] = cancel
+	t.openCalls[own] = cancel
 	t.serving.Add(1) // never once it is closed: that is a cut
-	c = call{ctx: own, quiet: t.left == 0, end: func() {
+	c = call{ctx: own, unrecorded: t.remaining == 0, finish: func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.open, own)
+		delete(t.openCalls, own)
 		cancel()
 		t.serving.Done()
 	}}
-	if t.left > 0 {
-		t.left--
+	if t.remaining > 0 {
+		t.remaining--
 	}
 	what := r.Method + " " + r.URL.Path
 	if t.skip != nil && t.skip(what, body) {
-		c.quiet = true
+		c.unrecorded = true
 	}
 	if t.lose != nil {
-		c.way, c.back = t.lose(what)
+		c.requestLost, c.answerLost = t.lose(what)
 	}
 	return c, true
 }
@@ -156,21 +156,21 @@
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
-	defer c.end()
-	if t.pass(rw, r, c, body) != nil {
+	defer c.finish()
+	if t.forward(rw, r, c, body) != nil {
 		panic(http.ErrAbortHandler) // breaks the connection
 	}
 }
 
 var errLost = errors.New("lost")
 
-func (t *Tap) pass(rw http.ResponseWriter, r *http.Request, c call, body []byte) error {
+func (t *Tap) forward(rw http.ResponseWriter, r *http.Request, c call, body []byte) error {
 	say := t.record.Say
-	if c.quiet {
+	if c.unrecorded {
 		say = func(string, string, string, ...any) {}
 	}
 	say(t.from, t.to, "%s", strings.TrimSpace(r.Method+" "+r.URL.RequestURI()+" "+string(body)))
-	if c.way {
+	if c.requestLost {
 		say(t.to, t.from, "(the call is lost)")
 		return errLost
 	}
@@ -183,14 +183,14 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if r.FormValue("watch") != "" && resp.StatusCode == http.StatusOK && !c.back {
-		return t.lines(rw, resp.Body, c.quiet)
+	if r.FormValue("watch") != "" && resp.StatusCode == http.StatusOK && !c.answerLost {
+		return t.forwardWatch(rw, resp.Body, c.unrecorded)
 	}
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err
 	}
-	if c.back {
+	if c.answerLost {
 		say(t.to, t.from, "(lost) %d %s", resp.StatusCode, text)
 		return errLost
 	}
@@ -200,8 +200,8 @@
 	return err
 }
 
-// lines passes a watch on, line by line as they come.
-func (t *Tap) lines(rw http.ResponseWriter, body io.Reader, quiet bool) error {
+// forwardWatch passes a watch on, line by line as they come.
+func (t *Tap) forwardWatch(rw http.ResponseWriter, body io.Reader, quiet bool) error {
 	out := http.NewResponseController(rw)
 	rw.WriteHeader(http.StatusOK)
 	in := bufio.NewReader(body)
@@ -214,11 +214,11 @@
 		}
 		switch text := strings.TrimSpace(line); {
 		case text != "":
-			t.tell(quiet, text)
+			t.recordWatchLine(quiet, text)
 		case first && !quiet:
 			t.record.Say(t.to, t.from, "(an empty line)")
 		}
-		_ = out.SetWriteDeadline(time.Now().Add(patience))
+		_ = out.SetWriteDeadline(time.Now().Add(waitTimeout))
 		if _, err := io.WriteString(rw, line); err != nil {
 			return err
 		}
--- a/internal/lab/transcript/tap_test.go
+++ b/internal/lab/transcript/tap_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// answers is a service that answers calls with what they say, and tells each watch a line, an empty one where it is asked from 9, and then
+// startService is a service that answers calls with what they say, and tells each watch a line, an empty one where it is asked from 9, and then
 // whatever comes for the version that it is asked from.
-func answers(t *testing.T, more map[string]chan string) string {
+func startService(t *testing.T, more map[string]chan string) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.FormValue("watch") == "" {
@@ -47,7 +47,7 @@
 	more := map[string]chan string{"1": make(chan string), "2": make(chan string), "9": make(chan string)}
 	record := NewScript()
 	record.Between("b", "c")
-	tap, err := NewTap(record, "a", "b", "127.0.0.1", answers(t, more))
+	tap, err := NewTap(record, "a", "b", "127.0.0.1", startService(t, more))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/transcript/transcript.go
+++ b/internal/lab/transcript/transcript.go
@@ -18,44 +18,44 @@
 // Transcript is a record of a network's events. Nothing in it is masked: in a bubble with fixed addresses and seeds nothing
 // varies, dates and ports included. The zero Transcript records nothing yet.
 type Transcript struct {
-	mu     sync.Mutex
-	begun  time.Time
-	on     bool
-	events []memnet.Event
+	mu        sync.Mutex
+	start     time.Time
+	recording bool
+	events    []memnet.Event
 }
 
 // Begin begins the record, anew where there was one, at the present time of its bubble.
 func (t *Transcript) Begin() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.begun, t.on, t.events = time.Now(), true, nil
+	t.start, t.recording, t.events = time.Now(), true, nil
 }
 
 // Take records an event; it is what memnet.New wants.
 func (t *Transcript) Take(e memnet.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.on {
+	if t.recording {
 		t.events = append(t.events, e)
 	}
 }
 
-// said is the kind of an event that is words, and not on a connection.
-const said memnet.Kind = -1
+// kindText is the kind of an event that is words, and not on a connection.
+const kindText memnet.Kind = -1
 
 // Say records words of a party that speaks over no network, or to itself.
 func (t *Transcript) Say(from, to, format string, args ...any) {
-	t.Take(memnet.Event{At: time.Now(), From: from, To: to, Kind: said, Bytes: fmt.Appendf(nil, format, args...)})
+	t.Take(memnet.Event{At: time.Now(), From: from, To: to, Kind: kindText, Bytes: fmt.Appendf(nil, format, args...)})
 }
 
 // Stop ends the record.
 func (t *Transcript) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.on = false
+	t.recording = false
 }
 
-var words = map[memnet.Kind]string{memnet.Dials: "connects", memnet.Refuses: "refuses", memnet.Sends: "sends", memnet.Leaves: "gives up connecting",
+var verbs = map[memnet.Kind]string{memnet.Dials: "connects", memnet.Refuses: "refuses", memnet.Sends: "sends", memnet.Leaves: "gives up connecting",
 	memnet.Ends: "ends its sending", memnet.Closes: "closes", memnet.Resets: "resets"}
 
 // Text words the record: for each message the time in ms since the beginning, who sent it to whom, and its bytes as in a
@@ -72,11 +72,11 @@
 	numbers, pairs := map[int]int{}, map[[2]string]int{}
 	for i := 0; i < len(events); i++ {
 		e := events[i]
-		if e.Kind == said {
+		if e.Kind == kindText {
 			fmt.Fprintf(&text, "%s %s > %s: %s\n", t.ms(e), e.From, e.To, e.Bytes)
 			continue
 		}
-		for i+1 < len(events) && goesOn(e, events[i+1]) { // a message that was written in pieces
+		for i+1 < len(events) && continues(e, events[i+1]) { // a message that was written in pieces
 			i++
 			e.Bytes = slices.Concat(e.Bytes, events[i].Bytes)
 		}
@@ -88,7 +88,7 @@
 		if n := numbers[e.Conn]; n > 1 {
 			number = fmt.Sprintf(" (%d)", n)
 		}
-		fmt.Fprintf(&text, "%s %s > %s%s %s\n", t.ms(e), e.From, e.To, number, words[e.Kind])
+		fmt.Fprintf(&text, "%s %s > %s%s %s\n", t.ms(e), e.From, e.To, number, verbs[e.Kind])
 		for line := range bytes.Lines(e.Bytes) {
 			quoted := strconv.Quote(string(line))
 			fmt.Fprintf(&text, "\t%s\n", strings.ReplaceAll(quoted[1:len(quoted)-1], `\"`, `"`))
@@ -98,10 +98,10 @@
 }
 
 func (t *Transcript) ms(e memnet.Event) string {
-	return strconv.FormatFloat(float64(e.At.Sub(t.begun).Microseconds())/1000, 'f', -1, 64)
+	return strconv.FormatFloat(float64(e.At.Sub(t.start).Microseconds())/1000, 'f', -1, 64)
 }
 
-// goesOn tells whether b goes on with the message a.
-func goesOn(a, b memnet.Event) bool {
+// continues tells whether b goes on with the message a.
+func continues(a, b memnet.Event) bool {
 	return a.Kind == memnet.Sends && b.Kind == memnet.Sends && a.At.Equal(b.At) && a.Conn == b.Conn && a.From == b.From
 }
