--- a/internal/lab/transcript/approve/approve.go
+++ b/internal/lab/transcript/approve/approve.go
@@ -1,5 +1,5 @@
-// Package approve holds transcripts against those that a person has approved, in a test's testdata/transcripts; -update approves
-// what there is now.
+// Package approve compares transcripts with those that a person has approved, in a test's testdata/transcripts. The flag -update
+// approves the present ones.
 package approve
 
 import (
@@ -9,12 +9,12 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// Text is the transcript of that name; shows is the line, or a part of one, that it is about: one that lacks it is approved by
-// nobody.
+// Text compares text with the approved transcript of that name. shows is the line, or the part of a line, that the transcript has
+// to contain: a transcript without it fails and can't be approved.
 func Text(t *testing.T, name, shows, text string) {
 	t.Helper()
 	if !strings.Contains(text, shows) {
-		t.Errorf("lacks %q:\n%s", shows, text)
+		t.Errorf("transcript %s: got a text without %q, want it contained:\n%s", name, shows, text)
 		return
 	}
 	goldie.New(t, goldie.WithFixtureDir("testdata/transcripts"), goldie.WithNameSuffix(".txt"), goldie.WithDiffEngine(goldie.Simple)).Assert(t, name, []byte(text))
--- a/internal/lab/transcript/duties.go
+++ b/internal/lab/transcript/duties.go
@@ -12,23 +12,23 @@
 	"mosslead/internal/registry/api"
 )
 
-// DutyLine is a duty.Service as one candidate reaches it: each way takes its time, and what is said is written down in words.
-// Safe for concurrent use.
+// DutyLine is the connection of one candidate to a lease.Service. It delays each call and each answer, and records both in words.
+// It is safe for concurrent use.
 type DutyLine struct {
 	Service lease.Service
 	Record  *Transcript
-	Name    string // the candidate's
-	Way     time.Duration
+	Name    string        // of the candidate
+	Way     time.Duration // delay of a call, and again of its answer
 
 	mu          sync.Mutex
 	dropAnswers bool
 }
 
-// Cut has answers not arrive, or arrive again.
-func (l *DutyLine) Cut(on bool) {
+// Cut makes the line drop all answers, or deliver them again.
+func (l *DutyLine) Cut(drop bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dropAnswers = on
+	l.dropAnswers = drop
 }
 
 // AcquireLeadership implements lease.Service.
@@ -58,20 +58,21 @@
 	partySelf    = "itself"
 )
 
-func (l *DutyLine) call(ctx context.Context, words string, call func() (api.LeadershipGrant, error)) (g api.LeadershipGrant, err error) {
+// call records a call in words, carries it out and records its answer. It waits until ctx ends if answers are dropped.
+func (l *DutyLine) call(ctx context.Context, words string, do func() (api.LeadershipGrant, error)) (g api.LeadershipGrant, err error) {
 	l.Record.Say(l.Name, partyService, "%s", words)
 	if !l.delay(ctx) {
 		return g, ctx.Err()
 	}
-	if g, err = call(); err != nil {
+	if g, err = do(); err != nil {
 		l.Record.Say(partyService, l.Name, "fails: %v", err)
 	} else {
 		l.Record.Say(partyService, l.Name, "%s", formatGrant(g))
 	}
 	l.mu.Lock()
-	cut := l.dropAnswers
+	drop := l.dropAnswers
 	l.mu.Unlock()
-	if cut {
+	if drop {
 		<-ctx.Done()
 	}
 	if !l.delay(ctx) {
@@ -80,6 +81,7 @@
 	return g, err
 }
 
+// delay waits for one way of the line, and reports whether ctx still holds.
 func (l *DutyLine) delay(ctx context.Context) bool {
 	select {
 	case <-time.After(l.Way):
@@ -90,6 +92,7 @@
 	}
 }
 
+// formatGrant returns an answer of the service in words.
 func formatGrant(g api.LeadershipGrant) string {
 	if g.Holder == "" && g.Epoch == 0 {
 		return "done"
@@ -107,52 +110,53 @@
 	return words
 }
 
-// DutyTarget is one that is acted upon, and writes down which acts it takes.
+// DutyTarget is a target of acts under a duty. It records each act, and whether its fence accepted the act.
 type DutyTarget struct {
 	Record *Transcript
 	fence  lease.Fence
 }
 
-// Act is an act that arrives.
-func (t *DutyTarget) Act(by, name string, epoch uint64) (taken bool) {
+// Act handles an act of a candidate under a duty, and reports whether the fence accepted it.
+func (t *DutyTarget) Act(by, name string, epoch uint64) (ok bool) {
 	t.Record.Say(by, "target", "act of %s, epoch %d", name, epoch)
-	if taken = t.fence.Admit(name, epoch); taken {
+	if ok = t.fence.Admit(name, epoch); ok {
 		t.Record.Say("target", by, "taken")
 	} else {
 		t.Record.Say("target", by, "refused: a higher epoch was seen")
 	}
-	return taken
+	return ok
 }
 
-// Candidate is one process's part in a duty as a script plays it: with chances of its own seed, and writing down when it may act.
+// Candidate is a candidate for a duty as one process runs it in a script. Its random numbers have a seed of their own, and it records when
+// it may act.
 type Candidate struct {
 	*lease.Runner
 	Line DutyLine
 
 	mu     sync.Mutex
-	resume chan struct{} // while it is there the process is stopped, once its candidate has something to decide
+	resume chan struct{} // if not nil, the process stops at its next decision until this is closed
 }
 
-// candidateStartDelay bounds the wait before a candidate's first call.
+// candidateStartDelay is the upper bound of the wait before a candidate's first call.
 const candidateStartDelay = 8 * time.Millisecond
 
-// NewCandidate prepares a candidate of that name for a duty; Line.Way is how long its calls take.
-func NewCandidate(record *Transcript, s lease.Service, way time.Duration, name, of string) *Candidate {
+// NewCandidate returns a candidate of that name for a duty. Its calls, and their answers, take the time way each.
+func NewCandidate(record *Transcript, s lease.Service, way time.Duration, name, duty string) *Candidate {
 	c := &Candidate{Line: DutyLine{Service: s, Record: record, Name: name, Way: way}}
-	chance, begun := rand.New(rand.NewPCG(uint64(name[0]), 1)), time.Now()
-	c.Runner = lease.NewRunner(&c.Line, lease.Config{Name: of, Holder: name, StartDelay: candidateStartDelay, Random: func() float64 {
+	rng, start := rand.New(rand.NewPCG(uint64(name[0]), 1)), time.Now()
+	c.Runner = lease.NewRunner(&c.Line, lease.Config{Name: duty, Holder: name, StartDelay: candidateStartDelay, Random: func() float64 {
 		c.mu.Lock()
-		hold := c.resume
+		resume := c.resume
 		c.mu.Unlock()
-		if hold != nil {
-			<-hold
+		if resume != nil {
+			<-resume
 		}
-		return float64(chance.IntN(1000)) / 1000
+		return float64(rng.IntN(1000)) / 1000
 	}}, func(a lease.Action) {
 		switch a := a.(type) {
 		case lease.Acquired:
-			if left := a.ExpiresAt - time.Since(begun); left > 0 {
-				record.Say(name, partySelf, "may act under epoch %d for %d ms", a.Epoch, left.Milliseconds())
+			if remaining := a.ExpiresAt - time.Since(start); remaining > 0 {
+				record.Say(name, partySelf, "may act under epoch %d for %d ms", a.Epoch, remaining.Milliseconds())
 			} else {
 				record.Say(name, partySelf, "epoch %d was over before it knew of it", a.Epoch)
 			}
@@ -163,17 +167,17 @@
 	return c
 }
 
-// Stop stops its process, as SIGSTOP, from its next decision on; what it returns lets it go.
+// Stop stops the process from its next decision on, as SIGSTOP does. The function that it returns continues the process.
 func (c *Candidate) Stop() (cont func()) {
-	hold := make(chan struct{})
-	set := func(to chan struct{}) {
+	resume := make(chan struct{})
+	set := func(ch chan struct{}) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.resume = to
+		c.resume = ch
 	}
-	set(hold)
+	set(resume)
 	return func() {
 		set(nil)
-		close(hold)
+		close(resume)
 	}
 }
--- a/internal/lab/transcript/party.go
+++ b/internal/lab/transcript/party.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	waitTimeout   = time.Minute // of the bubble's clock, for what a script waits for
-	callsCapacity = 64          // calls that no script has taken yet; the next has to wait
+	waitTimeout   = time.Minute // limit of each wait of a script, on the clock of the synctest bubble
+	callsCapacity = 64          // calls that no script has taken yet; a further one waits
 )
 
-// Line is a party's side of a connection.
+// Line is one party's end of a connection.
 type Line struct {
 	net.Conn
 	in *bufio.Reader
@@ -26,7 +26,7 @@
 
 func newLine(c net.Conn) *Line { return &Line{c, bufio.NewReader(c)} }
 
-// Connect opens a connection from a host, as a client does.
+// Connect opens a connection from a host to address, as a client does.
 func Connect(ctx context.Context, from *memnet.Host, address string) (*Line, error) {
 	c, err := from.Dial(ctx, "tcp", address)
 	if err != nil {
@@ -35,16 +35,16 @@
 	return newLine(c), nil
 }
 
-// Say sends text as it is.
+// Say sends text unchanged.
 func (l *Line) Say(text string) error {
 	_, err := io.WriteString(l, text)
 	return err
 }
 
-// Chunk sends text as one chunk of a body.
+// Chunk sends text as one chunk of a chunked body.
 func (l *Line) Chunk(text string) error { return l.Say(fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) }
 
-// Answer reads one answer whole and returns its status, within a minute.
+// Answer reads one whole answer and returns its status. It fails after a minute.
 func (l *Line) Answer() (status int, err error) {
 	if err := l.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 		return 0, err
@@ -58,27 +58,27 @@
 	return resp.StatusCode, err
 }
 
-// Reset breaks the connection.
+// Reset resets the connection, if it can be reset.
 func (l *Line) Reset() {
 	if c, ok := l.Conn.(interface{ Reset() }); ok {
 		c.Reset()
 	}
 }
 
-// Call is a request as a server got it, whole, and the line to answer it on.
+// Call is a request that a server received whole, and the connection on which to answer it.
 type Call struct {
 	*Line
-	By      string // whose server it is
+	By      string // name of the host of the server
 	Request *http.Request
 }
 
-// Calls are what servers got, in order.
+// Calls holds the calls that servers received, in order.
 type Calls chan Call
 
-// NewCalls is for one bubble.
+// NewCalls returns an empty queue of calls, for use within one synctest bubble.
 func NewCalls() Calls { return make(Calls, callsCapacity) }
 
-// Next waits for a call, a minute at most.
+// Next returns the next call. It waits for it a minute at most.
 func (c Calls) Next() (Call, error) {
 	select {
 	case call := <-c:
@@ -88,8 +88,8 @@
 	}
 }
 
-// Serve puts every request that comes to a host's port into calls, until ctx ends or the host is killed; who takes them
-// answers.
+// Serve puts every request that reaches a host's port into calls, until ctx ends or the host is killed. Whoever takes a call from
+// there has to answer it.
 func Serve(ctx context.Context, h *memnet.Host, port int, calls Calls) error {
 	l, err := h.Listen(port)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readRequests reads requests until the line ends: with the network at the latest.
+// readRequests puts the requests of a connection into calls until the connection ends, which it does with the network at the latest.
 func readRequests(ctx context.Context, l *Line, name string, calls Calls) {
 	for {
 		req, err := http.ReadRequest(l.in)
--- a/internal/lab/transcript/script.go
+++ b/internal/lab/transcript/script.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Script is a record in steps, for parties on real connections: what is said within a step is told conversation by conversation, each in
-// its own order, and no times are told. So nothing varies as long as each step waits for all that it brings about. Safe for concurrent
-// use.
+// Script is a record in steps, for parties on real connections. Its text lists the messages of a step conversation by conversation, each
+// in its own order, and without times. So the text does not vary as long as each step waits for everything that it causes. Script is
+// safe for concurrent use.
 type Script struct {
 	mu            sync.Mutex
-	conversations [][2]string // conversations, in the order in which they are told
+	conversations [][2]string // the two parties of each, in the order of the text
 	steps         []step
-	changed       chan struct{} // closed with the next word
+	changed       chan struct{} // closed when the next message is recorded
 }
 
 type step struct {
 	title string
-	lines map[int][]string // by conversation
+	lines map[int][]string // by index of the conversation
 }
 
-// NewScript is a record without a step. What is said before the first is not recorded.
+// NewScript returns a record without a step. Messages before the first step are not recorded.
 func NewScript() *Script { return &Script{changed: make(chan struct{})} }
 
 // Step begins the next step.
@@ -34,13 +34,14 @@
 	s.steps = append(s.steps, step{fmt.Sprintf(format, args...), map[int][]string{}})
 }
 
-// Between has a conversation told after those that are known so far.
+// Between adds a conversation after those that are known so far, which sets its place in the text.
 func (s *Script) Between(a, b string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conversationIndex(a, b)
 }
 
+// conversationIndex returns the index of the conversation of two parties, and adds it if there is none.
 func (s *Script) conversationIndex(a, b string) int {
 	i := slices.IndexFunc(s.conversations, func(p [2]string) bool { return p == [2]string{a, b} || p == [2]string{b, a} })
 	if i < 0 {
@@ -50,37 +51,37 @@
 	return i
 }
 
-// Say records words of a party to another, or to itself. They may have several lines.
+// Say records a message of a party to another, or to itself. It may have several lines.
 func (s *Script) Say(from, to, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.steps) == 0 {
 		return
 	}
-	who := from
+	prefix := from
 	if to != from {
-		who += " > " + to
+		prefix += " > " + to
 	}
-	now := &s.steps[len(s.steps)-1]
+	current := &s.steps[len(s.steps)-1]
 	i := s.conversationIndex(from, to)
 	text := strings.TrimRight(fmt.Sprintf(format, args...), "\n")
-	now.lines[i] = append(now.lines[i], who+": "+strings.ReplaceAll(text, "\n", "\n\t")+"\n")
+	current.lines[i] = append(current.lines[i], prefix+": "+strings.ReplaceAll(text, "\n", "\n\t")+"\n")
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Await waits, a minute at most, until a party has said something that holds part to another in this step.
+// Await waits, a minute at most, until a message from one party to another in the current step contains part.
 func (s *Script) Await(ctx context.Context, from, to, part string) error {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
 		s.mu.Lock()
-		changed, heard := s.changed, false
+		changed, found := s.changed, false
 		for _, text := range s.steps[len(s.steps)-1].lines[s.conversationIndex(from, to)] {
-			heard = heard || strings.HasPrefix(text, from+" > "+to+": ") && strings.Contains(text, part)
+			found = found || strings.HasPrefix(text, from+" > "+to+": ") && strings.Contains(text, part)
 		}
 		s.mu.Unlock()
-		if heard {
+		if found {
 			return nil
 		}
 		select {
@@ -91,11 +92,12 @@
 	}
 }
 
-// Eventually waits, a minute at most, until something is so that is said nowhere.
-func Eventually(ctx context.Context, what string, so func() bool) error {
+// Eventually waits, a minute at most, until condition returns true. It is for states that no message shows; what names the state in the
+// error.
+func Eventually(ctx context.Context, what string, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	for !so() {
+	for !condition() {
 		select {
 		case <-time.After(5 * time.Millisecond):
 		case <-ctx.Done():
@@ -105,19 +107,19 @@
 	return nil
 }
 
-// Text words the record.
+// Text returns the record as text.
 func (s *Script) Text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var text strings.Builder
-	for i, now := range s.steps {
+	for i, st := range s.steps {
 		if i > 0 {
 			text.WriteString("\n")
 		}
-		fmt.Fprintf(&text, "== %s\n", now.title)
+		fmt.Fprintf(&text, "== %s\n", st.title)
 		for c := range s.conversations {
-			for _, words := range now.lines[c] {
-				text.WriteString(words)
+			for _, line := range st.lines[c] {
+				text.WriteString(line)
 			}
 		}
 	}
--- a/internal/lab/transcript/tap.go
+++ b/internal/lab/transcript/tap.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// Tap stands between a party and a service that answers HTTP on loopback, passes on what they say, and writes it down: of a call its
-// line and body, of an answer its status and each line of its body. Headers, which tell of times and ports, are left out, and so are the
-// empty lines of a watch but for the first: how many there are depends on how long it took.
+// Tap is a recording proxy between a party and a service that answers HTTP on loopback. It records the request line and body of each call,
+// and the status and each line of the body of each answer. Headers are left out, since they contain times and ports, and so are the empty
+// lines of a watch except for the first: their number depends on how long the watch took.
 type Tap struct {
 	record   *Script
 	from, to string
@@ -28,16 +28,16 @@
 	mu        sync.Mutex
 	target    string
 	cut       bool
-	skip      func(call, body string) bool       // calls that are not written down either
-	remaining int                                // calls that are still written down; below 0: all
-	recordNew bool                               // of the others: lines that are new
-	seenLines map[string]bool                    // lines of watches
-	lose      func(call string) (way, back bool) // what of a call is lost
+	skip      func(call, body string) bool             // reports whether a call is left out of the record
+	remaining int                                      // number of calls still to be recorded; below 0, all are
+	recordNew bool                                     // of watches that are left out, lines that are new are recorded
+	seenLines map[string]bool                          // lines that watches have delivered
+	lose      func(call string) (request, answer bool) // reports whether a call, or its answer, is lost
 	openCalls map[context.Context]context.CancelFunc
 }
 
-// NewTap listens for a party on a free port of ip, in front of the service at target. With an ip that no other process uses no call of
-// another's strays into the record: ports that were free a moment ago are tried by many tests.
+// NewTap listens for a party on a free port of ip, in front of the service at target. The ip should be one that no other process uses, as
+// many tests try ports that were free a moment ago: with a shared ip, a call of another test can get into the record.
 func NewTap(record *Script, from, to, ip, target string) (*Tap, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -47,14 +47,14 @@
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	record.Between(from, to)
 	t.server = &http.Server{Handler: t, ReadHeaderTimeout: waitTimeout}
-	t.serving.Go(func() { _ = t.server.Serve(l) }) // ends with Close alone
+	t.serving.Go(func() { _ = t.server.Serve(l) }) // ends only by Close
 	return t, nil
 }
 
-// Address is where the party is to ask.
+// Address returns the address that the party calls in place of the service's.
 func (t *Tap) Address() string { return t.address }
 
-// Close ends all connections, and returns once nothing is passed on any more.
+// Close ends all connections, and returns once nothing is forwarded any more.
 func (t *Tap) Close() {
 	t.Cut(true)
 	_ = t.server.Close()
@@ -62,35 +62,37 @@
 	t.client.CloseIdleConnections()
 }
 
-// Cut breaks what is open and has nothing pass, or lets it pass again. Calls that meet the cut are not written down, since how many there
-// are is up to chance.
-func (t *Tap) Cut(on bool) {
+// Cut breaks open calls and refuses new ones, or accepts them again. Calls that are refused are not recorded, since their number is
+// random.
+func (t *Tap) Cut(cut bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.cut = on
-	if on {
+	t.cut = cut
+	if cut {
 		for _, cancel := range t.openCalls {
 			cancel()
 		}
 	}
 }
 
-// Only writes down so many calls from now on, with what they are answered. Those after them, such as watches that are opened again for
-// want of a line in time, pass unrecorded; but with news what a watch among them is told is written down, unless one was told it before.
-func (t *Tap) Only(calls int, news bool) {
+// Only records the given number of calls from now on, with their answers. Later calls are forwarded without a record, such as watches that
+// are opened again because no line came in time. If recordNew is set, lines of these watches are recorded unless a watch has delivered
+// the same line before.
+func (t *Tap) Only(calls int, recordNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.remaining, t.recordNew = calls, news
+	t.remaining, t.recordNew = calls, recordNew
 }
 
-// Skip leaves calls out, such as those that come by chance or again and again; of watches among them news is written down, as by Only.
+// Skip leaves those calls out of the record for which skip returns true, such as random or repeated ones. New lines of watches among them
+// are recorded, as Only does with recordNew.
 func (t *Tap) Skip(skip func(call, body string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.skip, t.recordNew = skip, true
 }
 
-// recordWatchLine writes down a line of a watch.
+// recordWatchLine records a line of a watch, unless the watch is left out and the line is not to be recorded as new.
 func (t *Tap) recordWatchLine(quiet bool, line string) {
 	t.mu.Lock()
 	skip := quiet && (!t.recordNew || t.seenLines[line])
@@ -101,52 +103,52 @@
 	}
 }
 
-// Lose decides of each call, as "PUT /v1/settings/orders", whether it is lost on its way, or what it is answered is on the way back.
-func (t *Tap) Lose(lose func(call string) (way, back bool)) {
+// Lose sets the function that decides for each call, such as "PUT /v1/settings/orders", whether the call or its answer is lost.
+func (t *Tap) Lose(lose func(call string) (request, answer bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lose = lose
 }
 
-// call is one that is passed on.
+// call is a call that is forwarded.
 type call struct {
 	ctx                     context.Context
 	finish                  func()
-	unrecorded              bool // it is not written down
-	requestLost, answerLost bool // it is lost there, or its answer
+	unrecorded              bool // it is left out of the record
+	requestLost, answerLost bool // the call is lost on its way, or its answer is
 }
 
-// begin counts a call in; false: it meets a cut.
+// begin registers a call. ok is false if calls are cut off.
 func (t *Tap) begin(r *http.Request, body string) (c call, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.cut {
 		return c, false
 	}
-	own, cancel := context.WithCancel(r.Context())
-	t.openCalls[own] = cancel
-	t.serving.Add(1) // never once it is closed: that is a cut
-	c = call{ctx: own, unrecorded: t.remaining == 0, finish: func() {
+	ctx, cancel := context.WithCancel(r.Context())
+	t.openCalls[ctx] = cancel
+	t.serving.Add(1) // not after Close, which cuts calls off first
+	c = call{ctx: ctx, unrecorded: t.remaining == 0, finish: func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.openCalls, own)
+		delete(t.openCalls, ctx)
 		cancel()
 		t.serving.Done()
 	}}
 	if t.remaining > 0 {
 		t.remaining--
 	}
-	what := r.Method + " " + r.URL.Path
-	if t.skip != nil && t.skip(what, body) {
+	name := r.Method + " " + r.URL.Path
+	if t.skip != nil && t.skip(name, body) {
 		c.unrecorded = true
 	}
 	if t.lose != nil {
-		c.requestLost, c.answerLost = t.lose(what)
+		c.requestLost, c.answerLost = t.lose(name)
 	}
 	return c, true
 }
 
-// ServeHTTP passes one call on.
+// ServeHTTP forwards one call.
 func (t *Tap) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -164,6 +166,7 @@
 
 var errLost = errors.New("lost")
 
+// forward sends a call to the service and its answer back, and records both. An error means that the party's connection has to be broken.
 func (t *Tap) forward(rw http.ResponseWriter, r *http.Request, c call, body []byte) error {
 	say := t.record.Say
 	if c.unrecorded {
@@ -200,7 +203,7 @@
 	return err
 }
 
-// forwardWatch passes a watch on, line by line as they come.
+// forwardWatch forwards the lines of a watch as they arrive.
 func (t *Tap) forwardWatch(rw http.ResponseWriter, body io.Reader, quiet bool) error {
 	out := http.NewResponseController(rw)
 	rw.WriteHeader(http.StatusOK)
--- a/internal/lab/transcript/tap_test.go
+++ b/internal/lab/transcript/tap_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// startService is a service that answers calls with what they say, and tells each watch a line, an empty one where it is asked from 9, and then
-// whatever comes for the version that it is asked from.
-func startService(t *testing.T, more map[string]chan string) string {
+// startService starts a service and returns its address. It answers each call with the call's body. It sends each watch one line, which
+// is empty for a watch from version 9, and then the lines from the channel for the watch's version.
+func startService(t *testing.T, lines map[string]chan string) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.FormValue("watch") == "" {
@@ -30,7 +30,7 @@
 			_ = http.NewResponseController(rw).Flush()
 			var open bool
 			select {
-			case line, open = <-more[r.FormValue("from")]:
+			case line, open = <-lines[r.FormValue("from")]:
 			case <-r.Context().Done():
 			}
 			if !open {
@@ -42,7 +42,7 @@
 	return s.Listener.Addr().String()
 }
 
-// Guards against a record that leaves something out, or tells what did not happen, and against a tap that holds on to a connection.
+// Guards against a record that lacks a message or contains one that was not sent, and against a tap that keeps a connection open.
 func TestATapWritesDownWhatPasses(t *testing.T) {
 	more := map[string]chan string{"1": make(chan string), "2": make(chan string), "9": make(chan string)}
 	record := NewScript()
@@ -57,7 +57,7 @@
 			tap.Close()
 		}
 	}()
-	asks := func(want bool, method, path, body string) {
+	ask := func(want bool, method, path, body string) {
 		t.Helper()
 		req, err := http.NewRequestWithContext(t.Context(), method, "http://"+tap.Address()+path, strings.NewReader(body))
 		if err != nil {
@@ -67,14 +67,14 @@
 		if err == nil {
 			defer func() { _ = resp.Body.Close() }()
 			if text, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusTeapot || string(text) != "said "+body+"\n" {
-				t.Errorf("%s: %d %s", path, resp.StatusCode, text)
+				t.Errorf("%s: got status %d and body %q, want %d and %q", path, resp.StatusCode, text, http.StatusTeapot, "said "+body+"\n")
 			}
 		}
 		if (err == nil) != want {
-			t.Errorf("%s: %v, want an answer: %v", path, err, want)
+			t.Errorf("%s: got error %v, want an answer: %v", path, err, want)
 		}
 	}
-	watches := func(from string) (next func() string) {
+	openWatch := func(from string) (next func() string) {
 		t.Helper()
 		resp, err := http.Get("http://" + tap.Address() + "/api/targets?watch=1&from=" + from)
 		if err != nil {
@@ -90,32 +90,32 @@
 			return line
 		}
 	}
-	asks(true, "PUT", "/before", "x") // no step has begun
+	ask(true, "PUT", "/before", "x") // no step has begun
 	record.Step("one")
-	asks(true, "PUT", "/v1/x?y=1", "x")
-	tap.Lose(func(call string) (way, back bool) { return call == "PUT /way", call == "PUT /back" })
+	ask(true, "PUT", "/v1/x?y=1", "x")
+	tap.Lose(func(call string) (request, answer bool) { return call == "PUT /way", call == "PUT /back" })
 	tap.Skip(func(call, body string) bool { return call == "PUT /skip" && body == "it" })
-	asks(true, "PUT", "/skip", "it")
-	asks(false, "PUT", "/way", "x")
-	asks(false, "PUT", "/back", "x")
+	ask(true, "PUT", "/skip", "it")
+	ask(false, "PUT", "/way", "x")
+	ask(false, "PUT", "/back", "x")
 	record.Step("two")
-	first := watches("1")
+	first := openWatch("1")
 	first()
 	more["1"] <- "{1}\n"
 	if got := first(); got != "{1}\n" {
-		t.Errorf("passed on: %q", got)
+		t.Errorf("line of the watch: got %q, want %q", got, "{1}\n")
 	}
 	tap.Cut(true)
 	if got := first(); got == "" || strings.HasPrefix(got, "{") {
-		t.Errorf("after the cut: %q", got)
+		t.Errorf("watch after the cut: got %q, want an error", got)
 	}
-	asks(false, "GET", "/cut", "")
+	ask(false, "GET", "/cut", "")
 	record.Step("three")
 	tap.Only(1, true)
 	tap.Cut(false)
-	watches("9")()
-	again := watches("2")
-	again() // was told before
+	openWatch("9")()
+	again := openWatch("2")
+	again() // this line was delivered before
 	more["2"] <- "{2}\n"
 	if err := record.Await(t.Context(), "b", "a", "{2}"); err != nil {
 		t.Error(err)
@@ -144,9 +144,9 @@
 	lines
 `
 	if got := record.Text(); got != want {
-		t.Errorf("recorded:\n%s", got)
+		t.Errorf("record: got\n%s\nwant\n%s", got, want)
 	}
 	if _, err := http.Get("http://" + tap.Address()); err == nil {
-		t.Error("a closed tap answers")
+		t.Error("call to a closed tap: got an answer, want an error")
 	}
 }
--- a/internal/lab/transcript/transcript.go
+++ b/internal/lab/transcript/transcript.go
@@ -1,5 +1,5 @@
-// Package transcript writes down what the hosts of a memnet network said to each other, or what parties without one say in
-// words, as a text that a person can approve, and has parties that do as a script says.
+// Package transcript records the messages between hosts of a memnet network, or between parties without a network, as a text
+// that a person can approve. It also has parties that a script controls.
 package transcript
 
 import (
@@ -15,8 +15,8 @@
 	"mosslead/internal/lab/memnet"
 )
 
-// Transcript is a record of a network's events. Nothing in it is masked: in a bubble with fixed addresses and seeds nothing
-// varies, dates and ports included. The zero Transcript records nothing yet.
+// Transcript is a record of a network's events. Nothing in it is masked: in a synctest bubble with fixed addresses and seeds
+// nothing varies, dates and ports included. The zero Transcript records nothing until Begin is called.
 type Transcript struct {
 	mu        sync.Mutex
 	start     time.Time
@@ -24,14 +24,14 @@
 	events    []memnet.Event
 }
 
-// Begin begins the record, anew where there was one, at the present time of its bubble.
+// Begin starts an empty record at the present time of the bubble, and discards an earlier one.
 func (t *Transcript) Begin() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.start, t.recording, t.events = time.Now(), true, nil
 }
 
-// Take records an event; it is what memnet.New wants.
+// Take records an event. It is meant as the argument of memnet.New.
 func (t *Transcript) Take(e memnet.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,10 +40,10 @@
 	}
 }
 
-// kindText is the kind of an event that is words, and not on a connection.
+// kindText is the kind of an event that is a message in words, not on a connection.
 const kindText memnet.Kind = -1
 
-// Say records words of a party that speaks over no network, or to itself.
+// Say records a message of a party that uses no network, to another or to itself.
 func (t *Transcript) Say(from, to, format string, args ...any) {
 	t.Take(memnet.Event{At: time.Now(), From: from, To: to, Kind: kindText, Bytes: fmt.Appendf(nil, format, args...)})
 }
@@ -55,12 +55,13 @@
 	t.recording = false
 }
 
+// verbs holds the words for events on connections.
 var verbs = map[memnet.Kind]string{memnet.Dials: "connects", memnet.Refuses: "refuses", memnet.Sends: "sends", memnet.Leaves: "gives up connecting",
 	memnet.Ends: "ends its sending", memnet.Closes: "closes", memnet.Resets: "resets"}
 
-// Text words the record: for each message the time in ms since the beginning, who sent it to whom, and its bytes as in a
-// Go string, with a new line after each \n. A connection has a number from the second on between the same two on. What
-// happened at one moment is in the order of the hosts' names; each side's messages are in its own.
+// Text returns the record as text: for each message the time in ms since the start, its sender and receiver, and its bytes as in
+// a Go string, with a line break after each \n. The second and later connections between the same two hosts have a number. Events
+// of the same moment are in the order of the hosts' names, and the messages of one side in the order in which they were sent.
 func (t *Transcript) Text() string {
 	t.mu.Lock()
 	events := slices.Clone(t.events)
@@ -97,11 +98,12 @@
 	return text.String()
 }
 
+// ms returns the time of an event since the start, in ms.
 func (t *Transcript) ms(e memnet.Event) string {
 	return strconv.FormatFloat(float64(e.At.Sub(t.start).Microseconds())/1000, 'f', -1, 64)
 }
 
-// continues tells whether b goes on with the message a.
+// continues reports whether b is a further piece of the message a.
 func continues(a, b memnet.Event) bool {
 	return a.Kind == memnet.Sends && b.Kind == memnet.Sends && a.At.Equal(b.At) && a.Conn == b.Conn && a.From == b.From
 }
