--- a/internal/lab/leases/candidate.go
+++ b/internal/lab/leases/candidate.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	dutyName     = "lab/duty"
-	actEvery     = 20 * time.Millisecond
-	linger       = 5 * time.Millisecond // between the look and the act: a stop lands there now and then
-	actPatience  = 500 * time.Millisecond
-	startsWithin = 200 * time.Millisecond // of a candidate's first call
+	dutyName    = "lab/duty"
+	actInterval = 20 * time.Millisecond
+	actDelay    = 5 * time.Millisecond // between the look and the act: a stop lands there now and then
+	actTimeout  = 500 * time.Millisecond
+	startDelay  = 200 * time.Millisecond // of a candidate's first call
 )
 
 // clock is the machine's monotonic clock, which all of its processes read alike.
@@ -52,14 +52,14 @@
 	}
 	service := client.New(all)
 	defer service.Close()
-	r := lease.NewRunner(service, lease.Config{Name: dutyName, Holder: c.Holder, Lease: c.Lease, StartDelay: startsWithin}, func(lease.Action) {})
+	r := lease.NewRunner(service, lease.Config{Name: dutyName, Holder: c.Holder, Lease: c.Lease, StartDelay: startDelay}, func(lease.Action) {})
 	r.Campaign(true, 0)
 	var running sync.WaitGroup
 	running.Go(func() { r.Run(ctx) })
 	defer running.Wait()
-	var conn *link
+	var conn *targetConn
 	defer func() { conn.close() }()
-	tick := time.NewTicker(actEvery)
+	tick := time.NewTicker(actInterval)
 	defer tick.Stop()
 	for value := c.Number << 32; ; {
 		select {
@@ -74,7 +74,7 @@
 		}
 		value++
 		_, _ = fmt.Fprintf(journal, "act %d %d %d\n", value, epoch, looked)
-		time.Sleep(linger)
+		time.Sleep(actDelay)
 		if conn == nil {
 			if conn, err = dial(c.Target); err != nil {
 				continue
@@ -90,21 +90,21 @@
 	}
 }
 
-// link is a connection to the one that is acted upon: a line for each act, and a line back.
-type link struct {
+// targetConn is a connection to the one that is acted upon: a line for each act, and a line back.
+type targetConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(at string) (*link, error) {
-	conn, err := net.DialTimeout("tcp", at, actPatience)
+func dial(at string) (*targetConn, error) {
+	conn, err := net.DialTimeout("tcp", at, actTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &link{conn, bufio.NewReaderSize(conn, 256)}, nil
+	return &targetConn{conn, bufio.NewReaderSize(conn, 256)}, nil
 }
 
-func (l *link) close() {
+func (l *targetConn) close() {
 	if l != nil {
 		_ = l.Close()
 	}
@@ -112,8 +112,8 @@
 
 var errAnswer = errors.New("no answer to an act")
 
-func (l *link) act(holder string, epoch, value uint64) (taken bool, before uint64, err error) {
-	_ = l.SetDeadline(time.Now().Add(actPatience))
+func (l *targetConn) act(holder string, epoch, value uint64) (taken bool, before uint64, err error) {
+	_ = l.SetDeadline(time.Now().Add(actTimeout))
 	if _, err := fmt.Fprintf(l, "%s %d %d\n", holder, epoch, value); err != nil {
 		return false, 0, err
 	}
--- a/internal/lab/leases/faults.go
+++ b/internal/lab/leases/faults.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	restartAfter = 300 * time.Millisecond
-	answersMost  = 20 * time.Second // the service, after its trouble
+	restartAfter   = 300 * time.Millisecond
+	serviceTimeout = 20 * time.Second // the service, after its trouble
 )
 
-// fault does one of the experiment's faults, and returns when its trouble is over, but for a stop of ten leases.
-func (r *run) fault() error {
-	last, _ := r.target.holder()
-	var holder *party
+// injectFault does one of the experiment's faults, and returns when its trouble is over, but for a stop of ten leases.
+func (r *run) injectFault() error {
+	last, _ := r.target.lastAct()
+	var holder *candidateProc
 	for _, p := range r.parties {
 		if p.name == last.Holder {
 			holder = p
@@ -35,19 +35,19 @@
 	case Cut:
 		return r.cut(holder)
 	case Service:
-		return r.trouble(holder)
+		return r.disruptService(holder)
 	}
 	return fmt.Errorf("no experiment is called %q", r.Kind)
 }
 
-func (r *run) count(fault string) {
-	last, _ := r.target.holder()
+func (r *run) recordFault(fault string) {
+	last, _ := r.target.lastAct()
 	r.faults[fault]++
 	r.played = append(r.played, Played{clock(), fault, last.Holder})
 }
 
 // replace ends a holder with a signal and starts another process in its place.
-func (r *run) replace(p *party, s syscall.Signal) error {
+func (r *run) replace(p *candidateProc, s syscall.Signal) error {
 	if err := p.child.Signal(s); err != nil {
 		return err
 	}
@@ -60,9 +60,9 @@
 	return r.start(p)
 }
 
-func (r *run) stall(p *party) error {
+func (r *run) stall(p *candidateProc) error {
 	stop := func(fault string, leases float64) error {
-		r.count(fault)
+		r.recordFault(fault)
 		if err := p.child.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -71,10 +71,10 @@
 	}
 	switch r.rng.IntN(6) {
 	case 0:
-		r.count("killed")
+		r.recordFault("killed")
 		return r.replace(p, syscall.SIGKILL)
 	case 1:
-		r.count("ended")
+		r.recordFault("ended")
 		return r.replace(p, syscall.SIGTERM)
 	case 2:
 		return stop("stopped just under", 0.85)
@@ -83,25 +83,25 @@
 	case 4:
 		return stop("stopped for two", 2)
 	}
-	if time.Since(r.frozen) < 11*r.Lease { // one at a time: others are to be there to take over
+	if time.Since(r.lastLongStop) < 11*r.Lease { // one at a time: others are to be there to take over
 		return stop("stopped just over", 1.15)
 	}
-	r.frozen = time.Now()
-	r.count("stopped for ten")
+	r.lastLongStop = time.Now()
+	r.recordFault("stopped for ten")
 	child := p.child
 	if err := child.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	on := time.AfterFunc(10*r.Lease, func() { _ = child.Signal(syscall.SIGCONT) })
-	r.later = append(r.later, func() { on.Stop() })
+	r.cleanups = append(r.cleanups, func() { on.Stop() })
 	return nil
 }
 
-func (r *run) cut(p *party) error {
+func (r *run) cut(p *candidateProc) error {
 	states := map[string]relay.State{"cut both ways": {SilentForth: true, SilentBack: true}, "cut forth": {SilentForth: true},
 		"cut back": {SilentBack: true}, "reset": {Reset: true}}
 	fault := []string{"cut both ways", "cut forth", "cut back", "reset"}[r.rng.IntN(4)]
-	r.count(fault)
+	r.recordFault(fault)
 	set := func(s relay.State) error {
 		for _, l := range p.links {
 			if err := l.Set(s); err != nil {
@@ -117,9 +117,9 @@
 	return set(relay.State{})
 }
 
-// trouble takes the service's leader, disk or quorum away, and the holder's life in half of the cases. Until the service
+// disruptService takes the service's leader, disk or quorum away, and the holder's life in half of the cases. Until the service
 // answers again nobody can take over: that time is excused.
-func (r *run) trouble(p *party) error {
+func (r *run) disruptService(p *candidateProc) error {
 	leader, err := r.leader()
 	if err != nil {
 		return err
@@ -130,16 +130,16 @@
 	var down []int
 	switch r.rng.IntN(4) {
 	case 0:
-		r.count("leader killed")
+		r.recordFault("leader killed")
 		down = []int{leader}
 	case 1:
-		r.count("no quorum")
+		r.recordFault("no quorum")
 		down = []int{leader, (leader + 1) % replicas}
 	case 2:
-		r.count("leader stopped")
+		r.recordFault("leader stopped")
 		err = r.procs[leader].Signal(syscall.SIGSTOP)
 	case 3:
-		r.count("leader's disk full")
+		r.recordFault("leader's disk full")
 		err = r.procs[leader].FileLimit(new(uint64))
 	}
 	if err != nil {
@@ -151,7 +151,7 @@
 		}
 	}
 	if kill {
-		r.count("with the holder")
+		r.recordFault("with the holder")
 		if err := r.replace(p, syscall.SIGKILL); err != nil {
 			return err
 		}
@@ -163,18 +163,18 @@
 	}
 	for _, i := range down {
 		name := fmt.Sprint("r", i)
-		if r.procs[i], err = r.all.Start(name, "--config", filepath.Join(r.Dir, name+".toml")); err != nil {
+		if r.procs[i], err = r.runner.Start(name, "--config", filepath.Join(r.Dir, name+".toml")); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, answersMost)
+	ctx, cancel := context.WithTimeout(r.ctx, serviceTimeout)
 	defer cancel()
 	if _, err := r.service.Leaderships(ctx, true); err != nil {
 		return fmt.Errorf("the service does not come back: %w", err)
 	}
 	r.excused = append(r.excused, fencing.Span{From: from, To: clock()})
 	if !kill {
-		r.count("holder ended after")
+		r.recordFault("holder ended after")
 		return r.replace(p, syscall.SIGTERM)
 	}
 	return nil
@@ -182,17 +182,17 @@
 
 // leader is the number of the replica that leads.
 func (r *run) leader() (int, error) {
-	ctx, cancel := context.WithTimeout(r.ctx, answersMost)
+	ctx, cancel := context.WithTimeout(r.ctx, serviceTimeout)
 	defer cancel()
 	for {
 		said, _ := r.service.Status(ctx)
-		for i, at := range r.at {
+		for i, at := range r.addresses {
 			if said[at].State == "leader" {
 				return i, nil
 			}
 		}
 		if ctx.Err() != nil {
-			return 0, fmt.Errorf("nobody leads for %v", answersMost)
+			return 0, fmt.Errorf("nobody leads for %v", serviceTimeout)
 		}
 		pause.For(ctx, 20*time.Millisecond)
 	}
--- a/internal/lab/leases/run.go
+++ b/internal/lab/leases/run.go
@@ -68,9 +68,9 @@
 	endsWithin = 5 * time.Second
 )
 
-// party is one candidate process, or one after another at the same place.
-type party struct {
-	place int
+// candidateProc is one candidate process, or one after another at the same place.
+type candidateProc struct {
+	slot  int
 	links []*relay.Link // to the replicas
 	child *proc.Child
 	name  string // the holder's
@@ -78,42 +78,42 @@
 
 type run struct {
 	Spec
-	ctx     context.Context
-	rng     *rand.Rand
-	target  *target
-	service *client.Client
-	all     loadtest.Runner
-	at      []string // replicas
-	procs   []*proc.Child
-	parties []*party
-	started uint64
-	later   []func() // what has to be undone
-	excused []fencing.Span
-	faults  map[string]int
-	played  []Played
-	frozen  time.Time // when one was last stopped for ten leases
+	ctx          context.Context
+	rng          *rand.Rand
+	target       *target
+	service      *client.Client
+	runner       loadtest.Runner
+	addresses    []string // replicas
+	procs        []*proc.Child
+	parties      []*candidateProc
+	started      uint64
+	cleanups     []func() // what has to be undone
+	excused      []fencing.Span
+	faults       map[string]int
+	played       []Played
+	lastLongStop time.Time // when one was last stopped for ten leases
 }
 
 // Run plays an experiment.
 func Run(ctx context.Context, s Spec) (Result, error) {
 	begun := time.Now()
 	r := &run{Spec: s, ctx: ctx, rng: rand.New(rand.NewPCG(s.Seed, 22)), faults: map[string]int{},
-		all: loadtest.Runner{Command: []string{s.Program, "registry", "serve"}, Dir: s.Dir}}
+		runner: loadtest.Runner{Command: []string{s.Program, "registry", "serve"}, Dir: s.Dir}}
 	defer r.close()
-	if err := r.begin(); err != nil {
+	if err := r.setUp(); err != nil {
 		return Result{}, err
 	}
-	if !r.target.until(ctx, 0, time.Second) || !r.acted(endsWithin) {
+	if !r.target.awaitHandOns(ctx, 0, time.Second) || !r.awaitFirstAct(endsWithin) {
 		return Result{}, fmt.Errorf("nobody acts: see %s", s.Dir)
 	}
-	for _, hands := r.target.holder(); hands < s.HandOns && ctx.Err() == nil; _, hands = r.target.holder() {
+	for _, hands := r.target.lastAct(); hands < s.HandOns && ctx.Err() == nil; _, hands = r.target.lastAct() {
 		if time.Since(begun) > time.Duration(s.HandOns)*12*s.Lease+time.Minute {
 			return Result{}, fmt.Errorf("%d of %d hand-ons in %v: see %s", hands, s.HandOns, time.Since(begun).Round(time.Second), s.Dir)
 		}
-		if err := r.fault(); err != nil {
+		if err := r.injectFault(); err != nil {
 			return Result{}, err
 		}
-		r.target.until(ctx, hands+1, 3*s.Lease)
+		r.target.awaitHandOns(ctx, hands+1, 3*s.Lease)
 		pause.For(ctx, time.Duration(r.rng.IntN(400))*time.Millisecond)
 	}
 	if err := ctx.Err(); err != nil {
@@ -138,12 +138,12 @@
 // runs counts experiments of this process.
 var runs atomic.Int64
 
-func (r *run) begin() (err error) {
+func (r *run) setUp() (err error) {
 	number := runs.Add(1) % 256
-	if r.at, r.procs, err = r.all.Quorum(replicas); err != nil {
+	if r.addresses, r.procs, err = r.runner.Quorum(replicas); err != nil {
 		return err
 	}
-	r.service = client.New(r.at)
+	r.service = client.New(r.addresses)
 	if err := loadtest.Await(r.ctx, r.service, replicas); err != nil {
 		return err
 	}
@@ -151,9 +151,9 @@
 		return err
 	}
 	for i := range candidates {
-		p := &party{place: i}
+		p := &candidateProc{slot: i}
 		r.parties = append(r.parties, p)
-		for j, at := range r.at {
+		for j, at := range r.addresses {
 			// An address of its own: a link that resets listens no more, and another program might take a port meanwhile.
 			own := fmt.Sprintf("127.%d.%d.%d:7000", 100+os.Getpid()%128, number, i*replicas+j+1)
 			l, err := relay.New(fmt.Sprint("c", i), fmt.Sprint("r", j), own, at, nil)
@@ -170,9 +170,9 @@
 }
 
 // start starts a candidate at a place, under a name of its own.
-func (r *run) start(p *party) (err error) {
+func (r *run) start(p *candidateProc) (err error) {
 	r.started++
-	p.name = fmt.Sprintf("c%d.%d", p.place, r.started)
+	p.name = fmt.Sprintf("c%d.%d", p.slot, r.started)
 	var at []string
 	for _, l := range p.links {
 		at = append(at, l.Address())
@@ -183,10 +183,10 @@
 	return err
 }
 
-// acted waits for the first act.
-func (r *run) acted(most time.Duration) bool {
+// awaitFirstAct waits for the first act.
+func (r *run) awaitFirstAct(most time.Duration) bool {
 	for end := time.Now().Add(most); time.Now().Before(end) && r.ctx.Err() == nil; pause.For(r.ctx, 5*time.Millisecond) {
-		if last, _ := r.target.holder(); last.OK {
+		if last, _ := r.target.lastAct(); last.OK {
 			return true
 		}
 	}
@@ -237,7 +237,7 @@
 }
 
 func (r *run) close() {
-	for _, undo := range r.later {
+	for _, undo := range r.cleanups {
 		undo()
 	}
 	for _, p := range r.parties {
--- a/internal/lab/leases/target.go
+++ b/internal/lab/leases/target.go
@@ -20,13 +20,13 @@
 	noFence bool // planted: it takes whatever comes
 	done    sync.WaitGroup
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	fence lease.Fence
-	value uint64
-	acts  map[uint64]*fencing.Act // by value
-	last  fencing.Act             // that was taken
-	hands int                     // changes of the epoch
+	mu      sync.Mutex
+	conns   map[net.Conn]bool
+	fence   lease.Fence
+	value   uint64
+	acts    map[uint64]*fencing.Act // by value
+	last    fencing.Act             // that was taken
+	handOns int                     // changes of the epoch
 }
 
 func newTarget(noFence bool) (*target, error) {
@@ -84,7 +84,7 @@
 	if a.OK {
 		word, a.Before, t.value = "ok", t.value, a.Value
 		if t.last.OK && t.last.Epoch != a.Epoch {
-			t.hands++
+			t.handOns++
 		}
 		t.last = a
 	}
@@ -92,18 +92,18 @@
 	return fmt.Appendf(nil, "%s %d\n", word, a.Before)
 }
 
-// holder is whose act was taken last, and how often the duty went from one to another.
-func (t *target) holder() (last fencing.Act, hands int) {
+// lastAct is whose act was taken last, and how often the duty went from one to another.
+func (t *target) lastAct() (last fencing.Act, hands int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.last, t.hands
+	return t.last, t.handOns
 }
 
-// until returns true once so many hand-ons were seen, or false after a while.
-func (t *target) until(ctx context.Context, hands int, most time.Duration) bool {
+// awaitHandOns returns true once so many hand-ons were seen, or false after a while.
+func (t *target) awaitHandOns(ctx context.Context, hands int, most time.Duration) bool {
 	end := time.Now().Add(most)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		if _, now := t.holder(); now >= hands {
+		if _, now := t.lastAct(); now >= hands {
 			return true
 		}
 		pause.For(ctx, 5*time.Millisecond)
