--- a/internal/lab/leases/candidate.go
+++ b/internal/lab/leases/candidate.go
@@ -20,37 +20,37 @@
 const (
 	dutyName    = "lab/duty"
 	actInterval = 20 * time.Millisecond
-	actDelay    = 5 * time.Millisecond // between the look and the act: a stop lands there now and then
+	actDelay    = 5 * time.Millisecond // between the check of the lease and the act, so that some stops fall in between
 	actTimeout  = 500 * time.Millisecond
-	startDelay  = 200 * time.Millisecond // of a candidate's first call
+	startDelay  = 200 * time.Millisecond // upper bound of the wait before a candidate's first call
 )
 
-// clock is the machine's monotonic clock, which all of its processes read alike.
+// clock returns the time of the machine's monotonic clock, which is the same for all its processes.
 func clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // the kernel has had it for twenty years
+		panic(err) // the kernel has had this clock for twenty years
 	}
 	return time.Duration(t.Nano())
 }
 
-// Candidate is a process that wants the duty and acts under it, until ctx ends. What it began and what it was told it writes to
-// journal, a line each.
+// Candidate is a process that campaigns for the duty and acts under it. It writes a line to its journal for each act that it begins and
+// each answer that it gets.
 type Candidate struct {
 	Service string // addresses of the replicas
-	Target  string // who is acted upon
+	Target  string // address of the target of its acts
 	Holder  string
-	Number  uint64 // begins the values that it writes: unlike any other's
+	Number  uint64 // upper 32 bits of the values that it writes; unique among candidates
 	Lease   time.Duration
 }
 
-// Run is the process.
+// Run campaigns and acts until ctx ends.
 func (c Candidate) Run(ctx context.Context, journal io.Writer) error {
-	all, err := client.Addresses(c.Service)
+	addresses, err := client.Addresses(c.Service)
 	if err != nil {
 		return fmt.Errorf("service: %w", err)
 	}
-	service := client.New(all)
+	service := client.New(addresses)
 	defer service.Close()
 	r := lease.NewRunner(service, lease.Config{Name: dutyName, Holder: c.Holder, Lease: c.Lease, StartDelay: startDelay}, func(lease.Action) {})
 	r.Campaign(true, 0)
@@ -90,34 +90,35 @@
 	}
 }
 
-// targetConn is a connection to the one that is acted upon: a line for each act, and a line back.
+// targetConn is a connection to the target. Each act is a line, and so is its answer.
 type targetConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(at string) (*targetConn, error) {
-	conn, err := net.DialTimeout("tcp", at, actTimeout)
+func dial(address string) (*targetConn, error) {
+	conn, err := net.DialTimeout("tcp", address, actTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return &targetConn{conn, bufio.NewReaderSize(conn, 256)}, nil
 }
 
-func (l *targetConn) close() {
-	if l != nil {
-		_ = l.Close()
+func (c *targetConn) close() {
+	if c != nil {
+		_ = c.Close()
 	}
 }
 
 var errAnswer = errors.New("no answer to an act")
 
-func (l *targetConn) act(holder string, epoch, value uint64) (taken bool, before uint64, err error) {
-	_ = l.SetDeadline(time.Now().Add(actTimeout))
-	if _, err := fmt.Fprintf(l, "%s %d %d\n", holder, epoch, value); err != nil {
+// act sends an act and reads its answer: whether it was accepted, and the value that it replaced.
+func (c *targetConn) act(holder string, epoch, value uint64) (taken bool, before uint64, err error) {
+	_ = c.SetDeadline(time.Now().Add(actTimeout))
+	if _, err := fmt.Fprintf(c, "%s %d %d\n", holder, epoch, value); err != nil {
 		return false, 0, err
 	}
-	line, err := l.in.ReadSlice('\n')
+	line, err := c.in.ReadSlice('\n')
 	if err != nil {
 		return false, 0, err
 	}
--- a/internal/lab/leases/duties_test.go
+++ b/internal/lab/leases/duties_test.go
@@ -9,7 +9,7 @@
 	"mosslead/internal/lab/leases"
 )
 
-// TestMain lets this binary be mosslead: candidates and replicas are processes of their own.
+// TestMain makes this binary act as mosslead, since candidates and replicas are processes of their own.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && (os.Args[1] == "lab" || os.Args[1] == "registry") {
 		os.Exit(cli.Main(os.Args[1:]))
@@ -30,13 +30,13 @@
 				t.Fatal(err)
 			}
 			if x.HandOns < 2 || x.Taken == 0 {
-				t.Errorf("%+v", x)
+				t.Errorf("got %d hand-ons and %d accepted acts, want at least 2 and 1: %+v", x.HandOns, x.Taken, x)
 			}
 			for _, b := range x.Breaches {
-				if b.Rule == "gap" { // that is the machine's load too: judged where nothing else runs, by mosslead lab duties
+				if b.Rule == "gap" { // depends on the machine's load too; mosslead lab duties checks it where nothing else runs
 					continue
 				}
-				t.Errorf("%s at %v: %s", b.Rule, b.At, b.Text)
+				t.Errorf("got breach of rule %q at %v, want none: %s", b.Rule, b.At, b.Text)
 			}
 		})
 	}
--- a/internal/lab/leases/faults.go
+++ b/internal/lab/leases/faults.go
@@ -14,10 +14,11 @@
 
 const (
 	restartAfter   = 300 * time.Millisecond
-	serviceTimeout = 20 * time.Second // the service, after its trouble
+	serviceTimeout = 20 * time.Second // limit for the service to answer again, and for a wait for its leader
 )
 
-// injectFault does one of the experiment's faults, and returns when its trouble is over, but for a stop of ten leases.
+// injectFault injects one of the experiment's faults, and returns when the fault is over. A stop of ten leases goes on in the
+// background.
 func (r *run) injectFault() error {
 	last, _ := r.target.lastAct()
 	var holder *candidateProc
@@ -26,7 +27,7 @@
 			holder = p
 		}
 	}
-	if holder == nil { // it was started anew meanwhile, and another holds the duty in a moment
+	if holder == nil { // the holder was restarted meanwhile, and another takes the duty over soon
 		return nil
 	}
 	switch r.Kind {
@@ -40,13 +41,14 @@
 	return fmt.Errorf("no experiment is called %q", r.Kind)
 }
 
+// recordFault records a fault with the time and the present holder.
 func (r *run) recordFault(fault string) {
 	last, _ := r.target.lastAct()
 	r.faults[fault]++
 	r.played = append(r.played, Played{clock(), fault, last.Holder})
 }
 
-// replace ends a holder with a signal and starts another process in its place.
+// replace ends a candidate with a signal and starts another process in its place.
 func (r *run) replace(p *candidateProc, s syscall.Signal) error {
 	if err := p.child.Signal(s); err != nil {
 		return err
@@ -54,12 +56,13 @@
 	select {
 	case <-p.child.Ended():
 	case <-time.After(endsWithin):
-		return fmt.Errorf("%s does not end", p.name)
+		return fmt.Errorf("candidate %s has not ended within %v", p.name, endsWithin)
 	}
 	pause.For(r.ctx, restartAfter)
 	return r.start(p)
 }
 
+// stall kills, ends or stops the holder.
 func (r *run) stall(p *candidateProc) error {
 	stop := func(fault string, leases float64) error {
 		r.recordFault(fault)
@@ -83,7 +86,7 @@
 	case 4:
 		return stop("stopped for two", 2)
 	}
-	if time.Since(r.lastLongStop) < 11*r.Lease { // one at a time: others are to be there to take over
+	if time.Since(r.lastLongStop) < 11*r.Lease { // only one long stop at a time, so that other candidates can take over
 		return stop("stopped just over", 1.15)
 	}
 	r.lastLongStop = time.Now()
@@ -92,11 +95,12 @@
 	if err := child.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	on := time.AfterFunc(10*r.Lease, func() { _ = child.Signal(syscall.SIGCONT) })
-	r.cleanups = append(r.cleanups, func() { on.Stop() })
+	timer := time.AfterFunc(10*r.Lease, func() { _ = child.Signal(syscall.SIGCONT) })
+	r.cleanups = append(r.cleanups, func() { timer.Stop() })
 	return nil
 }
 
+// cut cuts the holder off from the service, or resets its connections, for 0.7 to 2.2 leases.
 func (r *run) cut(p *candidateProc) error {
 	states := map[string]relay.State{"cut both ways": {SilentForth: true, SilentBack: true}, "cut forth": {SilentForth: true},
 		"cut back": {SilentBack: true}, "reset": {Reset: true}}
@@ -117,8 +121,8 @@
 	return set(relay.State{})
 }
 
-// disruptService takes the service's leader, disk or quorum away, and the holder's life in half of the cases. Until the service
-// answers again nobody can take over: that time is excused.
+// disruptService takes the service's leader, disk or quorum away, and also kills the holder in half of the cases. Nobody can
+// take over until the service answers again, so that time is excused.
 func (r *run) disruptService(p *candidateProc) error {
 	leader, err := r.leader()
 	if err != nil {
@@ -126,7 +130,7 @@
 	}
 	from := clock()
 	kill := r.rng.IntN(2) == 0
-	long := time.Duration((0.5 + 2*r.rng.Float64()) * float64(r.Lease))
+	length := time.Duration((0.5 + 2*r.rng.Float64()) * float64(r.Lease))
 	var down []int
 	switch r.rng.IntN(4) {
 	case 0:
@@ -156,7 +160,7 @@
 			return err
 		}
 	}
-	pause.For(r.ctx, long)
+	pause.For(r.ctx, length)
 	_ = r.procs[leader].Signal(syscall.SIGCONT)
 	if err := r.procs[leader].FileLimit(nil); err != nil {
 		return err
@@ -170,7 +174,7 @@
 	ctx, cancel := context.WithTimeout(r.ctx, serviceTimeout)
 	defer cancel()
 	if _, err := r.service.Leaderships(ctx, true); err != nil {
-		return fmt.Errorf("the service does not come back: %w", err)
+		return fmt.Errorf("the service does not answer after the fault: %w", err)
 	}
 	r.excused = append(r.excused, fencing.Span{From: from, To: clock()})
 	if !kill {
@@ -180,19 +184,19 @@
 	return nil
 }
 
-// leader is the number of the replica that leads.
+// leader returns the index of the replica that leads.
 func (r *run) leader() (int, error) {
 	ctx, cancel := context.WithTimeout(r.ctx, serviceTimeout)
 	defer cancel()
 	for {
-		said, _ := r.service.Status(ctx)
-		for i, at := range r.addresses {
-			if said[at].State == "leader" {
+		statuses, _ := r.service.Status(ctx)
+		for i, address := range r.addresses {
+			if statuses[address].State == "leader" {
 				return i, nil
 			}
 		}
 		if ctx.Err() != nil {
-			return 0, fmt.Errorf("nobody leads for %v", serviceTimeout)
+			return 0, fmt.Errorf("no replica leads after %v", serviceTimeout)
 		}
 		pause.For(ctx, 20*time.Millisecond)
 	}
--- a/internal/lab/leases/run.go
+++ b/internal/lab/leases/run.go
@@ -1,5 +1,5 @@
-// Package leases owns the experiments on duties with real processes: candidates, replicas of the list service, links between
-// them, and one that is acted upon; holders and replicas are killed, stopped and cut off, and what was done is judged.
+// Package leases runs the experiments on duties with real processes: candidates, replicas of the list service, links between
+// them, and a target of acts. Holders and replicas are killed, stopped and cut off, and the acts are checked afterwards.
 package leases
 
 import (
@@ -28,24 +28,24 @@
 const (
 	Stall   = "duty-stall"   // the holder is killed, ended or stopped
 	Cut     = "duty-cut"     // the holder is cut off from the service, one way or both
-	Service = "duty-service" // the service loses its leader, its disk or its quorum, mostly with the holder
+	Service = "duty-service" // the service loses its leader, its disk or its quorum; in half of the cases the holder is killed too
 )
 
-// Kinds are all of them.
+// Kinds lists all kinds of experiments.
 var Kinds = []string{Stall, Cut, Service}
 
-// Spec is one experiment.
+// Spec describes one experiment.
 type Spec struct {
-	Program string // mosslead
-	Dir     string // of logs and data; there is nothing in it
+	Program string // path of mosslead
+	Dir     string // for logs and data; empty at the start
 	Kind    string
 	Seed    uint64
-	HandOns int           // it ends after so many
-	Lease   time.Duration // a tenth is the margin
-	NoFence bool          // planted: the one acted upon looks at no epoch
+	HandOns int           // number of hand-ons after which the experiment ends
+	Lease   time.Duration // a tenth of it is the margin
+	NoFence bool          // planted fault: the target ignores epochs
 }
 
-// Result is what it came to.
+// Result is the outcome of an experiment.
 type Result struct {
 	Kind    string         `json:"kind"`
 	Seed    uint64         `json:"seed"`
@@ -55,9 +55,9 @@
 	fencing.Verdict
 }
 
-// Played is a fault that was done.
+// Played is a fault that was injected.
 type Played struct {
-	At     time.Duration `json:"at"` // on the machine's monotonic clock, as breaches
+	At     time.Duration `json:"at"` // on the machine's monotonic clock, as for breaches
 	Fault  string        `json:"fault"`
 	Holder string        `json:"holder"`
 }
@@ -68,12 +68,12 @@
 	endsWithin = 5 * time.Second
 )
 
-// candidateProc is one candidate process, or one after another at the same place.
+// candidateProc is a candidate process, or several in turn in the same slot.
 type candidateProc struct {
 	slot  int
 	links []*relay.Link // to the replicas
 	child *proc.Child
-	name  string // the holder's
+	name  string // its name as a holder
 }
 
 type run struct {
@@ -83,20 +83,20 @@
 	target       *target
 	service      *client.Client
 	runner       loadtest.Runner
-	addresses    []string // replicas
+	addresses    []string // of the replicas
 	procs        []*proc.Child
 	parties      []*candidateProc
 	started      uint64
-	cleanups     []func() // what has to be undone
+	cleanups     []func() // run by close
 	excused      []fencing.Span
 	faults       map[string]int
 	played       []Played
-	lastLongStop time.Time // when one was last stopped for ten leases
+	lastLongStop time.Time // start of the last stop of ten leases
 }
 
-// Run plays an experiment.
+// Run runs an experiment and checks its acts.
 func Run(ctx context.Context, s Spec) (Result, error) {
-	begun := time.Now()
+	start := time.Now()
 	r := &run{Spec: s, ctx: ctx, rng: rand.New(rand.NewPCG(s.Seed, 22)), faults: map[string]int{},
 		runner: loadtest.Runner{Command: []string{s.Program, "registry", "serve"}, Dir: s.Dir}}
 	defer r.close()
@@ -104,16 +104,16 @@
 		return Result{}, err
 	}
 	if !r.target.awaitHandOns(ctx, 0, time.Second) || !r.awaitFirstAct(endsWithin) {
-		return Result{}, fmt.Errorf("nobody acts: see %s", s.Dir)
+		return Result{}, fmt.Errorf("no act was accepted within %v: see %s", endsWithin, s.Dir)
 	}
-	for _, hands := r.target.lastAct(); hands < s.HandOns && ctx.Err() == nil; _, hands = r.target.lastAct() {
-		if time.Since(begun) > time.Duration(s.HandOns)*12*s.Lease+time.Minute {
-			return Result{}, fmt.Errorf("%d of %d hand-ons in %v: see %s", hands, s.HandOns, time.Since(begun).Round(time.Second), s.Dir)
+	for _, handOns := r.target.lastAct(); handOns < s.HandOns && ctx.Err() == nil; _, handOns = r.target.lastAct() {
+		if time.Since(start) > time.Duration(s.HandOns)*12*s.Lease+time.Minute {
+			return Result{}, fmt.Errorf("%d of %d hand-ons in %v: see %s", handOns, s.HandOns, time.Since(start).Round(time.Second), s.Dir)
 		}
 		if err := r.injectFault(); err != nil {
 			return Result{}, err
 		}
-		r.target.awaitHandOns(ctx, hands+1, 3*s.Lease)
+		r.target.awaitHandOns(ctx, handOns+1, 3*s.Lease)
 		pause.For(ctx, time.Duration(r.rng.IntN(400))*time.Millisecond)
 	}
 	if err := ctx.Err(); err != nil {
@@ -126,18 +126,19 @@
 		}
 	}
 	r.target.close()
-	all, err := r.collect()
+	acts, err := r.collect()
 	if err != nil {
 		return Result{}, err
 	}
-	v := fencing.Check(all, fencing.Rules{Gap: s.Lease + s.Lease/10 + time.Second, Excused: r.excused})
-	v.Breaches = append(v.Breaches, fencing.Linearizable(all)...)
-	return Result{s.Kind, s.Seed, time.Since(begun).Seconds(), r.faults, r.played, v}, nil
+	v := fencing.Check(acts, fencing.Rules{Gap: s.Lease + s.Lease/10 + time.Second, Excused: r.excused})
+	v.Breaches = append(v.Breaches, fencing.Linearizable(acts)...)
+	return Result{s.Kind, s.Seed, time.Since(start).Seconds(), r.faults, r.played, v}, nil
 }
 
-// runs counts experiments of this process.
+// runs counts the experiments of this process.
 var runs atomic.Int64
 
+// setUp starts the replicas, the target and the candidates, with the links between them.
 func (r *run) setUp() (err error) {
 	number := runs.Add(1) % 256
 	if r.addresses, r.procs, err = r.runner.Quorum(replicas); err != nil {
@@ -153,10 +154,10 @@
 	for i := range candidates {
 		p := &candidateProc{slot: i}
 		r.parties = append(r.parties, p)
-		for j, at := range r.addresses {
-			// An address of its own: a link that resets listens no more, and another program might take a port meanwhile.
+		for j, address := range r.addresses {
+			// Each link has an address of its own: while it resets it does not listen, and another program could take its port.
 			own := fmt.Sprintf("127.%d.%d.%d:7000", 100+os.Getpid()%128, number, i*replicas+j+1)
-			l, err := relay.New(fmt.Sprint("c", i), fmt.Sprint("r", j), own, at, nil)
+			l, err := relay.New(fmt.Sprint("c", i), fmt.Sprint("r", j), own, address, nil)
 			if err != nil {
 				return err
 			}
@@ -169,23 +170,23 @@
 	return nil
 }
 
-// start starts a candidate at a place, under a name of its own.
+// start starts a candidate in a slot, under a new name.
 func (r *run) start(p *candidateProc) (err error) {
 	r.started++
 	p.name = fmt.Sprintf("c%d.%d", p.slot, r.started)
-	var at []string
+	var addresses []string
 	for _, l := range p.links {
-		at = append(at, l.Address())
+		addresses = append(addresses, l.Address())
 	}
 	p.child, err = proc.Start(proc.Spec{Name: p.name, Path: r.Program, Dir: r.Dir, LogFile: filepath.Join(r.Dir, p.name+".journal"),
-		Args: []string{"lab", "candidate", "--service", strings.Join(at, ","), "--target", r.target.ln.Addr().String(), "--holder", p.name,
+		Args: []string{"lab", "candidate", "--service", strings.Join(addresses, ","), "--target", r.target.ln.Addr().String(), "--holder", p.name,
 			"--number", fmt.Sprint(r.started), "--lease", r.Lease.String()}})
 	return err
 }
 
-// awaitFirstAct waits for the first act.
-func (r *run) awaitFirstAct(most time.Duration) bool {
-	for end := time.Now().Add(most); time.Now().Before(end) && r.ctx.Err() == nil; pause.For(r.ctx, 5*time.Millisecond) {
+// awaitFirstAct waits until an act is accepted, and reports whether one was within the limit.
+func (r *run) awaitFirstAct(limit time.Duration) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end) && r.ctx.Err() == nil; pause.For(r.ctx, 5*time.Millisecond) {
 		if last, _ := r.target.lastAct(); last.OK {
 			return true
 		}
@@ -193,9 +194,9 @@
 	return false
 }
 
-// collect joins what candidates wrote down with what the one acted upon took.
+// collect merges the candidates' journals with the acts that the target received.
 func (r *run) collect() ([]fencing.Act, error) {
-	by := map[uint64]*fencing.Act{}
+	byValue := map[uint64]*fencing.Act{}
 	journals, err := filepath.Glob(filepath.Join(r.Dir, "*.journal"))
 	if err != nil {
 		return nil, err
@@ -212,28 +213,28 @@
 			var heard time.Duration
 			if n, _ := fmt.Sscanf(lines.Text(), "act %d %d %d", &a.Value, &a.Epoch, &a.Looked); n == 3 {
 				a.Duty, a.Upon, a.Holder = dutyName, "target", holder
-				by[a.Value] = &a
-			} else if n, _ := fmt.Sscanf(lines.Text(), "heard %d %d %t %d", &a.Value, &heard, &a.OK, &a.Before); n == 4 && by[a.Value] != nil {
-				x := by[a.Value]
-				x.Heard, x.OK, x.Before = heard, a.OK, a.Before
+				byValue[a.Value] = &a
+			} else if n, _ := fmt.Sscanf(lines.Text(), "heard %d %d %t %d", &a.Value, &heard, &a.OK, &a.Before); n == 4 && byValue[a.Value] != nil {
+				act := byValue[a.Value]
+				act.Heard, act.OK, act.Before = heard, a.OK, a.Before
 			}
 		}
 	}
-	for value, took := range r.target.acts {
-		x := by[value]
-		if x == nil || x.Holder != took.Holder || x.Epoch != took.Epoch || x.Heard != 0 && x.OK != took.OK {
-			return nil, fmt.Errorf("%s was told %+v of what was taken as %+v", took.Holder, x, took)
+	for value, received := range r.target.acts {
+		act := byValue[value]
+		if act == nil || act.Holder != received.Holder || act.Epoch != received.Epoch || act.Heard != 0 && act.OK != received.OK {
+			return nil, fmt.Errorf("the journal of %s has %+v for an act that the target has as %+v", received.Holder, act, received)
 		}
-		x.Taken, x.OK = took.Taken, took.OK
-		if x.Heard == 0 {
-			x.Before = took.Before
+		act.Taken, act.OK = received.Taken, received.OK
+		if act.Heard == 0 {
+			act.Before = received.Before
 		}
 	}
-	all := make([]fencing.Act, 0, len(by))
-	for _, value := range slices.Sorted(maps.Keys(by)) {
-		all = append(all, *by[value])
+	acts := make([]fencing.Act, 0, len(byValue))
+	for _, value := range slices.Sorted(maps.Keys(byValue)) {
+		acts = append(acts, *byValue[value])
 	}
-	return all, nil
+	return acts, nil
 }
 
 func (r *run) close() {
--- a/internal/lab/leases/target.go
+++ b/internal/lab/leases/target.go
@@ -14,10 +14,10 @@
 	"mosslead/internal/lease"
 )
 
-// target is acted upon: it takes an act unless its fence refuses the epoch, and keeps what it took.
+// target is the target of acts. It accepts an act unless its fence refuses the epoch, and keeps all acts.
 type target struct {
 	ln      net.Listener
-	noFence bool // planted: it takes whatever comes
+	noFence bool // planted fault: it accepts every act
 	done    sync.WaitGroup
 
 	mu      sync.Mutex
@@ -25,14 +25,14 @@
 	fence   lease.Fence
 	value   uint64
 	acts    map[uint64]*fencing.Act // by value
-	last    fencing.Act             // that was taken
-	handOns int                     // changes of the epoch
+	last    fencing.Act             // the last that was accepted
+	handOns int                     // changes of the epoch among accepted acts
 }
 
 func newTarget(noFence bool) (*target, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("the one acted upon: %w", err)
+		return nil, fmt.Errorf("target of acts: %w", err)
 	}
 	t := &target{ln: ln, noFence: noFence, conns: map[net.Conn]bool{}, acts: map[uint64]*fencing.Act{}}
 	t.done.Go(t.accept)
@@ -52,6 +52,7 @@
 	}
 }
 
+// serve answers the acts of one connection.
 func (t *target) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -75,6 +76,7 @@
 	}
 }
 
+// take handles an act and returns the answer: a word and the value before the act.
 func (t *target) take(a fencing.Act) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,18 +94,18 @@
 	return fmt.Appendf(nil, "%s %d\n", word, a.Before)
 }
 
-// lastAct is whose act was taken last, and how often the duty went from one to another.
-func (t *target) lastAct() (last fencing.Act, hands int) {
+// lastAct returns the last act that was accepted, and the number of hand-ons of the duty so far.
+func (t *target) lastAct() (last fencing.Act, handOns int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.last, t.handOns
 }
 
-// awaitHandOns returns true once so many hand-ons were seen, or false after a while.
-func (t *target) awaitHandOns(ctx context.Context, hands int, most time.Duration) bool {
-	end := time.Now().Add(most)
+// awaitHandOns waits until there were so many hand-ons, and reports whether they came within the limit.
+func (t *target) awaitHandOns(ctx context.Context, handOns int, limit time.Duration) bool {
+	end := time.Now().Add(limit)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		if _, now := t.lastAct(); now >= hands {
+		if _, seen := t.lastAct(); seen >= handOns {
 			return true
 		}
 		pause.For(ctx, 5*time.Millisecond)
