--- a/internal/lab/fencing/acts.go
+++ b/internal/lab/fencing/acts.go
@@ -89,7 +89,7 @@
 			}
 		}
 	}
-	v.Breaches = append(v.Breaches, together(all)...)
+	v.Breaches = append(v.Breaches, overlappingHolders(all)...)
 	return v
 }
 
@@ -102,8 +102,8 @@
 	return gap
 }
 
-// together finds looks that said yes to one holder after one that said so to a later one: also acts that nobody took.
-func together(all []Act) (found []Breach) {
+// overlappingHolders finds looks that said yes to one holder after one that said so to a later one: also acts that nobody took.
+func overlappingHolders(all []Act) (found []Breach) {
 	looks := slices.Clone(all)
 	slices.SortStableFunc(looks, func(a, b Act) int { return cmp.Compare(a.Looked, b.Looked) })
 	highest := Act{}
--- a/internal/lab/fencing/acts_test.go
+++ b/internal/lab/fencing/acts_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// history is two holders, one after the other, with a late act of the first that was refused and one whose answer was lost.
-func history() []Act {
+// sampleActs is two holders, one after the other, with a late act of the first that was refused and one whose answer was lost.
+func sampleActs() []Act {
 	ms := time.Millisecond
 	return []Act{
 		{Upon: "u", Holder: "a", Epoch: 3, Value: 1, Looked: 1 * ms, Taken: 2 * ms, OK: true, Heard: 3 * ms},
@@ -34,7 +34,7 @@
 		{"an act whose answer was lost did not come", func(h []Act) []Act { h[3].Before = 1; return append(h[:1], h[3:]...) }, "", false},
 		{"a write that was told is lost", func(h []Act) []Act { h[4].Before = 2; return h }, "", true},
 	} {
-		h := x.plant(history())
+		h := x.plant(sampleActs())
 		rule := ""
 		if v := Check(h, rules); len(v.Breaches) > 0 {
 			rule = v.Breaches[0].Rule
@@ -43,7 +43,7 @@
 			t.Errorf("%s: %q, linearizable broken: %v", x.fault, rule, lin)
 		}
 	}
-	v := Check(history(), Rules{Gap: 30 * time.Millisecond, Excused: []Span{{20 * time.Millisecond, 40 * time.Millisecond}}})
+	v := Check(sampleActs(), Rules{Gap: 30 * time.Millisecond, Excused: []Span{{20 * time.Millisecond, 40 * time.Millisecond}}})
 	if v.HandOns != 1 || v.Refused != 1 || v.Longest != 20*time.Millisecond || len(v.Breaches) > 0 {
 		t.Errorf("%+v", v)
 	}
--- a/internal/lab/fencing/register.go
+++ b/internal/lab/fencing/register.go
@@ -8,36 +8,36 @@
 	"github.com/anishathalye/porcupine"
 )
 
-const checkPatience = 20 * time.Second
+const checkTimeout = 20 * time.Second
 
-// fenced is the model of one who is acted upon: a register that takes a write under no epoch below the highest it has seen, and
+// registerState is the model of one who is acted upon: a register that takes a write under no epoch below the highest it has seen, and
 // tells what was in it.
-type fenced struct{ epoch, value uint64 }
+type registerState struct{ epoch, value uint64 }
 
 type write struct{ epoch, value uint64 }
 
-type written struct {
+type writeResult struct {
 	ok, unknown bool
 	before      uint64
 }
 
-func step(s fenced, w write, x written) (fenced, bool) {
+func step(s registerState, w write, x writeResult) (registerState, bool) {
 	may := w.epoch >= s.epoch
 	switch {
 	case x.unknown && !may: // it came too late
 		return s, true
 	case x.unknown:
-		return fenced(w), true
+		return registerState(w), true
 	case !x.ok:
 		return s, !may
 	}
-	return fenced(w), may && x.before == s.value
+	return registerState(w), may && x.before == s.value
 }
 
 var model = porcupine.Model{
-	Init: func() any { return fenced{} },
+	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
-		next, ok := step(state.(fenced), input.(write), output.(written))
+		next, ok := step(state.(registerState), input.(write), output.(writeResult))
 		return ok, next
 	},
 	Equal:             func(a, b any) bool { return a == b },
@@ -54,18 +54,18 @@
 			clients[a.Holder] = len(clients)
 		}
 		o := porcupine.Operation{ClientId: clients[a.Holder], Input: write{a.Epoch, a.Value}, Call: int64(a.Looked), Return: int64(a.Heard),
-			Output: written{ok: a.OK, before: a.Before}}
+			Output: writeResult{ok: a.OK, before: a.Before}}
 		if a.Heard == 0 { // it may be taken at any time yet
-			o.Output, o.Return = written{unknown: true}, math.MaxInt64
+			o.Output, o.Return = writeResult{unknown: true}, math.MaxInt64
 		}
 		by[a.Upon] = append(by[a.Upon], o)
 	}
 	for upon, ops := range by {
-		switch porcupine.CheckOperationsTimeout(model, ops, checkPatience) {
+		switch porcupine.CheckOperationsTimeout(model, ops, checkTimeout) {
 		case porcupine.Illegal:
 			found = append(found, Breach{Rule: "linearizable", Text: fmt.Sprintf("no order of %d acts upon %s explains their answers", len(ops), upon)})
 		case porcupine.Unknown:
-			found = append(found, Breach{Rule: "linearizable", Text: fmt.Sprintf("%d acts upon %s could not be judged in %v", len(ops), upon, checkPatience)})
+			found = append(found, Breach{Rule: "linearizable", Text: fmt.Sprintf("%d acts upon %s could not be judged in %v", len(ops), upon, checkTimeout)})
 		}
 	}
 	return found
