--- a/internal/lab/fencing/acts.go
+++ b/internal/lab/fencing/acts.go
@@ -1,5 +1,5 @@
-// Package fencing owns the judgement of what was done under duties, by what those who were acted upon took: that no holder's act
-// is taken after a later holder's, that two never act at once, and that a duty is not left lying for long.
+// Package fencing checks the acts under duties against what their targets accepted: no holder's act is accepted after one of a
+// later holder, two holders never act at once, and no duty is without a holder for long.
 package fencing
 
 import (
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// Act is one act under a duty, or its attempt. Times are on one clock.
+// Act is an act under a duty, or an attempt of one. All times are on one clock.
 type Act struct {
 	Duty   string
-	Upon   string // who was acted upon
+	Upon   string // the target of the act
 	Holder string
 	Epoch  uint64
-	Value  uint64        // unlike that of any other act: written if it is taken
-	Before uint64        // what it found written, if it was taken
-	Looked time.Duration // when the holder looked whether it holds the duty
-	Taken  time.Duration // when it was taken or refused, by the one acted upon; 0: it never came
-	OK     bool          // it was taken
-	Heard  time.Duration // when its holder was told so; 0: never
+	Value  uint64        // unique among acts; written to the target if the act is accepted
+	Before uint64        // the value that the target held before, if the act was accepted
+	Looked time.Duration // when the holder checked that it holds the duty
+	Taken  time.Duration // when the target accepted or refused it; 0 if it never arrived
+	OK     bool          // the act was accepted
+	Heard  time.Duration // when the holder got the answer; 0 if it never did
 }
 
 // Span is a time in which nobody can hold a duty: the service had no quorum, or every candidate was cut off.
 type Span struct{ From, To time.Duration }
 
-// Rules are what acts are judged by.
+// Rules are the rules by which acts are checked.
 type Rules struct {
-	Gap     time.Duration // between two acts that were taken, at most: lease, margin and a second
+	Gap     time.Duration // upper bound between two accepted acts: lease, margin and a second
 	Excused []Span
 }
 
-// Breach is a promise that was not kept.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule string        `json:"rule"`
 	At   time.Duration `json:"at"`
 	Text string        `json:"text"`
 }
 
-// Verdict is what acts came to.
+// Verdict is the result of checking acts.
 type Verdict struct {
 	Acts     int           `json:"acts"`
 	Taken    int           `json:"taken"`
-	Refused  int           `json:"refused"`  // under an epoch that was over: acts that the fence stopped
-	HandOns  int           `json:"hand_ons"` // changes of the epoch among acts that were taken
+	Refused  int           `json:"refused"`  // acts under an epoch that was over, which the fence stopped
+	HandOns  int           `json:"hand_ons"` // changes of the epoch among accepted acts
 	Longest  time.Duration `json:"longest_gap"`
-	LongAt   time.Duration `json:"longest_at"` // its end
+	LongAt   time.Duration `json:"longest_at"` // end of the longest gap
 	Breaches []Breach      `json:"breaches"`
 }
 
-// Check judges the acts under one duty.
+// Check checks the acts under one duty.
 func Check(all []Act, rules Rules) (v Verdict) {
 	v.Acts = len(all)
 	breach := func(rule string, at time.Duration, format string, args ...any) {
@@ -67,16 +67,16 @@
 	}
 	v.Taken = len(taken)
 	slices.SortStableFunc(taken, func(a, b Act) int { return cmp.Compare(a.Taken, b.Taken) })
-	highest, holder := map[string]uint64{}, map[uint64]string{}
+	highest, holders := map[string]uint64{}, map[uint64]string{}
 	for i, a := range taken {
-		if was := highest[a.Upon]; a.Epoch < was {
-			breach("older", a.Taken, "%s took an act of %s under epoch %d after one under %d", a.Upon, a.Holder, a.Epoch, was)
+		if seen := highest[a.Upon]; a.Epoch < seen {
+			breach("older", a.Taken, "%s took an act of %s under epoch %d after one under %d", a.Upon, a.Holder, a.Epoch, seen)
 		}
 		highest[a.Upon] = max(highest[a.Upon], a.Epoch)
-		if was, known := holder[a.Epoch]; known && was != a.Holder {
-			breach("two holders", a.Taken, "acts of %s and of %s were taken under epoch %d", was, a.Holder, a.Epoch)
+		if other, known := holders[a.Epoch]; known && other != a.Holder {
+			breach("two holders", a.Taken, "acts of %s and of %s were taken under epoch %d", other, a.Holder, a.Epoch)
 		}
-		if holder[a.Epoch] = a.Holder; i == 0 {
+		if holders[a.Epoch] = a.Holder; i == 0 {
 			continue
 		}
 		if a.Epoch != taken[i-1].Epoch {
@@ -93,7 +93,7 @@
 	return v
 }
 
-// gap is the time from one act to the next, without what is excused.
+// gap returns the time from one act to the next, without the excused spans.
 func (r Rules) gap(from, to time.Duration) time.Duration {
 	gap := to - from
 	for _, s := range r.Excused {
@@ -102,12 +102,13 @@
 	return gap
 }
 
-// overlappingHolders finds looks that said yes to one holder after one that said so to a later one: also acts that nobody took.
+// overlappingHolders returns a breach for each act that a holder began after a later holder had begun one. Acts that no target accepted
+// count too.
 func overlappingHolders(all []Act) (found []Breach) {
-	looks := slices.Clone(all)
-	slices.SortStableFunc(looks, func(a, b Act) int { return cmp.Compare(a.Looked, b.Looked) })
+	byLook := slices.Clone(all)
+	slices.SortStableFunc(byLook, func(a, b Act) int { return cmp.Compare(a.Looked, b.Looked) })
 	highest := Act{}
-	for _, a := range looks {
+	for _, a := range byLook {
 		if a.Epoch < highest.Epoch {
 			found = append(found, Breach{"together", a.Looked, fmt.Sprintf("%s began an act under epoch %d, %v after %s did under %d",
 				a.Holder, a.Epoch, a.Looked-highest.Looked, highest.Holder, highest.Epoch)})
--- a/internal/lab/fencing/acts_test.go
+++ b/internal/lab/fencing/acts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sampleActs is two holders, one after the other, with a late act of the first that was refused and one whose answer was lost.
+// sampleActs returns acts of two successive holders. One late act of the first was refused, and the answer to another was lost.
 func sampleActs() []Act {
 	ms := time.Millisecond
 	return []Act{
@@ -23,7 +23,7 @@
 		fault string
 		plant func(h []Act) []Act
 		rule  string
-		lin   bool // a fenced register would not have answered so
+		lin   bool // whether the answers contradict a fenced register
 	}{
 		{"none", func(h []Act) []Act { return h }, "", false},
 		{"a late act is taken", func(h []Act) []Act { h[2].OK, h[2].Before = true, 5; return h }, "older", true},
@@ -40,11 +40,11 @@
 			rule = v.Breaches[0].Rule
 		}
 		if lin := len(Linearizable(h)) > 0; rule != x.rule || lin != x.lin {
-			t.Errorf("%s: %q, linearizable broken: %v", x.fault, rule, lin)
+			t.Errorf("%s: got breach %q and not linearizable %v, want %q and %v", x.fault, rule, lin, x.rule, x.lin)
 		}
 	}
 	v := Check(sampleActs(), Rules{Gap: 30 * time.Millisecond, Excused: []Span{{20 * time.Millisecond, 40 * time.Millisecond}}})
 	if v.HandOns != 1 || v.Refused != 1 || v.Longest != 20*time.Millisecond || len(v.Breaches) > 0 {
-		t.Errorf("%+v", v)
+		t.Errorf("got verdict %+v, want 1 hand-on, 1 refused act, a longest gap of 20ms and no breaches", v)
 	}
 }
--- a/internal/lab/fencing/register.go
+++ b/internal/lab/fencing/register.go
@@ -10,8 +10,8 @@
 
 const checkTimeout = 20 * time.Second
 
-// registerState is the model of one who is acted upon: a register that takes a write under no epoch below the highest it has seen, and
-// tells what was in it.
+// registerState is the model of a target: a register that refuses a write under an epoch below the highest it has seen, and returns its
+// value before each write.
 type registerState struct{ epoch, value uint64 }
 
 type write struct{ epoch, value uint64 }
@@ -21,17 +21,18 @@
 	before      uint64
 }
 
+// step applies a write to the model, and reports whether the register could have answered so.
 func step(s registerState, w write, x writeResult) (registerState, bool) {
-	may := w.epoch >= s.epoch
+	accepted := w.epoch >= s.epoch
 	switch {
-	case x.unknown && !may: // it came too late
+	case x.unknown && !accepted: // it arrived too late
 		return s, true
 	case x.unknown:
 		return registerState(w), true
 	case !x.ok:
-		return s, !may
+		return s, !accepted
 	}
-	return registerState(w), may && x.before == s.value
+	return registerState(w), accepted && x.before == s.value
 }
 
 var model = porcupine.Model{
@@ -44,10 +45,10 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v: %+v", input, output) },
 }
 
-// Linearizable looks, for each that was acted upon, for an order of all acts in which each was answered as a fenced register
-// answers. What holders were told counts, and not what the register says that it did.
+// Linearizable searches, for each target, for an order of all acts in which each was answered as a fenced register answers. It
+// returns a breach for a target without one. The answers that holders got count, not what the target recorded.
 func Linearizable(all []Act) (found []Breach) {
-	by := map[string][]porcupine.Operation{}
+	byTarget := map[string][]porcupine.Operation{}
 	clients := map[string]int{}
 	for _, a := range all {
 		if _, ok := clients[a.Holder]; !ok {
@@ -55,12 +56,12 @@
 		}
 		o := porcupine.Operation{ClientId: clients[a.Holder], Input: write{a.Epoch, a.Value}, Call: int64(a.Looked), Return: int64(a.Heard),
 			Output: writeResult{ok: a.OK, before: a.Before}}
-		if a.Heard == 0 { // it may be taken at any time yet
+		if a.Heard == 0 { // it may still be accepted at any time
 			o.Output, o.Return = writeResult{unknown: true}, math.MaxInt64
 		}
-		by[a.Upon] = append(by[a.Upon], o)
+		byTarget[a.Upon] = append(byTarget[a.Upon], o)
 	}
-	for upon, ops := range by {
+	for upon, ops := range byTarget {
 		switch porcupine.CheckOperationsTimeout(model, ops, checkTimeout) {
 		case porcupine.Illegal:
 			found = append(found, Breach{Rule: "linearizable", Text: fmt.Sprintf("no order of %d acts upon %s explains their answers", len(ops), upon)})
