--- a/internal/lab/gossipbench/spread.go
+++ b/internal/lab/gossipbench/spread.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	sites      = 4
-	sayTTL     = 5 * time.Second
-	sayAgain   = 2 * time.Second
-	askEvery   = 100 * time.Millisecond // one member in ten asks two others for their pressure, as hot sidecars do
-	askers     = 10
-	joinWithin = time.Minute
-	rosterEach = time.Second // boards are told who is present so often
-	blamed     = "s-1"       // what several members of all sites leave out
-	slandered  = "s-2"       // what one alone blames
+	sites                = 4
+	reportTTL            = 5 * time.Second
+	reportInterval       = 2 * time.Second
+	requestInterval      = 100 * time.Millisecond // one member in ten asks two others for their pressure, as hot sidecars do
+	membersPerRequester  = 10
+	joinTimeout          = time.Minute
+	rosterInterval       = time.Second // boards are told who is present so often
+	reportedUpstream     = "s-1"       // what several members of all sites leave out
+	singleReportUpstream = "s-2"       // what one alone blames
 )
 
 // Plan is one measure.
@@ -37,8 +37,8 @@
 	Seed    uint64
 }
 
-// blamers is how many members say what they leave out: enough for a verdict, which takes more of them in a larger fleet.
-func blamers(members int) int { return max(6, members/50) }
+// reporters is how many members say what they leave out: enough for a verdict, which takes more of them in a larger fleet.
+func reporters(members int) int { return max(6, members/50) }
 
 // Result is what was seen. Times count from the moment at which the last of the members that leave it out has said so.
 type Result struct {
@@ -58,17 +58,17 @@
 
 type member struct {
 	*gossip.Gossiper
-	self  message.Member
-	end   *end
-	known time.Time
-	wrong int
+	self      message.Member
+	transport *transport
+	known     time.Time
+	wrong     int
 }
 
 // Run measures once.
 func Run(ctx context.Context, p Plan) (r Result, err error) {
 	r = Result{Members: p.Members, Loss: p.Loss, Seed: p.Seed}
 	rng := rand.New(rand.NewPCG(p.Seed, 7))
-	f := &fabric{loss: p.Loss, delay: p.Delay, rng: rand.New(rand.NewPCG(p.Seed, 8)), ends: map[string]*end{}}
+	f := &fabric{loss: p.Loss, delay: p.Delay, rng: rand.New(rand.NewPCG(p.Seed, 8)), transports: map[string]*transport{}}
 	all := make([]*member, 0, p.Members)
 	ctx, stop := context.WithCancel(ctx)
 	var parts sync.WaitGroup
@@ -85,12 +85,12 @@
 	begun := time.Now()
 	for n := range p.Members {
 		m := &member{self: message.Member{Name: fmt.Sprintf("n%04d", n), Site: fmt.Sprint("site-", n%sites), Schema: message.Schema,
-			Incarnation: message.Incarnation{StartedMs: begun.UnixMilli(), ID: rng.Uint64()}}, end: f.end(n)}
-		if m.Gossiper, err = gossip.Join(gossip.Config{Member: m.self, Address: m.end.String(), Seeds: seeds, Transport: m.end}); err != nil {
+			Incarnation: message.Incarnation{StartedMs: begun.UnixMilli(), ID: rng.Uint64()}}, transport: f.newTransport(n)}
+		if m.Gossiper, err = gossip.Join(gossip.Config{Member: m.self, Address: m.transport.String(), Seeds: seeds, Transport: m.transport}); err != nil {
 			return r, err
 		}
 		if all = append(all, m); n < 3 {
-			seeds = append(seeds, m.end.String())
+			seeds = append(seeds, m.transport.String())
 		}
 	}
 	missing := func() (n int) {
@@ -103,8 +103,8 @@
 		if err := wait(ctx, 50*time.Millisecond); err != nil {
 			return r, err
 		}
-		if time.Since(begun) > joinWithin {
-			return r, fmt.Errorf("%d members do not know each other after %v", p.Members, joinWithin)
+		if time.Since(begun) > joinTimeout {
+			return r, fmt.Errorf("%d members do not know each other after %v", p.Members, joinTimeout)
 		}
 	}
 	r.JoinS = time.Since(begun).Seconds()
@@ -113,26 +113,26 @@
 	}
 	before := make([]int64, len(all))
 	for i, m := range all {
-		before[i] = m.end.sent.Load()
-		parts.Go(func() { m.listen(ctx, begun) })
-		parts.Go(func() { m.tell(ctx) })
-		if i%askers == 0 {
-			parts.Go(func() { m.ask(ctx, p.Members) })
+		before[i] = m.transport.sent.Load()
+		parts.Go(func() { m.runBoard(ctx, begun) })
+		parts.Go(func() { m.answerRequests(ctx) })
+		if i%membersPerRequester == 0 {
+			parts.Go(func() { m.requestPressure(ctx, p.Members) })
 		}
 	}
 	if err := wait(ctx, p.Length/3); err != nil {
 		return r, err
 	}
-	for i, m := range all[:blamers(p.Members)] {
-		upstream := blamed
+	for i, m := range all[:reporters(p.Members)] {
+		upstream := reportedUpstream
 		if i == 0 {
-			upstream = slandered
+			upstream = singleReportUpstream
 		}
 		report := message.Report{Upstream: upstream, StartedMs: 1, State: message.Open, Evidence: message.ErrorAnswers, Count: 3}
-		if err := m.Broadcast(message.Breaker, upstream, report, sayTTL, false); err != nil {
+		if err := m.Broadcast(message.Breaker, upstream, report, reportTTL, false); err != nil {
 			return r, err
 		}
-		parts.Go(func() { m.again(ctx, upstream, report) })
+		parts.Go(func() { m.repeatReport(ctx, upstream, report) })
 	}
 	said := time.Now()
 	if err := wait(ctx, 2*p.Length/3); err != nil {
@@ -143,12 +143,12 @@
 	parts.Wait()
 	var times []float64
 	for i, m := range all {
-		sent := float64(m.end.sent.Load()-before[i]) / p.Length.Seconds()
+		sent := float64(m.transport.sent.Load()-before[i]) / p.Length.Seconds()
 		r.BytesMean += sent / float64(len(all))
 		r.BytesMost = max(r.BytesMost, sent)
 		r.Wrong += m.wrong
-		r.Dropped += m.end.dropped.Load()
-		if i > 0 && i < blamers(p.Members) {
+		r.Dropped += m.transport.dropped.Load()
+		if i > 0 && i < reporters(p.Members) {
 			continue // they said it
 		}
 		if m.known.IsZero() {
@@ -163,23 +163,23 @@
 	return r, nil
 }
 
-// listen is a member's board, until ctx ends.
-func (m *member) listen(ctx context.Context, begun time.Time) {
+// runBoard is a member's board, until ctx ends.
+func (m *member) runBoard(ctx context.Context, begun time.Time) {
 	board := circuitbreaker.New(circuitbreaker.Config{Self: m.self.Name, Site: m.self.Site})
 	heard := m.Inbox(message.Breaker)
 	take := func(verdicts []circuitbreaker.Verdict) {
 		for _, v := range verdicts {
 			switch {
-			case v.Open && v.Upstream == blamed && m.known.IsZero():
+			case v.Open && v.Upstream == reportedUpstream && m.known.IsZero():
 				m.known = time.Now()
-			case v.Open && v.Upstream == slandered:
+			case v.Open && v.Upstream == singleReportUpstream:
 				m.wrong++
 			}
 		}
 	}
-	take(board.Handle(time.Since(begun), circuitbreaker.EndpointList{Upstreams: []circuitbreaker.Upstream{{Name: blamed, StartedMs: 1}, {Name: slandered, StartedMs: 1},
+	take(board.Handle(time.Since(begun), circuitbreaker.EndpointList{Upstreams: []circuitbreaker.Upstream{{Name: reportedUpstream, StartedMs: 1}, {Name: singleReportUpstream, StartedMs: 1},
 		{Name: "s-3", StartedMs: 1}, {Name: "s-4", StartedMs: 1}}}))
-	roster := time.NewTicker(rosterEach)
+	roster := time.NewTicker(rosterInterval)
 	defer roster.Stop()
 	take(board.Handle(time.Since(begun), circuitbreaker.Roster{Members: m.Members()}))
 	for {
@@ -199,24 +199,24 @@
 	}
 }
 
-// again says what was said again, as sidecars do, until ctx ends.
-func (m *member) again(ctx context.Context, upstream string, report message.Report) {
-	for wait(ctx, sayAgain) == nil {
-		_ = m.Broadcast(message.Breaker, upstream, report, sayTTL, false) // it was within the bounds before
+// repeatReport says what was said repeatReport, as sidecars do, until ctx ends.
+func (m *member) repeatReport(ctx context.Context, upstream string, report message.Report) {
+	for wait(ctx, reportInterval) == nil {
+		_ = m.Broadcast(message.Breaker, upstream, report, reportTTL, false) // it was within the bounds before
 	}
 }
 
-// ask asks others for their pressure, until ctx ends.
-func (m *member) ask(ctx context.Context, members int) {
-	for wait(ctx, askEvery) == nil {
+// requestPressure asks others for their pressure, until ctx ends.
+func (m *member) requestPressure(ctx context.Context, members int) {
+	for wait(ctx, requestInterval) == nil {
 		for range 2 {
-			_ = m.SendTo(fmt.Sprintf("n%04d", rand.IntN(members)), message.PressureRequest, nil, sayTTL) // one that is lost is asked for again
+			_ = m.SendTo(fmt.Sprintf("n%04d", rand.IntN(members)), message.PressureRequest, nil, reportTTL) // one that is lost is asked for again
 		}
 	}
 }
 
-// tell answers who asks, until ctx ends.
-func (m *member) tell(ctx context.Context) {
+// answerRequests answers who asks, until ctx ends.
+func (m *member) answerRequests(ctx context.Context) {
 	asked := m.Inbox(message.PressureRequest)
 	for {
 		select {
@@ -224,7 +224,7 @@
 			return
 		case <-asked.Ready():
 			for r, ok := asked.Pop(); ok; r, ok = asked.Pop() {
-				_ = m.SendTo(r.Owner, message.LoadReport, message.Pressure{Total: 0.5, InFlight: 0.5}, sayTTL)
+				_ = m.SendTo(r.Owner, message.LoadReport, message.Pressure{Total: 0.5, InFlight: 0.5}, reportTTL)
 			}
 		}
 	}
