--- a/internal/lab/gossipbench/net.go
+++ b/internal/lab/gossipbench/net.go
@@ -13,12 +13,12 @@
 	"github.com/hashicorp/memberlist"
 )
 
-const maxQueuedPackets = 1024 // that wait at one member; a kernel's socket buffer holds about as many
+const maxQueuedPackets = 1024 // datagrams that wait at one member; a kernel's socket buffer holds about as many
 
-// fabric is a network in memory that loses and delays datagrams; streams are whole, as TCP's are, and come up late.
+// fabric is a network in memory that loses and delays datagrams. Streams lose nothing, as with TCP, and are delayed only when opened.
 type fabric struct {
 	loss  float64
-	delay time.Duration // one way; each datagram takes half to one and a half of it
+	delay time.Duration // one way; a datagram takes 0.5 to 1.5 times as long
 
 	mu         sync.Mutex
 	rng        *rand.Rand
@@ -33,11 +33,11 @@
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	done    chan struct{}
-	sent    atomic.Int64 // bytes, of datagrams and streams
-	dropped atomic.Int64 // that came while packetsMost waited
+	sent    atomic.Int64 // bytes sent, of datagrams and streams
+	dropped atomic.Int64 // datagrams that arrived while maxQueuedPackets waited
 }
 
-// newTransport makes the transport of member number n.
+// newTransport returns the transport of member number n, and adds it to the network.
 func (f *fabric) newTransport(n int) *transport {
 	e := &transport{fabric: f, ip: net.IPv4(127, 1, byte(n>>8), byte(n)), port: 7946, packets: make(chan *memberlist.Packet, maxQueuedPackets),
 		streams: make(chan net.Conn, 16), done: make(chan struct{})}
@@ -52,7 +52,7 @@
 // Network implements net.Addr.
 func (e *transport) Network() string { return "memory" }
 
-// FinalAdvertiseAddr is the member's address.
+// FinalAdvertiseAddr returns the member's address.
 func (e *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) { return e.ip, e.port, nil }
 
 // WriteTo sends a datagram, which may be lost.
@@ -60,13 +60,13 @@
 	now := time.Now()
 	e.sent.Add(int64(len(b)))
 	e.fabric.mu.Lock()
-	to, lost, wait := e.fabric.transports[address], e.fabric.rng.Float64() < e.fabric.loss, time.Duration((0.5+e.fabric.rng.Float64())*float64(e.fabric.delay))
+	to, lost, delay := e.fabric.transports[address], e.fabric.rng.Float64() < e.fabric.loss, time.Duration((0.5+e.fabric.rng.Float64())*float64(e.fabric.delay))
 	e.fabric.mu.Unlock()
 	if to == nil || lost {
 		return now, nil
 	}
 	p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: e}
-	time.AfterFunc(wait, func() {
+	time.AfterFunc(delay, func() {
 		p.Timestamp = time.Now()
 		select {
 		case to.packets <- p:
@@ -77,7 +77,7 @@
 	return now, nil
 }
 
-// PacketCh is where datagrams arrive.
+// PacketCh returns the channel on which datagrams arrive.
 func (e *transport) PacketCh() <-chan *memberlist.Packet { return e.packets }
 
 // DialTimeout opens a stream.
@@ -86,22 +86,22 @@
 	to := e.fabric.transports[address]
 	e.fabric.mu.Unlock()
 	if to == nil {
-		return nil, fmt.Errorf("nobody at %s", address)
+		return nil, fmt.Errorf("no member at %s", address)
 	}
 	time.Sleep(2 * e.fabric.delay)
 	near, far := net.Pipe()
-	late := time.NewTimer(timeout)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case to.streams <- &countingConn{far, &to.sent}:
 		return &countingConn{near, &e.sent}, nil
 	case <-to.done:
-	case <-late.C:
+	case <-timer.C:
 	}
 	return nil, errors.New("no answer")
 }
 
-// StreamCh is where streams arrive.
+// StreamCh returns the channel on which streams arrive.
 func (e *transport) StreamCh() <-chan net.Conn { return e.streams }
 
 // Shutdown takes the member off the network.
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// countingConn counts what is written.
+// countingConn is a connection that counts the bytes written to it.
 type countingConn struct {
 	net.Conn
 	sent *atomic.Int64
--- a/internal/lab/gossipbench/plot.go
+++ b/internal/lab/gossipbench/plot.go
@@ -11,7 +11,8 @@
 	"mosslead/internal/lab/chart"
 )
 
-// Plot draws when all know against the number of sidecars, a line for each loss; several seeds are points of one line.
+// Plot draws the time until all members know over the number of sidecars, with a line for each loss. Several seeds are points
+// of one line.
 func Plot(path string, all []Result) error {
 	p := plot.New()
 	p.Title.Text = "What two sidecars leave out, until all know"
--- a/internal/lab/gossipbench/spread_test.go
+++ b/internal/lab/gossipbench/spread_test.go
@@ -12,15 +12,15 @@
 	"mosslead/internal/lab/capacity"
 )
 
-// In virtual time the measure does not depend on the machine. All sizes take some minutes, so they are asked for:
+// In virtual time the measurement does not depend on the machine. All sizes take some minutes, so they run only on request:
 //
-//	go test ./internal/lab/spread -run TestSpread -v -spread.all -spread.to spread.svg
+//	go test ./internal/lab/gossipbench -run TestSpread -v -spread.all -spread.to spread.svg
 var (
 	all  = flag.Bool("spread.all", false, "16, 64, 256 and 1,000 members, with 0, 10 and 30% of datagrams lost, 3 seeds")
 	rush = flag.Bool("spread.rush", false, "from the moment on at which all of a mass start know each other")
 	to   = flag.String("spread.to", "", "picture of the times")
 
-	// The measure behind docs/CAPACITY.md: at 16 to 256 members, and then at the size that these predict.
+	// The measurement behind docs/CAPACITY.md: at 16 to 256 members, and then at the size that these predict.
 	capacityTo = flag.String("spread.capacity", "", "directory of measures: gossip.json is written there")
 	checked    = flag.Int("spread.check", 0, "play so many members, of which a measure in that directory holds a prediction")
 	large      = flag.Bool("spread.large", false, "predict 1,000 members from what gossip.json has, its check among it, in gossip-large.json")
@@ -28,16 +28,16 @@
 	revision   = flag.String("spread.revision", "", "of the work tree, for the measure")
 )
 
-// TestCapacity writes the measure of what a member sends, where it is asked for.
+// TestCapacity measures what a member sends, and writes the measure, if -spread.capacity is set.
 func TestCapacity(t *testing.T) {
 	if *capacityTo == "" {
-		t.Skip("asked for with -spread.capacity DIR")
+		t.Skip("runs only with -spread.capacity DIR")
 	}
 	play := func(n, seed int) capacity.Sample {
 		r := measure(t, Plan{Members: n, Delay: 5 * time.Millisecond, Settle: 20 * time.Second, Length: 30 * time.Second, Seed: uint64(seed)})
 		t.Logf("%+v", r)
 		if r.Unknown > 0 || r.Wrong > 0 || r.Dropped > 0 {
-			t.Errorf("not to be trusted: %+v", r)
+			t.Errorf("got %d unknown, %d wrong and %d dropped, want 0 of each: %+v", r.Unknown, r.Wrong, r.Dropped, r)
 		}
 		return capacity.Sample{Sizes: map[string]float64{"members": float64(n)},
 			Got: map[string]float64{"bytes_mean": r.BytesMean, "bytes_most": r.BytesMost, "known95_ms": r.Known95Ms, "known_ms": r.KnownMs, "seed": float64(seed)}}
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 		if float64(*checked) != m.Prediction.Sizes["members"] {
-			t.Fatalf("%d members were not predicted, but %v", *checked, m.Prediction.Sizes)
+			t.Fatalf("got %d members to check, want the predicted size %v", *checked, m.Prediction.Sizes)
 		}
 		m.Checks = []capacity.Sample{play(*checked, 1)}
 		if err := m.Write(*capacityTo); err != nil {
@@ -88,6 +88,7 @@
 	}
 }
 
+// measure runs a plan in virtual time.
 func measure(t *testing.T, p Plan) (r Result) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -95,7 +96,7 @@
 		if r, err = Run(t.Context(), p); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // probes of the library end with their time
+		time.Sleep(time.Minute) // the library's probes end when their time is over
 	})
 	return r
 }
@@ -109,24 +110,24 @@
 	if *rush {
 		settle = 0
 	}
-	var found []Result
+	var results []Result
 	for _, n := range sizes {
 		for _, loss := range losses {
 			for seed := range seeds {
 				r := measure(t, Plan{Members: n, Loss: loss, Delay: 5 * time.Millisecond, Settle: settle, Length: 9 * time.Second, Seed: uint64(seed + 1)})
-				found = append(found, r)
+				results = append(results, r)
 				t.Logf("%+v", r)
 				if r.Unknown > 0 || r.Wrong > 0 {
-					t.Errorf("%d of %d were never told, %d wrong verdicts, at a loss of %v", r.Unknown, n, r.Wrong, loss)
+					t.Errorf("%d members, loss %v: got %d without the verdict and %d wrong verdicts, want 0 and 0", n, loss, r.Unknown, r.Wrong)
 				}
 				if r.BytesMost > 8<<10 && !*rush {
-					t.Errorf("a member of %d sent %.0f bytes a second", n, r.BytesMost)
+					t.Errorf("%d members: got up to %.0f bytes a second from a member, want at most %d", n, r.BytesMost, 8<<10)
 				}
 			}
 		}
 	}
 	if *to != "" {
-		if err := Plot(*to, found); err != nil {
+		if err := Plot(*to, results); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintln(os.Stderr, "drawn:", *to)
