--- a/internal/lab/history/documents.go
+++ b/internal/lab/history/documents.go
@@ -15,12 +15,12 @@
 // Settings of a service are judged by the model of an entry: they are there or not, what they say is unlike any other, and their
 // version rises. A put is its register, a deletion its leave.
 
-// text is settings that no other call puts.
-func text(caller, n int) string {
+// documentText is settings that no other call puts.
+func documentText(caller, n int) string {
 	return fmt.Sprintf(`{"Classes":[{"Name":"c%dn%d","Semantics":"retryable","DeadlineMs":100}]}`, caller, n)
 }
 
-func askDocument(ctx context.Context, c *client.Client, o op) (x out, err error) {
+func callDocument(ctx context.Context, c *client.Client, o op) (x out, err error) {
 	switch o.kind {
 	case "read":
 		var d api.Document
@@ -39,47 +39,47 @@
 	return x, err
 }
 
-// tale is what one replica tells of one service's settings, over all watches on it.
-type tale struct {
-	at, service string
-	told        []api.Document
-	times       []time.Duration
-	restarts    int
+// documentWatch is what one replica tells of one service's settings, over all watches on it.
+type documentWatch struct {
+	address, service string
+	documents        []api.Document
+	times            []time.Duration
+	restarts         int
 }
 
-// tell begins to follow each service at each follower.
-func (r *Run) tell(ctx context.Context) {
+// followDocuments begins to follow each service at each follower.
+func (r *Run) followDocuments(ctx context.Context) {
 	for _, at := range r.spec.Followers {
 		for i := range r.spec.Names {
-			t := &tale{at: at, service: fmt.Sprintf("%s%d", prefix, i)}
-			r.tales = append(r.tales, t)
-			r.all.Go(func() { t.follow(ctx, r.begin) })
+			t := &documentWatch{address: at, service: fmt.Sprintf("%s%d", prefix, i)}
+			r.documentWatches = append(r.documentWatches, t)
+			r.running.Go(func() { t.follow(ctx, r.begin) })
 		}
 	}
 }
 
 // follow watches again and again until ctx ends, each time as one that holds what it was told last.
-func (t *tale) follow(ctx context.Context, begin time.Time) {
-	rewatched(ctx, func(int) string {
+func (t *documentWatch) follow(ctx context.Context, begin time.Time) {
+	watchRepeatedly(ctx, func(int) string {
 		held := ""
-		if n := len(t.told); n > 0 {
-			held = fmt.Sprintf("%s@%d", t.told[n-1].Region, t.told[n-1].Revision)
+		if n := len(t.documents); n > 0 {
+			held = fmt.Sprintf("%s@%d", t.documents[n-1].Region, t.documents[n-1].Revision)
 		}
-		return fmt.Sprintf("http://%s/api/targets?watch=1&from=-1&service=%s&held=%s", t.at, url.QueryEscape(t.service), url.QueryEscape(held))
+		return fmt.Sprintf("http://%s/api/targets?watch=1&from=-1&service=%s&held=%s", t.address, url.QueryEscape(t.service), url.QueryEscape(held))
 	}, func(line []byte) {
 		var l api.WatchEvent
 		if json.Unmarshal(line, &l) != nil {
 			return
 		}
 		for _, d := range l.Documents {
-			t.told, t.times = append(t.told, d), append(t.times, time.Since(begin))
+			t.documents, t.times = append(t.documents, d), append(t.times, time.Since(begin))
 		}
 	}, &t.restarts)
 }
 
-// told judges what was told of documents: each replica's versions of one only rise, and each version says what was put under it, to
+// checkDocuments judges what was checkDocuments of documents: each replica's versions of one only rise, and each version says what was put under it, to
 // all the same.
-func (r *Run) told() (found []Breach) {
+func (r *Run) checkDocuments() (found []Breach) {
 	type version struct {
 		service string
 		at      int64
@@ -93,11 +93,11 @@
 			}
 		}
 	}
-	for _, t := range r.tales {
+	for _, t := range r.documentWatches {
 		highest := map[string]int64{} // by region
-		for i, d := range t.told {
+		for i, d := range t.documents {
 			says := func(rule, format string, args ...any) {
-				found = append(found, Breach{Rule: rule, At: t.times[i], Text: t.at + ": " + t.service + ": " + fmt.Sprintf(format, args...)})
+				found = append(found, Breach{Rule: rule, At: t.times[i], Text: t.address + ": " + t.service + ": " + fmt.Sprintf(format, args...)})
 			}
 			if was := highest[d.Region]; d.Revision < was {
 				says("monotonic", "version %d after %d", d.Revision, was)
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	callPatience = 1500 * time.Millisecond
-	restMost     = 30 * time.Millisecond // between two calls of one caller
-	prefix       = "h-"                  // of names: apart from those of real upstreams
+	callTimeout = 1500 * time.Millisecond
+	maxPause    = 30 * time.Millisecond // between two calls of one caller
+	prefix      = "h-"                  // of names: apart from those of real upstreams
 )
 
 // Spec says who calls what.
@@ -62,32 +62,32 @@
 	spec  Spec
 	begin time.Time
 
-	mu      sync.Mutex
-	calls   []call
-	watches []*watch
-	tales   []*tale
-	all     sync.WaitGroup
+	mu              sync.Mutex
+	calls           []call
+	watches         []*watch
+	documentWatches []*documentWatch
+	running         sync.WaitGroup
 }
 
 // Start begins to call and watch, until ctx ends.
 func Start(ctx context.Context, s Spec) *Run {
 	r := &Run{spec: s, begin: time.Now()}
 	for i := range s.Callers {
-		r.all.Go(func() { r.caller(ctx, i) })
+		r.running.Go(func() { r.runCaller(ctx, i) })
 	}
 	if s.Documents {
-		r.tell(ctx)
+		r.followDocuments(ctx)
 		return r
 	}
 	for i, at := range s.Replicas {
-		w := &watch{at: at, index: -1, hashes: map[int64]uint64{}}
+		w := &watch{address: at, index: -1, hashes: map[int64]uint64{}}
 		r.watches = append(r.watches, w)
-		r.all.Go(func() { w.follow(ctx, i%2 == 0) })
+		r.running.Go(func() { w.follow(ctx, i%2 == 0) })
 	}
 	return r
 }
 
-func (r *Run) caller(ctx context.Context, i int) {
+func (r *Run) runCaller(ctx context.Context, i int) {
 	rng := rand.New(rand.NewPCG(r.spec.Seed, uint64(i)))
 	c := client.New(r.spec.Replicas)
 	defer c.Close()
@@ -99,7 +99,7 @@
 		case p < 0.4:
 			o.kind = "read"
 		case r.spec.Documents && p < 0.85 || r.spec.Documents && known[name] == 0:
-			o.kind, o.address, o.ifVersion = "register", text(i, n), known[name]
+			o.kind, o.address, o.ifVersion = "register", documentText(i, n), known[name]
 		case r.spec.Documents:
 			o.kind, o.ifVersion = "leave", known[name]
 		case p < 0.7:
@@ -115,7 +115,7 @@
 			}
 		}
 		x := call{caller: i, op: o, from: time.Since(r.begin)}
-		x.out = r.ask(ctx, c, o)
+		x.out = r.perform(ctx, c, o)
 		x.to = time.Since(r.begin)
 		if x.out.code == "" && !x.out.unknown {
 			known[name] = max(x.out.version, x.out.record.Revision)
@@ -126,20 +126,20 @@
 		r.calls = append(r.calls, x)
 		r.mu.Unlock()
 		select {
-		case <-time.After(time.Duration(rng.Int64N(int64(restMost)))):
+		case <-time.After(time.Duration(rng.Int64N(int64(maxPause)))):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// ask makes a call, once: whatever is conditional is not repeated by the client either.
-func (r *Run) ask(ctx context.Context, c *client.Client, o op) (x out) {
-	ctx, cancel := context.WithTimeout(ctx, callPatience)
+// perform makes a call, once: whatever is conditional is not repeated by the client either.
+func (r *Run) perform(ctx context.Context, c *client.Client, o op) (x out) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var err error
 	switch kind := o.kind; {
 	case r.spec.Documents:
-		x, err = askDocument(ctx, c, o)
+		x, err = callDocument(ctx, c, o)
 	case kind == "read":
 		x.record, err = c.Record(ctx, o.name, true)
 	case kind == "register":
@@ -178,27 +178,27 @@
 // End waits for all, which end with the context of Start, and judges. final is the list as it is sure to be now, read by
 // the caller; it stands for the version that watches are compared with.
 func (r *Run) End(final api.WatchEvent) ([]Breach, Count) {
-	n := r.ended()
+	n := r.wait()
 	for _, w := range r.watches {
 		n.Messages += w.messages
 		n.Restarts += w.restarts
 	}
-	return append(r.linearizable(), r.watched(final)...), n
+	return append(r.linearizable(), r.checkWatches(final)...), n
 }
 
 // EndDocuments waits for all, which end with the context of Start, and judges what was written and told of documents.
 func (r *Run) EndDocuments() ([]Breach, Count) {
-	n := r.ended()
-	for _, t := range r.tales {
-		n.Messages += len(t.told)
+	n := r.wait()
+	for _, t := range r.documentWatches {
+		n.Messages += len(t.documents)
 		n.Restarts += t.restarts
 	}
-	return append(r.linearizable(), r.told()...), n
+	return append(r.linearizable(), r.checkDocuments()...), n
 }
 
-// ended waits for all, and counts the calls.
-func (r *Run) ended() Count {
-	r.all.Wait()
+// wait waits for all, and counts the calls.
+func (r *Run) wait() Count {
+	r.running.Wait()
 	n := Count{Calls: len(r.calls)}
 	for _, c := range r.calls {
 		if c.out.unknown {
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -57,16 +57,16 @@
 		{"an entry twice", "twice", []string{whole, `{"index":4,"endpoints":[{"name":"a","status":"Gone"},{"name":"a","status":"Ready"}]}`}},
 		{"changes to nothing", "no list", []string{`{"index":4,"endpoints":[{"name":"a","status":"Gone"}]}`}},
 	} {
-		w := &watch{at: "r", index: -1, hashes: map[int64]uint64{}}
+		w := &watch{address: "r", index: -1, hashes: map[int64]uint64{}}
 		var said []string
 		for _, line := range x.lines {
-			if text := w.take([]byte(line)); text != "" {
+			if text := w.apply([]byte(line)); text != "" {
 				said = append(said, text)
 			}
 		}
 		// At the end of all a is gone at version 4, and c is there at 5.
 		final := api.WatchEvent{Revision: 5, Endpoints: []api.Endpoint{{Name: "b", Status: api.Ready}, {Name: "c", Status: api.Ready}}}
-		for _, b := range (&Run{watches: []*watch{w}}).watched(final) {
+		for _, b := range (&Run{watches: []*watch{w}}).checkWatches(final) {
 			said = append(said, b.Text)
 		}
 		got := strings.Join(said, "; ")
@@ -101,9 +101,9 @@
 	} {
 		r := &Run{calls: calls}
 		for _, told := range x.told {
-			r.tales = append(r.tales, &tale{service: "h-0", told: told, times: make([]time.Duration, len(told))})
+			r.documentWatches = append(r.documentWatches, &documentWatch{service: "h-0", documents: told, times: make([]time.Duration, len(told))})
 		}
-		found := r.told()
+		found := r.checkDocuments()
 		if (x.rule == "") != (len(found) == 0) || len(found) > 0 && found[0].Rule != x.rule {
 			t.Errorf("%s: %+v", x.name, found)
 		}
--- a/internal/lab/history/linear.go
+++ b/internal/lab/history/linear.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	checkPatience = 20 * time.Second
-	anyVersion    = -1 // after a write whose answer did not come
+	checkTimeout = 20 * time.Second
+	anyVersion   = -1 // after a write whose answer did not come
 )
 
 // entry is the model: one entry of the list, as calls may find it.
 type entry struct {
-	present bool
-	address string
-	own     string
-	hand    string
-	version int64 // anyVersion: above floor
-	floor   int64 // no version was above it
+	present      bool
+	address      string
+	serverStatus string
+	adminState   string
+	version      int64 // anyVersion: above floor
+	floor        int64 // no version was above it
 }
 
-// is tells whether the entry can be at a version, and gives it with the version known.
-func (e entry) is(version int64) (entry, bool) {
+// atVersion tells whether the entry can be at a version, and gives it with the version known.
+func (e entry) atVersion(version int64) (entry, bool) {
 	if e.version == anyVersion {
 		if version <= e.floor {
 			return e, false
@@ -42,14 +42,14 @@
 	if !e.present {
 		return e, ifVersion == 0
 	}
-	return e.is(ifVersion)
+	return e.atVersion(ifVersion)
 }
 
 func (e entry) status() string {
-	if e.hand == api.AdminDrain {
+	if e.adminState == api.AdminDrain {
 		return api.Terminating
 	}
-	return e.own
+	return e.serverStatus
 }
 
 // step is what a call does to an entry; false: it can't have been answered so.
@@ -60,12 +60,12 @@
 		}
 		r := x.record
 		if r.Revision == 0 {
-			return e, !e.present && r.AdminState == e.hand
+			return e, !e.present && r.AdminState == e.adminState
 		}
-		if !e.present || r.Address != e.address || r.ServerStatus != e.own || r.AdminState != e.hand || r.Status != e.status() {
+		if !e.present || r.Address != e.address || r.ServerStatus != e.serverStatus || r.AdminState != e.adminState || r.Status != e.status() {
 			return e, false
 		}
-		return e.is(r.Revision)
+		return e.atVersion(r.Revision)
 	}
 	next, match := e.matches(o.ifVersion)
 	switch {
@@ -79,16 +79,16 @@
 	was := next
 	switch o.kind {
 	case "register":
-		next.present, next.address, next.own = true, o.address, api.Ready
+		next.present, next.address, next.serverStatus = true, o.address, api.Ready
 	case "drain", "leave":
 		if !e.present {
 			return e, x.unknown || x.code == api.CodeNotFound
 		}
-		if next.own = api.Terminating; o.kind == "leave" {
-			next = entry{hand: next.hand, floor: max(next.floor, next.version)}
+		if next.serverStatus = api.Terminating; o.kind == "leave" {
+			next = entry{adminState: next.adminState, floor: max(next.floor, next.version)}
 		}
 	case "hand":
-		next.hand = o.hand
+		next.adminState = o.hand
 	}
 	if x.code != "" {
 		return e, false
@@ -100,7 +100,7 @@
 		if x.unknown {
 			return next, true
 		}
-		return next.is(x.version)
+		return next.atVersion(x.version)
 	case x.unknown:
 		next.floor, next.version = max(next.floor, was.version), anyVersion
 		return next, true
@@ -148,19 +148,19 @@
 		}
 		all = append(all, o)
 	}
-	switch porcupine.CheckOperationsTimeout(model, all, checkPatience) {
+	switch porcupine.CheckOperationsTimeout(model, all, checkTimeout) {
 	case porcupine.Illegal:
-		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("no order of %d calls explains their answers; %s", len(all), r.shortest(all))}}
+		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("no order of %d calls explains their answers; %s", len(all), r.firstContradiction(all))}}
 	case porcupine.Unknown:
-		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("%d calls could not be judged within %v", len(all), checkPatience)}}
+		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("%d calls could not be judged within %v", len(all), checkTimeout)}}
 	}
 	return nil
 }
 
-// shortest names the entry, and the first call by whose answer no order is left.
-func (r *Run) shortest(all []porcupine.Operation) string {
+// firstContradiction names the entry, and the first call by whose answer no order is left.
+func (r *Run) firstContradiction(all []porcupine.Operation) string {
 	for _, part := range model.Partition(all) {
-		if porcupine.CheckOperationsTimeout(model, part, checkPatience) != porcupine.Illegal {
+		if porcupine.CheckOperationsTimeout(model, part, checkTimeout) != porcupine.Illegal {
 			continue
 		}
 		least, most := 0, len(part) // a history is legal up to some call's return, and illegal from there on
@@ -168,7 +168,7 @@
 		sortByReturn(byReturn)
 		for least < most {
 			mid := (least + most) / 2
-			if porcupine.CheckOperationsTimeout(model, upTo(part, byReturn[mid].Return), checkPatience) == porcupine.Illegal {
+			if porcupine.CheckOperationsTimeout(model, historyUntil(part, byReturn[mid].Return), checkTimeout) == porcupine.Illegal {
 				most = mid
 			} else {
 				least = mid + 1
--- a/internal/lab/history/watch.go
+++ b/internal/lab/history/watch.go
@@ -24,8 +24,8 @@
 	slices.SortFunc(all, func(a, b porcupine.Operation) int { return cmp.Compare(a.Return, b.Return) })
 }
 
-// upTo is the history as it was known at a time: what returned later was still out.
-func upTo(all []porcupine.Operation, at int64) (part []porcupine.Operation) {
+// historyUntil is the history as it was known at a time: what returned later was still out.
+func historyUntil(all []porcupine.Operation, at int64) (part []porcupine.Operation) {
 	for _, o := range all {
 		switch {
 		case o.Call > at:
@@ -42,14 +42,14 @@
 }
 
 const (
-	rewatch    = 50 * time.Millisecond
-	dialWithin = 500 * time.Millisecond
-	silence    = 5 * time.Second
+	rewatchDelay   = 50 * time.Millisecond
+	dialTimeout    = 500 * time.Millisecond
+	silenceTimeout = 5 * time.Second
 )
 
 // watch follows one replica by the bare protocol, and keeps what it was told.
 type watch struct {
-	at string
+	address string
 
 	index    int64 // -1: none yet
 	list     map[string]api.Endpoint
@@ -62,37 +62,37 @@
 // follow watches again and again until ctx ends; from its version on, or now and then from nothing.
 func (w *watch) follow(ctx context.Context, now bool) {
 	begin := time.Now()
-	rewatched(ctx, func(n int) string {
+	watchRepeatedly(ctx, func(n int) string {
 		if now && n%4 == 3 {
 			w.index = -1
 		}
-		return fmt.Sprintf("http://%s/api/targets?watch=1&from=%d", w.at, w.index)
+		return fmt.Sprintf("http://%s/api/targets?watch=1&from=%d", w.address, w.index)
 	}, func(line []byte) {
-		if text := w.take(line); text != "" {
-			w.breaches = append(w.breaches, Breach{Rule: "watch", At: time.Since(begin), Text: w.at + ": " + text})
+		if text := w.apply(line); text != "" {
+			w.breaches = append(w.breaches, Breach{Rule: "watch", At: time.Since(begin), Text: w.address + ": " + text})
 		}
 	}, &w.restarts)
 }
 
-// rewatched opens a watch again and again until ctx ends, each at what url says for the nth, and hands on what it tells; restarts
+// watchRepeatedly opens a watch again and again until ctx ends, each at what url says for the nth, and hands on what it tells; restarts
 // counts them.
-func rewatched(ctx context.Context, url func(n int) string, take func(line []byte), restarts *int) {
-	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext}}
+func watchRepeatedly(ctx context.Context, url func(n int) string, take func(line []byte), restarts *int) {
+	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 	for n := 0; ctx.Err() == nil; n++ {
-		once(ctx, c, url(n), take)
+		watchOnce(ctx, c, url(n), take)
 		*restarts++
 		select {
 		case <-ctx.Done():
-		case <-time.After(rewatch):
+		case <-time.After(rewatchDelay):
 		}
 	}
 }
 
-// once is one watch to its end, or its silence.
-func once(ctx context.Context, c *http.Client, url string, take func(line []byte)) {
+// watchOnce is one watch to its end, or its silence.
+func watchOnce(ctx context.Context, c *http.Client, url string, take func(line []byte)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dead := time.AfterFunc(silence, cancel)
+	dead := time.AfterFunc(silenceTimeout, cancel)
 	defer dead.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -109,15 +109,15 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 8<<20)
 	for lines.Scan() {
-		dead.Reset(silence)
+		dead.Reset(silenceTimeout)
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
 			take(line)
 		}
 	}
 }
 
-// take applies a message; "": it was as it must be.
-func (w *watch) take(line []byte) string {
+// apply applies a message; "": it was as it must be.
+func (w *watch) apply(line []byte) string {
 	var l api.WatchEvent
 	if err := json.Unmarshal(line, &l); err != nil {
 		return fmt.Sprintf("no message: %.80q", line)
@@ -166,8 +166,8 @@
 	return h.Sum64()
 }
 
-// watched compares all watches with each other at the versions that they share, and with the list at the end.
-func (r *Run) watched(final api.WatchEvent) (found []Breach) {
+// checkWatches compares all watches with each other at the versions that they share, and with the list at the end.
+func (r *Run) checkWatches(final api.WatchEvent) (found []Breach) {
 	end := map[string]api.Endpoint{}
 	for _, e := range final.Endpoints {
 		end[e.Name] = e
@@ -178,7 +178,7 @@
 		for _, version := range slices.Sorted(maps.Keys(w.hashes)) {
 			h := w.hashes[version]
 			if had, ok := at[version]; ok && had != h {
-				found = append(found, Breach{Rule: "watch", Text: fmt.Sprintf("%s: version %d is another list than elsewhere", w.at, version)})
+				found = append(found, Breach{Rule: "watch", Text: fmt.Sprintf("%s: version %d is another list than elsewhere", w.address, version)})
 			}
 			at[version] = h
 		}
