--- a/internal/lab/history/documents.go
+++ b/internal/lab/history/documents.go
@@ -12,14 +12,15 @@
 	"mosslead/internal/registry/client"
 )
 
-// Settings of a service are judged by the model of an entry: they are there or not, what they say is unlike any other, and their
-// version rises. A put is its register, a deletion its leave.
+// Settings of a service are checked by the model of an entry: they exist or not, the text of each put is unique, and their version
+// rises. A put counts as the entry's register, and a deletion as its leave.
 
-// documentText is settings that no other call puts.
+// documentText returns settings that no other call puts.
 func documentText(caller, n int) string {
 	return fmt.Sprintf(`{"Classes":[{"Name":"c%dn%d","Semantics":"retryable","DeadlineMs":100}]}`, caller, n)
 }
 
+// callDocument carries out a call on a service's settings.
 func callDocument(ctx context.Context, c *client.Client, o op) (x out, err error) {
 	switch o.kind {
 	case "read":
@@ -39,7 +40,7 @@
 	return x, err
 }
 
-// documentWatch is what one replica tells of one service's settings, over all watches on it.
+// documentWatch holds the settings of one service as one replica reported them, over all watches on it.
 type documentWatch struct {
 	address, service string
 	documents        []api.Document
@@ -47,45 +48,45 @@
 	restarts         int
 }
 
-// followDocuments begins to follow each service at each follower.
+// followDocuments starts to watch each service at each follower.
 func (r *Run) followDocuments(ctx context.Context) {
-	for _, at := range r.spec.Followers {
+	for _, address := range r.spec.Followers {
 		for i := range r.spec.Names {
-			t := &documentWatch{address: at, service: fmt.Sprintf("%s%d", prefix, i)}
-			r.documentWatches = append(r.documentWatches, t)
-			r.running.Go(func() { t.follow(ctx, r.begin) })
+			w := &documentWatch{address: address, service: fmt.Sprintf("%s%d", prefix, i)}
+			r.documentWatches = append(r.documentWatches, w)
+			r.running.Go(func() { w.follow(ctx, r.begin) })
 		}
 	}
 }
 
-// follow watches again and again until ctx ends, each time as one that holds what it was told last.
-func (t *documentWatch) follow(ctx context.Context, begin time.Time) {
+// follow watches again and again until ctx ends. Each watch names the version that was received last as the one held.
+func (w *documentWatch) follow(ctx context.Context, begin time.Time) {
 	watchRepeatedly(ctx, func(int) string {
 		held := ""
-		if n := len(t.documents); n > 0 {
-			held = fmt.Sprintf("%s@%d", t.documents[n-1].Region, t.documents[n-1].Revision)
+		if n := len(w.documents); n > 0 {
+			held = fmt.Sprintf("%s@%d", w.documents[n-1].Region, w.documents[n-1].Revision)
 		}
-		return fmt.Sprintf("http://%s/api/targets?watch=1&from=-1&service=%s&held=%s", t.address, url.QueryEscape(t.service), url.QueryEscape(held))
+		return fmt.Sprintf("http://%s/api/targets?watch=1&from=-1&service=%s&held=%s", w.address, url.QueryEscape(w.service), url.QueryEscape(held))
 	}, func(line []byte) {
-		var l api.WatchEvent
-		if json.Unmarshal(line, &l) != nil {
+		var event api.WatchEvent
+		if json.Unmarshal(line, &event) != nil {
 			return
 		}
-		for _, d := range l.Documents {
-			t.documents, t.times = append(t.documents, d), append(t.times, time.Since(begin))
+		for _, d := range event.Documents {
+			w.documents, w.times = append(w.documents, d), append(w.times, time.Since(begin))
 		}
-	}, &t.restarts)
+	}, &w.restarts)
 }
 
-// checkDocuments judges what was checkDocuments of documents: each replica's versions of one only rise, and each version says what was put under it, to
-// all the same.
+// checkDocuments checks the documents that replicas reported: the versions of one document never go back at a replica, and each version
+// has the text that was put under it, which is the same at all replicas.
 func (r *Run) checkDocuments() (found []Breach) {
 	type version struct {
 		service string
 		at      int64
 	}
 	issued := map[version]string{}
-	texts := map[string]bool{"": true} // of a deletion
+	texts := map[string]bool{"": true} // the empty text is a deletion
 	for _, c := range r.calls {
 		if c.op.kind == "register" {
 			if texts[c.op.address] = true; c.out.version > 0 {
@@ -93,23 +94,23 @@
 			}
 		}
 	}
-	for _, t := range r.documentWatches {
+	for _, w := range r.documentWatches {
 		highest := map[string]int64{} // by region
-		for i, d := range t.documents {
-			says := func(rule, format string, args ...any) {
-				found = append(found, Breach{Rule: rule, At: t.times[i], Text: t.address + ": " + t.service + ": " + fmt.Sprintf(format, args...)})
+		for i, d := range w.documents {
+			breach := func(rule, format string, args ...any) {
+				found = append(found, Breach{Rule: rule, At: w.times[i], Text: w.address + ": " + w.service + ": " + fmt.Sprintf(format, args...)})
 			}
-			if was := highest[d.Region]; d.Revision < was {
-				says("monotonic", "version %d after %d", d.Revision, was)
+			if seen := highest[d.Region]; d.Revision < seen {
+				breach("monotonic", "version %d after %d", d.Revision, seen)
 			}
 			highest[d.Region] = max(highest[d.Region], d.Revision)
 			v := version{d.Service, d.Revision}
-			had, known := issued[v]
+			other, known := issued[v]
 			switch {
-			case d.Service != t.service || !texts[string(d.Settings)] || d.Deleted != (len(d.Settings) == 0):
-				says("issued", "told what nobody put: %+v", d)
-			case known && had != string(d.Settings):
-				says("issued", "version %d says %s, and elsewhere %s", d.Revision, d.Settings, had)
+			case d.Service != w.service || !texts[string(d.Settings)] || d.Deleted != (len(d.Settings) == 0):
+				breach("issued", "told what nobody put: %+v", d)
+			case known && other != string(d.Settings):
+				breach("issued", "version %d says %s, and elsewhere %s", d.Revision, d.Settings, other)
 			}
 			issued[v] = string(d.Settings)
 		}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,6 +1,6 @@
-// Package history owns concurrent calls on the list service while it is broken on purpose, and the judgement of what they
-// were answered: whether all of it can have been done one call after another, and whether each watch told every change. Documents
-// are judged so at the region that owns them; what others tell of them only goes on.
+// Package history makes concurrent calls on the list service while faults are injected into it, and checks the answers: whether
+// they are possible with one call after another, and whether each watch reported every change. Documents are checked this way at
+// the region that owns them; at other regions their versions only must not go back.
 package history
 
 import (
@@ -16,40 +16,40 @@
 
 const (
 	callTimeout = 1500 * time.Millisecond
-	maxPause    = 30 * time.Millisecond // between two calls of one caller
-	prefix      = "h-"                  // of names: apart from those of real upstreams
+	maxPause    = 30 * time.Millisecond // upper bound of the pause between two calls of one caller
+	prefix      = "h-"                  // of names, to keep them apart from those of real upstreams
 )
 
-// Spec says who calls what.
+// Spec describes the callers and what they call.
 type Spec struct {
-	Replicas []string // where they answer
+	Replicas []string // their addresses
 	Callers  int
 	Names    int
 	Seed     uint64
 
-	// Documents has the callers write services' settings instead of entries, the service's watches left out.
+	// Documents makes the callers write services' settings instead of entries, and leaves out the watches of entries.
 	Documents bool
-	Followers []string // with Documents: replicas that tell of them, of any region
+	Followers []string // with Documents: addresses of replicas of any region, whose reports of the settings are checked
 }
 
-// op is what a call asks.
+// op is the operation of a call.
 type op struct {
 	kind      string // read, register, drain, leave, hand
 	name      string
-	address   string // register: unlike any other
+	address   string // of a register; unique among calls
 	hand      string
-	ifVersion int64 // -1: none
+	ifVersion int64 // -1 if there is no condition
 }
 
-// out is what it was answered.
+// out is the answer to a call.
 type out struct {
-	record  api.Record // read
+	record  api.Record // of a read
 	version int64      // of a write
-	code    string     // of a failure that is certain; "": done
-	unknown bool       // it may have been done, or may be yet
+	code    string     // of a definite failure; empty if the call was done
+	unknown bool       // the call may have been done, or may still be
 }
 
-// call is one call with its time.
+// call is one call with its answer and times.
 type call struct {
 	caller   int
 	op       op
@@ -57,7 +57,7 @@
 	from, to time.Duration
 }
 
-// Run is a set of callers and watchers under way.
+// Run is a set of running callers and watches.
 type Run struct {
 	spec  Spec
 	begin time.Time
@@ -69,7 +69,7 @@
 	running         sync.WaitGroup
 }
 
-// Start begins to call and watch, until ctx ends.
+// Start starts the callers and watches, which run until ctx ends.
 func Start(ctx context.Context, s Spec) *Run {
 	r := &Run{spec: s, begin: time.Now()}
 	for i := range s.Callers {
@@ -79,19 +79,20 @@
 		r.followDocuments(ctx)
 		return r
 	}
-	for i, at := range s.Replicas {
-		w := &watch{address: at, index: -1, hashes: map[int64]uint64{}}
+	for i, address := range s.Replicas {
+		w := &watch{address: address, index: -1, hashes: map[int64]uint64{}}
 		r.watches = append(r.watches, w)
 		r.running.Go(func() { w.follow(ctx, i%2 == 0) })
 	}
 	return r
 }
 
+// runCaller makes random calls, one after another, until ctx ends.
 func (r *Run) runCaller(ctx context.Context, i int) {
 	rng := rand.New(rand.NewPCG(r.spec.Seed, uint64(i)))
 	c := client.New(r.spec.Replicas)
 	defer c.Close()
-	known := map[string]int64{} // versions as last heard
+	known := map[string]int64{} // versions as in the last answers
 	for n := 0; ctx.Err() == nil; n++ {
 		name := fmt.Sprintf("%s%d", prefix, rng.IntN(r.spec.Names))
 		o := op{name: name, ifVersion: -1}
@@ -120,7 +121,7 @@
 		if x.out.code == "" && !x.out.unknown {
 			known[name] = max(x.out.version, x.out.record.Revision)
 		} else if x.out.code == api.CodeConflict {
-			delete(known, name) // to be read, or found absent
+			delete(known, name) // the next calls take the entry for absent, until a read returns its version
 		}
 		r.mu.Lock()
 		r.calls = append(r.calls, x)
@@ -132,7 +133,7 @@
 	}
 }
 
-// perform makes a call, once: whatever is conditional is not repeated by the client either.
+// perform makes a call once. The client does not repeat conditional calls either.
 func (r *Run) perform(ctx context.Context, c *client.Client, o op) (x out) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -163,20 +164,20 @@
 	return x
 }
 
-// Breach is what was seen that must not be.
+// Breach is a violation of a rule.
 type Breach struct {
-	Rule string // linearizable, watch, or of documents monotonic or issued
+	Rule string // linearizable or watch; for documents also monotonic or issued
 	At   time.Duration
 	Text string
 }
 
-// Count says how much was seen.
+// Count holds the numbers of calls and of watch messages that were checked.
 type Count struct {
 	Calls, Unknown, Messages, Restarts int
 }
 
-// End waits for all, which end with the context of Start, and judges. final is the list as it is sure to be now, read by
-// the caller; it stands for the version that watches are compared with.
+// End waits for callers and watches, which end with the context of Start, and checks their results. final is the final list,
+// which the caller has read; watches that reported its version are compared with it.
 func (r *Run) End(final api.WatchEvent) ([]Breach, Count) {
 	n := r.wait()
 	for _, w := range r.watches {
@@ -186,17 +187,18 @@
 	return append(r.linearizable(), r.checkWatches(final)...), n
 }
 
-// EndDocuments waits for all, which end with the context of Start, and judges what was written and told of documents.
+// EndDocuments waits for callers and watches, which end with the context of Start, and checks what was written to documents and
+// reported of them.
 func (r *Run) EndDocuments() ([]Breach, Count) {
 	n := r.wait()
-	for _, t := range r.documentWatches {
-		n.Messages += len(t.documents)
-		n.Restarts += t.restarts
+	for _, w := range r.documentWatches {
+		n.Messages += len(w.documents)
+		n.Restarts += w.restarts
 	}
 	return append(r.linearizable(), r.checkDocuments()...), n
 }
 
-// wait waits for all, and counts the calls.
+// wait waits for callers and watches, and counts the calls.
 func (r *Run) wait() Count {
 	r.running.Wait()
 	n := Count{Calls: len(r.calls)}
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -39,7 +39,7 @@
 	} {
 		r := &Run{calls: x.calls}
 		if found := r.linearizable(); (len(found) > 0) != x.bad {
-			t.Errorf("%s: %v", x.name, found)
+			t.Errorf("%s: got breaches %v, want any: %v", x.name, found, x.bad)
 		}
 	}
 }
@@ -58,20 +58,20 @@
 		{"changes to nothing", "no list", []string{`{"index":4,"endpoints":[{"name":"a","status":"Gone"}]}`}},
 	} {
 		w := &watch{address: "r", index: -1, hashes: map[int64]uint64{}}
-		var said []string
+		var problems []string
 		for _, line := range x.lines {
 			if text := w.apply([]byte(line)); text != "" {
-				said = append(said, text)
+				problems = append(problems, text)
 			}
 		}
-		// At the end of all a is gone at version 4, and c is there at 5.
+		// In the final list a is gone since version 4, and c is there since version 5.
 		final := api.WatchEvent{Revision: 5, Endpoints: []api.Endpoint{{Name: "b", Status: api.Ready}, {Name: "c", Status: api.Ready}}}
 		for _, b := range (&Run{watches: []*watch{w}}).checkWatches(final) {
-			said = append(said, b.Text)
+			problems = append(problems, b.Text)
 		}
-		got := strings.Join(said, "; ")
+		got := strings.Join(problems, "; ")
 		if (x.want == "") != (got == "") || !strings.Contains(got, x.want) {
-			t.Errorf("%s: %q, want %q", x.name, got, x.want)
+			t.Errorf("%s: got problems %q, want %q in them", x.name, got, x.want)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	calls := []call{put(`"a"`, out{version: 5}), put(`"b"`, out{version: 7}), put(`"c"`, out{unknown: true})}
 	for _, x := range []struct {
 		name, rule string
-		told       [][]api.Document // by replica
+		reports    [][]api.Document // by replica
 	}{
 		{"in order, one skipped", "", [][]api.Document{{is("n", 5, `"a"`), is("n", 7, `"b"`)}, {is("n", 7, `"b"`), is("n", 8, "")}}},
 		{"again", "", [][]api.Document{{is("n", 5, `"a"`), is("n", 5, `"a"`)}}},
@@ -100,12 +100,12 @@
 		{"deleted, and says something", "issued", [][]api.Document{{{Service: "h-0", Revision: 5, Settings: []byte(`"a"`), Deleted: true}}}},
 	} {
 		r := &Run{calls: calls}
-		for _, told := range x.told {
-			r.documentWatches = append(r.documentWatches, &documentWatch{service: "h-0", documents: told, times: make([]time.Duration, len(told))})
+		for _, reports := range x.reports {
+			r.documentWatches = append(r.documentWatches, &documentWatch{service: "h-0", documents: reports, times: make([]time.Duration, len(reports))})
 		}
 		found := r.checkDocuments()
 		if (x.rule == "") != (len(found) == 0) || len(found) > 0 && found[0].Rule != x.rule {
-			t.Errorf("%s: %+v", x.name, found)
+			t.Errorf("%s: got breaches %+v, want first one of rule %q", x.name, found, x.rule)
 		}
 	}
 }
--- a/internal/lab/history/linear.go
+++ b/internal/lab/history/linear.go
@@ -12,20 +12,20 @@
 
 const (
 	checkTimeout = 20 * time.Second
-	anyVersion   = -1 // after a write whose answer did not come
+	anyVersion   = -1 // after a write without an answer
 )
 
-// entry is the model: one entry of the list, as calls may find it.
+// entry is the model's state: one entry of the list.
 type entry struct {
 	present      bool
 	address      string
 	serverStatus string
 	adminState   string
-	version      int64 // anyVersion: above floor
-	floor        int64 // no version was above it
+	version      int64 // anyVersion if it is only known to be above floor
+	floor        int64 // highest version so far
 }
 
-// atVersion tells whether the entry can be at a version, and gives it with the version known.
+// atVersion reports whether the entry can be at a version, and returns the entry with that version.
 func (e entry) atVersion(version int64) (entry, bool) {
 	if e.version == anyVersion {
 		if version <= e.floor {
@@ -37,7 +37,7 @@
 	return e, e.version == version
 }
 
-// at is the entry's version as conditions name it.
+// matches reports whether a condition on the version can hold for the entry, and returns the entry with that version.
 func (e entry) matches(ifVersion int64) (entry, bool) {
 	if !e.present {
 		return e, ifVersion == 0
@@ -45,6 +45,7 @@
 	return e.atVersion(ifVersion)
 }
 
+// status returns the status that results from the server's own status and the administrative state.
 func (e entry) status() string {
 	if e.adminState == api.AdminDrain {
 		return api.Terminating
@@ -52,7 +53,7 @@
 	return e.serverStatus
 }
 
-// step is what a call does to an entry; false: it can't have been answered so.
+// step returns the entry after a call. It reports false if the call can't have been answered so.
 func step(e entry, o op, x out) (entry, bool) {
 	if o.kind == "read" {
 		if x.unknown {
@@ -76,7 +77,7 @@
 	case !match:
 		return e, false
 	}
-	was := next
+	previous := next
 	switch o.kind {
 	case "register":
 		next.present, next.address, next.serverStatus = true, o.address, api.Ready
@@ -96,13 +97,13 @@
 	switch {
 	case !next.present:
 		return next, x.unknown || x.version == 0
-	case next == was: // nothing changed
+	case next == previous: // nothing changed
 		if x.unknown {
 			return next, true
 		}
 		return next.atVersion(x.version)
 	case x.unknown:
-		next.floor, next.version = max(next.floor, was.version), anyVersion
+		next.floor, next.version = max(next.floor, previous.version), anyVersion
 		return next, true
 	case x.version <= next.floor:
 		return e, false
@@ -113,13 +114,13 @@
 
 var model = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
+		byName := map[string][]porcupine.Operation{}
 		for _, o := range all {
 			name := o.Input.(op).name
-			by[name] = append(by[name], o)
+			byName[name] = append(byName[name], o)
 		}
 		var parts [][]porcupine.Operation
-		for _, part := range by {
+		for _, part := range byName {
 			parts = append(parts, part)
 		}
 		return parts
@@ -135,7 +136,7 @@
 	},
 }
 
-// linearizable looks for an order of all calls in which each was answered as if it had been alone.
+// linearizable searches for an order of all calls in which each answer is that of a sequential execution.
 func (r *Run) linearizable() []Breach {
 	var all []porcupine.Operation
 	for _, c := range r.calls {
@@ -144,7 +145,7 @@
 			if c.op.kind == "read" {
 				continue
 			}
-			o.Return = math.MaxInt64 // it may be done at any time yet
+			o.Return = math.MaxInt64 // it may still be done at any time
 		}
 		all = append(all, o)
 	}
@@ -157,25 +158,25 @@
 	return nil
 }
 
-// firstContradiction names the entry, and the first call by whose answer no order is left.
+// firstContradiction describes the first call whose answer leaves no possible order, with its entry and time.
 func (r *Run) firstContradiction(all []porcupine.Operation) string {
 	for _, part := range model.Partition(all) {
 		if porcupine.CheckOperationsTimeout(model, part, checkTimeout) != porcupine.Illegal {
 			continue
 		}
-		least, most := 0, len(part) // a history is legal up to some call's return, and illegal from there on
+		lo, hi := 0, len(part) // a history is legal up to some call's return, and illegal from there on
 		byReturn := append([]porcupine.Operation{}, part...)
 		sortByReturn(byReturn)
-		for least < most {
-			mid := (least + most) / 2
+		for lo < hi {
+			mid := (lo + hi) / 2
 			if porcupine.CheckOperationsTimeout(model, historyUntil(part, byReturn[mid].Return), checkTimeout) == porcupine.Illegal {
-				most = mid
+				hi = mid
 			} else {
-				least = mid + 1
+				lo = mid + 1
 			}
 		}
-		if least < len(byReturn) {
-			o := byReturn[least]
+		if lo < len(byReturn) {
+			o := byReturn[lo]
 			return fmt.Sprintf("first at %v: %s", time.Duration(o.Return).Round(time.Millisecond), model.DescribeOperation(o.Input, o.Output))
 		}
 	}
