--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -22,7 +22,7 @@
 type chart struct {
 	title, axis string
 	log         bool // of the values
-	most        float64
+	minYMax     float64
 	lines       []line
 	bands       []Band
 	legend      bool // inside the picture: a page has its own beside it
@@ -39,7 +39,7 @@
 var palette = []color.NRGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {86, 180, 233, 255},
 	{230, 159, 0, 255}, {60, 60, 60, 255}}
 
-const leastLog = 0.1 // ms: what is less is drawn there
+const minLogValue = 0.1 // ms: what is less is drawn there
 
 // draw makes the picture.
 func (c chart) draw(step float64) (*plot.Plot, error) {
@@ -52,7 +52,7 @@
 		&p.X.Tick.Label.Font, &p.Y.Tick.Label.Font, &p.Legend.TextStyle.Font} {
 		f.Variant = "Sans"
 	}
-	low, high := math.Inf(1), c.most
+	low, high := math.Inf(1), c.minYMax
 	longest := 0
 	for _, l := range c.lines {
 		longest = max(longest, len(l.y))
@@ -67,7 +67,7 @@
 	}
 	p.Y.Min, p.Y.Max = 0, max(high*1.04, 0.01)
 	if c.log {
-		p.Y.Min, p.Y.Max = max(low*0.8, leastLog), max(high*1.3, 2*leastLog)
+		p.Y.Min, p.Y.Max = max(low*0.8, minLogValue), max(high*1.3, 2*minLogValue)
 		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
 	p.X.Min, p.X.Max = 0, max(float64(longest)*step, step)
@@ -127,7 +127,7 @@
 			continue
 		}
 		if c.log {
-			y = max(y, leastLog)
+			y = max(y, minLogValue)
 		}
 		xy = append(xy, plotter.XY{X: (float64(j) + 0.5) * step, Y: y})
 	}
@@ -155,14 +155,14 @@
 	return template.HTML(text), nil // made here from numbers; names are escaped by the library
 }
 
-// key is a line's name and colour, for the legend of a page.
-type key struct{ Name, Colour string }
+// legendKey is a line's name and colour, for the legend of a page.
+type legendKey struct{ Name, Colour string }
 
-func (c chart) keys() (all []key) {
+func (c chart) keys() (all []legendKey) {
 	for i, l := range c.lines {
 		if l.name != "" {
 			p := palette[i%len(palette)]
-			all = append(all, key{l.name, fmt.Sprintf("#%02x%02x%02x", p.R, p.G, p.B)})
+			all = append(all, legendKey{l.name, fmt.Sprintf("#%02x%02x%02x", p.R, p.G, p.B)})
 		}
 	}
 	return all
@@ -181,7 +181,7 @@
 		}
 	}
 	each := func(title, axis string, most float64, of func(*Play) []float64) chart {
-		c := chart{title: title, axis: axis, most: most, bands: bands}
+		c := chart{title: title, axis: axis, minYMax: most, bands: bands}
 		for _, p := range firsts {
 			c.lines = append(c.lines, line{name: p.Variant, y: of(p)})
 		}
@@ -198,7 +198,7 @@
 			lines: []line{{name: "p50", y: p.Series.P50}, {name: "p99", y: p.Series.P99, dashed: true}, {name: "p99.9", y: p.Series.P999, faint: true}}})
 	}
 	for _, p := range firsts {
-		c := chart{title: "Requests held by each upstream: " + p.Variant, axis: "requests", most: 4, bands: p.Bands}
+		c := chart{title: "Requests held by each upstream: " + p.Variant, axis: "requests", minYMax: 4, bands: p.Bands}
 		names := slices.SortedFunc(maps.Keys(p.Series.Held), func(a, b string) int {
 			return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b))
 		})
@@ -216,7 +216,7 @@
 
 func (r *Result) firstPlays() (firsts []*Play) {
 	for _, v := range r.Variants {
-		if plays := r.of(v); len(plays) > 0 {
+		if plays := r.playsOf(v); len(plays) > 0 {
 			firsts = append(firsts, plays[0])
 		} else if i := slices.IndexFunc(r.Plays, func(p *Play) bool { return p.Variant == v }); i >= 0 {
 			firsts = append(firsts, r.Plays[i]) // only a partial one
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	bootstraps = 4000
-	bootSeed   = 20 // a comparison said twice says the same
+	bootstraps    = 4000
+	bootstrapSeed = 20 // a comparison said twice says the same
 )
 
 // Ratio compares one figure of two results.
@@ -28,7 +28,7 @@
 // Compare sets the plays of a variant in one result against those of a variant in another. Where both have the same
 // seeds and repeats, the draws are of pairs, so that what differs between seeds does not hide what differs between sides.
 func Compare(a *Result, variantA string, b *Result, variantB string) ([]Ratio, error) {
-	playsA, playsB := a.of(variantA), b.of(variantB)
+	playsA, playsB := a.playsOf(variantA), b.playsOf(variantB)
 	if len(playsA) == 0 || len(playsB) == 0 {
 		return nil, fmt.Errorf("no plays of %s against %s", variantA, variantB)
 	}
@@ -43,14 +43,14 @@
 			continue
 		}
 		r := Ratio{Figure: name[0], A: median(xs), B: median(ys), Paired: paired && len(xs) == len(ys), Compared: min(len(xs), len(ys))}
-		r.bound(xs, ys)
+		r.computeBounds(xs, ys)
 		out = append(out, r)
 	}
 	return out, nil
 }
 
-// of gives a variant's plays, by seed and repeat.
-func (r *Result) of(variant string) (plays []*Play) {
+// playsOf gives a variant's plays, by seed and repeat.
+func (r *Result) playsOf(variant string) (plays []*Play) {
 	for _, p := range r.Plays {
 		if p.Variant == variant && !p.Partial {
 			plays = append(plays, p)
@@ -71,8 +71,8 @@
 	return xs
 }
 
-// bound draws samples from the plays, with replacement, and says within what the ratio of medians stays.
-func (r *Ratio) bound(xs, ys []float64) {
+// computeBounds draws samples from the plays, with replacement, and says within what the ratio of medians stays.
+func (r *Ratio) computeBounds(xs, ys []float64) {
 	if r.B == 0 {
 		r.Verdict = "no ratio: the second is 0"
 		if r.A == 0 {
@@ -85,7 +85,7 @@
 		r.Verdict = "one play: no interval"
 		return
 	}
-	rng := rand.New(rand.NewPCG(bootSeed, uint64(len(xs))))
+	rng := rand.New(rand.NewPCG(bootstrapSeed, uint64(len(xs))))
 	var drawn []float64
 	for range bootstraps {
 		a, b := make([]float64, len(xs)), make([]float64, len(ys))
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -66,8 +66,8 @@
 
 const (
 	worstWindow = 2 * time.Second
-	afterEnd    = 5 * time.Second // in which a restart's losses are counted
-	settled     = time.Second     // after a restart, for dark_served
+	lossWindow  = 5 * time.Second // in which a restart's losses are counted
+	settleTime  = time.Second     // after a restart, for dark_served
 	// histogram bounds: microseconds
 	shortest, longest, digits = 1, 60_000_000, 3
 )
@@ -92,11 +92,11 @@
 	f.harm(some)
 	f.shares(o.Record, some)
 	f.forwards(o.Record, some)
-	f["worst_2s"] = worst(some, from, to)
+	f["worst_2s"] = worstWindowShare(some, from, to)
 	if whole {
 		f.restarts(o, all)
-		f.uses(o.Record, some)
-		f.news(o)
+		f.resources(o.Record, some)
+		f.listDelays(o)
 		f.sharing(o)
 	}
 	return f
@@ -118,7 +118,7 @@
 		switch {
 		case w.served:
 			served++
-			count(times, w.took)
+			recordTime(times, w.took)
 		case w.last().End == record.Refused:
 			refused++
 		}
@@ -129,7 +129,7 @@
 	n := float64(len(some))
 	f["served"], f["in_time"], f["answered"], f["refused"] = earned/worth, inTime/n, served/n, refused/n
 	f["failed"] = (n - served - refused) / n
-	f["worst_class"], f["worst_tenant"] = least(classes), least(tenants)
+	f["worst_class"], f["worst_tenant"] = leastShare(classes), leastShare(tenants)
 	if served > 0 {
 		for name, q := range map[string]float64{"p50_ms": 50, "p99_ms": 99, "p999_ms": 99.9} {
 			f[name] = float64(times.ValueAtQuantile(q)) / 1e3
@@ -137,7 +137,7 @@
 	}
 }
 
-func least(m map[string][2]float64) float64 {
+func leastShare(m map[string][2]float64) float64 {
 	low := math.Inf(1)
 	for _, x := range m {
 		low = min(low, x[1]/x[0])
@@ -175,8 +175,8 @@
 	}
 }
 
-// worst is the least share of the worth earned in any window that begins at a whole half second.
-func worst(some []*wish, from, to time.Duration) float64 {
+// worstWindowShare is the least share of the worth earned in any window that begins at a whole half second.
+func worstWindowShare(some []*wish, from, to time.Duration) float64 {
 	low := math.Inf(1)
 	for at := from; at+worstWindow <= to; at += worstWindow / 4 {
 		var worth, earned float64
@@ -220,7 +220,7 @@
 		}
 		if begun := end - o.Begin; begun < o.Plan.Spec.Length { // ended within the load
 			ends++
-			for _, w := range between(all, begun, begun+afterEnd) {
+			for _, w := range between(all, begun, begun+lossWindow) {
 				if w.first().Sidecar == l.Party {
 					lost += w.worth - w.earned
 				}
@@ -235,7 +235,7 @@
 			readies = append(readies, l.Ready-l.Start)
 		}
 		first := time.Duration(0)
-		for _, w := range between(all, l.Start-o.Begin-afterEnd, end-o.Begin) {
+		for _, w := range between(all, l.Start-o.Begin-lossWindow, end-o.Begin) {
 			q := w.last()
 			if q.Sidecar != l.Party {
 				continue
@@ -243,7 +243,7 @@
 			if q.End == record.Served && q.Sent > l.Start && (first == 0 || q.Ended < first) {
 				first = q.Ended
 			}
-			if w.at+o.Begin > l.Start+settled {
+			if w.at+o.Begin > l.Start+settleTime {
 				askedDark += w.worth
 				earnedDark += w.earned
 			}
@@ -270,9 +270,9 @@
 	}
 }
 
-// news measures how late sidecars hear of changes. One that another change overtook, or that a process that was not there
+// listDelays measures how late sidecars hear of changes. One that another change overtook, or that a process that was not there
 // could not hear, does not count.
-func (f Figures) news(o *lab.Outcome) {
+func (f Figures) listDelays(o *lab.Outcome) {
 	if o.Record.Calls > 0 {
 		f["calls"], f["calls_unknown"], f["watched"] = float64(o.Record.Calls), float64(o.Record.Unknown), float64(o.Record.Watched)
 	}
@@ -302,7 +302,7 @@
 	}
 }
 
-func (f Figures) uses(rec *record.Record, some []*wish) {
+func (f Figures) resources(rec *record.Record, some []*wish) {
 	cpu := map[[2]any]time.Duration{}
 	for _, s := range rec.Samples {
 		f["memory_mb"] = max(f["memory_mb"], s.MemoryMB)
@@ -333,6 +333,6 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, digits) }
 
-func count(h *hdrhistogram.Histogram, d time.Duration) {
+func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), shortest), longest)) // within the bounds it can't fail
 }
--- a/internal/lab/report/forwards.go
+++ b/internal/lab/report/forwards.go
@@ -15,7 +15,7 @@
 			of.m[of.key] = [2]float64{x[0] + w.worth, x[1] + w.earned}
 		}
 	}
-	f["worst_sidecar"], f["worst_zone"] = least(sidecars), least(zones)
+	f["worst_sidecar"], f["worst_zone"] = leastShare(sidecars), leastShare(zones)
 }
 
 // forwards counts what sidecars sent to each other, and how much of it came to something there.
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -32,7 +32,7 @@
 
 type pageChart struct {
 	SVG  template.HTML
-	Keys []key
+	Keys []legendKey
 }
 
 // pageRule is a row of the table of verdicts: a count for each variant.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -15,8 +15,8 @@
 	"mosslead/internal/lab/record"
 )
 
-// outcome is a play of 4 s, 10 wishes a second, in which the ones of the third second were refused.
-func outcome() *lab.Outcome {
+// sampleOutcome is a play of 4 s, 10 wishes a second, in which the ones of the third second were refused.
+func sampleOutcome() *lab.Outcome {
 	rec := record.New()
 	rec.Zones = map[string]string{"s0": "a", "u0": "b"}
 	for i := range 40 {
@@ -40,7 +40,7 @@
 		Plan: load.Plan{Spec: load.Spec{Length: 4 * time.Second, Classes: []load.Class{{Name: "read", LateWorth: 0.25}}}}}
 }
 
-func near(t *testing.T, f Figures, name string, want float64) {
+func checkFigure(t *testing.T, f Figures, name string, want float64) {
 	t.Helper()
 	if got, ok := f[name]; !ok || math.Abs(got-want) > 0.01*max(want, 1) {
 		t.Errorf("%s: %v, want %v", name, got, want)
@@ -48,14 +48,14 @@
 }
 
 func TestFiguresOfAKnownPlay(t *testing.T) {
-	f := Measure(outcome(), 0, 0)
+	f := Measure(sampleOutcome(), 0, 0)
 	for name, want := range map[string]float64{"served": (29 + 0.25) / 40, "in_time": 29.0 / 40, "answered": 0.75, "refused": 0.25, "failed": 0,
 		"p50_ms": 10, "p999_ms": 80, "attempts": 0.75, "cross": 1, "worst_2s": 9.25 / 20, "rate": 10} {
-		near(t, f, name, want)
+		checkFigure(t, f, name, want)
 	}
-	part := Measure(outcome(), 2*time.Second, 3*time.Second)
-	near(t, part, "served", 0)
-	near(t, part, "refused", 1)
+	part := Measure(sampleOutcome(), 2*time.Second, 3*time.Second)
+	checkFigure(t, part, "served", 0)
+	checkFigure(t, part, "refused", 1)
 }
 
 func testResult(t *testing.T, expects string) (*Result, *experiment.Experiment) {
@@ -67,7 +67,7 @@
 	r := &Result{Schema: Schema, Experiment: "x", Variants: []string{"a", "b"}}
 	for seed := range uint64(3) {
 		for _, v := range r.Variants {
-			r.Plays = append(r.Plays, NewPlay(e, v, seed, 0, outcome()))
+			r.Plays = append(r.Plays, NewPlay(e, v, seed, 0, sampleOutcome()))
 		}
 	}
 	r.Finish(e)
@@ -98,7 +98,7 @@
 	if p := r.Plays[0]; p.Trusted || len(p.Doubts) != 1 || !strings.Contains(p.Doubts[0], "9.0 ms late") {
 		t.Errorf("a generator that lagged by 9 ms: %v", p.Doubts)
 	}
-	o := outcome()
+	o := sampleOutcome()
 	o.Lags, o.Littles = nil, [2]float64{1, 1.1}
 	if p := NewPlay(&experiment.Experiment{}, "a", 1, 0, o); p.Trusted || !strings.Contains(p.Doubts[0], "Little") {
 		t.Errorf("upstreams that break Little's law: %v", p.Doubts)
--- a/internal/lab/report/result.go
+++ b/internal/lab/report/result.go
@@ -23,14 +23,14 @@
 const Schema = 1
 
 const (
-	lagMost     = 5.0 // ms, of the generator at p99: beyond, a play is not to be trusted
-	littleMost  = 0.01
-	violations  = 50 // kept of each rule
-	worstKept   = 10
-	seriesStep  = 500 * time.Millisecond
-	resultName  = "result.json"
-	pageName    = "index.html"
-	percentiles = 5 // ticks for each half of the distance in .hgrm files
+	maxLag             = 5.0 // ms, of the generator at p99: beyond, a play is not to be trusted
+	maxLittleDeviation = 0.01
+	maxViolations      = 50 // kept of each rule
+	maxWorst           = 10
+	seriesStep         = 500 * time.Millisecond
+	resultName         = "result.json"
+	pageName           = "index.html"
+	percentiles        = 5 // ticks for each half of the distance in .hgrm files
 )
 
 // Result is all that is known of a run of an experiment.
@@ -149,23 +149,23 @@
 	p := &Play{Variant: variant, Seed: seed, Repeat: repeat, Partial: o.Record.Partial, PlanHash: o.PlanHash, FaultsHash: o.FaultsHash,
 		Figures: measure(o, all, 0, 0), Counts: map[string]int{}, Notes: o.Notes, Parts: map[string]Figures{}}
 	for _, x := range e.Expects {
-		if key := part(x); key != "" {
+		if key := partKey(x); key != "" {
 			p.Parts[key] = measure(o, all, x.From.Duration, x.To.Duration)
 		}
 	}
 	p.Figures["violations"] = float64(len(found))
 	broke := map[string]string{}
 	for _, v := range found {
-		if p.Counts[v.Rule]++; p.Counts[v.Rule] <= violations {
+		if p.Counts[v.Rule]++; p.Counts[v.Rule] <= maxViolations {
 			v.At -= o.Begin
 			p.Violations = append(p.Violations, v)
 		}
 		broke[v.Request] = v.Rule
 	}
-	p.doubt(o)
-	p.series(o, all)
-	p.worst(o, all, broke)
-	p.histogramsOf(all)
+	p.checkTrust(o)
+	p.addSeries(o, all)
+	p.addWorst(o, all, broke)
+	p.addHistograms(all)
 	for _, b := range o.Record.Bands {
 		p.Bands = append(p.Bands, Band{b.Name, (b.From - o.Begin).Seconds(), (b.To - o.Begin).Seconds()})
 	}
@@ -173,20 +173,20 @@
 	return p
 }
 
-// part names the stretch of the load that an expectation is about; empty: all of it.
-func part(x experiment.Expect) string {
+// partKey names the stretch of the load that an expectation is about; empty: all of it.
+func partKey(x experiment.Expect) string {
 	if x.From.Duration == 0 && x.To.Duration == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%v to %v", x.From.Duration, x.To.Duration)
 }
 
-// doubt says why a play can't be trusted.
-func (p *Play) doubt(o *lab.Outcome) {
-	if lag := p.Figures["lag_p99_ms"]; lag > lagMost {
-		p.Doubts = append(p.Doubts, fmt.Sprintf("the generator began sends up to %.1f ms late (p99; %.0f ms at most)", lag, lagMost))
+// checkTrust says why a play can't be trusted.
+func (p *Play) checkTrust(o *lab.Outcome) {
+	if lag := p.Figures["lag_p99_ms"]; lag > maxLag {
+		p.Doubts = append(p.Doubts, fmt.Sprintf("the generator began sends up to %.1f ms late (p99; %.0f ms at most)", lag, maxLag))
 	}
-	if a, b := o.Littles[0], o.Littles[1]; a > 0 && (b/a > 1+littleMost || b/a < 1-littleMost) {
+	if a, b := o.Littles[0], o.Littles[1]; a > 0 && (b/a > 1+maxLittleDeviation || b/a < 1-maxLittleDeviation) {
 		p.Doubts = append(p.Doubts, fmt.Sprintf("Little's law does not hold in the upstreams: %.2f against %.2f job-seconds", a, b))
 	}
 	if p.Partial {
@@ -195,7 +195,7 @@
 	p.Trusted = len(p.Doubts) == 0
 }
 
-func (p *Play) series(o *lab.Outcome, all []*wish) {
+func (p *Play) addSeries(o *lab.Outcome, all []*wish) {
 	s := Series{StepS: seriesStep.Seconds(), Held: map[string][]float64{}}
 	steps := int((o.Plan.Spec.Length + seriesStep - 1) / seriesStep)
 	get := func(f Figures, name string) float64 {
@@ -230,8 +230,8 @@
 	p.Series = s
 }
 
-// worst keeps the requests that went worst: those that broke a rule, then by worth lost, then by time.
-func (p *Play) worst(o *lab.Outcome, all []*wish, broke map[string]string) {
+// addWorst keeps the requests that went addWorst: those that broke a rule, then by worth lost, then by time.
+func (p *Play) addWorst(o *lab.Outcome, all []*wish, broke map[string]string) {
 	rule := func(w *wish) string {
 		for _, q := range w.tries {
 			if r := broke[q.ID]; r != "" {
@@ -248,7 +248,7 @@
 	}
 	sorted := slices.Clone(all)
 	slices.SortStableFunc(sorted, func(a, b *wish) int { return cmp.Compare(bad(b), bad(a)) })
-	for _, w := range sorted[:min(worstKept, len(sorted))] {
+	for _, w := range sorted[:min(maxWorst, len(sorted))] {
 		x := Worst{ID: w.first().ID, At: w.at.Seconds(), Class: w.first().Class, Via: w.first().Sidecar, End: w.last().End.String(),
 			Ms: w.took.Seconds() * 1e3, Broke: rule(w)}
 		rel := func(t time.Duration) string { return fmt.Sprintf("%.1f ms", (t-w.first().Intended).Seconds()*1e3) }
@@ -274,8 +274,8 @@
 	}
 }
 
-// histogramsOf counts the times of served wishes, of all and by class, tenant and window of 5 s.
-func (p *Play) histogramsOf(all []*wish) {
+// addHistograms counts the times of served wishes, of all and by class, tenant and window of 5 s.
+func (p *Play) addHistograms(all []*wish) {
 	p.histograms = map[string]*hdrhistogram.Histogram{}
 	add := func(key string, d time.Duration) {
 		h := p.histograms[key]
@@ -283,7 +283,7 @@
 			h = newHistogram()
 			p.histograms[key] = h
 		}
-		count(h, d)
+		recordTime(h, d)
 	}
 	for _, w := range all {
 		if !w.served {
@@ -379,7 +379,7 @@
 	if x.RatioTo != "" {
 		says += " over that of " + x.RatioTo
 	}
-	key := part(x)
+	key := partKey(x)
 	if key != "" {
 		says += " from " + key
 	}
--- a/internal/lab/report/sharing.go
+++ b/internal/lab/report/sharing.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	knowShare = 0.95 // of the sidecars that are to know
+	knownShare = 0.95 // of the sidecars that are to know
 	// An upstream that gets none of the attempts to its zone in a window, where each would have had hearsayEach, is left out.
-	hearsayWindow = 3 * time.Second
-	hearsayEach   = 6
+	hearsayWindow   = 3 * time.Second
+	hearsayAttempts = 6
 )
 
 // harm counts what trouble at upstreams did to requests.
@@ -42,12 +42,12 @@
 	sidecars := len(o.Record.Limits)
 	for _, b := range o.Record.Bands {
 		for _, party := range b.Of {
-			first, knew := knowing(o.Record, party, b)
+			first, knew := detectionTimes(o.Record, party, b)
 			if first == 0 {
 				continue
 			}
 			late := b.To - first // who never knew
-			if need := int(knowShare * float64(sidecars)); len(knew) >= need {
+			if need := int(knownShare * float64(sidecars)); len(knew) >= need {
 				late = knew[need-1] - first
 			}
 			f["know95_ms"] = max(f["know95_ms"], late.Seconds()*1e3)
@@ -66,14 +66,14 @@
 		healed = max(healed, b.To)
 	}
 	if healed > 0 && healed < o.Begin+o.Plan.Spec.Length {
-		f["view_ms"] = oneView(o, healed).Seconds() * 1e3
-		f["believed_ms"] = believed(o, healed).Seconds() * 1e3
+		f["view_ms"] = timeToFullView(o, healed).Seconds() * 1e3
+		f["believed_ms"] = timeToLastBelief(o, healed).Seconds() * 1e3
 	}
 }
 
-// knowing is when the first sidecar found an upstream bad by its own evidence during a fault, and when each knew, by its own or by
+// detectionTimes is when the first sidecar found an upstream bad by its own evidence during a fault, and when each knew, by its own or by
 // others'; first 0: none did.
-func knowing(rec *record.Record, upstream string, b record.Band) (first time.Duration, knew []time.Duration) {
+func detectionTimes(rec *record.Record, upstream string, b record.Band) (first time.Duration, knew []time.Duration) {
 	known := map[string]bool{}
 	for _, s := range rec.Said { // in time
 		if s.Upstream != upstream || !s.Open || s.At < b.From || s.At > b.To || s.What == record.Present || first == 0 && s.What != record.Evidence || s.Suspected || known[s.Sidecar] {
@@ -187,7 +187,7 @@
 						out++
 					}
 				}
-				if usable > 0 && of[zone] >= hearsayEach*len(ups) {
+				if usable > 0 && of[zone] >= hearsayAttempts*len(ups) {
 					most = max(most, float64(out)/float64(usable))
 				}
 			}
@@ -196,8 +196,8 @@
 	return most
 }
 
-// oneView is how long after t it took until every sidecar counted all as present; never: until the end.
-func oneView(o *lab.Outcome, t time.Duration) time.Duration {
+// timeToFullView is how long after t it took until every sidecar counted all as present; never: until the end.
+func timeToFullView(o *lab.Outcome, t time.Duration) time.Duration {
 	end := o.Begin + o.Plan.Spec.Length
 	present, whole := map[string]int{}, map[string]time.Duration{}
 	for _, s := range o.Record.Said {
@@ -218,8 +218,8 @@
 	return last - t
 }
 
-// believed is how long after t the last sidecar still believed others' words against an upstream.
-func believed(o *lab.Outcome, t time.Duration) time.Duration {
+// timeToLastBelief is how long after t the last sidecar still timeToLastBelief others' words against an upstream.
+func timeToLastBelief(o *lab.Outcome, t time.Duration) time.Duration {
 	end, last := o.Begin+o.Plan.Spec.Length, t
 	open := map[[3]string]time.Duration{} // by sidecar, upstream and class: until when
 	for _, s := range o.Record.Said {
--- a/internal/lab/report/sharing_test.go
+++ b/internal/lab/report/sharing_test.go
@@ -10,8 +10,8 @@
 	"mosslead/internal/lab/record"
 )
 
-// shared is a play of 20 s with 20 sidecars and 6 upstreams in one zone; u0 is in trouble from 5 s to 15 s.
-func shared() *lab.Outcome {
+// sharingOutcome is a play of 20 s with 20 sidecars and 6 upstreams in one zone; u0 is in trouble from 5 s to 15 s.
+func sharingOutcome() *lab.Outcome {
 	r := record.New()
 	for i := range 20 {
 		r.Limits[fmt.Sprintf("s%d", i)] = record.Limits{}
@@ -24,25 +24,25 @@
 	return &lab.Outcome{Record: r, Plan: load.Plan{Spec: load.Spec{Length: 20 * time.Second}}}
 }
 
-func say(o *lab.Outcome, at time.Duration, what record.SaidKind, sidecar int, upstream string, open bool) {
+func addSaid(o *lab.Outcome, at time.Duration, what record.SaidKind, sidecar int, upstream string, open bool) {
 	o.Record.Said = append(o.Record.Said, record.Said{At: at, What: what, Sidecar: fmt.Sprintf("s%d", sidecar), Upstream: upstream, Open: open, Members: 20})
 }
 
 // The time until 95 of 100 know begins with the first own evidence in the fault's time, and who never knew counts to its end.
 func TestKnowing(t *testing.T) {
-	o := shared()
-	say(o, time.Second, record.Evidence, 3, "u0", true) // before the fault
-	say(o, 5500*time.Millisecond, record.Evidence, 9, "u0", true)
+	o := sharingOutcome()
+	addSaid(o, time.Second, record.Evidence, 3, "u0", true) // before the fault
+	addSaid(o, 5500*time.Millisecond, record.Evidence, 9, "u0", true)
 	o.Record.Said[1].Suspected = true // no breaker yet
-	say(o, 6*time.Second, record.Evidence, 0, "u0", true)
+	addSaid(o, 6*time.Second, record.Evidence, 0, "u0", true)
 	for i := 1; i < 18; i++ {
-		say(o, 6500*time.Millisecond, record.Verdict, i, "u0", true)
+		addSaid(o, 6500*time.Millisecond, record.Verdict, i, "u0", true)
 	}
 	f := Figures{}
 	if f.sharing(o); f["know95_ms"] != 9000 {
 		t.Errorf("18 of 20 knew: %v ms, want 9000", f["know95_ms"])
 	}
-	say(o, 7*time.Second, record.Verdict, 18, "u0", true)
+	addSaid(o, 7*time.Second, record.Verdict, 18, "u0", true)
 	f = Figures{}
 	if f.sharing(o); f["know95_ms"] != 1000 {
 		t.Errorf("19 of 20 knew: %v ms, want 1000", f["know95_ms"])
@@ -51,7 +51,7 @@
 
 // What a sidecar leaves out upon others' words is seen by where its attempts go; what it met itself does not count.
 func TestHearsayPartIsSeenFromAttempts(t *testing.T) {
-	o := shared()
+	o := sharingOutcome()
 	for i := range 2000 {
 		u := []string{"u2", "u3", "u4", "u5"}[i%4]
 		o.Record.Attempts = append(o.Record.Attempts, &record.Attempt{Sidecar: "s1", Upstream: u, Begun: time.Duration(i) * 10 * time.Millisecond})
@@ -59,13 +59,13 @@
 	if got := hearsayPart(o.Record); got != 0 {
 		t.Errorf("nothing was said and %v is left out upon it", got)
 	}
-	say(o, time.Second, record.Verdict, 1, "u0", true)
-	say(o, time.Second, record.Verdict, 1, "u1", true)
-	say(o, time.Second, record.Verdict, 1, "u2", true) // and not followed
+	addSaid(o, time.Second, record.Verdict, 1, "u0", true)
+	addSaid(o, time.Second, record.Verdict, 1, "u1", true)
+	addSaid(o, time.Second, record.Verdict, 1, "u2", true) // and not followed
 	if got := hearsayPart(o.Record); got != 2.0/6 {
 		t.Errorf("%v left out, want 2 of 6", got)
 	}
-	say(o, time.Second, record.Evidence, 1, "u1", true)
+	addSaid(o, time.Second, record.Evidence, 1, "u1", true)
 	if got := hearsayPart(o.Record); got != 1.0/5 {
 		t.Errorf("%v left out, want 1 of the 5 that it did not meet itself", got)
 	}
@@ -73,23 +73,23 @@
 
 // One view again is when the last sidecar counts all; a belief is over when it is taken back.
 func TestOneView(t *testing.T) {
-	o := shared()
+	o := sharingOutcome()
 	for i := range 20 {
-		say(o, 16*time.Second, record.Present, i, "", false)
+		addSaid(o, 16*time.Second, record.Present, i, "", false)
 	}
-	say(o, 10*time.Second, record.Verdict, 4, "u0", true)
-	if got := believed(o, 15*time.Second); got != 5*time.Second {
+	addSaid(o, 10*time.Second, record.Verdict, 4, "u0", true)
+	if got := timeToLastBelief(o, 15*time.Second); got != 5*time.Second {
 		t.Errorf("%v with a verdict that stays, want the 5 s that are left", got)
 	}
-	say(o, 17*time.Second, record.Verdict, 4, "u0", false)
-	if got := believed(o, 15*time.Second); got != 2*time.Second {
+	addSaid(o, 17*time.Second, record.Verdict, 4, "u0", false)
+	if got := timeToLastBelief(o, 15*time.Second); got != 2*time.Second {
 		t.Errorf("%v until it was taken back, want 2 s", got)
 	}
-	if got := oneView(o, 15*time.Second); got != time.Second {
+	if got := timeToFullView(o, 15*time.Second); got != time.Second {
 		t.Errorf("%v, want 1 s", got)
 	}
 	o.Record.Said = append(o.Record.Said, record.Said{At: 18 * time.Second, What: record.Present, Sidecar: "s7", Members: 19})
-	if got := oneView(o, 15*time.Second); got != 5*time.Second {
+	if got := timeToFullView(o, 15*time.Second); got != 5*time.Second {
 		t.Errorf("%v where one misses a member, want the 5 s that are left", got)
 	}
 }
