--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -18,30 +18,30 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chart is a picture of lines over the load's time, with the faults behind them.
+// chart is a chart of lines over the load's time, with the faults as bands behind them.
 type chart struct {
 	title, axis string
-	log         bool // of the values
+	log         bool // logarithmic scale of the values
 	minYMax     float64
 	lines       []line
 	bands       []Band
-	legend      bool // inside the picture: a page has its own beside it
+	legend      bool // drawn inside the chart; a page has its own beside it
 }
 
 type line struct {
 	name string
-	y    []float64 // one a step; below 0: none
+	y    []float64 // one value for each step; below 0 there is none
 	faint,
 	dashed bool
 }
 
-// palette tells lines apart, also for readers who see red and green alike.
+// palette holds the colours of lines, which readers with red-green colour blindness can tell apart too.
 var palette = []color.NRGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {86, 180, 233, 255},
 	{230, 159, 0, 255}, {60, 60, 60, 255}}
 
-const minLogValue = 0.1 // ms: what is less is drawn there
+const minLogValue = 0.1 // ms; smaller values are drawn there
 
-// draw makes the picture.
+// draw returns the chart as a plot.
 func (c chart) draw(step float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = c.title, c.axis, "s"
@@ -76,12 +76,12 @@
 		if from >= p.X.Max {
 			continue
 		}
-		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: p.Y.Min}, {X: to, Y: p.Y.Min}, {X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}})
+		band, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: p.Y.Min}, {X: to, Y: p.Y.Min}, {X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}})
 		if err != nil {
 			return nil, err
 		}
-		box.Color, box.Width = color.NRGBA{90, 100, 115, uint8(34 + 14*(i%3))}, 0
-		p.Add(box)
+		band.Color, band.Width = color.NRGBA{90, 100, 115, uint8(34 + 14*(i%3))}, 0
+		p.Add(band)
 	}
 	p.Add(plotter.NewGrid())
 	for i, l := range c.lines {
@@ -92,7 +92,7 @@
 	return p, nil
 }
 
-// add draws one line, in pieces where there are gaps.
+// add adds one line to a plot, in several pieces if it has gaps.
 func (c chart) add(p *plot.Plot, l line, i int, step float64) error {
 	var xy plotter.XYs
 	named := false
@@ -134,7 +134,7 @@
 	return flush()
 }
 
-// svg words the picture for a page.
+// svg returns the chart as an SVG element for a page.
 func (c chart) svg(step float64) (template.HTML, error) {
 	p, err := c.draw(step)
 	if err != nil {
@@ -149,15 +149,16 @@
 		return "", fmt.Errorf("chart %s: %w", c.title, err)
 	}
 	text := b.String()
-	if at := strings.Index(text, "<svg"); at > 0 { // the page has a head of its own
+	if at := strings.Index(text, "<svg"); at > 0 { // drops the XML header, which has no place inside a page
 		text = text[at:]
 	}
-	return template.HTML(text), nil // made here from numbers; names are escaped by the library
+	return template.HTML(text), nil // safe: drawn from numbers, and the library escapes names
 }
 
-// legendKey is a line's name and colour, for the legend of a page.
+// legendKey is the name and colour of a line, for the legend of a page.
 type legendKey struct{ Name, Colour string }
 
+// keys returns the legend of the lines that have a name.
 func (c chart) keys() (all []legendKey) {
 	for i, l := range c.lines {
 		if l.name != "" {
@@ -168,7 +169,7 @@
 	return all
 }
 
-// charts are the pictures of a result: the first play of each variant, which have the same seed and so the same faults.
+// charts returns the charts of a result. They show the first play of each variant, which have the same seed and so the same faults.
 func (r *Result) charts() []chart {
 	firsts := r.firstPlays()
 	if len(firsts) == 0 {
@@ -180,18 +181,18 @@
 			bands = p.Bands
 		}
 	}
-	each := func(title, axis string, most float64, of func(*Play) []float64) chart {
-		c := chart{title: title, axis: axis, minYMax: most, bands: bands}
+	perVariant := func(title, axis string, minYMax float64, series func(*Play) []float64) chart {
+		c := chart{title: title, axis: axis, minYMax: minYMax, bands: bands}
 		for _, p := range firsts {
-			c.lines = append(c.lines, line{name: p.Variant, y: of(p)})
+			c.lines = append(c.lines, line{name: p.Variant, y: series(p)})
 		}
 		return c
 	}
 	all := []chart{
-		each("Worth served", "share", 1, func(p *Play) []float64 { return p.Series.Served }),
-		each("In time", "share", 1, func(p *Play) []float64 { return p.Series.InTime }),
-		each("Refused", "share", 0.1, func(p *Play) []float64 { return p.Series.Refused }),
-		each("Attempts for each request", "attempts", 1.2, func(p *Play) []float64 { return p.Series.Attempts }),
+		perVariant("Worth served", "share", 1, func(p *Play) []float64 { return p.Series.Served }),
+		perVariant("In time", "share", 1, func(p *Play) []float64 { return p.Series.InTime }),
+		perVariant("Refused", "share", 0.1, func(p *Play) []float64 { return p.Series.Refused }),
+		perVariant("Attempts for each request", "attempts", 1.2, func(p *Play) []float64 { return p.Series.Attempts }),
 	}
 	for _, p := range firsts {
 		all = append(all, chart{title: "Time to the answer: " + p.Variant, axis: "ms", log: true, bands: p.Bands,
@@ -214,18 +215,19 @@
 	return all
 }
 
+// firstPlays returns the first play of each variant, a whole one if there is any.
 func (r *Result) firstPlays() (firsts []*Play) {
 	for _, v := range r.Variants {
 		if plays := r.playsOf(v); len(plays) > 0 {
 			firsts = append(firsts, plays[0])
 		} else if i := slices.IndexFunc(r.Plays, func(p *Play) bool { return p.Variant == v }); i >= 0 {
-			firsts = append(firsts, r.Plays[i]) // only a partial one
+			firsts = append(firsts, r.Plays[i]) // the variant has only partial plays
 		}
 	}
 	return firsts
 }
 
-// Plot draws one picture of a result to w: a chart by its title's first words, in svg, png or pdf.
+// Plot draws one chart of a result to w, in svg, png or pdf. title is the beginning of the chart's title, in any case of letters.
 func (r *Result) Plot(w io.Writer, title, format string) error {
 	for _, c := range r.charts() {
 		if !strings.HasPrefix(strings.ToLower(c.title), strings.ToLower(title)) {
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -9,24 +9,24 @@
 
 const (
 	bootstraps    = 4000
-	bootstrapSeed = 20 // a comparison said twice says the same
+	bootstrapSeed = 20 // fixed, so that a repeated comparison gives the same result
 )
 
-// Ratio compares one figure of two results.
+// Ratio is the comparison of one figure in two results.
 type Ratio struct {
 	Figure   string  `json:"figure"`
-	A        float64 `json:"a"` // medians
+	A        float64 `json:"a"` // medians of the figure
 	B        float64 `json:"b"`
 	Value    float64 `json:"ratio"` // A over B
-	Low      float64 `json:"low"`   // bounds that hold it with 95%, by bootstrap
+	Low      float64 `json:"low"`   // bounds of the 95% confidence interval, by bootstrap
 	High     float64 `json:"high"`
-	Paired   bool    `json:"paired"` // plays of the same seed and repeat are set against each other
+	Paired   bool    `json:"paired"` // plays of the same seed and repeat are compared with each other
 	Verdict  string  `json:"verdict"`
-	Compared int     `json:"plays"` // on the side that has fewer
+	Compared int     `json:"plays"` // number of plays on the side that has fewer
 }
 
-// Compare sets the plays of a variant in one result against those of a variant in another. Where both have the same
-// seeds and repeats, the draws are of pairs, so that what differs between seeds does not hide what differs between sides.
+// Compare compares the plays of a variant in one result with those of a variant in another. If both have the same seeds and
+// repeats, it draws pairs, so that differences between seeds don't hide differences between the sides.
 func Compare(a *Result, variantA string, b *Result, variantB string) ([]Ratio, error) {
 	playsA, playsB := a.playsOf(variantA), b.playsOf(variantB)
 	if len(playsA) == 0 || len(playsB) == 0 {
@@ -49,7 +49,7 @@
 	return out, nil
 }
 
-// playsOf gives a variant's plays, by seed and repeat.
+// playsOf returns a variant's whole plays, sorted by seed and repeat.
 func (r *Result) playsOf(variant string) (plays []*Play) {
 	for _, p := range r.Plays {
 		if p.Variant == variant && !p.Partial {
@@ -62,6 +62,7 @@
 	return plays
 }
 
+// values returns a figure of all plays that have it.
 func values(plays []*Play, figure string) (xs []float64) {
 	for _, p := range plays {
 		if x, ok := p.Figures[figure]; ok {
@@ -71,7 +72,7 @@
 	return xs
 }
 
-// computeBounds draws samples from the plays, with replacement, and says within what the ratio of medians stays.
+// computeBounds draws samples from the plays, with replacement, and sets the bounds of the ratio of medians and the verdict.
 func (r *Ratio) computeBounds(xs, ys []float64) {
 	if r.B == 0 {
 		r.Verdict = "no ratio: the second is 0"
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -1,4 +1,4 @@
-// Package report owns what is said of plays: figures, results on disk, comparisons and the page that a person reads.
+// Package report computes the figures of plays, stores results on disk, compares them and writes the page that a person reads.
 package report
 
 import (
@@ -12,10 +12,10 @@
 	"mosslead/internal/lab/record"
 )
 
-// Figures are numbers of one play, by name; see Names. One that a play does not have is absent.
+// Figures holds the figures of one play, by name; see Names. A figure that a play does not have is absent.
 type Figures map[string]float64
 
-// Names are the figures with what they mean, in the order in which they are shown.
+// Names lists the figures with their meaning, in the order in which they are shown.
 var Names = [][2]string{
 	{"served", "share of the worth asked for that was earned; late answers earn a part"},
 	{"in_time", "share of wishes served within the aim"},
@@ -66,17 +66,18 @@
 
 const (
 	worstWindow = 2 * time.Second
-	lossWindow  = 5 * time.Second // in which a restart's losses are counted
-	settleTime  = time.Second     // after a restart, for dark_served
-	// histogram bounds: microseconds
+	lossWindow  = 5 * time.Second // time after the end of a process in which its losses are counted
+	settleTime  = time.Second     // time after a restart from which dark_served counts
+	// histogram bounds in microseconds, and its significant digits
 	shortest, longest, digits = 1, 60_000_000, 3
 )
 
-// Measure computes the figures of the part [from, to) of a play's load; to 0: all of it.
+// Measure computes the figures of the part [from, to) of a play's load, or of all of it if to is 0.
 func Measure(o *lab.Outcome, from, to time.Duration) Figures {
 	return measure(o, wishes(o), from, to)
 }
 
+// measure is Measure for wishes that are known already.
 func measure(o *lab.Outcome, all []*wish, from, to time.Duration) Figures {
 	whole := to <= 0
 	if whole {
@@ -102,6 +103,7 @@
 	return f
 }
 
+// outcomes measures how wishes ended and how long served ones took.
 func (f Figures) outcomes(some []*wish) {
 	var worth, earned, inTime, served, refused float64
 	classes, tenants := map[string][2]float64{}, map[string][2]float64{}
@@ -137,6 +139,7 @@
 	}
 }
 
+// leastShare returns the least share earned of the pairs of worth and earned worth.
 func leastShare(m map[string][2]float64) float64 {
 	low := math.Inf(1)
 	for _, x := range m {
@@ -145,6 +148,7 @@
 	return low
 }
 
+// attempts measures the attempts of wishes and the work done for them.
 func (f Figures) attempts(rec *record.Record, some []*wish) {
 	var tries, attempts, away, cross, work, wasted float64
 	for _, w := range some {
@@ -175,7 +179,7 @@
 	}
 }
 
-// worstWindowShare is the least share of the worth earned in any window that begins at a whole half second.
+// worstWindowShare returns the least share of the worth earned in any window that begins at a whole half second.
 func worstWindowShare(some []*wish, from, to time.Duration) float64 {
 	low := math.Inf(1)
 	for at := from; at+worstWindow <= to; at += worstWindow / 4 {
@@ -194,7 +198,7 @@
 	return low
 }
 
-// earnedShare is the share of the worth earned.
+// earnedShare returns the share of the worth earned.
 func earnedShare(some []*wish) float64 {
 	var worth, earned float64
 	for _, w := range some {
@@ -204,7 +208,7 @@
 	return earned / worth
 }
 
-// restarts measures what the ends of processes cost, and how soon service was back. First starts do not count.
+// restarts measures the losses after ends of processes, and the time until service was back. First starts do not count.
 func (f Figures) restarts(o *lab.Outcome, all []*wish) {
 	var readies, firsts []time.Duration
 	var never, ends, lost, askedDark, earnedDark float64
@@ -218,9 +222,9 @@
 		if end == 0 {
 			end = o.Record.Length
 		}
-		if begun := end - o.Begin; begun < o.Plan.Spec.Length { // ended within the load
+		if endedAt := end - o.Begin; endedAt < o.Plan.Spec.Length { // ended within the load
 			ends++
-			for _, w := range between(all, begun, begun+lossWindow) {
+			for _, w := range between(all, endedAt, endedAt+lossWindow) {
 				if w.first().Sidecar == l.Party {
 					lost += w.worth - w.earned
 				}
@@ -270,8 +274,8 @@
 	}
 }
 
-// listDelays measures how late sidecars hear of changes. One that another change overtook, or that a process that was not there
-// could not hear, does not count.
+// listDelays measures the time until sidecars learn of changes of the list. A change does not count for a sidecar that did not
+// learn of it before the upstream's next change, or at all because it was not running.
 func (f Figures) listDelays(o *lab.Outcome) {
 	if o.Record.Calls > 0 {
 		f["calls"], f["calls_unknown"], f["watched"] = float64(o.Record.Calls), float64(o.Record.Unknown), float64(o.Record.Watched)
@@ -302,6 +306,7 @@
 	}
 }
 
+// resources measures the processor time, memory and descriptors of sidecars.
 func (f Figures) resources(rec *record.Record, some []*wish) {
 	cpu := map[[2]any]time.Duration{}
 	for _, s := range rec.Samples {
@@ -322,17 +327,18 @@
 	}
 }
 
-// quantile is the q-th part of some times, in ms; 0 of none.
-func quantile(of []time.Duration, q float64) float64 {
-	if len(of) == 0 {
+// quantile returns the quantile q (0 to 1) of times in ms, or 0 if there are none.
+func quantile(times []time.Duration, q float64) float64 {
+	if len(times) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(of))
+	sorted := slices.Sorted(slices.Values(times))
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))].Seconds() * 1e3
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, digits) }
 
+// recordTime adds a time to a histogram, limited to its bounds.
 func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), shortest), longest)) // within the bounds it can't fail
+	_ = h.RecordValue(min(max(d.Microseconds(), shortest), longest)) // can't fail within the bounds
 }
--- a/internal/lab/report/forwards.go
+++ b/internal/lab/report/forwards.go
@@ -2,36 +2,36 @@
 
 import "mosslead/internal/lab/record"
 
-// shares are the least shares of the worth earned among the clients of any sidecar and of any zone's.
+// shares measures the least share of the worth earned for the clients of any sidecar, and for those of any zone's sidecars.
 func (f Figures) shares(rec *record.Record, some []*wish) {
 	sidecars, zones := map[string][2]float64{}, map[string][2]float64{}
 	for _, w := range some {
-		at := w.first().Sidecar
-		for _, of := range []struct {
+		sidecar := w.first().Sidecar
+		for _, group := range []struct {
 			m   map[string][2]float64
 			key string
-		}{{sidecars, at}, {zones, rec.Zones[at]}} {
-			x := of.m[of.key]
-			of.m[of.key] = [2]float64{x[0] + w.worth, x[1] + w.earned}
+		}{{sidecars, sidecar}, {zones, rec.Zones[sidecar]}} {
+			x := group.m[group.key]
+			group.m[group.key] = [2]float64{x[0] + w.worth, x[1] + w.earned}
 		}
 	}
 	f["worst_sidecar"], f["worst_zone"] = leastShare(sidecars), leastShare(zones)
 }
 
-// forwards counts what sidecars sent to each other, and how much of it came to something there.
+// forwards measures the share of tries that sidecars forwarded to each other, and how many of those were begun and served.
 func (f Figures) forwards(rec *record.Record, some []*wish) {
 	if len(rec.Hops) == 0 {
 		return
 	}
-	hopped := map[string]bool{}
+	forwarded := map[string]bool{}
 	for _, h := range rec.Hops {
-		hopped[h.Request] = true
+		forwarded[h.Request] = true
 	}
 	var tries, sent, begun, served float64
 	for _, w := range some {
 		tries += float64(len(w.tries))
 		for _, q := range w.tries {
-			if !hopped[q.ID] {
+			if !forwarded[q.ID] {
 				continue
 			}
 			sent++
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -19,7 +19,7 @@
 	},
 }).Parse(pageText))
 
-// pageData is what the template is given.
+// pageData is the data of the page's template.
 type pageData struct {
 	*Result
 	Rules   []pageRule
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -15,7 +15,7 @@
 	"mosslead/internal/lab/record"
 )
 
-// sampleOutcome is a play of 4 s, 10 wishes a second, in which the ones of the third second were refused.
+// sampleOutcome returns a play of 4 s with 10 wishes a second, in which the wishes of the third second were refused.
 func sampleOutcome() *lab.Outcome {
 	rec := record.New()
 	rec.Zones = map[string]string{"s0": "a", "u0": "b"}
@@ -43,7 +43,7 @@
 func checkFigure(t *testing.T, f Figures, name string, want float64) {
 	t.Helper()
 	if got, ok := f[name]; !ok || math.Abs(got-want) > 0.01*max(want, 1) {
-		t.Errorf("%s: %v, want %v", name, got, want)
+		t.Errorf("figure %s: got %v, want %v", name, got, want)
 	}
 }
 
@@ -74,7 +74,7 @@
 	return r, e
 }
 
-// Guards against an expectation that can't fail: each kind is seen to hold, and to fail with what shows it.
+// Guards against an expectation that can't fail: the test has cases of expectations that hold and of others that fail.
 func TestExpectationsHoldAndFail(t *testing.T) {
 	for text, want := range map[string]bool{
 		"rule = \"all\"":                                                     true,
@@ -84,11 +84,11 @@
 		"figure = \"served\"\nfrom = \"2s\"\nto = \"3s\"\nmax = 0":           true,
 		"figure = \"served\"\nvariant = \"a\"\nratio_to = \"b\"\nmin = 0.99": true,
 		"figure = \"served\"\nvariant = \"a\"\nratio_to = \"b\"\nmin = 1.01": false,
-		"figure = \"ready_ms\"\nmax = 1e9":                                   false, // no play has it
+		"figure = \"ready_ms\"\nmax = 1e9":                                   false, // no play has this figure
 	} {
 		r, _ := testResult(t, "[[expect]]\n"+text)
 		if r.Held() != want {
-			t.Errorf("%q: held %v: %+v", text, r.Held(), r.Expects)
+			t.Errorf("expectation %q: got held %v, want %v: %+v", text, r.Held(), want, r.Expects)
 		}
 	}
 }
@@ -96,12 +96,12 @@
 func TestDoubtsAreSaid(t *testing.T) {
 	r, _ := testResult(t, "")
 	if p := r.Plays[0]; p.Trusted || len(p.Doubts) != 1 || !strings.Contains(p.Doubts[0], "9.0 ms late") {
-		t.Errorf("a generator that lagged by 9 ms: %v", p.Doubts)
+		t.Errorf("generator that lagged by 9 ms: got trusted %v and doubts %q, want one doubt with the lag", p.Trusted, p.Doubts)
 	}
 	o := sampleOutcome()
 	o.Lags, o.Littles = nil, [2]float64{1, 1.1}
 	if p := NewPlay(&experiment.Experiment{}, "a", 1, 0, o); p.Trusted || !strings.Contains(p.Doubts[0], "Little") {
-		t.Errorf("upstreams that break Little's law: %v", p.Doubts)
+		t.Errorf("upstreams that break Little's law: got trusted %v and doubts %q, want a doubt about it first", p.Trusted, p.Doubts)
 	}
 }
 
@@ -113,15 +113,15 @@
 	}
 	again, err := Read(dir)
 	if err != nil || len(again.Plays) != 6 || again.Medians["a"]["served"] != r.Medians["a"]["served"] {
-		t.Errorf("read back: %v, %+v", err, again)
+		t.Errorf("read back: got error %v and %+v, want 6 plays and the same medians as %+v", err, again, r)
 	}
 	hgrm, err := os.ReadFile(filepath.Join(dir, "a.class-read.hgrm"))
 	if err != nil || !strings.Contains(string(hgrm), "Percentile") {
-		t.Errorf("histogram: %v", err)
+		t.Errorf("histogram: got error %v and %q, want a table of percentiles", err, hgrm)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "index.html"))
 	if err != nil || bytes.Count(page, []byte("<svg")) != 8 || bytes.Contains(page, []byte("http://")) && bytes.Contains(page, []byte("src=")) {
-		t.Errorf("page: %v, %d pictures", err, bytes.Count(page, []byte("<svg")))
+		t.Errorf("page: got error %v and %d charts, want 8 charts and nothing loaded from elsewhere", err, bytes.Count(page, []byte("<svg")))
 	}
 	for text, want := range map[string]string{`{"schema": 99}`: "schema 99", `{`: "unexpected end", `{"schema":0}`: "schema 0"} {
 		path := filepath.Join(dir, "bad.json")
@@ -129,19 +129,19 @@
 			t.Fatal(err)
 		}
 		if _, err := Read(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("result file %q: got error %v, want one with %q", text, err, want)
 		}
 	}
 	var png bytes.Buffer
 	if err := r.Plot(&png, "worth", "png"); err != nil || !bytes.HasPrefix(png.Bytes(), []byte("\x89PNG")) {
-		t.Errorf("plot: %v", err)
+		t.Errorf("plot: got error %v and %d bytes, want a PNG", err, png.Len())
 	}
 	if err := r.Plot(&png, "nothing", "png"); err == nil || !strings.Contains(err.Error(), "Worth served") {
-		t.Errorf("a chart that is not there: %v", err)
+		t.Errorf("chart that does not exist: got error %v, want one that lists \"Worth served\"", err)
 	}
 }
 
-// Comparing says what is higher, what is lower, and that it saw no difference where there is none to see.
+// Guards against a comparison that reports noise as a difference, or misses a difference that is there.
 func TestCompareSaysNoMoreThanItSees(t *testing.T) {
 	with := func(served ...float64) *Result {
 		r := &Result{}
@@ -157,16 +157,16 @@
 	}{
 		"the same":  {base, "no difference seen"},
 		"noise":     {[]float64{0.82, 0.88, 0.71, 0.83, 0.76}, "no difference seen"},
-		"higher":    {[]float64{0.88, 0.99, 0.78, 0.94, 0.83}, "higher"}, // by a tenth on each seed, though seeds differ by more
+		"higher":    {[]float64{0.88, 0.99, 0.78, 0.94, 0.83}, "higher"}, // by a tenth on each seed, although seeds differ by more
 		"lower":     {[]float64{0.72, 0.81, 0.63, 0.76, 0.67}, "lower"},
 		"one of it": {[]float64{0.9}, "one play"},
 	} {
 		ratios, err := Compare(with(c.a...), "v", with(base...), "v")
 		if err != nil || len(ratios) != 1 || !strings.HasPrefix(ratios[0].Verdict, c.want) {
-			t.Errorf("%s: %+v, %v", name, ratios, err)
+			t.Errorf("%s: got ratios %+v and error %v, want one ratio with the verdict %q", name, ratios, err, c.want)
 		}
 	}
 	if _, err := Compare(with(1), "w", with(1), "v"); err == nil {
-		t.Error("a variant that is not there is compared")
+		t.Error("comparison with a variant that does not exist: got no error, want one")
 	}
 }
--- a/internal/lab/report/result.go
+++ b/internal/lab/report/result.go
@@ -23,33 +23,33 @@
 const Schema = 1
 
 const (
-	maxLag             = 5.0 // ms, of the generator at p99: beyond, a play is not to be trusted
-	maxLittleDeviation = 0.01
-	maxViolations      = 50 // kept of each rule
+	maxLag             = 5.0  // ms, of the generator at p99; with more a play is not trusted
+	maxLittleDeviation = 0.01 // relative deviation from Little's law; with more a play is not trusted
+	maxViolations      = 50   // number kept for each rule
 	maxWorst           = 10
 	seriesStep         = 500 * time.Millisecond
 	resultName         = "result.json"
 	pageName           = "index.html"
-	percentiles        = 5 // ticks for each half of the distance in .hgrm files
+	percentiles        = 5 // ticks of .hgrm files for each half of the remaining distance to 100%
 )
 
-// Result is all that is known of a run of an experiment.
+// Result holds all results of a run of an experiment.
 type Result struct {
 	Schema     int                           `json:"schema"`
 	Experiment string                        `json:"experiment"`
 	Question   string                        `json:"question"`
-	Text       string                        `json:"text"` // the experiment's file, to play it again
+	Text       string                        `json:"text"` // text of the experiment's file, from which it can be repeated
 	Started    time.Time                     `json:"started"`
 	Machine    Machine                       `json:"machine"`
-	Programs   map[string]string             `json:"programs"` // of each variant: a revision or a path
+	Programs   map[string]string             `json:"programs"` // revision or path of each variant's program
 	Variants   []string                      `json:"variants"`
-	Partial    bool                          `json:"partial"` // it was broken off
+	Partial    bool                          `json:"partial"` // the run was broken off
 	Plays      []*Play                       `json:"plays"`
 	Medians    map[string]map[string]Summary `json:"medians"` // by variant and figure
 	Expects    []Expected                    `json:"expects"`
 }
 
-// Machine is where it was played.
+// Machine describes the machine of a run.
 type Machine struct {
 	CPUs     int     `json:"cpus"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -64,11 +64,11 @@
 	Repeat     int                 `json:"repeat"`
 	Partial    bool                `json:"partial,omitempty"`
 	Trusted    bool                `json:"trusted"`
-	Doubts     []string            `json:"doubts,omitempty"` // why it is not
+	Doubts     []string            `json:"doubts,omitempty"` // reasons why it is not trusted
 	PlanHash   string              `json:"plan_hash"`
 	FaultsHash string              `json:"faults_hash"`
 	Figures    Figures             `json:"figures"`
-	Parts      map[string]Figures  `json:"parts,omitempty"` // of stretches that something is expected of
+	Parts      map[string]Figures  `json:"parts,omitempty"` // of the parts of the load that expectations are about
 	Counts     map[string]int      `json:"violations"`      // by rule
 	Violations []verdict.Violation `json:"shown,omitempty"`
 	Series     Series              `json:"series"`
@@ -79,7 +79,7 @@
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// Band is a fault's time, in seconds of the load's.
+// Band is the time of a fault, in seconds since the start of the load.
 type Band struct {
 	Name string  `json:"name"`
 	From float64 `json:"from"`
@@ -99,7 +99,7 @@
 	Held     map[string][]float64 `json:"held"` // by upstream
 }
 
-// Worst is a request that went badly, with its whole way.
+// Worst is one of the requests with the worst outcome, with all its steps.
 type Worst struct {
 	ID    string   `json:"id"`
 	At    float64  `json:"at_s"`
@@ -119,14 +119,14 @@
 	Plays  int     `json:"plays"`
 }
 
-// Expected is an expectation with what came of it.
+// Expected is an expectation with its result.
 type Expected struct {
 	Says  string `json:"says"`
 	Held  bool   `json:"held"`
 	Shows string `json:"shows"` // the value, or the request or event that breaks it
 }
 
-// NewMachine reads what this machine is.
+// NewMachine returns the description of this machine.
 func NewMachine() Machine {
 	m := Machine{CPUs: runtime.NumCPU(), Go: runtime.Version()}
 	var info syscall.Sysinfo_t
@@ -139,7 +139,7 @@
 	return m
 }
 
-// NewPlay draws figures, verdicts and pictures' data from a play.
+// NewPlay computes the figures, verdicts and chart data of a play.
 func NewPlay(e *experiment.Experiment, variant string, seed uint64, repeat int, o *lab.Outcome) *Play {
 	rules := verdict.Standard()
 	rules.DrainGrace, rules.MaxAttempts = e.Rules.DrainGrace.Duration, e.Rules.MaxAttempts
@@ -173,7 +173,7 @@
 	return p
 }
 
-// partKey names the stretch of the load that an expectation is about; empty: all of it.
+// partKey returns the name of the part of the load that an expectation is about, or the empty string for the whole load.
 func partKey(x experiment.Expect) string {
 	if x.From.Duration == 0 && x.To.Duration == 0 {
 		return ""
@@ -181,7 +181,7 @@
 	return fmt.Sprintf("%v to %v", x.From.Duration, x.To.Duration)
 }
 
-// checkTrust says why a play can't be trusted.
+// checkTrust adds the reasons why a play can't be trusted, and sets Trusted.
 func (p *Play) checkTrust(o *lab.Outcome) {
 	if lag := p.Figures["lag_p99_ms"]; lag > maxLag {
 		p.Doubts = append(p.Doubts, fmt.Sprintf("the generator began sends up to %.1f ms late (p99; %.0f ms at most)", lag, maxLag))
@@ -195,10 +195,11 @@
 	p.Trusted = len(p.Doubts) == 0
 }
 
+// addSeries computes the series of a play.
 func (p *Play) addSeries(o *lab.Outcome, all []*wish) {
 	s := Series{StepS: seriesStep.Seconds(), Held: map[string][]float64{}}
 	steps := int((o.Plan.Spec.Length + seriesStep - 1) / seriesStep)
-	get := func(f Figures, name string) float64 {
+	valueOrNone := func(f Figures, name string) float64 {
 		if x, ok := f[name]; ok {
 			return x
 		}
@@ -210,10 +211,10 @@
 			f.outcomes(some)
 			f.attempts(o.Record, some)
 		}
-		s.Served = append(s.Served, get(f, "served"))
-		s.InTime = append(s.InTime, get(f, "in_time"))
-		s.P50, s.P99, s.P999 = append(s.P50, get(f, "p50_ms")), append(s.P99, get(f, "p99_ms")), append(s.P999, get(f, "p999_ms"))
-		s.Refused, s.Attempts = append(s.Refused, get(f, "refused")), append(s.Attempts, get(f, "attempts"))
+		s.Served = append(s.Served, valueOrNone(f, "served"))
+		s.InTime = append(s.InTime, valueOrNone(f, "in_time"))
+		s.P50, s.P99, s.P999 = append(s.P50, valueOrNone(f, "p50_ms")), append(s.P99, valueOrNone(f, "p99_ms")), append(s.P999, valueOrNone(f, "p999_ms"))
+		s.Refused, s.Attempts = append(s.Refused, valueOrNone(f, "refused")), append(s.Attempts, valueOrNone(f, "attempts"))
 	}
 	for _, l := range o.Record.Loads {
 		i := int((l.At - o.Begin) / seriesStep)
@@ -230,7 +231,7 @@
 	p.Series = s
 }
 
-// addWorst keeps the requests that went addWorst: those that broke a rule, then by worth lost, then by time.
+// addWorst keeps the requests with the worst outcome: those that broke a rule, then by worth lost, then by time.
 func (p *Play) addWorst(o *lab.Outcome, all []*wish, broke map[string]string) {
 	rule := func(w *wish) string {
 		for _, q := range w.tries {
@@ -240,14 +241,14 @@
 		}
 		return ""
 	}
-	bad := func(w *wish) (score float64) {
+	badness := func(w *wish) (score float64) {
 		if rule(w) != "" {
 			score = 1e6
 		}
 		return score + (w.worth-w.earned)*1e3 + w.took.Seconds()
 	}
 	sorted := slices.Clone(all)
-	slices.SortStableFunc(sorted, func(a, b *wish) int { return cmp.Compare(bad(b), bad(a)) })
+	slices.SortStableFunc(sorted, func(a, b *wish) int { return cmp.Compare(badness(b), badness(a)) })
 	for _, w := range sorted[:min(maxWorst, len(sorted))] {
 		x := Worst{ID: w.first().ID, At: w.at.Seconds(), Class: w.first().Class, Via: w.first().Sidecar, End: w.last().End.String(),
 			Ms: w.took.Seconds() * 1e3, Broke: rule(w)}
@@ -274,7 +275,7 @@
 	}
 }
 
-// addHistograms counts the times of served wishes, of all and by class, tenant and window of 5 s.
+// addHistograms computes histograms of the times of served wishes: of all, and by class, tenant and window of 5 s.
 func (p *Play) addHistograms(all []*wish) {
 	p.histograms = map[string]*hdrhistogram.Histogram{}
 	add := func(key string, d time.Duration) {
@@ -310,6 +311,7 @@
 	}
 }
 
+// summaries returns the figures of a variant over its plays, of a part of the load or, if part is empty, of the whole.
 func (r *Result) summaries(variant, part string) map[string]Summary {
 	values := map[string][]float64{}
 	for _, p := range r.Plays {
@@ -331,14 +333,14 @@
 	return out
 }
 
-// median of at least one value; of an even number, the mean of the middle two.
+// median returns the median of at least one value. For an even number of values it is the mean of the middle two.
 func median(xs []float64) float64 {
 	s := slices.Sorted(slices.Values(xs))
 	n := len(s)
 	return (s[(n-1)/2] + s[n/2]) / 2
 }
 
-// expect judges one expectation, for each variant that it is about.
+// expect checks one expectation for each variant that it is about.
 func (r *Result) expect(e *experiment.Experiment, x experiment.Expect) (out []Expected) {
 	for _, v := range r.Variants {
 		if x.Variant != "" && x.Variant != v || x.RatioTo == v && x.Variant == "" {
@@ -353,6 +355,7 @@
 	return out
 }
 
+// expectRule checks an expectation about a rule.
 func (r *Result) expectRule(variant string, x experiment.Expect) Expected {
 	got := Expected{Says: fmt.Sprintf("%s: rule %s is kept", variant, x.Rule), Held: true, Shows: "kept"}
 	if x.Broken {
@@ -374,6 +377,7 @@
 	return got
 }
 
+// expectFigure checks an expectation about a figure.
 func (r *Result) expectFigure(variant string, x experiment.Expect) Expected {
 	says := fmt.Sprintf("%s: %s", variant, x.Figure)
 	if x.RatioTo != "" {
@@ -410,16 +414,16 @@
 	return got
 }
 
-// Held tells whether every expectation was met.
+// Held reports whether every expectation was met.
 func (r *Result) Held() bool {
 	return !slices.ContainsFunc(r.Expects, func(x Expected) bool { return !x.Held })
 }
 
-// Write puts the result, the histograms and the page into a directory.
+// Write writes the result, the histograms and the page into a directory.
 func (r *Result) Write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return fmt.Errorf("wording the result: %w", err)
+		return fmt.Errorf("encoding the result: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, resultName), append(text, '\n'), 0o644); err != nil {
 		return fmt.Errorf("writing the result: %w", err)
@@ -440,7 +444,7 @@
 	return page.Close()
 }
 
-// writeHistograms writes a variant's times, of all of its plays together, in ms.
+// writeHistograms writes the histograms of a variant's times in ms, over all its plays.
 func (r *Result) writeHistograms(dir, variant string) error {
 	sums := map[string]*hdrhistogram.Histogram{}
 	for _, p := range r.Plays {
--- a/internal/lab/report/sharing.go
+++ b/internal/lab/report/sharing.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	knownShare = 0.95 // of the sidecars that are to know
-	// An upstream that gets none of the attempts to its zone in a window, where each would have had hearsayEach, is left out.
+	knownShare = 0.95 // share of the sidecars that have to know
+	// An upstream counts as left out if it gets none of the attempts to its zone in a window, and an equal share of them would be at least
+	// hearsayAttempts.
 	hearsayWindow   = 3 * time.Second
 	hearsayAttempts = 6
 )
 
-// harm counts what trouble at upstreams did to requests.
+// harm measures the effect of faulty upstreams on requests.
 func (f Figures) harm(some []*wish) {
 	var harmed, hung float64
 	for _, w := range some {
@@ -34,7 +35,7 @@
 	f["harmed"], f["hung"] = harmed/float64(len(some)), hung
 }
 
-// sharing measures how soon sidecars knew of an upstream in trouble, and what they believed.
+// sharing measures how soon sidecars knew of a faulty upstream, and which reports of others they believed.
 func (f Figures) sharing(o *lab.Outcome) {
 	if len(o.Record.Said) == 0 {
 		return
@@ -46,19 +47,19 @@
 			if first == 0 {
 				continue
 			}
-			late := b.To - first // who never knew
+			late := b.To - first // as for a sidecar that never knew
 			if need := int(knownShare * float64(sidecars)); len(knew) >= need {
 				late = knew[need-1] - first
 			}
 			f["know95_ms"] = max(f["know95_ms"], late.Seconds()*1e3)
-			if told := firstVerdict(o.Record, party, b); told > 0 {
-				f["told95_ms"] = max(f["told95_ms"], (first+late-told).Seconds()*1e3)
+			if verdict := firstVerdict(o.Record, party, b); verdict > 0 {
+				f["told95_ms"] = max(f["told95_ms"], (first+late-verdict).Seconds()*1e3)
 			}
 		}
 	}
 	f["trials_hung"] = trialsHung(o.Record)
 	if !slices.ContainsFunc(o.Record.Said, func(s record.Said) bool { return s.What == record.Present }) {
-		return // nobody shares
+		return // no sidecar shares its evidence
 	}
 	f["hearsay_part"] = hearsayPart(o.Record)
 	healed := time.Duration(0)
@@ -71,11 +72,11 @@
 	}
 }
 
-// detectionTimes is when the first sidecar found an upstream bad by its own evidence during a fault, and when each knew, by its own or by
-// others'; first 0: none did.
+// detectionTimes returns when the first sidecar found an upstream bad by its own evidence during a fault, and when each sidecar knew, by
+// its own evidence or by others'. first is 0 if none did.
 func detectionTimes(rec *record.Record, upstream string, b record.Band) (first time.Duration, knew []time.Duration) {
 	known := map[string]bool{}
-	for _, s := range rec.Said { // in time
+	for _, s := range rec.Said { // in order of time
 		if s.Upstream != upstream || !s.Open || s.At < b.From || s.At > b.To || s.What == record.Present || first == 0 && s.What != record.Evidence || s.Suspected || known[s.Sidecar] {
 			continue
 		}
@@ -89,7 +90,7 @@
 	return first, knew
 }
 
-// firstVerdict is when the first sidecar believed others against an upstream during a fault; 0: none did.
+// firstVerdict returns when the first sidecar believed others' reports against an upstream during a fault, or 0 if none did.
 func firstVerdict(rec *record.Record, upstream string, b record.Band) time.Duration {
 	for _, s := range rec.Said {
 		if s.What == record.Verdict && s.Open && s.Upstream == upstream && s.At >= b.From && s.At <= b.To {
@@ -99,22 +100,25 @@
 	return 0
 }
 
-// spans are times, by sidecar and upstream.
+// spans holds periods of time by sidecar and upstream.
 type spans map[[2]string][][2]time.Duration
 
+// during reports whether a period of the key overlaps with the time between from and to.
 func (s spans) during(key [2]string, from, to time.Duration) bool {
 	return slices.ContainsFunc(s[key], func(x [2]time.Duration) bool { return x[0] < to && x[1] > from })
 }
 
+// throughout reports whether a period of the key covers the time between from and to.
 func (s spans) throughout(key [2]string, from, to time.Duration) bool {
 	return slices.ContainsFunc(s[key], func(x [2]time.Duration) bool { return x[0] <= from && x[1] >= to })
 }
 
-// knownBad is when sidecars held upstreams to be bad for all classes: by own evidence, and upon what others said.
-func knownBad(rec *record.Record) (own, against spans) {
-	own, against = spans{}, spans{}
+// knownBad returns the periods in which sidecars held upstreams to be bad for all classes: by their own evidence, and by verdicts upon
+// others' reports.
+func knownBad(rec *record.Record) (own, reported spans) {
+	own, reported = spans{}, spans{}
 	for _, s := range rec.Said {
-		in := against
+		in := reported
 		if s.What == record.Evidence {
 			in = own
 		}
@@ -133,31 +137,32 @@
 			in[key] = append(in[key], [2]time.Duration{s.At, to})
 		}
 	}
-	return own, against
+	return own, reported
 }
 
-// trialsHung counts attempts that were never answered, at upstreams that their sidecar held to be bad when it sent them.
+// trialsHung returns the number of attempts that were never answered, at upstreams that their sidecar held to be bad when it sent them.
 func trialsHung(rec *record.Record) (n float64) {
-	own, against := knownBad(rec)
+	own, reported := knownBad(rec)
 	for _, a := range rec.Attempts {
 		key := [2]string{a.Sidecar, a.Upstream}
-		if (a.How == record.Out || a.How == record.GivenUp) && (own.throughout(key, a.Begun, a.Begun) || against.throughout(key, a.Begun, a.Begun)) {
+		if (a.How == record.Out || a.How == record.GivenUp) && (own.throughout(key, a.Begun, a.Begun) || reported.throughout(key, a.Begun, a.Begun)) {
 			n++
 		}
 	}
 	return n
 }
 
-// hearsayPart is the greatest part of a zone's usable upstreams that a sidecar left out at once upon what others said: those with
-// a verdict against them, and no own evidence, that got none of so many attempts as would bring each hearsayEach.
-func hearsayPart(rec *record.Record) (most float64) {
-	zones := map[string][]string{} // upstreams
+// hearsayPart returns the greatest part of a zone's usable upstreams that a sidecar left out at the same time upon others' reports.
+// These are upstreams with a verdict and no own evidence against them that got none of the zone's attempts, although there were
+// enough to give each upstream hearsayAttempts.
+func hearsayPart(rec *record.Record) (greatest float64) {
+	zones := map[string][]string{} // upstreams by zone
 	for party, zone := range rec.Zones {
 		if _, sidecar := rec.Limits[party]; !sidecar {
 			zones[zone] = append(zones[zone], party)
 		}
 	}
-	own, against := knownBad(rec)
+	own, reported := knownBad(rec)
 	sent := map[string][]*record.Attempt{}
 	for _, a := range rec.Attempts {
 		sent[a.Sidecar] = append(sent[a.Sidecar], a)
@@ -166,46 +171,46 @@
 		slices.SortFunc(sent[sidecar], func(a, b *record.Attempt) int { return cmp.Compare(a.Begun, b.Begun) })
 		for from := time.Duration(0); from+hearsayWindow <= rec.Length; from += hearsayWindow / 4 {
 			to := from + hearsayWindow
-			got, of := map[string]int{}, map[string]int{}
+			byUpstream, byZone := map[string]int{}, map[string]int{}
 			lo, _ := slices.BinarySearchFunc(sent[sidecar], from, func(a *record.Attempt, t time.Duration) int { return cmp.Compare(a.Begun, t) })
 			for _, a := range sent[sidecar][lo:] {
 				if a.Begun >= to {
 					break
 				}
-				got[a.Upstream]++
-				of[rec.Zones[a.Upstream]]++
+				byUpstream[a.Upstream]++
+				byZone[rec.Zones[a.Upstream]]++
 			}
 			for zone, ups := range zones {
-				out, usable := 0, 0
+				leftOut, usable := 0, 0
 				for _, u := range ups {
 					key := [2]string{sidecar, u}
 					if own.during(key, from, to) {
 						continue
 					}
 					usable++
-					if got[u] == 0 && against.throughout(key, from, to) {
-						out++
+					if byUpstream[u] == 0 && reported.throughout(key, from, to) {
+						leftOut++
 					}
 				}
-				if usable > 0 && of[zone] >= hearsayAttempts*len(ups) {
-					most = max(most, float64(out)/float64(usable))
+				if usable > 0 && byZone[zone] >= hearsayAttempts*len(ups) {
+					greatest = max(greatest, float64(leftOut)/float64(usable))
 				}
 			}
 		}
 	}
-	return most
+	return greatest
 }
 
-// timeToFullView is how long after t it took until every sidecar counted all as present; never: until the end.
+// timeToFullView returns how long after t every sidecar counted all sidecars as present, or the time until the end if one does not.
 func timeToFullView(o *lab.Outcome, t time.Duration) time.Duration {
 	end := o.Begin + o.Plan.Spec.Length
-	present, whole := map[string]int{}, map[string]time.Duration{}
+	present, completeAt := map[string]int{}, map[string]time.Duration{}
 	for _, s := range o.Record.Said {
 		if s.What != record.Present || s.At > end {
 			continue
 		}
 		if present[s.Sidecar] = s.Members; s.Members == len(o.Record.Limits) {
-			whole[s.Sidecar] = s.At
+			completeAt[s.Sidecar] = s.At
 		}
 	}
 	last := t
@@ -213,21 +218,21 @@
 		if present[sidecar] != len(o.Record.Limits) {
 			return end - t
 		}
-		last = max(last, whole[sidecar])
+		last = max(last, completeAt[sidecar])
 	}
 	return last - t
 }
 
-// timeToLastBelief is how long after t the last sidecar still timeToLastBelief others' words against an upstream.
+// timeToLastBelief returns how long after t it took until no sidecar believed others' reports against an upstream any more.
 func timeToLastBelief(o *lab.Outcome, t time.Duration) time.Duration {
 	end, last := o.Begin+o.Plan.Spec.Length, t
-	open := map[[3]string]time.Duration{} // by sidecar, upstream and class: until when
+	open := map[[3]string]time.Duration{} // end of the belief, by sidecar, upstream and class
 	for _, s := range o.Record.Said {
 		if s.What != record.Verdict || s.At > end {
 			continue
 		}
 		key := [3]string{s.Sidecar, s.Upstream, s.Class}
-		if until, was := open[key]; was {
+		if until, ok := open[key]; ok {
 			last = max(last, min(until, s.At))
 		}
 		if delete(open, key); s.Open {
--- a/internal/lab/report/sharing_test.go
+++ b/internal/lab/report/sharing_test.go
@@ -10,7 +10,7 @@
 	"mosslead/internal/lab/record"
 )
 
-// sharingOutcome is a play of 20 s with 20 sidecars and 6 upstreams in one zone; u0 is in trouble from 5 s to 15 s.
+// sharingOutcome returns a play of 20 s with 20 sidecars and 6 upstreams in one zone. u0 has a fault from 5 s to 15 s.
 func sharingOutcome() *lab.Outcome {
 	r := record.New()
 	for i := range 20 {
@@ -28,28 +28,28 @@
 	o.Record.Said = append(o.Record.Said, record.Said{At: at, What: what, Sidecar: fmt.Sprintf("s%d", sidecar), Upstream: upstream, Open: open, Members: 20})
 }
 
-// The time until 95 of 100 know begins with the first own evidence in the fault's time, and who never knew counts to its end.
+// The time until 95 of 100 know begins with the first own evidence during the fault, and counts to the fault's end if too few ever know.
 func TestKnowing(t *testing.T) {
 	o := sharingOutcome()
 	addSaid(o, time.Second, record.Evidence, 3, "u0", true) // before the fault
 	addSaid(o, 5500*time.Millisecond, record.Evidence, 9, "u0", true)
-	o.Record.Said[1].Suspected = true // no breaker yet
+	o.Record.Said[1].Suspected = true // not open yet, only suspected
 	addSaid(o, 6*time.Second, record.Evidence, 0, "u0", true)
 	for i := 1; i < 18; i++ {
 		addSaid(o, 6500*time.Millisecond, record.Verdict, i, "u0", true)
 	}
 	f := Figures{}
 	if f.sharing(o); f["know95_ms"] != 9000 {
-		t.Errorf("18 of 20 knew: %v ms, want 9000", f["know95_ms"])
+		t.Errorf("18 of 20 knew: got %v ms, want 9000", f["know95_ms"])
 	}
 	addSaid(o, 7*time.Second, record.Verdict, 18, "u0", true)
 	f = Figures{}
 	if f.sharing(o); f["know95_ms"] != 1000 {
-		t.Errorf("19 of 20 knew: %v ms, want 1000", f["know95_ms"])
+		t.Errorf("19 of 20 knew: got %v ms, want 1000", f["know95_ms"])
 	}
 }
 
-// What a sidecar leaves out upon others' words is seen by where its attempts go; what it met itself does not count.
+// The upstreams that a sidecar leaves out upon others' reports are found from its attempts. Upstreams with own evidence do not count.
 func TestHearsayPartIsSeenFromAttempts(t *testing.T) {
 	o := sharingOutcome()
 	for i := range 2000 {
@@ -57,21 +57,21 @@
 		o.Record.Attempts = append(o.Record.Attempts, &record.Attempt{Sidecar: "s1", Upstream: u, Begun: time.Duration(i) * 10 * time.Millisecond})
 	}
 	if got := hearsayPart(o.Record); got != 0 {
-		t.Errorf("nothing was said and %v is left out upon it", got)
+		t.Errorf("without any report: got a part of %v left out, want 0", got)
 	}
 	addSaid(o, time.Second, record.Verdict, 1, "u0", true)
 	addSaid(o, time.Second, record.Verdict, 1, "u1", true)
-	addSaid(o, time.Second, record.Verdict, 1, "u2", true) // and not followed
+	addSaid(o, time.Second, record.Verdict, 1, "u2", true) // the sidecar still uses u2
 	if got := hearsayPart(o.Record); got != 2.0/6 {
-		t.Errorf("%v left out, want 2 of 6", got)
+		t.Errorf("got a part of %v left out, want 2 of 6", got)
 	}
 	addSaid(o, time.Second, record.Evidence, 1, "u1", true)
 	if got := hearsayPart(o.Record); got != 1.0/5 {
-		t.Errorf("%v left out, want 1 of the 5 that it did not meet itself", got)
+		t.Errorf("got a part of %v left out, want 1 of the 5 without own evidence", got)
 	}
 }
 
-// One view again is when the last sidecar counts all; a belief is over when it is taken back.
+// The view is complete when the last sidecar counts all members. A belief ends when its verdict is withdrawn.
 func TestOneView(t *testing.T) {
 	o := sharingOutcome()
 	for i := range 20 {
@@ -79,17 +79,17 @@
 	}
 	addSaid(o, 10*time.Second, record.Verdict, 4, "u0", true)
 	if got := timeToLastBelief(o, 15*time.Second); got != 5*time.Second {
-		t.Errorf("%v with a verdict that stays, want the 5 s that are left", got)
+		t.Errorf("verdict that stays: got %v, want the remaining 5 s", got)
 	}
 	addSaid(o, 17*time.Second, record.Verdict, 4, "u0", false)
 	if got := timeToLastBelief(o, 15*time.Second); got != 2*time.Second {
-		t.Errorf("%v until it was taken back, want 2 s", got)
+		t.Errorf("verdict that was withdrawn: got %v, want 2 s", got)
 	}
 	if got := timeToFullView(o, 15*time.Second); got != time.Second {
-		t.Errorf("%v, want 1 s", got)
+		t.Errorf("full view: got %v, want 1 s", got)
 	}
 	o.Record.Said = append(o.Record.Said, record.Said{At: 18 * time.Second, What: record.Present, Sidecar: "s7", Members: 19})
 	if got := timeToFullView(o, 15*time.Second); got != 5*time.Second {
-		t.Errorf("%v where one misses a member, want the 5 s that are left", got)
+		t.Errorf("sidecar that misses a member: got %v, want the remaining 5 s", got)
 	}
 }
--- a/internal/lab/report/wishes.go
+++ b/internal/lab/report/wishes.go
@@ -9,14 +9,14 @@
 	"mosslead/internal/lab/record"
 )
 
-// wish is what a client wanted, with all of its tries.
+// wish is a planned request of a client, with all of its tries.
 type wish struct {
 	tries    []*record.Request
 	attempts []*record.Attempt
-	at       time.Duration // of the load's time
-	took     time.Duration // from the first intended send to the answer that was served, else to the last end
+	at       time.Duration // since the start of the load
+	took     time.Duration // from the first intended send to the served answer, or else to the end of the last try
 	served   bool
-	worth    float64 // asked for
+	worth    float64 // of the answer if it comes in time
 	earned   float64
 }
 
@@ -24,7 +24,7 @@
 func (w *wish) last() *record.Request  { return w.tries[len(w.tries)-1] }
 func (w *wish) inTime() bool           { return w.served && w.took <= w.first().Aim }
 
-// wishes puts tries and attempts together, in the order of their time. Those that were never sent, since the play was
+// wishes groups tries and attempts by wish, sorted by time. Tries that were never sent or have not ended, since the play was
 // broken off, are left out.
 func wishes(o *lab.Outcome) []*wish {
 	late := map[string]float64{}
@@ -35,21 +35,21 @@
 	for _, a := range o.Record.Attempts {
 		attempts[a.Request] = append(attempts[a.Request], a)
 	}
-	by := map[int]*wish{}
+	byNumber := map[int]*wish{}
 	for _, q := range o.Record.Requests {
 		if q.End == record.Unsent || q.End == record.Pending {
 			continue
 		}
-		w := by[q.Wish]
+		w := byNumber[q.Wish]
 		if w == nil {
 			w = &wish{}
-			by[q.Wish] = w
+			byNumber[q.Wish] = w
 		}
 		w.tries = append(w.tries, q)
 		w.attempts = append(w.attempts, attempts[q.ID]...)
 	}
-	all := make([]*wish, 0, len(by))
-	for _, w := range by {
+	all := make([]*wish, 0, len(byNumber))
+	for _, w := range byNumber {
 		slices.SortFunc(w.tries, func(a, b *record.Request) int { return cmp.Compare(a.Try, b.Try) })
 		slices.SortFunc(w.attempts, func(a, b *record.Attempt) int { return cmp.Compare(a.Begun, b.Begun) })
 		first := w.first()
@@ -73,7 +73,7 @@
 	return all
 }
 
-// between gives those whose time is in [from, to).
+// between returns the wishes whose time is in [from, to).
 func between(all []*wish, from, to time.Duration) []*wish {
 	lo, _ := slices.BinarySearchFunc(all, from, func(w *wish, t time.Duration) int { return cmp.Compare(w.at, t) })
 	hi, _ := slices.BinarySearchFunc(all, to, func(w *wish, t time.Duration) int { return cmp.Compare(w.at, t) })
