--- a/internal/lab/leases/faults.go
+++ b/internal/lab/leases/faults.go
@@ -121,8 +121,8 @@
 	return set(relay.State{})
 }
 
-// disruptService takes the service's leader, disk or quorum away, and also kills the holder in half of the cases. Nobody can
-// take over until the service answers again, so that time is excused.
+// disruptService takes the service's leader, disk or quorum away, and also kills the holder in half of the cases. In the
+// others it ends the holder afterwards. Nobody can take over until the service answers again, so that time is excused.
 func (r *run) disruptService(p *candidateProc) error {
 	leader, err := r.leader()
 	if err != nil {
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chart is a chart of lines over the load's time, with the faults as bands behind them.
+// chart describes a chart of lines over the load's time, with the faults as bands behind them.
 type chart struct {
 	title, axis string
 	log         bool // logarithmic scale of the values
--- a/internal/lab/report/result.go
+++ b/internal/lab/report/result.go
@@ -86,7 +86,7 @@
 	To   float64 `json:"to"`
 }
 
-// Series are figures over the load's time, a value for each step; -1 where there is none.
+// Series holds figures over the load's time, with a value for each step, which is -1 if there is none.
 type Series struct {
 	StepS    float64              `json:"step_s"`
 	Served   []float64            `json:"served"`
--- a/internal/lab/transcript/duties.go
+++ b/internal/lab/transcript/duties.go
@@ -81,7 +81,7 @@
 	return g, err
 }
 
-// delay waits for one way of the line, and reports whether ctx still holds.
+// delay waits for the time of one way, and reports whether ctx has not ended by then.
 func (l *DutyLine) delay(ctx context.Context) bool {
 	select {
 	case <-time.After(l.Way):
