--- a/internal/lab/history/linear.go
+++ b/internal/lab/history/linear.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	checkPatience = 20 * time.Second
-	anyVersion    = -1 // after a write whose answer did not come
+	checkTimeout = 20 * time.Second
+	anyVersion   = -1 // after a write without an answer
 )
 
-// entry is the model: one entry of the list, as calls may find it.
+// entry is the model's state: one entry of the list.
 type entry struct {
-	present bool
-	address string
-	own     string
-	hand    string
-	version int64 // anyVersion: above floor
-	floor   int64 // no version was above it
+	present      bool
+	address      string
+	serverStatus string
+	adminState   string
+	version      int64 // anyVersion if it is only known to be above floor
+	floor        int64 // highest version so far
 }
 
-// is tells whether the entry can be at a version, and gives it with the version known.
-func (e entry) is(version int64) (entry, bool) {
+// atVersion reports whether the entry can be at a version, and returns the entry with that version.
+func (e entry) atVersion(version int64) (entry, bool) {
 	if e.version == anyVersion {
 		if version <= e.floor {
 			return e, false
@@ -37,22 +37,23 @@
 	return e, e.version == version
 }
 
-// at is the entry's version as conditions name it.
+// matches reports whether a condition on the version can hold for the entry, and returns the entry with that version.
 func (e entry) matches(ifVersion int64) (entry, bool) {
 	if !e.present {
 		return e, ifVersion == 0
 	}
-	return e.is(ifVersion)
+	return e.atVersion(ifVersion)
 }
 
+// status returns the status that results from the server's own status and the administrative state.
 func (e entry) status() string {
-	if e.hand == api.AdminDrain {
+	if e.adminState == api.AdminDrain {
 		return api.Terminating
 	}
-	return e.own
+	return e.serverStatus
 }
 
-// step is what a call does to an entry; false: it can't have been answered so.
+// step returns the entry after a call. It reports false if the call can't have been answered so.
 func step(e entry, o op, x out) (entry, bool) {
 	if o.kind == "read" {
 		if x.unknown {
@@ -60,12 +61,12 @@
 		}
 		r := x.record
 		if r.Revision == 0 {
-			return e, !e.present && r.AdminState == e.hand
+			return e, !e.present && r.AdminState == e.adminState
 		}
-		if !e.present || r.Address != e.address || r.ServerStatus != e.own || r.AdminState != e.hand || r.Status != e.status() {
+		if !e.present || r.Address != e.address || r.ServerStatus != e.serverStatus || r.AdminState != e.adminState || r.Status != e.status() {
 			return e, false
 		}
-		return e.is(r.Revision)
+		return e.atVersion(r.Revision)
 	}
 	next, match := e.matches(o.ifVersion)
 	switch {
@@ -76,19 +77,19 @@
 	case !match:
 		return e, false
 	}
-	was := next
+	previous := next
 	switch o.kind {
 	case "register":
-		next.present, next.address, next.own = true, o.address, api.Ready
+		next.present, next.address, next.serverStatus = true, o.address, api.Ready
 	case "drain", "leave":
 		if !e.present {
 			return e, x.unknown || x.code == api.CodeNotFound
 		}
-		if next.own = api.Terminating; o.kind == "leave" {
-			next = entry{hand: next.hand, floor: max(next.floor, next.version)}
+		if next.serverStatus = api.Terminating; o.kind == "leave" {
+			next = entry{adminState: next.adminState, floor: max(next.floor, next.version)}
 		}
 	case "hand":
-		next.hand = o.hand
+		next.adminState = o.hand
 	}
 	if x.code != "" {
 		return e, false
@@ -96,13 +97,13 @@
 	switch {
 	case !next.present:
 		return next, x.unknown || x.version == 0
-	case next == was: // nothing changed
+	case next == previous: // nothing changed
 		if x.unknown {
 			return next, true
 		}
-		return next.is(x.version)
+		return next.atVersion(x.version)
 	case x.unknown:
-		next.floor, next.version = max(next.floor, was.version), anyVersion
+		next.floor, next.version = max(next.floor, previous.version), anyVersion
 		return next, true
 	case x.version <= next.floor:
 		return e, false
@@ -113,13 +114,13 @@
 
 var model = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
+		byName := map[string][]porcupine.Operation{}
 		for _, o := range all {
 			name := o.Input.(op).name
-			by[name] = append(by[name], o)
+			byName[name] = append(byName[name], o)
 		}
 		var parts [][]porcupine.Operation
-		for _, part := range by {
+		for _, part := range byName {
 			parts = append(parts, part)
 		}
 		return parts
@@ -135,7 +136,7 @@
 	},
 }
 
-// linearizable looks for an order of all calls in which each was answered as if it had been alone.
+// linearizable searches for an order of all calls in which each answer is that of a sequential execution.
 func (r *Run) linearizable() []Breach {
 	var all []porcupine.Operation
 	for _, c := range r.calls {
@@ -144,38 +145,38 @@
 			if c.op.kind == "read" {
 				continue
 			}
-			o.Return = math.MaxInt64 // it may be done at any time yet
+			o.Return = math.MaxInt64 // it may still be done at any time
 		}
 		all = append(all, o)
 	}
-	switch porcupine.CheckOperationsTimeout(model, all, checkPatience) {
+	switch porcupine.CheckOperationsTimeout(model, all, checkTimeout) {
 	case porcupine.Illegal:
-		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("no order of %d calls explains their answers; %s", len(all), r.shortest(all))}}
+		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("no order of %d calls explains their answers; %s", len(all), r.firstContradiction(all))}}
 	case porcupine.Unknown:
-		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("%d calls could not be judged within %v", len(all), checkPatience)}}
+		return []Breach{{Rule: "linearizable", Text: fmt.Sprintf("%d calls could not be judged within %v", len(all), checkTimeout)}}
 	}
 	return nil
 }
 
-// shortest names the entry, and the first call by whose answer no order is left.
-func (r *Run) shortest(all []porcupine.Operation) string {
+// firstContradiction describes the first call whose answer leaves no possible order, with its entry and time.
+func (r *Run) firstContradiction(all []porcupine.Operation) string {
 	for _, part := range model.Partition(all) {
-		if porcupine.CheckOperationsTimeout(model, part, checkPatience) != porcupine.Illegal {
+		if porcupine.CheckOperationsTimeout(model, part, checkTimeout) != porcupine.Illegal {
 			continue
 		}
-		least, most := 0, len(part) // a history is legal up to some call's return, and illegal from there on
+		lo, hi := 0, len(part) // a history is legal up to some call's return, and illegal from there on
 		byReturn := append([]porcupine.Operation{}, part...)
 		sortByReturn(byReturn)
-		for least < most {
-			mid := (least + most) / 2
-			if porcupine.CheckOperationsTimeout(model, upTo(part, byReturn[mid].Return), checkPatience) == porcupine.Illegal {
-				most = mid
+		for lo < hi {
+			mid := (lo + hi) / 2
+			if porcupine.CheckOperationsTimeout(model, historyUntil(part, byReturn[mid].Return), checkTimeout) == porcupine.Illegal {
+				hi = mid
 			} else {
-				least = mid + 1
+				lo = mid + 1
 			}
 		}
-		if least < len(byReturn) {
-			o := byReturn[least]
+		if lo < len(byReturn) {
+			o := byReturn[lo]
 			return fmt.Sprintf("first at %v: %s", time.Duration(o.Return).Round(time.Millisecond), model.DescribeOperation(o.Input, o.Output))
 		}
 	}
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -19,7 +19,7 @@
 	},
 }).Parse(pageText))
 
-// pageData is what the template is given.
+// pageData is the data of the page's template.
 type pageData struct {
 	*Result
 	Rules   []pageRule
@@ -32,7 +32,7 @@
 
 type pageChart struct {
 	SVG  template.HTML
-	Keys []key
+	Keys []legendKey
 }
 
 // pageRule is a row of the table of verdicts: a count for each variant.
--- a/internal/lab/transcript/transcript.go
+++ b/internal/lab/transcript/transcript.go
@@ -1,5 +1,5 @@
-// Package transcript writes down what the hosts of a memnet network said to each other, or what parties without one say in
-// words, as a text that a person can approve, and has parties that do as a script says.
+// Package transcript records the messages between hosts of a memnet network, or between parties without a network, as a text
+// that a person can approve. It also has parties that a script controls.
 package transcript
 
 import (
@@ -15,52 +15,53 @@
 	"mosslead/internal/lab/memnet"
 )
 
-// Transcript is a record of a network's events. Nothing in it is masked: in a bubble with fixed addresses and seeds nothing
-// varies, dates and ports included. The zero Transcript records nothing yet.
+// Transcript is a record of a network's events. Nothing in it is masked: in a synctest bubble with fixed addresses and seeds
+// nothing varies, dates and ports included. The zero Transcript records nothing until Begin is called.
 type Transcript struct {
-	mu     sync.Mutex
-	begun  time.Time
-	on     bool
-	events []memnet.Event
+	mu        sync.Mutex
+	start     time.Time
+	recording bool
+	events    []memnet.Event
 }
 
-// Begin begins the record, anew where there was one, at the present time of its bubble.
+// Begin starts an empty record at the present time of the bubble, and discards an earlier one.
 func (t *Transcript) Begin() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.begun, t.on, t.events = time.Now(), true, nil
+	t.start, t.recording, t.events = time.Now(), true, nil
 }
 
-// Take records an event; it is what memnet.New wants.
+// Take records an event. It is meant as the argument of memnet.New.
 func (t *Transcript) Take(e memnet.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.on {
+	if t.recording {
 		t.events = append(t.events, e)
 	}
 }
 
-// said is the kind of an event that is words, and not on a connection.
-const said memnet.Kind = -1
+// kindText is the kind of an event that is a message in words, not on a connection.
+const kindText memnet.Kind = -1
 
-// Say records words of a party that speaks over no network, or to itself.
+// Say records a message of a party that uses no network, to another or to itself.
 func (t *Transcript) Say(from, to, format string, args ...any) {
-	t.Take(memnet.Event{At: time.Now(), From: from, To: to, Kind: said, Bytes: fmt.Appendf(nil, format, args...)})
+	t.Take(memnet.Event{At: time.Now(), From: from, To: to, Kind: kindText, Bytes: fmt.Appendf(nil, format, args...)})
 }
 
 // Stop ends the record.
 func (t *Transcript) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.on = false
+	t.recording = false
 }
 
-var words = map[memnet.Kind]string{memnet.Dials: "connects", memnet.Refuses: "refuses", memnet.Sends: "sends", memnet.Leaves: "gives up connecting",
+// verbs holds the words for events on connections.
+var verbs = map[memnet.Kind]string{memnet.Dials: "connects", memnet.Refuses: "refuses", memnet.Sends: "sends", memnet.Leaves: "gives up connecting",
 	memnet.Ends: "ends its sending", memnet.Closes: "closes", memnet.Resets: "resets"}
 
-// Text words the record: for each message the time in ms since the beginning, who sent it to whom, and its bytes as in a
-// Go string, with a new line after each \n. A connection has a number from the second on between the same two on. What
-// happened at one moment is in the order of the hosts' names; each side's messages are in its own.
+// Text returns the record as text: for each message the time in ms since the start, its sender and receiver, and its bytes as in
+// a Go string, with a line break after each \n. The second and later connections between the same two hosts have a number. Events
+// of the same moment are in the order of the hosts' names, and the messages of one side in the order in which they were sent.
 func (t *Transcript) Text() string {
 	t.mu.Lock()
 	events := slices.Clone(t.events)
@@ -72,11 +73,11 @@
 	numbers, pairs := map[int]int{}, map[[2]string]int{}
 	for i := 0; i < len(events); i++ {
 		e := events[i]
-		if e.Kind == said {
+		if e.Kind == kindText {
 			fmt.Fprintf(&text, "%s %s > %s: %s\n", t.ms(e), e.From, e.To, e.Bytes)
 			continue
 		}
-		for i+1 < len(events) && goesOn(e, events[i+1]) { // a message that was written in pieces
+		for i+1 < len(events) && continues(e, events[i+1]) { // a message that was written in pieces
 			i++
 			e.Bytes = slices.Concat(e.Bytes, events[i].Bytes)
 		}
@@ -88,7 +89,7 @@
 		if n := numbers[e.Conn]; n > 1 {
 			number = fmt.Sprintf(" (%d)", n)
 		}
-		fmt.Fprintf(&text, "%s %s > %s%s %s\n", t.ms(e), e.From, e.To, number, words[e.Kind])
+		fmt.Fprintf(&text, "%s %s > %s%s %s\n", t.ms(e), e.From, e.To, number, verbs[e.Kind])
 		for line := range bytes.Lines(e.Bytes) {
 			quoted := strconv.Quote(string(line))
 			fmt.Fprintf(&text, "\t%s\n", strings.ReplaceAll(quoted[1:len(quoted)-1], `\"`, `"`))
@@ -97,11 +98,12 @@
 	return text.String()
 }
 
+// ms returns the time of an event since the start, in ms.
 func (t *Transcript) ms(e memnet.Event) string {
-	return strconv.FormatFloat(float64(e.At.Sub(t.begun).Microseconds())/1000, 'f', -1, 64)
+	return strconv.FormatFloat(float64(e.At.Sub(t.start).Microseconds())/1000, 'f', -1, 64)
 }
 
-// goesOn tells whether b goes on with the message a.
-func goesOn(a, b memnet.Event) bool {
+// continues reports whether b is a further piece of the message a.
+func continues(a, b memnet.Event) bool {
 	return a.Kind == memnet.Sends && b.Kind == memnet.Sends && a.At.Equal(b.At) && a.Conn == b.Conn && a.From == b.From
 }
