--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -51,8 +51,8 @@
 	Evidence  Evidence
 	Count     int    // number of attempts that the evidence is based on
 	Class     string // class of these attempts' requests; empty: all classes
-	Suspicion bool   // a first failure; the endpoint is not ejected
-	Probe     bool   // result of a probe made for all sidecars; EvidenceNone if it succeeded
+	Suspicion bool   // the report is of a first failure; the endpoint is not ejected
+	Probe     bool   // Evidence is the result of a probe for all sidecars: EvidenceNone if it succeeded
 }
 
 // LogLine returns the line of a Log action as plain text: Text, then the attributes as key=value.
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -13,26 +13,26 @@
 	// wait on average. The minimum is reached while endpoints are congested.
 	maxLimitFraction = 0.65
 	minLimitFraction = 0.33
-	limitStep        = 0.06 // relative decrease after a request that a congested endpoint made late
-	// allowedLateFraction is the increase after a request in time, as a fraction of limitStep. It
-	// determines the fraction of requests that may be late.
+	limitStep        = 0.06 // relative decrease of the limit after a request that a congested endpoint made late
+	// allowedLateFraction is the relative increase of the limit after a request in time, as a fraction of
+	// limitStep. It determines the fraction of requests that may be late.
 	allowedLateFraction = 0.05
 	// limitAgeFraction is the mean age of requests in flight, as a fraction of their objective, below which the
 	// pressure is reduced, so that a short burst is admitted.
 	limitAgeFraction = 0.25
 
-	maxPressure            = 2.0  // bounds the effect of a low rate of answers after a lull, which is no fault
+	maxPressure            = 2.0  // limits the pressure after a lull, when the rate of answers is low without a fault
 	minInFlight            = 5.0  // requests in flight below which the rate of answers is too noisy to use
-	minInFlightPerEndpoint = 8.0  // the same per endpoint; with fewer, no endpoint is congested
+	minInFlightPerEndpoint = 8.0  // requests of all sidecars per endpoint; with fewer, no endpoint is congested
 	minServedPerSecond     = 1e-3 // avoids a division by 0
 
 	offeredTimeConstant = 20 * time.Second // of the averaged offered load
 	servedTimeConstant  = 2 * time.Second  // of the averaged rate of answers
 	rankWindow          = 64               // number of recent requests with which a new one is compared
 
-	congestionWeight    = 0.12 // weight of an attempt in the congestion: averages about the last eight
+	congestionWeight    = 0.12 // weight of a new attempt in the congestion, which averages about the last eight
 	congestionThreshold = 0.62 // load is shed above this congestion
-	maxCongestion       = 1.5  // upper bound for one attempt: an endpoint that hangs is not congested
+	maxCongestion       = 1.5  // upper bound for one attempt, which may be long because its endpoint hangs
 	// congestionTimeConstant is the time constant with which congestion decays while no attempt ends. Without
 	// the decay, a sidecar that rejects every request would continue to do so.
 	congestionTimeConstant = 10 * time.Second
@@ -96,11 +96,11 @@
 // pressure returns the load in flight relative to the load that can be served in time. Above 1, requests in
 // flight would wait for more than limitFraction of their objective. It shows a growing queue before late
 // answers do. usableEndpoints is the number of endpoints that can be sent work; an endpoint that warms up
-// counts as its capacity.
+// counts as the fraction of its capacity that it has.
 //
 // With few requests in flight the rate of answers is too noisy. Then, and while no endpoint can be congested,
-// the duration of recent attempts is used instead: the rate of answers also falls because load is shed, and
-// would prolong load shedding after the end of an overload.
+// the duration of recent attempts is used instead. The rate of answers also falls because load is shed, so
+// that using it would prolong load shedding after the end of an overload.
 func (a *admission) pressure(now time.Duration, fleetSize int, usableEndpoints float64) float64 {
 	n := float64(a.inFlight)
 	perEndpoint := (n - float64(a.stalled)) * float64(fleetSize) / usableEndpoints
@@ -136,8 +136,8 @@
 	return (lower + equal*rng.Float64()) / float64(n), true
 }
 
-// overQuota counts a tenant's request, and reports whether it is over the tenant's quota. Of a tenant above
-// its quota, a random part of the requests is over quota, in proportion to the excess.
+// overQuota counts a tenant's request, and reports whether it is over the tenant's quota. If a tenant sends
+// more than its quota, the excess is over quota; the requests that count as the excess are chosen at random.
 func (a *admission) overQuota(tenant int, quota float64, now time.Duration, rng *rand.Rand) bool {
 	t := &a.tenants[tenant]
 	t.add(1, now)
@@ -191,8 +191,8 @@
 	return b.admission.pressure(b.now, b.settings.FleetSize, b.usableCapacity())
 }
 
-// usableCapacity returns the number of endpoints that can be sent work now. One that warms up counts as its
-// capacity.
+// usableCapacity returns the number of endpoints that can be sent work now. One that warms up counts as the
+// fraction of its capacity that it has.
 func (b *Balancer) usableCapacity() float64 {
 	sum := 0.0
 	for _, ep := range b.endpoints.order {
--- a/balancer/deadline.go
+++ b/balancer/deadline.go
@@ -44,9 +44,9 @@
 }
 
 // setDeadlines sets when a request that arrives now is late, and when it is abandoned: two ticks before it
-// expires, so that its answer arrives in time even if the next events come a tick late. If a late answer
-// has no value, the request is abandoned a tick before its objective ends, counted from the client's first
-// attempt: later work would be useless.
+// expires, so that its answer arrives in time even if the next events come a tick late. If a late answer has
+// no value, later work would be useless, and the request is abandoned at the latest a tick before its
+// objective ends. The objective is then counted from the client's first attempt.
 func (b *Balancer) setDeadlines(r *request, expiresAt time.Duration) {
 	c := r.class
 	r.arrivedAt, r.expiresAt = b.now, expiresAt
@@ -76,9 +76,9 @@
 	b.closeRequest(r)
 }
 
-// retryAfter returns how long a rejected client should wait. That is MaxRetryAfter, limited to half of the
-// time until the request's objective ends if a late answer still has value when the client returns. It guards
-// against repeats that arrive after the objective.
+// retryAfter returns how long a rejected client should wait. That is MaxRetryAfter. If a late answer has
+// value, and MaxRetryAfter is shorter than the deadline, it is at most half of the time until the request's
+// objective ends, so that the repeat arrives before then.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if !b.settings.RetryAfter {
 		return 0
@@ -104,9 +104,9 @@
 }
 
 // checkStalled marks r as stalled if the endpoint of its latest attempt has served another attempt that was
-// sent much later, which a queue would not do. It guards against answers that never arrive, for example
-// because a network path fails silently: a few such requests would count as load, and cause others to be
-// rejected.
+// sent much later; in a queue, the earlier attempt would be served first. It guards against answers that
+// never arrive, for example because a network path fails silently: a few such requests would count as load,
+// and cause others to be rejected.
 func (b *Balancer) checkStalled(r *request) {
 	if n := len(r.attempts); n > 0 {
 		last := r.attempts[n-1]
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -3,8 +3,8 @@
 import "time"
 
 // The wait before the list is requested again doubles from basePollBackoff to maxPollBackoff, and is
-// multiplied by a random factor of 0.5 to 1.5. The maximum is low because a call without an answer takes
-// another 2.5 s, and a change must be known within 6 s.
+// multiplied by a random factor of 0.5 to 1.5. The maximum is low because a change must be known within 6 s:
+// the longest wait is 3 s, and a call without an answer takes another 2.5 s.
 const (
 	basePollBackoff = time.Second
 	maxPollBackoff  = 2 * time.Second
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -23,7 +23,7 @@
 	machineLatency *float64     // mean of its kind of machine, see latency.go
 	health         health       // see outlier.go
 	slowStart      slowStart    // see slowstart.go
-	gossip         *gossipState // shared with other sidecars, see evidence.go; nil if there is none
+	gossip         *gossipState // what is shared with other sidecars, see evidence.go; nil if nothing is
 }
 
 // endpointTable holds the endpoints of the list and the operators' bans.
@@ -42,7 +42,7 @@
 
 	banned               map[string]bool          // by endpoint ID
 	banClearedAt         map[string]time.Duration // time of clearing, needed until the endpoint has warmed up
-	awaitingFirstRequest map[string]bool          // endpoints with a cleared ban that were sent nothing since
+	awaitingFirstRequest map[string]bool          // endpoints that were sent nothing since their ban was cleared
 }
 
 func newEndpointTable() endpointTable {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -42,8 +42,8 @@
 	Endpoints []Endpoint
 }
 
-// Ban excludes an endpoint from use, regardless of the list, until a Ban with Cleared. The endpoint then
-// counts as just started, because operators restart banned endpoints.
+// Ban excludes an endpoint from use, regardless of the list, until a Ban in which Cleared is set. The
+// endpoint then counts as just started, because operators restart banned endpoints.
 type Ban struct {
 	Upstream string
 	Cleared  bool
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -26,11 +26,11 @@
 	errorWindowSize = 32               // latest answers of a class that are evaluated
 	errorWindowAge  = 30 * time.Second // the window is emptied after a longer pause in the answers
 	minErrorRate    = 0.02             // error rates up to this one are considered normal
-	// minErrorFraction is the minimum fraction of errors that ejects a class. A smaller fraction costs less than
+	// minErrorFraction is the minimum fraction of errors that ejects a class. Errors below it cost less than
 	// the capacity that an ejection removes.
 	minErrorFraction = 0.25
-	// outlierSignificance is the probability that a test ejects a class by chance. It is small because each
-	// error, on tens of endpoints and classes, causes a test.
+	// outlierSignificance is the probability that a test ejects a class by chance. It is small because there
+	// are many tests: one for each error, on tens of endpoints and classes.
 	outlierSignificance = 2e-4
 	// probesToReinstate is the number of consecutive successful probes that reinstate a class. An endpoint that
 	// fails half of its requests reaches it with a probability of 1 in 32.
@@ -170,9 +170,9 @@
 		Count: 1, At: ep.startedAt})
 }
 
-// recordEvidence records an attempt's result before updateHealth evaluates it. Results are also recorded by
-// class because an endpoint that fails half of the requests of one class, and serves the other classes,
-// hardly ever fails three in a row, and must not be ejected for the other classes.
+// recordEvidence records an attempt's result before updateHealth evaluates it. An endpoint may fail half of
+// the requests of one class and serve the other classes. It then hardly ever fails three requests in a row,
+// and must not be ejected for the other classes. Results are therefore also recorded by class.
 func (b *Balancer) recordEvidence(a *attempt, res Result) {
 	if !b.settings.ShareEvidence {
 		return
@@ -241,10 +241,10 @@
 		Count: max(w.errorCount(), w.ejections), At: ep.startedAt})
 }
 
-// isOutlier reports whether an endpoint fails a class significantly more often than the other endpoints do,
-// by the exact bound of Clopper and Pearson (Biometrika 26, 1934): the lower limit of its error rate is
-// above the error rate of the others if and only if that rate causes as many errors with a probability
-// below outlierSignificance. A class that fails everywhere is therefore ejected nowhere.
+// isOutlier reports whether an endpoint fails a class significantly more often than the other endpoints do:
+// at their error rate, as many errors would have a probability below outlierSignificance. Equivalently, the
+// lower limit of its own error rate, by the exact bound of Clopper and Pearson (Biometrika 26, 1934), is
+// above their error rate. A class that fails everywhere is therefore ejected nowhere.
 func (b *Balancer) isOutlier(ep *endpoint, class string, w *errorWindow) bool {
 	errors, answers := w.errorCount(), w.answers
 	if float64(errors) < minErrorFraction*float64(answers) || w.failsOneTenantOnly() {
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -5,8 +5,7 @@
 const (
 	// maxHedgePressure is the pressure above which no request is hedged: first attempts have priority.
 	maxHedgePressure = 0.7
-	// minHedgeSuccess is the fraction of hedged requests whose second attempt must have answered first, and in
-	// time, for hedging to be worthwhile.
+	// minHedgeSuccess is the minimum of hedgeStats.successRatio with which hedging is worthwhile.
 	minHedgeSuccess = 0.3
 	// hedgeExploration is the fraction of late attempts that are hedged even below minHedgeSuccess, to learn
 	// whether hedging helps.
@@ -33,8 +32,8 @@
 }
 
 // hedgeDelay returns how long an attempt may be pending before it is late. The delay doubles with each
-// pending attempt. Without hedging, a late attempt is cancelled and loses its place in a queue. It is
-// therefore given more time, as long as enough remains for another attempt.
+// pending attempt after the first. Without hedging, a late attempt is cancelled and loses its place in a
+// queue. It is therefore given more time, as long as enough remains for another attempt.
 func (b *Balancer) hedgeDelay(r *request) time.Duration {
 	factor := float64(int(1) << max(r.pendingAttempts-1, 0))
 	delay := seconds(b.latency.hedgeDelay.value * r.work * factor)
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -71,7 +71,8 @@
 	m.hedgeDelay.add(normalized)
 }
 
-// observeLowerBound records an attempt that was ended early: its latency would have been longer.
+// observeLowerBound records an attempt that was ended early, after the given normalized time: its latency
+// would have been longer.
 func (m *latencyModel) observeLowerBound(normalized float64) {
 	if normalized > m.hedgeDelay.value {
 		m.hedgeDelay.add(normalized)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,8 +9,9 @@
 	// baseEjectionTime is the duration of a first ejection. It doubles with each failed half-open probe.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
-	maxDoublings     = 10 // limit for each backoff, against overflow; the maximum times are reached earlier
-	// failuresToEject is the number of consecutive failures that eject an endpoint: two happen by chance.
+	maxDoublings     = 10 // limits the doublings of a backoff, against overflow; its maximum time is reached earlier
+	// failuresToEject is the number of consecutive failures that eject an endpoint. Two in a row also happen
+	// by chance.
 	failuresToEject = 3
 	// slowMedianMultiple is the multiple of the median latency above which an answer is slow.
 	slowMedianMultiple = 4.0
@@ -23,7 +24,7 @@
 type health struct {
 	lastAnswerAt     time.Duration // time of the last answer, which may be an error or a rejection
 	lastServedSentAt time.Duration // latest time at which an attempt that it served was sent
-	failures         int           // attempts without an answer since the last answer
+	failures         int           // attempts that ended without an answer since the last answer
 	failingSince     time.Duration // when the first of them was sent
 	errors           int           // error answers
 	rejections       int
@@ -59,8 +60,8 @@
 	}
 }
 
-// onErrorAnswer ejects an endpoint after several consecutive errors. It guards against one that fails
-// immediately: compared with endpoints whose queues last longer than the penalty, it seems fast.
+// onErrorAnswer ejects an endpoint after several consecutive errors. It guards against an endpoint that fails
+// immediately: it seems faster than endpoints whose queues last longer than the penalty.
 func (b *Balancer) onErrorAnswer(a *attempt) {
 	h := &a.endpoint.health
 	h.lastAnswerAt, h.failures = b.now, 0
@@ -122,11 +123,10 @@
 	}
 }
 
-// isSlowNotSilent reports whether a timed out or cancelled attempt is no sign of a fault of its endpoint.
-// That is the case if the endpoint has answered since the attempt was sent. It is also the case for a
-// cancelled attempt, unless it was late with hedging: the first answer then cancels the other attempts, and
-// those of them that were late count against their endpoints. Without hedging, a cancelled attempt was
-// replaced by one to another endpoint, perhaps because of a long queue.
+// isSlowNotSilent reports whether a timed out or cancelled attempt is no sign of a fault of its endpoint. It
+// is none if the endpoint has answered since the attempt was sent. A cancelled attempt is one only with
+// hedging, where the first answer cancels the other attempts, and only if it was late by then. Without
+// hedging, a cancelled attempt was replaced by one to another endpoint, perhaps because of a long queue.
 func (b *Balancer) isSlowNotSilent(a *attempt, res Result, elapsed time.Duration) bool {
 	answered := a.sentAt < a.endpoint.health.lastAnswerAt
 	late := b.settings.Hedging && elapsed.Seconds() >= b.latency.hedgeDelay.value*a.request.work
--- a/balancer/peerverdict.go
+++ b/balancer/peerverdict.go
@@ -42,7 +42,7 @@
 	StartedAt      time.Duration // start of the process that the verdict is about, as in Endpoint
 	Class          string        // empty: all classes
 	Until          time.Duration // clock time of the verdict's end
-	Since          time.Duration // clock time of the first report; successes sent later contradict it
+	Since          time.Duration // clock time of the first report; successes of later attempts contradict the verdict
 	PassFraction   float64       // permitted fraction of picks; above 0 while the verdict is withdrawn in steps
 	Probes         ProbeOwner
 	ProbeSucceeded bool // with Until 0: a probe made for all sidecars has succeeded
@@ -57,7 +57,7 @@
 	probes         ProbeOwner
 	successes      int           // consecutive, of attempts sent after since
 	contradictedAt time.Duration // when a success was last reported to other sidecars; 0: never
-	enforced       bool          // it excludes the endpoint, or did until it ended
+	enforced       bool          // the verdict excludes the endpoint, or did until it ended
 }
 
 // onPeerVerdict applies a verdict of other sidecars.
@@ -138,8 +138,8 @@
 
 // contradicted reports whether this sidecar's successes outweigh the verdict. One success is enough, except
 // for a verdict on a class, which needs minClassSuccesses. Attempts that are permitted while the verdict is
-// withdrawn in steps, and probes for all sidecars, don't count: they end the verdict for all sidecars or for
-// none.
+// withdrawn in steps, and probes for all sidecars, don't count here: they decide whether the verdict ends for
+// all sidecars.
 func (v *verdict) contradicted(ep *endpoint, class string) bool {
 	switch {
 	case v.passFraction > 0 || v.probes == ProbeBySelf:
--- a/balancer/probe.go
+++ b/balancer/probe.go
@@ -23,7 +23,7 @@
 	request  *request // request whose attempt is the pending probe; nil if there is none
 	attempt  int      // number of that attempt
 	nextAt   time.Duration
-	failures int // consecutive
+	failures int // consecutive failed probes
 }
 
 func (b *Balancer) beginProbing(ep *endpoint) {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -37,7 +37,7 @@
 type request struct {
 	id          string
 	class       *class
-	tenant      int // index in Settings.Tenants; -1 if there is none
+	tenant      int // index in Settings.Tenants; -1 if its tenant is not in them
 	arrivedAt   time.Duration
 	expiresAt   time.Duration
 	objectiveAt time.Duration // clock time at which its latency objective ends
@@ -50,7 +50,7 @@
 	maxAttempts     int // by the settings in force when it arrived
 
 	bodyPending   bool
-	pastObjective bool          // the client's first attempt was longer ago than the objective
+	pastObjective bool          // the client first sent it longer ago than the objective
 	done          bool          // it has its answer, or its client has disconnected
 	stalled       bool          // its pending attempt will probably get no answer, see checkStalled
 	streaming     bool          // its answer has begun
@@ -84,13 +84,13 @@
 		b.abandon(r)
 		return
 	}
-	b.admission.offered.add(r.work, b.now) // without rejected requests: their repeats count
+	b.admission.offered.add(r.work, b.now) // rejected requests are left out, since their repeats count
 	b.dispatch(r)
 }
 
-// onBodyComplete sets the deadlines and timers of a request whose body has now been received. Otherwise, slow
-// clients would make endpoints seem slow and the sidecar seem overloaded: endpoints, too, start processing
-// with the last byte.
+// onBodyComplete sets the deadlines and timers of a request whose body has now been received. If they were
+// set earlier, slow clients would make endpoints seem slow and the sidecar seem overloaded: endpoints, too,
+// start processing only after the last byte.
 func (b *Balancer) onBodyComplete(e BodyComplete) {
 	r := b.requests[e.ID]
 	if r == nil || r.done || !r.bodyPending {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -43,8 +43,8 @@
 	return b.slowStartAllows(ep)
 }
 
-// attemptsExhausted reports whether r has had all the attempts that the settings allow, both those in force
-// when it arrived and the present ones.
+// attemptsExhausted reports whether r has had all the attempts that it may have: the lower of the maximum in
+// force when it arrived and the present one.
 func (b *Balancer) attemptsExhausted(r *request) bool {
 	return len(r.attempts) >= min(r.maxAttempts, b.settings.MaxAttempts)
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -12,8 +12,8 @@
 // (docs/ARCHITECTURE.md, "Cold upstreams").
 
 const (
-	// slowStartSafety is the used fraction of the load that makes an endpoint fail. The margin is needed because
-	// the endpoint's capacity may be smaller than stated.
+	// slowStartSafety is the limit of the load on an endpoint, as a fraction of the load that makes it fail.
+	// The margin is needed because the endpoint's capacity may be smaller than stated.
 	slowStartSafety = 0.45
 	// unusedTokenFraction bounds the average number of unused tokens that all sidecars together have for an
 	// endpoint, as a fraction of the tokens that they get within OverloadDuration.
@@ -117,10 +117,10 @@
 	return true
 }
 
-// refillSlowStart adds the tokens that are due. It guards against many sidecars that each have a token for
-// the same endpoint after a lull, and use them at the same time. Where each sidecar gets few tokens, a full
-// token therefore expires at random, so that the fleet's unused tokens are on average unusedTokenFraction of
-// those that it gets within OverloadDuration.
+// refillSlowStart adds the tokens that are due. After a lull, every sidecar could have an unused token for
+// the same endpoint, and all could use them at once. If a sidecar gets less than about one token within
+// OverloadDuration, an unused token therefore expires after a random time. On average, the fleet's unused
+// tokens are then unusedTokenFraction of the tokens that the fleet gets within OverloadDuration.
 func (b *Balancer) refillSlowStart(s *slowStart, perSecond float64) {
 	elapsed := (b.now - s.refilledAt).Seconds()
 	if elapsed <= 0 {
@@ -139,9 +139,10 @@
 	}
 }
 
-// grantFirstRequest grants an endpoint whose ban was cleared the tokens of the next OverloadDuration in
-// advance. Their number is the probability of granting one token, and no more are granted until that time
-// is over. It guards against all sidecars sending the endpoint their first request at the same moment.
+// grantFirstRequest grants the tokens of the next OverloadDuration in advance to an endpoint whose ban was
+// cleared. It grants one token, with the number of these tokens as the probability, and no more are granted
+// until that time is over. Otherwise all sidecars could send the endpoint their first request at the same
+// moment.
 func (b *Balancer) grantFirstRequest(ep *endpoint) {
 	ep.slowStart.tokens = 1
 	capacity := b.warmCapacity(ep)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -14,14 +14,14 @@
 // processes of different versions.
 type Snapshot struct {
 	Endpoints         map[string]EndpointSnapshot `json:"Upstreams"`
-	MachineLatency    map[string]float64          `json:"Kinds"` // normalized, seconds
+	MachineLatency    map[string]float64          `json:"Kinds"` // mean normalized latency, seconds
 	Classes           map[string]ClassSnapshot    `json:"Classes"`
 	Tenants           map[string]RateSnapshot     `json:"Tenants"`
 	FleetLatency      float64                     `json:"Fleet"`    // mean normalized latency, seconds
 	MeanLatency       float64                     `json:"Mean"`     // seconds
 	MeanHint          float64                     `json:"HintMean"` // seconds
-	MedianLatency     float64                     `json:"Mid"`      // normalized, seconds
-	HedgeDelay        float64                     `json:"Late"`     // normalized, seconds
+	MedianLatency     float64                     `json:"Mid"`      // of normalized latency, seconds
+	HedgeDelay        float64                     `json:"Late"`     // of normalized latency, seconds
 	LocalFraction     float64                     `json:"AtHome"`
 	LimitFraction     float64                     `json:"Limit"`
 	Congestion        float64                     `json:"Crowd"`
@@ -36,7 +36,7 @@
 // EndpointSnapshot is what was learned about one process of an endpoint.
 type EndpointSnapshot struct {
 	Uptime       time.Duration `json:"UpFor"`    // 0: started long ago
-	PeakEWMA     float64       `json:"Estimate"` // normalized, seconds
+	PeakEWMA     float64       `json:"Estimate"` // of normalized latency, seconds
 	Age          time.Duration `json:"Age"`      // of the estimate
 	Ejections    int           `json:"Ejections"`
 	EjectedFor   time.Duration `json:"Left"`    // remaining time of the ejection; 0 if there is none
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -8,12 +8,12 @@
 
 const (
 	minSubset     = 4               // two to choose from, and spares while some are ejected
-	subsetRefresh = 2 * time.Second // each endpoint of the subset is sent a request this often
-	// subsetObjectives is the same for a large fleet, in mean latency objectives. It is short because queues
-	// do not last longer.
+	subsetRefresh = 2 * time.Second // time within which each endpoint of the subset is sent a request
+	// subsetObjectives is the same time for a large fleet, in mean latency objectives. It is short because
+	// queues do not last longer.
 	subsetObjectives = 0.5
-	// subsetCover is the number of sidecars in an endpoint's zone that have it in their subset. The same
-	// number in other zones do, too.
+	// subsetCover is the number of sidecars in an endpoint's zone that have it in their subset. As many
+	// sidecars in other zones have it in theirs.
 	subsetCover = 5.0
 )
 
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -54,7 +54,8 @@
 	heap.Push(&b.timers, timer{at, b.timers.seq, kind, r})
 }
 
-// armTimer requests a TimerFired event for the earliest timer, unless one is requested for then or before.
+// armTimer requests a TimerFired event for the earliest timer, unless one is already requested for that time
+// or an earlier one.
 func (b *Balancer) armTimer() {
 	q := &b.timers
 	if len(q.timers) == 0 {
