--- a/internal/sidecar/acks.go
+++ b/internal/sidecar/acks.go
@@ -13,9 +13,9 @@
 
 const (
 	ackInterval = 20 * time.Second // well below api.HeardMs, even if one acknowledgement is dropped
-	ackJitter   = time.Second      // longest delay after a change, which reaches all sidecars of a region at once
+	ackJitter   = time.Second      // longest random delay of the acknowledgement of a change, since a change reaches all sidecars of a region at once
 	ackTimeout  = 10 * time.Second // time-out of one acknowledgement, including the client's retries
-	ackSockets  = 2                // file descriptors: of one connection, and of the one that replaces it
+	ackSockets  = 2                // file descriptors that acknowledgements use: one for the connection, and one for a connection that replaces it
 )
 
 // acknowledge reports to the list service which settings are in force here, until ctx ends. source returns the present
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -18,7 +18,7 @@
 	adminReadTimeout    = 5 * time.Second        // for reading the line of a call
 	adminWriteTimeout   = time.Second            // for writing the answer
 	adminTimeout        = 500 * time.Millisecond // time for the dispatcher to apply a ban: a call must be answered within 1 s
-	adminLinger         = 100 * time.Millisecond // time for reading bytes in flight: an earlier close sends a reset, which can lose the answer
+	adminLinger         = 100 * time.Millisecond // time for reading bytes in flight: closing while some are unread sends a reset, which can lose the answer
 	acceptRetryInterval = 20 * time.Millisecond  // pause after a failed accept, which may be for lack of file descriptors
 )
 
@@ -60,7 +60,7 @@
 				s.waiting = slices.Delete(s.waiting, 0, 1)
 			}
 			s.mu.Unlock()
-			s.slots <- struct{}{} // if none was waiting, the calls in progress are answered within adminTimeout
+			s.slots <- struct{}{} // if no connection was waiting for its line, a slot becomes free once a call is answered, within adminTimeout
 		}
 		s.mu.Lock()
 		s.waiting = append(s.waiting, c)
@@ -92,7 +92,7 @@
 	_ = c.SetReadDeadline(time.Now().Add(adminReadTimeout))
 	in := bufio.NewScanner(c)
 	in.Buffer(make([]byte, maxAdminLine), maxAdminLine)
-	ok := in.Scan() // true even if an error ended the line
+	ok := in.Scan() // Scan returns true even if the line was ended by an error
 	s.mu.Lock()
 	s.waiting = slices.DeleteFunc(s.waiting, func(x net.Conn) bool { return x == c })
 	s.mu.Unlock()
--- a/internal/sidecar/bans.go
+++ b/internal/sidecar/bans.go
@@ -40,7 +40,7 @@
 	command := banCommand{balancer.Ban{Upstream: id, Cleared: cleared}, make(chan struct{})}
 	timeout := time.NewTimer(adminTimeout)
 	defer timeout.Stop()
-	go d.enqueueUrgent(command) // returns at the latest once the dispatcher has stopped
+	go d.enqueueUrgent(command) // the goroutine ends, at the latest, when the dispatcher stops
 	select {
 	case <-command.done:
 		return nil
--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -76,11 +76,12 @@
 	return b.rest != nil && !b.ended
 }
 
-// endAttempt stops the reading of an attempt that has ended, and reports whether the body can't be sent again.
+// endAttempt stops the reading of an attempt that has ended. It reports whether some of the rest has been consumed, so that
+// the body can't be sent again.
 func (b *clientBody) endAttempt() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.currentAttempt++ // a late read would consume bytes that the next attempt needs
+	b.currentAttempt++ // otherwise a late read of the ended attempt would consume bytes that the next one needs
 	return b.consumed
 }
 
@@ -98,7 +99,7 @@
 	defer b.mu.Unlock()
 	b.currentAttempt++
 	if b.consumed {
-		return &bodyReader{body: b} // attempt 0 is never the current one
+		return &bodyReader{body: b} // its attempt is 0, which makes every read fail
 	}
 	return &bodyReader{body: b, attempt: b.currentAttempt, retained: b.retained}
 }
@@ -216,8 +217,9 @@
 }
 
 // newRateCheckedReader starts the time-out of a body. For the first request on a connection, arrivedAt is the earliest time
-// at which the connection can have arrived; the request must be answered, or the connection closed, within requestTimeout
-// after it. For later requests arrivedAt is zero.
+// at which the connection can have arrived. The time-out then counts from arrivedAt, since the request must be answered, or
+// the connection closed, within requestTimeout of its arrival; but at least bodyStartTimeout is left. For later requests
+// arrivedAt is zero.
 func newRateCheckedReader(body io.Reader, conn *http.ResponseController, arrivedAt time.Time) *rateCheckedReader {
 	timeLeft := requestTimeout
 	if !arrivedAt.IsZero() {
@@ -229,7 +231,7 @@
 // Read implements io.Reader.
 func (r *rateCheckedReader) Read(p []byte) (int, error) {
 	start := time.Now()
-	_ = r.conn.SetReadDeadline(start.Add(r.timeLeft)) // fails only on a broken connection, as the read then does
+	_ = r.conn.SetReadDeadline(start.Add(r.timeLeft)) // fails only on a broken connection, on which the read then fails too
 	n, err := r.body.Read(p)
 	r.timeLeft += time.Duration(n)*time.Second/minBodyRate - time.Since(start)
 	if errors.Is(err, io.EOF) {
@@ -265,7 +267,7 @@
 			b.retained, b.rest = buf, source
 			return b, nil
 		}
-		if len(buf) == cap(buf) { // append alone would grow it beyond the reservation
+		if len(buf) == cap(buf) { // the buffer is enlarged here, since append could enlarge it beyond the reservation
 			buf = append(make([]byte, 0, min(b.reserved, int64(2*cap(buf)))), buf...)
 		}
 		n, err := source.Read(buf[len(buf):cap(buf)])
--- a/internal/sidecar/breakers.go
+++ b/internal/sidecar/breakers.go
@@ -136,7 +136,7 @@
 		logAttrs(slog.LevelInfo, componentPeers, "present", slog.Int("members", b.membersLogged))
 	}
 	b.selfSuspicion = b.suspicion.Check(now, len(members), b.sharing.stall.delay(now))
-	b.sharing.verdicts.Push("", balancer.PeerVerdict{}, false) // an empty verdict measures the loop's delay: see stallDetector
+	b.sharing.verdicts.Push("", balancer.PeerVerdict{}, false) // the time that this empty verdict waits in the queue is the loop's delay, see stallDetector
 	batch := circuitbreaker.Batch{circuitbreaker.EndpointList{Upstreams: b.sharing.dir.incarnations()}, circuitbreaker.Roster{Members: members}}
 	for key, r := range b.ownReports {
 		if startedMs, _, listed := b.sharing.dir.incarnation(r.Upstream); !listed || startedMs != r.StartedMs {
@@ -176,7 +176,7 @@
 	case r.State != message.Closed && r.SelfSuspicion == 0:
 		b.ownReports[key] = r
 		b.announce(key, r)
-	case r.Count > 0: // a first failure, or successes that contradict the verdict: sent once
+	case r.Count > 0: // a first failure, or successes that contradict the verdict, are broadcast only once
 		b.announce(key, r)
 	default:
 		b.withdraw(key, r)
@@ -243,7 +243,7 @@
 		probe.result.Round++
 	}
 	b.handle(b.announceProbe(probe))
-	if probe.result.Step >= circuitbreaker.ProbeSteps { // reset only after the broadcast: a breaker that opens again starts at the first step
+	if probe.result.Step >= circuitbreaker.ProbeSteps { // the last step has been broadcast; a breaker that opens again starts at the first step
 		probe.result.Step, probe.result.OK = 0, false
 	}
 }
@@ -332,8 +332,8 @@
 // onReceived records that the loop received its messages at now.
 func (d *stallDetector) onReceived(now time.Duration) { d.receivedAt.Store(int64(now)) }
 
-// delay returns how long the message that was queued after an earlier call has been waiting. It returns 0 if the loop has
-// received messages since then, or has never received any.
+// delay is called before each message is queued. It returns how long the oldest message that the loop has not received has
+// been waiting. It returns 0 if there is none, or if the loop has never received any message.
 func (d *stallDetector) delay(now time.Duration) (waited time.Duration) {
 	if received := time.Duration(d.receivedAt.Load()); d.sentAt > 0 && received < d.sentAt && received > 0 {
 		return now - d.sentAt
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -16,10 +16,10 @@
 	// bodyStallTimeout is how long a body may stall, beyond what minBodyRate allows, while other clients wait for a descriptor.
 	bodyStallTimeout   = 150 * time.Millisecond
 	finalReadTimeout   = time.Millisecond       // time for reading a request that has already arrived when its connection is to be closed
-	acceptQueueTimeout = 10 * time.Millisecond  // time for accepting a connection from the kernel's queue; waited twice, since Accept's goroutine may run only after the first time-out
+	acceptQueueTimeout = 10 * time.Millisecond  // if Accept returns nothing for this long, the kernel's queue counts as empty; finish waits twice, since Accept's goroutine may run only after the first time-out
 	maxLinger          = 100 * time.Millisecond // time for the client to close its side of a connection that the sidecar has closed
-	minLinger          = 10 * time.Millisecond  // minimum of that time while other clients wait for the descriptor; enough for the answer to arrive
-	maxLingerBytes     = 1 << 20                // maximum number of bytes that are discarded during that time; they were in flight when the connection was closed
+	minLinger          = 10 * time.Millisecond  // minimum of maxLinger while other clients wait for the descriptor; it is enough for the answer to arrive
+	maxLingerBytes     = 1 << 20                // maximum number of bytes, in flight when the sidecar closed its side, that are discarded until the client closes too
 )
 
 // connStage is how far the next request of a connection has been read.
@@ -183,8 +183,8 @@
 	return classIdle, since, 0
 }
 
-// closeWhenIdle closes the connection once it is between requests, and reports whether it is now. Requests that arrive before
-// the close are answered.
+// closeWhenIdle makes the connection close once it is between requests, and reports whether it is between requests already.
+// Requests that arrive before the close are answered.
 func (c *framedConn) closeWhenIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +195,8 @@
 	return !c.active && c.stage == betweenRequests
 }
 
-// evict is like closeWhenIdle, for a connection whose descriptor is needed: if a request still arrives, the connection stays open.
+// evict is closeWhenIdle for a connection whose descriptor is needed. Unlike there, the connection stays open if a request
+// still arrives.
 func (c *framedConn) evict() bool {
 	c.mu.Lock()
 	c.evicting = !c.toBeClosed // a connection that was to be closed before is closed in any case
--- a/internal/sidecar/clientlistener.go
+++ b/internal/sidecar/clientlistener.go
@@ -17,7 +17,7 @@
 	maxConns int
 
 	mu            sync.Mutex
-	changed       *sync.Cond // signals a change of any field below
+	changed       *sync.Cond // wakes Accept and awaitNone, which then check the fields below again
 	closed        bool
 	paused        bool                      // another process accepts clients
 	finishing     bool                      // every connection is to be closed, and the listener once its queue is empty
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -43,7 +43,7 @@
 }
 
 const (
-	minSockets            = 64 // with fewer, none remain for clients and upstreams beside the fixed descriptors
+	minSockets            = 64 // with fewer sockets, the descriptors reserved for other uses leave none for clients and upstreams
 	minMemoryMB           = 16
 	defaultConnectTimeout = time.Second      // if the settings have no connect timeout
 	defaultConnIdle       = 10 * time.Second // if the settings have no idle time
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, settings.Located(text, text, err)
 	}
-	keys, err := settings.KeysOf(text, "known") // without the keys of its entries, which parseListing checks
+	keys, err := settings.KeysOf(text, "known") // the keys of the entries of known are left out, since parseListing checks them
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/dialer.go
+++ b/internal/sidecar/dialer.go
@@ -10,8 +10,8 @@
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 // withSourceHost returns a dialer whose connections have the host of address as their source, like those of gossip, so that
-// devices between the sidecars can identify the sender. If the host is not the address of one interface, or d is set, it
-// returns d.
+// devices between the sidecars can identify the sender. It returns d if the host is not an IP address or is an unspecified
+// one, such as 0.0.0.0, and also if d is set.
 func (d dialer) withSourceHost(address string) dialer {
 	host, _, err := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -233,7 +233,8 @@
 	d.sharing.logStats()
 }
 
-// dropPending drops answers that arrived too late to be handled, since each occupies a connection and its goroutines.
+// dropPending drops the answers that are still queued when the dispatcher stops, since each occupies a connection and its
+// goroutines.
 func (d *dispatcher) dropPending() {
 	for {
 		select {
@@ -298,7 +299,7 @@
 		r.answer <- answer{kind: duplicate}
 		return
 	}
-	if d.stopped || d.classes[r.class] != r.classSettings { // or the class's settings have changed since the request was parsed
+	if d.stopped || d.classes[r.class] != r.classSettings { // the second condition: the class's settings have changed since the request was parsed
 		r.answer <- answer{kind: rejected}
 		return
 	}
@@ -422,7 +423,7 @@
 	}
 	ctx, endWithCause := context.WithCancelCause(context.Background())
 	stop := func() {}
-	if f.expiresAt > 0 { // if it is 0, the time starts once the body is complete, see onBodyComplete
+	if f.expiresAt > 0 { // otherwise the body is still being received, and onBodyComplete sets the limit
 		limit := f.expiresAt - now
 		if a.Timeout > 0 {
 			limit = min(limit, a.Timeout)
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -9,17 +9,17 @@
 	drainNoticeTime = 450 * time.Millisecond // time after SIGTERM during which clients still use their connections
 	drainAcceptTime = 600 * time.Millisecond // time after SIGTERM during which clients may open connections
 	newConnGrace    = 50 * time.Millisecond  // time for the first request to arrive on a new connection
-	// SIGKILL follows SIGTERM after maxDrainTime, or the longest deadline if that is shorter, plus 0.7 s. Requests still
-	// unanswered drainMargin after maxDrainTime, or that deadline, fail.
+	// SIGKILL follows SIGTERM after a time of 0.7 s plus maxDrainTime, or plus the longest deadline if that is shorter.
+	// Requests that are still unanswered after the same time with drainMargin in place of 0.7 s fail.
 	maxDrainTime   = 3 * time.Second
 	drainMargin    = 500 * time.Millisecond
-	finalWriteTime = writeTimeout // for answers that are being written when the other requests fail
+	finalWriteTime = writeTimeout // time for answers that are being written when the unanswered requests fail
 )
 
 // drain accepts clients until they have noticed the shutdown, answers all accepted requests, and returns before the process
-// is killed, unless a client is slow to read its answer. While another process accepts clients, this one accepts none: each
-// connection is closed after its next answer, and idle ones once another request could not be answered within its
-// objective. docs/ARCHITECTURE.md lists the states of a connection.
+// is killed, unless a client is slow to read its answer. While another process accepts clients, this one accepts none: it
+// closes each connection after its next answer, and closes idle connections once too little time is left to answer another
+// request within its objective. docs/ARCHITECTURE.md lists the states of a connection.
 func (p *process) drain(srv *http.Server) error {
 	start := time.Now()
 	p.draining.Store(true)
@@ -41,7 +41,7 @@
 		p.conns.awaitNone(max(killAfter-maxObjective, drainNoticeTime))
 	} else {
 		time.Sleep(drainNoticeTime)
-		p.conns.closeIdle(newConnGrace) // a client that sends a request during the close opens a new connection
+		p.conns.closeIdle(newConnGrace) // a client whose request meets the close can still open a new connection
 		time.Sleep(drainAcceptTime - drainNoticeTime)
 	}
 	p.conns.finish()
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -83,7 +83,7 @@
 		return attemptReply{result: balancer.ServerError}, false
 	case resp.StatusCode != http.StatusOK:
 		return x.readErrorAnswer(resp)
-	case x.answeredEarly.Load() && x.conn.uses > 1: // on a reused connection, probably a second answer to the previous request
+	case x.answeredEarly.Load() && x.conn.uses > 1: // on a reused connection, an early answer is probably a second answer to the previous request
 		return x.failureReply(errUnexpectedBytes), false
 	}
 	return x.readSuccess(resp)
