--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -53,7 +53,7 @@
 		}
 		select {
 		case s.slots <- struct{}{}:
-		default: // all slots are in use: the connection that has waited longest for its line is closed
+		default: // all slots are in use: close the connection whose line has been awaited for longest
 			s.mu.Lock()
 			if len(s.waiting) > 0 {
 				_ = s.waiting[0].Close()
--- a/internal/sidecar/bodies.go
+++ b/internal/sidecar/bodies.go
@@ -254,7 +254,7 @@
 	source := newRateCheckedReader(r.Body, conn, arrivedAt)
 	buf := make([]byte, 0, min(b.reserved, minRetainedBytes))
 	for {
-		if int64(len(buf)) == b.length { // net/http reports the end with the last byte, or with the next read
+		if int64(len(buf)) == b.length { // net/http may report the end with the last byte, or only with the next read
 			b.retained = buf
 			_, err := source.Read(make([]byte, 1))
 			if !errors.Is(err, io.EOF) {
--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -44,7 +44,7 @@
 
 const (
 	statsInterval   = 5 * time.Second
-	ejectedInterval = 200 * time.Millisecond // time between updates of the ejected endpoints; statistics may lag by 0.5 s
+	ejectedInterval = 200 * time.Millisecond // time between updates of the ejected endpoints; the statistics may be up to 0.5 s old
 )
 
 // inFlightRequest is a request from its arrival until it has its answer and the results of all its attempts.
@@ -416,7 +416,7 @@
 		return
 	}
 	now := d.clock.now()
-	for i := range f.attempts { // an earlier attempt must not wait for a late answer while this one runs
+	for i := range f.attempts { // earlier attempts stop waiting for a late answer once this one starts
 		if abandon := f.attempts[i].reply.abandon; abandon != nil {
 			abandon()
 		}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -9,8 +9,8 @@
 	drainNoticeTime = 450 * time.Millisecond // time after SIGTERM during which clients still use their connections
 	drainAcceptTime = 600 * time.Millisecond // time after SIGTERM during which clients may open connections
 	newConnGrace    = 50 * time.Millisecond  // time for the first request to arrive on a new connection
-	// SIGKILL follows SIGTERM after a time of 0.7 s plus maxDrainTime, or plus the longest deadline if that is shorter.
-	// Requests that are still unanswered after the same time with drainMargin in place of 0.7 s fail.
+	// The drain time starts at SIGTERM and lasts for the longest deadline, but maxDrainTime at most. Requests that are still
+	// unanswered drainMargin after its end fail; SIGKILL follows 0.7 s after its end.
 	maxDrainTime   = 3 * time.Second
 	drainMargin    = 500 * time.Millisecond
 	finalWriteTime = writeTimeout // time for answers that are being written when the unanswered requests fail
--- a/internal/sidecar/endpointdirectory.go
+++ b/internal/sidecar/endpointdirectory.go
@@ -91,8 +91,9 @@
 const maxRemoved = 256
 
 // endpointDirectory holds the addresses of upstreams, whether they accept requests, and which are banned. The watcher
-// updates it as soon as a message is received, before the dispatcher gets the update, so that a request to a server that was
-// removed, drained or banned after the decision is still stopped before it is written. It is safe for concurrent use.
+// updates it as soon as a message is received, before the dispatcher gets the update. So a request for which the balancer has
+// already chosen an upstream is not sent if that upstream has meanwhile been removed, drained or banned. It is safe for
+// concurrent use.
 type endpointDirectory struct {
 	clock  clock
 	onDrop func(name string) // called when an upstream's connections may no longer be used
--- a/internal/sidecar/eviction.go
+++ b/internal/sidecar/eviction.go
@@ -43,9 +43,8 @@
 }
 
 // evictionCandidate returns the connection of the lowest eviction class that can be evicted now; within a class, the one that
-// became evictable first. If a connection of a lower class becomes evictable later, it is waited for, rather than a connection
-// chosen that has been idle for less than closableAfter or has a slow body. If there is no candidate, conn is nil and wait is
-// the time until there may be one.
+// became evictable first. A connection that has been idle for less than closableAfter, or has a slow body, is not chosen if one
+// of a lower class can be evicted later. If there is no candidate, conn is nil and wait is the time until there may be one.
 func (c *clientConns) evictionCandidate(now time.Time) (conn *framedConn, class evictionClass, wait time.Duration) {
 	type candidate struct {
 		conn  *framedConn
