--- a/internal/sidecar/dispatcher.go
+++ b/internal/sidecar/dispatcher.go
@@ -44,7 +44,7 @@
 
 const (
 	statsInterval   = 5 * time.Second
-	ejectedInterval = 200 * time.Millisecond // time between updates of the ejected endpoints; statistics may lag by 0.5 s
+	ejectedInterval = 200 * time.Millisecond // time between updates of the ejected endpoints; the statistics may be up to 0.5 s old
 )
 
 // inFlightRequest is a request from its arrival until it has its answer and the results of all its attempts.
@@ -233,7 +233,8 @@
 	d.sharing.logStats()
 }
 
-// dropPending drops answers that arrived too late to be handled, since each occupies a connection and its goroutines.
+// dropPending drops the answers that are still queued when the dispatcher stops, since each occupies a connection and its
+// goroutines.
 func (d *dispatcher) dropPending() {
 	for {
 		select {
@@ -298,7 +299,7 @@
 		r.answer <- answer{kind: duplicate}
 		return
 	}
-	if d.stopped || d.classes[r.class] != r.classSettings { // or the class's settings have changed since the request was parsed
+	if d.stopped || d.classes[r.class] != r.classSettings { // the second condition: the class's settings have changed since the request was parsed
 		r.answer <- answer{kind: rejected}
 		return
 	}
@@ -415,14 +416,14 @@
 		return
 	}
 	now := d.clock.now()
-	for i := range f.attempts { // an earlier attempt must not wait for a late answer while this one runs
+	for i := range f.attempts { // earlier attempts stop waiting for a late answer once this one starts
 		if abandon := f.attempts[i].reply.abandon; abandon != nil {
 			abandon()
 		}
 	}
 	ctx, endWithCause := context.WithCancelCause(context.Background())
 	stop := func() {}
-	if f.expiresAt > 0 { // if it is 0, the time starts once the body is complete, see onBodyComplete
+	if f.expiresAt > 0 { // otherwise the body is still being received, and onBodyComplete sets the limit
 		limit := f.expiresAt - now
 		if a.Timeout > 0 {
 			limit = min(limit, a.Timeout)
