--- a/internal/sidecar/forwarder.go
+++ b/internal/sidecar/forwarder.go
@@ -43,7 +43,7 @@
 	decider       *forwarding.Decider
 	gauge         forwarding.Gauge
 	inFlight      map[string]bool // ids of the requests in flight, here or at a peer
-	crossZoneCost float64         // as a fraction of a request's importance
+	crossZoneCost float64         // cost of forwarding a request to another zone, as a fraction of the request's importance
 }
 
 // newForwarder returns a forwarder that listens on the address for forwarded requests. It does not accept any before serve.
@@ -59,7 +59,7 @@
 	return f, nil
 }
 
-// serve starts serving the requests that peers forward, with the server for clients, in the background until close.
+// serve starts a goroutine that serves the requests of peers until close. The server for clients handles these requests.
 func (f *forwarder) serve(s *server) {
 	f.conns = newClientConns(f.listener, maxConnsFromPeers)
 	f.srv = &http.Server{Handler: f.handler(s), ReadHeaderTimeout: requestTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeader,
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -8,8 +8,9 @@
 )
 
 // Detection of ambiguous message framing (RFC 9112, section 6.3). net/http drops a Content-Length beside a
-// Transfer-Encoding, and one of two equal ones, while an upstream may use the dropped one and read part of a body as a
-// request (request smuggling). So a client's connection tracks the framing of its requests and reports ambiguous ones.
+// Transfer-Encoding, and one of two equal Content-Lengths. An upstream may use the dropped header, and so read part of a
+// body as a request (request smuggling). So a client's connection tracks the framing of its requests and reports ambiguous
+// ones.
 
 // framingState is the part of a request to which the next bytes belong.
 type framingState int
@@ -40,7 +41,7 @@
 	lastHeader                     byte // 'l' or 't' if the previous line was a Content-Length or a Transfer-Encoding, else 0
 
 	mu          sync.Mutex
-	ambiguities []bool // whether each request is ambiguous that was read and that net/http has not delivered yet
+	ambiguities []bool // for each request that was read but that net/http has not delivered yet: whether it is ambiguous
 	delivered   int    // number of requests that net/http has delivered
 }
 
@@ -49,7 +50,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delivered++
-	if len(f.ambiguities) == 0 { // its framing could not be tracked
+	if len(f.ambiguities) == 0 { // the request's framing could not be tracked
 		return true
 	}
 	ambiguous := f.ambiguities[0]
@@ -57,7 +58,8 @@
 	return ambiguous
 }
 
-// stage returns how far the first request that net/http has not delivered yet has been read. It is called by the reader.
+// stage returns how much has been read of the next request, the first that net/http has not delivered yet. It is called by
+// the reader.
 func (f *framing) stage() connStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,7 +162,7 @@
 			f.state = unknownFraming
 		case n == 0:
 			f.state = inTrailer
-		default: // net/http checks the chunk's line end, which must be CR LF
+		default: // after the chunk come CR and LF, which net/http checks
 			f.state, f.remaining = inChunk, int64(n)+2
 		}
 	case inTrailer:
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -23,19 +23,19 @@
 const (
 	linkName          = "handover.sock"        // file in TMPDIR: the socket
 	bansName          = "bans.json"            // file in TMPDIR: the bans
-	linkTimeout       = time.Second            // time-out for dialling, each write, the first message, and the predecessor to stop accepting; a complete start may last 6 s
+	linkTimeout       = time.Second            // time-out each for dialling, a write, the first message, and the time until the predecessor stops accepting; a complete start may last 6 s
 	banRelayTimeout   = 350 * time.Millisecond // time for the other process to confirm a ban; with adminTimeout it is less than the 1 s that a call may last
-	useReportInterval = 20 * time.Millisecond  // time between reports of the connections in use, whose number changes as requests end
+	useReportInterval = 20 * time.Millisecond  // time between checks whether the number of connections in use has changed, which is then reported
 )
 
-// connectionUse is how many connections one process uses of the limits that apply to both processes together.
+// connectionUse is how many connections one process uses. The limits on connections apply to both processes together.
 type connectionUse struct {
 	Clients   int `json:"Clients"`
 	Upstreams int `json:"Upstreams"`
 }
 
-// handoverMessage is one line on the link, in JSON. Exactly one field is set, or Ack and Persisted. The JSON names here and
-// below stay as they are, since the other process may run another version.
+// handoverMessage is one line on the link, in JSON. Exactly one field is set, except that Persisted may be set beside Ack.
+// The JSON names here and below stay as they are, since the other process may run another version.
 type handoverMessage struct {
 	State     *handoverState `json:"State,omitempty"` // from the predecessor: the state to start with
 	Ready     bool           `json:"Ready,omitempty"` // from the successor: it can accept clients
@@ -150,7 +150,7 @@
 	stopAccepting   func()                         // stops accepting clients
 	resumeAccepting func()                         // accepts clients again
 	ownUse          func() connectionUse           // returns the connections that this process uses
-	limitConns      func(others *connectionUse)    // lowers the limits by what the other process uses; nil, once that process has ended, restores them
+	limitConns      func(others *connectionUse)    // lowers the limits by what the other process uses; with nil, restores them, since that process has ended
 	halveMemory     func(bool)                     // halves the memory limit while another process shares it, or restores it
 
 	predecessorStopped chan struct{} // closed once the predecessor no longer accepts clients, or there is none
@@ -420,8 +420,8 @@
 	h.predecessor = nil
 }
 
-// relayBan stores all bans in the file in TMPDIR, and relays ban to the other process, if there is one. So the ban outlives this
-// process. It reports whether the other process has written the ban to disk.
+// relayBan stores all bans in the file in TMPDIR, so that they outlive this process, and relays ban to the other process, if
+// there is one. It reports whether the other process has written the ban to disk.
 func (h *handover) relayBan(ban banMessage, allBans []string) (persisted bool, err error) {
 	data, err := json.Marshal(allBans)
 	if err == nil {
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -15,8 +15,8 @@
 type HollowObserver struct {
 	// OnList is called after each message of discovery has been applied, with the list's revision and number of entries.
 	OnList func(index int64, entries int, at time.Time)
-	// OnChange is called for each entry in a message, and for each entry that a full list no longer contains. Setting it
-	// costs a second table of names.
+	// OnChange is called for each entry in a message, and for each entry that a full list no longer contains. If it
+	// is set, a second table of names is in memory.
 	OnChange func(name, status string, index int64)
 	// OnSettings is called with each document of the service that was applied, or rejected with an error. After the deletion
 	// of a document the settings of the sidecar's file are in force.
@@ -90,7 +90,7 @@
 	report, states := p.watcher.report, map[string]string{}
 	return func(m balancer.EndpointUpdate) {
 		report(m)
-		if m.Endpoints == nil || m.Kind != balancer.Delta && m.Kind != balancer.FullState { // a watch was established or failed: no message of discovery
+		if m.Endpoints == nil || m.Kind != balancer.Delta && m.Kind != balancer.FullState { // a report that a watch was established or has failed, not a message of discovery
 			return
 		}
 		index, entries := p.upstreams.directory.revision()
--- a/internal/sidecar/leaderships.go
+++ b/internal/sidecar/leaderships.go
@@ -51,7 +51,7 @@
 
 	mu       sync.Mutex
 	byName   map[string]*candidacy
-	rejected int64 // candidacies rejected because there were maxLeaderships
+	rejected int64 // number of candidacies rejected because there were already maxLeaderships
 }
 
 // candidacy is this sidecar's candidacy for one leadership.
@@ -77,8 +77,8 @@
 	return l, nil
 }
 
-// run keeps this sidecar a candidate for the leaderships that all sidecars campaign for, until ctx ends: the digest of its
-// own site, and the incidents of each site.
+// run keeps this sidecar a candidate, until ctx ends, for the leaderships that every sidecar campaigns for: those for the
+// digest of its own site and for the incidents of each site.
 func (l *leaderships) run(ctx context.Context) {
 	tick := time.NewTicker(leadershipTick)
 	defer tick.Stop()
--- a/internal/sidecar/persister.go
+++ b/internal/sidecar/persister.go
@@ -197,7 +197,7 @@
 		case inForce[id]:
 		case p.clearedBans[id]:
 			err = errors.Join(err, p.store.Unban(id))
-		default: // a ban that reached only the predecessor
+		default: // the ban reached only the predecessor
 			p.adoptBan(id)
 		}
 	}
--- a/internal/sidecar/pressure.go
+++ b/internal/sidecar/pressure.go
@@ -60,7 +60,7 @@
 			}
 		case <-tick.C:
 			now := time.Now()
-			delay := time.Duration(0) // a late tick shows that the process lacks CPU time
+			delay := time.Duration(0) // how late the tick is, which shows whether the process lacks CPU time
 			if !due.IsZero() {
 				delay = max(0, now.Sub(due))
 			}
--- a/internal/sidecar/process.go
+++ b/internal/sidecar/process.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if handsOver {
-		n *= 2 // the successor starts beside this process
+		n *= 2 // the successor runs beside this process and needs as many
 	}
 	return n
 }
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -13,8 +13,8 @@
 // isReplicated reports whether the addresses of discovery are those of a list service with several replicas.
 func isReplicated(addresses string) bool { return strings.Contains(addresses, ",") }
 
-// follow watches a list service that has several replicas or also sends settings, until ctx ends. The client chooses the
-// replica, retries, and checks lists for plausibility.
+// follow watches a list service that has several replicas or also sends settings, until ctx ends. Package client chooses
+// the replica, retries, and checks lists for plausibility.
 func (w *watcher) follow(ctx context.Context, addresses string) {
 	replicas, err := client.Addresses(addresses)
 	if err != nil { // can't happen, since the configuration was checked
--- a/internal/sidecar/requesthandler.go
+++ b/internal/sidecar/requesthandler.go
@@ -126,7 +126,7 @@
 	if a.kind == disconnected {
 		panic(http.ErrAbortHandler)
 	}
-	if h.req.forwarded && a.kind == rejected && !a.attempted { // the peer that forwarded it then handles it itself
+	if h.req.forwarded && a.kind == rejected && !a.attempted { // the peer that forwarded the request then handles it itself
 		h.w.Header().Set(headerNotProcessed, "1")
 	}
 	h.write(a)
@@ -159,7 +159,7 @@
 		return
 	}
 	if err := h.server.writeAnswer(h.w, a); err != nil {
-		h.outcome = failed // because of the upstream, or of a client that does not read
+		h.outcome = failed // the upstream failed, or the client does not read
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/sidecar/requestparser.go
+++ b/internal/sidecar/requestparser.go
@@ -16,7 +16,7 @@
 // maxTimeout bounds the time-out and the cost that a client may state.
 const maxTimeout = time.Hour
 
-const bodyTooLargeText = "a body holds 32 MB at most" // states maxBodyBytes
+const bodyTooLargeText = "a body holds 32 MB at most" // the number is maxBodyBytes
 
 // connKey is the context key of a client's connection.
 type connKey struct{}
@@ -64,7 +64,8 @@
 	}, nil
 }
 
-// checkHead checks the target and the headers that must not be repeated, since an upstream could use another occurrence.
+// checkHead checks the target and the headers that must not be repeated, since an upstream could use another occurrence
+// than this sidecar.
 func checkHead(r *http.Request) *rejection {
 	if !strings.HasPrefix(r.RequestURI, "/") || strings.HasPrefix(r.RequestURI, "//") {
 		return rejectf(http.StatusBadRequest, "the request target is not a path")
@@ -134,7 +135,7 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseCostHint parses the expected work, in microseconds on the wire. It returns 0 if none is stated.
+// parseCostHint parses the expected work that the client states, in microseconds on the wire. It returns 0 if none is stated.
 func parseCostHint(r *http.Request) (time.Duration, *rejection) {
 	text := r.Header.Get(headerCost)
 	if text == "" {
--- a/internal/sidecar/responses.go
+++ b/internal/sidecar/responses.go
@@ -91,7 +91,7 @@
 	for {
 		if int64(len(body)) == reserved {
 			if resp.ContentLength >= 0 {
-				if !large { // the next read reports the end
+				if !large { // the answer is complete, and the next read must report its end
 					_, err = io.ReadFull(resp.Body, make([]byte, 1))
 					return body, 0, errors.Is(err, io.EOF), notEOF(err)
 				}
--- a/internal/sidecar/restore.go
+++ b/internal/sidecar/restore.go
@@ -42,7 +42,7 @@
 	if initial != nil {
 		known = p.upstreams.directory.apply(initial)
 		p.watcher.revision = 0
-		if source == p.config.Discovery { // another discovery's revisions can't be compared
+		if source == p.config.Discovery { // revisions of another discovery can't be compared with those of this one
 			p.watcher.revision = *initial.Revision
 		}
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -40,7 +40,7 @@
 	headerNotProcessed = "X-Not-Processed"
 
 	writeTimeout           = 5 * time.Second       // time-out of each write of an answer
-	disconnectPollInterval = 50 * time.Millisecond // time between checks whether a client has disconnected while its connection is not read; a disconnect must be noticed within 0.1 s
+	disconnectPollInterval = 50 * time.Millisecond // time between checks whether a client has disconnected, made while its connection is not read; a disconnect must be noticed within 0.1 s
 )
 
 // hopByHopHeaders are the headers that are not forwarded (RFC 9110, section 7.6.1).
@@ -124,7 +124,8 @@
 }
 
 // checkFraming rejects a request with ambiguous framing (see framing.go), so that no part of a body is ever read as a
-// request. HTTP/1.0 has no chunked bodies, and an idempotent request must have no body.
+// request. It also rejects HTTP/1.0, which has no chunked bodies, and a GET with a body, since an idempotent request must
+// have none.
 func checkFraming(r *http.Request, ambiguous bool) *rejection {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
--- a/internal/sidecar/settingsfollower.go
+++ b/internal/sidecar/settingsfollower.go
@@ -29,10 +29,10 @@
 
 	mu            sync.Mutex
 	seenRevisions map[string]int64 // the highest received revision, by region
-	latest        api.Document     // the newest received; Revision is 0 if there is none
+	latest        api.Document     // the newest document received; Revision is 0 if there is none
 	processed     bool             // latest was applied or rejected
-	inForce       api.Document     // if Revision is 0, or after a deletion, the file's settings are in force
-	lastGood      api.Document     // inForce, or that of the previous process, which stays on disk until another is in force
+	inForce       api.Document     // the document in force; if its Revision is 0, or after a deletion, the file's settings are in force
+	lastGood      api.Document     // the document to store on disk: inForce or, until a document is in force, that of the previous process
 	rejected      error            // why latest is not in force
 	changes       int64            // number of changes of the persisted state
 	ignored       api.Document     // the last document that was ignored
@@ -96,7 +96,7 @@
 		return "settings document ignored, too many regions", seen
 	}
 	if len(d.Settings) > api.MaxSettings {
-		d.Settings = nil // not retained in memory; withDocument rejects it
+		d.Settings = nil // too large to retain in memory; withDocument then rejects the document
 	}
 	s.seenRevisions[d.Region] = d.Revision
 	s.latest, s.processed = d, false
@@ -224,7 +224,7 @@
 	}
 	if s.processed && s.rejected != nil {
 		reason := s.rejected.Error()
-		if s.latest.Region != s.inForce.Region && a.Revision > 0 { // an Ack has one region, so it can't state the versions of two
+		if s.latest.Region != s.inForce.Region && a.Revision > 0 { // an Ack has one region, so it can't state the revisions of two regions
 			reason = fmt.Sprintf("version %d of region %q is in force: %s", a.Revision, a.Region, reason)
 			a.Revision = 0
 		}
--- a/internal/sidecar/sharing.go
+++ b/internal/sidecar/sharing.go
@@ -77,7 +77,7 @@
 	if s.leaderships != nil {
 		s.parts.Go(func() { s.leaderships.run(s.ctx) })
 	}
-	var probes probeLeaderships // stays nil without leaderships: an interface that holds a nil *leaderships is not nil
+	var probes probeLeaderships // stays nil without leaderships, since an interface that holds a nil *leaderships would not be nil
 	if s.leaderships != nil {
 		probes = s.leaderships
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -39,8 +39,8 @@
 	closableAfter     = 2 * time.Second      // time without a request after which a connection may be closed
 	startPollInterval = 5 * time.Millisecond // time between a new process's checks whether it can accept clients
 	// readyWithoutListAfter is how long a process without a list reports that it is not ready. It is enough for three calls
-	// to discovery: a call that hangs is followed by another after 1.25 s. Nine in ten processes must be ready within
-	// 10 s, even if discovery is down for longer.
+	// to discovery: a call that hangs is followed by the next after 1.25 s, so that the third starts after 2.5 s. Nine in
+	// ten processes must be ready within 10 s, even if discovery is down for longer.
 	readyWithoutListAfter = 3 * time.Second
 	// minConns is the minimum number of connections to clients, and likewise to upstreams: one for a request, and one for the
 	// next client.
--- a/internal/sidecar/stats.go
+++ b/internal/sidecar/stats.go
@@ -18,7 +18,7 @@
 // statsSnapshot holds the counts of stats at one time.
 type statsSnapshot struct {
 	classes                         map[string]outcomes // by name; includes the configured classes, and others that had requests
-	accepted, disconnected          int64               // requests; disconnected: the client closed its connection before the answer
+	accepted, disconnected          int64               // requests accepted, and those of them whose client closed its connection before the answer
 	dispatches                      int64               // attempts that were written completely
 	concurrent                      int64               // requests in progress
 	targets                         int64               // listed upstreams
--- a/internal/sidecar/upstreamconn.go
+++ b/internal/sidecar/upstreamconn.go
@@ -28,8 +28,9 @@
 	idleReading    atomic.Bool   // the library is waiting for bytes, and has none buffered
 }
 
-// Write implements net.Conn. Before the first byte of a request it checks whether the request may still be sent: since the
-// decision the upstream may have begun to drain, the client may have disconnected, or the time for a retry may be over.
+// Write implements net.Conn. Before the first byte of a request it checks whether the request may still be sent: after the
+// decision to send it, the upstream may have begun to drain, the client may have disconnected, or the time for a retry may
+// be over.
 func (c *upstreamConn) Write(p []byte) (int, error) {
 	if !c.firstByteSent.Swap(true) {
 		if err := c.checkMayBegin(); err != nil {
--- a/internal/sidecar/upstreampool.go
+++ b/internal/sidecar/upstreampool.go
@@ -303,7 +303,7 @@
 }
 
 // setRetention sets whether idle connections are retained, and the maximum number of connections. If they are not, the
-// present number becomes the maximum, and each connection is closed after its next request or after replacedIdleTimeout.
+// number of open connections becomes the maximum, and each is closed after its next request or after replacedIdleTimeout.
 func (u *upstreamPool) setRetention(retain bool, maxConns int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -17,9 +17,9 @@
 	maxList          = 4 << 20                // bytes of one message
 	baseRewatchDelay = 250 * time.Millisecond // first pause between watches, if lists are pushed
 	maxRewatchDelay  = 2 * time.Second        // maximum to which that pause grows
-	// subscribeStep and subscribeCalls apply to discovery on demand, which answers calls in turn, so that each call is given more
-	// time for its answer. After subscribeCalls failed calls the balancer decides when to subscribe again. The longest delay
-	// is still watch.NotifyDeadline:
+	// subscribeStep and subscribeCalls apply to discovery on demand. It answers calls in turn, so each call is given twice
+	// watch.Step for its answer. After subscribeCalls failed calls the balancer decides when to subscribe again. The longest
+	// delay is still watch.NotifyDeadline:
 	//
 	//	the last call before discovery returns is unanswered    2.5 s (also a connection that is never established)
 	//	the back-off of the balancer                            3.0 s (balancer's maxPollBackoff, with jitter)
@@ -102,7 +102,7 @@
 	defer w.mu.Unlock()
 	watchCtx, w.endWatch = context.WithCancelCause(ctx)
 	select {
-	case <-w.addressChanges: // the present address is returned
+	case <-w.addressChanges: // this change needs no signal, since the present address is returned
 	default:
 	}
 	return w.address, watchCtx, w.endWatch
