--- a/internal/sidecar/acks_test.go
+++ b/internal/sidecar/acks_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Guards against effects of following settings in a sidecar without a service: its calls, goroutines, lines of STATS, files and
-// hand-over state are those of a sidecar that can't follow settings.
+// Guards against a sidecar without a service that acts as if it followed settings: its calls, goroutines, lines of STATS, files
+// and hand-over state are those of a sidecar that can't follow settings.
 func TestWithoutAServiceNothingIsNew(t *testing.T) {
 	u := newUpstream(t, respondWith(ok200("done")))
 	svc := newListService(t, entry("s", u.address, "Ready"))
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Guards against a second attempt with half a body, and against a request that gets no answer: a request that was sent in part is
-// rejected, since it was not processed, although the client is still sending.
+// Guards against a second attempt with half a body, and against a request that gets no answer: if the upstream got only a part of
+// the request, it did not process it, and the request is rejected, even while the client is still sending.
 func TestNoRetryOnceTheBodyIsConsumed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/breakers_test.go
+++ b/internal/sidecar/breakers_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards against reports that are not sent again until they are withdrawn or the upstream is a new process, and against a
-// stalled loop whose evidence is not suspected.
+// Guards against reports that are sent only once: each is repeated until it is withdrawn or the upstream is a new process. Also
+// guards against a sidecar that does not suspect its own evidence while its loop is stalled.
 func TestReportsAreRepeated(t *testing.T) {
 	b := newTestTracker(t, nil)
 	b.sharing.report(&balancer.Action{Kind: balancer.ReportEvidence, Upstream: "s-1", Evidence: balancer.EvidenceSilence, Count: 2})
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -92,8 +92,9 @@
 	}
 }
 
-// Guards against a client whose disconnect goes unnoticed: net/http reads at most one byte after a request, and nothing of a large
-// body while no attempt reads it. The client still counts as disconnected, while its request waits or an attempt is in progress.
+// Guards against a disconnect that goes unnoticed because unread bytes precede it: net/http reads at most one byte after a
+// request, and nothing of a large body while no attempt reads it. The disconnect must be noticed both while the request waits and
+// while an attempt is in progress.
 func TestLeavingIsSeenBehindWhatNobodyReads(t *testing.T) {
 	for name, c := range map[string]struct{ first, more string }{
 		"a byte after the request": {requestText("search"), "G"},
@@ -191,9 +192,9 @@
 	}
 }
 
-// Guards against taking a second answer to one request for the answer to the next, which is still being written. The next request is
-// not sent again either, since upstreams may answer early. An early answer is accepted for the first request on a connection, and
-// any answer once the complete body has been sent.
+// Guards against taking a second answer to one request for the answer to the next, which is still being written. The next request
+// is not sent again either: upstreams may answer early, so the answer may be its own. An early answer is accepted for the first
+// request on a connection, and any answer once the complete body has been sent.
 func TestASecondAnswerWithinTheNextRequestIsNobodys(t *testing.T) {
 	for name, tc := range map[string]struct {
 		reused, bodySent bool // the connection carried a request before; the client sends the complete body
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -144,8 +144,8 @@
 	client.expectClose()
 }
 
-// Guards against the loss of a request after SIGTERM. The head of the answer before it was sent before SIGTERM, so without
-// Connection: close, and the client may send another request.
+// Guards against the loss of a request that follows an unfinished answer after SIGTERM: the head of that answer was sent before
+// SIGTERM, so it lacks Connection: close, and the client may send another request.
 func TestTermWithHalfAnAnswer(t *testing.T) {
 	t.Parallel()
 	rest := make(chan struct{})
--- a/internal/sidecar/eviction_test.go
+++ b/internal/sidecar/eviction_test.go
@@ -192,7 +192,7 @@
 		{[]connState{{classBusy, time.Hour}}, -1, 0},
 		{[]connState{{classIdle, 10 * ms}, {classIdle, 20 * ms}, {classBusy, time.Hour}}, 1, 0},
 		{[]connState{{classIdle, time.Hour}, {classUnused, 60 * ms}}, 1, 0},
-		{[]connState{{classIdle, time.Second}, {classUnused, 40 * ms}}, -1, 10 * ms}, // connections of a flood are evicted first
+		{[]connState{{classIdle, time.Second}, {classUnused, 40 * ms}}, -1, 10 * ms}, // the unused connection can be evicted first, in 10 ms
 		{[]connState{{classIdle, closableAfter}, {classUnused, 40 * ms}}, 0, 0},
 		{[]connState{{classUnused, 60 * ms}, {classSlowHead, 70 * ms}, {classAnswered, 9 * ms}}, 0, 0},
 		{[]connState{{classUnused, 60 * ms}, {classAnswered, 10 * ms}}, 1, 0},
--- a/internal/sidecar/hollow_test.go
+++ b/internal/sidecar/hollow_test.go
@@ -32,8 +32,8 @@
 	return end
 }
 
-// Guards against a hollow sidecar that does not follow the list or store state as a real one does, with one address of the
-// list service and with several, that does not report what it receives to its observer, or that leaks goroutines.
+// Guards against a hollow sidecar that does not follow the list or store state as a real one does, that does not report to its
+// observer what it receives, or that leaks goroutines. It has one address of the list service, or several.
 func TestHollowFollowsTheList(t *testing.T) {
 	for name, addresses := range map[string]func(string) string{
 		"one address":      func(a string) string { return a },
--- a/internal/sidecar/orders_discovery_test.go
+++ b/internal/sidecar/orders_discovery_test.go
@@ -26,7 +26,7 @@
 	entryJSON          string
 	status             string
 	at                 time.Duration
-	silenceBound       time.Duration // when the sidecar must have noticed that a watch is silent; 0 if none was
+	silenceBound       time.Duration // time by which the sidecar must have noticed a silent watch; 0 if no watch was silent
 	announcedAt        time.Duration // when it first arrived at the sidecar on a watch; 0 if it never did
 	announcedCorruptAt time.Duration // when it first arrived on a watch that had delivered invalid data; 0 if it never did
 }
@@ -50,8 +50,8 @@
 // never is the time, or the event index, of an event that does not happen.
 const never = 1 << 62
 
-// orderWatch is one watch of the list. Writers hold writeLock, so that a change never overtakes the first list. It is a channel
-// because a goroutine that waits for a mutex stops the clock of the synctest bubble.
+// orderWatch is one watch of the list. Writers hold writeLock, so that a change never overtakes the first list. writeLock is a
+// channel because a goroutine that waits for a mutex stops the clock of the synctest bubble.
 type orderWatch struct {
 	net.Conn
 	writeLock chan struct{}
--- a/internal/sidecar/orders_play_test.go
+++ b/internal/sidecar/orders_play_test.go
@@ -50,7 +50,7 @@
 			h.perform(a)
 			end = max(end, a.at+a.timeout+a.delay)
 			if a.kind == pipelinesComplete {
-				end += 2 * time.Second // the sidecar reads it only after the request before it
+				end += 2 * time.Second // the sidecar reads a pipelined request only after it has answered the one before
 			}
 		}
 		time.Sleep(end + 700*milli - time.Since(begun))
--- a/internal/sidecar/orders_test.go
+++ b/internal/sidecar/orders_test.go
@@ -25,7 +25,7 @@
 	orderRepeats = 60 // runs of an order that is replayed or shrunk
 	orderWorkers = 3
 
-	idleCloseWait = 21 * time.Second // by then the sidecar has closed every connection to an upstream: 10 s for late answers and 9 s idle
+	idleCloseWait = 21 * time.Second // time in which the sidecar closes every connection to an upstream: at most 10 s for a late answer, then 9 s idle, and a margin
 )
 
 // actionKind is the kind of an action of a client, an upstream, discovery or the operating system.
--- a/internal/sidecar/orders_world_test.go
+++ b/internal/sidecar/orders_world_test.go
@@ -19,7 +19,7 @@
 	milli              = time.Millisecond
 	clientDelay        = time.Millisecond
 	discoveryDelay     = time.Millisecond
-	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, since the longest deadline is longer, plus 0.7 s
+	killDelay          = 3700 * time.Millisecond // from SIGTERM to SIGKILL: maxDrainTime, 3 s, since the longest deadline is longer, plus 0.7 s
 	oldDiscoveryLinger = 1500 * time.Millisecond // how long discovery keeps open watches at its old address after it has moved
 )
 
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -23,9 +23,9 @@
 
 func chunked(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// outages are the ways in which discovery may fail. A call during an outage gets the texts of writes, with pauses between them,
-// until the outage ends. The connection is then reset if resets is set; otherwise it stays open and silent. A connection opened
-// during the outage delivers nothing after the outage, except for a message without end.
+// outages are the ways in which discovery may fail. On a connection opened during an outage, discovery sends the texts of writes,
+// pause apart, as long as the outage lasts. After them it resets the connection if resets is set; otherwise the connection stays
+// open, and discovery sends repeats on it again and again, or nothing more.
 var outages = []struct {
 	name    string
 	dial    string // "refused", "hangs", or "" if the connection is established
@@ -189,8 +189,8 @@
 	}
 }
 
-// eventTimes are the times of events, 50 ms apart, in an outage that begins at failsAt. offset counts from failsAt; the first
-// event is 50 ms after offset, and the last one length after offset.
+// eventTimes are the times of events, 50 ms apart, in an outage that begins at failsAt. The first event is 50 ms after
+// failsAt+offset, and the last one is at failsAt+offset+length.
 type eventTimes struct{ failsAt, offset, length time.Duration }
 
 // outageEventTimes returns event times in three outages: one from the start, one that begins after a while, and one that has
@@ -245,7 +245,7 @@
 			}
 		}
 		if firstCallDelay > 0 {
-			t.Errorf("got the drain up to %v after the move where the first call to the new address is answered, want 0s", firstCallDelay)
+			t.Errorf("first call to the new address answered: got the drain up to %v after the move, want 0s", firstCallDelay)
 		}
 	})
 	return longest
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("ENABLE: got %q, want YES", got)
 	}
 	if loaded, err := statestore.New(crashed, "n1").Load(time.Now()); err != nil || len(loaded.Bans) != 0 {
-		t.Errorf("on disk after ENABLE: got bans %v, %v, want none", loaded.Bans, err)
+		t.Errorf("on disk after ENABLE: got bans %v, error %v; want none", loaded.Bans, err)
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	p.release(false)
 	if persisted, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || len(persisted.Bans) != 2 {
-		t.Errorf("on disk: got bans %v, %v, want 2: the one in force and the new one", persisted.Bans, err)
+		t.Errorf("on disk: got bans %v, error %v; want 2: the one in force and the new one", persisted.Bans, err)
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 	eventually(t, "a ban on disk", func() bool { return r.adminCall(t, "DISABLE s\n") == "YES\n" })
 	if loaded, err := statestore.New(dir, "n1").Load(time.Now()); err != nil || len(loaded.Bans) != 1 {
-		t.Errorf("on disk: got bans %v, %v, want 1", loaded.Bans, err)
+		t.Errorf("on disk: got bans %v, error %v; want 1", loaded.Bans, err)
 	}
 	if got := r.adminCall(t, "STATS\n"); !strings.Contains(got, "gw.state_failing:0|g\n") {
 		t.Errorf("got STATS %s, want gw.state_failing:0|g", got)
--- a/internal/sidecar/replicas_test.go
+++ b/internal/sidecar/replicas_test.go
@@ -6,8 +6,8 @@
 	"mosslead/balancer"
 )
 
-// Guards against a sidecar that depends on one replica of a list service: it continues at another replica from its version,
-// does not replace its list by a snapshot without ready endpoints, but applies the draining entries of that snapshot.
+// Guards against a sidecar that depends on one replica of a list service: it continues at another replica from its version. A
+// snapshot without ready endpoints does not replace its list, but the draining entries of that snapshot are applied.
 func TestSeveralReplicasAreFollowed(t *testing.T) {
 	script := func(_ int, send func(string), _ <-chan struct{}) {
 		send(list(6, false, entry("a", "127.0.0.2:1", "Ready"), entry("b", "127.0.0.2:2", "Ready")))
--- a/internal/sidecar/server_test.go
+++ b/internal/sidecar/server_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards against failures where a rejection is safe, because the upstream did not process the request. The balancer's
-// Retry-After reaches the client with its decimals.
+// Guards against answering with a failure where a rejection is safe, because the upstream did not process the request. The
+// balancer's Retry-After reaches the client with its decimals.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	s := newUpstream(t, respondWith("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := start(t, testConfig(t, quietDiscovery(t).address, entry("s", s.address, "Ready")), "127.0.0.1:0")
--- a/internal/sidecar/settingsupdate_test.go
+++ b/internal/sidecar/settingsupdate_test.go
@@ -85,7 +85,7 @@
 	})
 }
 
-// Guards against a request that was checked by settings that the balancer no longer has: it might be sent twice.
+// Guards against accepting a request that was checked by settings that the balancer no longer has: it might be sent twice.
 func TestRequestCheckedByOldSettingsIsRejected(t *testing.T) {
 	d := newTestDispatcher(t, nil)
 	r := d.newRequest("1", "search")
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -179,7 +179,7 @@
 			t.Errorf("got result %d, want %d", rep.result, want)
 		}
 		if (rep.abandon != nil) != (want == balancer.Timeout) {
-			t.Fatalf("result %d: got a connection that waits for a late answer: %v, want %v", rep.result, rep.abandon != nil, want == balancer.Timeout)
+			t.Fatalf("result %d: connection waits for a late answer: got %v, want %v", rep.result, rep.abandon != nil, want == balancer.Timeout)
 		}
 		if rep.abandon != nil {
 			rep.abandon()
@@ -192,9 +192,9 @@
 	}
 }
 
-// Guards against a handshake after each time-out: with short deadlines, a request that waits for a new connection also times
-// out, and its connection is closed in turn. The late answer is read and discarded; in particular, the request that uses the
-// connection next does not get it.
+// Guards against closing the connection of a request that timed out: the next request would wait for a new connection, with a
+// short deadline it would time out too, and so on. The late answer is read and discarded; in particular, the request that uses
+// the connection next does not get it.
 func TestLateAnswerKeepsItsConnection(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -325,7 +325,7 @@
 	rep, reusable := u.roundTrip(t.Context(), c, testRequest("POST", "b"))
 	u.discard(c)
 	if rep.result != balancer.ConnectFailed || reusable {
-		t.Errorf("got result %d, reusable %v, want %d, false", rep.result, reusable, balancer.ConnectFailed)
+		t.Errorf("write that fails: got result %d, reusable %v, want %d, false", rep.result, reusable, balancer.ConnectFailed)
 	}
 }
 
--- a/internal/sidecar/watcher_test.go
+++ b/internal/sidecar/watcher_test.go
@@ -264,7 +264,7 @@
 					time.Sleep(late + time.Millisecond)
 					synctest.Wait()
 					if _, ok := u.directory.address("a"); ok || *u.directory.fullList().Revision != 6 {
-						t.Errorf("got version %d, a accepts requests: %v, want version 6, false", *u.directory.fullList().Revision, ok)
+						t.Errorf("got revision %d, upstream a accepts requests: %v; want revision 6, false", *u.directory.fullList().Revision, ok)
 					}
 					cancel()
 					<-done
@@ -307,8 +307,9 @@
 }
 
 // Guards against a pushed list that is applied too late: sidecars have to follow it by a deadline, whether or not they have
-// received it. The cases: the new address is silent within the 4 s after SIGHUP, and the next watch is never answered;
-// discovery ends the watch, is down for 3.75 s, and has a new list, which sidecars have to follow 3 s after its return.
+// received it. In the first case, the watch at the new address falls silent, the next one is never answered, and the deadline is
+// 4 s after SIGHUP. In the second case, discovery ends the watch, is down for 3.75 s, and has a new list, which sidecars have to
+// follow 3 s after its return.
 func TestListIsInHandWhenItBinds(t *testing.T) {
 	for name, x := range map[string]struct {
 		script func(address string, n int) (bool, []string, bool)
@@ -345,7 +346,7 @@
 				}()
 				synctest.Wait()
 				if got := *w.dir.fullList().Revision; got != 5 {
-					t.Fatalf("got version %d at the start, want 5", got)
+					t.Fatalf("got revision %d at the start, want 5", got)
 				}
 				if x.moves {
 					w.move("127.0.0.2:1")
@@ -353,7 +354,7 @@
 				time.Sleep(x.within)
 				synctest.Wait()
 				if got := *w.dir.fullList().Revision; got != 7 {
-					t.Errorf("got version %d after %v, want 7", got, x.within)
+					t.Errorf("got revision %d after %v, want 7", got, x.within)
 				}
 				for i, at := range (*dials)[1:] {
 					if gap := at.Sub((*dials)[i]); gap > 2500*time.Millisecond {
