--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -195,7 +195,7 @@
 
 // outageEventTimes returns event times in three outages: one from the start, one that begins after a while, and one that has
 // lasted so long that all waits are at their longest. The times cover one round of calls: with onDemand two calls and the
-// balancer's back-off, otherwise one silence.
+// balancer's back-off, otherwise one watch.Silence.
 func outageEventTimes(onDemand bool) []eventTimes {
 	const sec = time.Second
 	if onDemand {
--- a/internal/sidecar/persister_test.go
+++ b/internal/sidecar/persister_test.go
@@ -143,7 +143,7 @@
 	up := newUpstream(t, respondWith(ok200("s")))
 	r := start(t, withState(t, dir, entry("s", up.address, "Ready")), "127.0.0.1:0")
 	if status, _ := r.get(t); status != 200 {
-		t.Errorf("got status %d, want 200", status)
+		t.Errorf("without the disk: got status %d, want 200", status)
 	}
 	if got := r.adminCall(t, "DISABLE s\n"); !strings.HasPrefix(got, "NO nothing can be written now") {
 		t.Errorf("DISABLE: got %q, want NO nothing can be written now", got)
--- a/internal/sidecar/settingsfollower_test.go
+++ b/internal/sidecar/settingsfollower_test.go
@@ -280,13 +280,13 @@
 	s.onDocuments([]api.Document{invalid})
 	d, ok := s.nextDocument()
 	if !ok || d.Revision != 2 {
-		t.Fatalf("got document %+v to apply, %v, want version 2, true", d, ok)
+		t.Fatalf("got document %+v to apply, found %v; want version 2, true", d, ok)
 	}
 	s.onDocuments([]api.Document{valid}) // received before the invalid document was processed
 	_, err := c.withDocument(d)
 	s.recordOutcome(d, err)
 	if d, ok = s.nextDocument(); !ok || d.Revision != 3 {
-		t.Fatalf("got document %+v to apply, %v, want version 3, true", d, ok)
+		t.Fatalf("got document %+v to apply, found %v; want version 3, true", d, ok)
 	}
 	_, err = c.withDocument(d)
 	s.recordOutcome(d, err)
@@ -334,7 +334,7 @@
 	snapshot := func() (balancer.EndpointSnapshot, float64) {
 		state, ok := p.dispatcher.snapshot()
 		if !ok || state.Endpoints["s"].PeakEWMA == 0 {
-			t.Fatalf("got snapshot %+v, %v, want an estimate for s", state, ok)
+			t.Fatalf("got snapshot %+v, found %v; want an estimate for s", state, ok)
 		}
 		endpoint := state.Endpoints["s"]
 		endpoint.Age, endpoint.Uptime = 0, 0
--- a/internal/sidecar/upstreampool_test.go
+++ b/internal/sidecar/upstreampool_test.go
@@ -89,7 +89,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		if rep := u.attempt(ctx, "s", testRequest("POST", "b"), 0); rep.result != balancer.Reset {
-			t.Errorf("got result %d, want %d: %v", rep.result, balancer.Reset, rep.err)
+			t.Errorf("answer that is cut off: got result %d, want %d, error %v", rep.result, balancer.Reset, rep.err)
 		}
 		n.Close()
 		time.Sleep(time.Minute) // until all goroutines have ended
@@ -153,7 +153,7 @@
 	t.Run("connection refused", func(t *testing.T) {
 		u := testUpstreams(t, 4, entry("s", closedListener.Addr().String(), "Ready"))
 		if rep := u.attempt(t.Context(), "s", testRequest("GET", ""), 0); rep.result != balancer.ConnectFailed {
-			t.Errorf("got result %d, want %d", rep.result, balancer.ConnectFailed)
+			t.Errorf("address that refuses connections: got result %d, want %d", rep.result, balancer.ConnectFailed)
 		}
 	})
 }
@@ -288,7 +288,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		if rep := u.attempt(ctx, "a", testRequest("GET", ""), 0); rep.result != balancer.Timeout {
-			t.Fatalf("got result %d, want %d", rep.result, balancer.Timeout)
+			t.Fatalf("request that is not answered: got result %d, want %d", rep.result, balancer.Timeout)
 		}
 	}
 	timeOutAttempt()
@@ -465,7 +465,7 @@
 	a, b := newUpstream(t, respondWith(ok200(""))), newUpstream(t, neverRespond)
 	u := testUpstreams(t, 1, entry("a", a.address, "Ready"), entry("b", b.address, "Ready"))
 	if rep := u.attempt(t.Context(), "a", testRequest("GET", ""), 0); rep.result != balancer.OK {
-		t.Fatalf("got result %d, want %d", rep.result, balancer.OK)
+		t.Fatalf("first request: got result %d, want %d", rep.result, balancer.OK)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	end := make(chan attemptReply, 1)
