--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -48,7 +48,7 @@
 			lowValue[req.tenant]++
 		}
 	}
-	if lowValue[1] != 0 || lowValue[0] < 300 || lowValue[0] > 500 { // (0.9-0.5)/0.9 of 900
+	if lowValue[1] != 0 || lowValue[0] < 300 || lowValue[0] > 500 { // the part above the quota is (0.9-0.5)/0.9 of 900 requests: 400
 		t.Errorf("got low values %v by tenant, want 300 to 500 of tenant 0 and none of tenant 1", lowValue)
 	}
 }
@@ -165,12 +165,12 @@
 		{inFlight: 100, answered: 400, age: 35 * ms, over: true},
 		{inFlight: 100, answered: 400, age: 100 * ms, over: true},
 		{inFlight: 20, answered: 400, age: 35 * ms},
-		{inFlight: 20, answered: 1, age: 15 * ms}, // a lull
+		{inFlight: 20, answered: 1, age: 15 * ms}, // one answer in 2 s: a lull came before
 		{inFlight: 20, answered: 0, age: 150 * ms, over: true},
 	} {
 		r := newRig(t, testSettings())
 		r.setEndpoints(4)
-		for i := range c.answered { // over 2 s
+		for i := range c.answered { // evenly distributed over 2 s
 			r.b.admission.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		r.now += 2 * time.Second
@@ -181,7 +181,7 @@
 		r.now += c.age
 		r.handle(TimerFired{})
 		if p := r.b.pressure(); p > 1 != c.over {
-			t.Errorf("%d in flight for %v, %d answered: got pressure %.2f, want above 1: %v", c.inFlight, c.age, c.answered, p, c.over)
+			t.Errorf("%d in flight for %v, %d answered: got pressure %.2f, want one above 1: %v", c.inFlight, c.age, c.answered, p, c.over)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	if r.b.retryBudget.tokens != 16*retryBudgetRatio {
 		t.Errorf("got a budget of %.2f after sixteen first attempts, want %.2f", r.b.retryBudget.tokens, 16*retryBudgetRatio)
 	}
-	r.now += 150 * ms // without an answer, so all later requests are rejected
+	r.now += 150 * ms // no request is answered in this time, so all later ones are rejected
 	for i := range 100 {
 		r.wantFinalAnswer(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
@@ -234,11 +234,11 @@
 	}
 }
 
-// Guards against load shedding at a sidecar with few answers because it has two or three requests in flight.
+// Guards against load shedding at a sidecar with few answers, only because two or three requests are in flight.
 func TestQuietSidecarDoesNotShedOnAFewInHand(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(10)
-	for i := range 60 { // three at the same time each second, each answered within half of its objective
+	for i := range 60 { // three requests arrive at the same time each second, and each is answered within half of its objective
 		for j := range 3 {
 			r.wantAttempt(r.request(fmt.Sprint(i, "-", j), "c", time.Second))
 			r.advance(25 * ms)
@@ -294,12 +294,12 @@
 		}
 		r.updateEndpoints(Delta, Endpoint{Upstream: "other", Zone: "a"})
 		if got := len(actionsOfKind(r.advance(60*ms), StartAttempt)) > 0; got != c.hedged {
-			t.Errorf("case %+v: got hedged %v, want %v", c, got, c.hedged)
+			t.Errorf("case %+v: got late request hedged %v, want %v", c, got, c.hedged)
 		}
 	}
 }
 
-// Whether hedging helps is learned from the requests that are hedged: it helps where endpoints pause.
+// A sidecar learns from its hedged requests whether hedging helps. It helps if single endpoints pause, but not if all are slow.
 func TestHedgesThatWinGoOn(t *testing.T) {
 	for _, pauses := range []bool{false, true} {
 		var fleet *fakeFleet
@@ -321,9 +321,9 @@
 	}
 }
 
-// The retry-after time of a rejected client is the longest one allowed. If that ends before the deadline and a late answer
-// has value, the client would return after its objective and add to the load. The time is then shortened, so that the client
-// returns before its objective ends.
+// A rejected client is usually told the longest retry-after time allowed. If this ends before the deadline and a late answer has
+// value, the client would return after its objective and add to the load. It is then told a shorter time, so that it returns
+// before its objective ends.
 func TestAdviceOnRefusal(t *testing.T) {
 	for _, c := range []struct {
 		maxRetryAfter     time.Duration
--- a/balancer/ban_test.go
+++ b/balancer/ban_test.go
@@ -54,7 +54,7 @@
 	if ep := r.b.endpoints.byID["u3"]; !ep.slowStart.active || ep.slowStart.startedAt != r.now {
 		t.Errorf("got slow start %+v after the ban was cleared, want an active one since %v", ep.slowStart, r.now)
 	}
-	// The list reports a restart later. The warm-up still counts from the end of the ban: the process started before it.
+	// The list reports a restart later. The warm-up still counts from the end of the ban, because the process started before that.
 	clearedAt := r.now
 	r.advance(100 * ms)
 	r.updateEndpoints(Delta, Endpoint{Upstream: "u3", Zone: "a", StartedAt: clearedAt - 500*ms})
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against the overload of an endpoint whose ban was cleared: every sidecar puts it first in its order, and would send
-// it a request at once. Only few sidecars may do so.
+// Guards against the overload of an endpoint whose ban was cleared. Every sidecar puts it first in its order, and could send
+// it a request at once, but only few may do so.
 func TestClearedBanIsNotOverloadedByAllSidecars(t *testing.T) {
 	for _, c := range []struct {
 		sidecars  int
--- a/balancer/body_test.go
+++ b/balancer/body_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a slow client that makes its endpoint seem slow, or its request late: the request's time starts with the
-// last byte of its body.
+// Guards against a slow client that makes its endpoint seem slow, or its request late: the time of a request counts from the
+// arrival of the last byte of its body.
 func TestOpenRequestsTimeBeginsWithItsBodysEnd(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(2)
@@ -44,11 +44,12 @@
 	r.advance(5 * time.Second)
 	r.handle(BodyComplete{ID: "1", ExpiresAt: r.now + time.Second})
 	if answers := finalAnswers(r.advance(time.Second)); len(answers) != 1 {
-		t.Errorf("got final answers %+v, want one", answers)
+		t.Errorf("got final answers %+v within 1 s after the body has arrived, want one", answers)
 	}
 }
 
-// Guards against a second attempt with an incomplete body: the request is rejected, since it did not run.
+// Guards against a second attempt with an incomplete body. If the first attempt has consumed a part of the body, the request is
+// rejected, since it did not run.
 func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Idempotency = NotIdempotent
--- a/balancer/capacity_test.go
+++ b/balancer/capacity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against endpoints in slow start that stay unused when they are particularly needed: while load is shed, less is
-// admitted, and a budget in proportion to the admitted load would shrink, too.
+// Guards against endpoints in slow start that stay unused while load is shed, when they are particularly needed. Fewer requests
+// are admitted then, so a budget in proportion to the admitted load would shrink.
 func TestSlowStartHoldsWhileLoadIsShed(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(6)
@@ -50,13 +50,13 @@
 		r.request(fmt.Sprint(i), "c", 30*time.Second)
 	}
 	r.advance(150 * ms)
-	if p := r.b.pressure(); p > 1 { // 6 in flight per endpoint, over both sidecars, and no attempt showed congestion
+	if p := r.b.pressure(); p > 1 { // 6 requests of both sidecars are in flight per endpoint, and no attempt showed congestion
 		t.Errorf("got pressure %.2f with all endpoints in use, want 1 or less", p)
 	}
 	for i := range 4 {
 		r.handle(Ban{Upstream: fmt.Sprint("u", i)})
 	}
-	if p := r.b.pressure(); p <= 1 { // 9 in flight per endpoint, and none served
+	if p := r.b.pressure(); p <= 1 { // 9 requests are in flight per usable endpoint, and none is served
 		t.Errorf("got pressure %.2f with a third of the endpoints banned, want above 1", p)
 	}
 	r.b.endpoints.byID["u5"].health.ejectedUntil, r.b.endpoints.byID["u6"].health.ejectedUntil = r.now+time.Second, r.now+time.Second
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -143,7 +143,7 @@
 	for range 6000 {
 		picks[r.b.powerOfTwoChoices(r.b.endpoints.order).id]++
 	}
-	// Of the six pairs, u0 wins three, u1 two, u2 one, u3 none.
+	// Each of the six pairs is compared in about 1000 of 6000 picks: u0 wins three of them, u1 two, u2 one, u3 none.
 	for id, want := range map[string]int{"u0": 3000, "u1": 2000, "u2": 1000, "u3": 0} {
 		if diff := picks[id] - want; diff < -200 || diff > 200 {
 			t.Errorf("%s was picked %d times of 6000, want %d within 200", id, picks[id], want)
@@ -179,7 +179,7 @@
 			users[to]++
 		}
 	}
-	for i := range endpoints { // about 24 each
+	for i := range endpoints { // each is used by about 24 sidecars
 		if n := users[fmt.Sprint("u", i)]; n < 8 || n > 50 {
 			t.Errorf("u%d is used by %d of %d sidecars, want 8 to 50", i, n, sidecars)
 		}
@@ -213,8 +213,8 @@
 	s.FleetSize = sidecars
 	for _, c := range []struct{ perSecond, minUsed, maxUsed int }{
 		{1, 2, minSubset + 1},
-		{20, 3, 5},   // each of the 60 endpoints is used by 5 of the 80 sidecars
-		{100, 9, 14}, // the number of requests that arrive in half of the objective of 200 ms
+		{20, 3, 5},   // a sidecar uses 3.75 on average, so that each of the 60 endpoints is used by 5 of the 80 sidecars
+		{100, 9, 14}, // about the number of requests that arrive in half of the objective of 200 ms: 10
 	} {
 		fleet := newFakeFleet(t, s, okAfter20ms)
 		fleet.setEndpoints(endpoints)
@@ -225,7 +225,8 @@
 	}
 }
 
-// An endpoint without answers counts as the mean of its kind of machine, not of the fleet: kinds differ in speed threefold.
+// The latency of an endpoint without answers is taken to be the mean of its kind of machine, not that of the fleet, because kinds
+// differ in speed threefold.
 func TestUnheardUpstreamCountsAsItsKind(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.updateEndpoints(FullState, Endpoint{Upstream: "f0", Machine: "fast"}, Endpoint{Upstream: "s0", Machine: "slow"})
@@ -242,8 +243,8 @@
 	}
 }
 
-// At a sidecar with a low load, the duration of a pick does not depend on the length of the list. (With 400 endpoints it was
-// 11 us; the budget is 10.)
+// At a sidecar with a low load, the duration of a pick does not depend on the length of the list. (With 400 endpoints a pick
+// took 11 us; the budget is 10 us.)
 func TestPickDoesNotWalkALargeList(t *testing.T) {
 	r := newRig(t, testSettings())
 	var list []Endpoint
@@ -282,7 +283,7 @@
 		replaced bool
 	}{{80, true}, {2, false}} {
 		s := testSettings()
-		s.FleetSize, s.Hedging = c.sidecars, false // a hedged request would be answered by another endpoint than the slow one
+		s.FleetSize, s.Hedging = c.sidecars, false // with hedging, another endpoint would answer the requests sent to the slow one
 		slow, rng := "", rand.New(rand.NewPCG(1, 1))
 		fleet := newFakeFleet(t, s, func(u string) (Result, time.Duration) {
 			if u == slow {
@@ -296,7 +297,7 @@
 		fleet.run(20*time.Second, 40)
 		if index := slices.IndexFunc(fleet.b.endpoints.order, func(ep *endpoint) bool { return ep.id == slow }); len(fleet.b.endpoints.order) != 20 ||
 			index < 0 || c.replaced != (index >= fleet.b.subsetSize()) {
-			t.Errorf("%d sidecars: got the slow endpoint at index %d of %d with %d in use, want it in the list of 20 and behind those in use: %v",
+			t.Errorf("%d sidecars: got the slow endpoint at index %d of %d with %d in use, want 20 endpoints, and the slow one behind those in use: %v",
 				c.sidecars, index, len(fleet.b.endpoints.order), fleet.b.subsetSize(), c.replaced)
 		}
 	}
--- a/balancer/faults_test.go
+++ b/balancer/faults_test.go
@@ -11,7 +11,7 @@
 // fakeFleet is a rig with fake endpoints. It does not model a server: reply determines the result of each attempt.
 type fakeFleet struct {
 	*rig
-	reply        func(endpoint string) (Result, time.Duration) // result and duration of an attempt; negative: no answer
+	reply        func(endpoint string) (Result, time.Duration) // result and duration of an attempt; a negative duration means no answer
 	pending      []pendingAttempt
 	sentTo       map[string]int     // attempts by endpoint
 	finalAnswers map[ActionKind]int // Reject and Fail actions
@@ -259,7 +259,8 @@
 		t.Errorf("%d of %d requests succeeded, want 95%%", got, fleet.requests-requestsBefore)
 	}
 	for i := 4; i < 8; i++ {
-		// The overload limit is 3 times 0.2 to 0.36 of the capacity; the mean load of an endpoint is 25 requests per second.
+		// The overload limit is 3 times the present capacity, which is 0.2 to 0.36 of the full one. The mean load of an endpoint
+		// is 25 requests per second.
 		if got := fleet.sentTo[fmt.Sprint("u", i)]; got > 40 {
 			t.Errorf("starting endpoint u%d got %d attempts in 2 s, want 40 or fewer", i, got)
 		}
@@ -330,7 +331,7 @@
 	}
 }
 
-// A request counts as stalled only while its latest attempt is: no longer once it is sent again or has ended.
+// A request counts as stalled only while its latest attempt is stalled, and no longer once it is sent again or has ended.
 func TestStalledIsTheAttemptNotTheRequest(t *testing.T) {
 	s := testSettings()
 	s.Hedging, s.Classes[0].LateValueFraction = false, 0.5 // a late answer has value, so the request waits after its objective
--- a/balancer/peerverdict_test.go
+++ b/balancer/peerverdict_test.go
@@ -81,7 +81,7 @@
 }
 
 // A verdict on one class does not affect the others. One on another process of an endpoint is ignored, and a restart
-// ends one. This sidecar's later successes contradict a verdict, and are reported.
+// ends one. Later successes at this sidecar contradict a verdict, and are reported.
 func TestVerdictOfOneClassOrIncarnation(t *testing.T) {
 	r := newSharingRig(t, 4)
 	r.applyVerdict("u0", "c", ProbeByEach, 0)
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -17,7 +17,7 @@
 	}
 	var sentC, sentD, sentAgain map[string]int
 	var reports []Action
-	for range 20 { // alternate between both classes
+	for range 20 { // requests of both classes alternate
 		sentToC, newReports := r.sendRequests(20, "c", failHalf)
 		sentToD, _ := r.sendRequests(20, "d", alwaysOK)
 		if sentC = sentToC; len(newReports) > 0 && reports == nil {
@@ -63,8 +63,8 @@
 		t.Errorf("got %d ejections for all classes and %d for class c, want 0 and at least 1", ep.health.ejections, ep.gossip.evidence.windows["c"].ejections)
 	}
 
-	// Without requests of d, u0 is ejected for all classes and reported for c. The errors of u1 concern one tenant only, and are
-	// not reported.
+	// Without requests of class d, u0 is ejected for all classes and reported for class c. The errors of u1 concern one tenant
+	// only, and are not reported.
 	r = newSharingRig(t, 4)
 	r.b.now = r.now
 	for tenant := range 2 {
--- a/balancer/rejection_test.go
+++ b/balancer/rejection_test.go
@@ -41,7 +41,7 @@
 		}
 		r.advance(5 * ms)
 	}
-	if sentToRejecting > 12 { // three, and a probe from time to time
+	if sentToRejecting > 12 { // three rejections eject it, and probes follow from time to time
 		t.Errorf("endpoint that rejects every request got %d attempts, want 12 or fewer", sentToRejecting)
 	}
 	if rejected > 3 { // because of the rejections that counted as congestion before the ejection
@@ -63,7 +63,7 @@
 }
 
 // Guards against load shedding without congestion: only the first rejection by an endpoint counts as congestion, and the next
-// ones count as a problem of that endpoint.
+// consecutive ones count as a problem of that endpoint.
 func TestRepeatedRejectionIsNoCongestion(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.setEndpoints(1)
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -53,8 +53,8 @@
 	r.wantAttempt(r.advance(20 * ms))
 }
 
-// A request is answered even if its attempt times out at the deadline. Its late answers have value, because otherwise it
-// could be answered when its objective ends.
+// A request is answered even if its attempt times out at the deadline. In this test late answers have value: without that the
+// request could be answered when its objective ends.
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	r := newRig(t, notIdempotentSettings())
 	r.setEndpoints(2)
@@ -185,7 +185,8 @@
 }
 
 // After a failed call the list is requested again, with an increasing and random wait that is short enough for a change to be
-// known within 6 s: a call without an answer takes 2.5 s of them, and the next one 0.5 s. A successful call ends the backoff.
+// known within 6 s: a call without an answer takes 2.5 s, the wait up to 3 s, and the next call 0.5 s. A successful call
+// ends the backoff.
 func TestPollsWithBackoff(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
@@ -268,8 +269,8 @@
 	runSecond()
 	for i := range 9 {
 		u := "u" + string(rune('0'+i))
-		// The mean is 20 per second. After 1 s the endpoint has no more than 0.28 of its capacity, and may be sent 0.45 x 3 of
-		// that; a small burst is added.
+		// The mean load is 20 per second. In its first second an endpoint has no more than 0.28 of its capacity, and may be sent
+		// 0.45 x 3 x 0.28 of the mean load, 7.6 requests, and a small burst.
 		if sentTo[u] > 8 || sentTo[u] == 0 {
 			t.Errorf("starting endpoint %s got %d requests in its first second, want 1 to 8", u, sentTo[u])
 		}
@@ -294,15 +295,15 @@
 		}
 		ended += len(finalAnswers(actions))
 	}
-	// 200 per second over 4 endpoints in slow start at 0.2 to 0.4 of their capacity: about 60 per second may be sent.
+	// 200 requests per second arrive for 2 s. All 4 endpoints are in slow start, at 0.2 to 0.4 of their capacity, and may be sent
+	// about 60 per second together, 120 in all.
 	if sent > 160 || sent < 40 || ended == 0 {
 		t.Errorf("got %d requests sent and %d rejected, want 40 to 160 and some", sent, ended)
 	}
 }
 
-// A repeated request whose objective has ended is rejected at once. All attempts of a client have one deadline, so the time
-// remaining shows when the first one was made. An earlier repeat is served. First attempts determine the usual time
-// remaining.
+// A client that repeats a request keeps its deadline, so the time remaining shows when it first sent the request. A repeat whose
+// objective has ended is rejected at once; an earlier one is served. A request with the usual time remaining is a first attempt.
 func TestRepeatPastItsObjectiveIsRejected(t *testing.T) {
 	r := newRig(t, testSettings()) // objective 200 ms, deadline 1 s
 	r.setEndpoints(3)
@@ -314,7 +315,7 @@
 	}
 	r.wantFinalAnswer(r.request("stale", "c", 550*ms), Reject)           // the first attempt was 450 ms ago
 	r.wantAttempt(r.request("early", "c", 900*ms))                       // the first attempt was 100 ms ago
-	if answers := finalAnswers(r.advance(105 * ms)); len(answers) != 1 { // so it ends when its objective does
+	if answers := finalAnswers(r.advance(105 * ms)); len(answers) != 1 { // its objective ends within this time
 		t.Errorf("got final answers %+v by the end of the objective, want one", answers)
 	}
 	r.wantAttempt(r.request("first", "c", 601*ms))
@@ -345,11 +346,11 @@
 
 // Many sidecars with a low load use a fleet of which nine in ten endpoints have just started. Together they stay below the
 // load that makes a starting endpoint fail, and still warm it up, without any shared state. (i2a20be: with many starting
-// endpoints each sidecar skipped those without budget, reached all of them, and had a full token for each.)
+// endpoints each sidecar skipped those without budget, reached all of them, and had a full token for each of them.)
 func TestManyQuietSidecarsAgainstSlowStart(t *testing.T) {
 	const sidecars, endpoints, starting = 400, 40, 36
 	for seed := range uint64(5) {
-		s := testSettings() // slow start at 0.2 of the capacity, for 10 s; three times the present capacity for 2 s makes an endpoint fail
+		s := testSettings() // slow start at 0.2 of the capacity, for 10 s; a load of three times its present capacity for 2 s makes an endpoint fail
 		s.FleetSize = sidecars
 		rng := rand.New(rand.NewPCG(seed, 3))
 		var balancers []*Balancer
@@ -463,7 +464,7 @@
 			sentToStarting += fleet.sentTo[fmt.Sprint("u", i)]
 		}
 	}
-	// All local endpoints have 0.2 to 0.6 of their capacity, and may be sent 0.45 x 3 of that.
+	// All local endpoints have 0.2 to 0.6 of their capacity, and their budgets are 0.45 x 3 times that.
 	requests := sidecars * 5 * 20
 	if minimum, limit := requests/5, requests*55/100; sentToStarting < minimum || sentToStarting > limit {
 		t.Errorf("%d of %d requests went to starting endpoints of the local zone, want %d to %d", sentToStarting, requests, minimum, limit)
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -22,7 +22,7 @@
 		s.Classes[0].Idempotency, s.Classes[0].DedupWindow, s.Classes[0].LateValueFraction = IdempotentByKey, c.dedupWindow, 1
 		r := newRig(t, s)
 		r.setEndpoints(3)
-		for _, id := range []string{"1", "2", "3"} { // served, so that the retry budget allows an attempt
+		for _, id := range []string{"1", "2", "3"} { // these are served, so that the retry budget allows another attempt
 			r.request(id, "c", time.Second)
 			r.now += 10 * ms
 			r.endAttempt(id, 0, OK, 10*ms)
@@ -30,10 +30,10 @@
 		r.now += 10 * ms
 		r.request("late", "c", time.Second)
 		r.b.retryBudget.tokens = 1
-		r.b.latency.hedgeDelay.value, r.b.latency.median.value = 0, 0.5/r.b.requests["late"].work // late when half a second remains
+		r.b.latency.hedgeDelay.value, r.b.latency.median.value = 0, 0.5/r.b.requests["late"].work // the attempt counts as late when half a second remains
 		r.b.startHedgeTimer(r.b.requests["late"])
 		r.advance(400 * ms)
-		r.b.latency.median.value /= 5 // expects answers sooner
+		r.b.latency.median.value /= 5 // answers are now expected sooner
 		actions := r.advance(300 * ms)
 		if n := len(actionsOfKind(actions, CancelAttempt)); n != c.wantCancels {
 			t.Errorf("%s: got %d attempts cancelled, want %d", name, n, c.wantCancels)
--- a/balancer/settingsupdate_test.go
+++ b/balancer/settingsupdate_test.go
@@ -24,8 +24,8 @@
 			r.b.endpoints.byID["u1"].latency.value, r.b.meanObjective)
 	}
 	r.wantAttempt(r.request("new", "c", time.Second))
-	r.wantFinalAnswer(r.endAttempt("new", 0, Reset, ms), Fail) // must not run twice by the new settings
-	r.wantAttempt(r.endAttempt("old", 0, Reset, ms))           // still idempotent
+	r.wantFinalAnswer(r.endAttempt("new", 0, Reset, ms), Fail) // by the new settings it must not run twice
+	r.wantAttempt(r.endAttempt("old", 0, Reset, ms))           // it retains its class, which is idempotent
 	r.wantFinalAnswer(r.endAttempt("old", 1, Reset, ms), Reject)
 	s.MaxAttempts = 4
 	r.handle(SettingsUpdate{s})
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -83,11 +83,11 @@
 			t.Errorf("crashed %v: got %v tokens, want %v", crashed, ep.Tokens, want)
 		}
 		if ep.SlowStartAge != 3*time.Second || ep.Uptime != 3*time.Second || ep.Age != 3*time.Second || ep.EjectedFor != time.Second || snapshot.Offered.Sum != 3 {
-			t.Errorf("crashed %v: got %+v after 2 s, want ages of 3 s, 1 s of the ejection remaining, and the rate", crashed, snapshot)
+			t.Errorf("crashed %v: got %+v after 2 s, want ages of 3 s, an ejection for 1 s more, and an unchanged sum of the rate", crashed, snapshot)
 		}
 		snapshot.Age(time.Minute, crashed)
 		if ep := snapshot.Endpoints["u"]; ep.EjectedFor != 0 || snapshot.SheddingAge != 0 || snapshot.OfferedAtShedding != 0 || snapshot.Offered != (RateSnapshot{}) || snapshot.Tenants["t"] != (RateSnapshot{}) {
-			t.Errorf("crashed %v: got %+v after a minute, want no ejection, rate or load shedding", crashed, snapshot)
+			t.Errorf("crashed %v: got %+v after a minute, want no ejection, no rates and no load shedding", crashed, snapshot)
 		}
 	}
 }
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -15,7 +15,7 @@
 // Guards against refactorings that change decisions by mistake. The decisions are a pure function of the settings, the seed
 // and the events. If a random draw or an arithmetic step is reordered, the choices stay plausible and no other test fails.
 // Seeded sequences of events of every kind are therefore passed to Handle, and a hash of all actions is compared with the
-// recorded one. It does not cover the texts of Log actions, which may be reworded. A change that is meant to change decisions
+// recorded one. The hash does not cover the texts of Log actions, which may be reworded. A change that is meant to change decisions
 // records the new hashes, and its commit gives the reason.
 func TestDecisionTrace(t *testing.T) {
 	hashes := map[int]string{
