--- a/internal/registry/api/settings.go
+++ b/internal/registry/api/settings.go
@@ -28,7 +28,7 @@
 type PutRequest struct {
 	Schema     int             `json:"schema"`
 	Settings   json.RawMessage `json:"settings,omitempty"`
-	IfRevision *int64          `json:"if_version"` // required revision of the document; 0 if it must not exist, or must be deleted
+	IfRevision *int64          `json:"if_version"` // required revision of the document; 0 if there must be none, or only a deleted one
 }
 
 // Ack is a sidecar's acknowledgement of a document: the document is in force there, or it was rejected and the previous
@@ -37,7 +37,7 @@
 	Node             string `json:"node"`
 	Service          string `json:"service"`
 	Region           string `json:"region,omitempty"` // region of the document
-	Revision         int64  `json:"version"`          // revision in force; 0 if the settings of the sidecar's file are
+	Revision         int64  `json:"version"`          // revision in force; 0 if the settings of the sidecar's file are in force
 	RejectedRevision int64  `json:"rejected,omitempty"`
 	Reason           string `json:"why,omitempty"` // why the rejected revision is not in force
 	// SilentMs is the time since the latest acknowledgement of the sidecar, if that is over AckTimeoutMs; only in a Rollout.
--- a/internal/registry/client/backoff.go
+++ b/internal/registry/client/backoff.go
@@ -39,7 +39,7 @@
 	limit := min(initialBackoff<<min(b.failures, 10), maxBackoff)
 	b.failures++
 	wait := time.Duration(random * float64(limit))
-	b.tokens = max(b.tokens-1, -retryBurst) // bounds the debt of callers that wait less than this, as watches do
+	b.tokens = max(b.tokens-1, -retryBurst) // bounds the debt of callers that wait less than next returns, as watches do
 	if b.tokens < 0 {
 		wait = max(wait, time.Duration(-b.tokens*(0.5+random)*float64(retryRefill)))
 	}
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -219,12 +219,12 @@
 	})
 }
 
-// SetStatus sets the status that a server reports: Ready, Terminating or Removed. The last two need only the incarnation
-// of registration, and fail with CodeNotFound if there is no entry. As with SetAdminState, an attempt whose response was
-// lost fails once the entry has changed. known is the assumed revision of the entry, on which the first attempt is based,
-// with 0 for no entry; if it is nil, the entry is read first.
+// SetStatus sets the status that a server reports: Ready, Terminating or Removed. The last two need only the incarnation of
+// registration, and fail with CodeNotFound if there is no entry. As with SetAdminState, an attempt whose response was lost fails
+// once the entry has changed. The first attempt is based on known, the assumed revision of the entry, which is 0 for no entry; if
+// known is nil, the entry is read first.
 //
-// The exception is a registration based on 0: it can be carried out late if the entry has been removed again by then.
+// The exception is a registration based on revision 0: it can be carried out late if the entry has been removed again by then.
 func (c *Client) SetStatus(ctx context.Context, name string, registration api.Registration, status string, known *int64) (revision int64, err error) {
 	applied := func(api.Record) bool { return false }
 	return c.updateConditionally(ctx, name, known, applied, func(ifRevision *int64) (int64, error) {
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -150,7 +150,7 @@
 // Checks that a watch that ends is continued at another replica, from the known revision.
 func TestWatchGoesOnElsewhere(t *testing.T) {
 	var from atomic.Value
-	ends := startListServer(t, func(_ bool, fromParam string, _ int) []api.WatchEvent { return []api.WatchEvent{list(3, "a")} }) // the watch is from -1, so it ends
+	ends := startListServer(t, func(_ bool, fromParam string, _ int) []api.WatchEvent { return []api.WatchEvent{list(3, "a")} }) // called with from=-1, so that startListServer ends the watch
 	other := startListServer(t, func(_ bool, fromParam string, _ int) []api.WatchEvent {
 		from.Store(fromParam)
 		return []api.WatchEvent{list(4, "a", "b")}
@@ -171,7 +171,7 @@
 	}
 }
 
-// Checks that a call to another replica, from the known revision, follows watch.Silence after a replica becomes silent.
+// Checks that a call from the known revision goes to another replica once the one in use has been silent for watch.Silence.
 func TestSilentReplicaIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from := ""
@@ -250,8 +250,8 @@
 	}
 }
 
-// Guards against a call that returns only the end of its context: the last attempt is cut short by that, so the error must contain
-// the failure of the attempt before.
+// Guards against an error that contains only the end of the context: that end cuts the last attempt short, so the error must also
+// contain the failure of the attempt before.
 func TestACallThatIsCutShortSaysWhatFailedBefore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -26,8 +26,8 @@
 
 func chunked(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// outages are the ways in which a replica may fail. response is what a call receives during the outage. Afterwards the connection is
-// reset if reset is set; otherwise it stays open, and receives repeated again and again if that is set.
+// outages are the ways in which a replica may fail. response is what a call receives during the outage. Afterwards the connection
+// is reset if reset is set; otherwise it stays open, and the text in repeated, if there is one, is sent on it again and again.
 var outages = []struct {
 	name, dial, response string
 	reset                bool
--- a/internal/registry/client/outcome.go
+++ b/internal/registry/client/outcome.go
@@ -20,10 +20,9 @@
 	OutcomeNotDone                     // another change follows that revision, or none yet
 )
 
-// Outcome looks up the outcome of a write whose response was lost. settings is the written text, or nil for a
-// deletion. before is the document that the write was based on; only its revision is used, which is 0 if there
-// was none. Outcome returns the revision of the change and the current document. It does not distinguish two
-// writers of the same text, and reports OutcomeDone for both.
+// Outcome looks up the outcome of a write whose response was lost. settings is the written text, or nil for a deletion. before is
+// the document that the write was based on; only its revision is used, which is 0 if there was none. Outcome returns the revision
+// of the change and the current document. It can't distinguish two writers of the same text, and reports OutcomeDone to both.
 //
 // OutcomeNotDone is preliminary if the document is still at the revision of before: as long as that is the current
 // revision, a call that has not arrived yet can be carried out.
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -35,7 +35,7 @@
 	// Apply applies an event. It returns an error if the event is unusable; the error is reported, and the watch
 	// continues at another replica.
 	Apply func(event api.WatchEvent) error
-	// OnEstablished is called once for each watch that is established without a change.
+	// OnEstablished is called once for each watch whose first line is empty, which means no change.
 	OnEstablished func()
 	// Query returns what each call of the watch requests besides the list, as encoded by Service. It may be nil.
 	Query func() string
--- a/internal/registry/leasetable/table.go
+++ b/internal/registry/leasetable/table.go
@@ -114,7 +114,7 @@
 		e.candidate, e.candidateFitness, e.candidateSeenAt = c.Holder, c.Fitness, now
 	}
 	if e.candidate == c.Holder && e.hasFitterCandidate(now) {
-		return nil, MinRetryAfter, false // the holder may release the leadership for it at any time
+		return nil, MinRetryAfter, false // the holder may release the leadership for this candidate at any time
 	}
 	// If the holder has stopped renewing, a candidate retries at the end of the lease.
 	earliest := max(RetrySpacing, min(MinRetryAfter, e.expiresAt-now))
--- a/internal/registry/list/documents.go
+++ b/internal/registry/list/documents.go
@@ -55,7 +55,7 @@
 	switch {
 	case c.IfRevision == nil || isPut && c.Document == nil:
 		return Result{Revision: ownRevision, Err: api.Errorf(api.CodeBadRequest, "%s: a version that it is based on, and a document, are needed", c.Name)}
-	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (isPut || !live): // if this region has a document too, that one can still be deleted
+	case visible.Revision > 0 && visible.Region != l.region && !visible.Deleted && (isPut || !live): // a document of this region can still be deleted even if that of another region is the visible one
 		return Result{Revision: ownRevision, Err: api.Errorf(api.CodeConflict, "the settings of %s are those of region %s, at version %d", c.Name, visible.Region, visible.Revision)}
 	case own == nil && !isPut:
 		return Result{Err: api.Errorf(api.CodeNotFound, "settings of %s", c.Name)}
@@ -125,7 +125,7 @@
 	}
 }
 
-// withRegion returns an own document with its Region set.
+// withRegion returns d, a document of this list's region, with its Region set.
 func (l *List) withRegion(d api.Document) api.Document {
 	d.Region = l.region
 	return d
--- a/internal/registry/list/list_test.go
+++ b/internal/registry/list/list_test.go
@@ -161,7 +161,7 @@
 	current.Apply(Command{Op: Restore, State: &backup})
 	event := current.ChangesSince(before)
 	if current.Revision() <= before || !event.Snapshot || len(event.Endpoints) != 1 || event.Endpoints[0].Name != "kept" {
-		t.Errorf("after a restore at revision %d, watcher from revision %d: got %+v, want a snapshot with entry kept only", current.Revision(), before, event)
+		t.Errorf("after a restore at revision %d, watcher from revision %d: got %+v, want a snapshot with only the entry \"kept\"", current.Revision(), before, event)
 	}
 	if got := slices.Collect(maps.Keys(current.Replicas())); len(got) != 1 {
 		t.Errorf("got replicas %v, want 1", got)
--- a/internal/registry/settings_test.go
+++ b/internal/registry/settings_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("line of the watch: got %s\nwant %s", got, want)
 		}
 	}
-	put("other", settingsJSON(0), 0) // a change that is received on its own, since changes that come together are sent together
+	put("other", settingsJSON(0), 0) // one change at a time, because changes in quick succession are sent as one line
 	if got, want := own.next(), `{"index":2,"snapshot":false,"endpoints":[],"documents":[{"service":"other","version":2,"schema":1,"settings":`+settingsJSON(0)+`}]}`; got != want {
 		t.Errorf("line of the watch: got %s\nwant %s", got, want)
 	}
--- a/internal/registry/watches.go
+++ b/internal/registry/watches.go
@@ -45,12 +45,12 @@
 	active            int                     // number of open watches
 	publishedRevision int64                   // revision up to which watchers are notified
 	changed           chan struct{}           // closed and replaced at each publication
-	lines             map[lineKey]encodedLine // lines that several watchers are sent, up to publishedRevision
+	lines             map[lineKey]encodedLine // lines that are sent to several watchers, up to publishedRevision
 	publishTimer      *time.Timer             // fires at the next publication; nil if none is scheduled
 	publishedAt       time.Time
 }
 
-// lineKey identifies a line that several watchers may be sent.
+// lineKey identifies a line that may be sent to several watchers.
 type lineKey struct {
 	from    int64  // revision that the watchers have before they receive the line, or fullList
 	own     bool   // only entries and documents that this region owns
@@ -177,7 +177,7 @@
 		writeError(rw, api.Errorf(api.CodeBadRequest, "service: at most %d bytes, and not with own", api.MaxName))
 		return
 	}
-	if !state.own { // a region that follows this one detects an older revision itself
+	if !state.own { // if own is set, the watcher is another region, which detects an older revision itself
 		w.catchUp(r.Context(), from)
 	}
 	if err := w.checkFreshness(); err != nil {
@@ -213,8 +213,8 @@
 	w.sendChanges(conn, state, r.Context().Done())
 }
 
-// catchUp blocks until a revision is published here, at most for catchUpTimeout. Without it, a watcher that comes from a replica
-// that is slightly ahead would be sent an older full list, and go back to it.
+// catchUp blocks until a revision is published here, at most for catchUpTimeout. Without this wait, a watcher that comes from a
+// replica slightly ahead would be sent an older full list, and its list would go back.
 func (w *watches) catchUp(ctx context.Context, from int64) {
 	timeout := time.NewTimer(catchUpTimeout)
 	defer timeout.Stop()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -58,7 +58,7 @@
 	Revision        func() int64                       // returns the known revision, or -1 to request the full list
 	Query           func() string                      // returns what is appended to the query of the next call, such as "&own=1"; may be nil
 	Apply           func(address string, m *M) error   // applies a message; an error ends its watch
-	OnEstablished   func()                             // called once for each watch that is established without a change; may be nil
+	OnEstablished   func()                             // called once for each watch whose first line is empty, which means no change; may be nil
 	OnLine          func()                             // called for each line, before it is applied; may be nil
 	OnError         func(address string, reason error) // called with the reason why a watch ended, or with ErrSilent
 	Wait            func() time.Duration               // returns the time from the end of a watch to the next call; used if MaxCalls is 0
@@ -165,7 +165,8 @@
 	s.scheduleCall(0)
 }
 
-// onTimer starts the next call, and keeps the newest open call beside it. It returns an error if Follow is to give up.
+// onTimer starts the next call. Of the calls that are open already, only the newest stays open beside it. It returns an error if
+// Follow is to give up.
 func (s *followState[M]) onTimer() error {
 	if len(s.openCalls) > 0 && !s.openCalls[len(s.openCalls)-1].formerAddress {
 		s.reportSilent(s.openCalls[len(s.openCalls)-1])
