--- a/internal/circuitbreaker/suspicion.go
+++ b/internal/circuitbreaker/suspicion.go
@@ -31,7 +31,7 @@
 	gap := max(now-s.checkedAt, loopDelay)
 	s.checkedAt = now
 	late := 0.0
-	if gap > 2*s.interval { // one missed interval may be chance
+	if gap > 2*s.interval { // a gap of up to two intervals may be chance
 		late = 1 - float64(s.interval)/float64(gap)
 	}
 	s.lateness += (late - s.lateness) / latenessWindow
--- a/internal/circuitbreaker/verdict.go
+++ b/internal/circuitbreaker/verdict.go
@@ -146,9 +146,9 @@
 }
 
 // fleetQuorum reports whether the fleet agrees that the upstream fails. The weight has to reach need, of which
-// one site contributes at most half, so at least two sites have to report the fault; and more sites have to
-// report it than report success. If most evidence may be a fault of the path, there is no quorum while members
-// of this sidecar's own site still get answers.
+// one site contributes at most half, so at least two sites have to report the fault. Also, more sites have to
+// report the fault than report success. If most evidence may be a fault of the path, there is no quorum while
+// members of this sidecar's own site still get answers.
 func (w *weights) fleetQuorum(need float64, own string) bool {
 	sum, open, healthy := 0.0, 0, 0
 	for _, weight := range w.open {
--- a/internal/federation/explore/steps.go
+++ b/internal/federation/explore/steps.go
@@ -82,7 +82,7 @@
 	case !l.watching && len(l.events) == 0 && len(l.chunks) == 0:
 		for source := range 2 {
 			if source == 1 && s.laggingOwner.List == s.owner.List {
-				break // both replicas are the same
+				break // both replicas are the same, so one watch covers both cases
 			}
 			add(fmt.Sprintf("%s watches %s", name, sourceName(source)), func(n *state) { n.startWatch(i, source) })
 		}
--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -16,7 +16,7 @@
 const (
 	knee                 = 0.7                    // pressure above which some requests are answered too late
 	hotThreshold         = 0.85                   // pressure at which a sidecar becomes hot and starts to forward
-	coolThreshold        = 0.65                   // pressure at which it is no longer hot; a sidecar at or above it accepts no forwarded requests
+	coolThreshold        = 0.65                   // pressure at which a hot sidecar cools; at or above it a sidecar accepts no forwarded requests
 	smoothingTime        = 500 * time.Millisecond // time over which pressure is averaged, so that one sample does not change the state
 	agingAfter           = time.Second            // age up to which a peer's pressure counts as it was received
 	expiredAfter         = 4 * time.Second        // age from which a peer's pressure counts as full
@@ -129,7 +129,7 @@
 		return Local, ""
 	}
 	// If only this process is short of a resource, the request goes to a peer of the same site. If the site's
-	// upstreams are, or the limit of admission is reached, it goes to another site.
+	// upstreams are short, or the limit of admission is what is nearest, the request goes to another site.
 	siteShort := g.pressure.Site >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap) || g.pressure.InFlight >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap)
 	var best *peer
 	seen := 0
--- a/internal/gossip/delegates.go
+++ b/internal/gossip/delegates.go
@@ -73,7 +73,7 @@
 	d.budget.AllowN(now, used)
 	sendable := messages[:0]
 	for _, encoded := range messages {
-		if len(encoded) > 0 { // an empty one expired in the queue
+		if len(encoded) > 0 { // an empty record had expired in the queue
 			sendable = append(sendable, encoded)
 		}
 	}
--- a/internal/gossip/message/message.go
+++ b/internal/gossip/message/message.go
@@ -76,7 +76,7 @@
 }
 
 // Record is the unit of gossip. Records of one key form a join-semilattice in which the later one is the join,
-// so order and repetition make no difference, and a lost record is made up for by a later one.
+// so order and repetition make no difference, and a later record makes up for a lost one.
 type Record struct {
 	Key
 	Incarnation Incarnation   `cbor:"4,keyasint"` // of the owner
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -11,9 +11,9 @@
 // records. Callers pass the time, from any monotonic clock.
 //
 // Apart from expiry it is a join-semilattice: for one key the later record wins, in a total order, and for one
-// owner the largest records by (incarnation, sequence). A record that the bound drops is older than the records
-// of maxPerOwner keys, which are only replaced by newer ones, so no order of merging restores it. Expiry only
-// removes records, by each member's own clock.
+// owner the newest records by (incarnation, sequence). When maxPerOwner drops a record, the owner has newer ones
+// under maxPerOwner other keys. Those are only replaced by still newer ones, so no order of merging restores the
+// dropped record. Expiry only removes records, by each member's own clock.
 type store struct {
 	maxPerOwner int
 	owners      map[string]map[message.Key]*storedRecord
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -51,7 +51,7 @@
 	DefaultTimeout    = time.Second // how long to wait for the response to a request
 	renewalsPerLease  = 3
 	baseBackoff       = 200 * time.Millisecond
-	jitter            = 20 * time.Millisecond // bound of a random time that is added to the service's retry time
+	jitter            = 20 * time.Millisecond // upper limit of the random time added to the wait that the service asks for
 	// A leader hands over to a fitter candidate only after minTenure, and does not campaign for yieldTime
 	// afterwards. This limits how often two processes with changing fitness hand over to each other.
 	minTenure = 10 * time.Second
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -191,7 +191,8 @@
 		e.emit(Done{})
 		return
 	case e.campaigning && now >= max(e.nextRequestAt, e.cooldownUntil):
-		// The service takes the claim for a retry only if this process holds the leadership under a later epoch.
+		// The claim carries the latest released epoch: the service takes it for a retry only if this process holds the
+		// leadership under a later one.
 		e.pending, claim.Epoch = Acquire, e.releasedEpoch
 	default:
 		return
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -194,7 +194,8 @@
 				t.Fatalf("runner %d holds the lease again within 20 s of its failure, want another holder", second)
 			}
 		}
-		// The holder is first or third: first can still acquire the lease, and only its renewals fail. third becomes the other one.
+		// The holder is first or third, since first can still acquire the lease: only its renewals fail. From here on
+		// third is the one of the two that is not the holder.
 		third := 3 - first - second
 		if holder := awaitHolder(time.Second, -1); holder == third {
 			third = first
--- a/internal/lease/explore/steps.go
+++ b/internal/lease/explore/steps.go
@@ -22,7 +22,7 @@
 		for _, keepLog := range []bool{true, false} {
 			add(fmt.Sprint("election, log kept: ", keepLog), func(n *state) { n.remaining.Elections--; n.elect(keepLog) })
 			if len(s.log) == 0 {
-				break // whether an empty log is kept makes no difference
+				break // an empty log has nothing to keep or lose, so one election covers both cases
 			}
 		}
 	}
--- a/internal/lease/memory/memory.go
+++ b/internal/lease/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory implements lease.Service in one process's memory: the list and the lease table of a replica,
-// without log and network, for tests of candidates.
+// Package memory implements lease.Service in one process's memory, for tests of candidates. It uses the list and
+// the lease table of a replica, without the log and the network.
 package memory
 
 import (
--- a/internal/lease/transcript_test.go
+++ b/internal/lease/transcript_test.go
@@ -115,7 +115,7 @@
 		s.act(a, 0, true)
 		resume := a.Stop()
 		acted := make(chan struct{})
-		go func() { // a has checked its lease, and is stopped before its action arrives
+		go func() { // candidate a has checked its lease, and is stopped before its action arrives
 			s.act(a, 4*time.Second, false)
 			close(acted)
 		}()
