--- a/internal/circuitbreaker/weight.go
+++ b/internal/circuitbreaker/weight.go
@@ -13,8 +13,8 @@
 
 // Limits on the weight of reports.
 const (
-	// sizeMemory is how long a site's largest number of members counts, so that a sidecar that no longer sees
-	// other members does not require fewer reporters.
+	// A site's largest number of members counts for sizeMemory, so that a sidecar that no longer sees other
+	// members does not require fewer reporters.
 	sizeMemory         = 2 * time.Minute
 	scoreHalfLife      = time.Minute // time in which a score halves
 	maxScore           = 8.0
@@ -39,8 +39,8 @@
 	return sc.value * math.Exp2(-float64(now-sc.at)/float64(scoreHalfLife))
 }
 
-// setMembers replaces the roster. Scores of members that left are retained while they matter, or a member
-// could clear its score by leaving.
+// setMembers replaces the roster. Scores of members that left are retained until they have decayed to almost
+// 0, since otherwise a member could clear its score by leaving.
 func (t *VerdictTracker) setMembers(now time.Duration, all []message.Member) {
 	t.members = map[string]message.Member{}
 	count := map[string]int{}
--- a/internal/federation/chunks.go
+++ b/internal/federation/chunks.go
@@ -31,8 +31,8 @@
 // nothing has changed. rejected says why the event is not applied, in which case there are no chunks; anomaly
 // names a part of the event that is left out of the chunks.
 //
-// An endpoint that a snapshot does not name is removed. A document is not: a deleted document stays in its
-// list, marked as deleted, so a list that does not name it has lost it.
+// An endpoint that a snapshot does not name is removed. A document that it does not name is retained, and is
+// an anomaly: a deleted document stays in its list, marked as deleted, so the list has lost this one.
 func (l ChunkLimit) Chunks(region string, replicated list.Replicated, event api.WatchEvent) (chunks []list.Chunk, anomaly, rejected string) {
 	switch {
 	case event.Region != region:
--- a/internal/forwarding/decider.go
+++ b/internal/forwarding/decider.go
@@ -129,7 +129,7 @@
 		return Local, ""
 	}
 	// If only this process is short of a resource, the request goes to a peer of the same site. If the site's
-	// upstreams are short, or the limit of admission is what is nearest, the request goes to another site.
+	// upstreams or the limit of admission are the scarcest resource, it goes to another site.
 	siteShort := g.pressure.Site >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap) || g.pressure.InFlight >= max(g.pressure.CPU, g.pressure.Sockets, g.pressure.Heap)
 	var best *peer
 	seen := 0
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -56,7 +56,7 @@
 	// afterwards. This limits how often two processes with changing fitness hand over to each other.
 	minTenure = 10 * time.Second
 	yieldTime = 2 * time.Second
-	// HandoverMargin is by how much a candidate's fitness has to exceed the leader's for a handover.
+	// A leader hands over only to a candidate whose fitness exceeds its own by HandoverMargin or more.
 	HandoverMargin = 100
 	// A leader that failed at its work does not campaign for baseCooldown. Each further failure within
 	// workFailureWindow doubles that time, up to maxCooldown.
