--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -51,12 +51,12 @@
 	DefaultTimeout    = time.Second // how long to wait for the response to a request
 	renewalsPerLease  = 3
 	baseBackoff       = 200 * time.Millisecond
-	jitter            = 20 * time.Millisecond // bound of a random time that is added to the service's retry time
+	jitter            = 20 * time.Millisecond // upper limit of the random time added to the wait that the service asks for
 	// A leader hands over to a fitter candidate only after minTenure, and does not campaign for yieldTime
 	// afterwards. This limits how often two processes with changing fitness hand over to each other.
 	minTenure = 10 * time.Second
 	yieldTime = 2 * time.Second
-	// HandoverMargin is by how much a candidate's fitness has to exceed the leader's for a handover.
+	// A leader hands over only to a candidate whose fitness exceeds its own by HandoverMargin or more.
 	HandoverMargin = 100
 	// A leader that failed at its work does not campaign for baseCooldown. Each further failure within
 	// workFailureWindow doubles that time, up to maxCooldown.
