--- a/cmd/mosslead-sidecar/descriptors_test.go
+++ b/cmd/mosslead-sidecar/descriptors_test.go
@@ -85,11 +85,11 @@
 	return l.Addr().String()
 }
 
-// Guards against a process that lacks descriptors because idle clients take all that they can get, while discovery is silent and
-// operators hold connections open. If, in addition, more requests hang than there are descriptors for clients, the process stays
-// within its limit, the descriptors that it reserves for itself are enough, and SIGHUP can open the file. With idle clients
-// alone, a new client is served within a second after discovery answers again. With requests that hang this is not tested,
-// because then the balancer decides which requests are admitted.
+// Guards against running out of descriptors while idle clients take all that they can get, discovery is silent and operators
+// hold connections open. If, in addition, more requests hang than there are descriptors for clients, the process stays
+// within its limit, the descriptors that it reserves for itself are enough, and after SIGHUP it can open its configuration
+// file. With idle clients alone, a new client is served within a second after discovery answers again. The second is not
+// tested with requests that hang, because then the balancer decides which requests are admitted.
 func TestIdleClientsTakeEveryDescriptor(t *testing.T) {
 	for name, hanging := range map[string]bool{"with requests that hang": true, "alone": false} {
 		t.Run(name, func(t *testing.T) { testIdleClients(t, hanging) })
--- a/cmd/mosslead-sidecar/restart_test.go
+++ b/cmd/mosslead-sidecar/restart_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Guards against processes that do not become ready while discovery is down or does not answer, if many start at once with a
-// list that is empty or has only a draining upstream. Nine in ten must be ready within 10 s.
+// Many processes start at once while discovery is down or does not answer, and their list is empty or has only a draining
+// upstream. Guards against processes that do not become ready: nine in ten must be ready within 10 s.
 func TestManyRestartAtOnce(t *testing.T) {
 	t.Parallel()
 	const count = 20
--- a/cmd/mosslead-sidecar/term_test.go
+++ b/cmd/mosslead-sidecar/term_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Guards against a SIGTERM shortly after the start that kills the process although it listens already, and so loses requests:
-// each client that could connect gets an answer, and the process ends with exit code 0.
+// Guards against losing requests when SIGTERM arrives shortly after the start, while the process listens already: each
+// client that could connect gets an answer, and the process ends with exit code 0.
 func TestTermInTheFirstMoments(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond,
 		20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond} {
--- a/internal/cli/transcript_test.go
+++ b/internal/cli/transcript_test.go
@@ -81,7 +81,7 @@
 		r.follow = append(r.follow, registry.FollowedRegion{Region: other.name, API: []string{t.Address()}})
 	}
 	r.start()
-	for _, other := range follows { // only once it accepts changes: until then, the number of its requests varies
+	for _, other := range follows { // r accepts changes now; until then, the number of its requests varies
 		h.tapBetween(name, other.name).Only(1, true)
 		h.tapBetween(name, other.name).Cut(false)
 	}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -21,7 +21,8 @@
 
 const maxValueBytes = 1 << 16
 
-// changeAttempt is one attempt to change a key. Its times are the number of calls that the file system had recorded by then.
+// changeAttempt is one attempt to change a key. Its times are counted in calls: each is the number of calls that the file
+// system had recorded by then.
 type changeAttempt struct {
 	key, value  string // an empty value removes the key
 	begunAt     int
@@ -55,7 +56,7 @@
 }
 
 // findMismatch describes an entry that must not exist after a crash that follows n calls, and returns "" if there is none. A
-// key may have the last value that was confirmed, or one that was attempted since then.
+// key may have its last confirmed value, or a value of an attempt after that one.
 func findMismatch(attempts []changeAttempt, n int, got map[string]string) string {
 	allowed := map[string][]string{}
 	for _, a := range attempts {
@@ -172,7 +173,7 @@
 				}
 			}
 			if t.Failed() {
-				t.Fatalf("checks failed with call %s failing at use %d", call, nth+1)
+				t.Fatalf("a check failed (see above) when call %s failed at use %d; want every check to pass", call, nth+1)
 			}
 		}
 	}
@@ -198,7 +199,7 @@
 			c.begin(f)
 			for range 3 {
 				if log.Set("b", "2") == nil || snapshot.Write([]byte("two")) == nil {
-					t.Errorf("disk %s: got a change confirmed, want an error", name)
+					t.Errorf("%s disk: got a change confirmed, want an error", name)
 				}
 			}
 			if got := log.Entries(); len(got) != 1 || got["a"] != "1" {
@@ -213,7 +214,7 @@
 				t.Errorf("got entries %v, corruptions %v, error %v, want a=1 and c=3 without corruption", got, corruptions, err)
 			}
 			if value, corruptions, err := durable.NewSnapshotFile(f, "list", maxValueBytes).Read(); string(value) != "three" || len(corruptions) > 0 || err != nil {
-				t.Errorf("got value %q, corruptions %v, error %v, want three without corruption", value, corruptions, err)
+				t.Errorf("got value %q, corruptions %v, error %v, want the value three without corruption", value, corruptions, err)
 			}
 			for leftover := range f.Files() {
 				if strings.HasSuffix(leftover, ".tmp") {
--- a/internal/statestore/settings_test.go
+++ b/internal/statestore/settings_test.go
@@ -27,8 +27,8 @@
 var orderSettings = Settings{Service: "orders", Document: api.Document{Service: "orders", Region: "south", Revision: 9, Schema: 1, Settings: json.RawMessage(`{"Zone":"a"}`)},
 	Seen: map[string]int64{"south": 12, "north": 3}}
 
-// Guards against stored settings that change, that expire, that another sidecar uses, or that are read by LoadFirst, which a
-// sidecar calls alone if it follows no settings of a service.
+// Guards against stored settings that change, expire, or are used by another sidecar. LoadFirst must not read them: a
+// sidecar that does not follow the settings of its service calls only LoadFirst.
 func TestSettingsAreKept(t *testing.T) {
 	dir := t.TempDir()
 	storeSettings(t, dir, orderSettings)
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -202,8 +202,8 @@
 	return true
 }
 
-// fresh reports whether a value saved at that time is still usable. A value saved more than ClockSlack in the future
-// is not, except a list, which has MaxListAge as its maxAge.
+// fresh reports whether a value saved at savedMs is still usable. A value saved more than ClockSlack in the future is not
+// usable, unless it is a list; a list is recognized by its maxAge, MaxListAge.
 func (l *Loaded) fresh(name string, savedMs int64, maxAge time.Duration, now time.Time) bool {
 	age := now.Sub(time.UnixMilli(savedMs))
 	switch {
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -59,7 +59,7 @@
 			runProcess(t, dir, "s1", noon, true, true)
 			l, err := New(dir, "s1").Load(noon.Add(c.after))
 			if err != nil || l.Bans["u1"] == "" || l.Crashed {
-				t.Errorf("got error %v, bans %v, crashed %v, want a ban of u1 and no crash", err, l.Bans, l.Crashed)
+				t.Errorf("got error %v, bans %v, crashed %v, want a ban of u1 and crashed false", err, l.Bans, l.Crashed)
 			}
 			if (l.List != nil) != c.list || (l.Snapshot != nil) != c.snapshot || (len(l.Notes) > 0) != c.notes {
 				t.Errorf("got list %v, snapshot %v, notes %v, want list: %v, snapshot: %v, notes: %v", l.List, l.Snapshot, l.Notes, c.list, c.snapshot, c.notes)
@@ -95,11 +95,11 @@
 		}
 	}
 	if want := []bool{false, false, false, true, false, false}; !slices.Equal(aside, want) {
-		t.Errorf("got state set aside at starts %v, want %v", aside, want)
+		t.Errorf("got, for each start, whether the state was set aside: %v, want %v", aside, want)
 	}
 	runProcess(t, dir, "s1", noon, true, false) // a process that settled resets the count of early exits
 	if l := runProcess(t, dir, "s1", noon, false, false); l.SetAside || !l.Crashed {
-		t.Errorf("after a process that settled: got %+v, want a crash and nothing set aside", l)
+		t.Errorf("start after a process that settled: got %+v, want Crashed set and nothing set aside", l)
 	}
 }
 
