--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -22,7 +22,7 @@
 	Dir      string   // of the result, created if it does not exist
 	Self     []string // command of this program as the naive sidecar: its path, and the arguments before the rule to break
 	Replica  []string // command of this program as a replica of the list service, before the path of its configuration
-	KeepLogs bool     // also of plays without violations and notes
+	KeepLogs bool     // keeps also the logs of plays without violations and notes
 	Log      *slog.Logger
 	// Progress is called before each play, and at the end with done = total.
 	Progress func(done, total int, what string)
--- a/internal/lab/experiment/defaults.go
+++ b/internal/lab/experiment/defaults.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// setDefaults sets what a file leaves out: a fleet like the one in production, with work and times two and a half
-// times shorter, as on the platform's test bench, so that a short play has as many requests.
+// setDefaults sets what a file leaves out: a fleet like the one in production. Its work and times are shorter by a
+// factor of two and a half, as on the platform's test bench, so that a short play has as many requests as a longer one.
 func (e *Experiment) setDefaults() {
 	if len(e.Seeds) == 0 {
 		e.Seeds = []uint64{1}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -75,7 +75,7 @@
 // Discovery is how the list reaches the sidecars.
 type Discovery struct {
 	Late         Duration `toml:"late"`          // delay from a change to its arrival at a sidecar
-	Spread       Duration `toml:"spread"`        // the last sidecar hears of it later by this; those between, by a part of it
+	Spread       Duration `toml:"spread"`        // the last sidecar hears of a change this much later than the first, the others by a part of it
 	Notice       Duration `toml:"notice"`        // time until discovery notices a process that died
 	SilentNotice Duration `toml:"silent_notice"` // time until it notices a party that fell silent
 }
@@ -231,8 +231,8 @@
 	Rate  int      `toml:"rate"`                   // throttle: bytes a second
 	Chop  int      `toml:"chop"`                   // chop: size of the pieces in bytes
 	Share float64  `toml:"share"`                  // fail, resets, loss
-	Class string   `toml:"class"`                  // fail: only requests of this class; all of them, or the given share
-	Times float64  `toml:"times"`                  // slow: the factor
+	Class string   `toml:"class"`                  // fail: only requests of this class fail, all of them or the given share
+	Times float64  `toml:"times"`                  // slow: the upstream takes this many times as long (2: twice as long)
 	Waves int      `toml:"waves"`                  // replace, term: number of steps over the time
 	Drain Duration `toml:"drain"`                  // replace: from the notice to the end of the old process
 	Boot  Duration `toml:"boot"`                   // replace: from the end of the old process to the start of the new one
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -46,7 +46,7 @@
 	}
 	for _, path := range paths {
 		if filepath.Base(path) == "capacity.toml" {
-			continue // the figures of a fleet, in another format: package capacity's TestThePageIsWhatIsWorkedOut reads it as strictly
+			continue // this file holds the figures of a fleet, in another format: package capacity's TestThePageIsWhatIsWorkedOut reads it as strictly
 		}
 		if e, err := LoadFile(path); err != nil {
 			t.Error(err)
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -122,7 +122,7 @@
 		if err := p.startSidecar(s); err != nil && p.ctx.Err() == nil {
 			p.note(fmt.Errorf("fault %s: %w", f.Name, err))
 		}
-		next := begun + time.Duration((0.5+rng.Float64())*float64(f.Every.Duration)) // random: in step with nothing periodic
+		next := begun + time.Duration((0.5+rng.Float64())*float64(f.Every.Duration)) // random, so that it is in step with nothing periodic
 		if f.Every.Duration <= 0 || next >= end || !p.sleep(next-p.rec.Now()) {
 			return
 		}
--- a/internal/lab/liar.go
+++ b/internal/lab/liar.go
@@ -18,8 +18,8 @@
 	lieFailures     = 9 // failed attempts that a liar reports and never made
 )
 
-// broadcastLies runs a member beside a sidecar, in its zone and with links like its own, that reports again and again
-// that upstreams never answer. The sidecars cannot distinguish it from one of theirs.
+// broadcastLies runs a liar: a member in a sidecar's zone, with links like that sidecar's, that reports again and again
+// that upstreams never answer. The sidecars cannot distinguish it from a sidecar.
 func (p *play) broadcastLies(s *sidecar, upstreams []*upstream, duration time.Duration) (err error) {
 	if p.mesh == nil {
 		return nil // sidecars share nothing
--- a/internal/lab/load/busy.go
+++ b/internal/lab/load/busy.go
@@ -23,9 +23,9 @@
 	p.mu.Unlock()
 }
 
-// KeepBusy keeps a share of a sidecar's connections carrying request after request, beside the plan, for as long as
-// each stays open and ctx lasts. Each begins at a time within the given duration, drawn from the seed, on a
-// connection that is free then. KeepBusy returns once all have ended.
+// KeepBusy keeps a share of a sidecar's connections busy, in addition to the plan: one task for each connection of that
+// share sends request after request, until no open connection is free, it has sent maxBusyRequests, or ctx ends. The
+// tasks begin at times within the given duration, drawn from the seed. KeepBusy returns once all have ended.
 func (c *Clients) KeepBusy(ctx context.Context, spec Spec, sidecar int, share float64, within time.Duration, seed uint64) {
 	p := &c.pools[sidecar]
 	p.mu.Lock()
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -137,8 +137,8 @@
 		}
 		req.FirstUse = conn.used == 0
 		crossed := c.exchange(ctx, a, req, conn)
-		// The sidecar closed an idle connection while the request was on its way, so it is sent again. This does not
-		// hold if the sidecar's process was killed: then the request may have run.
+		// The sidecar closed an idle connection while the request was on its way, so the request is sent
+		// again, unless the sidecar's process was killed: then the request may have run.
 		if crossed && !req.FirstUse && !resent && !c.rec.EndedSince(req.Sidecar, req.Sent) {
 			continue
 		}
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -113,8 +113,8 @@
 	return p
 }
 
-// withRateFactors returns the spec with the rate factor of each step. A step of some sidecars changes the rate of all
-// clients by less.
+// withRateFactors returns the spec with the rate factor of each step. A step of only some sidecars changes
+// the rate of all clients together in proportion to the weights of those sidecars.
 func (s Spec) withRateFactors(weights []float64) Spec {
 	s.Steps = slices.Clone(s.Steps)
 	sum := 0.0
@@ -187,7 +187,7 @@
 	return a
 }
 
-// arrivals draws the times of the arrivals: a Poisson process whose rate changes, by thinning.
+// arrivals draws the times of the arrivals by thinning. They form a Poisson process whose rate changes.
 func arrivals(spec Spec, rng *rand.Rand) (times []time.Duration) {
 	maxRate := spec.Rate * (1 + spec.Swing)
 	for _, s := range spec.Steps {
--- a/internal/lab/memnet/memnet_test.go
+++ b/internal/lab/memnet/memnet_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// Guards against different ends of a connection that look the same to the other side: an orderly close, a close with bytes
-// unread or on their way, and the death of a process.
+// Guards against a connection whose other side can't tell how it ended: by an orderly close, by a close with bytes unread
+// or on their way, or by the death of a process.
 func TestEnds(t *testing.T) {
 	for name, c := range map[string]struct {
 		end         func(near, far net.Conn, b *Host)
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -2,7 +2,7 @@
 // that the bubble's clock advances, and it reports every connection and every byte in the order of that clock.
 //
 // Every message takes time to arrive, so that its effects are later than the message itself. Events of several hosts at the
-// same moment have no defined order: a comparison of two runs has to choose one.
+// same moment have no defined order: whoever compares two runs has to choose one.
 package memnet
 
 import (
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -21,7 +21,7 @@
 
 const (
 	sampleEvery        = 200 * time.Millisecond
-	loadDelay          = 100 * time.Millisecond // from when all parties are ready
+	loadDelay          = 100 * time.Millisecond // from the time at which all parties are ready
 	maxClientConns     = 10_000                 // of all sidecars together
 	ownDescriptors     = 256                    // descriptors of the laboratory itself
 	descriptorsPerLink = 3                      // for one connection over a link: in, out, and the upstream's
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -54,8 +54,8 @@
 	runSpawner    = sync.OnceFunc(func() {
 		go func() {
 			runtime.LockOSThread()
-			// The priority is this thread's alone, and so the children's: where processors are short, the measured processes
-			// wait, not the measuring one. Without it the clients began sends 10 ms late on 4 processors.
+			// Only this thread and the children that it starts get the lower priority: where processors are short, the measured
+			// processes wait, not the measuring one. At equal priority the clients began sends 10 ms late on 4 processors.
 			_ = syscall.Setpriority(syscall.PRIO_PROCESS, 0, childNice) // a process may always lower its own priority
 			for f := range startRequests {
 				f()
--- a/internal/lab/relay/mesh_test.go
+++ b/internal/lab/relay/mesh_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Finds a port for the mesh. A port that is free for TCP is taken to be free for UDP too, as above.
+	// Finds a port for the mesh. A port that is free for TCP is taken to be free for UDP too, as for the member's own port.
 	free, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -175,7 +175,7 @@
 		return nil
 	}
 	var known *fake.Listing
-	if p.service == nil && (s.starts == 0 || p.variant.Known != "none") { // the list service has versions of its own
+	if p.service == nil && (s.starts == 0 || p.variant.Known != "none") { // not with the list service, which has versions of its own
 		listing := s.agent.Known()
 		known = &listing
 	}
@@ -291,7 +291,7 @@
 }
 
 // terminate ends the sidecar's process by SIGTERM, and waits for it. A process that is late is killed, as on the
-// platform. Clients soon open no new connections to it, and keep a share of those that they have busy.
+// platform. Clients soon open no new connections to it, but keep a share of their open ones busy.
 func (p *play) terminate(s *sidecar, busy float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/verdict/forwards.go
+++ b/internal/lab/verdict/forwards.go
@@ -12,9 +12,9 @@
 // forwardSlack allows for the time between a request's arrival, its use of the budget and the hop on the link.
 const forwardSlack = 50 * time.Millisecond
 
-// twoHops finds requests that were forwarded further than once, from the sidecar that a client asked to one peer. The
-// upstreams' record counts too: only the sidecar that took the request, or the peer that got it from there, may
-// attempt it.
+// twoHops finds requests that were forwarded more than once, or by a sidecar other than the one that the client asked. It
+// also finds attempts, as the upstreams recorded them, by a sidecar that neither took the request nor got it from the one
+// that did.
 func twoHops(a *analysis) (found []Violation) {
 	forwardedTo := map[string]string{}
 	for _, h := range a.Hops { // in order of time
@@ -47,8 +47,8 @@
 	return found
 }
 
-// forwardBudget checks every sidecar's hops against a part of the requests that it took plus a burst, over every
-// interval: with n(t) hops and a(t) arrivals up to t, n(t) - part a(t) never rises by more than the burst.
+// forwardBudget checks that in every interval each sidecar forwards at most a part of the requests that it took, plus a
+// burst. With n(t) hops and a(t) arrivals up to t, n(t) - part × a(t) must then never rise by more than the burst.
 func forwardBudget(a *analysis) (found []Violation) {
 	arrivals, hops := map[string][]time.Duration{}, map[string][]record.Hop{}
 	for _, req := range a.Requests {
--- a/internal/lab/verdict/verdict.go
+++ b/internal/lab/verdict/verdict.go
@@ -265,9 +265,9 @@
 	return nil
 }
 
-// unanswered finds requests that a process took which was told to end, and that it did not answer in time: it closed
-// the connection although their upstream had them, or later than a close can cross a request, or it never answered. A
-// request that was sent soon after SIGTERM and cut off by SIGKILL is excused.
+// unanswered finds requests that a process failed to answer after it was told to end. Either it never answered, or it
+// closed the connection although an upstream had the request, or so long after the sending that the close can't have
+// crossed the request. A request that was sent soon after SIGTERM and cut off by SIGKILL is excused.
 func unanswered(a *analysis) (found []Violation) {
 	add := func(req *record.Request, sent, at time.Duration, outcome string) {
 		l := a.terminatedProcess(req.Sidecar, sent, at)
