--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	for _, note := range out.Notes {
-		if !strings.Contains(note, "nothing to break") && !strings.Contains(note, "read-only") { // the naive sidecar has no state, and the file system may lack the flag
+		if !strings.Contains(note, "nothing to break") && !strings.Contains(note, "read-only") { // the naive sidecar has no state to break, and the file system may lack the flag for read-only directories
 			t.Error(note)
 		}
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -81,7 +81,7 @@
 	bursty := constant
 	bursty.Bursty, bursty.Swing = true, 0.4
 	if e, b := deviation(constant), deviation(bursty); e > 30 || b < 3*e {
-		t.Errorf("standard deviation of requests per second: got %.0f at a constant rate and %.0f at a bursty one, want at most 30 and at least 3 times as much", e, b)
+		t.Errorf("standard deviation of requests per second: got %.0f at a constant rate and %.0f at a bursty one, want at most 30 at the constant rate and at least 3 times as much at the bursty one", e, b)
 	}
 }
 
--- a/internal/lab/memnet/conn.go
+++ b/internal/lab/memnet/conn.go
@@ -67,8 +67,9 @@
 	time.AfterFunc(extraDelay+e.delay, e.network.wake)
 }
 
-// Pending reports what has arrived and is unread. end is true if the other side has ended the connection, even if unread
-// bytes precede the end, or if this end is closed; bytes is true if there are unread bytes and no end.
+// Pending reports what a read would find now. end is true if this end is closed, or if the other side's end of the
+// connection has arrived, even behind unread bytes. bytes is true if bytes are unread and end is false. While either host
+// is silent and this end is open, both are false.
 func (e *connEnd) Pending() (bytes, end bool) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -104,9 +104,8 @@
 var saidKinds = map[string]record.SaidKind{"report": record.Evidence, "verdict": record.Verdict, "present": record.Present}
 
 // parseEjection reads a log line about the ejection or reinstatement of an upstream for all classes; ok is false for
-// any other line.
-// Sidecars of earlier revisions, which experiments compare with, name the upstream in the message: "eject u0: ...",
-// "return u0 after ...".
+// any other line. Sidecars of earlier revisions, which experiments compare with, name the upstream in the message:
+// "eject u0: ...", "return u0 after ...".
 func parseEjection(message, upstreamAttr string) (upstream string, ejected, ok bool) {
 	switch message {
 	case "endpoint ejected":
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -97,7 +97,7 @@
 	Body     string
 }
 
-// Over returns when the attempt ended or was given up, whichever came first, or end if neither came before.
+// Over returns when the attempt ended or was given up, whichever came first, or end if neither came before end.
 func (a *Attempt) Over(end time.Duration) time.Duration {
 	over := end
 	if a.Ended > 0 {
--- a/internal/lab/verdict/verdict.go
+++ b/internal/lab/verdict/verdict.go
@@ -224,9 +224,9 @@
 	return found
 }
 
-// excused reports whether the process that took a request was killed or stopped before the request's end. A process
-// that was told to end has to answer what is sent later than the grace, or close its connection in order: a SIGKILL
-// for being late does not excuse it.
+// excused reports whether the process that took a request was stopped, killed or ended by itself before the request's
+// end. A process that was told to end has to answer a request that is sent later than the grace, or close its connection
+// in order: a SIGKILL for being late does not excuse the loss of that request.
 func (a *analysis) excused(req *record.Request) bool {
 	for _, l := range a.Lives {
 		if l.Party != req.Sidecar {
