--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -50,7 +50,7 @@
 	for _, s := range sections {
 		for i, page := range pages {
 			if n, otherPage := strings.Count(page, beginMark(s.name)+"\n"), i == 1; (n == 1) != (otherPage == (s.name == "plays")) || n > 1 {
-				t.Errorf("section %s: got it %d times on page %d, want once on its own page (plays on page 1, the others on page 0)", s.name, n, i)
+				t.Errorf("section %s: got %d copies on page %d, want one copy, on its own page (section plays on page 1, the others on page 0)", s.name, n, i)
 			}
 		}
 		if s.name != "plays" {
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestTheLoadFollowsTheFleet changes a figure and checks what depends on it.
+// TestTheLoadFollowsTheFleet changes a figure of the fleet and checks the quantities that depend on it.
 func TestTheLoadFollowsTheFleet(t *testing.T) {
 	f, err := LoadFleet(fleetPath)
 	if err != nil {
@@ -179,8 +179,8 @@
 	return m
 }
 
-// TestLinesAreFitted checks that intervals have their 95%: of 400 synthetic lines, about 380 slopes and as many next runs lie
-// within them.
+// TestLinesAreFitted checks that 95% intervals contain 95% of the values: of 400 synthetic lines, about 380 slopes and
+// about 380 next runs must lie within their intervals.
 func TestLinesAreFitted(t *testing.T) {
 	m := syntheticMeasure("exact", 3, 2, 0, 1, 2, 3, 4)
 	_, l, err := m.Line("y")
@@ -249,7 +249,7 @@
 	}
 	checked, err := all["one"].compareChecks()
 	if err != nil || len(checked) != 1 || !checked[0].Played || checked[0].Came != 19 || !checked[0].Says.Holds(checked[0].Says.Value) {
-		t.Errorf("got checked %+v (error %v), want one played series that came to 19 and a prediction within its bounds", checked, err)
+		t.Errorf("got comparison %+v (error %v), want one series, measured as 19 and within the bounds of its prediction", checked, err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "one.json"))
 	if err != nil {
@@ -372,7 +372,7 @@
 	}
 }
 
-// TestARefutedPredictionIsSaid checks that a row whose figure rests on a refuted prediction states it.
+// TestARefutedPredictionIsSaid checks that a row states it when the row's figure rests on a refuted prediction.
 func TestARefutedPredictionIsSaid(t *testing.T) {
 	m := syntheticMeasure("one", 3, 2, 0.1, 1, 2, 3, 4)
 	if err := m.Predict(map[string]float64{"x": 8}, "none"); err != nil {
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -16,7 +16,7 @@
 	From  string  `toml:"from" json:"from"`
 }
 
-// Fleet holds the figures that the operators expect, and those that are assumed besides.
+// Fleet holds the figures that the operators gave, and the figures that are assumed in addition.
 type Fleet struct {
 	Question  string    `toml:"question" json:"question"`
 	Operators Operators `toml:"operators" json:"operators"`
--- a/internal/lab/capacity/load.go
+++ b/internal/lab/capacity/load.go
@@ -25,7 +25,7 @@
 	ZoneOfRegion                                            float64 // share of a region's leases
 	ChainAddedMs, ChainSlow, ChainFailing, ChainRetries     float64
 	ChainRetriesUnbounded, ChainWorkMs, ChainDeadlineLeftMs float64
-	Duties                                                  float64 // standing duties: the digest and the incidents of each zone
+	Duties                                                  float64 // number of duties that always have a holder: two in each zone, the digest and the incidents
 
 	Quantities []Quantity
 }
--- a/internal/lab/capacity/measure.go
+++ b/internal/lab/capacity/measure.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// minSizes is the least number of different sizes for a slope.
+// minSizes is the least number of different sizes to which a line is fitted.
 const minSizes = 4
 
 // Measure holds what was measured at several sizes, as stored in a file beside the page.
@@ -31,12 +31,13 @@
 	How      string   `json:"how"` // what is counted, and by what
 	Series   []Series `json:"series"`
 	Samples  []Sample `json:"samples"`
-	// Prediction is for a size that is in no sample, and is written before that size is measured; Checks are the measurements.
+	// Prediction is for a size that no sample has, and is written before that size is measured. Checks are the
+	// measurements of that size.
 	Prediction *Prediction `json:"prediction,omitempty"`
 	Checks     []Sample    `json:"checks,omitempty"`
 }
 
-// Series is one quantity of each sample, and the form in which it is assumed to be linear.
+// Series is a quantity that every sample has, and the form in which the quantity is assumed to be linear.
 type Series struct {
 	Name string `json:"name"`
 	Unit string `json:"unit"`
@@ -77,7 +78,7 @@
 // Plus returns the interval plus an exact value.
 func (i Interval) Plus(x float64) Interval { return Interval{i.Value + x, i.Low + x, i.High + x} }
 
-// And returns the sum of two intervals. The bounds are added too, which is never too narrow.
+// And returns the sum of two intervals. It adds the bounds too, so the result may be too wide but is never too narrow.
 func (i Interval) And(j Interval) Interval {
 	return Interval{i.Value + j.Value, i.Low + j.Low, i.High + j.High}
 }
--- a/internal/lab/capacity/plays/exchange.go
+++ b/internal/lab/capacity/plays/exchange.go
@@ -14,7 +14,8 @@
 )
 
 // measureExchange returns what a bare exchange over loopback takes on this machine now: the processor time of both ends, which are in
-// this process, and the median duration. Times of other machines can be compared by it.
+// this process, and the median duration. Measurements of different machines can be compared as multiples of these
+// times.
 func measureExchange() (cpu, median time.Duration, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/capacity/plays/plays.go
+++ b/internal/lab/capacity/plays/plays.go
@@ -23,7 +23,7 @@
 	Revision string   // revision of the programs
 	Progress func(done, total int, what string)
 
-	quick bool // for tests that use no figure: shortens every length to a twentieth
+	quick bool // shortens every duration to a twentieth, for tests that ignore the figures
 }
 
 func (p *Player) scaled(d time.Duration) time.Duration {
@@ -40,7 +40,7 @@
 	question    string
 	how         string
 	series      []capacity.Series
-	sampleSizes []sizes // measured in this order; the whole order is run repeats times
+	sampleSizes []sizes // measured in this order; the whole list is measured repeats times
 	repeats     int
 	checkSizes  sizes // predicted first, and then measured
 	// exchange is set if a bare exchange is measured in the same run, with its processor time as exchange_cpu_us.
--- a/internal/lab/capacity/plays/plays_test.go
+++ b/internal/lab/capacity/plays/plays_test.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// TestAMomentsStandstillIsNotAdded delays calls on one side in one block of three, as a standstill of the machine does.
+// TestAMomentsStandstillIsNotAdded delays the calls of one side in one of three blocks, as a short standstill of the
+// machine does.
 func TestAMomentsStandstillIsNotAdded(t *testing.T) {
 	var through, straight []time.Duration
 	for i := range 3 * blockCalls {
--- a/internal/lab/capacity/plays/sidecar.go
+++ b/internal/lab/capacity/plays/sidecar.go
@@ -82,7 +82,8 @@
 	b.service.Close()
 }
 
-// newTestbed starts both, with these addresses in the list. After an error nothing is left running.
+// newTestbed starts a list service that lists the given upstreams, and a sidecar. After an error neither is left
+// running.
 func (p *Player) newTestbed(ctx context.Context, dir string, upstreams []string, config map[string]any) (b *testbed, err error) {
 	r, err := p.runner(dir)
 	if err != nil {
@@ -368,7 +369,7 @@
 		return "", err
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // if it fails, so do the calls below
+	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // an error is ignored: the calls below fail then too
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", err
 	}
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -2,7 +2,7 @@
 
 const callsQuantile = 0.99 // share of calls within a latency: the operators' figures are for 99 in 100
 
-// rows returns the rows for the program before it had documents and regions.
+// rows returns the rows for the program as it was before it had documents and regions.
 func (b *builder) rows() (rows []Row) {
 	o, a, l := b.fleet.Operators, b.fleet.Assumed, b.load
 	add := func(f figure, r Row) { rows = append(rows, f.inRow(r)) }
@@ -135,7 +135,8 @@
 	return rows
 }
 
-// afterRows returns the rows that documents and regions change: each region has a quorum, each zone one machine.
+// afterRows returns the rows that documents and regions change. Each region then has a quorum of its own, with one
+// machine in each zone.
 func (b *builder) afterRows() (rows []Row) {
 	o, a, l := b.fleet.Operators, b.fleet.Assumed, b.load
 	add := func(f figure, r Row) { rows = append(rows, f.inRow(r)) }
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -227,7 +227,7 @@
 	s := r.Slopes[0]
 	for _, other := range r.Slopes {
 		if other.Exchange != s.Exchange && other.Exchange > 0 {
-			s.Exchange = (s.Exchange + other.Exchange) / 2 // both are from one machine
+			s.Exchange = (s.Exchange + other.Exchange) / 2 // both were measured on the same machine
 		}
 	}
 	switch {
--- a/internal/lab/fencing/acts.go
+++ b/internal/lab/fencing/acts.go
@@ -43,7 +43,7 @@
 type Verdict struct {
 	Acts     int           `json:"acts"`
 	Taken    int           `json:"taken"`
-	Refused  int           `json:"refused"`  // acts under an epoch that was over, which the fence stopped
+	Refused  int           `json:"refused"`  // acts that the fence refused, because their epoch was over
 	HandOns  int           `json:"hand_ons"` // changes of the epoch among accepted acts
 	Longest  time.Duration `json:"longest_gap"`
 	LongAt   time.Duration `json:"longest_at"` // end of the longest gap
--- a/internal/lab/fencing/register.go
+++ b/internal/lab/fencing/register.go
@@ -21,11 +21,11 @@
 	before      uint64
 }
 
-// step applies a write to the model, and reports whether the register could have answered so.
+// step applies a write to the model, and reports whether the register could have given this answer.
 func step(s registerState, w write, x writeResult) (registerState, bool) {
 	accepted := w.epoch >= s.epoch
 	switch {
-	case x.unknown && !accepted: // it arrived too late
+	case x.unknown && !accepted: // if the write arrives only now, it is refused
 		return s, true
 	case x.unknown:
 		return registerState(w), true
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -38,7 +38,7 @@
 	return time.Duration(float64(f.plan.Work) * math.Exp(f.rng.NormFloat64()*math.Sqrt(v)-v/2))
 }
 
-// sendRequest sends the next try of r to a sidecar as a request of its own, with one try less left.
+// sendRequest sends the next try of r to a sidecar as a request of its own, with one fewer try left.
 func (f *Fleet) sendRequest(s *sidecar, r *request) {
 	f.lastID++
 	c := f.plan.Settings.Classes[f.rng.IntN(len(f.plan.Settings.Classes))]
--- a/internal/lab/fleet/cold_test.go
+++ b/internal/lab/fleet/cold_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Guards against cold upstreams that the whole fleet together overloads: budgets were a share of the capacity of the
-// upstreams listed at that moment, so the first ones of a zone to come back were sent all of the zone's work.
+// Guards against cold upstreams that the whole fleet together overloads. Budgets once were a share of the capacity of
+// the upstreams listed at that moment, so the first upstreams of a zone to come back were sent all of the zone's work.
 func TestNoColdUpstreamIsPushedOver(t *testing.T) {
 	release := func(f *Fleet) { f.Release(3*time.Second, 7*time.Second, 0.6) }
 	for name, c := range map[string]struct {
 		do    func(*Fleet)
 		plan  func(*Plan)
-		falls bool // wanted, because of a planted error
+		falls bool // upstreams must fall here, because of a planted error
 	}{
 		"release":                 {do: release},
 		"release, told late":      {do: release, plan: func(p *Plan) { p.NoticeDelay = [2]time.Duration{200 * ms, 4 * time.Second} }},
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -54,7 +54,7 @@
 	return f, nil
 }
 
-// At calls do when the clock reaches t.
+// At schedules a call of do for the time t.
 func (f *Fleet) At(t time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.steps, step{max(t, f.now), f.seq, do})
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -38,7 +38,7 @@
 	Backoff time.Duration // mean wait before each retry
 
 	SameZone, CrossZone time.Duration    // round-trip time to an upstream in the same zone, and in another
-	NoticeDelay         [2]time.Duration // least and greatest time until a sidecar learns of a change; uniform, drawn for each sidecar
+	NoticeDelay         [2]time.Duration // least and greatest time until a sidecar learns of a change; drawn for each sidecar, uniformly distributed
 
 	Rule Rule
 }
@@ -46,8 +46,8 @@
 // Rule describes how upstreams warm up, and which load makes a cold one fall. Upstreams follow it; sidecars assume what is in
 // Settings, so that a plan can plant an error there.
 type Rule struct {
-	ColdFrom float64       // share of the capacity at the start
-	WarmUp   time.Duration // time in which the capacity rises linearly to all of it
+	ColdFrom float64       // share of the full capacity that an upstream has at its start
+	WarmUp   time.Duration // time in which the capacity rises linearly to the full capacity
 	Multiple float64       // a cold upstream falls beyond this multiple of its present capacity; 0: it never falls
 	Window   time.Duration // time over which the work is summed
 }
@@ -99,7 +99,7 @@
 	At       time.Duration // end of the window
 	Received float64
 	Informed float64 // the part from sidecars that had been told of the start
-	Allowed  float64 // mean that the rule allows
+	Allowed  float64 // work that the rule allows on the mean
 }
 
 // Limit returns N + 2√N + 2, where N is Allowed: the mean with an allowance for chance (the operators' standing test).
--- a/internal/lab/fleet/sidecars.go
+++ b/internal/lab/fleet/sidecars.go
@@ -56,7 +56,7 @@
 // Restart kills a sidecar's process. The next one begins at once, with the endpoints that its agent knows.
 func (f *Fleet) Restart(n int) {
 	if err := f.startSidecar(f.sidecars[n]); err != nil {
-		panic(err) // New accepted these settings before
+		panic(err) // can't happen, as New accepted these settings
 	}
 }
 
--- a/internal/lab/fleet/sum_test.go
+++ b/internal/lab/fleet/sum_test.go
@@ -9,8 +9,9 @@
 
 var seeds = flag.Int("fleet.seeds", 6, "plays of each size of fleet, below 100 half as many of the largest")
 
-// Guards against budgets for cold upstreams that hold for one size of fleet, and whose sum over all sidecars is too much
-// for another: few sidecars that each send much, or many that may each send one request at once, with unequal traffic.
+// Guards against budgets for cold upstreams that suit one size of fleet, but whose sum over all sidecars is too much in
+// another. The fleets have unequal traffic, and few sidecars that each send much, or many that may each send one
+// request at once.
 func TestColdBudgetsOfFleetsOfEverySize(t *testing.T) {
 	for _, size := range []struct{ sidecars, upstreams int }{{2, 10}, {4, 12}, {20, 16}, {30, 20}, {100, 60}, {300, 200}} {
 		t.Run(fmt.Sprint(size.sidecars), func(t *testing.T) {
--- a/internal/lab/gossipbench/spread.go
+++ b/internal/lab/gossipbench/spread.go
@@ -37,7 +37,8 @@
 	Seed    uint64
 }
 
-// reporters returns how many members report an upstream: enough for a verdict, which needs more of them in a larger fleet.
+// reporters returns how many members report an upstream as failing: enough for a verdict. A larger fleet needs more
+// reports for a verdict.
 func reporters(members int) int { return max(6, members/50) }
 
 // Result is the result of one measurement. Times count from the moment at which the last of the reporting members has sent its report.
@@ -45,14 +46,14 @@
 	Members   int     `json:"members"`
 	Loss      float64 `json:"loss"`
 	Seed      uint64  `json:"seed"`
-	JoinS     float64 `json:"join_s"`     // until all knew each other
+	JoinS     float64 `json:"join_s"`     // time until all members knew each other
 	Known95Ms float64 `json:"known95_ms"` // until 95 of 100 members had the verdict
 	KnownMs   float64 `json:"known_ms"`   // until all members had it
 	Unknown   int     `json:"unknown"`    // members that never had it
 	Wrong     int     `json:"wrong"`      // verdicts on the upstream that only one member reported
 	BytesMean float64 `json:"bytes_mean"` // bytes a second that a member sent, mean
-	BytesMost float64 `json:"bytes_most"` // the same of the member that sent most
-	Missing   int     `json:"missing"`    // members that another took for gone at the end, summed over all members
+	BytesMost float64 `json:"bytes_most"` // bytes a second of the member that sent most
+	Missing   int     `json:"missing"`    // number of members that a member took for gone at the end, summed over all members
 	Dropped   int64   `json:"dropped"`    // datagrams that overflowed a queue: the machine was too slow, don't trust the result
 }
 
--- a/internal/lab/gossipbench/spread_test.go
+++ b/internal/lab/gossipbench/spread_test.go
@@ -96,7 +96,7 @@
 		if r, err = Run(t.Context(), p); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // the library's probes end when their time is over
+		time.Sleep(time.Minute) // until the library's last probes have timed out
 	})
 	return r
 }
--- a/internal/lab/history/documents.go
+++ b/internal/lab/history/documents.go
@@ -12,8 +12,8 @@
 	"mosslead/internal/registry/client"
 )
 
-// Settings of a service are checked by the model of an entry: they exist or not, the text of each put is unique, and their version
-// rises. A put counts as the entry's register, and a deletion as its leave.
+// The settings of a service are checked by the model of an entry of the list: they exist or not, the text of each put
+// is unique, and their version rises. A put counts as a register of the entry, and a deletion as its leave.
 
 // documentText returns settings that no other call puts.
 func documentText(caller, n int) string {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,6 +1,6 @@
 // Package history makes concurrent calls on the list service while faults are injected into it, and checks the answers: whether
-// they are possible with one call after another, and whether each watch reported every change. Documents are checked this way at
-// the region that owns them; at other regions their versions only must not go back.
+// they are possible with one call after another, and whether each watch reported every change. Documents are checked
+// this way in the region that owns them. In other regions the only rule is that their versions must not go back.
 package history
 
 import (
@@ -46,7 +46,7 @@
 	record  api.Record // of a read
 	version int64      // of a write
 	code    string     // of a definite failure; empty if the call was done
-	unknown bool       // the call may have been done, or may still be
+	unknown bool       // the call may have been done, or may still be done
 }
 
 // call is one call with its answer and times.
--- a/internal/lab/history/linear.go
+++ b/internal/lab/history/linear.go
@@ -164,7 +164,7 @@
 		if porcupine.CheckOperationsTimeout(model, part, checkTimeout) != porcupine.Illegal {
 			continue
 		}
-		lo, hi := 0, len(part) // a history is legal up to some call's return, and illegal from there on
+		lo, hi := 0, len(part) // up to the return of some call the history is legal, and from there on illegal
 		byReturn := append([]porcupine.Operation{}, part...)
 		sortByReturn(byReturn)
 		for lo < hi {
--- a/internal/lab/history/watch.go
+++ b/internal/lab/history/watch.go
@@ -24,7 +24,7 @@
 	slices.SortFunc(all, func(a, b porcupine.Operation) int { return cmp.Compare(a.Return, b.Return) })
 }
 
-// historyUntil returns the history as it was known at a time, when calls that returned later had no answer yet.
+// historyUntil returns the history as it was known at a time: calls that returned later have no answer in it.
 func historyUntil(all []porcupine.Operation, at int64) (part []porcupine.Operation) {
 	for _, o := range all {
 		switch {
--- a/internal/lab/leases/candidate.go
+++ b/internal/lab/leases/candidate.go
@@ -20,7 +20,7 @@
 const (
 	dutyName    = "lab/duty"
 	actInterval = 20 * time.Millisecond
-	actDelay    = 5 * time.Millisecond // between the check of the lease and the act, so that some stops fall in between
+	actDelay    = 5 * time.Millisecond // wait between the check of the lease and the act, so that some stops of the process fall in between
 	actTimeout  = 500 * time.Millisecond
 	startDelay  = 200 * time.Millisecond // upper bound of the wait before a candidate's first call
 )
@@ -29,7 +29,7 @@
 func clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // the kernel has had this clock for twenty years
+		panic(err) // can't happen, as every kernel of the last twenty years has this clock
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/lab/leases/faults.go
+++ b/internal/lab/leases/faults.go
@@ -17,8 +17,8 @@
 	serviceTimeout = 20 * time.Second // limit for the service to answer again, and for a wait for its leader
 )
 
-// injectFault injects one of the experiment's faults, and returns when the fault is over. A stop of ten leases goes on in the
-// background.
+// injectFault injects one of the experiment's faults, and returns when the fault is over. A stop that lasts ten leases
+// continues in the background.
 func (r *run) injectFault() error {
 	last, _ := r.target.lastAct()
 	var holder *candidateProc
--- a/internal/lab/leases/run.go
+++ b/internal/lab/leases/run.go
@@ -41,7 +41,7 @@
 	Kind    string
 	Seed    uint64
 	HandOns int           // number of hand-ons after which the experiment ends
-	Lease   time.Duration // a tenth of it is the margin
+	Lease   time.Duration // the margin is a tenth of the lease
 	NoFence bool          // planted fault: the target ignores epochs
 }
 
@@ -91,7 +91,7 @@
 	excused      []fencing.Span
 	faults       map[string]int
 	played       []Played
-	lastLongStop time.Time // start of the last stop of ten leases
+	lastLongStop time.Time // start of the last stop that lasted ten leases
 }
 
 // Run runs an experiment and checks its acts.
@@ -155,7 +155,8 @@
 		p := &candidateProc{slot: i}
 		r.parties = append(r.parties, p)
 		for j, address := range r.addresses {
-			// Each link has an address of its own: while it resets it does not listen, and another program could take its port.
+			// Each link has a loopback address of its own. While a link resets connections it does not listen, and on a
+			// shared address another program could take its port.
 			own := fmt.Sprintf("127.%d.%d.%d:7000", 100+os.Getpid()%128, number, i*replicas+j+1)
 			l, err := relay.New(fmt.Sprint("c", i), fmt.Sprint("r", j), own, address, nil)
 			if err != nil {
--- a/internal/lab/leases/target.go
+++ b/internal/lab/leases/target.go
@@ -101,7 +101,8 @@
 	return t.last, t.handOns
 }
 
-// awaitHandOns waits until there were so many hand-ons, and reports whether they came within the limit.
+// awaitHandOns waits until the duty was handed on the given number of times, and reports whether that came within the
+// limit.
 func (t *target) awaitHandOns(ctx context.Context, handOns int, limit time.Duration) bool {
 	end := time.Now().Add(limit)
 	for time.Now().Before(end) && ctx.Err() == nil {
--- a/internal/lab/model/keys.go
+++ b/internal/lab/model/keys.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// recentKeys holds the most recently used keys, at most limit of them. A key is known for ttl after its last use.
+// recentKeys holds the most recently used keys, up to limit keys. A key is known for ttl after its last use.
 type recentKeys struct {
 	limit    int
 	ttl      time.Duration
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -131,7 +131,7 @@
 		}
 	}
 	if got := s.Offer(0, Job{Work: 600 * time.Millisecond}); got != Down || !s.Fallen() {
-		t.Errorf("2.4 s of work within a second, to half a core: got %v, fallen: %v, want Down and fallen", got, s.Fallen())
+		t.Errorf("offered 2.4 s of work within 1 s to a cold core that falls above 2 s: got %v, fallen: %v, want Down and fallen", got, s.Fallen())
 	}
 }
 
@@ -144,7 +144,7 @@
 	}
 	s.Advance(900 * time.Millisecond)
 	if s.Choked() {
-		t.Error("choked after 900 ms of a long queue, want not before 1 s")
+		t.Error("choked after 900 ms of a long queue, want choked after 1 s at the earliest")
 	}
 	s.Advance(1200 * time.Millisecond)
 	if !s.Choked() {
@@ -152,7 +152,7 @@
 	}
 	last, _ := runToEnd(s)
 	if last < 8*time.Second {
-		t.Errorf("all jobs done at %v, want not before 8 s, because a choked server is three times slower", last)
+		t.Errorf("all jobs done at %v, want 8 s or later, because a choked server is three times slower", last)
 	}
 	if s.Advance(last + 4*time.Second); s.Choked() {
 		t.Error("still choked 4 s after its last job, want recovered after 2 s")
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -16,9 +16,9 @@
 	utilTimeConstant   = 500 * time.Millisecond // time constant of the moving average of the busy share
 )
 
-// Server is one process of an upstream. Running jobs share the cores evenly, so all of them advance at one rate. virtual
-// is the work done for one such job since the start: a job ends when it reaches its value at the job's begin plus the
-// job's work.
+// Server is one process of an upstream. Running jobs share the cores evenly, so all of them advance at one rate.
+// virtual is the work that a job would have got if it had run since the start. A job ends when virtual has grown by the
+// job's work since the job began to run.
 type Server struct {
 	spec         Spec
 	rng          *rand.Rand
@@ -276,7 +276,7 @@
 // Fallen reports whether the server is down.
 func (s *Server) Fallen() bool { return s.fallen }
 
-// overloadedWhileCold counts the work that a cold server is sent, and reports whether it is too much.
+// overloadedWhileCold counts the work that a cold server is sent, and reports whether this work makes the server fall.
 func (s *Server) overloadedWhileCold(now time.Duration, work float64) bool {
 	if s.spec.FallMultiple <= 0 || s.spec.FallFor <= 0 || s.warmth(now) >= 1 {
 		s.coldArrivals, s.coldWork = nil, 0
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -39,7 +39,7 @@
 var palette = []color.NRGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {86, 180, 233, 255},
 	{230, 159, 0, 255}, {60, 60, 60, 255}}
 
-const minLogValue = 0.1 // ms; smaller values are drawn there
+const minLogValue = 0.1 // ms; smaller values are drawn at this height
 
 // draw returns the chart as a plot.
 func (c chart) draw(step float64) (*plot.Plot, error) {
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -25,8 +25,9 @@
 	Compared int     `json:"plays"` // number of plays on the side that has fewer
 }
 
-// Compare compares the plays of a variant in one result with those of a variant in another. If both have the same seeds and
-// repeats, it draws pairs, so that differences between seeds don't hide differences between the sides.
+// Compare compares the plays of a variant in one result with those of a variant in another. If both have the same seeds
+// and repeats, it draws plays in pairs of the same seed and repeat, so that differences between seeds don't hide a
+// difference between the two results.
 func Compare(a *Result, variantA string, b *Result, variantB string) ([]Ratio, error) {
 	playsA, playsB := a.playsOf(variantA), b.playsOf(variantB)
 	if len(playsA) == 0 || len(playsB) == 0 {
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -66,9 +66,9 @@
 
 const (
 	worstWindow = 2 * time.Second
-	lossWindow  = 5 * time.Second // time after the end of a process in which its losses are counted
-	settleTime  = time.Second     // time after a restart from which dark_served counts
-	// histogram bounds in microseconds, and its significant digits
+	lossWindow  = 5 * time.Second // requests sent to a sidecar within this time after the end of its process count towards the losses
+	settleTime  = time.Second     // dark_served counts the requests of a restarted sidecar from this time after its start on
+	// bounds of the histograms in microseconds, and their significant digits
 	shortest, longest, digits = 1, 60_000_000, 3
 )
 
@@ -139,7 +139,8 @@
 	}
 }
 
-// leastShare returns the least share earned of the pairs of worth and earned worth.
+// leastShare returns the least ratio of earned to possible worth. Each value of m is the pair of possible and earned
+// worth.
 func leastShare(m map[string][2]float64) float64 {
 	low := math.Inf(1)
 	for _, x := range m {
@@ -179,7 +180,8 @@
 	}
 }
 
-// worstWindowShare returns the least share of the worth earned in any window that begins at a whole half second.
+// worstWindowShare returns the least share of the possible worth that was earned in a window. Windows begin at each
+// half second.
 func worstWindowShare(some []*wish, from, to time.Duration) float64 {
 	low := math.Inf(1)
 	for at := from; at+worstWindow <= to; at += worstWindow / 4 {
@@ -198,7 +200,7 @@
 	return low
 }
 
-// earnedShare returns the share of the worth earned.
+// earnedShare returns the share of the possible worth that was earned.
 func earnedShare(some []*wish) float64 {
 	var worth, earned float64
 	for _, w := range some {
--- a/internal/lab/report/result.go
+++ b/internal/lab/report/result.go
@@ -23,14 +23,14 @@
 const Schema = 1
 
 const (
-	maxLag             = 5.0  // ms, of the generator at p99; with more a play is not trusted
-	maxLittleDeviation = 0.01 // relative deviation from Little's law; with more a play is not trusted
+	maxLag             = 5.0  // ms, p99 of the generator's lag; a play with more is not trusted
+	maxLittleDeviation = 0.01 // relative deviation from Little's law; a play with more is not trusted
 	maxViolations      = 50   // number kept for each rule
 	maxWorst           = 10
 	seriesStep         = 500 * time.Millisecond
 	resultName         = "result.json"
 	pageName           = "index.html"
-	percentiles        = 5 // ticks of .hgrm files for each half of the remaining distance to 100%
+	percentiles        = 5 // lines of .hgrm files each time that the distance to 100% halves
 )
 
 // Result holds all results of a run of an experiment.
@@ -68,7 +68,7 @@
 	PlanHash   string              `json:"plan_hash"`
 	FaultsHash string              `json:"faults_hash"`
 	Figures    Figures             `json:"figures"`
-	Parts      map[string]Figures  `json:"parts,omitempty"` // of the parts of the load that expectations are about
+	Parts      map[string]Figures  `json:"parts,omitempty"` // figures of the parts of the load that expectations are about
 	Counts     map[string]int      `json:"violations"`      // by rule
 	Violations []verdict.Violation `json:"shown,omitempty"`
 	Series     Series              `json:"series"`
--- a/internal/lab/report/sharing.go
+++ b/internal/lab/report/sharing.go
@@ -47,7 +47,7 @@
 			if first == 0 {
 				continue
 			}
-			late := b.To - first // as for a sidecar that never knew
+			late := b.To - first // until the fault's end, as for a sidecar that never knew
 			if need := int(knownShare * float64(sidecars)); len(knew) >= need {
 				late = knew[need-1] - first
 			}
--- a/internal/lab/report/sharing_test.go
+++ b/internal/lab/report/sharing_test.go
@@ -28,7 +28,8 @@
 	o.Record.Said = append(o.Record.Said, record.Said{At: at, What: what, Sidecar: fmt.Sprintf("s%d", sidecar), Upstream: upstream, Open: open, Members: 20})
 }
 
-// The time until 95 of 100 know begins with the first own evidence during the fault, and counts to the fault's end if too few ever know.
+// The time until 95 of 100 sidecars know of a fault begins with the first sidecar's own evidence during the fault. If
+// too few ever know, it ends with the fault.
 func TestKnowing(t *testing.T) {
 	o := sharingOutcome()
 	addSaid(o, time.Second, record.Evidence, 3, "u0", true) // before the fault
@@ -57,17 +58,17 @@
 		o.Record.Attempts = append(o.Record.Attempts, &record.Attempt{Sidecar: "s1", Upstream: u, Begun: time.Duration(i) * 10 * time.Millisecond})
 	}
 	if got := hearsayPart(o.Record); got != 0 {
-		t.Errorf("without any report: got a part of %v left out, want 0", got)
+		t.Errorf("without any report: got %v of the upstreams left out, want 0", got)
 	}
 	addSaid(o, time.Second, record.Verdict, 1, "u0", true)
 	addSaid(o, time.Second, record.Verdict, 1, "u1", true)
 	addSaid(o, time.Second, record.Verdict, 1, "u2", true) // the sidecar still uses u2
 	if got := hearsayPart(o.Record); got != 2.0/6 {
-		t.Errorf("got a part of %v left out, want 2 of 6", got)
+		t.Errorf("got %v of the upstreams left out, want 2 of 6", got)
 	}
 	addSaid(o, time.Second, record.Evidence, 1, "u1", true)
 	if got := hearsayPart(o.Record); got != 1.0/5 {
-		t.Errorf("got a part of %v left out, want 1 of the 5 without own evidence", got)
+		t.Errorf("got %v of the upstreams left out, want 1 of the 5 without own evidence", got)
 	}
 }
 
--- a/internal/lab/transcript/script.go
+++ b/internal/lab/transcript/script.go
@@ -10,8 +10,8 @@
 )
 
 // Script is a record in steps, for parties on real connections. Its text lists the messages of a step conversation by conversation, each
-// in its own order, and without times. So the text does not vary as long as each step waits for everything that it causes. Script is
-// safe for concurrent use.
+// in its own order, and without times. The text is the same in every run if each step waits for everything that it
+// causes. Script is safe for concurrent use.
 type Script struct {
 	mu            sync.Mutex
 	conversations [][2]string // the two parties of each, in the order of the text
--- a/internal/lab/transcript/tap.go
+++ b/internal/lab/transcript/tap.go
@@ -47,7 +47,7 @@
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	record.Between(from, to)
 	t.server = &http.Server{Handler: t, ReadHeaderTimeout: waitTimeout}
-	t.serving.Go(func() { _ = t.server.Serve(l) }) // ends only by Close
+	t.serving.Go(func() { _ = t.server.Serve(l) }) // returns only after Close
 	return t, nil
 }
 
