--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -32,7 +32,7 @@
 	BudgetFrom string  `json:"budget_from"`
 	// Slopes are the fitted lines behind the figure.
 	Slopes    []Slope `json:"slopes,omitempty"`
-	Mechanism string  `json:"mechanism"` // by package and type; None, or None and what exists instead
+	Mechanism string  `json:"mechanism"` // package and type of the code; or None, which may be followed by what exists instead
 	Carried   bool    `json:"carried"`
 	PerYear   float64 `json:"per_year"` // how often such a day comes
 	Touches   float64 `json:"touches"`  // processes affected each time; 0: all
@@ -49,9 +49,9 @@
 	Constant float64  `json:"constant"`
 	Sizes    int      `json:"sizes"`
 	At       float64  `json:"at"`     // the form's value for the fleet
-	Beyond   float64  `json:"beyond"` // At over the largest value that was measured
-	// Refuted is the measured value over the predicted one, if it was outside the interval and the ratio is above 1.25 or below
-	// 1/1.25; otherwise 0.
+	Beyond   float64  `json:"beyond"` // ratio of At to the largest value of the form that was measured
+	// Refuted is the ratio of the measured to the predicted value, if the measured value was outside the interval and
+	// the ratio is above 1.25 or below 1/1.25; otherwise 0.
 	Refuted float64 `json:"refuted,omitempty"`
 	// Exchange is the processor time of both ends of a bare exchange in the same runs, and ExchangeMedian its duration, in µs; 0
 	// if not measured.
@@ -61,7 +61,7 @@
 	Command        string  `json:"command"`
 }
 
-// Left returns the budget over the figure, or 0 if one of them is missing.
+// Left returns the ratio of the budget to the figure, or 0 if one of them is missing.
 func (r Row) Left() float64 {
 	if r.Figure == nil || r.Budget == 0 || !(r.Figure.Value > 0) {
 		return 0
@@ -177,7 +177,7 @@
 
 const refutationFactor = 1.25
 
-// refutedRatio returns the measured value over the predicted one if the prediction is refuted, and 0 otherwise; see Slope.
+// refutedRatio returns the ratio of the measured to the predicted value if the prediction is refuted, and 0 otherwise; see Slope.
 func (m *Measure) refutedRatio(series string) float64 {
 	if m.Prediction == nil || len(m.Checks) == 0 {
 		return 0
--- a/internal/lab/fleet/plan.go
+++ b/internal/lab/fleet/plan.go
@@ -98,7 +98,7 @@
 	Upstream string
 	At       time.Duration // end of the window
 	Received float64
-	Informed float64 // the part from sidecars that had been told of the start
+	Informed float64 // the part of Received from sidecars that had been told of the upstream's start
 	Allowed  float64 // work that the rule allows on the mean
 }
 
--- a/internal/lab/model/spec.go
+++ b/internal/lab/model/spec.go
@@ -52,8 +52,8 @@
 	At     float64       // it chokes above this number of waiting jobs per core; 0: never
 	Over   time.Duration // time for which the queue must be so long
 	Slower float64       // factor by which a choked server is slower
-	Below  float64       // it recovers after less than this share of its cores was busy
-	Rest   time.Duration // for this time
+	Below  float64       // it recovers after its Util was below this share
+	Rest   time.Duration // for this time without a break
 	Most   time.Duration // longest time choked; 0: no limit
 }
 
--- a/internal/lab/transcript/tap.go
+++ b/internal/lab/transcript/tap.go
@@ -30,7 +30,7 @@
 	cut       bool
 	skip      func(call, body string) bool             // reports whether a call is left out of the record
 	remaining int                                      // number of calls still to be recorded; below 0, all are
-	recordNew bool                                     // of watches that are left out, lines that are new are recorded
+	recordNew bool                                     // new lines of watches are recorded even if the watch is left out
 	seenLines map[string]bool                          // lines that watches have delivered
 	lose      func(call string) (request, answer bool) // reports whether a call, or its answer, is lost
 	openCalls map[context.Context]context.CancelFunc
