--- a/internal/lab/transcript/tap.go
+++ b/internal/lab/transcript/tap.go
@@ -30,7 +30,7 @@
 	cut       bool
 	skip      func(call, body string) bool             // reports whether a call is left out of the record
 	remaining int                                      // number of calls still to be recorded; below 0, all are
-	recordNew bool                                     // of watches that are left out, lines that are new are recorded
+	recordNew bool                                     // new lines of watches are recorded even if the watch is left out
 	seenLines map[string]bool                          // lines that watches have delivered
 	lose      func(call string) (request, answer bool) // reports whether a call, or its answer, is lost
 	openCalls map[context.Context]context.CancelFunc
@@ -47,7 +47,7 @@
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	record.Between(from, to)
 	t.server = &http.Server{Handler: t, ReadHeaderTimeout: waitTimeout}
-	t.serving.Go(func() { _ = t.server.Serve(l) }) // ends only by Close
+	t.serving.Go(func() { _ = t.server.Serve(l) }) // returns only after Close
 	return t, nil
 }
 
