--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -21,7 +21,7 @@
 	// pressure is reduced, so that a short burst is admitted.
 	limitAgeFraction = 0.25
 
-	maxPressure            = 2.0  // limits the pressure after a lull, when the rate of answers is low without a fault
+	maxPressure            = 2.0  // limits the pressure after a lull, when few answers come without a fault
 	minInFlight            = 5.0  // requests in flight below which the rate of answers is too noisy to use
 	minInFlightPerEndpoint = 8.0  // requests of all sidecars per endpoint; with fewer, no endpoint is congested
 	minServedPerSecond     = 1e-3 // avoids a division by 0
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,7 +9,7 @@
 	// baseEjectionTime is the duration of a first ejection. It doubles with each failed half-open probe.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
-	maxDoublings     = 10 // limits the doublings of a backoff, against overflow; its maximum time is reached earlier
+	maxDoublings     = 10 // limits the doublings of a backoff, against overflow; its maximum is reached earlier
 	// failuresToEject is the number of consecutive failures that eject an endpoint. Two in a row also happen
 	// by chance.
 	failuresToEject = 3
--- a/balancer/peerverdict.go
+++ b/balancer/peerverdict.go
@@ -38,12 +38,13 @@
 // PeerVerdict carries a verdict that is based on reports of other sidecars or, with Until 0, ends one. It is
 // ignored without Settings.ShareEvidence.
 type PeerVerdict struct {
-	Upstream       string
-	StartedAt      time.Duration // start of the process that the verdict is about, as in Endpoint
-	Class          string        // empty: all classes
-	Until          time.Duration // clock time of the verdict's end
-	Since          time.Duration // clock time of the first report; successes of later attempts contradict the verdict
-	PassFraction   float64       // permitted fraction of picks; above 0 while the verdict is withdrawn in steps
+	Upstream  string
+	StartedAt time.Duration // start of the process that the verdict is about, as in Endpoint
+	Class     string        // empty: all classes
+	Until     time.Duration // clock time of the verdict's end
+	// Since is the clock time of the first report. Successes of later attempts contradict the verdict.
+	Since          time.Duration
+	PassFraction   float64 // permitted fraction of picks; above 0 while the verdict is withdrawn in steps
 	Probes         ProbeOwner
 	ProbeSucceeded bool // with Until 0: a probe made for all sidecars has succeeded
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -72,7 +72,7 @@
 
 	SlowStartCapacity float64       // minimum fraction of its capacity that a starting endpoint has; default: 1
 	SlowStartWindow   time.Duration // time after which a started endpoint has its full capacity
-	OverloadMultiple  float64       // load, relative to present capacity, that makes an endpoint fail; 0: no load does
+	OverloadMultiple  float64       // load that makes an endpoint fail, relative to present capacity; 0: none
 	OverloadDuration  time.Duration // how long that load must last for the endpoint to fail
 
 	ShareEvidence bool // report evidence with ReportEvidence, and apply PeerVerdict
