--- a/lint.sh
+++ b/lint.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The linter on all packages, in the version that is pinned here. It is built once, into bin/tools; the findings that count
-# are in .golangci.yml.
+# Runs the linter on all packages, in the version that is pinned here. The linter is built once, into bin/tools; .golangci.yml
+# configures which findings it reports.
 set -eu
 cd "$(dirname "$0")"
 version=v2.15.0
--- a/panels.sh
+++ b/panels.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# The regression test on the benches: each panel in turn, by its name, each with its own bench. Not part of CI, which
-# has no bench.
+# Runs the regression test on the benches: the given panels in turn, each with its own bench. It is not part of CI, which has
+# no bench.
 #   ./panels.sh KIT SITE "what is played" [PANEL ...]     # panels: operators earlier fleet full-size short; all by default
-# A broken rule, a crash, a refusal to start, a day at 0 (on the short days, where the floor is high, the gate alone counts) or a
-# failed gate fails it; what a day scores else varies, and is for the reader to compare. Two cases on the short days the operators
-# hold against nobody (issue 28): they count as passed, and are printed as excused.
+# A panel fails on a broken rule, a crash, a refusal to start, a failed gate, or a day with score 0. On the short days, where the
+# floor is high, a score of 0 does not count, only the gate. Other scores vary and are for the reader to compare. The operators
+# excuse two failures of the gate on the short days (issue 28): they count as passed, and are printed as excused.
 set -eu
 if [ $# -lt 3 ]; then
 	echo "usage: $0 KIT SITE WHY [operators|earlier|fleet|full-size|short ...]" >&2
@@ -18,12 +18,12 @@
 trap 'rm -f "$out" "$gates"' EXIT
 bad=0
 
-# The two cases, each from its first word to its last: further attempts that told more time than was left, on a day with crowd; and
-# the floor of what is served, on a day with throng.
+# The two excused causes, as patterns of the whole text: further attempts that announced more time than was left, on a day with
+# crowd; and the floor of what is served, on a day with throng.
 crowd='floor \([0-9]+ of [0-9]+ further attempts told more time than was left\), ([a-z]+\+)*crowd(\+[a-z]+)*-[0-9]+'
 throng='floor \(served [0-9]\.[0-9]+, wanted [0-9]\.[0-9]+\), ([a-z]+\+)*throng(\+[a-z]+)*-[0-9]+'
 
-# causes prints what a line "GATE failed: CAUSE; CAUSE ..." names, one a line; another line as it is.
+# causes prints the causes in a line "GATE failed: CAUSE; CAUSE ...", a line each. It prints any other line unchanged.
 causes() {
 	echo "$1" | awk '{ sub(/^GATE failed: /, ""); gsub(/; /, "\n"); print }'
 }
@@ -43,7 +43,7 @@
 	esac
 	echo "panel: $panel"
 	why_not=""
-	# $option holds one or several words.
+	# $option is unquoted because it holds one or several words.
 	"$kit/$bench" score "$site" $option --why "$why" >"$out" 2>&1 || why_not="the bench ended with $?"
 	cat "$out"
 	days=$(grep -Ec ' score [01]\.[0-9]+' "$out" || true)
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The whole check: formatting, vet, linter, the deploy file's build, all tests. Run from anywhere; needs Go and a C compiler.
+# Runs all checks: formatting, vet, linter, the build command of the deploy file, all tests. Works from any folder; needs Go and a C compiler.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
